--- a/cmd/granitehoist/check.go
+++ b/cmd/granitehoist/check.go
@@ -12,8 +12,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"granitehoist.example/granitehoist/config"
-	"granitehoist.example/granitehoist/settings"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/settings"
 )
 
 func newCheck(app *kingpin.Application, out io.Writer) command {
--- a/cmd/granitehoist/keys.go
+++ b/cmd/granitehoist/keys.go
@@ -18,7 +18,7 @@
 	"github.com/rotisserie/eris"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/config"
+	"granitehoist.example/granitehoist/partner/config"
 )
 
 const secretFileMode = 0o600
--- a/cmd/granitehoist/operator.go
+++ b/cmd/granitehoist/operator.go
@@ -20,12 +20,12 @@
 	"github.com/rotisserie/eris"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
-	"granitehoist.example/granitehoist/budget"
-	"granitehoist.example/granitehoist/config"
-	"granitehoist.example/granitehoist/orphan"
-	"granitehoist.example/granitehoist/report"
-	"granitehoist.example/granitehoist/router"
+	"granitehoist.example/granitehoist/partner/bill"
+	"granitehoist.example/granitehoist/partner/budget"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/orphan"
+	"granitehoist.example/granitehoist/partner/report"
+	"granitehoist.example/granitehoist/partner/router"
 )
 
 const defaultAdmin = "http://127.0.0.1:8082"
--- a/cmd/granitehoist/router.go
+++ b/cmd/granitehoist/router.go
@@ -9,8 +9,8 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
-	"granitehoist.example/granitehoist/router"
-	"granitehoist.example/granitehoist/settings"
+	"granitehoist.example/granitehoist/partner/router"
+	"granitehoist.example/granitehoist/partner/settings"
 	"granitehoist.example/granitehoist/store"
 )
 
--- a/measure/budgets.go
+++ b/measure/budgets.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"granitehoist.example/granitehoist/budget"
+	"granitehoist.example/granitehoist/partner/budget"
 )
 
 // splitters are the rows of a measurement of budgets.
--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -13,13 +13,13 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
-	"granitehoist.example/granitehoist/budget"
-	"granitehoist.example/granitehoist/config"
 	"granitehoist.example/granitehoist/fleet"
 	"granitehoist.example/granitehoist/internal/pack"
-	"granitehoist.example/granitehoist/report"
-	"granitehoist.example/granitehoist/route"
+	"granitehoist.example/granitehoist/partner/bill"
+	"granitehoist.example/granitehoist/partner/budget"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/report"
+	"granitehoist.example/granitehoist/partner/route"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/measure/histories.go
+++ b/measure/histories.go
@@ -13,7 +13,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/budget"
+	"granitehoist.example/granitehoist/partner/budget"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/measure/routing.go
+++ b/measure/routing.go
@@ -17,7 +17,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/route"
+	"granitehoist.example/granitehoist/partner/route"
 )
 
 // RoutingSize is a number of workers before which routing is measured.
--- a/bill/bill_test.go
+++ b/partner/bill/bill_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
+	"granitehoist.example/granitehoist/partner/bill"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/bill/fuzz_test.go
+++ b/partner/bill/fuzz_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
+	"granitehoist.example/granitehoist/partner/bill"
 )
 
 // FuzzDecodeSegment looks for records that panic or are read as empty.
--- a/budget/bench_test.go
+++ b/partner/budget/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/budget"
+	"granitehoist.example/granitehoist/partner/budget"
 )
 
 // filledPurse returns a purse that holds tokens of count budgets.
--- a/budget/budget_test.go
+++ b/partner/budget/budget_test.go
@@ -12,8 +12,8 @@
 	. "github.com/onsi/gomega"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/budget"
 	"granitehoist.example/granitehoist/internal/pack"
+	"granitehoist.example/granitehoist/partner/budget"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/budget/example_test.go
+++ b/partner/budget/example_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/budget"
+	"granitehoist.example/granitehoist/partner/budget"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/budget/fuzz_test.go
+++ b/partner/budget/fuzz_test.go
@@ -8,8 +8,8 @@
 	"testing"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/budget"
 	"granitehoist.example/granitehoist/internal/pack"
+	"granitehoist.example/granitehoist/partner/budget"
 )
 
 // FuzzDecode looks for records that panic, or that are read as sound though
--- a/config/config_test.go
+++ b/partner/config/config_test.go
@@ -16,8 +16,8 @@
 	. "github.com/onsi/gomega"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/config"
-	"granitehoist.example/granitehoist/policy"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/policy"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/config/document.go
+++ b/partner/config/document.go
@@ -14,7 +14,7 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/policy"
+	"granitehoist.example/granitehoist/partner/policy"
 )
 
 // Document is what the operators of one partner decide.
--- a/config/view.go
+++ b/partner/config/view.go
@@ -9,7 +9,7 @@
 	"sort"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/policy"
+	"granitehoist.example/granitehoist/partner/policy"
 )
 
 // KeyHash is the SHA-256 of a caller's key.
--- a/gate/completion.go
+++ b/partner/gate/completion.go
@@ -9,7 +9,7 @@
 	"math"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/config"
+	"granitehoist.example/granitehoist/partner/config"
 )
 
 // Tokens that an engine's template may add to a prompt: for each message, and
--- a/gate/fakes_test.go
+++ b/partner/gate/fakes_test.go
@@ -18,11 +18,11 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
-	"granitehoist.example/granitehoist/config"
-	"granitehoist.example/granitehoist/gate"
-	"granitehoist.example/granitehoist/once"
-	"granitehoist.example/granitehoist/route"
+	"granitehoist.example/granitehoist/partner/bill"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/gate"
+	"granitehoist.example/granitehoist/partner/once"
+	"granitehoist.example/granitehoist/partner/route"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/gate/gate.go
+++ b/partner/gate/gate.go
@@ -19,12 +19,12 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
-	"granitehoist.example/granitehoist/config"
 	"granitehoist.example/granitehoist/internal/defaults"
-	"granitehoist.example/granitehoist/once"
-	"granitehoist.example/granitehoist/report"
-	"granitehoist.example/granitehoist/route"
+	"granitehoist.example/granitehoist/partner/bill"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/once"
+	"granitehoist.example/granitehoist/partner/report"
+	"granitehoist.example/granitehoist/partner/route"
 )
 
 // Funds pays for requests; budget.Agent implements it.
--- a/gate/gate_test.go
+++ b/partner/gate/gate_test.go
@@ -17,8 +17,8 @@
 	. "github.com/onsi/gomega"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/config"
-	"granitehoist.example/granitehoist/gate"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/gate"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/gate/serve.go
+++ b/partner/gate/serve.go
@@ -12,12 +12,12 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/config"
-	"granitehoist.example/granitehoist/once"
-	"granitehoist.example/granitehoist/policy"
-	"granitehoist.example/granitehoist/report"
-	"granitehoist.example/granitehoist/route"
-	"granitehoist.example/granitehoist/upstream"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/once"
+	"granitehoist.example/granitehoist/partner/policy"
+	"granitehoist.example/granitehoist/partner/report"
+	"granitehoist.example/granitehoist/partner/route"
+	"granitehoist.example/granitehoist/partner/upstream"
 )
 
 // request is a caller's request on its way.
--- a/gate/spend.go
+++ b/partner/gate/spend.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
-	"granitehoist.example/granitehoist/config"
+	"granitehoist.example/granitehoist/partner/bill"
+	"granitehoist.example/granitehoist/partner/config"
 )
 
 // spend is the cost of one request over all its attempts: what is reserved,
--- a/gate/targets.go
+++ b/partner/gate/targets.go
@@ -6,8 +6,8 @@
 import (
 	"sync"
 
-	"granitehoist.example/granitehoist/config"
-	"granitehoist.example/granitehoist/route"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/route"
 )
 
 // targetCache holds the route targets of the offers of one view. Its zero value
--- a/once/registry_test.go
+++ b/partner/once/registry_test.go
@@ -15,7 +15,7 @@
 	. "github.com/onsi/gomega"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/once"
+	"granitehoist.example/granitehoist/partner/once"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -13,9 +13,9 @@
 	"github.com/rotisserie/eris"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
-	"granitehoist.example/granitehoist/budget"
-	"granitehoist.example/granitehoist/config"
+	"granitehoist.example/granitehoist/partner/bill"
+	"granitehoist.example/granitehoist/partner/budget"
+	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/store"
 )
 
--- a/orphan/orphan_test.go
+++ b/partner/orphan/orphan_test.go
@@ -13,14 +13,14 @@
 	. "github.com/onsi/gomega"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
-	"granitehoist.example/granitehoist/budget"
-	"granitehoist.example/granitehoist/config"
 	"granitehoist.example/granitehoist/internal/pack"
-	"granitehoist.example/granitehoist/orphan"
+	"granitehoist.example/granitehoist/partner/bill"
+	"granitehoist.example/granitehoist/partner/budget"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/orphan"
+	"granitehoist.example/granitehoist/partner/upstream"
 	"granitehoist.example/granitehoist/standin"
 	"granitehoist.example/granitehoist/store"
-	"granitehoist.example/granitehoist/upstream"
 )
 
 const (
--- a/policy/example_test.go
+++ b/partner/policy/example_test.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"granitehoist.example/granitehoist/policy"
+	"granitehoist.example/granitehoist/partner/policy"
 )
 
 func ExamplePolicy_Decide() {
--- a/policy/policy_test.go
+++ b/partner/policy/policy_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/policy"
+	"granitehoist.example/granitehoist/partner/policy"
 )
 
 func mustNew(s policy.Source) *policy.Policy {
--- a/report/report_test.go
+++ b/partner/report/report_test.go
@@ -12,7 +12,7 @@
 	"github.com/rcrowley/go-metrics"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/report"
+	"granitehoist.example/granitehoist/partner/report"
 )
 
 var now = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
--- a/route/bench_test.go
+++ b/partner/route/bench_test.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"testing"
 
-	"granitehoist.example/granitehoist/route"
+	"granitehoist.example/granitehoist/partner/route"
 )
 
 // BenchmarkAcquire is one choice among a service's upstreams.
--- a/route/route_test.go
+++ b/partner/route/route_test.go
@@ -12,7 +12,7 @@
 	. "github.com/onsi/gomega"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/route"
+	"granitehoist.example/granitehoist/partner/route"
 )
 
 var (
--- a/router/admin.go
+++ b/partner/router/admin.go
@@ -12,11 +12,11 @@
 	"golang.org/x/sync/errgroup"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
-	"granitehoist.example/granitehoist/budget"
-	"granitehoist.example/granitehoist/config"
 	"granitehoist.example/granitehoist/fleet"
-	"granitehoist.example/granitehoist/report"
+	"granitehoist.example/granitehoist/partner/bill"
+	"granitehoist.example/granitehoist/partner/budget"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/report"
 )
 
 // Paths of the operators' surface.
--- a/router/burn.go
+++ b/partner/router/burn.go
@@ -11,7 +11,7 @@
 
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/fleet"
-	"granitehoist.example/granitehoist/report"
+	"granitehoist.example/granitehoist/partner/report"
 )
 
 // PathBurn answers the burn of the whole fleet.
--- a/router/orphans.go
+++ b/partner/router/orphans.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/orphan"
+	"granitehoist.example/granitehoist/partner/orphan"
 )
 
 const (
--- a/router/router.go
+++ b/partner/router/router.go
@@ -18,17 +18,17 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
-	"granitehoist.example/granitehoist/budget"
-	"granitehoist.example/granitehoist/config"
 	"granitehoist.example/granitehoist/fleet"
-	"granitehoist.example/granitehoist/gate"
-	"granitehoist.example/granitehoist/once"
-	"granitehoist.example/granitehoist/orphan"
-	"granitehoist.example/granitehoist/report"
-	"granitehoist.example/granitehoist/route"
-	"granitehoist.example/granitehoist/settings"
-	"granitehoist.example/granitehoist/upstream"
+	"granitehoist.example/granitehoist/partner/bill"
+	"granitehoist.example/granitehoist/partner/budget"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/gate"
+	"granitehoist.example/granitehoist/partner/once"
+	"granitehoist.example/granitehoist/partner/orphan"
+	"granitehoist.example/granitehoist/partner/report"
+	"granitehoist.example/granitehoist/partner/route"
+	"granitehoist.example/granitehoist/partner/settings"
+	"granitehoist.example/granitehoist/partner/upstream"
 )
 
 // Settings configure a Router.
--- a/router/router_test.go
+++ b/partner/router/router_test.go
@@ -19,9 +19,9 @@
 	. "github.com/onsi/gomega"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/config"
-	"granitehoist.example/granitehoist/router"
-	"granitehoist.example/granitehoist/settings"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/router"
+	"granitehoist.example/granitehoist/partner/settings"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/settings/settings.go
+++ b/partner/settings/settings.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/budget"
-	"granitehoist.example/granitehoist/config"
 	"granitehoist.example/granitehoist/internal/defaults"
+	"granitehoist.example/granitehoist/partner/budget"
+	"granitehoist.example/granitehoist/partner/config"
 )
 
 // Duration is a time.Duration written as "1.5s".
--- a/settings/settings_test.go
+++ b/partner/settings/settings_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/settings"
+	"granitehoist.example/granitehoist/partner/settings"
 )
 
 const sound = `partner = "tuul"
--- a/upstream/upstream_test.go
+++ b/partner/upstream/upstream_test.go
@@ -19,8 +19,8 @@
 	. "github.com/onsi/gomega"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/partner/upstream"
 	"granitehoist.example/granitehoist/standin"
-	"granitehoist.example/granitehoist/upstream"
 )
 
 // sink keeps an answer, and fails after a number of pieces if it is above zero.
--- a/standin/answering.go
+++ b/standin/answering.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/upstream"
+	"granitehoist.example/granitehoist/partner/upstream"
 )
 
 // answering is one answer in progress.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -15,7 +15,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/upstream"
+	"granitehoist.example/granitehoist/partner/upstream"
 )
 
 // EngineSettings configure an Engine. The zero value works.
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/upstream"
+	"granitehoist.example/granitehoist/partner/upstream"
 )
 
 // PlainFaults are the failures that a Plain service shows on command. A count
--- a/trial/judge.go
+++ b/trial/judge.go
@@ -9,7 +9,7 @@
 	"strings"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
+	"granitehoist.example/granitehoist/partner/bill"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/trial/load.go
+++ b/trial/load.go
@@ -18,7 +18,7 @@
 	"github.com/dghubble/sling"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/gate"
+	"granitehoist.example/granitehoist/partner/gate"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/trial/run.go
+++ b/trial/run.go
@@ -13,9 +13,9 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/bill"
 	"granitehoist.example/granitehoist/internal/defaults"
-	"granitehoist.example/granitehoist/router"
+	"granitehoist.example/granitehoist/partner/bill"
+	"granitehoist.example/granitehoist/partner/router"
 	"granitehoist.example/granitehoist/standin"
 )
 
--- a/trial/site.go
+++ b/trial/site.go
@@ -22,9 +22,9 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/config"
-	"granitehoist.example/granitehoist/router"
-	"granitehoist.example/granitehoist/settings"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/router"
+	"granitehoist.example/granitehoist/partner/settings"
 	"granitehoist.example/granitehoist/standin"
 	"granitehoist.example/granitehoist/store"
 )
