--- a/balance/balance.go
+++ b/balance/balance.go
@@ -23,7 +23,7 @@
 	Service granitehoist.Service
 	// Address is its IP and port.
 	Address  string
-	Place    granitehoist.Place
+	Zone     granitehoist.AvailabilityZone
 	Capacity int
 	// Draining instances finish what they have and get nothing new.
 	Draining bool
@@ -33,8 +33,8 @@
 
 // Settings configure a Table.
 type Settings struct {
-	// Place is this router's own; equal instances nearby are preferred.
-	Place granitehoist.Place
+	// Zone is this router's own; equal instances nearby are preferred.
+	Zone granitehoist.AvailabilityZone
 	// Eject is how long an instance is left out after failures in a row; zero
 	// stands for DefaultEject.
 	Eject time.Duration
@@ -56,8 +56,8 @@
 	perRequestMS = 4.0
 	// failureMS is the weight of an instance all of whose attempts fail.
 	failureMS = 400.0
-	// otherPlaceMS is the weight of being in another place.
-	otherPlaceMS = 1.0
+	// otherZoneMS is the weight of being in another availability zone.
+	otherZoneMS = 1.0
 	// failureWeight is that of the newest attempt in the mean of failures.
 	failureWeight = 0.2
 	// strayWeight is what sending a beginning away from its home costs besides
@@ -285,8 +285,8 @@
 	}
 	cost += perRequestMS * float64(m.inFlight) * t.scale(m)
 	cost += failureMS * m.failing
-	if m.Place != t.settings.Place {
-		cost += otherPlaceMS
+	if m.Zone != t.settings.Zone {
+		cost += otherZoneMS
 	}
 	return cost + t.random.Float64()
 }
--- a/cmd/granitehoist/operator.go
+++ b/cmd/granitehoist/operator.go
@@ -219,7 +219,7 @@
 }
 
 func newReportBurn(app *kingpin.Application, out io.Writer) command {
-	clause := app.Command("report", "Reports on the fleet.").Command("burn", "Service-level burn by service, workspace and place over several windows.")
+	clause := app.Command("report", "Reports on the fleet.").Command("burn", "Service-level burn by service, workspace and availability zone over several windows.")
 	o := newOperator(clause)
 	return command{clause, func(ctx context.Context) error {
 		var burn report.Burn
--- a/doc.go
+++ b/doc.go
@@ -5,8 +5,8 @@
 // shares: the identifiers, the units, the numbered result codes and the
 // interfaces behind which implementations differ.
 //
-// A box is a machine that runs one router. A place is an availability zone, a
-// region is a set of places, a workspace is a customer of one of the partners
+// A box is a machine that runs one router, a region is a set of availability
+// zones, a workspace is a customer of one of the partners
 // and an upstream is a back end: a model engine or a plain service. Every
 // other term is the usual one of the field; docs/GLOSSARY.md maps them.
 //
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -13,11 +13,11 @@
 
 // Member is a router as it enters itself in the store.
 type Member struct {
-	Box         granitehoist.Box         `json:"box"`
-	Incarnation granitehoist.Incarnation `json:"incarnation"`
-	Partner     granitehoist.Partner     `json:"partner"`
-	Region      granitehoist.Region      `json:"region"`
-	Place       granitehoist.Place       `json:"place"`
+	Box         granitehoist.Box              `json:"box"`
+	Incarnation granitehoist.Incarnation      `json:"incarnation"`
+	Partner     granitehoist.Partner          `json:"partner"`
+	Region      granitehoist.Region           `json:"region"`
+	Zone        granitehoist.AvailabilityZone `json:"place"`
 	// Peers is the address for calls between routers.
 	Peers string `json:"peers"`
 	// Leaving says that the router is stopping and takes no roles.
--- a/ids.go
+++ b/ids.go
@@ -15,11 +15,11 @@
 // Partner names one of the organisations that share the fleet.
 type Partner string
 
-// Region names a set of places that is cut off, or reachable, as a whole.
+// Region names a set of availability zones that is cut off, or reachable, as a whole.
 type Region string
 
-// Place names an availability zone.
-type Place string
+// AvailabilityZone names an availability zone.
+type AvailabilityZone string
 
 // Box names a machine that runs one router.
 type Box string
--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -268,7 +268,7 @@
 }
 
 // burnMemory is what a router's burn report takes for n services, workspaces
-// and places.
+// and availability zones.
 func burnMemory(n int) float64 {
 	return heapOf(func() any {
 		var r report.Recorder
@@ -282,7 +282,7 @@
 func memberBytes(n int) float64 {
 	var members []fleet.Member
 	for i := range n {
-		members = append(members, fleet.Member{Box: "zaisan-hall-0001", Incarnation: capacityIncarnation(i), Partner: "tuul", Region: "tuul", Place: "zaisan-hall", Peers: "10.100.200.100:8081"})
+		members = append(members, fleet.Member{Box: "zaisan-hall-0001", Incarnation: capacityIncarnation(i), Partner: "tuul", Region: "tuul", Zone: "zaisan-hall", Peers: "10.100.200.100:8081"})
 	}
 	return float64(len(mustJSON(members)))
 }
--- a/node/config.go
+++ b/node/config.go
@@ -19,7 +19,7 @@
 // Config is what a node is told at its start.
 type Config struct {
 	Box    granitehoist.Box
-	Place  granitehoist.Place
+	Zone   granitehoist.AvailabilityZone
 	Region granitehoist.Region
 	// IP is the address that neighbours reach; PeerPort is where.
 	IP       string
--- a/node/node.go
+++ b/node/node.go
@@ -106,10 +106,10 @@
 }
 
 func (n *Node) build() {
-	n.table = balance.New(balance.Settings{Place: n.config.Place, Seed: uint64(time.Now().UnixNano())})
+	n.table = balance.New(balance.Settings{Zone: n.config.Zone, Seed: uint64(time.Now().UnixNano())})
 	n.pool = exchange.NewPool(exchange.Settings{Opened: n.counter(metricConnections), Meter: &n.meter})
 	n.peers = newPeers(peersSettings{
-		self:  peerEntry{Incarnation: n.incarnation, Box: n.config.Box, Place: n.config.Place, Address: n.peersAt.Addr().String(), LinkMbps: n.config.LinkMbps},
+		self:  peerEntry{Incarnation: n.incarnation, Box: n.config.Box, Zone: n.config.Zone, Address: n.peersAt.Addr().String(), LinkMbps: n.config.LinkMbps},
 		store: n.adapter.Store,
 		log:   n.log,
 		first: n.config.First,
--- a/node/peers.go
+++ b/node/peers.go
@@ -40,10 +40,10 @@
 
 // peerEntry is what a node writes of itself.
 type peerEntry struct {
-	Incarnation granitehoist.Incarnation `json:"incarnation"`
-	Box         granitehoist.Box         `json:"box"`
-	Place       granitehoist.Place       `json:"place"`
-	Address     string                   `json:"address"`
+	Incarnation granitehoist.Incarnation      `json:"incarnation"`
+	Box         granitehoist.Box              `json:"box"`
+	Zone        granitehoist.AvailabilityZone `json:"place"`
+	Address     string                        `json:"address"`
 	// LinkMbps is the rate of the box's link in Mbit/s.
 	LinkMbps float64 `json:"link_mbps,omitempty"`
 }
--- a/node/relays.go
+++ b/node/relays.go
@@ -14,27 +14,27 @@
 
 // Relays speak with the store and follow its changes for the others. In small
 // fleets every node is one and writes the record of the budgets. In those of
-// largeFleet nodes and more relaysPerPlace nodes of each place are, those with
+// largeFleet nodes and more relaysPerZone nodes of each zone are, those with
 // the fastest links, and the first of them writes the record for all, so that
 // writers don't get in each other's way; while it can't, the next one does.
 const (
-	largeFleet     = 16
-	relaysPerPlace = 2
+	largeFleet    = 16
+	relaysPerZone = 2
 )
 
 // chooseRelays returns the relays by box. All nodes that know the same boxes
 // choose the same.
 func (p *peers) chooseRelays() map[granitehoist.Box]bool {
-	most := relaysPerPlace
+	most := relaysPerZone
 	if p.small() {
 		most = largeFleet
 	}
-	places := map[granitehoist.Place][]peerEntry{}
+	zones := map[granitehoist.AvailabilityZone][]peerEntry{}
 	for _, entry := range append([]peerEntry{p.settings.self}, p.others...) {
-		places[entry.Place] = append(places[entry.Place], entry)
+		zones[entry.Zone] = append(zones[entry.Zone], entry)
 	}
 	chosen := map[granitehoist.Box]bool{}
-	for _, entries := range places {
+	for _, entries := range zones {
 		slices.SortFunc(entries, func(a, b peerEntry) int {
 			return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(rankOf(a.Box), rankOf(b.Box)))
 		})
@@ -71,7 +71,7 @@
 	return 1
 }
 
-// relays returns the relays for this node, those of its own place first; none
+// relays returns the relays for this node, those of its own zone first; none
 // if it speaks with the store itself or does not know the others yet.
 func (p *peers) relays() []granitehoist.Peer {
 	p.mu.Lock()
@@ -87,7 +87,7 @@
 	for _, other := range p.others {
 		switch {
 		case !chosen[other.Box]:
-		case other.Place == p.settings.self.Place:
+		case other.Zone == p.settings.self.Zone:
 			near = append(near, other.peer())
 		default:
 			far = append(far, other.peer())
@@ -136,7 +136,7 @@
 }
 
 // lenders returns all neighbours: relays in the order in which they write the
-// record, then the others, those in the node's own place before those elsewhere.
+// record, then the others, those in the node's own zone before those elsewhere.
 func (p *peers) lenders() []granitehoist.Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -148,7 +148,7 @@
 		switch {
 		case chosen[other.Box]:
 			relays = append(relays, other)
-		case other.Place == p.settings.self.Place:
+		case other.Zone == p.settings.self.Zone:
 			near = append(near, other.peer())
 		default:
 			far = append(far, other.peer())
--- a/node/relays_test.go
+++ b/node/relays_test.go
@@ -10,14 +10,14 @@
 	"granitehoist.example/granitehoist"
 )
 
-// fleetOf returns the peers of each node of a fleet in three places.
+// fleetOf returns the peers of each node of a fleet in three availability zones.
 func fleetOf(count int) []*peers {
 	var entries []peerEntry
 	for i := range count {
 		entries = append(entries, peerEntry{
 			Incarnation: granitehoist.Incarnation(fmt.Sprint("inc-", i)),
 			Box:         granitehoist.Box(fmt.Sprint("edge-", i)),
-			Place:       granitehoist.Place(fmt.Sprint("place-", i%3)),
+			Zone:        granitehoist.AvailabilityZone(fmt.Sprint("place-", i%3)),
 			Address:     fmt.Sprint("10.0.0.", i),
 		})
 	}
@@ -32,18 +32,18 @@
 }
 
 // TestRelays checks that a small fleet speaks with the store itself, and that all nodes of
-// a large one agree on two a place and ask those of their own place first.
+// a large one agree on two a zone and ask those of their own zone first.
 func TestRelays(t *testing.T) {
 	for _, p := range fleetOf(9) {
 		if !p.direct() || !p.writes() || len(p.relays()) > 0 || p.sharers() != 9 {
 			t.Fatalf("%s: direct %v, writes %v, relays %v, %d sharers", p.settings.self.Box, p.direct(), p.writes(), p.relays(), p.sharers())
 		}
 	}
-	relays := map[granitehoist.Incarnation]granitehoist.Place{}
+	relays := map[granitehoist.Incarnation]granitehoist.AvailabilityZone{}
 	fleet := fleetOf(60)
 	for _, p := range fleet {
 		if p.direct() {
-			relays[p.settings.self.Incarnation] = p.settings.self.Place
+			relays[p.settings.self.Incarnation] = p.settings.self.Zone
 		}
 	}
 	if len(relays) != 6 {
@@ -54,7 +54,7 @@
 		if p.direct() {
 			continue
 		}
-		if first := asked[0].Incarnation; relays[first] != p.settings.self.Place {
+		if first := asked[0].Incarnation; relays[first] != p.settings.self.Zone {
 			t.Fatalf("%s asks %s first, a relay of %q", p.settings.self.Box, first, relays[first])
 		}
 	}
--- a/partner/config/document.go
+++ b/partner/config/document.go
@@ -58,10 +58,10 @@
 
 // Upstream is one back end.
 type Upstream struct {
-	Name    granitehoist.Upstream `toml:"name"`
-	Service granitehoist.Service  `toml:"service"`
-	Place   granitehoist.Place    `toml:"place"`
-	Address string                `toml:"address"`
+	Name    granitehoist.Upstream         `toml:"name"`
+	Service granitehoist.Service          `toml:"service"`
+	Zone    granitehoist.AvailabilityZone `toml:"place"`
+	Address string                        `toml:"address"`
 	// Box, if set, is the upstream's name in the platform's list of boxes.
 	Box granitehoist.Box `toml:"box"`
 	// Concurrency bounds the requests that one router has in progress there;
--- a/partner/gate/fakes_test.go
+++ b/partner/gate/fakes_test.go
@@ -169,7 +169,7 @@
 		view:   config.NewView().With(document(), 1),
 	}
 	s.settings = gate.Settings{
-		Place:       "gachuurt",
+		Zone:        "gachuurt",
 		Incarnation: "box-1",
 		View:        func() *config.View { return s.view },
 		Funds:       s.funds,
--- a/partner/gate/gate.go
+++ b/partner/gate/gate.go
@@ -39,7 +39,7 @@
 // Settings configure a Gate. All fields but Burn and
 // the limits are needed.
 type Settings struct {
-	Place       granitehoist.Place
+	Zone        granitehoist.AvailabilityZone
 	Incarnation granitehoist.Incarnation
 	// View returns the documents in force.
 	View      func() *config.View
--- a/partner/gate/serve.go
+++ b/partner/gate/serve.go
@@ -204,7 +204,7 @@
 		Model:      req.model,
 		Partner:    req.identity.Partner,
 		Owner:      req.offer.Owner,
-		Place:      g.settings.Place,
+		Zone:       g.settings.Zone,
 		Priority:   req.wishes.priority,
 		PromptSize: req.size,
 		MaxOutput:  req.output,
@@ -400,7 +400,7 @@
 	counts := report.CountsOf(granitehoist.CodeOf(err))
 	counts.First, counts.SlowFirst = req.counts.First, req.counts.SlowFirst
 	counts.Between, counts.SlowBetween = req.counts.Between, req.counts.SlowBetween
-	key := report.Key{Service: req.offer.Name, Workspace: req.identity.Workspace, Place: g.settings.Place}
+	key := report.Key{Service: req.offer.Name, Workspace: req.identity.Workspace, Zone: g.settings.Zone}
 	g.settings.Burn.Add(key, counts, g.settings.Clock())
 }
 
--- a/partner/policy/policy.go
+++ b/partner/policy/policy.go
@@ -21,16 +21,16 @@
 // Request holds the inputs of a policy. Each field is the CEL variable named
 // in its comment.
 type Request struct {
-	Workspace  granitehoist.Workspace // workspace: string
-	Service    granitehoist.Service   // service: string
-	Model      granitehoist.Model     // model: string, "" for a plain service
-	Partner    granitehoist.Partner   // partner: string, the caller's partner
-	Owner      granitehoist.Partner   // owner: string, the partner whose capacity is asked for
-	Place      granitehoist.Place     // place: string, of the router
-	Priority   granitehoist.Priority  // priority: int, as the caller asked
-	PromptSize int                    // prompt_size: int, bytes
-	MaxOutput  granitehoist.Tokens    // max_output: int, tokens
-	Budget     string                 // budget: string, the name within the workspace
+	Workspace  granitehoist.Workspace        // workspace: string
+	Service    granitehoist.Service          // service: string
+	Model      granitehoist.Model            // model: string, "" for a plain service
+	Partner    granitehoist.Partner          // partner: string, the caller's partner
+	Owner      granitehoist.Partner          // owner: string, the partner whose capacity is asked for
+	Zone       granitehoist.AvailabilityZone // place: string, the availability zone of the router
+	Priority   granitehoist.Priority         // priority: int, as the caller asked
+	PromptSize int                           // prompt_size: int, bytes
+	MaxOutput  granitehoist.Tokens           // max_output: int, tokens
+	Budget     string                        // budget: string, the name within the workspace
 	// Time gives hour (int, 0 to 23) and weekday (int, Sunday is 0), in the
 	// location that the time carries.
 	Time time.Time
@@ -189,7 +189,7 @@
 		"model":       string(r.Model),
 		"partner":     string(r.Partner),
 		"owner":       string(r.Owner),
-		"place":       string(r.Place),
+		"place":       string(r.Zone),
 		"budget":      r.Budget,
 		"priority":    int64(r.Priority),
 		"prompt_size": int64(r.PromptSize),
--- a/partner/policy/policy_test.go
+++ b/partner/policy/policy_test.go
@@ -23,7 +23,7 @@
 
 var _ = Describe("Policy", func() {
 	noon := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
-	kiosk := policy.Request{Workspace: "kiosk", Service: "granite-pool", Model: "granite-8b", Partner: "tuul", Owner: "tuul", Place: "gachuurt", Priority: 5, PromptSize: 100, MaxOutput: 64, Budget: "season", Time: noon}
+	kiosk := policy.Request{Workspace: "kiosk", Service: "granite-pool", Model: "granite-8b", Partner: "tuul", Owner: "tuul", Zone: "gachuurt", Priority: 5, PromptSize: 100, MaxOutput: 64, Budget: "season", Time: noon}
 
 	DescribeTable("decides over every input",
 		func(permit string, want bool) {
--- a/partner/report/burn.go
+++ b/partner/report/burn.go
@@ -30,9 +30,9 @@
 
 // Key is what burn is told apart by.
 type Key struct {
-	Service   granitehoist.Service   `json:"service"`
-	Workspace granitehoist.Workspace `json:"workspace"`
-	Place     granitehoist.Place     `json:"place"`
+	Service   granitehoist.Service          `json:"service"`
+	Workspace granitehoist.Workspace        `json:"workspace"`
+	Zone      granitehoist.AvailabilityZone `json:"place"`
 }
 
 // Counts are the requests of a key in some time.
@@ -168,7 +168,7 @@
 		if a.Workspace != b.Workspace {
 			return a.Workspace < b.Workspace
 		}
-		return a.Place < b.Place
+		return a.Zone < b.Zone
 	})
 }
 
@@ -221,7 +221,7 @@
 			if c.Requests == 0 {
 				continue
 			}
-			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\n", row.Key.Service, row.Key.Workspace, row.Key.Place, c.Requests,
+			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\n", row.Key.Service, row.Key.Workspace, row.Key.Zone, c.Requests,
 				Rate(c.SlowFirst, c.First), Rate(c.SlowBetween, c.Between), Rate(c.Refused, c.Requests), Rate(c.Errors, c.Requests))
 		}
 		fmt.Fprintln(table)
--- a/partner/report/report_test.go
+++ b/partner/report/report_test.go
@@ -17,7 +17,7 @@
 
 var now = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-var key = report.Key{Service: "pool", Workspace: "kiosk", Place: "gachuurt"}
+var key = report.Key{Service: "pool", Workspace: "kiosk", Zone: "gachuurt"}
 
 var _ = Describe("Recorder", func() {
 	It("counts each window apart, and forgets after a day", func() {
--- a/partner/router/router.go
+++ b/partner/router/router.go
@@ -101,7 +101,7 @@
 		Incarnation: granitehoist.Incarnation(granitehoist.NewID(string(s.Router.Box)+"-", s.Random)),
 		Partner:     s.Router.Partner,
 		Region:      s.Router.Region,
-		Place:       s.Router.Place,
+		Zone:        s.Router.Zone,
 		Peers:       peers.Addr().String(),
 	}
 	r.build(trust)
@@ -219,7 +219,7 @@
 	limits := s.Router.Limits
 	r.table = route.NewTable(route.Settings{})
 	r.gate = gate.New(gate.Settings{
-		Place:       r.self.Place,
+		Zone:        r.self.Zone,
 		Incarnation: r.self.Incarnation,
 		View:        r.follower.View,
 		Funds:       r.agent,
@@ -334,8 +334,8 @@
 // Partner returns whose router it is.
 func (r *Router) Partner() granitehoist.Partner { return r.self.Partner }
 
-// Place returns where the router is.
-func (r *Router) Place() granitehoist.Place { return r.self.Place }
+// Zone returns where the router is.
+func (r *Router) Zone() granitehoist.AvailabilityZone { return r.self.Zone }
 
 // View returns the documents in force.
 func (r *Router) View() *config.View { return r.follower.View() }
--- a/partner/router/router_test.go
+++ b/partner/router/router_test.go
@@ -85,7 +85,7 @@
 		const port = "127.0.0.1:0"
 		r, err := router.New(router.Settings{
 			Router: &settings.Router{
-				Partner: "tuul", Region: "tuul", Place: "gachuurt", Box: box,
+				Partner: "tuul", Region: "tuul", Zone: "gachuurt", Box: box,
 				Listen: settings.Listen{Callers: port, Peers: port, Admin: port},
 				Trust:  []settings.Trust{{Partner: "tuul", Keys: []string{base64.StdEncoding.EncodeToString(public)}}},
 				Limits: settings.Limits{HeaderBytes: 4096, BodyBytes: 4096, Unready: settings.Duration(time.Millisecond)},
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -37,10 +37,10 @@
 
 // Router is the settings of one router.
 type Router struct {
-	Partner granitehoist.Partner `toml:"partner"`
-	Region  granitehoist.Region  `toml:"region"`
-	Place   granitehoist.Place   `toml:"place"`
-	Box     granitehoist.Box     `toml:"box"`
+	Partner granitehoist.Partner          `toml:"partner"`
+	Region  granitehoist.Region           `toml:"region"`
+	Zone    granitehoist.AvailabilityZone `toml:"place"`
+	Box     granitehoist.Box              `toml:"box"`
 	// Store is the base URL of the platform's service.
 	Store  string  `toml:"store"`
 	Listen Listen  `toml:"listen"`
@@ -211,7 +211,7 @@
 func (c *checker) router(r *Router) {
 	c.present("partner", string(r.Partner))
 	c.present("region", string(r.Region))
-	c.present("place", string(r.Place))
+	c.present("place", string(r.Zone))
 	c.present("box", string(r.Box))
 	c.url("store", r.Store)
 	c.address("listen.callers", r.Listen.Callers)
--- a/trial/run.go
+++ b/trial/run.go
@@ -114,7 +114,7 @@
 func (s *Site) replaceOne(ctx context.Context, i int) {
 	old := s.Routers[i]
 	s.stopped++
-	fresh, err := s.startRouter(old.Partner(), old.Place(), routersPerPlace+s.stopped, "", s.trust)
+	fresh, err := s.startRouter(old.Partner(), old.Zone(), routersPerZone+s.stopped, "", s.trust)
 	if err == nil {
 		err = s.waitReady(ctx, fresh)
 	}
--- a/trial/site.go
+++ b/trial/site.go
@@ -41,15 +41,15 @@
 	LimaModel = "asistente-7b"
 )
 
-// places lists the availability zones of each region.
-var places = map[granitehoist.Region][]granitehoist.Place{
+// zones lists the availability zones of each region.
+var zones = map[granitehoist.Region][]granitehoist.AvailabilityZone{
 	Tuul: {"ulaan-hall", "zaisan-hall", "gachuurt"},
 	Lima: {"miraflores", "callao", "ate", "surco"},
 }
 
 // Sizes of a trial site.
 const (
-	routersPerPlace = 2
+	routersPerZone  = 2
 	enginesPerPool  = 3
 	plainPerService = 2
 	// SmallBudget is what the workspace that runs out has.
@@ -153,7 +153,7 @@
 	if service.Kind == config.KindEngine {
 		count = enginesPerPool
 	}
-	at := places[granitehoist.Region(partner)]
+	at := zones[granitehoist.Region(partner)]
 	for i := range count {
 		address, err := s.serve(s.newUpstream(service))
 		if err != nil {
@@ -163,7 +163,7 @@
 		d.Upstreams = append(d.Upstreams, config.Upstream{
 			Name:    granitehoist.Upstream(fmt.Sprintf("%s-%d", service.Name, i+1)),
 			Service: service.Name,
-			Place:   at[i%len(at)],
+			Zone:    at[i%len(at)],
 			Address: address,
 			Box:     granitehoist.Box(fmt.Sprintf("%s-box-%d", service.Name, i+1)),
 		})
@@ -194,9 +194,9 @@
 	}
 	s.trust = trust
 	for _, partner := range []granitehoist.Partner{Tuul, Lima} {
-		for _, place := range places[granitehoist.Region(partner)] {
-			for i := range routersPerPlace {
-				r, err := s.startRouter(partner, place, i, listen, trust)
+		for _, zone := range zones[granitehoist.Region(partner)] {
+			for i := range routersPerZone {
+				r, err := s.startRouter(partner, zone, i, listen, trust)
 				if err != nil {
 					return err
 				}
@@ -210,15 +210,15 @@
 
 const anyPort = "127.0.0.1:0"
 
-func (s *Site) startRouter(partner granitehoist.Partner, place granitehoist.Place, i int, listen string, trust []settings.Trust) (*router.Router, error) {
+func (s *Site) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string, trust []settings.Trust) (*router.Router, error) {
 	if listen == "" {
 		listen = anyPort
 	}
 	file := settings.Router{
 		Partner: partner,
 		Region:  granitehoist.Region(partner),
-		Place:   place,
-		Box:     granitehoist.Box(fmt.Sprintf("%s-%d", place, i+1)),
+		Zone:    zone,
+		Box:     granitehoist.Box(fmt.Sprintf("%s-%d", zone, i+1)),
 		Store:   s.storeURL,
 		Listen:  settings.Listen{Callers: listen, Peers: anyPort, Admin: anyPort},
 		Trust:   trust,
