--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -10,6 +10,7 @@
 	"io"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -68,6 +69,15 @@
 // two use the same.
 var firstIP atomic.Int32
 
+// nextIP returns a loopback address that neither another test uses nor one of
+// another run of the tests beside this one: the ports are fixed by the settings
+// file, so two processes need networks of their own.
+func nextIP() string {
+	const ownNetworks, octet = 64, 256
+	pid := os.Getpid()
+	return fmt.Sprintf("127.%d.%d.%d", ownNetworks+pid/octet%ownNetworks, pid%octet, firstIP.Add(1))
+}
+
 func newSite(nodes int) *site {
 	s := &site{store: standin.NewStore(standin.StoreSettings{})}
 	for range nodes {
@@ -77,7 +87,7 @@
 }
 
 func (s *site) start() *member {
-	ip := fmt.Sprintf("127.0.71.%d", firstIP.Add(1))
+	ip := nextIP()
 	front := &standin.PlatformStore{Store: s.store}
 	listener, err := net.Listen("tcp", ip+":8223")
 	Expect(err).NotTo(HaveOccurred())
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -70,10 +70,17 @@
 	workers   []*proxy
 }
 
+// ownNetwork returns the second octet of this run's loopback addresses, so that
+// two runs of the tests beside each other don't take each other's ports.
+func ownNetwork() int {
+	const first, networks = 128, 96
+	return first + os.Getpid()%networks
+}
+
 func newFleet(t *testing.T, binary string, block int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, binary: binary, books: &books{runs: map[string]int{}}, store: standin.NewStore(standin.StoreSettings{})}
-	front, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.200:0", block))
+	front, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.200:0", ownNetwork(), block))
 	f.must(err)
 	server := &http.Server{Handler: &standin.PlatformStore{Store: f.store}, ReadHeaderTimeout: time.Minute}
 	go func() { _ = server.Serve(front) }()
@@ -86,10 +93,10 @@
 		"limits":{"maxHeaderBytes":16384,"maxBodyBytes":65536,"headerTimeoutMs":3000,"idleTimeoutMs":15000},
 		"tenants":[{"name":"kiosk","apiKeys":["a-key"],"reserved":%d}]}`, perEvent, reserved))
 	for i := range workerCount {
-		f.addWorker(fmt.Sprintf("i-%d", i), fmt.Sprintf("127.0.%d.%d:0", block, 100+i))
+		f.addWorker(fmt.Sprintf("i-%d", i), fmt.Sprintf("127.%d.%d.%d:0", ownNetwork(), block, 100+i))
 	}
 	for i := range nodeCount {
-		f.addProcess(fmt.Sprintf("127.0.%d.%d", block, 1+i), front.Addr().String())
+		f.addProcess(fmt.Sprintf("127.%d.%d.%d", ownNetwork(), block, 1+i), front.Addr().String())
 	}
 	return f
 }
