--- a/balance/balance.go
+++ b/balance/balance.go
@@ -60,9 +60,9 @@
 	otherZoneMS = 1.0
 	// failureWeight is that of the newest attempt in the mean of failures.
 	failureWeight = 0.2
-	// strayWeight is what sending a beginning away from its home costs besides
+	// cacheMissWeight is what sending a beginning away from its home costs besides
 	// reading it there, as a part of that.
-	strayWeight = 0.5
+	cacheMissWeight = 0.5
 	// cacheTime is how long a beginning is taken to be in a cache.
 	cacheTime = 20 * time.Second
 	// sentAtMost bounds the beginnings that are remembered of an instance.
@@ -133,9 +133,9 @@
 	return before, known
 }
 
-// Gone says that an instance's announcement has gone. It returns the instance
+// Remove says that an instance's announcement has gone. It returns the instance
 // and whether it was known.
-func (t *Table) Gone(id granitehoist.Upstream, now time.Time) (Instance, bool) {
+func (t *Table) Remove(id granitehoist.Upstream, now time.Time) (Instance, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m, known := t.members[id]
@@ -170,14 +170,14 @@
 	}
 }
 
-// Want is what an attempt asks of the table.
-type Want struct {
+// Query is what an attempt asks of the table.
+type Query struct {
 	Service granitehoist.Service
-	// Affinity is the hash of the beginning that requests share; zero stands
+	// PrefixHash is the hash of the beginning that requests share; zero stands
 	// for none. Shared is its length and Prompt that of the whole prompt.
-	Affinity uint64
-	Shared   granitehoist.Tokens
-	Prompt   granitehoist.Tokens
+	PrefixHash   uint64
+	PrefixTokens granitehoist.Tokens
+	PromptTokens granitehoist.Tokens
 	// Tried holds the instances that are not to be chosen again.
 	Tried map[granitehoist.Upstream]bool
 }
@@ -185,8 +185,8 @@
 // Lease is an instance chosen for one attempt. It is to be ended by Done.
 type Lease struct {
 	Instance
-	// Home says that requests with the same beginning have their home here.
-	Home bool
+	// Owner says that requests with the same beginning have their home here.
+	Owner bool
 	// Load is the number of this router's requests in progress there before.
 	Load  int
 	table *Table
@@ -196,7 +196,7 @@
 
 // Pick chooses an instance. It returns an error with code NoUpstream if the
 // service has none that was not tried.
-func (t *Table) Pick(w Want, now time.Time) (*Lease, error) {
+func (t *Table) Pick(w Query, now time.Time) (*Lease, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	candidates := t.candidates(w, now)
@@ -205,7 +205,7 @@
 		e.RetryAfter = noneRetry
 		return nil, e
 	}
-	home := homeOf(candidates, w.Affinity)
+	home := ownerOf(candidates, w.PrefixHash)
 	best := candidates[0]
 	least := t.cost(best, w, home, now)
 	for _, m := range candidates[1:] {
@@ -221,7 +221,7 @@
 
 // candidates returns the instances that may be chosen: those that are live, or
 // else those left out for failures, or else those gone a moment ago.
-func (t *Table) candidates(w Want, now time.Time) []*member {
+func (t *Table) candidates(w Query, now time.Time) []*member {
 	var live, out, gone []*member
 	for _, m := range t.services[w.Service] {
 		switch {
@@ -246,8 +246,8 @@
 	return gone
 }
 
-// homeOf returns the member with the highest hash of its id and the affinity.
-func homeOf(members []*member, affinity uint64) *member {
+// ownerOf returns the member with the highest hash of its id and the affinity.
+func ownerOf(members []*member, affinity uint64) *member {
 	if affinity == 0 {
 		return nil
 	}
@@ -272,16 +272,16 @@
 }
 
 // cost estimates the wait at a member in milliseconds.
-func (t *Table) cost(m *member, w Want, home *member, now time.Time) float64 {
-	read := w.Prompt
+func (t *Table) cost(m *member, w Query, home *member, now time.Time) float64 {
+	read := w.PromptTokens
 	if t.cached(m, w, home, now) {
-		read -= w.Shared
+		read -= w.PrefixTokens
 	}
 	cost := float64(m.prefill+read) / tokensPerMS
 	if m != home {
 		// Reading a beginning at yet another instance takes memory there, and
 		// the home will go on to be asked for it by other routers.
-		cost += strayWeight * float64(w.Shared) / tokensPerMS
+		cost += cacheMissWeight * float64(w.PrefixTokens) / tokensPerMS
 	}
 	cost += perRequestMS * float64(m.inFlight) * t.scale(m)
 	cost += failureMS * m.failing
@@ -303,26 +303,26 @@
 
 // cached reports whether the beginning of a prompt is likely in a member's
 // cache: it is the home, or this router sent it there a short while ago.
-func (t *Table) cached(m *member, w Want, home *member, now time.Time) bool {
-	if w.Affinity == 0 {
+func (t *Table) cached(m *member, w Query, home *member, now time.Time) bool {
+	if w.PrefixHash == 0 {
 		return false
 	}
 	if m == home {
 		return true
 	}
-	last, ok := m.sent[w.Affinity]
+	last, ok := m.sent[w.PrefixHash]
 	return ok && now.Sub(last) < cacheTime
 }
 
-func (t *Table) take(m *member, w Want, home *member, now time.Time) *Lease {
-	work := w.Prompt
+func (t *Table) take(m *member, w Query, home *member, now time.Time) *Lease {
+	work := w.PromptTokens
 	if t.cached(m, w, home, now) {
-		work -= w.Shared
+		work -= w.PrefixTokens
 	}
-	if w.Affinity != 0 && m != home {
-		m.remember(w.Affinity, now)
+	if w.PrefixHash != 0 && m != home {
+		m.remember(w.PrefixHash, now)
 	}
-	lease := &Lease{Instance: m.Instance, Home: m == home, Load: m.inFlight, table: t, held: m, work: work}
+	lease := &Lease{Instance: m.Instance, Owner: m == home, Load: m.inFlight, table: t, held: m, work: work}
 	m.inFlight++
 	m.prefill += work
 	return lease
@@ -336,8 +336,8 @@
 	m.sent[affinity] = now
 }
 
-// Read says that the prompt has been read: the first event has come.
-func (l *Lease) Read() {
+// PromptRead says that the prompt has been read: the first event has come.
+func (l *Lease) PromptRead() {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
 	l.held.prefill -= l.work
@@ -365,7 +365,7 @@
 
 // Done ends an attempt.
 func (l *Lease) Done(r Result, now time.Time) {
-	l.Read()
+	l.PromptRead()
 	t, m := l.table, l.held
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -401,7 +401,7 @@
 	Instance
 	InFlight int
 	Failing  float64
-	Out      bool
+	Ejected  bool
 }
 
 // Statuses returns the instances of all services, by id.
@@ -410,14 +410,14 @@
 	defer t.mu.Unlock()
 	statuses := make([]Status, 0, len(t.members))
 	for _, m := range t.members {
-		statuses = append(statuses, Status{Instance: m.Instance, InFlight: m.inFlight, Failing: m.failing, Out: now.Before(m.until) || !m.goneAt.IsZero()})
+		statuses = append(statuses, Status{Instance: m.Instance, InFlight: m.inFlight, Failing: m.failing, Ejected: now.Before(m.until) || !m.goneAt.IsZero()})
 	}
 	sort.Slice(statuses, func(i, j int) bool { return statuses[i].ID < statuses[j].ID })
 	return statuses
 }
 
-// Affinity returns the hash of a prompt's shared parts.
-func Affinity(parts []string) uint64 {
+// PrefixHash returns the hash of a prompt's shared parts.
+func PrefixHash(parts []string) uint64 {
 	if len(parts) == 0 {
 		return 0
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -24,7 +24,7 @@
 		}
 		return t
 	}
-	pick := func(t *balance.Table, w balance.Want) *balance.Lease {
+	pick := func(t *balance.Table, w balance.Query) *balance.Lease {
 		w.Service = pool
 		lease, err := t.Pick(w, now)
 		Expect(err).NotTo(HaveOccurred())
@@ -34,7 +34,7 @@
 	It("is the same on every router for a common beginning", func() {
 		a, b := newTable(18), newTable(18)
 		for i := range 50 {
-			w := balance.Want{Affinity: balance.Affinity([]string{fmt.Sprint(i)}), Shared: 5000, Prompt: 6000}
+			w := balance.Query{PrefixHash: balance.PrefixHash([]string{fmt.Sprint(i)}), PrefixTokens: 5000, PromptTokens: 6000}
 			first, second := pick(a, w), pick(b, w)
 			Expect(first.ID).To(Equal(second.ID))
 			first.Done(balance.Good, now)
@@ -44,7 +44,7 @@
 
 	It("passes a home over whose queue outweighs what the cache saves", func() {
 		t := newTable(4)
-		w := balance.Want{Affinity: 77, Shared: 1000, Prompt: 20000}
+		w := balance.Query{PrefixHash: 77, PrefixTokens: 1000, PromptTokens: 20000}
 		home := pick(t, w)
 		Expect(pick(t, w).ID).NotTo(Equal(home.ID))
 	})
@@ -53,30 +53,30 @@
 		t := newTable(3)
 		t.Announce(balance.Instance{ID: "i-0", Service: pool, Capacity: 64, Version: 2, Draining: true})
 		for range 20 {
-			Expect(pick(t, balance.Want{Tried: map[granitehoist.Upstream]bool{"i-1": true}}).ID).To(Equal(granitehoist.Upstream("i-2")))
+			Expect(pick(t, balance.Query{Tried: map[granitehoist.Upstream]bool{"i-1": true}}).ID).To(Equal(granitehoist.Upstream("i-2")))
 		}
 		t.Announce(balance.Instance{ID: "i-0", Service: pool, Capacity: 64, Version: 1})
 		for range 20 {
-			Expect(pick(t, balance.Want{}).ID).NotTo(Equal(granitehoist.Upstream("i-0")))
+			Expect(pick(t, balance.Query{}).ID).NotTo(Equal(granitehoist.Upstream("i-0")))
 		}
 	})
 
 	It("leaves out one that breaks off twice in a row, for a while", func() {
 		t := newTable(2)
 		for range 2 {
-			lease := pick(t, balance.Want{Tried: map[granitehoist.Upstream]bool{"i-1": true}})
+			lease := pick(t, balance.Query{Tried: map[granitehoist.Upstream]bool{"i-1": true}})
 			lease.Done(balance.Broken, now)
 		}
 		for range 20 {
-			Expect(pick(t, balance.Want{}).ID).To(Equal(granitehoist.Upstream("i-1")))
+			Expect(pick(t, balance.Query{}).ID).To(Equal(granitehoist.Upstream("i-1")))
 		}
 	})
 
 	It("uses the gone for a moment if there is no other, and then tells when to come back", func() {
 		t := newTable(1)
-		t.Gone("i-0", now)
-		Expect(pick(t, balance.Want{}).ID).To(Equal(granitehoist.Upstream("i-0")))
-		_, err := t.Pick(balance.Want{Service: pool}, now.Add(2*time.Second))
+		t.Remove("i-0", now)
+		Expect(pick(t, balance.Query{}).ID).To(Equal(granitehoist.Upstream("i-0")))
+		_, err := t.Pick(balance.Query{Service: pool}, now.Add(2*time.Second))
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.NoUpstream))
 	})
 })
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -22,7 +22,7 @@
 				t.Announce(balance.Instance{ID: granitehoist.Upstream(fmt.Sprint("i-", i)), Service: "pool", Capacity: 64})
 			}
 			for i := range b.N {
-				lease, err := t.Pick(balance.Want{Service: "pool", Affinity: uint64(i), Shared: 5000, Prompt: 6000}, now)
+				lease, err := t.Pick(balance.Query{Service: "pool", PrefixHash: uint64(i), PrefixTokens: 5000, PromptTokens: 6000}, now)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/escrow/contact.go
+++ b/escrow/contact.go
@@ -146,16 +146,16 @@
 	l.contact.joined(now)
 }
 
-// Cut returns for how long the store has not answered this router itself, nor
+// StoreSilence returns for how long the store has not answered this router itself, nor
 // a relay for it; zero if it does.
-func (l *Ledger) Cut(now time.Time) time.Duration {
+func (l *Ledger) StoreSilence(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.contact.cut(now)
 }
 
-// HearCut takes in for how long the store has not answered a neighbour.
-func (l *Ledger) HearCut(cut time.Duration, now time.Time) {
+// NoteNeighbourSilence takes in for how long the store has not answered a neighbour.
+func (l *Ledger) NoteNeighbourSilence(cut time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.contact.hearCut(cut, now)
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -173,9 +173,9 @@
 	Outcome Outcome
 	// Free is what the router still owns, Rest what the store had left when it
 	// was last read, Age ago.
-	Free granitehoist.Tokens
-	Rest granitehoist.Tokens
-	Age  time.Duration
+	Free           granitehoist.Tokens
+	StoreRemaining granitehoist.Tokens
+	Age            time.Duration
 	// Silent is how long the store has not answered, zero if it does.
 	Silent time.Duration
 }
@@ -353,7 +353,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	answer := Answer{Outcome: o, Free: a.free(), Rest: a.rest}
+	answer := Answer{Outcome: o, Free: a.free(), StoreRemaining: a.rest}
 	if !a.restAt.IsZero() {
 		answer.Age = now.Sub(a.restAt)
 	}
@@ -366,8 +366,8 @@
 	Granted, Returned, Spent, Reserved granitehoist.Tokens
 	// Free is what a request may reserve.
 	Free granitehoist.Tokens
-	// Rest is what the store was last known to have left.
-	Rest granitehoist.Tokens
+	// StoreRemaining is what the store was last known to have left.
+	StoreRemaining granitehoist.Tokens
 	// RestAt is when Rest was read.
 	RestAt  time.Time
 	Waiting int
@@ -380,7 +380,7 @@
 	a := l.account(w)
 	return State{
 		Granted: a.granted, Returned: a.returned, Spent: a.spent, Reserved: a.reserved,
-		Free: a.free(), Rest: a.rest, RestAt: a.restAt, Waiting: len(a.waiters),
+		Free: a.free(), StoreRemaining: a.rest, RestAt: a.restAt, Waiting: len(a.waiters),
 	}
 }
 
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -28,9 +28,9 @@
 	Body   []byte
 	// Matches reports whether an answer belongs to the request.
 	Matches func(http.Header) bool
-	// MaxRest bounds how long a reused connection may have rested if its
+	// MaxIdle bounds how long a reused connection may have rested if its
 	// upstream did not tell how long it keeps it.
-	MaxRest time.Duration
+	MaxIdle time.Duration
 }
 
 // Response is the head of an upstream's answer and its body. Close ends the
@@ -76,7 +76,7 @@
 // UpstreamBadAnswer or AnswerCrossed if the upstream may have run it. When ctx
 // ends the connection is closed, also while the body is read.
 func (p *Pool) Do(ctx context.Context, r Request, now time.Time) (*Response, error) {
-	c, err := p.get(ctx, r.Address, r.MaxRest, now)
+	c, err := p.get(ctx, r.Address, r.MaxIdle, now)
 	if err != nil {
 		return nil, granitehoist.Wrap(granitehoist.UpstreamRefused, err, "no connection")
 	}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -81,15 +81,15 @@
 // message returns what is sent.
 func (w *work) message(lease *balance.Lease, now time.Time) exchange.Request {
 	r := w.request
-	header := w.path.settings.Dialect.Header(&Attempt{
-		Request:   r,
-		Route:     w.route,
-		Workspace: w.workspace,
-		Priority:  w.priority,
-		Keyed:     w.keyed,
-		Instance:  lease.ID,
-		Left:      w.deadline.Sub(now),
-		After:     w.after,
+	header := w.path.settings.Codec.Header(&Attempt{
+		Request:     r,
+		Route:       w.route,
+		Workspace:   w.workspace,
+		Priority:    w.priority,
+		Keyed:       w.keyed,
+		Instance:    lease.ID,
+		Remaining:   w.deadline.Sub(now),
+		LastEventID: w.after,
 	})
 	rest := maxRest
 	if !w.route.Repeatable() {
@@ -102,15 +102,15 @@
 		Host:    r.Host,
 		Header:  header,
 		Body:    r.Body,
-		Matches: func(h http.Header) bool { return w.path.settings.Dialect.Matches(r, h) },
-		MaxRest: rest,
+		Matches: func(h http.Header) bool { return w.path.settings.Codec.Matches(r, h) },
+		MaxIdle: rest,
 	}
 }
 
 // judge reads the head of an answer.
 func (w *work) judge(response *exchange.Response) ending {
 	e := ending{status: response.Status}
-	verdict := w.path.settings.Dialect.Judge(Head{Status: response.Status, Header: response.Header})
+	verdict := w.path.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
 	switch {
 	case verdict.NotRun:
 		e.refused = !verdict.Moved
@@ -223,7 +223,7 @@
 			return granitehoist.Wrap(granitehoist.UpstreamBadAnswer, failure, "")
 		}
 		if len(events) > 0 {
-			lease.Read()
+			lease.PromptRead()
 			guard.progress()
 			if failure := w.passEvents(response, events); failure != nil {
 				return failure
--- a/forward/doc.go
+++ b/forward/doc.go
@@ -5,8 +5,8 @@
 //
 // The steps are: identify (route, workspace, deadline), pay (the most that the
 // request can cost is reserved), choose (an instance of the service), attempt,
-// answer. Front doors translate their callers' dialect into a Request and a
-// Sink; a Dialect writes what upstreams are told and reads what they say. No
+// answer. Front doors translate their callers' protocol into a Request and a
+// Sink; a Codec writes what upstreams are told and reads what they say. No
 // decision is made in either.
 //
 // Of every attempt it is known whether it has not run, may have run, or has
--- a/forward/fakes_test.go
+++ b/forward/fakes_test.go
@@ -117,7 +117,7 @@
 	Expect(err).NotTo(HaveOccurred())
 	s.current.Offer(snapshot)
 	s.path = forward.New(forward.Settings{
-		Catalog: s.current, Funds: s.funds, Table: s.table, Dialect: platform.Dialect{},
+		Catalog: s.current, Funds: s.funds, Table: s.table, Codec: platform.Codec{},
 		Pool:  exchange.NewPool(exchange.Settings{}),
 		Retry: forward.RetrySettings{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
 	})
@@ -162,7 +162,7 @@
 	r := &forward.Request{
 		ID: "r-1", Host: "h.example", Method: http.MethodPost, Path: path, Target: path,
 		Header: http.Header{"Attempt-Id": {"r-1"}}, Body: []byte("question"),
-		Key: key, Began: time.Now(),
+		Key: key, Arrived: time.Now(),
 	}
 	if strings.HasPrefix(path, "/resume/") || strings.HasPrefix(path, "/stream/") {
 		r.Cost = &forward.Cost{Prompt: 100, Output: 200}
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -32,7 +32,7 @@
 	Funds   Funds
 	Table   *balance.Table
 	Pool    *exchange.Pool
-	Dialect Dialect
+	Codec   Codec
 	Retry   RetrySettings
 	// Routers returns the number of routers that share the retries.
 	Routers func() int
@@ -70,7 +70,7 @@
 
 // New returns a path. It panics if a part is missing.
 func New(s Settings) *Path {
-	if s.Catalog == nil || s.Funds == nil || s.Table == nil || s.Pool == nil || s.Dialect == nil {
+	if s.Catalog == nil || s.Funds == nil || s.Table == nil || s.Pool == nil || s.Codec == nil {
 		panic("forward: a setting is missing")
 	}
 	if s.Routers == nil {
@@ -188,8 +188,8 @@
 	if w.workspace != nil && w.workspace.HasPriority {
 		w.priority = w.workspace.Priority
 	}
-	w.after = w.request.After
-	w.deadline = w.request.Began.Add(w.patience())
+	w.after = w.request.LastEventID
+	w.deadline = w.request.Arrived.Add(w.patience())
 	return nil
 }
 
@@ -220,8 +220,8 @@
 	if w.route.Timeout > 0 {
 		patience = min(patience, w.route.Timeout)
 	}
-	if w.request.Patience > 0 {
-		patience = min(patience, w.request.Patience)
+	if w.request.Timeout > 0 {
+		patience = min(patience, w.request.Timeout)
 	}
 	return patience
 }
@@ -327,15 +327,15 @@
 	}
 }
 
-func (w *work) want() balance.Want {
-	want := balance.Want{Service: w.service.Name, Tried: w.tried}
+func (w *work) want() balance.Query {
+	want := balance.Query{Service: w.service.Name, Tried: w.tried}
 	if w.request.Cost == nil {
 		return want
 	}
-	want.Prompt = w.request.Cost.Prompt
+	want.PromptTokens = w.request.Cost.Prompt
 	if w.route.Affinity {
-		want.Affinity = balance.Affinity(w.request.SharedParts)
-		want.Shared = min(w.request.SharedTokens, want.Prompt)
+		want.PrefixHash = balance.PrefixHash(w.request.PrefixParts)
+		want.PrefixTokens = min(w.request.PrefixTokens, want.PromptTokens)
 	}
 	return want
 }
@@ -402,7 +402,7 @@
 // end logs and reports a request.
 func (w *work) end(err error) {
 	now := w.path.settings.Clock()
-	report := Report{Code: granitehoist.CodeOf(err), Attempts: w.attempts, Budget: w.answer.Outcome, Took: now.Sub(w.request.Began)}
+	report := Report{Code: granitehoist.CodeOf(err), Attempts: w.attempts, Budget: w.answer.Outcome, Took: now.Sub(w.request.Arrived)}
 	if w.service != nil {
 		report.Service = w.service.Name
 	}
@@ -410,7 +410,7 @@
 		report.Workspace = w.workspace.Name
 	}
 	if !w.first.IsZero() {
-		report.First = w.first.Sub(w.request.Began)
+		report.First = w.first.Sub(w.request.Arrived)
 	}
 	w.path.settings.Ended(report)
 	w.logEnd(report, err)
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -259,7 +259,7 @@
 	It("gives a final answer at the route's timeout", func() {
 		s.worker(desk, "i-1", always(standin.WorkerAnswer{Silent: true}))
 		r := request("/unsafe/x")
-		r.Patience = 200 * time.Millisecond
+		r.Timeout = 200 * time.Millisecond
 		began := time.Now()
 		_, err := s.path.Serve(context.Background(), r, sink)
 		Expect(granitehoist.CodeOf(err).Info().Fate).To(Equal(granitehoist.MayHaveRun))
--- a/forward/log.go
+++ b/forward/log.go
@@ -32,7 +32,7 @@
 	}
 	if w.bound > 0 {
 		fields = append(fields, zap.Int64("bound", int64(w.bound)), zap.Int64("used", int64(w.used)), zap.String("budget", w.answer.Outcome.String()),
-			zap.Int64("free", int64(w.answer.Free)), zap.Int64("rest", int64(w.answer.Rest)),
+			zap.Int64("free", int64(w.answer.Free)), zap.Int64("rest", int64(w.answer.StoreRemaining)),
 			zap.Duration("rest_age", w.answer.Age), zap.Duration("silent", w.answer.Silent))
 	}
 	var e *granitehoist.Error
@@ -59,7 +59,7 @@
 		zap.Int("attempt", w.attempts),
 		zap.String("upstream", string(l.ID)),
 		zap.Uint64("entry", uint64(l.Version)),
-		zap.Bool("home", l.Home),
+		zap.Bool("home", l.Owner),
 		zap.Int("load", l.Load),
 		zap.Int("status", e.status),
 		zap.Int64("after", w.after),
--- a/forward/request.go
+++ b/forward/request.go
@@ -24,19 +24,19 @@
 	Body   []byte
 	// Key is the caller's key, empty if it gave none.
 	Key string
-	// Began is when the request arrived.
-	Began time.Time
-	// Patience is how long the caller waits from then on; zero if it did not
+	// Arrived is when the request arrived.
+	Arrived time.Time
+	// Timeout is how long the caller waits from then on; zero if it did not
 	// say.
-	Patience time.Duration
+	Timeout time.Duration
 	// Cost is what the request may cost; nil for requests without tokens.
 	Cost *Cost
-	// SharedParts are the ids of the parts of the prompt that other requests
+	// PrefixParts are the ids of the parts of the prompt that other requests
 	// share, in order, and SharedTokens their length.
-	SharedParts  []string
-	SharedTokens granitehoist.Tokens
-	// After is the id of the last event that the caller has of the stream.
-	After int64
+	PrefixParts  []string
+	PrefixTokens granitehoist.Tokens
+	// LastEventID is the id of the last event that the caller has of the stream.
+	LastEventID int64
 }
 
 // Cost is what a request may cost at its most.
@@ -64,14 +64,14 @@
 	Keyed bool
 	// Instance is the upstream that alone may run it.
 	Instance granitehoist.Upstream
-	// Left is the time that the upstream has.
-	Left time.Duration
-	// After is the id of the last event that has been passed on.
-	After int64
+	// Remaining is the time that the upstream has.
+	Remaining time.Duration
+	// LastEventID is the id of the last event that has been passed on.
+	LastEventID int64
 }
 
-// Head is the beginning of an upstream's answer, as a Dialect reads it.
-type Head struct {
+// ResponseHead is the beginning of an upstream's answer, as a Dialect reads it.
+type ResponseHead struct {
 	Status int
 	Header http.Header
 }
@@ -89,12 +89,12 @@
 	RetryAfter time.Duration
 }
 
-// Dialect translates between requests and what upstreams understand.
-type Dialect interface {
+// Codec translates between requests and what upstreams understand.
+type Codec interface {
 	// Header returns the header of an attempt.
 	Header(a *Attempt) http.Header
 	// Matches reports whether an answer belongs to a request.
 	Matches(r *Request, h http.Header) bool
 	// Judge reads the head of an answer.
-	Judge(h Head) Verdict
+	Judge(h ResponseHead) Verdict
 }
--- a/node/config.go
+++ b/node/config.go
@@ -86,7 +86,7 @@
 	DecodeConfig    func(granitehoist.Entry) (*catalog.Document, error)
 	DecodeInstance  func(granitehoist.Entry) (balance.Instance, error)
 	InstanceID      func(key string) granitehoist.Upstream
-	Dialect         forward.Dialect
+	Codec           forward.Codec
 	// Frontend returns the handler of clients' requests.
 	Frontend func(*forward.Path, *catalog.Current, granitehoist.Clock, func() bool) http.Handler
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -119,7 +119,7 @@
 func (n *Node) stateLines(now time.Time) []string {
 	out := 0
 	for _, status := range n.table.Statuses(now) {
-		if status.Out {
+		if status.Ejected {
 			out++
 		}
 	}
@@ -143,7 +143,7 @@
 		lines = append(lines,
 			fmt.Sprintf("%s{workspace=%q} %d", metricFree, name, state.Free),
 			fmt.Sprintf("%s{workspace=%q} %d", metricSpent, name, state.Spent),
-			fmt.Sprintf("%s{workspace=%q} %d", metricRest, name, state.Rest))
+			fmt.Sprintf("%s{workspace=%q} %d", metricRest, name, state.StoreRemaining))
 	}
 	return lines
 }
--- a/node/node.go
+++ b/node/node.go
@@ -120,7 +120,7 @@
 		Lenders: n.peers.lenders, Caller: n.peers,
 	})
 	n.path = forward.New(forward.Settings{
-		Catalog: &n.catalog, Funds: n.syncer, Table: n.table, Pool: n.pool, Dialect: n.adapter.Dialect,
+		Catalog: &n.catalog, Funds: n.syncer, Table: n.table, Pool: n.pool, Codec: n.adapter.Codec,
 		Retry: n.config.Retry, Routers: n.peers.routers, Clock: time.Now, Log: n.log, Ended: n.ended,
 	})
 	n.configs = n.follower(n.adapter.ConfigPrefix, n.configChanged, nil)
@@ -286,7 +286,7 @@
 }
 
 func (n *Node) instanceGone(e granitehoist.Entry, at granitehoist.Version) {
-	instance, known := n.table.Gone(n.adapter.InstanceID(e.Key), time.Now())
+	instance, known := n.table.Remove(n.adapter.InstanceID(e.Key), time.Now())
 	if !known {
 		return
 	}
--- a/node/updates.go
+++ b/node/updates.go
@@ -38,7 +38,7 @@
 func (n *Node) updates(ctx context.Context, to granitehoist.Peer, prefix string, after granitehoist.Version, wait time.Duration) (follow.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+updatesTimeout)
 	defer cancel()
-	params := updatesParams{Prefix: prefix, After: after, Wait: wait, Cut: n.ledger.Cut(time.Now())}
+	params := updatesParams{Prefix: prefix, After: after, Wait: wait, Cut: n.ledger.StoreSilence(time.Now())}
 	var packed follow.PackedUpdate
 	if err := n.peers.Call(ctx, to, methodUpdates, params, &packed); err != nil {
 		return follow.Update{}, err
@@ -57,7 +57,7 @@
 
 // serveUpdates answers another router.
 func (n *Node) serveUpdates(ctx context.Context, params updatesParams) (follow.PackedUpdate, error) {
-	n.ledger.HearCut(params.Cut, time.Now())
+	n.ledger.NoteNeighbourSilence(params.Cut, time.Now())
 	for _, f := range []*follow.Follower{n.configs, n.instances} {
 		if f.Prefix() == params.Prefix {
 			return follow.Pack(f.Updates(ctx, params.After, min(params.Wait, maxUpdatesWait)))
