--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -68,13 +68,6 @@
 	return r.view
 }
 
-// Self returns the router's own entry.
-func (r *Registry) Self() Member {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.self
-}
-
 // Interval returns how often Refresh is to be called.
 func (r *Registry) Interval() time.Duration { return r.settings.TTL / renewalsPerTTL }
 
--- a/forward/request.go
+++ b/forward/request.go
@@ -53,7 +53,7 @@
 	granitehoist.Sink
 }
 
-// Attempt is one sending of a request, as a Dialect needs to know it.
+// Attempt is one sending of a request, as a Codec needs to know it.
 type Attempt struct {
 	Request *Request
 	Route   *catalog.Route
@@ -70,7 +70,7 @@
 	LastEventID int64
 }
 
-// ResponseHead is the beginning of an upstream's answer, as a Dialect reads it.
+// ResponseHead is the beginning of an upstream's answer, as a Codec reads it.
 type ResponseHead struct {
 	Status int
 	Header http.Header
