--- a/doc.go
+++ b/doc.go
@@ -6,16 +6,31 @@
 // interfaces behind which implementations differ.
 //
 // A box is a machine that runs one router, a region is a set of availability
-// zones, a workspace is a customer of one of the partners
-// and an upstream is a back end: a model engine or a plain service. Every
-// other term is the usual one of the field; docs/GLOSSARY.md maps them.
+// zones, a workspace is a customer of one of the partners and an upstream is a
+// back end: a model engine or a plain service. Every other term is the usual
+// one of the field; docs/GLOSSARY.md lists the project's own.
 //
-// The packages below this one each own one duty, with their state, messages
-// and tests: budget (who may spend which tokens), bill (charges), once
-// (requests not to be repeated), policy (CEL programs), route (choice of an
-// upstream), upstream (the protocols of engines and plain services), config
-// (the operators' documents), fleet (membership and calls between routers),
-// gate (the callers' surface), store (the platform's key-value service),
-// settings (the TOML file of a box), router (the daemon made of these),
-// standin (small stand-ins of the outside systems) and measure (experiments).
+// Two programs are built from this module.
+//
+// The command granitehoist-edge is the router that runs on the users'
+// machines. Begin reading at node (puts the parts together), then follow a
+// request through forward (its path), catalog (the configuration in force),
+// escrow (prepaid tokens), balance (choice of an upstream) and exchange
+// (connections to upstreams). Package follow keeps copies of the store's keys;
+// platform translates the users' protocols and decides nothing.
+//
+// The command granitehoist runs the partners' router, which has its own
+// callers' interface, and the tools. Its packages are below partner: router
+// (the daemon), gate (the path of a request), config (signed documents), policy
+// (CEL programs), budget (prepaid tokens), bill (charges), once (requests not
+// to be repeated), route (choice of an upstream), upstream (protocols of
+// engines and services), orphan (charges of dead routers), report (service
+// levels) and settings (the TOML file).
+//
+// Both use fleet (membership and calls between routers), store (writes whose
+// answer may be lost) and the packages below internal. The packages standin,
+// trial, measure, soak and explain are tools: stand-ins of outside systems, a
+// trial that judges itself, measurements, a fault soak and a reader of logs.
+//
+// The package holds no state and is safe for concurrent use.
 package granitehoist
