--- a/cmd/granitehoist/router.go
+++ b/cmd/granitehoist/router.go
@@ -5,13 +5,15 @@
 
 import (
 	"context"
+	"net/http"
 	"time"
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"granitehoist.example/granitehoist/partner/boxlist"
 	"granitehoist.example/granitehoist/partner/router"
 	"granitehoist.example/granitehoist/partner/settings"
-	"granitehoist.example/granitehoist/store"
+	"granitehoist.example/granitehoist/platform"
 )
 
 func newRouter(app *kingpin.Application) command {
@@ -32,8 +34,13 @@
 	if err != nil {
 		return err
 	}
-	platform := store.NewHTTP(store.HTTPSettings{Address: parsed.Store})
-	r, err := router.New(router.Settings{Router: parsed, Store: platform, Platform: platform, Log: log})
+	client := newStoreClient()
+	r, err := router.New(router.Settings{
+		Router:   parsed,
+		Store:    newStore(parsed.Store, client),
+		Platform: boxlist.New(boxlist.Settings{Address: parsed.Store, Timeout: storeTimeout, Client: client}),
+		Log:      log,
+	})
 	if err != nil {
 		return err
 	}
@@ -43,3 +50,35 @@
 	defer cancel()
 	return r.Stop(stopping)
 }
+
+// Figures of the calls to the platform's store. They are longer than those of
+// granitehoist-edge, the defaults of platform.StoreSettings. All are chosen, not
+// measured.
+const (
+	// storeTimeout bounds a call.
+	storeTimeout = 2 * time.Second
+	// storeWatch is the longest wait of a watch: it sets the number of calls of a
+	// router to which nothing happens.
+	storeWatch = 20 * time.Second
+	// storeWatchGrace is added to it for the way there and back.
+	storeWatchGrace = 5 * time.Second
+	// storeIdleConns serves requests that are to run once, each of which makes a
+	// write.
+	storeIdleConns = 8
+	// storeIdleTime is longer than the interval of every regular call.
+	storeIdleTime = time.Minute
+)
+
+func newStoreClient() *http.Client {
+	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: storeIdleConns, IdleConnTimeout: storeIdleTime}}
+}
+
+func newStore(address string, client *http.Client) *platform.Store {
+	return platform.NewStore(platform.StoreSettings{
+		Address:    address,
+		Timeout:    storeTimeout,
+		Watch:      storeWatch,
+		WatchGrace: storeWatchGrace,
+		Client:     client,
+	})
+}
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -41,7 +41,7 @@
 	Region  granitehoist.Region           `toml:"region"`
 	Zone    granitehoist.AvailabilityZone `toml:"place"`
 	Box     granitehoist.Box              `toml:"box"`
-	// Store is the base URL of the platform's service.
+	// Store is the base URL of the platform's store.
 	Store  string  `toml:"store"`
 	Listen Listen  `toml:"listen"`
 	Trust  []Trust `toml:"trust"`
--- a/standin/platformstore.go
+++ b/standin/platformstore.go
@@ -4,7 +4,6 @@
 package standin
 
 import (
-	"encoding/json"
 	"errors"
 	"net/http"
 	"strconv"
@@ -15,12 +14,15 @@
 	"granitehoist.example/granitehoist"
 )
 
-// PlatformStore speaks the protocol of the users' store in front of a Store.
-// Several may stand before one Store and fail each in its own way. It
-// implements http.Handler.
+// PlatformStore serves the protocol of the users' store from a Store. Several
+// may serve the same Store, each with its own failures. It implements
+// http.Handler, and its methods are safe for concurrent use.
 type PlatformStore struct {
 	// Store holds the keys.
 	Store *Store
+	// PageItems bounds the items of a page of a list; zero stands for
+	// smallPage.
+	PageItems int
 
 	mu     sync.Mutex
 	faults PlatformFaults
@@ -32,9 +34,10 @@
 	Refuse int
 	// Hang answers no call.
 	Hang bool
-	// HistoryFrom is the version before which watches get 410.
+	// HistoryFrom is the oldest version from which a watch can go on; a watch
+	// from an older one gets 410.
 	HistoryFrom granitehoist.Version
-	// Deaf watches hear of nothing until they are cut.
+	// Deaf watches report no change; their connection ends after their wait.
 	Deaf bool
 }
 
@@ -51,47 +54,6 @@
 	return p.faults
 }
 
-// The messages of the protocol.
-type (
-	platformItem struct {
-		PrivateKey  string `json:"privateKey"`
-		Data        []byte `json:"data,omitempty"`
-		ModRevision uint64 `json:"modRevision"`
-		Gone        bool   `json:"gone,omitempty"`
-		At          uint64 `json:"at,omitempty"`
-	}
-	platformRange struct {
-		Entries []platformItem `json:"entries"`
-		More    bool           `json:"more"`
-		At      uint64         `json:"at"`
-	}
-	platformEvents struct {
-		Events []platformItem `json:"events"`
-		At     uint64         `json:"at"`
-	}
-	platformTransaction struct {
-		ExpectedRevision []platformItem `json:"expectedRevision"`
-		Put              []platformItem `json:"put"`
-		Delete           []string       `json:"delete"`
-	}
-	platformWritten struct {
-		ModRevision uint64         `json:"modRevision,omitempty"`
-		Entries     []platformItem `json:"entries,omitempty"`
-	}
-)
-
-func itemOf(e granitehoist.Entry) platformItem {
-	return platformItem{PrivateKey: e.Key, Data: e.Value, ModRevision: uint64(e.Version), Gone: e.Deleted}
-}
-
-func itemsOf(entries []granitehoist.Entry) []platformItem {
-	items := make([]platformItem, 0, len(entries))
-	for _, e := range entries {
-		items = append(items, itemOf(e))
-	}
-	return items
-}
-
 // ServeHTTP implements http.Handler.
 func (p *PlatformStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	faults := p.failing()
@@ -112,18 +74,31 @@
 		p.watch(w, r, faults)
 	case "POST /kv-txn":
 		p.write(w, r)
+	case "POST /kv-lease":
+		p.grantLease(w, r)
 	default:
+		if id, ok := strings.CutPrefix(r.URL.Path, "/kv-keep/"); ok && r.Method == http.MethodPost {
+			p.renewLease(w, r, granitehoist.LeaseID(id))
+			return
+		}
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
 // refuse answers with what an error of the Store stands for.
 func (p *PlatformStore) refuse(w http.ResponseWriter, err error) {
-	if errors.Is(err, granitehoist.ErrUnknown) {
+	switch {
+	case errors.Is(err, granitehoist.ErrUnknown):
 		// The connection ends without an answer.
 		panic(http.ErrAbortHandler)
+	case errors.Is(err, granitehoist.ErrNoLease):
+		w.WriteHeader(http.StatusNotFound)
+	case errors.Is(err, granitehoist.ErrUnavailable):
+		w.WriteHeader(http.StatusServiceUnavailable)
+	default:
+		// A value that is too large is the only other error.
+		w.WriteHeader(http.StatusBadRequest)
 	}
-	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 func (p *PlatformStore) get(w http.ResponseWriter, r *http.Request) {
@@ -138,8 +113,17 @@
 	}
 }
 
-// platformPage is how many items a page has, small so that tests turn pages.
-const platformPage = 5
+const (
+	// smallPage is the number of items on a page of a list in tests, so few that
+	// they turn pages.
+	smallPage = 5
+	// platformPage is the number of items on a page of the users' store, by their
+	// page on its protocol.
+	platformPage = 500
+	// platformPageBytes bounds the values on a page of the users' store, by the
+	// same page.
+	platformPageBytes = 1 << 20
+)
 
 func (p *PlatformStore) list(w http.ResponseWriter, r *http.Request) {
 	entries, at, err := p.Store.List(r.Context(), r.URL.Query().Get("pathPrefix"))
@@ -147,24 +131,46 @@
 		p.refuse(w, err)
 		return
 	}
-	after := r.URL.Query().Get("sinceRevision")
+	items := p.PageItems
+	if items == 0 {
+		items = smallPage
+	}
+	page, more := pageAfter(entries, r.URL.Query().Get("sinceRevision"), items)
+	reply(w, platformRange{Entries: itemsOf(page), More: more, At: uint64(at)}, nil)
+}
+
+// pageAfter returns the entries of one page, which begins behind a key, and
+// whether more follow. entries are sorted by key. A page has at least one entry
+// if there is one.
+func pageAfter(entries []granitehoist.Entry, after string, items int) ([]granitehoist.Entry, bool) {
 	var page []granitehoist.Entry
+	size := 0
 	for _, e := range entries {
-		if strings.Compare(e.Key, after) > 0 {
-			page = append(page, e)
+		if strings.Compare(e.Key, after) <= 0 {
+			continue
 		}
+		size += len(e.Value)
+		full := len(page) == items || size > platformPageBytes
+		if full && len(page) > 0 {
+			return page, true
+		}
+		page = append(page, e)
 	}
-	more := len(page) > platformPage
-	if more {
-		page = page[:platformPage]
-	}
-	reply(w, platformRange{Entries: itemsOf(page), More: more, At: uint64(at)}, nil)
+	return page, false
 }
 
 func (p *PlatformStore) watch(w http.ResponseWriter, r *http.Request, faults PlatformFaults) {
 	query := r.URL.Query()
-	since, _ := strconv.ParseUint(query.Get("sinceRevision"), 10, 64)
-	wait, _ := strconv.Atoi(query.Get("waitMs"))
+	since, err := strconv.ParseUint(query.Get("sinceRevision"), 10, 64)
+	if err != nil {
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
+	wait, err := strconv.Atoi(query.Get("waitMs"))
+	if err != nil {
+		w.WriteHeader(http.StatusBadRequest)
+		return
+	}
 	if granitehoist.Version(since) < faults.HistoryFrom {
 		w.WriteHeader(http.StatusGone)
 		return
@@ -187,24 +193,57 @@
 // write serves transactions of one key, which is all that the project makes.
 func (p *PlatformStore) write(w http.ResponseWriter, r *http.Request) {
 	var transaction platformTransaction
-	if err := json.NewDecoder(r.Body).Decode(&transaction); err != nil || len(transaction.ExpectedRevision) != 1 {
-		w.WriteHeader(http.StatusBadRequest)
+	if !read(w, r, &transaction) {
 		return
 	}
-	expected := transaction.ExpectedRevision[0]
-	change := granitehoist.Change{Key: expected.PrivateKey, Expect: granitehoist.Version(expected.ModRevision), Delete: len(transaction.Delete) > 0}
-	if len(transaction.Put) > 0 {
-		change.Value = transaction.Put[0].Data
+	if len(transaction.ExpectedRevision) != 1 {
+		w.WriteHeader(http.StatusBadRequest)
+		return
 	}
+	change := transaction.change()
 	version, err := p.Store.CompareAndSwap(r.Context(), change)
 	switch {
 	case errors.Is(err, granitehoist.ErrConflict):
-		current, _ := p.Store.Get(r.Context(), change.Key)
-		w.WriteHeader(http.StatusPreconditionFailed)
-		reply(w, platformWritten{Entries: []platformItem{itemOf(current)}}, nil)
+		p.answerConflict(w, r, change.Key)
 	case err != nil:
 		p.refuse(w, err)
 	default:
 		reply(w, platformWritten{ModRevision: uint64(version)}, nil)
 	}
 }
+
+// answerConflict answers with the state that the key has instead.
+func (p *PlatformStore) answerConflict(w http.ResponseWriter, r *http.Request, key string) {
+	current, err := p.Store.Get(r.Context(), key)
+	if err != nil {
+		p.refuse(w, err)
+		return
+	}
+	w.WriteHeader(http.StatusPreconditionFailed)
+	reply(w, platformWritten{Entries: []platformItem{itemOf(current)}}, nil)
+}
+
+func (p *PlatformStore) grantLease(w http.ResponseWriter, r *http.Request) {
+	var lease platformLease
+	if !read(w, r, &lease) {
+		return
+	}
+	id, err := p.Store.GrantLease(r.Context(), time.Duration(lease.TTLMs)*time.Millisecond)
+	if err != nil {
+		p.refuse(w, err)
+		return
+	}
+	number, err := strconv.ParseUint(string(id), 10, 64)
+	if err != nil {
+		panic("standin: a lease of the store has no number: " + string(id))
+	}
+	reply(w, platformLease{Lease: number, TTLMs: lease.TTLMs}, nil)
+}
+
+func (p *PlatformStore) renewLease(w http.ResponseWriter, r *http.Request, id granitehoist.LeaseID) {
+	if err := p.Store.RenewLease(r.Context(), id); err != nil {
+		p.refuse(w, err)
+		return
+	}
+	reply(w, platformLease{}, nil)
+}
--- a/standin/store.go
+++ b/standin/store.go
@@ -7,6 +7,7 @@
 	"context"
 	"fmt"
 	"sort"
+	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -301,7 +302,7 @@
 	defer s.mu.Unlock()
 	s.calls.Writes++
 	s.version++
-	id := granitehoist.LeaseID(fmt.Sprintf("lease-%d", s.version))
+	id := granitehoist.LeaseID(strconv.FormatUint(uint64(s.version), 10))
 	s.leases[id] = storedLease{ttl: ttl, ends: s.now().Add(ttl)}
 	return id, nil
 }
--- a/store/update.go
+++ b/store/update.go
@@ -12,18 +12,21 @@
 )
 
 // settleTries bounds how often a write whose answer was lost is read back.
+// Chosen, not measured.
 const settleTries = 3
 
-// Create writes a key that must not exist. If the answer is lost it reads back
-// and compares: value must be unique to this write. It returns ErrConflict if
-// the key has another value, and an error that wraps neither ErrConflict nor
-// ErrUnavailable if the outcome stays unknown.
+// Create writes a key that must not exist and returns its version. If the answer
+// is lost it reads the key back and compares, so value must be unique to this
+// write. It returns ErrConflict if the key has another value, ErrUnavailable if
+// the store refused the write, and another error if it stays open whether the
+// write took effect.
 func Create(ctx context.Context, s granitehoist.Store, key string, value []byte) (granitehoist.Version, error) {
 	return Swap(ctx, s, granitehoist.Change{Key: key, Value: value})
 }
 
-// Swap makes a conditional write and settles it as Create does: change.Value
-// must be unique to this write.
+// Swap makes a conditional write and returns the key's new version. It settles a
+// lost answer and returns errors as Create does: change.Value must be unique to
+// this write, and change must not be a deletion.
 func Swap(ctx context.Context, s granitehoist.Store, change granitehoist.Change) (granitehoist.Version, error) {
 	version, err := s.CompareAndSwap(ctx, change)
 	if err == nil || errors.Is(err, granitehoist.ErrUnavailable) || errors.Is(err, granitehoist.ErrConflict) {
@@ -32,6 +35,7 @@
 	for range settleTries {
 		entry, readErr := s.Get(ctx, change.Key)
 		if readErr != nil {
+			// The next try reads again. The last one leaves the outcome unknown.
 			continue
 		}
 		if bytes.Equal(entry.Value, change.Value) {
@@ -40,13 +44,13 @@
 		if entry.Version != change.Expect {
 			return 0, granitehoist.ErrConflict
 		}
-		// The write has not taken effect yet and still may, so it is made
-		// again under the same condition: only one of the two can succeed.
+		// The write has not taken effect but still may. Under the same condition
+		// only one of the two can succeed, so it is safe to write again.
 		version, err = s.CompareAndSwap(ctx, change)
 		if err == nil || errors.Is(err, granitehoist.ErrUnavailable) {
 			return version, err
 		}
 	}
-	// The last refusal may have been by the delayed first write.
+	// A conflict in the last try may come from the delayed first write.
 	return 0, granitehoist.ErrUnknown
 }
--- a/trial/site.go
+++ b/trial/site.go
@@ -22,11 +22,12 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/partner/boxlist"
 	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/partner/router"
 	"granitehoist.example/granitehoist/partner/settings"
+	"granitehoist.example/granitehoist/platform"
 	"granitehoist.example/granitehoist/standin"
-	"granitehoist.example/granitehoist/store"
 )
 
 // The partners, which are also the regions of today.
@@ -233,8 +234,12 @@
 	if len(faults) > 0 {
 		return nil, faults
 	}
-	platform := store.NewHTTP(store.HTTPSettings{Address: s.storeURL})
-	r, err := router.New(router.Settings{Router: parsed, Store: platform, Platform: platform, Log: s.log.Named(string(file.Box))})
+	r, err := router.New(router.Settings{
+		Router:   parsed,
+		Store:    platform.NewStore(platform.StoreSettings{Address: s.storeURL}),
+		Platform: boxlist.New(boxlist.Settings{Address: s.storeURL}),
+		Log:      s.log.Named(string(file.Box)),
+	})
 	if err != nil {
 		return nil, err
 	}
