--- a/follow/follow.go
+++ b/follow/follow.go
@@ -38,18 +38,24 @@
 	// Gather is the least time from one watch of the store to the next, so that
 	// changes that come together cost one call.
 	Gather time.Duration
+	// Failed is called with each error of the store; nil ignores them. It runs
+	// on the follower's own goroutine.
+	Failed func(error)
 	// Pause is the time between tries while the store fails; zero stands for
 	// DefaultPause.
 	Pause time.Duration
-	Clock granitehoist.Clock
-	Log   *zap.Logger
+	// MaxPause bounds the pause, which doubles while the store fails; zero stands
+	// for twice Pause.
+	MaxPause time.Duration
+	Clock    granitehoist.Clock
+	Log      *zap.Logger
 }
 
 // DefaultPause keeps the calls of a router whose store fails to a few a second.
 const DefaultPause = 250 * time.Millisecond
 
 const (
-	// maxPauses bounds the pause while the store fails for long.
+	// maxPauses is how many pauses the longest one has, unless it is set.
 	maxPauses = 2
 	// probeWait bounds the watches of a store that failed, so that its return is
 	// soon seen: one that was sent before would wait for its whole time.
@@ -95,6 +101,10 @@
 		panic("follow: a setting is missing")
 	}
 	defaults.Set(&s.Pause, DefaultPause)
+	defaults.Set(&s.MaxPause, maxPauses*s.Pause)
+	if s.Failed == nil {
+		s.Failed = func(error) {}
+	}
 	if s.Changed == nil {
 		s.Changed = func([]granitehoist.Entry, granitehoist.Version) {}
 	}
@@ -131,9 +141,10 @@
 			continue
 		}
 		f.failures++
+		f.settings.Failed(err)
 		f.askNeighbours(ctx)
 		sleep(ctx, pause)
-		pause = min(2*pause, maxPauses*f.settings.Pause)
+		pause = min(2*pause, f.settings.MaxPause)
 	}
 }
 
--- a/partner/config/doc.go
+++ b/partner/config/doc.go
@@ -10,4 +10,10 @@
 // the other partner nor a router can change it. A View is the documents of all
 // partners at the versions that a router has in force; a router replaces its
 // view only by newer versions.
+//
+// Follower keeps the View of 'granitehoist router'. It owns that View, which only
+// the goroutine of Run replaces and any goroutine may read, and relies on package
+// follow for the keys. granitehoist-edge has another configuration, in package
+// catalog. Begin reading at Follower for what a router does, and at Document for
+// what operators write.
 package config
--- a/partner/config/follower.go
+++ b/partner/config/follower.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/follow"
 	"granitehoist.example/granitehoist/internal/defaults"
 )
 
@@ -18,22 +19,27 @@
 type FollowerSettings struct {
 	Store granitehoist.Store
 	Trust Trust
-	// Failed is told of documents and store calls that failed; nil ignores
+	// Failed is called with each error of a document or of the store; nil ignores
 	// them.
 	Failed func(error)
-	// Changed is told of each new view; nil ignores it.
+	// Changed is called with each new view; nil ignores it.
 	Changed func(*View)
-	// Pause is the time before a failed watch is tried again; zero stands for
-	// half a second.
+	// Pause is the time before a failed call of the store is made again; zero
+	// stands for half a second.
 	Pause time.Duration
 }
 
+// defaultPause keeps a router whose store fails to two calls a second. Chosen,
+// not measured.
 const defaultPause = 500 * time.Millisecond
 
-// Follower keeps a router's view in step with the store. A document that can't
-// be read, or that its partner did not sign, leaves the one before in force.
+// Follower keeps a router's view of the documents in the store. A document that
+// can't be decoded, or that its partner did not sign, leaves the one before in
+// force. The keys themselves are followed by a follow.Follower without relays or
+// neighbours.
 type Follower struct {
 	settings FollowerSettings
+	keys     *follow.Follower
 	view     atomic.Pointer[View]
 }
 
@@ -52,39 +58,25 @@
 	defaults.Set(&s.Pause, defaultPause)
 	f := &Follower{settings: s}
 	f.view.Store(NewView())
+	f.keys = follow.New(follow.Settings{
+		Store:    s.Store,
+		Prefix:   KeyPrefix,
+		Changed:  func(changed []granitehoist.Entry, _ granitehoist.Version) { f.take(changed) },
+		Failed:   s.Failed,
+		Pause:    s.Pause,
+		MaxPause: s.Pause,
+	})
 	return f
 }
 
 // View returns the documents in force.
 func (f *Follower) View() *View { return f.view.Load() }
 
-// Run reads the documents and then watches for changes until ctx ends. Only
-// one Run may be in progress.
-func (f *Follower) Run(ctx context.Context) {
-	var after granitehoist.Version
-	for ctx.Err() == nil {
-		entries, version, err := f.settings.Store.Watch(ctx, KeyPrefix, after, 0)
-		if err != nil {
-			f.pause(ctx, err)
-			continue
-		}
-		f.take(entries)
-		after = max(after, version)
-	}
-}
-
-func (f *Follower) pause(ctx context.Context, err error) {
-	if ctx.Err() != nil {
-		return
-	}
-	f.settings.Failed(err)
-	select {
-	case <-time.After(f.settings.Pause):
-	case <-ctx.Done():
-	}
-}
+// Run lists the documents and then watches for changes until ctx ends. Only one
+// Run may be in progress. Failed and Changed are called on its goroutine.
+func (f *Follower) Run(ctx context.Context) { f.keys.Run(ctx) }
 
-// take puts entries in force that are newer than what is.
+// take puts documents in force that are newer than those of the view.
 func (f *Follower) take(entries []granitehoist.Entry) {
 	view := f.View()
 	next := view
