--- a/follow/follow.go
+++ b/follow/follow.go
@@ -60,31 +60,31 @@
 	// probeWait bounds the watches of a store that failed, so that its return is
 	// soon seen: one that was sent before would wait for its whole time.
 	probeWait = 100 * time.Millisecond
-	// firstListTime bounds the first list.
-	firstListTime = 800 * time.Millisecond
-	// patientEvery is how often such a call gets its whole time all the same:
+	// firstListTimeout bounds the first list.
+	firstListTimeout = 800 * time.Millisecond
+	// fullTimeEvery is how often such a call gets its whole time all the same:
 	// the store may be slow.
-	patientEvery = 4
+	fullTimeEvery = 4
 	// relayWait is how long a relay holds a question that nothing answers.
 	relayWait = 400 * time.Millisecond
-	// relayAge is the age above which a relay's word is no longer relied upon.
-	relayAge = 1500 * time.Millisecond
+	// maxRelayAge is the age above which a relay's word is no longer relied upon.
+	maxRelayAge = 1500 * time.Millisecond
 	// relayTries is the number of relays that are asked before the store is.
 	relayTries = 2
-	// avoidTime is how long a relay that failed is left out.
-	avoidTime = 2 * time.Second
-	// servedWait bounds the watches of a router that is a relay itself, so that
+	// avoidRelayFor is how long a relay that failed is left out.
+	avoidRelayFor = 2 * time.Second
+	// relayWatchWait bounds the watches of a router that is a relay itself, so that
 	// what it tells others is not old.
-	servedWait = time.Second
-	// servedTime is how long after a question a router counts as a relay.
-	servedTime = 5 * time.Second
+	relayWatchWait = time.Second
+	// relayFor is how long after a question a router counts as a relay.
+	relayFor = 5 * time.Second
 )
 
 // Follower keeps the copy of one prefix. Run drives it.
 type Follower struct {
-	settings Settings
-	copy     *prefixCopy
-	served   lastTime
+	settings     Settings
+	copy         *prefixCopy
+	lastQuestion lastTime
 	// next chooses the relay that is asked; avoided holds until when relays that
 	// failed are left out; watched is when the last watch began.
 	next    int
@@ -171,7 +171,7 @@
 	if f.askRelays(ctx) {
 		return nil
 	}
-	if !f.Known() {
+	if !f.HasCopy() {
 		return f.firstList(ctx)
 	}
 	return f.watch(ctx)
@@ -190,7 +190,7 @@
 			return true
 		}
 		if ctx.Err() == nil {
-			f.avoided[relay.Address] = f.settings.Clock().Add(avoidTime)
+			f.avoided[relay.Address] = f.settings.Clock().Add(avoidRelayFor)
 			f.settings.Log.Warn(event.RelayLost, zap.String("prefix", f.settings.Prefix), zap.String("relay", string(relay.Incarnation)), zap.Uint64("at", uint64(f.At())))
 		}
 	}
@@ -214,11 +214,11 @@
 // ask takes in what a router tells, and reports whether that is fresh.
 func (f *Follower) ask(ctx context.Context, to granitehoist.Peer, wait time.Duration) bool {
 	update, err := f.settings.Updates(ctx, to, f.settings.Prefix, f.At(), wait)
-	if err != nil || !update.Known || update.Prefix != f.settings.Prefix {
+	if err != nil || !update.HasCopy || update.Prefix != f.settings.Prefix {
 		return false
 	}
-	f.take(update)
-	return update.Age <= relayAge
+	f.apply(update)
+	return update.Age <= maxRelayAge
 }
 
 // watch waits for changes at the store.
@@ -233,16 +233,16 @@
 	if err != nil {
 		return err
 	}
-	f.take(Update{At: at, Entries: changed})
+	f.apply(Update{At: at, Entries: changed})
 	return nil
 }
 
 // firstList lists a prefix of which nothing is known. A router that starts while
 // the store is silent makes short calls too, but for every so many.
 func (f *Follower) firstList(ctx context.Context) error {
-	if f.failures%patientEvery != patientEvery-1 {
+	if f.failures%fullTimeEvery != fullTimeEvery-1 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, firstListTime)
+		ctx, cancel = context.WithTimeout(ctx, firstListTimeout)
 		defer cancel()
 	}
 	return f.list(ctx)
@@ -252,10 +252,10 @@
 // store's client does.
 func (f *Follower) watchTime() time.Duration {
 	switch {
-	case f.failures%patientEvery != 0:
+	case f.failures%fullTimeEvery != 0:
 		return probeWait
-	case f.served.within(servedTime, f.watched):
-		return servedWait
+	case f.lastQuestion.isRecent(relayFor, f.watched):
+		return relayWatchWait
 	}
 	return 0
 }
@@ -265,7 +265,7 @@
 	if err != nil {
 		return err
 	}
-	f.take(Update{At: at, Whole: true, Entries: entries})
+	f.apply(Update{At: at, Complete: true, Entries: entries})
 	return nil
 }
 
@@ -277,35 +277,35 @@
 	for _, to := range neighbours {
 		go func() {
 			update, err := f.settings.Updates(ctx, to, f.settings.Prefix, after, 0)
-			update.Known = update.Known && err == nil
+			update.HasCopy = update.HasCopy && err == nil
 			updates <- update
 		}()
 	}
 	for range neighbours {
 		u := <-updates
-		if !u.Known || u.Prefix != f.settings.Prefix || u.At <= f.At() {
+		if !u.HasCopy || u.Prefix != f.settings.Prefix || u.At <= f.At() {
 			continue
 		}
 		f.settings.Log.Info(event.CopyFromNeighbour, zap.String("prefix", f.settings.Prefix), zap.Uint64("at", uint64(u.At)), zap.Duration("age", u.Age))
-		f.take(u)
+		f.apply(u)
 	}
 }
 
-// take takes an update in and tells what it changed.
-func (f *Follower) take(u Update) {
-	first := !f.Known()
-	changed := f.copy.apply(u, f.settings.Clock())
+// apply takes an update in and tells what it changed.
+func (f *Follower) apply(update Update) {
+	first := !f.HasCopy()
+	changed := f.copy.apply(update, f.settings.Clock())
 	if len(changed) > 0 || first {
-		f.settings.Changed(changed, u.At)
+		f.settings.Changed(changed, update.At)
 	}
 }
 
 // Updates returns what changed after a version, waiting for a change if there
 // is none. It serves other routers.
 func (f *Follower) Updates(ctx context.Context, after granitehoist.Version, wait time.Duration) Update {
-	f.served.set(f.settings.Clock())
-	u, changed := f.copy.since(after, f.settings.Clock())
-	if wait > 0 && len(u.Entries) == 0 && u.Known && u.Age <= relayAge {
+	f.lastQuestion.set(f.settings.Clock())
+	u, changed := f.copy.changesAfter(after, f.settings.Clock())
+	if wait > 0 && len(u.Entries) == 0 && u.HasCopy && u.Age <= maxRelayAge {
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
@@ -313,7 +313,7 @@
 		case <-timer.C:
 		case <-changed:
 		}
-		u, _ = f.copy.since(after, f.settings.Clock())
+		u, _ = f.copy.changesAfter(after, f.settings.Clock())
 	}
 	u.Prefix = f.settings.Prefix
 	return u
@@ -322,8 +322,8 @@
 // At returns the store's version of the copy.
 func (f *Follower) At() granitehoist.Version { return f.copy.version() }
 
-// Known reports whether the prefix has been read at all.
-func (f *Follower) Known() bool { return f.copy.isKnown() }
+// HasCopy reports whether the prefix has been read at all.
+func (f *Follower) HasCopy() bool { return f.copy.hasCopy() }
 
 // Age returns the time since the copy was last known to be the newest.
 func (f *Follower) Age(now time.Time) time.Duration { return f.copy.age(now) }
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -197,16 +197,16 @@
 		store := &silentStore{}
 		f := run(follow.Settings{Store: store})
 		Eventually(store.longest(3)).Should(And(BeNumerically(">", 0), BeNumerically("<=", time.Second)))
-		Expect(f.Known()).To(BeFalse())
+		Expect(f.HasCopy()).To(BeFalse())
 		Eventually(store.longest(4)).Should(BeNumerically(">", time.Minute), "the store may only be slow")
 	})
 
 	It("takes a newer copy from a neighbour, and no older one", func() {
 		store := &scripted{lists: []follow.Update{{At: 5, Entries: []granitehoist.Entry{entry("p/a", 3)}}}}
 		copies := []follow.Update{
-			{Prefix: "p/", Known: true, Whole: true, At: 4},
-			{Prefix: "q/", Known: true, Whole: true, At: 90},
-			{Prefix: "p/", Known: true, Whole: true, At: 8, Entries: []granitehoist.Entry{entry("p/b", 8)}},
+			{Prefix: "p/", HasCopy: true, Complete: true, At: 4},
+			{Prefix: "q/", HasCopy: true, Complete: true, At: 90},
+			{Prefix: "p/", HasCopy: true, Complete: true, At: 8, Entries: []granitehoist.Entry{entry("p/b", 8)}},
 		}
 		var mu sync.Mutex
 		f := run(follow.Settings{Store: store, Neighbours: onePeer, Updates: func(context.Context, granitehoist.Peer, string, granitehoist.Version, time.Duration) (follow.Update, error) {
--- a/follow/lasttime.go
+++ b/follow/lasttime.go
@@ -14,8 +14,8 @@
 
 func (l *lastTime) set(now time.Time) { l.at.Store(&now) }
 
-// within reports whether it happened no longer ago than d.
-func (l *lastTime) within(d time.Duration, now time.Time) bool {
+// isRecent reports whether it happened no longer ago than d.
+func (l *lastTime) isRecent(d time.Duration, now time.Time) bool {
 	at := l.at.Load()
 	return at != nil && now.Sub(*at) <= d
 }
--- a/follow/packed_test.go
+++ b/follow/packed_test.go
@@ -42,7 +42,7 @@
 	}
 	update := func(value []byte) follow.Update {
 		return follow.Update{
-			Prefix: "op/", Known: true, Whole: true, At: 9,
+			Prefix: "op/", HasCopy: true, Complete: true, At: 9,
 			Entries: []granitehoist.Entry{{Key: "op/config", Version: 8, Value: value}, gone("op/old", 9)},
 		}
 	}
--- a/follow/relay_test.go
+++ b/follow/relay_test.go
@@ -184,7 +184,7 @@
 		}
 		Eventually(values(relay)).Should(ConsistOf("kept"))
 		u := relay.Updates(context.Background(), lagging, 0)
-		if !u.Whole {
+		if !u.Complete {
 			Expect(u.Entries).To(ContainElement(HaveField("Key", "p/old")))
 			return
 		}
--- a/node/node.go
+++ b/node/node.go
@@ -182,7 +182,7 @@
 
 // Ready reports whether the node can serve clients.
 func (n *Node) Ready() bool {
-	return !n.leaving.Load() && !n.shedding.Load() && n.catalog.Get() != nil && n.instances.Known()
+	return !n.leaving.Load() && !n.shedding.Load() && n.catalog.Get() != nil && n.instances.HasCopy()
 }
 
 // Routers returns the number of nodes that this one knows of, itself included.
