--- a/standin/store.go
+++ b/standin/store.go
@@ -7,7 +7,6 @@
 	"context"
 	"fmt"
 	"sort"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -38,33 +37,6 @@
 	lease granitehoist.LeaseID
 }
 
-type storedLease struct {
-	ttl  time.Duration
-	ends time.Time
-}
-
-// StoreFaults are the failures that a Store shows on command.
-type StoreFaults struct {
-	// Down refuses every call.
-	Down bool
-	// Silent answers no call: calls fail with an unknown outcome and have no
-	// effect.
-	Silent bool
-	// LoseEvery makes every n-th write take effect and lose its answer; zero
-	// loses none.
-	LoseEvery int
-	// DropEvery makes every n-th write lose its answer without effect; zero
-	// drops none.
-	DropEvery int
-	// Delay is added to each call.
-	Delay time.Duration
-}
-
-// StoreCalls counts the calls that a Store has had.
-type StoreCalls struct {
-	Reads, Writes, Watches, Conflicts int
-}
-
 // StoreSettings configure a Store. The zero value works.
 type StoreSettings struct {
 	// Clock ends leases; nil stands for time.Now.
@@ -91,27 +63,6 @@
 	}
 }
 
-// Fail sets the failures from now on.
-func (s *Store) Fail(f StoreFaults) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.faults = f
-}
-
-// Faults returns the failures that are set.
-func (s *Store) Faults() StoreFaults {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.faults
-}
-
-// Calls returns the counts of calls.
-func (s *Store) Calls() StoreCalls {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.calls
-}
-
 // ListBox sets what the platform's list says of a box.
 func (s *Store) ListBox(b granitehoist.Box, leaving bool) {
 	s.mu.Lock()
@@ -132,50 +83,6 @@
 	return boxes, nil
 }
 
-// enter delays and refuses as the faults say. Without an error it leaves the
-// store locked.
-func (s *Store) enter(ctx context.Context) error {
-	s.mu.Lock()
-	if delay := s.faults.Delay; delay > 0 {
-		s.mu.Unlock()
-		select {
-		case <-time.After(delay):
-		case <-ctx.Done():
-			return granitehoist.ErrUnknown
-		}
-		s.mu.Lock()
-	}
-	switch {
-	case ctx.Err() != nil:
-		s.mu.Unlock()
-		return granitehoist.ErrUnknown
-	case s.faults.Down:
-		s.mu.Unlock()
-		return granitehoist.ErrUnavailable
-	case s.faults.Silent:
-		s.mu.Unlock()
-		return granitehoist.ErrUnknown
-	}
-	s.expire()
-	return nil
-}
-
-// expire removes the leases that have ended, and their entries.
-func (s *Store) expire() {
-	now := s.now()
-	for id, lease := range s.leases {
-		if now.Before(lease.ends) {
-			continue
-		}
-		delete(s.leases, id)
-		for key, e := range s.entries {
-			if e.lease == id && !e.Deleted {
-				s.put(key, storedEntry{Entry: granitehoist.Entry{Deleted: true}})
-			}
-		}
-	}
-}
-
 func (s *Store) put(key string, e storedEntry) granitehoist.Version {
 	s.version++
 	e.Key = key
@@ -246,8 +153,6 @@
 	return version, err
 }
 
-func every(n, count int) bool { return n > 0 && count%n == 0 }
-
 func (s *Store) change(c granitehoist.Change) (granitehoist.Version, error) {
 	var current granitehoist.Version
 	if e, ok := s.entries[c.Key]; ok && !e.Deleted {
@@ -293,32 +198,3 @@
 		}
 	}
 }
-
-// GrantLease implements granitehoist.Store.
-func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (granitehoist.LeaseID, error) {
-	if err := s.enter(ctx); err != nil {
-		return "", err
-	}
-	defer s.mu.Unlock()
-	s.calls.Writes++
-	s.version++
-	id := granitehoist.LeaseID(strconv.FormatUint(uint64(s.version), 10))
-	s.leases[id] = storedLease{ttl: ttl, ends: s.now().Add(ttl)}
-	return id, nil
-}
-
-// RenewLease implements granitehoist.Store.
-func (s *Store) RenewLease(ctx context.Context, id granitehoist.LeaseID) error {
-	if err := s.enter(ctx); err != nil {
-		return err
-	}
-	defer s.mu.Unlock()
-	s.calls.Writes++
-	lease, ok := s.leases[id]
-	if !ok {
-		return granitehoist.ErrNoLease
-	}
-	lease.ends = s.now().Add(lease.ttl)
-	s.leases[id] = lease
-	return nil
-}
--- /dev/null
+++ b/standin/storefaults.go
@@ -0,0 +1,84 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package standin
+
+import (
+	"context"
+	"time"
+
+	"granitehoist.example/granitehoist"
+)
+
+// StoreFaults are the failures that a Store shows on command.
+type StoreFaults struct {
+	// Down refuses every call.
+	Down bool
+	// Silent answers no call: calls fail with an unknown outcome and have no
+	// effect.
+	Silent bool
+	// LoseEvery makes every n-th write take effect and lose its answer; zero
+	// loses none.
+	LoseEvery int
+	// DropEvery makes every n-th write lose its answer without effect; zero
+	// drops none.
+	DropEvery int
+	// Delay is added to each call.
+	Delay time.Duration
+}
+
+// StoreCalls counts the calls that a Store has had.
+type StoreCalls struct {
+	Reads, Writes, Watches, Conflicts int
+}
+
+// Fail sets the failures from now on.
+func (s *Store) Fail(f StoreFaults) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.faults = f
+}
+
+// Faults returns the failures that are set.
+func (s *Store) Faults() StoreFaults {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.faults
+}
+
+// Calls returns the counts of calls.
+func (s *Store) Calls() StoreCalls {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls
+}
+
+// enter delays and refuses as the faults say. Without an error it leaves the
+// store locked.
+func (s *Store) enter(ctx context.Context) error {
+	s.mu.Lock()
+	if delay := s.faults.Delay; delay > 0 {
+		s.mu.Unlock()
+		select {
+		case <-time.After(delay):
+		case <-ctx.Done():
+			return granitehoist.ErrUnknown
+		}
+		s.mu.Lock()
+	}
+	switch {
+	case ctx.Err() != nil:
+		s.mu.Unlock()
+		return granitehoist.ErrUnknown
+	case s.faults.Down:
+		s.mu.Unlock()
+		return granitehoist.ErrUnavailable
+	case s.faults.Silent:
+		s.mu.Unlock()
+		return granitehoist.ErrUnknown
+	}
+	s.expire()
+	return nil
+}
+
+func every(n, count int) bool { return n > 0 && count%n == 0 }
--- /dev/null
+++ b/standin/storeleases.go
@@ -0,0 +1,62 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package standin
+
+import (
+	"context"
+	"strconv"
+	"time"
+
+	"granitehoist.example/granitehoist"
+)
+
+type storedLease struct {
+	ttl  time.Duration
+	ends time.Time
+}
+
+// GrantLease implements granitehoist.Store.
+func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (granitehoist.LeaseID, error) {
+	if err := s.enter(ctx); err != nil {
+		return "", err
+	}
+	defer s.mu.Unlock()
+	s.calls.Writes++
+	s.version++
+	id := granitehoist.LeaseID(strconv.FormatUint(uint64(s.version), 10))
+	s.leases[id] = storedLease{ttl: ttl, ends: s.now().Add(ttl)}
+	return id, nil
+}
+
+// RenewLease implements granitehoist.Store.
+func (s *Store) RenewLease(ctx context.Context, id granitehoist.LeaseID) error {
+	if err := s.enter(ctx); err != nil {
+		return err
+	}
+	defer s.mu.Unlock()
+	s.calls.Writes++
+	lease, ok := s.leases[id]
+	if !ok {
+		return granitehoist.ErrNoLease
+	}
+	lease.ends = s.now().Add(lease.ttl)
+	s.leases[id] = lease
+	return nil
+}
+
+// expire removes the leases that have ended, and their entries.
+func (s *Store) expire() {
+	now := s.now()
+	for id, lease := range s.leases {
+		if now.Before(lease.ends) {
+			continue
+		}
+		delete(s.leases, id)
+		for key, e := range s.entries {
+			if e.lease == id && !e.Deleted {
+				s.put(key, storedEntry{Entry: granitehoist.Entry{Deleted: true}})
+			}
+		}
+	}
+}
