--- a/cmd/granitehoist/main.go
+++ b/cmd/granitehoist/main.go
@@ -73,7 +73,6 @@
 		newMeasureBudgets(app, out),
 		newMeasureHistories(app, out),
 		newMeasureCapacity(app, out),
-		newMeasureRouting(app, out),
 		newExplain(app, out),
 		newVersion(app, out),
 	}
--- a/cmd/granitehoist/measure.go
+++ b/cmd/granitehoist/measure.go
@@ -76,9 +76,3 @@
 	clause := measureCommand(app).Command("capacity", "Slopes of the costs of each role, and the loads at full and at small size.")
 	return command{clause, func(context.Context) error { return measure.Capacity(out, measure.Sizes) }}
 }
-
-func newMeasureRouting(app *kingpin.Application, out io.Writer) command {
-	clause := measureCommand(app).Command("routing", "Cache hits, latencies and spread of the choice of upstream, on multi-turn load.")
-	seed := clause.Flag("seed", "Seed of the load.").Default("1").Uint64()
-	return command{clause, func(context.Context) error { return measure.Routing(out, *seed, measure.RoutingSizes) }}
-}
