--- a/cmd/granitehoist/main.go
+++ b/cmd/granitehoist/main.go
@@ -71,7 +71,6 @@
 		newSettle(app, out),
 		newReportBurn(app, out),
 		newMeasureBudgets(app, out),
-		newMeasureHistories(app, out),
 		newMeasureCapacity(app, out),
 		newExplain(app, out),
 		newVersion(app, out),
--- a/cmd/granitehoist/measure.go
+++ b/cmd/granitehoist/measure.go
@@ -5,7 +5,6 @@
 
 import (
 	"context"
-	"fmt"
 	"io"
 
 	"github.com/alecthomas/kingpin/v2"
@@ -59,19 +58,6 @@
 	return scenarios
 }
 
-func newMeasureHistories(app *kingpin.Application, out io.Writer) command {
-	clause := measureCommand(app).Command("histories", "Random histories of spending under every fault, checked after each step for tokens that exist twice or are lost.")
-	seed := clause.Flag("seed", "Seed of the histories.").Default("1").Uint64()
-	count := clause.Flag("count", "Number of histories.").Default("100000").Int()
-	return command{clause, func(context.Context) error {
-		if err := measure.Histories(*count, *seed); err != nil {
-			return err
-		}
-		fmt.Fprintf(out, "histories=%d steps=%d seed=%d overspend=0 lost=0\n", *count, measure.HistorySteps, *seed)
-		return nil
-	}}
-}
-
 func newMeasureCapacity(app *kingpin.Application, out io.Writer) command {
 	clause := measureCommand(app).Command("capacity", "Slopes of the costs of each role, and the loads at full and at small size.")
 	return command{clause, func(context.Context) error { return measure.Capacity(out, measure.Sizes) }}
--- a/measure/suite_test.go
+++ b/measure/suite_test.go
@@ -4,7 +4,6 @@
 package measure_test
 
 import (
-	"flag"
 	"testing"
 	"time"
 
@@ -18,7 +17,5 @@
 func TestMeasure(t *testing.T) {
 	RegisterFailHandler(Fail)
 	SetDefaultEventuallyTimeout(patience)
-	// Properties are checked on the same cases each time.
-	Expect(flag.Set("rapid.seed", "1")).To(Succeed())
 	RunSpecs(t, "measure")
 }
--- a/measure/historysteps.go
+++ b/partner/budget/historysteps_test.go
@@ -1,10 +1,9 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-package measure
+package budget_test
 
 import (
-	"context"
 	"time"
 
 	"granitehoist.example/granitehoist"
@@ -12,7 +11,7 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-func (h *History) reserve() {
+func (h *history) reserve() {
 	b := h.box()
 	bound := granitehoist.Tokens(h.choose(historyMost))
 	if b.purse.Reserve(historyBudget, bound) {
@@ -20,13 +19,13 @@
 	}
 }
 
-func (h *History) wait() {
+func (h *history) wait() {
 	b := h.box()
 	bound := granitehoist.Tokens(h.choose(historyMost))
 	b.waiters = append(b.waiters, historyWaiter{b.purse.Wait(historyBudget, bound, h.now), bound})
 }
 
-func (h *History) settle() {
+func (h *history) settle() {
 	b := h.box()
 	h.endWaits(b)
 	if len(b.open) == 0 {
@@ -38,7 +37,7 @@
 	b.purse.Settle(historyBudget, bound, granitehoist.Tokens(h.choose(int(bound)+1)), h.now)
 }
 
-func (h *History) endWaits(b *historyBox) {
+func (h *history) endWaits(b *historyBox) {
 	for _, w := range b.waiters {
 		if b.purse.Abandon(historyBudget, w.waiter, h.now) == budget.Granted {
 			b.open = append(b.open, w.bound)
@@ -57,7 +56,7 @@
 
 // sync sends a box's message, which arrives or is kept for later, and so is
 // the reply.
-func (h *History) sync(b *historyBox, arrives, answered bool) {
+func (h *history) sync(b *historyBox, arrives, answered bool) {
 	asks, urgent := b.purse.Asks(h.now)
 	params := budget.SyncParams{Box: "box", Incarnation: b.purse.Incarnation(), Asks: asks, Urgent: urgent}
 	h.syncs = keep(h.syncs, savedSync{b, params})
@@ -66,8 +65,8 @@
 	}
 }
 
-func (h *History) serve(b *historyBox, params budget.SyncParams, answered bool) {
-	results, err := h.keepers[b.region].SyncAll(context.Background(), 0, []budget.SyncParams{params}, h.now)
+func (h *history) serve(b *historyBox, params budget.SyncParams, answered bool) {
+	results, err := h.keepers[b.region].SyncAll(ctx, 0, []budget.SyncParams{params}, h.now)
 	if err != nil {
 		return
 	}
@@ -78,21 +77,21 @@
 }
 
 // deliver brings an old message, perhaps once more.
-func (h *History) deliver() {
+func (h *history) deliver() {
 	if len(h.syncs) > 0 {
 		m := h.syncs[h.choose(len(h.syncs))]
 		h.serve(m.box, m.params, h.choose(2) == 0)
 	}
 }
 
-func (h *History) apply() {
+func (h *history) apply() {
 	if len(h.replies) > 0 {
 		r := h.replies[h.choose(len(h.replies))]
 		r.box.purse.Apply(r.asks, r.replies, h.now)
 	}
 }
 
-func (h *History) borrow() {
+func (h *history) borrow() {
 	borrower, lender := h.box(), h.box()
 	params, short := borrower.purse.Borrowing(historyBudget, lender.purse.Incarnation())
 	if !short || borrower == lender {
@@ -106,14 +105,14 @@
 	}
 }
 
-func (h *History) lendAgain() {
+func (h *history) lendAgain() {
 	if len(h.loans) > 0 {
 		l := h.loans[h.choose(len(h.loans))]
 		h.results = keep(h.results, savedResult{l.borrower, l.lender.purse.Lend(l.params, h.now)})
 	}
 }
 
-func (h *History) takeAgain() {
+func (h *history) takeAgain() {
 	if len(h.results) > 0 {
 		r := h.results[h.choose(len(h.results))]
 		r.borrower.purse.Borrow(historyBudget, r.result)
@@ -121,7 +120,7 @@
 }
 
 // kill ends a box with whatever it holds and has open, and replaces it.
-func (h *History) kill() {
+func (h *history) kill() {
 	if h.choose(4) != 0 {
 		return
 	}
@@ -129,7 +128,7 @@
 }
 
 // closeBox stops a box in good order: its last message may be lost.
-func (h *History) closeBox() {
+func (h *history) closeBox() {
 	if h.choose(4) != 0 {
 		return
 	}
@@ -145,7 +144,7 @@
 	})
 }
 
-func (h *History) sendClosing(b *historyBox) {
+func (h *history) sendClosing(b *historyBox) {
 	asks, _ := b.purse.Asks(h.now)
 	params := budget.SyncParams{Box: "box", Incarnation: b.purse.Incarnation(), Asks: asks, Closing: true}
 	h.syncs = keep(h.syncs, savedSync{b, params})
@@ -154,7 +153,7 @@
 	}
 }
 
-func (h *History) replaceBox(end func(*historyBox)) {
+func (h *history) replaceBox(end func(*historyBox)) {
 	i := h.choose(len(h.boxes))
 	old := h.boxes[i]
 	h.boxes[i] = h.newBox(old.region)
@@ -162,21 +161,21 @@
 	end(old)
 }
 
-func (h *History) disturbStore() {
+func (h *history) disturbStore() {
 	faults := []standin.StoreFaults{{}, {}, {Down: true}, {Silent: true}, {LoseEvery: 2}, {DropEvery: 2}, {LoseEvery: 3, DropEvery: 2}}
 	h.store.Fail(faults[h.choose(len(faults))])
 }
 
-func (h *History) cutRegion() {
+func (h *history) cutRegion() {
 	h.cut[h.choose(2)] = h.choose(2) == 0
 }
 
-func (h *History) pass() {
+func (h *history) pass() {
 	h.now = h.now.Add(time.Duration(h.choose(40)) * time.Second)
 }
 
 // prepay tops the budget up or reduces it.
-func (h *History) prepay() {
+func (h *history) prepay() {
 	if h.choose(4) != 0 {
 		return
 	}
--- a/partner/budget/suite_test.go
+++ b/partner/budget/suite_test.go
@@ -4,6 +4,7 @@
 package budget_test
 
 import (
+	"flag"
 	"testing"
 	"time"
 
@@ -17,5 +18,7 @@
 func TestBudget(t *testing.T) {
 	RegisterFailHandler(Fail)
 	SetDefaultEventuallyTimeout(patience)
+	// Properties are checked on the same cases each time.
+	Expect(flag.Set("rapid.seed", "1")).To(Succeed())
 	RunSpecs(t, "budget")
 }
