--- a/cmd/granitehoist/main.go
+++ b/cmd/granitehoist/main.go
@@ -70,7 +70,6 @@
 		newBills(app, out),
 		newSettle(app, out),
 		newReportBurn(app, out),
-		newMeasureBudgets(app, out),
 		newMeasureCapacity(app, out),
 		newExplain(app, out),
 		newVersion(app, out),
