--- a/trial/judge.go
+++ b/trial/judge.go
@@ -60,47 +60,47 @@
 
 // Judge compares what callers were told and what was charged with the books of
 // the stand-ins.
-func Judge(s *Site, told []*Told, charges []bill.Charge) Verdict {
-	v := Verdict{Requests: len(told), Billed: len(bill.Bills(charges))}
+func Judge(s *Site, outcomes []*Outcome, charges []bill.Charge) Verdict {
+	v := Verdict{Requests: len(outcomes), Billed: len(bill.Bills(charges))}
 	books := s.books()
 	billed := map[string][]bill.Charge{}
 	for _, c := range charges {
 		billed[string(c.Request)] = append(billed[string(c.Request)], c)
 	}
-	for _, t := range told {
-		v.judgeAnswer(t, books[t.ID])
-		v.judgeCharge(books[t.ID], billed[t.ID])
+	for _, o := range outcomes {
+		v.judgeAnswer(o, books[o.ID])
+		v.judgeCharge(books[o.ID], billed[o.ID])
 	}
-	v.Overspend = s.overspend(told, books)
-	v.FalseRefusals = s.falseRefusals(told)
+	v.Overspend = s.overspend(outcomes, books)
+	v.FalseRefusals = s.falseRefusals(outcomes)
 	return v
 }
 
-func (v *Verdict) judgeAnswer(t *Told, x execution) {
+func (v *Verdict) judgeAnswer(o *Outcome, x execution) {
 	switch {
-	case t.Killed:
+	case o.Killed:
 		v.Cut++
 		return
-	case t.Failed != nil:
+	case o.Failed != nil:
 		v.Lost++
 		return
-	case t.Code == granitehoist.Served:
+	case o.Code == granitehoist.Served:
 		v.Served++
-	case t.Broken:
+	case o.Broken:
 		v.Cut++
 	default:
 		v.Refused++
 	}
-	if t.Answered && !t.Whole {
+	if o.Answered && !o.Whole {
 		v.Crossed++
 	}
-	if allNotRun(t.Fates) {
+	if allNotRun(o.Fates) {
 		v.NotRun++
 		if x.runs > 0 {
 			v.Untrue++
 		}
 	}
-	if t.shape.once && x.runs > 1 {
+	if o.shape.once && x.runs > 1 {
 		v.Doubled += x.runs - 1
 	}
 }
@@ -171,10 +171,10 @@
 	return prepaid
 }
 
-func (s *Site) overspend(told []*Told, books map[string]execution) granitehoist.Tokens {
+func (s *Site) overspend(outcomes []*Outcome, books map[string]execution) granitehoist.Tokens {
 	left := s.prepaid()
-	for _, t := range told {
-		left[t.Budget] -= books[t.ID].tokens
+	for _, o := range outcomes {
+		left[o.Budget] -= books[o.ID].tokens
 	}
 	var over granitehoist.Tokens
 	for _, tokens := range left {
@@ -184,50 +184,50 @@
 }
 
 // falseRefusals feeds the arrivals to one counter a budget.
-func (s *Site) falseRefusals(told []*Told) int {
+func (s *Site) falseRefusals(outcomes []*Outcome) int {
 	left := s.prepaid()
 	count := 0
-	for _, t := range told {
-		if t.Code == granitehoist.PolicyDenied {
+	for _, o := range outcomes {
+		if o.Code == granitehoist.PolicyDenied {
 			continue
 		}
-		cost := t.cost()
-		payable := cost <= left[t.Budget]
+		cost := o.cost()
+		payable := cost <= left[o.Budget]
 		if payable {
-			left[t.Budget] -= cost
+			left[o.Budget] -= cost
 		}
-		if payable && (t.Code == granitehoist.BudgetExhausted || t.Code == granitehoist.BudgetUnreachable) {
+		if payable && (o.Code == granitehoist.BudgetExhausted || o.Code == granitehoist.BudgetUnreachable) {
 			count++
 		}
 	}
 	return count
 }
 
-func (t *Told) cost() granitehoist.Tokens {
-	if t.shape.model == "" {
+func (o *Outcome) cost() granitehoist.Tokens {
+	if o.shape.model == "" {
 		return plainPrice
 	}
-	return standin.Cost(t.Prompt, maxOutput)
+	return standin.Cost(o.Prompt, maxOutput)
 }
 
 // Summary returns a readable table: requests by workspace and result.
-func Summary(told []*Told) string {
+func Summary(outcomes []*Outcome) string {
 	type row struct {
 		budget granitehoist.BudgetID
 		what   string
 		code   granitehoist.Code
 	}
 	counts := map[row]int{}
-	for _, t := range told {
-		what := string(t.shape.service)
-		if t.shape.model != "" {
-			what = string(t.shape.model)
+	for _, o := range outcomes {
+		what := string(o.shape.service)
+		if o.shape.model != "" {
+			what = string(o.shape.model)
 		}
-		code := t.Code
-		if t.Failed != nil {
+		code := o.Code
+		if o.Failed != nil {
 			code = granitehoist.Internal
 		}
-		counts[row{t.Budget, what, code}]++
+		counts[row{o.Budget, what, code}]++
 	}
 	rows := make([]row, 0, len(counts))
 	for r := range counts {
--- a/trial/load.go
+++ b/trial/load.go
@@ -47,8 +47,8 @@
 	{workspace: "accountants", partner: Lima, model: LimaModel, stream: true, weight: 2},
 }
 
-// Told is what the caller of one request was told.
-type Told struct {
+// Outcome is what the caller of one request was told.
+type Outcome struct {
 	ID     string
 	Budget granitehoist.BudgetID
 	shape  shape
@@ -75,7 +75,7 @@
 
 // Load sends the requests, one each interval, to the routers in turn, and
 // returns what each caller was told, in the order of sending.
-func Load(ctx context.Context, site *Site, s Settings) []*Told {
+func Load(ctx context.Context, site *Site, s Settings) []*Outcome {
 	random := rand.New(rand.NewPCG(s.Seed, 1))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
@@ -83,33 +83,33 @@
 	if s.Kill {
 		shapes = enginesOnly(mix)
 	}
-	told := make([]*Told, s.Requests)
+	outcomes := make([]*Outcome, s.Requests)
 	var group sync.WaitGroup
-	for i := range told {
+	for i := range outcomes {
 		if site.stopped < s.Stops && i > 0 && i%max(1, s.Requests/(s.Stops+1)) == 0 {
 			site.replaceOne(ctx, random.IntN(len(site.Routers)))
 		}
-		t := newTold(i, choose(random, shapes))
-		told[i] = t
+		o := newOutcome(i, choose(random, shapes))
+		outcomes[i] = o
 		first, second := random.Int(), random.Int()
 		address := site.address(first)
 		group.Go(func() {
-			t.send(ctx, client, address)
-			if t.shape.once {
-				t.send(ctx, client, site.address(second))
+			o.send(ctx, client, address)
+			if o.shape.once {
+				o.send(ctx, client, site.address(second))
 			}
 		})
-		if s.Kill && i == len(told)/2 {
+		if s.Kill && i == len(outcomes)/2 {
 			site.killOne(random.IntN(len(site.Routers)))
 		}
 		time.Sleep(s.Interval)
 	}
 	group.Wait()
 	site.stopping.Wait()
-	for _, t := range told {
-		t.Killed = (t.Failed != nil || t.early) && site.isDead(t.address)
+	for _, o := range outcomes {
+		o.Killed = (o.Failed != nil || o.early) && site.isDead(o.address)
 	}
-	return told
+	return outcomes
 }
 
 // address returns the callers' address of one of the routers that are ready, as
@@ -154,102 +154,102 @@
 	panic("trial: weights do not add up")
 }
 
-func newTold(i int, s shape) *Told {
+func newOutcome(i int, s shape) *Outcome {
 	id := fmt.Sprintf("trial-%06d", i)
 	budget := granitehoist.NewBudgetID(s.partner, s.workspace, budgetName)
-	return &Told{ID: id, Budget: budget, shape: s, Prompt: fmt.Sprintf("%s %s what is the way?", id, budget)}
+	return &Outcome{ID: id, Budget: budget, shape: s, Prompt: fmt.Sprintf("%s %s what is the way?", id, budget)}
 }
 
 const plainPath = "/berths"
 
-func (t *Told) request(address string) (*http.Request, error) {
+func (o *Outcome) request(address string) (*http.Request, error) {
 	base := sling.New().Base("http://"+address).
-		Set("Authorization", "Bearer "+Key(t.shape.workspace)).
-		Set(gate.HeaderRequest, t.ID)
-	if t.shape.model != "" {
+		Set("Authorization", "Bearer "+Key(o.shape.workspace)).
+		Set(gate.HeaderRequest, o.ID)
+	if o.shape.model != "" {
 		body := map[string]any{
-			"model":      t.shape.model,
+			"model":      o.shape.model,
 			"max_tokens": maxOutput,
-			"stream":     t.shape.stream,
-			"messages":   []standin.ChatMessage{{Role: "user", Content: standin.ChatContent(t.Prompt)}},
+			"stream":     o.shape.stream,
+			"messages":   []standin.ChatMessage{{Role: "user", Content: standin.ChatContent(o.Prompt)}},
 		}
 		return base.Post("/v1/chat/completions").BodyJSON(body).Request()
 	}
-	path := "/services/" + string(t.shape.service) + plainPath
-	if t.shape.once {
+	path := "/services/" + string(o.shape.service) + plainPath
+	if o.shape.once {
 		base = base.Set(gate.HeaderOnce, "true")
 	}
-	request, err := base.Post(path).Body(strings.NewReader(t.Prompt)).Request()
+	request, err := base.Post(path).Body(strings.NewReader(o.Prompt)).Request()
 	if err == nil {
-		request.Method = t.shape.method
+		request.Method = o.shape.method
 	}
 	return request, err
 }
 
 // send makes the request and takes in the answer.
-func (t *Told) send(ctx context.Context, client *http.Client, address string) {
-	t.address = address
-	request, err := t.request(address)
+func (o *Outcome) send(ctx context.Context, client *http.Client, address string) {
+	o.address = address
+	request, err := o.request(address)
 	if err != nil {
-		t.Failed = err
+		o.Failed = err
 		return
 	}
 	response, err := client.Do(request.WithContext(ctx))
 	if err != nil {
-		t.Failed = err
+		o.Failed = err
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	t.Status = response.StatusCode
+	o.Status = response.StatusCode
 	if response.StatusCode != http.StatusOK {
-		t.takeFailure(response)
+		o.takeFailure(response)
 		return
 	}
-	t.Code = granitehoist.Served
-	whole, early, broken := t.check(response)
-	t.early = early
+	o.Code = granitehoist.Served
+	whole, early, broken := o.check(response)
+	o.early = early
 	if broken != nil {
-		t.Code = granitehoist.Code(broken.Error.Code)
-		t.Fates = append(t.Fates, broken.Error.Fate)
-		t.Broken = true
+		o.Code = granitehoist.Code(broken.Error.Code)
+		o.Fates = append(o.Fates, broken.Error.Fate)
+		o.Broken = true
 		return
 	}
-	t.Fates = append(t.Fates, granitehoist.Ran)
-	t.Answered = true
-	t.Whole = whole
+	o.Fates = append(o.Fates, granitehoist.Ran)
+	o.Answered = true
+	o.Whole = whole
 }
 
-func (t *Told) takeFailure(response *http.Response) {
+func (o *Outcome) takeFailure(response *http.Response) {
 	var failure gate.Failure
 	if err := json.NewDecoder(response.Body).Decode(&failure); err != nil {
-		t.Failed = err
+		o.Failed = err
 		return
 	}
-	if t.Answered && failure.Error.Fate == granitehoist.Ran {
+	if o.Answered && failure.Error.Fate == granitehoist.Ran {
 		// The second sending of a request that was answered already.
-		t.Fates = append(t.Fates, failure.Error.Fate)
+		o.Fates = append(o.Fates, failure.Error.Fate)
 		return
 	}
-	t.Code = granitehoist.Code(failure.Error.Code)
-	t.Fates = append(t.Fates, failure.Error.Fate)
+	o.Code = granitehoist.Code(failure.Error.Code)
+	o.Fates = append(o.Fates, failure.Error.Fate)
 }
 
 // check reports whether a successful answer is whole and the request's own,
 // whether it ended early, and what a stream that was broken off told.
-func (t *Told) check(response *http.Response) (whole, early bool, broken *gate.Failure) {
-	if t.shape.model == "" {
+func (o *Outcome) check(response *http.Response) (whole, early bool, broken *gate.Failure) {
+	if o.shape.model == "" {
 		var answer standin.PlainAnswer
 		err := json.NewDecoder(response.Body).Decode(&answer)
-		return err == nil && answer.Body == t.Prompt && answer.Path == plainPath, err != nil, nil
+		return err == nil && answer.Body == o.Prompt && answer.Path == plainPath, err != nil, nil
 	}
 	var text string
 	var ended bool
-	if t.shape.stream {
+	if o.shape.stream {
 		text, ended, broken = readStream(response.Body)
 	} else {
 		text, ended = readWhole(response.Body)
 	}
-	return ended && text == strings.Join(standin.Answer(t.Prompt, maxOutput), " "), !ended, broken
+	return ended && text == strings.Join(standin.Answer(o.Prompt, maxOutput), " "), !ended, broken
 }
 
 type answerChoice struct {
--- a/trial/run.go
+++ b/trial/run.go
@@ -72,7 +72,7 @@
 	if !s.Calm {
 		site.disturb()
 	}
-	told := Load(ctx, site, s)
+	outcomes := Load(ctx, site, s)
 	if s.Hold > 0 {
 		hold(ctx, site, s)
 	}
@@ -89,11 +89,11 @@
 		return Verdict{}, err
 	}
 	if s.Hold > 0 {
-		charges = onlyTrial(charges, told)
+		charges = onlyTrial(charges, outcomes)
 	}
-	verdict := Judge(site, told, charges)
+	verdict := Judge(site, outcomes, charges)
 	verdict.Stops, verdict.StopsFailed = site.stopped, int(site.stopFailures.Load())
-	fmt.Fprint(s.Out, Summary(told))
+	fmt.Fprint(s.Out, Summary(outcomes))
 	return verdict, nil
 }
 
@@ -190,10 +190,10 @@
 }
 
 // onlyTrial leaves out the charges of requests that a person sent meanwhile.
-func onlyTrial(charges []bill.Charge, told []*Told) []bill.Charge {
+func onlyTrial(charges []bill.Charge, outcomes []*Outcome) []bill.Charge {
 	ours := map[string]bool{}
-	for _, t := range told {
-		ours[t.ID] = true
+	for _, o := range outcomes {
+		ours[o.ID] = true
 	}
 	var kept []bill.Charge
 	for _, c := range charges {
