--- a/partner/router/bench_test.go
+++ b/partner/router/bench_test.go
@@ -122,7 +122,7 @@
 			drive(b, server.URL, clients)
 		})
 		b.Run(fmt.Sprintf("router/clients=%d", clients), func(b *testing.B) {
-			site, err := trial.NewQuietSite(context.Background())
+			site, err := trial.NewSite(context.Background(), trial.SiteSettings{})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/standin/answering.go
+++ b/standin/answering.go
@@ -62,24 +62,28 @@
 	return &upstream.EngineUsage{PromptTokens: x.Prompt, CompletionTokens: x.Output, TotalTokens: x.Prompt + x.Output}
 }
 
-type choice struct {
+// Choice is the one choice of a Completion: text, a message, or the next piece
+// of a streamed message.
+type Choice struct {
 	Index        int      `json:"index"`
 	Text         string   `json:"text,omitempty"`
-	Message      *message `json:"message,omitempty"`
-	Delta        *message `json:"delta,omitempty"`
+	Message      *Message `json:"message,omitempty"`
+	Delta        *Message `json:"delta,omitempty"`
 	FinishReason *string  `json:"finish_reason"`
 }
 
-type message struct {
+// Message is a message of an engine, or a piece of one.
+type Message struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-type completion struct {
+// Completion is an engine's answer, or one event of a streamed answer.
+type Completion struct {
 	ID      string                `json:"id"`
 	Object  string                `json:"object"`
 	Model   string                `json:"model"`
-	Choices []choice              `json:"choices"`
+	Choices []Choice              `json:"choices"`
 	Usage   *upstream.EngineUsage `json:"usage,omitempty"`
 }
 
@@ -94,14 +98,14 @@
 			panic(http.ErrAbortHandler)
 		}
 	}
-	c := choice{FinishReason: &finishStop}
+	c := Choice{FinishReason: &finishStop}
 	text := strings.Join(a.words, " ")
 	if a.chat {
-		c.Message = &message{Role: "assistant", Content: text}
+		c.Message = &Message{Role: "assistant", Content: text}
 	} else {
 		c.Text = text
 	}
-	reply(w, completion{ID: a.id, Object: "completion", Model: a.request.Model, Choices: []choice{c}, Usage: a.usage()}, nil)
+	reply(w, Completion{ID: a.id, Object: "completion", Model: a.request.Model, Choices: []Choice{c}, Usage: a.usage()}, nil)
 }
 
 func (a *answering) stream(w http.ResponseWriter, r *http.Request, from int) {
@@ -120,24 +124,24 @@
 		if i > 0 {
 			word = " " + word
 		}
-		c := choice{}
+		c := Choice{}
 		if a.chat {
-			c.Delta = &message{Content: word}
+			c.Delta = &Message{Content: word}
 		} else {
 			c.Text = word
 		}
 		if i == len(a.words)-1 {
 			c.FinishReason = &finishStop
 		}
-		a.send(w, completion{ID: a.id, Object: "chunk", Model: a.request.Model, Choices: []choice{c}})
+		a.send(w, Completion{ID: a.id, Object: "chunk", Model: a.request.Model, Choices: []Choice{c}})
 	}
 	if a.request.StreamOptions.IncludeUsage && !a.plan.noUsage {
-		a.send(w, completion{ID: a.id, Object: "chunk", Model: a.request.Model, Choices: []choice{}, Usage: a.usage()})
+		a.send(w, Completion{ID: a.id, Object: "chunk", Model: a.request.Model, Choices: []Choice{}, Usage: a.usage()})
 	}
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-func (a *answering) send(w http.ResponseWriter, c completion) {
+func (a *answering) send(w http.ResponseWriter, c Completion) {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		panic("standin: answer does not encode: " + err.Error())
--- a/trial/judge.go
+++ b/trial/judge.go
@@ -5,25 +5,22 @@
 
 import (
 	"fmt"
-	"sort"
-	"strings"
 
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/partner/bill"
-	"granitehoist.example/granitehoist/standin"
 )
 
 // Verdict is what a trial has shown.
 type Verdict struct {
 	Requests, Served, Refused, NotRun int
-	// Billed is the bills that the charges in the store make.
+	// Billed is the requests that the store has a charge of.
 	Billed int
 	// Overspend is the tokens that upstreams counted beyond what was prepaid.
 	Overspend granitehoist.Tokens
 	// FalseRefusals is the requests refused for their budget that a single
 	// counter, fed the same arrivals and actual costs, would have paid for.
 	FalseRefusals int
-	// Crossed is answers that were not the request's own or not whole.
+	// Crossed is answers that were not the request's own or not complete.
 	Crossed int
 	// Doubled is executions of requests not to be repeated beyond the first,
 	// and attempts charged more than once.
@@ -41,7 +38,8 @@
 	Stops, StopsFailed int
 }
 
-// Held reports whether every promise was held.
+// Held reports whether every promise was held. False refusals and cut answers
+// break none: the first are few and counted, the second were told to the caller.
 func (v Verdict) Held() bool {
 	return v.Overspend == 0 && v.Crossed == 0 && v.Doubled == 0 && v.Lost == 0 && v.Untrue == 0 && v.StopsFailed == 0
 }
@@ -52,31 +50,45 @@
 		v.Requests, v.Served, v.Refused, v.NotRun, v.Billed, v.Overspend, v.FalseRefusals, v.Crossed, v.Doubled, v.Lost, v.Untrue, v.Cut, v.Stops, v.StopsFailed)
 }
 
-// execution is what the stand-ins have of one request.
-type execution struct {
-	runs   int
-	tokens granitehoist.Tokens
+// Execution is what the stand-ins executed of one request: how often, and the
+// tokens that they counted for all executions together.
+type Execution struct {
+	Runs   int
+	Tokens granitehoist.Tokens
+}
+
+// Evidence is what a trial is judged by.
+type Evidence struct {
+	// Outcomes are in the order in which the requests were sent.
+	Outcomes []*Outcome
+	// Books has what the stand-ins executed, by request id.
+	Books map[granitehoist.RequestID]Execution
+	// Charges are those in the store after all routers have stopped.
+	Charges []bill.Charge
+	// Prepaid is what each budget had at the beginning.
+	Prepaid map[granitehoist.BudgetID]granitehoist.Tokens
 }
 
 // Judge compares what callers were told and what was charged with the books of
-// the stand-ins.
-func Judge(s *Site, outcomes []*Outcome, charges []bill.Charge) Verdict {
-	v := Verdict{Requests: len(outcomes), Billed: len(bill.Bills(charges))}
-	books := s.books()
-	billed := map[string][]bill.Charge{}
-	for _, c := range charges {
-		billed[string(c.Request)] = append(billed[string(c.Request)], c)
+// the stand-ins. It leaves the planned stops of the verdict at zero.
+func Judge(e Evidence) Verdict {
+	v := Verdict{
+		Requests:      len(e.Outcomes),
+		Overspend:     e.overspend(),
+		FalseRefusals: e.falseRefusals(),
+	}
+	charges := map[granitehoist.RequestID][]bill.Charge{}
+	for _, c := range e.Charges {
+		charges[c.Request] = append(charges[c.Request], c)
 	}
-	for _, o := range outcomes {
-		v.judgeAnswer(o, books[o.ID])
-		v.judgeCharge(books[o.ID], billed[o.ID])
+	for _, o := range e.Outcomes {
+		v.judgeAnswer(o, e.Books[o.ID])
+		v.judgeCharge(e.Books[o.ID], charges[o.ID])
 	}
-	v.Overspend = s.overspend(outcomes, books)
-	v.FalseRefusals = s.falseRefusals(outcomes)
 	return v
 }
 
-func (v *Verdict) judgeAnswer(o *Outcome, x execution) {
+func (v *Verdict) judgeAnswer(o *Outcome, x Execution) {
 	switch {
 	case o.Killed:
 		v.Cut++
@@ -91,17 +103,17 @@
 	default:
 		v.Refused++
 	}
-	if o.Answered && !o.Whole {
+	if o.Answered && !o.Correct {
 		v.Crossed++
 	}
 	if allNotRun(o.Fates) {
 		v.NotRun++
-		if x.runs > 0 {
+		if x.Runs > 0 {
 			v.Untrue++
 		}
 	}
-	if o.shape.once && x.runs > 1 {
-		v.Doubled += x.runs - 1
+	if o.Once && x.Runs > 1 {
+		v.Doubled += x.Runs - 1
 	}
 }
 
@@ -114,7 +126,7 @@
 	return true
 }
 
-func (v *Verdict) judgeCharge(x execution, charges []bill.Charge) {
+func (v *Verdict) judgeCharge(x Execution, charges []bill.Charge) {
 	var tokens granitehoist.Tokens
 	charged := map[granitehoist.AttemptID]bool{}
 	for _, c := range charges {
@@ -126,127 +138,47 @@
 			charged[attempt] = true
 		}
 	}
-	if tokens != x.tokens || (x.runs > 0) != (len(charges) > 0) {
-		v.Lost++
-	}
-}
-
-// books returns the executions by request id, which every prompt and body
-// begins with.
-func (s *Site) books() map[string]execution {
-	books := map[string]execution{}
-	add := func(text string, runs int, tokens granitehoist.Tokens) {
-		id, _, _ := strings.Cut(text, " ")
-		x := books[id]
-		x.runs += runs
-		x.tokens += tokens
-		books[id] = x
+	if len(charges) > 0 {
+		v.Billed++
 	}
-	for _, engines := range s.Engines {
-		for _, e := range engines {
-			for _, x := range e.Books() {
-				add(x.Text, x.Runs, x.Prompt+x.Output)
-			}
-		}
-	}
-	for _, services := range s.Plain {
-		for _, p := range services {
-			for what, runs := range p.Runs() {
-				_, text, _ := strings.Cut(what, " ")
-				add(text, runs, granitehoist.Tokens(runs)*plainPrice)
-			}
-		}
+	if tokens != x.Tokens || (x.Runs > 0) != (len(charges) > 0) {
+		v.Lost++
 	}
-	return books
 }
 
-// prepaid returns what each budget of the site has.
-func (s *Site) prepaid() map[granitehoist.BudgetID]granitehoist.Tokens {
-	prepaid := map[granitehoist.BudgetID]granitehoist.Tokens{}
-	for partner, d := range s.documents {
-		for _, b := range d.Budgets {
-			prepaid[granitehoist.NewBudgetID(partner, b.Workspace, b.Name)] = b.Tokens
-		}
+// balances returns a copy of what was prepaid, for a counter to deduct from.
+func (e Evidence) balances() map[granitehoist.BudgetID]granitehoist.Tokens {
+	balances := map[granitehoist.BudgetID]granitehoist.Tokens{}
+	for budget, tokens := range e.Prepaid {
+		balances[budget] = tokens
 	}
-	return prepaid
+	return balances
 }
 
-func (s *Site) overspend(outcomes []*Outcome, books map[string]execution) granitehoist.Tokens {
-	left := s.prepaid()
-	for _, o := range outcomes {
-		left[o.Budget] -= books[o.ID].tokens
+func (e Evidence) overspend() granitehoist.Tokens {
+	balances := e.balances()
+	for _, o := range e.Outcomes {
+		balances[o.Budget] -= e.Books[o.ID].Tokens
 	}
 	var over granitehoist.Tokens
-	for _, tokens := range left {
+	for _, tokens := range balances {
 		over += max(0, -tokens)
 	}
 	return over
 }
 
-// falseRefusals feeds the arrivals to one counter a budget.
-func (s *Site) falseRefusals(outcomes []*Outcome) int {
-	left := s.prepaid()
+// falseRefusals feeds the requests to a naive counter for each budget.
+func (e Evidence) falseRefusals() int {
+	balances := e.balances()
 	count := 0
-	for _, o := range outcomes {
-		if o.Code == granitehoist.PolicyDenied {
+	for _, o := range e.Outcomes {
+		if o.Code == granitehoist.PolicyDenied || o.Cost > balances[o.Budget] {
 			continue
 		}
-		cost := o.cost()
-		payable := cost <= left[o.Budget]
-		if payable {
-			left[o.Budget] -= cost
-		}
-		if payable && (o.Code == granitehoist.BudgetExhausted || o.Code == granitehoist.BudgetUnreachable) {
+		balances[o.Budget] -= o.Cost
+		if o.Code == granitehoist.BudgetExhausted || o.Code == granitehoist.BudgetUnreachable {
 			count++
 		}
 	}
 	return count
 }
-
-func (o *Outcome) cost() granitehoist.Tokens {
-	if o.shape.model == "" {
-		return plainPrice
-	}
-	return standin.Cost(o.Prompt, maxOutput)
-}
-
-// Summary returns a readable table: requests by workspace and result.
-func Summary(outcomes []*Outcome) string {
-	type row struct {
-		budget granitehoist.BudgetID
-		what   string
-		code   granitehoist.Code
-	}
-	counts := map[row]int{}
-	for _, o := range outcomes {
-		what := string(o.shape.service)
-		if o.shape.model != "" {
-			what = string(o.shape.model)
-		}
-		code := o.Code
-		if o.Failed != nil {
-			code = granitehoist.Internal
-		}
-		counts[row{o.Budget, what, code}]++
-	}
-	rows := make([]row, 0, len(counts))
-	for r := range counts {
-		rows = append(rows, r)
-	}
-	sort.Slice(rows, func(i, j int) bool {
-		a, b := rows[i], rows[j]
-		if a.budget != b.budget {
-			return a.budget < b.budget
-		}
-		if a.what != b.what {
-			return a.what < b.what
-		}
-		return a.code < b.code
-	})
-	var text strings.Builder
-	fmt.Fprintf(&text, "%-32s %-14s %-20s %-8s %s\n", "budget", "asked for", "result", "requests", "fate")
-	for _, r := range rows {
-		fmt.Fprintf(&text, "%-32s %-14s %-20s %-8d %s\n", r.budget, r.what, r.code, counts[r], r.code.Info().Fate)
-	}
-	return text.String()
-}
--- a/trial/site.go
+++ b/trial/site.go
@@ -8,13 +8,11 @@
 	"crypto/ed25519"
 	"crypto/rand"
 	"encoding/base64"
-	"encoding/hex"
 	"encoding/json"
 	"fmt"
 	"net"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
@@ -29,85 +27,75 @@
 	"granitehoist.example/granitehoist/store"
 )
 
-// The partners, which are also the regions of today.
-const (
-	Tuul = "tuul"
-	Lima = "lima"
-)
-
-// Models offered by the partners.
-const (
-	TuulModel = "granite-8b"
-	LimaModel = "asistente-7b"
-)
-
 // zones lists the availability zones of each region.
 var zones = map[granitehoist.Region][]granitehoist.AvailabilityZone{
 	Tuul: {"ulaan-hall", "zaisan-hall", "gachuurt"},
 	Lima: {"miraflores", "callao", "ate", "surco"},
 }
 
-// Sizes of a trial site.
+// Sizes of a trial site. Chosen, not measured.
 const (
-	routersPerZone  = 2
-	enginesPerPool  = 3
+	// routersPerZone makes fourteen routers in seven availability zones.
+	routersPerZone = 2
+	// enginesPerPool is one engine for each line of engineFaults.
+	enginesPerPool = 3
+	// plainPerService is the number of processes of each plain service.
 	plainPerService = 2
-	// SmallBudget is what the workspace that runs out has.
-	SmallBudget = 2500
-	largeBudget = 50_000_000
-	plainPrice  = 3
-	maxOutput   = 64
 	// unready is how long a stopping router still serves.
 	unready = 50 * time.Millisecond
+	// inForcePause is the time between two looks at a router's documents.
+	inForcePause = 5 * time.Millisecond
 )
 
 // Site is a whole system in one process.
 type Site struct {
-	Store   *standin.Store
-	Engines map[granitehoist.Service][]*standin.Engine
-	Plain   map[granitehoist.Service][]*standin.Plain
+	Store *standin.Store
 	// Routers are those that callers may use. Only the load changes them, under
 	// mu.
 	Routers []*router.Router
 	mu      sync.Mutex
 
 	// dead holds the routers that were killed.
-	dead  []*router.Router
-	trust []settings.Trust
-	// stopped counts planned stops during the load, and stopFailures those that
-	// left something undone.
-	stopped      int
-	stopping     sync.WaitGroup
-	stopFailures atomic.Int64
-	log          *zap.Logger
-	engine       standin.EngineSettings
-	servers      []*http.Server
-	documents    map[granitehoist.Partner]*config.Document
-	keys         map[granitehoist.Partner]ed25519.PrivateKey
-	storeURL     string
+	dead      []*router.Router
+	stops     stops
+	engines   []*standin.Engine
+	plain     []*standin.Plain
+	servers   []*http.Server
+	documents map[granitehoist.Partner]*config.Document
+	keys      map[granitehoist.Partner]ed25519.PrivateKey
+	trust     []settings.Trust
+	storeURL  string
+	log       *zap.Logger
 }
 
-// NewSite starts the stand-ins and the routers, and puts the documents in
-// force on all of them. Listen is the callers' address of the first router;
-// empty lets the system choose.
-func NewSite(ctx context.Context, listen string, log *zap.Logger) (*Site, error) {
-	return newSite(ctx, listen, log, standin.EngineSettings{FirstDelay: 2 * time.Millisecond, TokenDelay: 200 * time.Microsecond})
+// SiteSettings configure a Site. The zero value works: engines that answer at
+// once, and no log.
+type SiteSettings struct {
+	// Listen is the callers' address of the first router; empty lets the
+	// system choose.
+	Listen string
+	// Log takes the routers' events; nil discards them.
+	Log *zap.Logger
+	// Engines sets the pace of the engines.
+	Engines standin.EngineSettings
 }
 
-func newSite(ctx context.Context, listen string, log *zap.Logger, engines standin.EngineSettings) (*Site, error) {
+// NewSite starts the stand-ins and the routers, and puts the documents in
+// force on all of them.
+func NewSite(ctx context.Context, ss SiteSettings) (*Site, error) {
 	s := &Site{
-		engine:    engines,
 		Store:     standin.NewStore(standin.StoreSettings{}),
-		Engines:   map[granitehoist.Service][]*standin.Engine{},
-		Plain:     map[granitehoist.Service][]*standin.Plain{},
-		log:       log,
-		documents: map[granitehoist.Partner]*config.Document{},
+		documents: map[granitehoist.Partner]*config.Document{Tuul: tuulDocument(), Lima: limaDocument()},
 		keys:      map[granitehoist.Partner]ed25519.PrivateKey{},
+		log:       ss.Log,
 	}
-	if err := s.startStandins(); err != nil {
+	if s.log == nil {
+		s.log = zap.NewNop()
+	}
+	if err := s.startStandins(ss.Engines); err != nil {
 		return nil, err
 	}
-	if err := s.startRouters(listen); err != nil {
+	if err := s.startRouters(ss.Listen); err != nil {
 		return nil, err
 	}
 	for _, partner := range []granitehoist.Partner{Tuul, Lima} {
@@ -115,7 +103,7 @@
 			return nil, err
 		}
 	}
-	return s, s.waitInForce(ctx)
+	return s, s.waitInForce(ctx, s.Routers...)
 }
 
 // serve starts a handler on a free loopback port and returns its URL.
@@ -131,16 +119,14 @@
 	return "http://" + listener.Addr().String(), nil
 }
 
-func (s *Site) startStandins() error {
+func (s *Site) startStandins(engines standin.EngineSettings) error {
 	var err error
 	if s.storeURL, err = s.serve(s.Store.Handler()); err != nil {
 		return err
 	}
-	s.documents[Tuul] = tuulDocument()
-	s.documents[Lima] = limaDocument()
 	for partner, document := range s.documents {
 		for _, service := range document.Services {
-			if err := s.startService(partner, service); err != nil {
+			if err := s.startService(partner, service, engines); err != nil {
 				return err
 			}
 		}
@@ -148,18 +134,20 @@
 	return nil
 }
 
-func (s *Site) startService(partner granitehoist.Partner, service config.Service) error {
+// startService starts the upstreams of a service and adds them to the
+// partner's document.
+func (s *Site) startService(partner granitehoist.Partner, service config.Service, engines standin.EngineSettings) error {
 	count := plainPerService
 	if service.Kind == config.KindEngine {
 		count = enginesPerPool
 	}
 	at := zones[granitehoist.Region(partner)]
+	d := s.documents[partner]
 	for i := range count {
-		address, err := s.serve(s.newUpstream(service))
+		address, err := s.serve(s.newUpstream(service, engines))
 		if err != nil {
 			return err
 		}
-		d := s.documents[partner]
 		d.Upstreams = append(d.Upstreams, config.Upstream{
 			Name:    granitehoist.Upstream(fmt.Sprintf("%s-%d", service.Name, i+1)),
 			Service: service.Name,
@@ -171,32 +159,30 @@
 	return nil
 }
 
-func (s *Site) newUpstream(service config.Service) http.Handler {
+func (s *Site) newUpstream(service config.Service, engines standin.EngineSettings) http.Handler {
 	if service.Kind == config.KindEngine {
-		engine := standin.NewEngine(s.engine)
-		s.Engines[service.Name] = append(s.Engines[service.Name], engine)
+		engine := standin.NewEngine(engines)
+		s.engines = append(s.engines, engine)
 		return engine.Handler()
 	}
 	plain := standin.NewPlain()
-	s.Plain[service.Name] = append(s.Plain[service.Name], plain)
+	s.plain = append(s.plain, plain)
 	return plain.Handler()
 }
 
 func (s *Site) startRouters(listen string) error {
-	var trust []settings.Trust
 	for _, partner := range []granitehoist.Partner{Tuul, Lima} {
 		public, private, err := ed25519.GenerateKey(rand.Reader)
 		if err != nil {
 			return eris.Wrap(err, "trial: keys")
 		}
 		s.keys[partner] = private
-		trust = append(trust, settings.Trust{Partner: partner, Keys: []string{base64.StdEncoding.EncodeToString(public)}})
+		s.trust = append(s.trust, settings.Trust{Partner: partner, Keys: []string{base64.StdEncoding.EncodeToString(public)}})
 	}
-	s.trust = trust
 	for _, partner := range []granitehoist.Partner{Tuul, Lima} {
 		for _, zone := range zones[granitehoist.Region(partner)] {
 			for i := range routersPerZone {
-				r, err := s.startRouter(partner, zone, i, listen, trust)
+				r, err := s.startRouter(partner, zone, i, listen)
 				if err != nil {
 					return err
 				}
@@ -210,7 +196,7 @@
 
 const anyPort = "127.0.0.1:0"
 
-func (s *Site) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string, trust []settings.Trust) (*router.Router, error) {
+func (s *Site) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) (*router.Router, error) {
 	if listen == "" {
 		listen = anyPort
 	}
@@ -221,7 +207,7 @@
 		Box:     granitehoist.Box(fmt.Sprintf("%s-%d", zone, i+1)),
 		Store:   s.storeURL,
 		Listen:  settings.Listen{Callers: listen, Peers: anyPort, Admin: anyPort},
-		Trust:   trust,
+		Trust:   s.trust,
 		Limits:  settings.Limits{Unready: settings.Duration(unready)},
 		Splits:  []settings.Split{{Partner: Tuul, Weigh: "refusals"}, {Partner: Lima, Weigh: "overspend"}},
 	}
@@ -259,30 +245,22 @@
 	return err
 }
 
-func (s *Site) waitInForce(ctx context.Context) error {
-	for {
-		if s.inForce() {
-			return nil
-		}
-		select {
-		case <-ctx.Done():
-			return eris.New("trial: the documents did not come into force")
-		case <-time.After(10 * time.Millisecond):
-		}
-	}
-}
-
-func (s *Site) inForce() bool {
-	for _, r := range s.Routers {
-		if len(r.View().Serials()) < len(s.documents) {
-			return false
+// waitInForce waits until routers have the documents of both partners.
+func (s *Site) waitInForce(ctx context.Context, routers ...*router.Router) error {
+	for _, r := range routers {
+		for len(r.View().Serials()) < len(s.documents) {
+			select {
+			case <-ctx.Done():
+				return eris.New("trial: the documents did not come into force")
+			case <-time.After(inForcePause):
+			}
 		}
 	}
-	return true
+	return nil
 }
 
-// StopRouters stops all routers in good order.
-func (s *Site) StopRouters(ctx context.Context) error {
+// stopRouters stops all routers in good order.
+func (s *Site) stopRouters(ctx context.Context) error {
 	for _, r := range s.Routers {
 		if err := r.Stop(ctx); err != nil {
 			return err
@@ -298,61 +276,8 @@
 		r.Kill()
 	}
 	for _, server := range s.servers {
+		// The process or the test ends next; a listener that does not close
+		// changes no result.
 		_ = server.Close()
 	}
 }
-
-// Key returns the trial's key of a workspace. A real key is random.
-func Key(w granitehoist.Workspace) string { return "trial-key-" + string(w) }
-
-func customer(d *config.Document, w granitehoist.Workspace, tokens granitehoist.Tokens) {
-	hash := config.HashKey(Key(w))
-	d.Workspaces = append(d.Workspaces, config.Workspace{Name: w})
-	d.Budgets = append(d.Budgets, config.Budget{Workspace: w, Name: budgetName, Tokens: tokens})
-	d.Keys = append(d.Keys, config.Key{Workspace: w, Budget: budgetName, SHA256: hex.EncodeToString(hash[:])})
-}
-
-const budgetName = "season"
-
-func tuulDocument() *config.Document {
-	d := &config.Document{
-		Partner: Tuul,
-		Services: []config.Service{
-			{Name: "granite-pool", Kind: config.KindEngine, Models: []granitehoist.Model{TuulModel}, MaxOutput: maxOutput, DefaultOutput: maxOutput},
-			{Name: "booking-desk", Kind: config.KindPlain, Price: plainPrice},
-		},
-		Policies: []config.Policy{
-			{Name: "seasonal-work", Use: config.UseOwn, Permit: `workspace != "archive" || service == "booking-desk"`, Priority: `workspace == "lock-kiosks" ? 9 : priority`},
-			{Name: "to-partner", Use: config.UseLend, Permit: `service == "granite-pool"`, Priority: "priority < 4 ? priority : 4"},
-		},
-	}
-	customer(d, "lock-kiosks", largeBudget)
-	customer(d, "booking-clerks", largeBudget)
-	customer(d, "boat-club", SmallBudget)
-	customer(d, "archive", largeBudget)
-	return d
-}
-
-func limaDocument() *config.Document {
-	d := &config.Document{
-		Partner: Lima,
-		Services: []config.Service{
-			{Name: "asistente", Kind: config.KindEngine, Models: []granitehoist.Model{LimaModel}, MaxOutput: maxOutput, DefaultOutput: maxOutput},
-			{Name: "estacion-api", Kind: config.KindPlain, Price: plainPrice, Once: true},
-		},
-		Policies: []config.Policy{
-			{Name: "members", Use: config.UseOwn, Permit: "true", Priority: `workspace == "drivers" ? 9 : priority`},
-			{Name: "to-partner", Use: config.UseLend, Permit: `service == "asistente" && workspace == "lock-kiosks"`, Priority: "3"},
-		},
-	}
-	customer(d, "drivers", largeBudget)
-	customer(d, "dispatch", largeBudget)
-	customer(d, "accountants", largeBudget)
-	return d
-}
-
-// NewQuietSite starts a site whose engines answer at once and without
-// failures, for benchmarks.
-func NewQuietSite(ctx context.Context) (*Site, error) {
-	return newSite(ctx, "", zap.NewNop(), standin.EngineSettings{})
-}
