--- a/cmd/granitehoist/main.go
+++ b/cmd/granitehoist/main.go
@@ -70,10 +70,7 @@
 		newBills(app, out),
 		newSettle(app, out),
 		newReportBurn(app, out),
-		newMeasureBudgets(app, out),
-		newMeasureHistories(app, out),
 		newMeasureCapacity(app, out),
-		newMeasureRouting(app, out),
 		newExplain(app, out),
 		newVersion(app, out),
 	}
