--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -181,7 +181,7 @@
 		id := capacityID(i / rowsPerAccount)
 		a := page.Accounts[id]
 		if a == nil {
-			a = &budget.PageAccount{Received: 1 << 40, Limit: 1 << 40, Elsewhere: 1 << 40, Told: capacityStart.Unix(), Rows: map[granitehoist.Incarnation]budget.Row{}}
+			a = &budget.PageAccount{Received: 1 << 40, Limit: 1 << 40, Elsewhere: 1 << 40, ReportedAt: capacityStart.Unix(), Rows: map[granitehoist.Incarnation]budget.Row{}}
 			page.Accounts[id] = a
 		}
 		box := capacityIncarnation(i % rowsPerAccount)
--- a/measure/escrow.go
+++ b/measure/escrow.go
@@ -196,7 +196,7 @@
 
 // borrow asks other boxes of the region, as budget.Agent does.
 func (e *escrow) borrow(b *escrowBox, unreachable bool) {
-	for _, k := range b.purse.Short() {
+	for _, k := range b.purse.Waiting() {
 		named := b.purse.Lenders(k)
 		for _, other := range e.boxes[b.region] {
 			if other == b || other.gone || (!unreachable && !slices.Contains(named, other.purse.Incarnation())) {
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -160,7 +160,7 @@
 func (a *Agent) Step(ctx context.Context) {
 	a.running.Lock()
 	defer a.running.Unlock()
-	a.askAgain(ctx)
+	a.retryUnanswered(ctx)
 	now := a.settings.Clock()
 	asks, urgent := a.settings.Purse.Asks(now)
 	err := a.send(ctx, asks, SyncParams{Urgent: urgent}, now)
@@ -227,7 +227,7 @@
 // borrow asks the boxes that the keepers named, or all of the region if no
 // keeper could be reached, for what requests still wait for.
 func (a *Agent) borrow(ctx context.Context, unreachable bool) {
-	for _, k := range a.settings.Purse.Short() {
+	for _, k := range a.settings.Purse.Waiting() {
 		named := a.settings.Purse.Lenders(k)
 		for _, peer := range a.settings.Peers() {
 			if !unreachable && !slices.Contains(named, peer.Incarnation) {
@@ -259,9 +259,9 @@
 // maxUnanswered bounds the loans that are asked for again.
 const maxUnanswered = 1000
 
-// askAgain asks lenders whose answers were lost what they have lent. A lender
+// retryUnanswered asks lenders whose answers were lost what they have lent. A lender
 // that can't be reached is asked no more once it has left the view.
-func (a *Agent) askAgain(ctx context.Context) {
+func (a *Agent) retryUnanswered(ctx context.Context) {
 	loans := a.unanswered
 	a.unanswered = nil
 	peers := a.settings.Peers()
--- a/partner/budget/allot.go
+++ b/partner/budget/allot.go
@@ -14,8 +14,8 @@
 // largest requests, a budget's holdings shrink faster than the budget does. At
 // the very end each request is decided at the page.
 const (
-	endGame     = 60 * time.Second
-	endRequests = 20
+	shrinkBelowLife     = 60 * time.Second
+	shrinkBelowRequests = 20
 )
 
 // A quiet holder, whose forecast is smaller, keeps some of its largest requests
@@ -38,11 +38,11 @@
 	least, need, want granitehoist.Tokens
 	// rate is the forecast in tokens a second.
 	rate float64
-	// largest is the largest bound of a request there, and each the sum of the
+	// largest is the largest bound of a request there, and largestSum the sum of the
 	// largest bounds of all boxes there.
-	largest, each granitehoist.Tokens
-	// give is the answer: the addition. limit is what the holder should hold.
-	give, limit granitehoist.Tokens
+	largest, largestSum granitehoist.Tokens
+	// grant is the answer: the addition. limit is what the holder should hold.
+	grant, limit granitehoist.Tokens
 }
 
 // allot divides stock among claims. total is what all holders and the stock
@@ -61,25 +61,25 @@
 	for _, c := range claims {
 		c.limit = c.limitAt(hold, quiet)
 	}
-	needy := byLeast(claims)
-	for _, c := range needy {
+	waiting := byLeast(claims)
+	for _, c := range waiting {
 		if c.least <= stock {
-			c.give = c.least
+			c.grant = c.least
 			stock -= c.least
 		}
 	}
-	for _, c := range needy {
-		if c.give < c.least {
+	for _, c := range waiting {
+		if c.grant < c.least {
 			continue
 		}
-		more := min(c.need-c.give, stock)
-		c.give += more
+		more := min(c.need-c.grant, stock)
+		c.grant += more
 		stock -= more
 	}
 	for _, c := range claims {
-		more := min(c.want-c.give, c.limit-c.held-c.give, stock)
+		more := min(c.want-c.grant, c.limit-c.held-c.grant, stock)
 		if more > 0 {
-			c.give += more
+			c.grant += more
 			stock -= more
 		}
 	}
@@ -93,12 +93,12 @@
 		return 0
 	}
 	life := float64(total) / rate
-	shrink := min(1, life/endGame.Seconds())
+	shrink := min(1, life/shrinkBelowLife.Seconds())
 	if largest > 0 {
-		shrink = min(shrink, float64(total)/float64(endRequests*largest))
+		shrink = min(shrink, float64(total)/float64(shrinkBelowRequests*largest))
 	}
-	hold := min(split.Cover.Seconds(), split.Share*life)
-	return time.Duration(shrink * hold * float64(time.Second))
+	shrunk := min(split.Cover.Seconds(), split.Share*life)
+	return time.Duration(shrink * shrunk * float64(time.Second))
 }
 
 // quietShare returns the most that each of some quiet holders may have of what a
@@ -111,7 +111,7 @@
 // quiet holder may have.
 func (c *claim) limitAt(hold time.Duration, quiet granitehoist.Tokens) granitehoist.Tokens {
 	limit := tokensFor(c.rate, hold)
-	inHand := min(quietRequests*c.each, quiet)
+	inHand := min(quietRequests*c.largestSum, quiet)
 	if inHand >= c.largest {
 		limit = max(limit, inHand)
 	}
@@ -120,12 +120,12 @@
 
 // byLeast returns the claims that need something, smallest request first.
 func byLeast(claims []*claim) []*claim {
-	var needy []*claim
+	var waiting []*claim
 	for _, c := range claims {
 		if c.need > 0 {
-			needy = append(needy, c)
+			waiting = append(waiting, c)
 		}
 	}
-	sort.SliceStable(needy, func(i, j int) bool { return needy[i].least < needy[j].least })
-	return needy
+	sort.SliceStable(waiting, func(i, j int) bool { return waiting[i].least < waiting[j].least })
+	return waiting
 }
--- a/partner/budget/keeper.go
+++ b/partner/budget/keeper.go
@@ -152,7 +152,7 @@
 	results := make([]SyncResult, len(items))
 	asks := asksByBudget{}
 	for i, item := range items {
-		if !page.Hear(item.params, now) {
+		if !page.TakeReport(item.params, now) {
 			results[i].Unknown = true
 			continue
 		}
@@ -218,18 +218,18 @@
 // refill asks the root for the budgets that the region has too little of, and
 // gives back what it has too much of.
 func (k *Keeper) refill(ctx context.Context, s Shard, page *Page, asks asksByBudget, now time.Time) error {
-	var wishes []RegionAsk
-	worth := false
+	var regionAsks []RegionAsk
+	shouldAsk := false
 	for _, budget := range sorted(asks) {
-		wish := page.Ask(budget, k.settings.Split(budget), now)
-		worth = worth || page.Accounts[budget].worthAsking(wish, now)
-		wishes = append(wishes, wish)
+		regionAsk := page.Ask(budget, k.settings.Split(budget), now)
+		shouldAsk = shouldAsk || page.Accounts[budget].shouldAskRoot(regionAsk, now)
+		regionAsks = append(regionAsks, regionAsk)
 	}
-	if !worth {
+	if !shouldAsk {
 		return nil
 	}
 	for range conflictTries {
-		replies, err := k.askRoot(ctx, s, wishes, now)
+		replies, err := k.askRoot(ctx, s, regionAsks, now)
 		if errors.Is(err, granitehoist.ErrConflict) {
 			continue
 		}
@@ -237,7 +237,7 @@
 			return err
 		}
 		for _, r := range replies {
-			page.Take(r, now)
+			page.TakeReply(r, now)
 		}
 		return nil
 	}
@@ -248,20 +248,20 @@
 // use. Holdings of the regions follow demand as fast.
 const rootInterval = 20 * time.Second
 
-// worthAsking reports whether the root should hear of an account at once:
+// shouldAskRoot reports whether the root should hear of an account at once:
 // requests wait, tokens were given back, the region's holding has fallen to
 // half of what it may hold, or the root has not heard of it for long.
-func (a *PageAccount) worthAsking(wish RegionAsk, now time.Time) bool {
+func (a *PageAccount) shouldAskRoot(ask RegionAsk, now time.Time) bool {
 	switch {
-	case wish.Need > 0, wish.Back > a.Confirmed, a.Received == 0:
+	case ask.Need > 0, ask.Returned > a.Confirmed, a.Received == 0:
 		return true
-	case wish.Live < a.Limit/2 && wish.Want > 0:
-		return now.Sub(time.Unix(a.Told, 0)) >= lowAfter
+	case ask.Live < a.Limit/2 && ask.Want > 0:
+		return now.Sub(time.Unix(a.ReportedAt, 0)) >= shortfallInterval
 	}
-	return now.Sub(time.Unix(a.Told, 0)) >= rootInterval
+	return now.Sub(time.Unix(a.ReportedAt, 0)) >= rootInterval
 }
 
-func (k *Keeper) askRoot(ctx context.Context, s Shard, wishes []RegionAsk, now time.Time) ([]RegionReply, error) {
+func (k *Keeper) askRoot(ctx context.Context, s Shard, asks []RegionAsk, now time.Time) ([]RegionReply, error) {
 	entry, err := k.settings.Store.Get(ctx, RootKey(s))
 	if err != nil {
 		return nil, err
@@ -270,12 +270,12 @@
 	if err != nil {
 		return nil, err
 	}
-	replies := make([]RegionReply, 0, len(wishes))
-	for _, wish := range wishes {
-		if prepaid, at, ok := k.settings.Prepaid(wish.Budget); ok {
-			root.Prepay(wish.Budget, prepaid, at)
+	replies := make([]RegionReply, 0, len(asks))
+	for _, ask := range asks {
+		if prepaid, at, ok := k.settings.Prepaid(ask.Budget); ok {
+			root.Prepay(ask.Budget, prepaid, at)
 		}
-		replies = append(replies, root.Serve(k.settings.Region, wish, k.settings.Split(wish.Budget), now))
+		replies = append(replies, root.Serve(k.settings.Region, ask, k.settings.Split(ask.Budget), now))
 	}
 	return replies, k.write(ctx, entry, root)
 }
--- a/partner/budget/page.go
+++ b/partner/budget/page.go
@@ -14,21 +14,21 @@
 // report. Without it each report would change the page.
 const seenStep = 10
 
-// Hear takes the reports of a message into the page. It reports false if the
+// TakeReport takes the reports of a message into the page. It reports false if the
 // message is of an incarnation that has closed or that the page can't know:
 // one that speaks of grants this page never made.
-func (p *Page) Hear(s SyncParams, now time.Time) bool {
+func (p *Page) TakeReport(s SyncParams, now time.Time) bool {
 	if p.Members[s.Incarnation].Closed {
 		// The answer to the first closing message was lost.
 		return s.Closing
 	}
 	for _, ask := range s.Asks {
-		if !p.knows(s.Incarnation, ask) {
+		if !p.recognises(s.Incarnation, ask) {
 			return false
 		}
 	}
 	for _, ask := range s.Asks {
-		p.hear(s.Incarnation, ask)
+		p.takeAsk(s.Incarnation, ask)
 		if s.Closing {
 			p.takeBack(s.Incarnation, ask)
 		}
@@ -45,10 +45,10 @@
 	return true
 }
 
-// knows reports whether an ask can be of an incarnation in the state that the
+// recognises reports whether an ask can be of an incarnation in the state that the
 // page has of it. A message that outlived its incarnation's row would
 // otherwise be counted a second time.
-func (p *Page) knows(i granitehoist.Incarnation, ask Ask) bool {
+func (p *Page) recognises(i granitehoist.Incarnation, ask Ask) bool {
 	var granted granitehoist.Tokens
 	if a, ok := p.Accounts[ask.Budget]; ok {
 		granted = a.Rows[i].Totals.Granted
@@ -56,7 +56,7 @@
 	return ask.Totals.Granted <= granted
 }
 
-func (p *Page) hear(i granitehoist.Incarnation, ask Ask) {
+func (p *Page) takeAsk(i granitehoist.Incarnation, ask Ask) {
 	a := p.account(ask.Budget)
 	row := a.Rows[i]
 	row.Totals = row.Totals.merge(ask.Totals)
@@ -141,8 +141,8 @@
 	replies := make(map[granitehoist.Incarnation]Reply, len(ids))
 	for n, id := range ids {
 		row := a.Rows[id]
-		row.Totals.Granted += claims[n].give
-		row.Need = max(0, row.Need-claims[n].give)
+		row.Totals.Granted += claims[n].grant
+		row.Need = max(0, row.Need-claims[n].grant)
 		row.Least = min(row.Need, row.Least)
 		a.Rows[id] = row
 		replies[id] = Reply{Budget: k, Granted: row.Totals.Granted, Target: claims[n].limit, Left: left}
@@ -173,13 +173,13 @@
 // claimOf states an ask as additions to what the row has been granted.
 func (a *PageAccount) claimOf(row Row, ask Ask) *claim {
 	return &claim{
-		held:    row.Totals.Held(),
-		need:    max(0, ask.Need-row.Totals.Granted),
-		least:   max(0, ask.Least-row.Totals.Granted),
-		want:    max(0, ask.Want-row.Totals.Granted),
-		rate:    row.Rate,
-		largest: row.Largest,
-		each:    row.Largest,
+		held:       row.Totals.Held(),
+		need:       max(0, ask.Need-row.Totals.Granted),
+		least:      max(0, ask.Least-row.Totals.Granted),
+		want:       max(0, ask.Want-row.Totals.Granted),
+		rate:       row.Rate,
+		largest:    row.Largest,
+		largestSum: row.Largest,
 	}
 }
 
@@ -200,15 +200,15 @@
 // RegionAsk is what a region reports to the root of one budget, and wishes.
 type RegionAsk struct {
 	Budget granitehoist.BudgetID
-	// Received and Back are the totals that the page has seen of what the
+	// Received and Returned are the totals that the page has seen of what the
 	// root gave, and has given back.
-	Received, Back granitehoist.Tokens
-	Spent          granitehoist.Tokens
-	Live           granitehoist.Tokens
-	Rate           float64
-	// Largest is the largest bound of a request, and Each the sum of the largest
+	Received, Returned granitehoist.Tokens
+	Spent              granitehoist.Tokens
+	Live               granitehoist.Tokens
+	Rate               float64
+	// Largest is the largest bound of a request, and LargestSum the sum of the largest
 	// of every box.
-	Largest, Each granitehoist.Tokens
+	Largest, LargestSum granitehoist.Tokens
 	// Least, Need and Want are additions to what the region has.
 	Least, Need, Want granitehoist.Tokens
 }
@@ -224,7 +224,7 @@
 		row := a.Rows[id]
 		ask.Need += row.Need
 		ask.Largest = max(ask.Largest, row.Largest)
-		ask.Each += row.Largest
+		ask.LargestSum += row.Largest
 		if row.Least > 0 && (ask.Least == 0 || row.Least < ask.Least) {
 			ask.Least = row.Least
 		}
@@ -234,18 +234,18 @@
 	ask.Need = max(0, ask.Need-stock)
 	ask.Least = min(ask.Need, max(0, ask.Least-stock))
 	ask.Live = live
-	ask.Received, ask.Back = a.Received, a.Sent
-	wish := max(tokensFor(rate, 2*split.withDefaults().Cover), quietRequests*ask.Each)
-	ask.Want = max(ask.Need, wish-ask.Live)
+	ask.Received, ask.Returned = a.Received, a.Sent
+	target := max(tokensFor(rate, 2*split.withDefaults().Cover), quietRequests*ask.LargestSum)
+	ask.Want = max(ask.Need, target-ask.Live)
 	if ask.Need == 0 || stock < least {
-		a.giveBack(live)
+		a.returnSurplus(live)
 	}
 	return ask
 }
 
-// giveBack returns stock beyond the root's limit, in steps that are worth a
+// returnSurplus returns stock beyond the root's limit, in steps that are worth a
 // write: a sixteenth of what the region has.
-func (a *PageAccount) giveBack(live granitehoist.Tokens) {
+func (a *PageAccount) returnSurplus(live granitehoist.Tokens) {
 	surplus := min(a.Stock(), live-a.Limit)
 	if surplus > live/16 {
 		a.Sent += surplus
@@ -263,11 +263,11 @@
 	return false
 }
 
-// Take takes the root's answer into the page.
-func (p *Page) Take(r RegionReply, now time.Time) {
+// TakeReply takes the root's answer into the page.
+func (p *Page) TakeReply(r RegionReply, now time.Time) {
 	a := p.account(r.Budget)
-	a.Told = now.Unix()
-	a.Confirmed = max(a.Confirmed, r.Back)
+	a.ReportedAt = now.Unix()
+	a.Confirmed = max(a.Confirmed, r.Returned)
 	a.Received = max(a.Received, r.Given)
 	a.Limit = r.Limit
 	a.Elsewhere = r.Elsewhere
--- a/partner/budget/purse.go
+++ b/partner/budget/purse.go
@@ -34,15 +34,15 @@
 	totals   Totals
 	reserved granitehoist.Tokens
 	// target is the last one told by the Keeper; told is false before that.
-	target granitehoist.Tokens
-	told   bool
+	target    granitehoist.Tokens
+	hasTarget bool
 	// changed is set when the Keeper has to hear of the account.
 	changed bool
-	// heard is when the Keeper last heard of the account.
-	heard time.Time
-	// left is what the whole budget had left, as told at leftAt.
-	left   granitehoist.Tokens
-	leftAt time.Time
+	// reportedAt is when the Keeper last heard of the account.
+	reportedAt time.Time
+	// remaining is what the whole budget had left, as told at leftAt.
+	remaining   granitehoist.Tokens
+	remainingAt time.Time
 	// lenders are the boxes that the Keeper last named.
 	lenders  []granitehoist.Incarnation
 	spending forecast
@@ -126,7 +126,7 @@
 	switch {
 	case a.reserve(bound):
 		w.end(true)
-	case a.told && bound > a.left && now.Sub(a.leftAt) < leftFresh:
+	case a.hasTarget && bound > a.remaining && now.Sub(a.remainingAt) < leftFresh:
 		w.end(false)
 	default:
 		a.waiters = append(a.waiters, w)
@@ -166,14 +166,14 @@
 	case w.ended:
 		return Exhausted
 	}
-	a.drop(w)
-	if a.told && now.Sub(a.leftAt) < p.split(k).Wait {
+	a.remove(w)
+	if a.hasTarget && now.Sub(a.remainingAt) < p.split(k).Wait {
 		return Exhausted
 	}
 	return Unreachable
 }
 
-func (a *account) drop(w *Waiter) {
+func (a *account) remove(w *Waiter) {
 	for i, other := range a.waiters {
 		if other == w {
 			a.waiters = append(a.waiters[:i], a.waiters[i+1:]...)
@@ -187,7 +187,7 @@
 // box's free tokens may be below zero until more arrive. It reports whether the
 // box now has tokens to give back that others may wait for. It panics if there
 // is no such reservation or if used is negative.
-func (p *Purse) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens, now time.Time) (hurry bool) {
+func (p *Purse) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens, now time.Time) (urgent bool) {
 	mustNotBeNegative(used)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -206,30 +206,30 @@
 
 // wake reserves for each waiter that fits, in the order of arrival.
 func (a *account) wake() {
-	kept := a.waiters[:0]
+	remaining := a.waiters[:0]
 	for _, w := range a.waiters {
 		if a.reserve(w.bound) {
 			w.end(true)
 			continue
 		}
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	clear(a.waiters[len(kept):])
-	a.waiters = kept
+	clear(a.waiters[len(remaining):])
+	a.waiters = remaining
 }
 
 // refuse ends the waits that the whole budget can't serve.
 func (a *account) refuse() {
-	kept := a.waiters[:0]
+	remaining := a.waiters[:0]
 	for _, w := range a.waiters {
-		if w.bound > a.left {
+		if w.bound > a.remaining {
 			w.end(false)
 			continue
 		}
-		kept = append(kept, w)
+		remaining = append(remaining, w)
 	}
-	clear(a.waiters[len(kept):])
-	a.waiters = kept
+	clear(a.waiters[len(remaining):])
+	a.waiters = remaining
 }
 
 // waiting returns the sum of the bounds that requests wait for.
@@ -254,8 +254,8 @@
 	return false
 }
 
-// Short returns the budgets for which requests wait.
-func (p *Purse) Short() []granitehoist.BudgetID {
+// Waiting returns the budgets for which requests wait.
+func (p *Purse) Waiting() []granitehoist.BudgetID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var short []granitehoist.BudgetID
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -52,8 +52,8 @@
 	Confirmed granitehoist.Tokens `json:"conf,omitempty"`
 	// Folded holds the sums of rows that were removed.
 	Folded Totals `json:"folded"`
-	// Told is when the root last heard of the account, in Unix seconds.
-	Told int64 `json:"told,omitempty"`
+	// ReportedAt is when the root last heard of the account, in Unix seconds.
+	ReportedAt int64 `json:"told,omitempty"`
 	// Limit is what the root lets the region hold, and Elsewhere what the
 	// whole budget has left outside the region, as the root last said.
 	Limit     granitehoist.Tokens `json:"limit,omitempty"`
--- a/partner/budget/report.go
+++ b/partner/budget/report.go
@@ -12,11 +12,11 @@
 
 // Times between messages about one account while no request waits for tokens.
 const (
-	// refreshAfter is how long the Keeper goes without word of an account that
+	// reportInterval is how long the Keeper goes without word of an account that
 	// holds tokens or has changed.
-	refreshAfter = 10 * time.Second
-	// lowAfter is how long an account that runs low waits to ask again.
-	lowAfter = time.Second
+	reportInterval = 10 * time.Second
+	// shortfallInterval is how long an account that runs low waits to ask again.
+	shortfallInterval = time.Second
 )
 
 // Asks returns the message about every account that the Keeper should hear of
@@ -40,19 +40,19 @@
 
 // due reports whether the Keeper should hear of an account now.
 func (p *Purse) due(a *account, now time.Time) bool {
-	silent := now.Sub(a.heard)
+	silent := now.Sub(a.reportedAt)
 	switch {
 	case p.closing || len(a.waiters) > 0 || a.hasIdle():
 		return true
-	case a.told && a.free() < a.target/2:
-		return silent >= lowAfter
+	case a.hasTarget && a.free() < a.target/2:
+		return silent >= shortfallInterval
 	}
-	return silent >= refreshAfter && (a.changed || a.totals.Held() != 0)
+	return silent >= reportInterval && (a.changed || a.totals.Held() != 0)
 }
 
 func (p *Purse) ask(k granitehoist.BudgetID, a *account, now time.Time) Ask {
-	a.giveBack(p.closing)
-	a.heard = now
+	a.returnSurplus(p.closing)
+	a.reportedAt = now
 	granted := a.totals.Granted
 	ask := Ask{Budget: k, Totals: a.totals, Rate: a.spending.rate(now), Largest: a.largest, Want: granted, Need: granted, Least: granted}
 	if p.closing {
@@ -60,43 +60,43 @@
 	}
 	missing := a.waiting() - a.free()
 	ask.Need += max(0, missing)
-	ask.Least += max(0, a.leastWaiting()-a.free())
+	ask.Least += max(0, a.smallestWaiting()-a.free())
 	ask.Want += max(0, missing+max(tokensFor(ask.Rate, p.split(k).Cover), quietRequests*a.largest))
 	return ask
 }
 
-// giveBack returns what is free beyond the target and beyond what requests
+// returnSurplus returns what is free beyond the target and beyond what requests
 // wait for, if it is worth a message. A box that stops returns all that is
 // free.
-func (a *account) giveBack(closing bool) {
+func (a *account) returnSurplus(closing bool) {
 	if closing {
-		a.putBack(a.free())
+		a.addReturn(a.free())
 		return
 	}
 	surplus := a.free() - max(a.target, a.waiting())
 	switch {
-	case !a.told:
-	case a.low() && a.free() < a.leastWaiting():
+	case !a.hasTarget:
+	case a.scarce() && a.free() < a.smallestWaiting():
 		// Parts that serve nobody here may serve somebody elsewhere.
-		a.putBack(a.free())
-	case a.low() || surplus > a.target/8:
-		a.putBack(surplus)
+		a.addReturn(a.free())
+	case a.scarce() || surplus > a.target/8:
+		a.addReturn(surplus)
 	}
 }
 
-// low reports whether the budget is so low that a box is not to keep what one
+// scarce reports whether the budget is so low that a box is not to keep what one
 // request needs.
-func (a *account) low() bool { return a.told && a.target < a.largest }
+func (a *account) scarce() bool { return a.hasTarget && a.target < a.largest }
 
 // hasIdle reports whether the account has tokens that it is not to keep and
 // that others may wait for.
 func (a *account) hasIdle() bool {
-	return a.low() && a.free() > max(a.target, a.waiting())
+	return a.scarce() && a.free() > max(a.target, a.waiting())
 }
 
-// leastWaiting returns the smallest bound that a request waits for, zero if
+// smallestWaiting returns the smallest bound that a request waits for, zero if
 // none waits.
-func (a *account) leastWaiting() granitehoist.Tokens {
+func (a *account) smallestWaiting() granitehoist.Tokens {
 	var least granitehoist.Tokens
 	for i, w := range a.waiters {
 		if i == 0 || w.bound < least {
@@ -106,7 +106,7 @@
 	return least
 }
 
-func (a *account) putBack(surplus granitehoist.Tokens) {
+func (a *account) addReturn(surplus granitehoist.Tokens) {
 	if surplus <= 0 {
 		return
 	}
@@ -119,21 +119,21 @@
 func (p *Purse) Apply(asks []Ask, replies []Reply, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	told := make(map[granitehoist.BudgetID]Totals, len(asks))
+	reported := make(map[granitehoist.BudgetID]Totals, len(asks))
 	for _, ask := range asks {
-		told[ask.Budget] = ask.Totals
+		reported[ask.Budget] = ask.Totals
 	}
 	for _, r := range replies {
 		a := p.account(r.Budget)
 		if !p.closing {
 			a.totals.Granted = max(a.totals.Granted, r.Granted)
 		}
-		a.target, a.told = r.Target, true
-		a.left, a.leftAt = r.Left, now
+		a.target, a.hasTarget = r.Target, true
+		a.remaining, a.remainingAt = r.Left, now
 		a.lenders = r.Lenders
 		a.wake()
 		a.refuse()
-		before := told[r.Budget]
+		before := reported[r.Budget]
 		before.Granted = a.totals.Granted
 		a.changed = a.totals != before || len(a.waiters) > 0
 	}
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -14,8 +14,8 @@
 	Budget granitehoist.BudgetID
 	// Given is the total that the root has given to the region.
 	Given granitehoist.Tokens
-	// Back is the total that the root has taken back.
-	Back granitehoist.Tokens
+	// Returned is the total that the root has taken back.
+	Returned granitehoist.Tokens
 	// Limit is what the region should hold; it gives back what is beyond.
 	Limit granitehoist.Tokens
 	// Elsewhere is what the budget has left outside the region.
@@ -54,7 +54,7 @@
 func (r *Root) Serve(region granitehoist.Region, ask RegionAsk, split Split, now time.Time) RegionReply {
 	a := r.account(ask.Budget)
 	row := a.Regions[region]
-	row.Back = max(row.Back, ask.Back)
+	row.Back = max(row.Back, ask.Returned)
 	row.Spent = max(row.Spent, ask.Spent)
 	row.Live, row.Rate, row.Largest, row.Seen = ask.Live, ask.Rate, ask.Largest, now.Unix()
 	// What was given before and the page has not seen yet is on its way.
@@ -64,18 +64,18 @@
 	unallocated := max(0, a.Unallocated())
 	elsewhere, rate := a.others(region, now)
 	c := &claim{
-		held:    row.Live + onTheWay,
-		need:    max(0, ask.Need-onTheWay),
-		least:   max(0, ask.Least-onTheWay),
-		want:    max(0, ask.Want-onTheWay),
-		rate:    row.Rate,
-		largest: row.Largest,
-		each:    ask.Each,
+		held:       row.Live + onTheWay,
+		need:       max(0, ask.Need-onTheWay),
+		least:      max(0, ask.Least-onTheWay),
+		want:       max(0, ask.Want-onTheWay),
+		rate:       row.Rate,
+		largest:    row.Largest,
+		largestSum: ask.LargestSum,
 	}
 	total := unallocated + elsewhere + c.held
 	allot([]*claim{c}, unallocated, total, rate+row.Rate, quietShare(total, len(a.Regions)), split.withDefaults().forRegions())
-	row.Given += c.give
-	row.Live += c.give
+	row.Given += c.grant
+	row.Live += c.grant
 	a.Regions[region] = row
 	limit := c.limit
 	if a.Unallocated() < 0 {
@@ -84,9 +84,9 @@
 	return RegionReply{
 		Budget:    ask.Budget,
 		Given:     row.Given,
-		Back:      row.Back,
+		Returned:  row.Back,
 		Limit:     limit,
-		Elsewhere: unallocated - c.give + elsewhere,
+		Elsewhere: unallocated - c.grant + elsewhere,
 	}
 }
 
