--- a/partner/bill/bill.go
+++ b/partner/bill/bill.go
@@ -161,7 +161,7 @@
 	var charges []Charge
 	seen := map[chargeID]bool{}
 	charged := map[granitehoist.AttemptID]bool{}
-	for _, c := range all(segments, false) {
+	for _, c := range chargesOf(segments, false) {
 		id := chargeID{c.Incarnation, c.Seq}
 		if seen[id] {
 			continue
@@ -172,7 +172,7 @@
 			charged[attempt] = true
 		}
 	}
-	for _, c := range all(segments, true) {
+	for _, c := range chargesOf(segments, true) {
 		if len(c.Attempts) != 1 || charged[c.Attempts[0]] {
 			continue
 		}
@@ -188,9 +188,9 @@
 	return charges
 }
 
-// all returns the charges of segments that are of orphans, or those that are
+// chargesOf returns the charges of segments that are of orphans, or those that are
 // not.
-func all(segments []Segment, orphans bool) []Charge {
+func chargesOf(segments []Segment, orphans bool) []Charge {
 	var charges []Charge
 	for _, s := range segments {
 		for _, c := range s.Charges {
--- a/partner/bill/ledger.go
+++ b/partner/bill/ledger.go
@@ -77,10 +77,10 @@
 }
 
 // Next returns the oldest unconfirmed charges, most at the most.
-func (l *Ledger) Next(most int) Batch {
+func (l *Ledger) Next(limit int) Batch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	n := min(most, len(l.pending))
+	n := min(limit, len(l.pending))
 	return Batch{Charges: append([]Charge(nil), l.pending[:n]...)}
 }
 
--- a/partner/upstream/engine.go
+++ b/partner/upstream/engine.go
@@ -86,17 +86,17 @@
 	}
 	defer end()
 	if response.StatusCode != http.StatusOK {
-		return granitehoist.Usage{}, refusal(response)
+		return granitehoist.Usage{}, statusError(response)
 	}
 	if c.Stream {
-		return e.stream(ctx, response, c, sink)
+		return e.passStream(ctx, response, c, sink)
 	}
-	return e.whole(response, c, sink)
+	return e.passWhole(response, c, sink)
 }
 
-// refusal is the error for an engine's status. An engine that answers 429 or
+// statusError is the error for an engine's status. An engine that answers 429 or
 // 503, or that rejects a request as wrong, has not run it.
-func refusal(r *http.Response) error {
+func statusError(r *http.Response) error {
 	switch {
 	case r.StatusCode == http.StatusTooManyRequests, r.StatusCode == http.StatusServiceUnavailable:
 		return granitehoist.Errorf(granitehoist.UpstreamRefused, "status %d", r.StatusCode)
@@ -106,7 +106,7 @@
 	return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d", r.StatusCode)
 }
 
-func (e *Engine) whole(r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
+func (e *Engine) passWhole(r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, e.sender.settings.MaxAnswer+1))
 	if err != nil {
 		return granitehoist.Usage{}, granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
@@ -149,12 +149,12 @@
 // maxResumes bounds how often one stream is resumed.
 const maxResumes = 3
 
-// stream passes on the events of an answer. The end mark is passed on only if
+// passStream passes on the events of an answer. The end mark is passed on only if
 // every choice that was begun has a finish reason. A stream that breaks off is
 // resumed at the engine, from the event after the last that came whole.
-func (e *Engine) stream(ctx context.Context, r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
+func (e *Engine) passStream(ctx context.Context, r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 	state := streamState{attempt: c.Attempt, open: map[int]bool{}}
-	err := e.pass(r, c, sink, &state)
+	err := e.passEvents(r, c, sink, &state)
 	for range maxResumes {
 		if !errors.Is(err, errBrokenOff) || ctx.Err() != nil || !state.begun {
 			break
@@ -163,7 +163,7 @@
 		if failed != nil {
 			break
 		}
-		err = e.pass(resumed, c, sink, &state)
+		err = e.passEvents(resumed, c, sink, &state)
 		end()
 	}
 	return state.usage, err
@@ -174,25 +174,25 @@
 
 // resume asks the engine to go on with a stream after a number of events.
 func (e *Engine) resume(ctx context.Context, c granitehoist.Call, events int) (*http.Response, func(), error) {
-	again := granitehoist.Call{
+	call := granitehoist.Call{
 		Attempt: c.Attempt,
 		Address: c.Address,
 		Method:  http.MethodGet,
 		Path:    PathResume + "?from=" + strconv.Itoa(events),
 	}
-	response, end, err := e.sender.open(ctx, again)
+	response, end, err := e.sender.open(ctx, call)
 	if err != nil {
 		return nil, nil, err
 	}
 	if response.StatusCode != http.StatusOK {
 		end()
-		return nil, nil, refusal(response)
+		return nil, nil, statusError(response)
 	}
 	return response, end, nil
 }
 
-// pass passes on the events of one response until its end mark.
-func (e *Engine) pass(r *http.Response, c granitehoist.Call, sink granitehoist.Sink, state *streamState) error {
+// passEvents passes on the events of one response until its end mark.
+func (e *Engine) passEvents(r *http.Response, c granitehoist.Call, sink granitehoist.Sink, state *streamState) error {
 	reader := bufio.NewReader(r.Body)
 	for {
 		line, err := readLine(reader)
@@ -322,7 +322,7 @@
 		return granitehoist.Usage{}, false
 	}
 	var record AttemptRecord
-	response, err := sling.New().Client(e.sender.kept).Do(request.WithContext(ctx), &record, nil)
+	response, err := sling.New().Client(e.sender.reusing).Do(request.WithContext(ctx), &record, nil)
 	switch {
 	case err != nil || response == nil:
 		return granitehoist.Usage{}, false
@@ -352,7 +352,7 @@
 		return nil, eris.Wrap(err, "upstream: request can't be made")
 	}
 	var list AttemptList
-	response, err := sling.New().Client(e.sender.kept).Do(request.WithContext(ctx), &list, nil)
+	response, err := sling.New().Client(e.sender.reusing).Do(request.WithContext(ctx), &list, nil)
 	if err != nil {
 		return nil, eris.Wrap(err, "upstream: list of attempts")
 	}
--- a/partner/upstream/transport.go
+++ b/partner/upstream/transport.go
@@ -53,9 +53,9 @@
 // sender makes HTTP calls and tells whether a byte may have left.
 type sender struct {
 	settings Settings
-	// kept reuses connections; fresh makes one for each call, since the
+	// reusing reuses connections; fresh makes one for each call, since the
 	// standard library may send a call again on a reused connection.
-	kept, fresh *http.Client
+	reusing, fresh *http.Client
 }
 
 func newSender(s Settings) *sender {
@@ -73,7 +73,7 @@
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}
 	}
-	return &sender{settings: s, kept: client(false), fresh: client(true)}
+	return &sender{settings: s, reusing: client(false), fresh: client(true)}
 }
 
 // send returns the upstream's response. Its errors have code UpstreamRefused
@@ -81,7 +81,7 @@
 func (s *sender) send(ctx context.Context, c granitehoist.Call) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	client := s.kept
+	client := s.reusing
 	if c.Once {
 		client = s.fresh
 	}
@@ -91,7 +91,7 @@
 	}
 	builder := sling.New().Client(client).Base(base).Path(path)
 	if len(c.Body) > 0 {
-		builder = builder.Body(onlyReader{bytes.NewReader(c.Body)})
+		builder = builder.Body(unrepeatable{bytes.NewReader(c.Body)})
 	}
 	request, err := builder.Request()
 	if err != nil {
@@ -134,9 +134,9 @@
 	return response, end, nil
 }
 
-// onlyReader hides the type of the body, so that the standard library can't
+// unrepeatable hides the type of the body, so that the standard library can't
 // take it as one that may be sent again.
-type onlyReader struct{ io.Reader }
+type unrepeatable struct{ io.Reader }
 
 // splitPath returns the parts that a request URL is made of.
 func splitPath(c granitehoist.Call) (string, string, error) {
@@ -155,9 +155,9 @@
 // CopyHeader returns a header without what belongs to one connection and
 // without the given names.
 func CopyHeader(h http.Header, without ...string) http.Header {
-	kept := exchange.PassedOn(h)
+	header := exchange.PassedOn(h)
 	for _, name := range without {
-		kept.Del(name)
+		header.Del(name)
 	}
-	return kept
+	return header
 }
