--- a/partner/budget/page.go
+++ b/partner/budget/page.go
@@ -137,7 +137,7 @@
 	}
 	left := live + a.Elsewhere + a.Sent - a.Confirmed
 	quiet := min(quietShare(left, len(a.Rows)), share/granitehoist.Tokens(max(1, len(a.Rows))))
-	allot(claims, a.Stock(), share, rate, quiet, split.withDefaults())
+	allot(claims, supply{stock: a.Stock(), total: share, rate: rate, quiet: quiet}, split.withDefaults())
 	replies := make(map[granitehoist.Incarnation]Reply, len(ids))
 	for n, id := range ids {
 		row := a.Rows[id]
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -73,7 +73,12 @@
 		largestSum: ask.LargestSum,
 	}
 	total := unallocated + elsewhere + c.held
-	allot([]*claim{c}, unallocated, total, rate+row.Rate, quietShare(total, len(a.Regions)), split.withDefaults().forRegions())
+	allot([]*claim{c}, supply{
+		stock: unallocated,
+		total: total,
+		rate:  rate + row.Rate,
+		quiet: quietShare(total, len(a.Regions)),
+	}, split.withDefaults().forRegions())
 	row.Given += c.grant
 	row.Live += c.grant
 	a.Regions[region] = row
