--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -5,8 +5,6 @@
 
 import (
 	"context"
-	"fmt"
-	"slices"
 	"sync"
 	"time"
 
@@ -58,12 +56,6 @@
 	unanswered []unansweredLoan
 }
 
-// unansweredLoan is a loan that the lender may have given.
-type unansweredLoan struct {
-	peer   granitehoist.Peer
-	budget granitehoist.BudgetID
-}
-
 // NewAgent returns an agent. It panics if a needed setting is missing.
 func NewAgent(s AgentSettings) *Agent {
 	if s.Purse == nil || s.Keeper == nil || s.Caller == nil || s.Holder == nil || s.Peers == nil || s.Clock == nil {
@@ -77,53 +69,6 @@
 	return &Agent{settings: s, kick: make(chan struct{}, 1)}
 }
 
-// Reserve sets bound tokens aside. If the box holds too few it waits for more
-// until the split's limit, or until ctx ends. Its errors are *Error with codes
-// BudgetExhausted, BudgetUnreachable and DeadlineTooNear; nothing is reserved
-// then.
-func (a *Agent) Reserve(ctx context.Context, k granitehoist.BudgetID, bound granitehoist.Tokens) error {
-	purse := a.settings.Purse
-	if purse.Reserve(k, bound) {
-		return nil
-	}
-	waiter := purse.Wait(k, bound, a.settings.Clock())
-	a.Kick()
-	timer := time.NewTimer(purse.split(k).Wait)
-	defer timer.Stop()
-	select {
-	case <-waiter.Done:
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-	outcome := purse.Abandon(k, waiter, a.settings.Clock())
-	if purse.Busy() {
-		a.Kick()
-	}
-	return outcomeError(ctx, outcome, k)
-}
-
-func outcomeError(ctx context.Context, o Outcome, k granitehoist.BudgetID) error {
-	switch {
-	case o == Granted:
-		return nil
-	case o == Exhausted:
-		return granitehoist.Errorf(granitehoist.BudgetExhausted, "budget %s", k)
-	case ctx.Err() != nil:
-		return granitehoist.Errorf(granitehoist.DeadlineTooNear, "while waiting for tokens of budget %s", k)
-	}
-	e := granitehoist.Errorf(granitehoist.BudgetUnreachable, "budget %s", k)
-	e.RetryAfter = 5 * time.Second
-	return e
-}
-
-// Settle ends a reservation. What is left of a budget that runs low is given
-// back at once.
-func (a *Agent) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens) {
-	if a.settings.Purse.Settle(k, bound, used, a.settings.Clock()) {
-		a.Kick()
-	}
-}
-
 // Kick sends the next messages at once.
 func (a *Agent) Kick() {
 	select {
@@ -224,54 +169,6 @@
 	return result.Value()
 }
 
-// borrow asks the boxes that the keepers named, or all of the region if no
-// keeper could be reached, for what requests still wait for.
-func (a *Agent) borrow(ctx context.Context, unreachable bool) {
-	for _, k := range a.settings.Purse.Waiting() {
-		named := a.settings.Purse.Lenders(k)
-		for _, peer := range a.settings.Peers() {
-			if !unreachable && !slices.Contains(named, peer.Incarnation) {
-				continue
-			}
-			params, short := a.settings.Purse.Borrowing(k, peer.Incarnation)
-			if !short {
-				break
-			}
-			a.borrowFrom(ctx, peer, params)
-		}
-	}
-}
-
-// borrowFrom makes one call. If its answer is lost the lender may have
-// deducted tokens, which askAgain fetches.
-func (a *Agent) borrowFrom(ctx context.Context, peer granitehoist.Peer, params BorrowParams) {
-	var result BorrowResult
-	if err := a.settings.Caller.Call(ctx, peer, MethodBorrow, params, &result); err != nil {
-		a.settings.Failed(fmt.Errorf("budget: borrow from %s: %w", peer.Incarnation, err))
-		if len(a.unanswered) < maxUnanswered {
-			a.unanswered = append(a.unanswered, unansweredLoan{peer, params.Budget})
-		}
-		return
-	}
-	a.settings.Purse.Borrow(params.Budget, result)
-}
-
-// maxUnanswered bounds the loans that are asked for again.
-const maxUnanswered = 1000
-
-// retryUnanswered asks lenders whose answers were lost what they have lent. A lender
-// that can't be reached is asked no more once it has left the view.
-func (a *Agent) retryUnanswered(ctx context.Context) {
-	loans := a.unanswered
-	a.unanswered = nil
-	peers := a.settings.Peers()
-	for _, loan := range loans {
-		if slices.Contains(peers, loan.peer) {
-			a.borrowFrom(ctx, loan.peer, BorrowParams{Incarnation: a.settings.Purse.Incarnation(), Budget: loan.budget})
-		}
-	}
-}
-
 // ServeSync serves MethodSync.
 func (a *Agent) ServeSync(ctx context.Context, m pack.Message[ShardSync]) (pack.Message[SyncResult], error) {
 	s, err := m.Value()
@@ -284,36 +181,3 @@
 	}
 	return pack.NewMessage(result)
 }
-
-// ServeBorrow serves MethodBorrow.
-func (a *Agent) ServeBorrow(_ context.Context, b BorrowParams) (BorrowResult, error) {
-	return a.settings.Purse.Lend(b, a.settings.Clock()), nil
-}
-
-// Tries of returning all tokens, and the time between them.
-const (
-	closeTries = 10
-	closePause = 100 * time.Millisecond
-)
-
-// Close returns all tokens to the pages. It is called when no reservation is
-// left. An error means that some are still recorded as held by this router.
-func (a *Agent) Close(ctx context.Context) error {
-	a.running.Lock()
-	defer a.running.Unlock()
-	a.settings.Purse.Close()
-	var err error
-	for range closeTries {
-		now := a.settings.Clock()
-		asks, _ := a.settings.Purse.Asks(now)
-		if err = a.send(ctx, asks, SyncParams{Closing: true, Urgent: true}, now); err == nil {
-			return nil
-		}
-		select {
-		case <-time.After(closePause):
-		case <-ctx.Done():
-			return err
-		}
-	}
-	return err
-}
--- a/partner/budget/page.go
+++ b/partner/budget/page.go
@@ -243,15 +243,6 @@
 	return ask
 }
 
-// returnSurplus returns stock beyond the root's limit, in steps that are worth a
-// write: a sixteenth of what the region has.
-func (a *PageAccount) returnSurplus(live granitehoist.Tokens) {
-	surplus := min(a.Stock(), live-a.Limit)
-	if surplus > live/16 {
-		a.Sent += surplus
-	}
-}
-
 // returning reports whether tokens were given back that the root has not heard
 // of.
 func (p *Page) returning() bool {
--- a/partner/budget/purse.go
+++ b/partner/budget/purse.go
@@ -30,37 +30,6 @@
 	Split func(granitehoist.BudgetID) Split
 }
 
-type account struct {
-	totals   Totals
-	reserved granitehoist.Tokens
-	// target is the last one told by the Keeper; told is false before that.
-	target    granitehoist.Tokens
-	hasTarget bool
-	// changed is set when the Keeper has to hear of the account.
-	changed bool
-	// reportedAt is when the Keeper last heard of the account.
-	reportedAt time.Time
-	// remaining is what the whole budget had left, as told at leftAt.
-	remaining   granitehoist.Tokens
-	remainingAt time.Time
-	// lenders are the boxes that the Keeper last named.
-	lenders  []granitehoist.Incarnation
-	spending forecast
-	largest  granitehoist.Tokens
-	waiters  []*Waiter
-	lent     map[granitehoist.Incarnation]granitehoist.Tokens
-	borrowed map[granitehoist.Incarnation]granitehoist.Tokens
-}
-
-// Waiter is a request that waits for tokens. Done is closed when they are
-// reserved for it or when the budget is known to have too few.
-type Waiter struct {
-	Done    chan struct{}
-	bound   granitehoist.Tokens
-	ended   bool
-	granted bool
-}
-
 // NewPurse returns an empty purse. It panics if the settings have no
 // incarnation.
 func NewPurse(s PurseSettings) *Purse {
@@ -81,8 +50,6 @@
 // Incarnation returns the incarnation that owns the purse.
 func (p *Purse) Incarnation() granitehoist.Incarnation { return p.incarnation }
 
-func (a *account) free() granitehoist.Tokens { return a.totals.Held() - a.reserved }
-
 func (p *Purse) account(k granitehoist.BudgetID) *account {
 	a, ok := p.accounts[k]
 	if !ok {
@@ -102,86 +69,6 @@
 	return p.account(k).reserve(bound)
 }
 
-func (a *account) reserve(bound granitehoist.Tokens) bool {
-	if a.free() < bound {
-		return false
-	}
-	a.reserved += bound
-	return true
-}
-
-// leftFresh is how long the Keeper's word that a budget has too few tokens is
-// taken for true without asking again.
-const leftFresh = time.Second
-
-// Wait reserves as Reserve does, or enters a Waiter that ends when tokens
-// arrive or when the budget is known to have too few. The caller ends the wait
-// with Abandon.
-func (p *Purse) Wait(k granitehoist.BudgetID, bound granitehoist.Tokens, now time.Time) *Waiter {
-	mustNotBeNegative(bound)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	w := &Waiter{Done: make(chan struct{}), bound: bound}
-	a := p.account(k)
-	switch {
-	case a.reserve(bound):
-		w.end(true)
-	case a.hasTarget && bound > a.remaining && now.Sub(a.remainingAt) < leftFresh:
-		w.end(false)
-	default:
-		a.waiters = append(a.waiters, w)
-		a.largest = max(a.largest, bound)
-		a.changed = true
-	}
-	return w
-}
-
-func (w *Waiter) end(granted bool) {
-	w.ended = true
-	w.granted = granted
-	close(w.Done)
-}
-
-// Outcome tells how a wait ended.
-type Outcome int
-
-// The outcomes of a wait.
-const (
-	// Granted says that the tokens are reserved and are to be settled.
-	Granted Outcome = iota
-	// Exhausted says that the budget has too few tokens left.
-	Exhausted
-	// Unreachable says that no answer came while the request waited.
-	Unreachable
-)
-
-// Abandon ends a wait and returns its outcome.
-func (p *Purse) Abandon(k granitehoist.BudgetID, w *Waiter, now time.Time) Outcome {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a := p.account(k)
-	switch {
-	case w.ended && w.granted:
-		return Granted
-	case w.ended:
-		return Exhausted
-	}
-	a.remove(w)
-	if a.hasTarget && now.Sub(a.remainingAt) < p.split(k).Wait {
-		return Exhausted
-	}
-	return Unreachable
-}
-
-func (a *account) remove(w *Waiter) {
-	for i, other := range a.waiters {
-		if other == w {
-			a.waiters = append(a.waiters[:i], a.waiters[i+1:]...)
-			return
-		}
-	}
-}
-
 // Settle ends a reservation of bound tokens with the use that the upstream
 // reported. If used is larger than bound the whole use is charged, and the
 // box's free tokens may be below zero until more arrive. It reports whether the
@@ -204,43 +91,6 @@
 	return a.hasIdle()
 }
 
-// wake reserves for each waiter that fits, in the order of arrival.
-func (a *account) wake() {
-	remaining := a.waiters[:0]
-	for _, w := range a.waiters {
-		if a.reserve(w.bound) {
-			w.end(true)
-			continue
-		}
-		remaining = append(remaining, w)
-	}
-	clear(a.waiters[len(remaining):])
-	a.waiters = remaining
-}
-
-// refuse ends the waits that the whole budget can't serve.
-func (a *account) refuse() {
-	remaining := a.waiters[:0]
-	for _, w := range a.waiters {
-		if w.bound > a.remaining {
-			w.end(false)
-			continue
-		}
-		remaining = append(remaining, w)
-	}
-	clear(a.waiters[len(remaining):])
-	a.waiters = remaining
-}
-
-// waiting returns the sum of the bounds that requests wait for.
-func (a *account) waiting() granitehoist.Tokens {
-	var sum granitehoist.Tokens
-	for _, w := range a.waiters {
-		sum += w.bound
-	}
-	return sum
-}
-
 // Busy reports whether requests wait for tokens, here or elsewhere, that the
 // next messages may bring.
 func (p *Purse) Busy() bool {
--- a/partner/budget/report.go
+++ b/partner/budget/report.go
@@ -65,55 +65,6 @@
 	return ask
 }
 
-// returnSurplus returns what is free beyond the target and beyond what requests
-// wait for, if it is worth a message. A box that stops returns all that is
-// free.
-func (a *account) returnSurplus(closing bool) {
-	if closing {
-		a.addReturn(a.free())
-		return
-	}
-	surplus := a.free() - max(a.target, a.waiting())
-	switch {
-	case !a.hasTarget:
-	case a.scarce() && a.free() < a.smallestWaiting():
-		// Parts that serve nobody here may serve somebody elsewhere.
-		a.addReturn(a.free())
-	case a.scarce() || surplus > a.target/8:
-		a.addReturn(surplus)
-	}
-}
-
-// scarce reports whether the budget is so low that a box is not to keep what one
-// request needs.
-func (a *account) scarce() bool { return a.hasTarget && a.target < a.largest }
-
-// hasIdle reports whether the account has tokens that it is not to keep and
-// that others may wait for.
-func (a *account) hasIdle() bool {
-	return a.scarce() && a.free() > max(a.target, a.waiting())
-}
-
-// smallestWaiting returns the smallest bound that a request waits for, zero if
-// none waits.
-func (a *account) smallestWaiting() granitehoist.Tokens {
-	var least granitehoist.Tokens
-	for i, w := range a.waiters {
-		if i == 0 || w.bound < least {
-			least = w.bound
-		}
-	}
-	return least
-}
-
-func (a *account) addReturn(surplus granitehoist.Tokens) {
-	if surplus <= 0 {
-		return
-	}
-	a.totals.Returned += surplus
-	a.changed = true
-}
-
 // Apply takes in the Keeper's replies to asks. A reply that is old or doubled
 // changes nothing but the target.
 func (p *Purse) Apply(asks []Ask, replies []Reply, now time.Time) {
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -7,8 +7,6 @@
 	"crypto/ed25519"
 	"encoding/base64"
 	"fmt"
-	"net"
-	"net/url"
 	"os"
 	"path/filepath"
 	"strings"
@@ -174,109 +172,6 @@
 	defaults.Set(&r.Log.Level, DefaultLevel)
 }
 
-type checker struct {
-	file   string
-	lines  []string
-	faults config.Faults
-}
-
-// add records a fault at the line where the last part of the key is written.
-func (c *checker) add(key, reason, remedy string) {
-	c.faults = append(c.faults, config.Fault{File: c.file, Line: c.line(key), Key: key, Reason: reason, Remedy: remedy})
-}
-
-func (c *checker) line(key string) int {
-	table, name := "", key
-	if at := strings.LastIndex(key, "."); at >= 0 {
-		table, name = key[:at], key[at+1:]
-	}
-	current, heading := "", 0
-	for i, raw := range c.lines {
-		text := strings.TrimSpace(raw)
-		if strings.HasPrefix(text, "[") {
-			current = strings.Trim(text, "[] ")
-			if current == table {
-				heading = i + 1
-			}
-			continue
-		}
-		written, _, ok := strings.Cut(text, "=")
-		if ok && current == table && strings.TrimSpace(written) == name {
-			return i + 1
-		}
-	}
-	return heading
-}
-
-func (c *checker) router(r *Router) {
-	c.present("partner", string(r.Partner))
-	c.present("region", string(r.Region))
-	c.present("place", string(r.Zone))
-	c.present("box", string(r.Box))
-	c.url("store", r.Store)
-	c.address("listen.callers", r.Listen.Callers)
-	c.address("listen.peers", r.Listen.Peers)
-	c.address("listen.admin", r.Listen.Admin)
-	c.trust(r)
-	if len(r.Trust) == 0 {
-		c.add("trust.keys", "no partner is trusted", "add a [[trust]] table for each partner")
-	}
-	for _, s := range r.Splits {
-		if _, ok := budget.NewSplit(s.Weigh); !ok {
-			c.add("split.weigh", fmt.Sprintf("%q is no weighting", s.Weigh), `use "refusals" or "overspend"`)
-		}
-	}
-	c.limits(r)
-}
-
-func (c *checker) trust(r *Router) {
-	if _, err := r.TrustedKeys(); err != nil {
-		c.add("trust.keys", err.Error(), `write public keys as "granitehoist keys partner" prints them`)
-	}
-}
-
-func (c *checker) limits(r *Router) {
-	c.positive("limits.body_bytes", r.Limits.BodyBytes)
-	c.positive("limits.header_bytes", int64(r.Limits.HeaderBytes))
-	c.positive("limits.read_timeout", int64(r.Limits.ReadTimeout))
-	c.positive("limits.request", int64(r.Limits.Request))
-	c.positive("limits.drain", int64(r.Limits.Drain))
-	c.positive("limits.unready", int64(r.Limits.Unready))
-	c.positive("budget.shards", int64(r.Budget.Shards))
-	c.positive("budget.interval", int64(r.Budget.Interval))
-	switch r.Log.Level {
-	case "debug", "info", "warn", "error":
-	default:
-		c.add("log.level", fmt.Sprintf("%q is no level", r.Log.Level), `use "debug", "info", "warn" or "error"`)
-	}
-}
-
-func (c *checker) present(key, value string) {
-	if value == "" || strings.ContainsAny(value, "/ \t\"") {
-		c.add(key, fmt.Sprintf("%q is not a name", value), "write a name without spaces, slashes and quotes")
-	}
-}
-
-func (c *checker) positive(key string, value int64) {
-	if value <= 0 {
-		c.add(key, "is not above zero", "use a value above zero, or leave it out")
-	}
-}
-
-func (c *checker) url(key, value string) {
-	u, err := url.Parse(value)
-	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		c.add(key, fmt.Sprintf("%q is no address", value), `write it as "http://127.0.0.1:7000"`)
-	}
-}
-
-func (c *checker) address(key, value string) {
-	host, _, err := net.SplitHostPort(value)
-	if err != nil || net.ParseIP(host) == nil {
-		c.add(key, fmt.Sprintf("%q is no IP number and port", value), `write it as "127.0.0.1:8080"`)
-	}
-}
-
 // TrustedKeys returns the public keys of each partner, or an error that names
 // the key that can't be read.
 func (r *Router) TrustedKeys() (config.Trust, error) {
--- /dev/null
+++ b/partner/upstream/enginestream.go
@@ -0,0 +1,178 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package upstream
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+
+	"granitehoist.example/granitehoist"
+)
+
+var (
+	dataField = []byte("data:")
+	endMark   = []byte("[DONE]")
+)
+
+const maxEventSize = 1 << 20
+
+// maxResumes bounds how often one stream is resumed.
+const maxResumes = 3
+
+// passStream passes on the events of an answer. The end mark is passed on only if
+// every choice that was begun has a finish reason. A stream that breaks off is
+// resumed at the engine, from the event after the last that came whole.
+func (e *Engine) passStream(ctx context.Context, r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
+	state := streamState{attempt: c.Attempt, open: map[int]bool{}}
+	err := e.passEvents(r, c, sink, &state)
+	for range maxResumes {
+		if !errors.Is(err, errBrokenOff) || ctx.Err() != nil || !state.begun {
+			break
+		}
+		resumed, end, failed := e.resume(ctx, c, state.events)
+		if failed != nil {
+			break
+		}
+		err = e.passEvents(resumed, c, sink, &state)
+		end()
+	}
+	return state.usage, err
+}
+
+// errBrokenOff is the cause of an error that a resumed stream may mend.
+var errBrokenOff = errors.New("upstream: the stream broke off")
+
+// resume asks the engine to go on with a stream after a number of events.
+func (e *Engine) resume(ctx context.Context, c granitehoist.Call, events int) (*http.Response, func(), error) {
+	call := granitehoist.Call{
+		Attempt: c.Attempt,
+		Address: c.Address,
+		Method:  http.MethodGet,
+		Path:    PathResume + "?from=" + strconv.Itoa(events),
+	}
+	response, end, err := e.sender.open(ctx, call)
+	if err != nil {
+		return nil, nil, err
+	}
+	if response.StatusCode != http.StatusOK {
+		end()
+		return nil, nil, statusError(response)
+	}
+	return response, end, nil
+}
+
+// passEvents passes on the events of one response until its end mark.
+func (e *Engine) passEvents(r *http.Response, c granitehoist.Call, sink granitehoist.Sink, state *streamState) error {
+	reader := bufio.NewReader(r.Body)
+	for {
+		line, err := readLine(reader)
+		if err != nil {
+			return granitehoist.Wrap(granitehoist.UpstreamCut, errors.Join(errBrokenOff, err), "")
+		}
+		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), dataField)
+		if !ok {
+			continue
+		}
+		data = bytes.TrimSpace(data)
+		done := bytes.Equal(data, endMark)
+		hidden, err := state.take(data, done)
+		if err != nil {
+			return err
+		}
+		if hidden && c.HideUsage {
+			continue
+		}
+		if !state.started {
+			state.started = true
+			if err := sink.Start(r.StatusCode, CopyHeader(r.Header, HeaderAttempt, "Content-Length")); err != nil {
+				return granitehoist.Wrap(granitehoist.CallerGone, err, "")
+			}
+		}
+		if err := sink.Write(event(data)); err != nil {
+			return granitehoist.Wrap(granitehoist.CallerGone, err, "")
+		}
+		if done {
+			// What follows the end mark is read so that the connection can be
+			// used again; it is bounded and its error is of no matter.
+			_, _ = io.CopyN(io.Discard, reader, maxEventSize)
+			return nil
+		}
+	}
+}
+
+// event returns one event as it is sent to callers.
+func event(data []byte) []byte {
+	out := make([]byte, 0, len(data)+len("data: \n\n"))
+	out = append(out, "data: "...)
+	out = append(out, data...)
+	return append(out, "\n\n"...)
+}
+
+func readLine(r *bufio.Reader) ([]byte, error) {
+	var line []byte
+	for {
+		part, err := r.ReadSlice('\n')
+		line = append(line, part...)
+		if len(line) > maxEventSize {
+			return nil, errors.New("upstream: event too large")
+		}
+		if err == nil {
+			return line, nil
+		}
+		if !errors.Is(err, bufio.ErrBufferFull) {
+			return nil, err
+		}
+	}
+}
+
+// streamState is what is known of a stream so far.
+type streamState struct {
+	attempt granitehoist.AttemptID
+	started bool
+	begun   bool
+	// events counts those with a part of the answer.
+	events int
+	open   map[int]bool
+	usage  granitehoist.Usage
+}
+
+// take checks one event, and reports whether it holds usage and no choices.
+func (s *streamState) take(data []byte, done bool) (usageOnly bool, err error) {
+	if done {
+		if !s.begun || len(s.open) > 0 {
+			return false, granitehoist.Errorf(granitehoist.UpstreamCut, "the stream ended before its answer")
+		}
+		return false, nil
+	}
+	var a engineAnswer
+	if err := json.Unmarshal(data, &a); err != nil {
+		return false, granitehoist.Wrap(granitehoist.UpstreamBadAnswer, err, "")
+	}
+	if len(a.Error) > 0 && string(a.Error) != "null" {
+		return false, granitehoist.Errorf(granitehoist.UpstreamCut, "the upstream reported an error in the stream")
+	}
+	if !a.belongsTo(s.attempt) {
+		return false, granitehoist.Errorf(granitehoist.AnswerCrossed, "")
+	}
+	if len(a.Choices) > 0 {
+		s.begun = true
+		s.events++
+	}
+	for _, choice := range a.Choices {
+		s.open[choice.Index] = true
+		if choice.FinishReason != nil && *choice.FinishReason != "" {
+			delete(s.open, choice.Index)
+		}
+	}
+	if usage := a.Usage.usage(); usage.Reported {
+		s.usage = usage
+	}
+	return a.Usage != nil && len(a.Choices) == 0, nil
+}
