--- a/cmd/granitehoist/check.go
+++ b/cmd/granitehoist/check.go
@@ -12,6 +12,7 @@
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"granitehoist.example/granitehoist/internal/tomlfile"
 	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/partner/settings"
 )
@@ -41,7 +42,7 @@
 	}}
 }
 
-func checkFile(file string) (config.Faults, error) {
+func checkFile(file string) (tomlfile.Faults, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
@@ -51,7 +52,7 @@
 		return faults, err
 	}
 	_, err = config.Parse(file, text)
-	if faults, ok := err.(config.Faults); ok {
+	if faults, ok := err.(tomlfile.Faults); ok {
 		return faults, nil
 	}
 	return nil, err
--- /dev/null
+++ b/internal/tomlfile/decode.go
@@ -0,0 +1,55 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package tomlfile
+
+import (
+	"bytes"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// wholeFile stands for the key of a fault that no key has.
+const wholeFile = "(file)"
+
+// Decode reads TOML strictly into target, a pointer. It returns a fault for each
+// key that target does not have, or one for text that is not TOML or has a value
+// of the wrong type. file is used in faults only.
+func Decode(file string, text []byte, target any) Faults {
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	err := decoder.Decode(target)
+	switch e := err.(type) {
+	case nil:
+		return nil
+	case *toml.StrictMissingError:
+		return unknownKeys(file, e)
+	case *toml.DecodeError:
+		return Faults{wrongValue(file, e)}
+	}
+	return Faults{{File: file, Key: wholeFile, Reason: err.Error(), Remedy: "write it as TOML"}}
+}
+
+func unknownKeys(file string, e *toml.StrictMissingError) Faults {
+	var faults Faults
+	for i := range e.Errors {
+		line, _ := e.Errors[i].Position()
+		faults = append(faults, Fault{
+			File:   file,
+			Line:   line,
+			Key:    strings.Join(e.Errors[i].Key(), "."),
+			Reason: "no such key",
+			Remedy: "remove it or correct its spelling",
+		})
+	}
+	return faults
+}
+
+func wrongValue(file string, e *toml.DecodeError) Fault {
+	line, _ := e.Position()
+	key := strings.Join(e.Key(), ".")
+	if key == "" {
+		key = wholeFile
+	}
+	return Fault{File: file, Line: line, Key: key, Reason: e.Error(), Remedy: "write it as TOML of the right type"}
+}
--- a/partner/config/check.go
+++ b/partner/config/check.go
@@ -6,57 +6,23 @@
 import (
 	"encoding/hex"
 	"fmt"
-	"net/url"
 	"regexp"
 	"strings"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/tomlfile"
 	"granitehoist.example/granitehoist/partner/policy"
 )
 
+// checker checks a document that was decoded, and collects its faults.
 type checker struct {
-	file   string
-	text   []byte
-	faults Faults
+	*tomlfile.Checker
 }
 
-// add records a fault in the index-th table named table.
-func (c *checker) add(table string, index int, key, reason, remedy string) {
-	path := key
-	if table != "" {
-		path = fmt.Sprintf("%s[%d].%s", table, index, key)
-	}
-	c.faults = append(c.faults, Fault{File: c.file, Line: c.line(table, index, key), Key: path, Reason: reason, Remedy: remedy})
-}
-
-// line finds the line of a key in the index-th [[table]], the line of the
-// table's heading if the key is not written, or zero.
-func (c *checker) line(table string, index int, key string) int {
-	heading := "[[" + table + "]]"
-	seen, found := -1, 0
-	if table == "" {
-		seen, index = 0, 0
-	}
-	for i, raw := range strings.Split(string(c.text), "\n") {
-		text := strings.TrimSpace(raw)
-		if strings.HasPrefix(text, "[") {
-			if seen == index && found > 0 {
-				return found
-			}
-			if text == heading {
-				seen++
-				if seen == index {
-					found = i + 1
-				}
-			}
-			continue
-		}
-		name, _, ok := strings.Cut(text, "=")
-		if ok && seen == index && strings.TrimSpace(name) == key {
-			return i + 1
-		}
-	}
-	return found
+// add records a fault in the index-th table named table, or in the keys before
+// the first table if table is empty.
+func (c checker) add(table string, index int, key, reason, remedy string) {
+	c.Add(tomlfile.Key{Table: table, Index: index, Name: key}, reason, remedy)
 }
 
 var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
@@ -69,26 +35,26 @@
 	MaxTokens granitehoist.Tokens = 1 << 50
 )
 
-func (c *checker) name(table string, index int, key, value string) {
+func (c checker) name(table string, index int, key, value string) {
 	if !namePattern.MatchString(value) {
 		c.add(table, index, key, fmt.Sprintf("%q %s", value, nameReason), nameRemedy)
 	}
 }
 
-func (c *checker) unique(seen map[string]bool, table string, index int, key, value string) {
+func (c checker) unique(seen map[string]bool, table string, index int, key, value string) {
 	if seen[value] {
 		c.add(table, index, key, fmt.Sprintf("%q stands twice", value), "give each its own name")
 	}
 	seen[value] = true
 }
 
-func (c *checker) tokens(table string, index int, key string, value, least granitehoist.Tokens) {
+func (c checker) tokens(table string, index int, key string, value, least granitehoist.Tokens) {
 	if value < least || value > MaxTokens {
 		c.add(table, index, key, fmt.Sprintf("%d is out of range", value), fmt.Sprintf("use %d to %d", least, MaxTokens))
 	}
 }
 
-func (c *checker) document(d *Document) {
+func (c checker) document(d *Document) {
 	c.name("", 0, "partner", string(d.Partner))
 	services := c.services(d)
 	c.upstreams(d, services)
@@ -102,7 +68,7 @@
 	c.policies(d)
 }
 
-func (c *checker) services(d *Document) map[string]bool {
+func (c checker) services(d *Document) map[string]bool {
 	services := map[string]bool{}
 	models := map[string]bool{}
 	for i, s := range d.Services {
@@ -120,7 +86,7 @@
 	return services
 }
 
-func (c *checker) engine(i int, s Service, models map[string]bool) {
+func (c checker) engine(i int, s Service, models map[string]bool) {
 	if len(s.Models) == 0 {
 		c.add("service", i, "models", "an engine service offers no model", "name at least one model")
 	}
@@ -134,7 +100,7 @@
 	}
 }
 
-func (c *checker) upstreams(d *Document, services map[string]bool) {
+func (c checker) upstreams(d *Document, services map[string]bool) {
 	seen := map[string]bool{}
 	for i, u := range d.Upstreams {
 		c.name("upstream", i, "name", string(u.Name))
@@ -142,8 +108,7 @@
 		if !services[string(u.Service)] {
 			c.add("upstream", i, "service", fmt.Sprintf("no service %q in this document", u.Service), "name one of its services")
 		}
-		address, err := url.Parse(u.Address)
-		if err != nil || address.Host == "" || (address.Scheme != "http" && address.Scheme != "https") {
+		if !tomlfile.IsURL(u.Address) {
 			c.add("upstream", i, "address", fmt.Sprintf("%q is no address", u.Address), `write it as "http://127.0.0.1:9001"`)
 		}
 		if u.Concurrency < 0 {
@@ -152,7 +117,7 @@
 	}
 }
 
-func (c *checker) budgets(d *Document, workspaces map[string]bool) map[string]bool {
+func (c checker) budgets(d *Document, workspaces map[string]bool) map[string]bool {
 	budgets := map[string]bool{}
 	for i, b := range d.Budgets {
 		c.name("budget", i, "name", b.Name)
@@ -167,7 +132,7 @@
 
 const sha256Bytes = 32
 
-func (c *checker) keys(d *Document, workspaces, budgets map[string]bool) {
+func (c checker) keys(d *Document, workspaces, budgets map[string]bool) {
 	seen := map[string]bool{}
 	for i, k := range d.Keys {
 		if !workspaces[string(k.Workspace)] {
@@ -184,7 +149,7 @@
 	}
 }
 
-func (c *checker) policies(d *Document) {
+func (c checker) policies(d *Document) {
 	seen := map[string]bool{}
 	for i, p := range d.Policies {
 		c.name("policy", i, "name", p.Name)
--- a/partner/config/config_test.go
+++ b/partner/config/config_test.go
@@ -16,6 +16,7 @@
 	. "github.com/onsi/gomega"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/tomlfile"
 	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/partner/policy"
 	"granitehoist.example/granitehoist/standin"
@@ -106,7 +107,7 @@
 	It("tells all faults at once", func() {
 		broken := strings.NewReplacer(`kind = "engine"`, `kind = "motor"`, `tokens = 1000`, `tokens = -1`, `use = "own"`, `use = "all"`).Replace(sound)
 		_, err := config.Parse("f", []byte(broken))
-		Expect(err.(config.Faults)).To(HaveLen(3))
+		Expect(err.(tomlfile.Faults)).To(HaveLen(3))
 	})
 })
 
--- a/partner/config/document.go
+++ b/partner/config/document.go
@@ -5,6 +5,7 @@
 
 import (
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/tomlfile"
 	"granitehoist.example/granitehoist/partner/policy"
 )
 
@@ -105,17 +106,17 @@
 	Priority string `toml:"priority"`
 }
 
-// Parse reads a document. file is used in faults only. It returns all faults
-// at once, as Faults; the document is then not to be used.
+// Parse reads a document. file is used in faults only. Its error is of type
+// tomlfile.Faults and holds all faults of the document.
 func Parse(file string, text []byte) (*Document, error) {
 	var d Document
-	if faults := Decode(file, text, &d); len(faults) > 0 {
+	if faults := tomlfile.Decode(file, text, &d); len(faults) > 0 {
 		return nil, faults
 	}
-	c := checker{file: file, text: text}
+	c := checker{tomlfile.NewChecker(file, text)}
 	c.document(&d)
-	if len(c.faults) > 0 {
-		return nil, c.faults
+	if faults := c.Faults(); len(faults) > 0 {
+		return nil, faults
 	}
 	return &d, nil
 }
--- a/partner/settings/check.go
+++ b/partner/settings/check.go
@@ -6,48 +6,27 @@
 import (
 	"fmt"
 	"net"
-	"net/url"
 	"strings"
 
+	"granitehoist.example/granitehoist/internal/tomlfile"
 	"granitehoist.example/granitehoist/partner/budget"
-	"granitehoist.example/granitehoist/partner/config"
 )
 
+// checker checks settings that were decoded, and collects their faults.
 type checker struct {
-	file   string
-	lines  []string
-	faults config.Faults
+	*tomlfile.Checker
 }
 
-// add records a fault at the line where the last part of the key is written.
-func (c *checker) add(key, reason, remedy string) {
-	c.faults = append(c.faults, config.Fault{File: c.file, Line: c.line(key), Key: key, Reason: reason, Remedy: remedy})
-}
-
-func (c *checker) line(key string) int {
-	table, name := "", key
+// add records a fault of a key, written as "table.name" or "name".
+func (c checker) add(key, reason, remedy string) {
+	k := tomlfile.Key{Name: key}
 	if at := strings.LastIndex(key, "."); at >= 0 {
-		table, name = key[:at], key[at+1:]
-	}
-	current, heading := "", 0
-	for i, raw := range c.lines {
-		text := strings.TrimSpace(raw)
-		if strings.HasPrefix(text, "[") {
-			current = strings.Trim(text, "[] ")
-			if current == table {
-				heading = i + 1
-			}
-			continue
-		}
-		written, _, ok := strings.Cut(text, "=")
-		if ok && current == table && strings.TrimSpace(written) == name {
-			return i + 1
-		}
+		k = tomlfile.Key{Table: key[:at], Index: tomlfile.AnyTable, Name: key[at+1:]}
 	}
-	return heading
+	c.Add(k, reason, remedy)
 }
 
-func (c *checker) router(r *Router) {
+func (c checker) router(r *Router) {
 	c.present("partner", string(r.Partner))
 	c.present("region", string(r.Region))
 	c.present("place", string(r.Zone))
@@ -68,13 +47,13 @@
 	c.limits(r)
 }
 
-func (c *checker) trust(r *Router) {
+func (c checker) trust(r *Router) {
 	if _, err := r.TrustedKeys(); err != nil {
 		c.add("trust.keys", err.Error(), `write public keys as "granitehoist keys partner" prints them`)
 	}
 }
 
-func (c *checker) limits(r *Router) {
+func (c checker) limits(r *Router) {
 	c.positive("limits.body_bytes", r.Limits.BodyBytes)
 	c.positive("limits.header_bytes", int64(r.Limits.HeaderBytes))
 	c.positive("limits.read_timeout", int64(r.Limits.ReadTimeout))
@@ -90,26 +69,25 @@
 	}
 }
 
-func (c *checker) present(key, value string) {
+func (c checker) present(key, value string) {
 	if value == "" || strings.ContainsAny(value, "/ \t\"") {
 		c.add(key, fmt.Sprintf("%q is not a name", value), "write a name without spaces, slashes and quotes")
 	}
 }
 
-func (c *checker) positive(key string, value int64) {
+func (c checker) positive(key string, value int64) {
 	if value <= 0 {
 		c.add(key, "is not above zero", "use a value above zero, or leave it out")
 	}
 }
 
-func (c *checker) url(key, value string) {
-	u, err := url.Parse(value)
-	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
+func (c checker) url(key, value string) {
+	if !tomlfile.IsURL(value) {
 		c.add(key, fmt.Sprintf("%q is no address", value), `write it as "http://127.0.0.1:7000"`)
 	}
 }
 
-func (c *checker) address(key, value string) {
+func (c checker) address(key, value string) {
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
 		c.add(key, fmt.Sprintf("%q is no IP number and port", value), `write it as "127.0.0.1:8080"`)
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -14,6 +14,7 @@
 
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/internal/defaults"
+	"granitehoist.example/granitehoist/internal/tomlfile"
 	"granitehoist.example/granitehoist/partner/budget"
 	"granitehoist.example/granitehoist/partner/config"
 )
@@ -120,7 +121,7 @@
 
 // Load reads a settings file and the files of keys that it names. It returns
 // all faults of the settings at once, and an error if a file can't be read.
-func Load(file string) (*Router, config.Faults, error) {
+func Load(file string) (*Router, tomlfile.Faults, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, err
@@ -142,22 +143,22 @@
 			t.Keys = append(t.Keys, strings.TrimSpace(string(key)))
 		}
 	}
-	c := checker{file: file, lines: strings.Split(string(text), "\n")}
+	c := checker{tomlfile.NewChecker(file, text)}
 	c.trust(r)
-	return r, c.faults, nil
+	return r, c.Faults(), nil
 }
 
 // Parse reads the text of a settings file. file is used in faults only. It
 // returns all faults at once.
-func Parse(file string, text []byte) (*Router, config.Faults) {
+func Parse(file string, text []byte) (*Router, tomlfile.Faults) {
 	var r Router
-	if faults := config.Decode(file, text, &r); len(faults) > 0 {
+	if faults := tomlfile.Decode(file, text, &r); len(faults) > 0 {
 		return nil, faults
 	}
 	r.setDefaults()
-	c := checker{file: file, lines: strings.Split(string(text), "\n")}
+	c := checker{tomlfile.NewChecker(file, text)}
 	c.router(&r)
-	return &r, c.faults
+	return &r, c.Faults()
 }
 
 func (r *Router) setDefaults() {
