--- a/partner/budget/doc.go
+++ b/partner/budget/doc.go
@@ -30,8 +30,9 @@
 // The Agent moves the messages between a Purse and the Keepers and makes all
 // calls; its own lock orders its steps. No call is made under the lock of a Purse.
 //
-// The package relies on the store's conditional writes, on package fleet for
-// calls between routers, and on its caller for the current time.
+// The package relies on the store's conditional writes, on a granitehoist.Caller
+// (that of package fleet) for calls between routers, and on its caller for the
+// current time.
 //
 // 'granitehoist router' runs it. The edge router has package escrow instead, with
 // one record for all regions and loans between routers: its platform allows more
