--- a/partner/upstream/enginestream.go
+++ b/partner/upstream/enginestream.go
@@ -30,14 +30,14 @@
 // every choice that was begun has a finish reason. A stream that breaks off is
 // resumed at the engine, from the event after the last that came whole.
 func (e *Engine) passStream(ctx context.Context, r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
-	state := streamState{attempt: c.Attempt, open: map[int]bool{}}
+	state := streamState{attempt: c.Attempt, unfinished: map[int]bool{}}
 	err := e.passEvents(r, c, sink, &state)
 	for range maxResumes {
-		if !errors.Is(err, errBrokenOff) || ctx.Err() != nil || !state.begun {
+		if !errors.Is(err, errBrokenOff) || ctx.Err() != nil || !state.choiceSeen {
 			break
 		}
-		resumed, end, failed := e.resume(ctx, c, state.events)
-		if failed != nil {
+		resumed, end, resumeErr := e.resume(ctx, c, state.events)
+		if resumeErr != nil {
 			break
 		}
 		err = e.passEvents(resumed, c, sink, &state)
@@ -82,20 +82,20 @@
 		}
 		data = bytes.TrimSpace(data)
 		done := bytes.Equal(data, endMark)
-		hidden, err := state.take(data, done)
+		hidden, err := state.check(data, done)
 		if err != nil {
 			return err
 		}
 		if hidden && c.HideUsage {
 			continue
 		}
-		if !state.started {
-			state.started = true
+		if !state.headSent {
+			state.headSent = true
 			if err := sink.Start(r.StatusCode, CopyHeader(r.Header, HeaderAttempt, "Content-Length")); err != nil {
 				return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 			}
 		}
-		if err := sink.Write(event(data)); err != nil {
+		if err := sink.Write(encodeEvent(data)); err != nil {
 			return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 		}
 		if done {
@@ -107,8 +107,8 @@
 	}
 }
 
-// event returns one event as it is sent to callers.
-func event(data []byte) []byte {
+// encodeEvent returns one event as it is sent to callers.
+func encodeEvent(data []byte) []byte {
 	out := make([]byte, 0, len(data)+len("data: \n\n"))
 	out = append(out, "data: "...)
 	out = append(out, data...)
@@ -134,19 +134,19 @@
 
 // streamState is what is known of a stream so far.
 type streamState struct {
-	attempt granitehoist.AttemptID
-	started bool
-	begun   bool
+	attempt    granitehoist.AttemptID
+	headSent   bool
+	choiceSeen bool
 	// events counts those with a part of the answer.
-	events int
-	open   map[int]bool
-	usage  granitehoist.Usage
+	events     int
+	unfinished map[int]bool
+	usage      granitehoist.Usage
 }
 
-// take checks one event, and reports whether it holds usage and no choices.
-func (s *streamState) take(data []byte, done bool) (usageOnly bool, err error) {
+// check checks one event, and reports whether it holds usage and no choices.
+func (s *streamState) check(data []byte, done bool) (usageOnly bool, err error) {
 	if done {
-		if !s.begun || len(s.open) > 0 {
+		if !s.choiceSeen || len(s.unfinished) > 0 {
 			return false, granitehoist.Errorf(granitehoist.UpstreamCut, "the stream ended before its answer")
 		}
 		return false, nil
@@ -162,13 +162,13 @@
 		return false, granitehoist.Errorf(granitehoist.AnswerCrossed, "")
 	}
 	if len(a.Choices) > 0 {
-		s.begun = true
+		s.choiceSeen = true
 		s.events++
 	}
 	for _, choice := range a.Choices {
-		s.open[choice.Index] = true
+		s.unfinished[choice.Index] = true
 		if choice.FinishReason != nil && *choice.FinishReason != "" {
-			delete(s.open, choice.Index)
+			delete(s.unfinished, choice.Index)
 		}
 	}
 	if usage := a.Usage.usage(); usage.Reported {
