--- a/partner/config/document.go
+++ b/partner/config/document.go
@@ -8,7 +8,7 @@
 	"granitehoist.example/granitehoist/internal/tomlfile"
 )
 
-// Document is what the operators of one partner decide.
+// Document is what the operators of one partner decide, as they write it in TOML.
 type Document struct {
 	Partner    granitehoist.Partner `toml:"partner"`
 	Services   []Service            `toml:"service"`
@@ -34,6 +34,7 @@
 	return &d, nil
 }
 
+// document checks the parts of a document in the order of what they refer to.
 func (c checker) document(d *Document) {
 	c.name("", 0, "partner", string(d.Partner))
 	services := c.services(d)
--- a/partner/config/policy.go
+++ b/partner/config/policy.go
@@ -9,7 +9,7 @@
 	"granitehoist.example/granitehoist/partner/policy"
 )
 
-// Use tells which requests a policy is for.
+// Use says which requests a policy decides on.
 type Use string
 
 // The uses of a policy.
@@ -23,16 +23,20 @@
 
 // Policy is the source of a policy and its use.
 type Policy struct {
-	Name     string `toml:"name"`
-	Use      Use    `toml:"use"`
+	Name string `toml:"name"`
+	Use  Use    `toml:"use"`
+	// Permit and Priority are CEL programs; package policy lists their inputs. An
+	// empty Priority stands for the default.
 	Permit   string `toml:"permit"`
 	Priority string `toml:"priority"`
 }
 
+// source returns the programs in the form that package policy compiles.
 func (p Policy) source() policy.Source {
 	return policy.Source{Name: p.Name, Permit: p.Permit, Priority: p.Priority}
 }
 
+// policies checks the policies by compiling them.
 func (c checker) policies(d *Document) {
 	seen := map[string]bool{}
 	for i, p := range d.Policies {
@@ -41,6 +45,7 @@
 		if p.Use != UseOwn && p.Use != UseLend {
 			c.add("policy", i, "use", fmt.Sprintf("%q is no use", p.Use), `use "own" or "lend"`)
 		}
+		// All errors of policy.New are faults of the source.
 		_, err := policy.New(p.source())
 		if fault, ok := err.(*policy.Fault); ok {
 			c.add("policy", i, fault.Program, fault.Reason, "correct the program; docs/OPERATIONS.md lists its inputs")
--- a/partner/config/service.go
+++ b/partner/config/service.go
@@ -10,7 +10,7 @@
 	"granitehoist.example/granitehoist/internal/tomlfile"
 )
 
-// Kind tells which protocol a service speaks.
+// Kind is the protocol that a service speaks.
 type Kind string
 
 // The kinds of services.
@@ -27,23 +27,25 @@
 	Kind Kind                 `toml:"kind"`
 	// Models lists what an engine service offers.
 	Models []granitehoist.Model `toml:"models"`
-	// MaxOutput bounds the output tokens of one answer; DefaultOutput is taken
-	// where the caller gives none. Both are for engines only.
+	// MaxOutput bounds the output tokens of one answer. DefaultOutput is the bound
+	// of a request that names none. Both are for engines only.
 	MaxOutput     granitehoist.Tokens `toml:"max_output"`
 	DefaultOutput granitehoist.Tokens `toml:"default_output"`
-	// Price is what one call of a plain service costs.
+	// Price is what one call of a plain service costs, in tokens.
 	Price granitehoist.Tokens `toml:"price"`
-	// Once says that every call of a plain service but GET, HEAD and OPTIONS
-	// is not to be repeated, whether the caller marks it or not.
+	// Once says that no call of a plain service but GET, HEAD and OPTIONS may be
+	// repeated, whether the caller marks it or not.
 	Once bool `toml:"once"`
 }
 
-// Upstream is one back end.
+// Upstream is one server of a service.
 type Upstream struct {
-	Name    granitehoist.Upstream         `toml:"name"`
-	Service granitehoist.Service          `toml:"service"`
-	Zone    granitehoist.AvailabilityZone `toml:"place"`
-	Address string                        `toml:"address"`
+	Name    granitehoist.Upstream `toml:"name"`
+	Service granitehoist.Service  `toml:"service"`
+	// Zone is called place in documents.
+	Zone granitehoist.AvailabilityZone `toml:"place"`
+	// Address is an http or https URL.
+	Address string `toml:"address"`
 	// Box, if set, is the upstream's name in the platform's list of boxes.
 	Box granitehoist.Box `toml:"box"`
 	// Concurrency bounds the requests that one router has in progress there;
@@ -51,9 +53,12 @@
 	Concurrency int `toml:"concurrency"`
 }
 
-// DefaultConcurrency is used for an upstream that names no bound.
+// DefaultConcurrency is the Concurrency of an upstream that names none. Chosen, not
+// measured.
 const DefaultConcurrency = 32
 
+// services checks the services and returns their names. A model may belong to one
+// service only.
 func (c checker) services(d *Document) map[string]bool {
 	services := map[string]bool{}
 	models := map[string]bool{}
@@ -72,6 +77,7 @@
 	return services
 }
 
+// engine checks what only an engine service has.
 func (c checker) engine(i int, s Service, models map[string]bool) {
 	if len(s.Models) == 0 {
 		c.add("service", i, "models", "an engine service offers no model", "name at least one model")
@@ -86,6 +92,7 @@
 	}
 }
 
+// upstreams checks the upstreams, given the names of the services.
 func (c checker) upstreams(d *Document, services map[string]bool) {
 	seen := map[string]bool{}
 	for i, u := range d.Upstreams {
--- a/partner/config/signed.go
+++ b/partner/config/signed.go
@@ -10,13 +10,13 @@
 	"granitehoist.example/granitehoist"
 )
 
-// KeyPrefix is where the documents stand in the store, one key a partner.
+// KeyPrefix begins the store's keys of documents. Each partner has one.
 const KeyPrefix = "config/"
 
 // StoreKey returns the store's key of a partner's document.
 func StoreKey(p granitehoist.Partner) string { return KeyPrefix + string(p) }
 
-// Signed is a document as it is kept in the store.
+// Signed is a document as the store has it.
 type Signed struct {
 	Partner granitehoist.Partner `json:"partner"`
 	// Text is the TOML document.
@@ -34,6 +34,8 @@
 	Signature []byte `json:"signature"`
 }
 
+// signatureDomain begins what is signed, so that no signature over something else
+// can pass for one over a document.
 const signatureDomain = "granitehoist document v1\n"
 
 // SignedBytes returns what the signature covers: all fields but the signature.
@@ -74,6 +76,7 @@
 	return s, d, nil
 }
 
+// signedBy reports whether a trusted key of the document's partner signed it.
 func (t Trust) signedBy(s Signed) bool {
 	message := s.SignedBytes()
 	for _, key := range t[s.Partner] {
--- a/partner/config/view.go
+++ b/partner/config/view.go
@@ -18,7 +18,7 @@
 // HashKey returns the hash of a caller's key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
-// Identity is whom a key stands for.
+// Identity is the workspace that a caller's key acts for.
 type Identity struct {
 	Partner   granitehoist.Partner
 	Workspace granitehoist.Workspace
@@ -40,8 +40,8 @@
 	return u, ok
 }
 
-// View is the documents in force, indexed for requests. It is not changed
-// after it was made.
+// View is the documents in force, indexed for requests. It never changes and is
+// safe for concurrent use.
 type View struct {
 	partners map[granitehoist.Partner]*partnerView
 }
@@ -80,6 +80,8 @@
 	return next
 }
 
+// newPartnerView indexes a document. It panics if the document has faults, which
+// Parse would have found.
 func newPartnerView(d *Document, serial granitehoist.Serial) *partnerView {
 	p := &partnerView{
 		serial:   serial,
@@ -106,6 +108,7 @@
 	return p
 }
 
+// addPolicies compiles the policies, in the order of the document.
 func (p *partnerView) addPolicies(d *Document) {
 	for _, source := range d.Policies {
 		compiled, err := policy.New(source.source())
@@ -120,6 +123,7 @@
 	}
 }
 
+// addOffers gives each service its upstreams and indexes the models.
 func (p *partnerView) addOffers(d *Document) {
 	for _, s := range d.Services {
 		offer := &Offer{Service: s, Owner: d.Partner, byName: map[granitehoist.Upstream]Upstream{}}
@@ -155,7 +159,7 @@
 	return serials
 }
 
-// Identity returns whom a key stands for.
+// Identity returns the workspace that a key acts for, and false for an unknown key.
 func (v *View) Identity(hash KeyHash) (Identity, bool) {
 	for _, p := range v.partners {
 		if identity, ok := p.keys[hash]; ok {
@@ -165,7 +169,7 @@
 	return Identity{}, false
 }
 
-// Prepaid returns the tokens prepaid on a budget.
+// Prepaid returns the tokens prepaid on a budget, and false for an unknown budget.
 func (v *View) Prepaid(b granitehoist.BudgetID) (granitehoist.Tokens, bool) {
 	p, ok := v.partners[b.Partner()]
 	if !ok {
--- a/partner/config/workspace.go
+++ b/partner/config/workspace.go
@@ -4,6 +4,7 @@
 package config
 
 import (
+	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
 	"strings"
@@ -11,12 +12,12 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Workspace is a customer.
+// Workspace is a customer of the partner.
 type Workspace struct {
 	Name granitehoist.Workspace `toml:"name"`
 }
 
-// Key lets a caller act for a workspace. Only the hash of the key is kept.
+// Key lets a caller act for a workspace. The document has only the key's hash.
 type Key struct {
 	Workspace granitehoist.Workspace `toml:"workspace"`
 	// Budget names the budget that pays when the caller names none.
@@ -33,6 +34,8 @@
 	Tokens granitehoist.Tokens `toml:"tokens"`
 }
 
+// budgets checks the budgets, given the names of the workspaces, and returns them
+// as "workspace/name".
 func (c checker) budgets(d *Document, workspaces map[string]bool) map[string]bool {
 	budgets := map[string]bool{}
 	for i, b := range d.Budgets {
@@ -46,8 +49,7 @@
 	return budgets
 }
 
-const sha256Bytes = 32
-
+// keys checks the callers' keys, given the names of the workspaces and budgets.
 func (c checker) keys(d *Document, workspaces, budgets map[string]bool) {
 	seen := map[string]bool{}
 	for i, k := range d.Keys {
@@ -58,7 +60,7 @@
 			c.add("key", i, "budget", fmt.Sprintf("workspace %q has no budget %q", k.Workspace, k.Budget), "name one of its budgets")
 		}
 		raw, err := hex.DecodeString(k.SHA256)
-		if err != nil || len(raw) != sha256Bytes {
+		if err != nil || len(raw) != sha256.Size {
 			c.add("key", i, "sha256", "is no SHA-256", "write the 64 hexadecimal digits that \"granitehoist keys caller\" prints")
 		}
 		c.unique(seen, "key", i, "sha256", strings.ToLower(k.SHA256))
--- a/partner/settings/check.go
+++ b/partner/settings/check.go
@@ -26,6 +26,7 @@
 	c.Add(k, reason, remedy)
 }
 
+// router checks all settings. The keys in files are not read yet.
 func (c checker) router(r *Router) {
 	c.present("partner", string(r.Partner))
 	c.present("region", string(r.Region))
@@ -47,12 +48,14 @@
 	c.limits(r)
 }
 
+// trust checks the partners' public keys.
 func (c checker) trust(r *Router) {
 	if _, err := r.TrustedKeys(); err != nil {
 		c.add("trust.keys", err.Error(), `write public keys as "granitehoist keys partner" prints them`)
 	}
 }
 
+// limits checks the numbers and the level of the log.
 func (c checker) limits(r *Router) {
 	c.positive("limits.body_bytes", r.Limits.BodyBytes)
 	c.positive("limits.header_bytes", int64(r.Limits.HeaderBytes))
@@ -69,24 +72,29 @@
 	}
 }
 
+// present adds a fault if a name is empty or has a character that would be read
+// as a separator in the store's keys or in the log.
 func (c checker) present(key, value string) {
 	if value == "" || strings.ContainsAny(value, "/ \t\"") {
 		c.add(key, fmt.Sprintf("%q is not a name", value), "write a name without spaces, slashes and quotes")
 	}
 }
 
+// positive adds a fault if a value is zero or less.
 func (c checker) positive(key string, value int64) {
 	if value <= 0 {
 		c.add(key, "is not above zero", "use a value above zero, or leave it out")
 	}
 }
 
+// url adds a fault if a value is no http or https URL.
 func (c checker) url(key, value string) {
 	if !tomlfile.IsURL(value) {
 		c.add(key, fmt.Sprintf("%q is no address", value), `write it as "http://127.0.0.1:7000"`)
 	}
 }
 
+// address adds a fault if a value is no IP number and port.
 func (c checker) address(key, value string) {
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -36,10 +36,11 @@
 
 // Router is the settings of one router.
 type Router struct {
-	Partner granitehoist.Partner          `toml:"partner"`
-	Region  granitehoist.Region           `toml:"region"`
-	Zone    granitehoist.AvailabilityZone `toml:"place"`
-	Box     granitehoist.Box              `toml:"box"`
+	Partner granitehoist.Partner `toml:"partner"`
+	Region  granitehoist.Region  `toml:"region"`
+	// Zone is called place in settings files.
+	Zone granitehoist.AvailabilityZone `toml:"place"`
+	Box  granitehoist.Box              `toml:"box"`
 	// Store is the base URL of the platform's service.
 	Store  string  `toml:"store"`
 	Listen Listen  `toml:"listen"`
@@ -52,6 +53,7 @@
 
 // Listen holds the addresses that a router listens on, as IP number and port.
 type Listen struct {
+	// Callers is for requests, Peers for other routers and Admin for operators.
 	Callers string `toml:"callers"`
 	Peers   string `toml:"peers"`
 	Admin   string `toml:"admin"`
@@ -70,7 +72,8 @@
 // Split chooses how a partner's budgets are spread.
 type Split struct {
 	Partner granitehoist.Partner `toml:"partner"`
-	Weigh   budget.Weighting     `toml:"weigh"`
+	// Weigh is "refusals" or "overspend".
+	Weigh budget.Weighting `toml:"weigh"`
 	// Wait bounds how long a request waits for tokens; unset takes the
 	// weighting's.
 	Wait Duration `toml:"wait"`
@@ -78,8 +81,9 @@
 
 // Limits bound what one request may use. Unset values take the defaults.
 type Limits struct {
-	BodyBytes   int64    `toml:"body_bytes"`
-	HeaderBytes int      `toml:"header_bytes"`
+	BodyBytes   int64 `toml:"body_bytes"`
+	HeaderBytes int   `toml:"header_bytes"`
+	// ReadTimeout bounds the reading of a request.
 	ReadTimeout Duration `toml:"read_timeout"`
 	// Request bounds a request whose caller names no deadline.
 	Request Duration `toml:"request"`
@@ -88,17 +92,20 @@
 	// Unready is how long a stopping router goes on taking requests after it
 	// said that it is not ready, so that a balancer can leave it first.
 	Unready Duration `toml:"unready"`
-	// Bills bounds the unconfirmed charges.
+	// Bills bounds the number of unconfirmed charges; zero stands for
+	// bill.DefaultMost.
 	Bills int `toml:"bills"`
 }
 
 // Budget tunes the messages about budgets.
 type Budget struct {
 	// Shards must be the same on all routers.
-	Shards   int      `toml:"shards"`
+	Shards int `toml:"shards"`
+	// Interval is the time between a box's messages about budgets.
 	Interval Duration `toml:"interval"`
-	// Gather is how long a report that no request waits for is kept, so that
-	// one store write serves many boxes. A large fleet sets it to 10 s.
+	// Gather is how long a report that no request waits for may wait, so that
+	// one store write serves many boxes; zero does not gather. A large fleet sets
+	// it to 10 s (docs/CAPACITY.md).
 	Gather Duration `toml:"gather"`
 }
 
@@ -110,13 +117,22 @@
 
 // Defaults of unset values.
 const (
-	DefaultBodyBytes   = 4 << 20
+	// DefaultBodyBytes is 4 MiB. Chosen, not measured.
+	DefaultBodyBytes = 4 << 20
+	// DefaultHeaderBytes is 32 KiB. Chosen, not measured.
 	DefaultHeaderBytes = 32 << 10
+	// DefaultReadTimeout is chosen, not measured.
 	DefaultReadTimeout = Duration(10 * time.Second)
-	DefaultRequest     = Duration(5 * time.Minute)
-	DefaultDrain       = Duration(10 * time.Minute)
-	DefaultUnready     = Duration(3 * time.Second)
-	DefaultLevel       = "info"
+	// DefaultRequest is chosen, not measured.
+	DefaultRequest = Duration(5 * time.Minute)
+	// DefaultDrain is twice DefaultRequest, so that a stop waits for every request
+	// that names no deadline. Chosen, not measured.
+	DefaultDrain = Duration(10 * time.Minute)
+	// DefaultUnready is meant to be more than a balancer takes to see that a
+	// router is not ready. Chosen, not measured.
+	DefaultUnready = Duration(3 * time.Second)
+	// DefaultLevel leaves out what only debugging needs.
+	DefaultLevel = "info"
 )
 
 // Load reads a settings file and the files of keys that it names. It returns
@@ -131,16 +147,8 @@
 		return r, faults, nil
 	}
 	for i := range r.Trust {
-		t := &r.Trust[i]
-		for _, name := range t.Files {
-			if !filepath.IsAbs(name) {
-				name = filepath.Join(filepath.Dir(file), name)
-			}
-			key, err := os.ReadFile(name)
-			if err != nil {
-				return nil, nil, err
-			}
-			t.Keys = append(t.Keys, strings.TrimSpace(string(key)))
+		if err := r.Trust[i].readFiles(filepath.Dir(file)); err != nil {
+			return nil, nil, err
 		}
 	}
 	c := checker{tomlfile.NewChecker(file, text)}
@@ -148,6 +156,21 @@
 	return r, c.Faults(), nil
 }
 
+// readFiles adds the keys of the files to the keys. Relative paths begin at folder.
+func (t *Trust) readFiles(folder string) error {
+	for _, name := range t.Files {
+		if !filepath.IsAbs(name) {
+			name = filepath.Join(folder, name)
+		}
+		key, err := os.ReadFile(name)
+		if err != nil {
+			return err
+		}
+		t.Keys = append(t.Keys, strings.TrimSpace(string(key)))
+	}
+	return nil
+}
+
 // Parse reads the text of a settings file. file is used in faults only. It
 // returns all faults at once.
 func Parse(file string, text []byte) (*Router, tomlfile.Faults) {
@@ -161,6 +184,7 @@
 	return &r, c.Faults()
 }
 
+// setDefaults fills in the unset values.
 func (r *Router) setDefaults() {
 	defaults.Set(&r.Limits.BodyBytes, DefaultBodyBytes)
 	defaults.Set(&r.Limits.HeaderBytes, DefaultHeaderBytes)
@@ -189,12 +213,14 @@
 	return trust, nil
 }
 
-// SplitOf returns the split of a budget, by its partner's weighting.
+// SplitOf returns the split of a budget, by its partner's weighting. A partner
+// without a [[split]] table has the zero Split.
 func (r *Router) SplitOf(k granitehoist.BudgetID) budget.Split {
 	for _, s := range r.Splits {
 		if s.Partner != k.Partner() {
 			continue
 		}
+		// Parse has refused unknown weightings.
 		split, _ := budget.NewSplit(s.Weigh)
 		if s.Wait > 0 {
 			split.Wait = time.Duration(s.Wait)
