--- a/partner/bill/sender.go
+++ b/partner/bill/sender.go
@@ -94,23 +94,6 @@
 	return err
 }
 
-// Read returns all charges in the store, each once.
-func Read(ctx context.Context, s granitehoist.Store) ([]Charge, error) {
-	entries, _, err := s.List(ctx, KeyPrefix)
-	if err != nil {
-		return nil, err
-	}
-	segments := make([]Segment, 0, len(entries))
-	for _, e := range entries {
-		segment, err := DecodeSegment(e)
-		if err != nil {
-			return nil, err
-		}
-		segments = append(segments, segment)
-	}
-	return Merge(segments), nil
-}
-
 // ServeCollect serves MethodCollect.
 func (s *Sender) ServeCollect(ctx context.Context, p CollectParams) (CollectResult, error) {
 	b, err := p.Value()
