--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -5,8 +5,6 @@
 
 import (
 	"context"
-	"fmt"
-	"slices"
 	"sync"
 	"time"
 
@@ -33,37 +31,36 @@
 	// Interval is the time between messages; zero stands for
 	// DefaultInterval. A request that waits sends one at once.
 	Interval time.Duration
-	// Failed is told of errors; nil ignores them.
+	// Failed is called with each error; nil ignores them. Sync and Borrow are
+	// tried again with the next message.
 	Failed func(error)
 	// Shards is the number of shards; zero stands for DefaultShards.
 	Shards int
 }
 
-// DefaultInterval is the time between a box's messages to its keepers, and
-// waitingInterval the time while requests wait.
 const (
+	// DefaultInterval is the time between two looks at what the keepers should
+	// hear of. Chosen, not measured.
 	DefaultInterval = time.Second
+	// waitingInterval is that time while requests wait: a twentieth of
+	// DefaultWait, so that a waiting request is asked for several times. Chosen,
+	// not measured.
 	waitingInterval = 100 * time.Millisecond
 )
 
 // Agent keeps a Purse filled: it sends its messages to the keepers of the
 // region, acts as keeper itself if they can't be reached, and borrows from
-// other boxes while the store is away.
+// other boxes while the store does not answer. It is safe for concurrent use.
 type Agent struct {
 	settings AgentSettings
 	kick     chan struct{}
-	// running is held by a Step, so that Close comes after it.
+	// running is held during a Step and a Close, so that Close begins after the
+	// last Step. It guards unanswered.
 	running sync.Mutex
 	// unanswered are loans whose answers were lost.
 	unanswered []unansweredLoan
 }
 
-// unansweredLoan is a loan that the lender may have given.
-type unansweredLoan struct {
-	peer   granitehoist.Peer
-	budget granitehoist.BudgetID
-}
-
 // NewAgent returns an agent. It panics if a needed setting is missing.
 func NewAgent(s AgentSettings) *Agent {
 	if s.Purse == nil || s.Keeper == nil || s.Caller == nil || s.Holder == nil || s.Peers == nil || s.Clock == nil {
@@ -77,54 +74,7 @@
 	return &Agent{settings: s, kick: make(chan struct{}, 1)}
 }
 
-// Reserve sets bound tokens aside. If the box holds too few it waits for more
-// until the split's limit, or until ctx ends. Its errors are *Error with codes
-// BudgetExhausted, BudgetUnreachable and DeadlineTooNear; nothing is reserved
-// then.
-func (a *Agent) Reserve(ctx context.Context, k granitehoist.BudgetID, bound granitehoist.Tokens) error {
-	purse := a.settings.Purse
-	if purse.Reserve(k, bound) {
-		return nil
-	}
-	waiter := purse.Wait(k, bound, a.settings.Clock())
-	a.Kick()
-	timer := time.NewTimer(purse.split(k).Wait)
-	defer timer.Stop()
-	select {
-	case <-waiter.Done:
-	case <-timer.C:
-	case <-ctx.Done():
-	}
-	outcome := purse.Abandon(k, waiter, a.settings.Clock())
-	if purse.Busy() {
-		a.Kick()
-	}
-	return outcomeError(ctx, outcome, k)
-}
-
-func outcomeError(ctx context.Context, o Outcome, k granitehoist.BudgetID) error {
-	switch {
-	case o == Granted:
-		return nil
-	case o == Exhausted:
-		return granitehoist.Errorf(granitehoist.BudgetExhausted, "budget %s", k)
-	case ctx.Err() != nil:
-		return granitehoist.Errorf(granitehoist.DeadlineTooNear, "while waiting for tokens of budget %s", k)
-	}
-	e := granitehoist.Errorf(granitehoist.BudgetUnreachable, "budget %s", k)
-	e.RetryAfter = 5 * time.Second
-	return e
-}
-
-// Settle ends a reservation. What is left of a budget that runs low is given
-// back at once.
-func (a *Agent) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens) {
-	if a.settings.Purse.Settle(k, bound, used, a.settings.Clock()) {
-		a.Kick()
-	}
-}
-
-// Kick sends the next messages at once.
+// Kick makes Run send the next messages at once.
 func (a *Agent) Kick() {
 	select {
 	case a.kick <- struct{}{}:
@@ -160,18 +110,19 @@
 func (a *Agent) Step(ctx context.Context) {
 	a.running.Lock()
 	defer a.running.Unlock()
-	a.askAgain(ctx)
+	a.retryUnanswered(ctx)
 	now := a.settings.Clock()
 	asks, urgent := a.settings.Purse.Asks(now)
 	err := a.send(ctx, asks, SyncParams{Urgent: urgent}, now)
 	if err != nil {
+		// Nothing is lost: the asks hold totals, and the next round sends them.
 		a.settings.Failed(err)
 	}
 	a.borrow(ctx, err != nil)
 }
 
-// send sends asks to the keepers, shard by shard at the same time. params holds
-// what the messages have in common.
+// send sends asks to the keepers, to all shards at the same time, and returns the
+// first error. params holds what the messages have in common.
 func (a *Agent) send(ctx context.Context, asks []Ask, params SyncParams, now time.Time) error {
 	params.Box, params.Incarnation = a.settings.Box, a.settings.Purse.Incarnation()
 	byShard := map[Shard][]Ask{}
@@ -201,7 +152,9 @@
 	Params SyncParams `json:"params"`
 }
 
-// sync reaches the shard's keeper, or acts as keeper if that fails.
+// sync sends a message to the shard's keeper, or acts as keeper if that fails.
+// The error of the call is not reported: any router may act as keeper, and the
+// error of the own try says what is wrong with the store.
 func (a *Agent) sync(ctx context.Context, s Shard, params SyncParams, now time.Time) (SyncResult, error) {
 	if peer, ok := a.settings.Holder(s); ok {
 		result, err := a.call(ctx, peer, ShardSync{Shard: s, Params: params})
@@ -212,6 +165,7 @@
 	return a.settings.Keeper.Sync(ctx, s, params, now)
 }
 
+// call sends a message to another router.
 func (a *Agent) call(ctx context.Context, peer granitehoist.Peer, message ShardSync) (SyncResult, error) {
 	packed, err := pack.NewMessage(message)
 	if err != nil {
@@ -224,55 +178,7 @@
 	return result.Value()
 }
 
-// borrow asks the boxes that the keepers named, or all of the region if no
-// keeper could be reached, for what requests still wait for.
-func (a *Agent) borrow(ctx context.Context, unreachable bool) {
-	for _, k := range a.settings.Purse.Short() {
-		named := a.settings.Purse.Lenders(k)
-		for _, peer := range a.settings.Peers() {
-			if !unreachable && !slices.Contains(named, peer.Incarnation) {
-				continue
-			}
-			params, short := a.settings.Purse.Borrowing(k, peer.Incarnation)
-			if !short {
-				break
-			}
-			a.borrowFrom(ctx, peer, params)
-		}
-	}
-}
-
-// borrowFrom makes one call. If its answer is lost the lender may have
-// deducted tokens, which askAgain fetches.
-func (a *Agent) borrowFrom(ctx context.Context, peer granitehoist.Peer, params BorrowParams) {
-	var result BorrowResult
-	if err := a.settings.Caller.Call(ctx, peer, MethodBorrow, params, &result); err != nil {
-		a.settings.Failed(fmt.Errorf("budget: borrow from %s: %w", peer.Incarnation, err))
-		if len(a.unanswered) < maxUnanswered {
-			a.unanswered = append(a.unanswered, unansweredLoan{peer, params.Budget})
-		}
-		return
-	}
-	a.settings.Purse.Borrow(params.Budget, result)
-}
-
-// maxUnanswered bounds the loans that are asked for again.
-const maxUnanswered = 1000
-
-// askAgain asks lenders whose answers were lost what they have lent. A lender
-// that can't be reached is asked no more once it has left the view.
-func (a *Agent) askAgain(ctx context.Context) {
-	loans := a.unanswered
-	a.unanswered = nil
-	peers := a.settings.Peers()
-	for _, loan := range loans {
-		if slices.Contains(peers, loan.peer) {
-			a.borrowFrom(ctx, loan.peer, BorrowParams{Incarnation: a.settings.Purse.Incarnation(), Budget: loan.budget})
-		}
-	}
-}
-
-// ServeSync serves MethodSync.
+// ServeSync serves MethodSync for another router's agent.
 func (a *Agent) ServeSync(ctx context.Context, m pack.Message[ShardSync]) (pack.Message[SyncResult], error) {
 	s, err := m.Value()
 	if err != nil {
@@ -284,36 +190,3 @@
 	}
 	return pack.NewMessage(result)
 }
-
-// ServeBorrow serves MethodBorrow.
-func (a *Agent) ServeBorrow(_ context.Context, b BorrowParams) (BorrowResult, error) {
-	return a.settings.Purse.Lend(b, a.settings.Clock()), nil
-}
-
-// Tries of returning all tokens, and the time between them.
-const (
-	closeTries = 10
-	closePause = 100 * time.Millisecond
-)
-
-// Close returns all tokens to the pages. It is called when no reservation is
-// left. An error means that some are still recorded as held by this router.
-func (a *Agent) Close(ctx context.Context) error {
-	a.running.Lock()
-	defer a.running.Unlock()
-	a.settings.Purse.Close()
-	var err error
-	for range closeTries {
-		now := a.settings.Clock()
-		asks, _ := a.settings.Purse.Asks(now)
-		if err = a.send(ctx, asks, SyncParams{Closing: true, Urgent: true}, now); err == nil {
-			return nil
-		}
-		select {
-		case <-time.After(closePause):
-		case <-ctx.Done():
-			return err
-		}
-	}
-	return err
-}
--- a/partner/budget/page.go
+++ b/partner/budget/page.go
@@ -11,24 +11,25 @@
 )
 
 // seenStep is how much older, in seconds, a member's Seen may be than its last
-// report. Without it each report would change the page.
+// report. Without it each report would change the page. It equals reportInterval
+// and lies well below DoubtAfter. Chosen, not measured.
 const seenStep = 10
 
-// Hear takes the reports of a message into the page. It reports false if the
+// TakeReport takes the reports of a message into the page. It reports false if the
 // message is of an incarnation that has closed or that the page can't know:
 // one that speaks of grants this page never made.
-func (p *Page) Hear(s SyncParams, now time.Time) bool {
+func (p *Page) TakeReport(s SyncParams, now time.Time) bool {
 	if p.Members[s.Incarnation].Closed {
 		// The answer to the first closing message was lost.
 		return s.Closing
 	}
 	for _, ask := range s.Asks {
-		if !p.knows(s.Incarnation, ask) {
+		if !p.recognises(s.Incarnation, ask) {
 			return false
 		}
 	}
 	for _, ask := range s.Asks {
-		p.hear(s.Incarnation, ask)
+		p.takeAsk(s.Incarnation, ask)
 		if s.Closing {
 			p.takeBack(s.Incarnation, ask)
 		}
@@ -45,10 +46,10 @@
 	return true
 }
 
-// knows reports whether an ask can be of an incarnation in the state that the
-// page has of it. A message that outlived its incarnation's row would
-// otherwise be counted a second time.
-func (p *Page) knows(i granitehoist.Incarnation, ask Ask) bool {
+// recognises reports whether an ask fits what the page has of its incarnation: it
+// names no grant that the page did not make. A message that arrives after its
+// incarnation's row was removed would otherwise be counted a second time.
+func (p *Page) recognises(i granitehoist.Incarnation, ask Ask) bool {
 	var granted granitehoist.Tokens
 	if a, ok := p.Accounts[ask.Budget]; ok {
 		granted = a.Rows[i].Totals.Granted
@@ -56,7 +57,8 @@
 	return ask.Totals.Granted <= granted
 }
 
-func (p *Page) hear(i granitehoist.Incarnation, ask Ask) {
+// takeAsk takes the report of one budget into the page.
+func (p *Page) takeAsk(i granitehoist.Incarnation, ask Ask) {
 	a := p.account(ask.Budget)
 	row := a.Rows[i]
 	row.Totals = row.Totals.merge(ask.Totals)
@@ -67,8 +69,8 @@
 	a.Rows[i] = row
 }
 
-// takeBack undoes grants that an incarnation has not seen when it closed, and
-// will not take in any more.
+// takeBack undoes grants that an incarnation had not seen when it closed. A closed
+// purse takes in no grant.
 func (p *Page) takeBack(i granitehoist.Incarnation, ask Ask) {
 	a := p.account(ask.Budget)
 	row := a.Rows[i]
@@ -76,6 +78,7 @@
 	a.Rows[i] = row
 }
 
+// account returns the page's account of a budget, a new one at the first call.
 func (p *Page) account(k granitehoist.BudgetID) *PageAccount {
 	a, ok := p.Accounts[k]
 	if !ok {
@@ -110,6 +113,7 @@
 	}
 }
 
+// plus returns the sum of each total.
 func (t Totals) plus(u Totals) Totals {
 	return Totals{
 		Granted:  t.Granted + u.Granted,
@@ -121,7 +125,8 @@
 }
 
 // Grant divides the stock of one budget among the asks about it and raises the
-// grants of their rows. The asks must have been heard.
+// grants of their rows. TakeReport must have taken in the asks before. A grant is
+// given only once the page is written.
 func (p *Page) Grant(k granitehoist.BudgetID, asks map[granitehoist.Incarnation]Ask, split Split, now time.Time) map[granitehoist.Incarnation]Reply {
 	a := p.account(k)
 	ids := sorted(asks)
@@ -137,12 +142,12 @@
 	}
 	left := live + a.Elsewhere + a.Sent - a.Confirmed
 	quiet := min(quietShare(left, len(a.Rows)), share/granitehoist.Tokens(max(1, len(a.Rows))))
-	allot(claims, a.Stock(), share, rate, quiet, split.withDefaults())
+	allot(claims, supply{stock: a.Stock(), total: share, rate: rate, quiet: quiet}, split.withDefaults())
 	replies := make(map[granitehoist.Incarnation]Reply, len(ids))
 	for n, id := range ids {
 		row := a.Rows[id]
-		row.Totals.Granted += claims[n].give
-		row.Need = max(0, row.Need-claims[n].give)
+		row.Totals.Granted += claims[n].grant
+		row.Need = max(0, row.Need-claims[n].grant)
 		row.Least = min(row.Need, row.Least)
 		a.Rows[id] = row
 		replies[id] = Reply{Budget: k, Granted: row.Totals.Granted, Target: claims[n].limit, Left: left}
@@ -153,7 +158,8 @@
 	return replies
 }
 
-// maxLenders bounds the lenders that a reply names.
+// maxLenders bounds the lenders that a reply names, and so the calls that a box
+// makes for one budget. Chosen, not measured.
 const maxLenders = 3
 
 // withLenders names the incarnations other than the asker that hold most.
@@ -173,13 +179,13 @@
 // claimOf states an ask as additions to what the row has been granted.
 func (a *PageAccount) claimOf(row Row, ask Ask) *claim {
 	return &claim{
-		held:    row.Totals.Held(),
-		need:    max(0, ask.Need-row.Totals.Granted),
-		least:   max(0, ask.Least-row.Totals.Granted),
-		want:    max(0, ask.Want-row.Totals.Granted),
-		rate:    row.Rate,
-		largest: row.Largest,
-		each:    row.Largest,
+		held:       row.Totals.Held(),
+		need:       max(0, ask.Need-row.Totals.Granted),
+		least:      max(0, ask.Least-row.Totals.Granted),
+		want:       max(0, ask.Want-row.Totals.Granted),
+		rate:       row.Rate,
+		largest:    row.Largest,
+		largestSum: row.Largest,
 	}
 }
 
@@ -197,25 +203,27 @@
 	return total, rate
 }
 
-// RegionAsk is what a region reports to the root of one budget, and wishes.
+// RegionAsk is what a region reports to the root about one budget and asks of it.
 type RegionAsk struct {
 	Budget granitehoist.BudgetID
-	// Received and Back are the totals that the page has seen of what the
-	// root gave, and has given back.
-	Received, Back granitehoist.Tokens
-	Spent          granitehoist.Tokens
-	Live           granitehoist.Tokens
-	Rate           float64
-	// Largest is the largest bound of a request, and Each the sum of the largest
+	// Received is the total that the page has seen of what the root gave, and
+	// Returned the total that it has given back.
+	Received, Returned granitehoist.Tokens
+	// Spent is the region's total of charges, and Live what it has that is not in
+	// doubt.
+	Spent, Live granitehoist.Tokens
+	// Rate is the region's forecast in tokens a second.
+	Rate float64
+	// Largest is the largest bound of a request, and LargestSum the sum of the largest
 	// of every box.
-	Largest, Each granitehoist.Tokens
+	Largest, LargestSum granitehoist.Tokens
 	// Least, Need and Want are additions to what the region has.
 	Least, Need, Want granitehoist.Tokens
 }
 
-// Ask states what the region has of a budget and wishes from the root. What is
-// in stock beyond the root's limit is deducted after the statement is made: the
-// root may hear of it only once the page is written.
+// Ask returns what the region has of a budget and asks of the root. It deducts the
+// stock beyond the root's limit after it has made the report: the root may hear
+// of that only once the page is written.
 func (p *Page) Ask(k granitehoist.BudgetID, split Split, now time.Time) RegionAsk {
 	a := p.account(k)
 	live, rate := p.live(a, now)
@@ -224,7 +232,7 @@
 		row := a.Rows[id]
 		ask.Need += row.Need
 		ask.Largest = max(ask.Largest, row.Largest)
-		ask.Each += row.Largest
+		ask.LargestSum += row.Largest
 		if row.Least > 0 && (ask.Least == 0 || row.Least < ask.Least) {
 			ask.Least = row.Least
 		}
@@ -234,26 +242,17 @@
 	ask.Need = max(0, ask.Need-stock)
 	ask.Least = min(ask.Need, max(0, ask.Least-stock))
 	ask.Live = live
-	ask.Received, ask.Back = a.Received, a.Sent
-	wish := max(tokensFor(rate, 2*split.withDefaults().Cover), quietRequests*ask.Each)
-	ask.Want = max(ask.Need, wish-ask.Live)
+	ask.Received, ask.Returned = a.Received, a.Sent
+	target := max(tokensFor(rate, split.withDefaults().forRegions().Cover), quietRequests*ask.LargestSum)
+	ask.Want = max(ask.Need, target-ask.Live)
 	if ask.Need == 0 || stock < least {
-		a.giveBack(live)
+		a.returnSurplus(live)
 	}
 	return ask
 }
 
-// giveBack returns stock beyond the root's limit, in steps that are worth a
-// write: a sixteenth of what the region has.
-func (a *PageAccount) giveBack(live granitehoist.Tokens) {
-	surplus := min(a.Stock(), live-a.Limit)
-	if surplus > live/16 {
-		a.Sent += surplus
-	}
-}
-
-// returning reports whether tokens were given back that the root has not heard
-// of.
+// returning reports whether tokens were given back that the root has not
+// confirmed.
 func (p *Page) returning() bool {
 	for _, a := range p.Accounts {
 		if a.Sent > a.Confirmed {
@@ -263,11 +262,11 @@
 	return false
 }
 
-// Take takes the root's answer into the page.
-func (p *Page) Take(r RegionReply, now time.Time) {
+// TakeReply takes the root's answer into the page.
+func (p *Page) TakeReply(r RegionReply, now time.Time) {
 	a := p.account(r.Budget)
-	a.Told = now.Unix()
-	a.Confirmed = max(a.Confirmed, r.Back)
+	a.ReportedAt = now.Unix()
+	a.Confirmed = max(a.Confirmed, r.Returned)
 	a.Received = max(a.Received, r.Given)
 	a.Limit = r.Limit
 	a.Elsewhere = r.Elsewhere
--- a/partner/budget/purse.go
+++ b/partner/budget/purse.go
@@ -24,43 +24,12 @@
 
 // PurseSettings configure a Purse.
 type PurseSettings struct {
-	// Incarnation is the id of this run of the router.
+	// Incarnation is the id of this run of the router. It must be set.
 	Incarnation granitehoist.Incarnation
 	// Split returns the split of a budget; nil stands for the zero Split.
 	Split func(granitehoist.BudgetID) Split
 }
 
-type account struct {
-	totals   Totals
-	reserved granitehoist.Tokens
-	// target is the last one told by the Keeper; told is false before that.
-	target granitehoist.Tokens
-	told   bool
-	// changed is set when the Keeper has to hear of the account.
-	changed bool
-	// heard is when the Keeper last heard of the account.
-	heard time.Time
-	// left is what the whole budget had left, as told at leftAt.
-	left   granitehoist.Tokens
-	leftAt time.Time
-	// lenders are the boxes that the Keeper last named.
-	lenders  []granitehoist.Incarnation
-	spending forecast
-	largest  granitehoist.Tokens
-	waiters  []*Waiter
-	lent     map[granitehoist.Incarnation]granitehoist.Tokens
-	borrowed map[granitehoist.Incarnation]granitehoist.Tokens
-}
-
-// Waiter is a request that waits for tokens. Done is closed when they are
-// reserved for it or when the budget is known to have too few.
-type Waiter struct {
-	Done    chan struct{}
-	bound   granitehoist.Tokens
-	ended   bool
-	granted bool
-}
-
 // NewPurse returns an empty purse. It panics if the settings have no
 // incarnation.
 func NewPurse(s PurseSettings) *Purse {
@@ -81,8 +50,7 @@
 // Incarnation returns the incarnation that owns the purse.
 func (p *Purse) Incarnation() granitehoist.Incarnation { return p.incarnation }
 
-func (a *account) free() granitehoist.Tokens { return a.totals.Held() - a.reserved }
-
+// account returns the account of a budget, a new one at the first call.
 func (p *Purse) account(k granitehoist.BudgetID) *account {
 	a, ok := p.accounts[k]
 	if !ok {
@@ -92,9 +60,9 @@
 	return a
 }
 
-// Reserve sets bound tokens of a budget aside, and reports whether the box
-// holds that many. It panics if bound is negative. Each successful Reserve is
-// to be followed by one Settle.
+// Reserve sets bound tokens of a budget aside, and reports whether the box has
+// that many free. It panics if bound is negative. One Settle must follow each
+// successful Reserve.
 func (p *Purse) Reserve(k granitehoist.BudgetID, bound granitehoist.Tokens) bool {
 	mustNotBeNegative(bound)
 	p.mu.Lock()
@@ -102,92 +70,12 @@
 	return p.account(k).reserve(bound)
 }
 
-func (a *account) reserve(bound granitehoist.Tokens) bool {
-	if a.free() < bound {
-		return false
-	}
-	a.reserved += bound
-	return true
-}
-
-// leftFresh is how long the Keeper's word that a budget has too few tokens is
-// taken for true without asking again.
-const leftFresh = time.Second
-
-// Wait reserves as Reserve does, or enters a Waiter that ends when tokens
-// arrive or when the budget is known to have too few. The caller ends the wait
-// with Abandon.
-func (p *Purse) Wait(k granitehoist.BudgetID, bound granitehoist.Tokens, now time.Time) *Waiter {
-	mustNotBeNegative(bound)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	w := &Waiter{Done: make(chan struct{}), bound: bound}
-	a := p.account(k)
-	switch {
-	case a.reserve(bound):
-		w.end(true)
-	case a.told && bound > a.left && now.Sub(a.leftAt) < leftFresh:
-		w.end(false)
-	default:
-		a.waiters = append(a.waiters, w)
-		a.largest = max(a.largest, bound)
-		a.changed = true
-	}
-	return w
-}
-
-func (w *Waiter) end(granted bool) {
-	w.ended = true
-	w.granted = granted
-	close(w.Done)
-}
-
-// Outcome tells how a wait ended.
-type Outcome int
-
-// The outcomes of a wait.
-const (
-	// Granted says that the tokens are reserved and are to be settled.
-	Granted Outcome = iota
-	// Exhausted says that the budget has too few tokens left.
-	Exhausted
-	// Unreachable says that no answer came while the request waited.
-	Unreachable
-)
-
-// Abandon ends a wait and returns its outcome.
-func (p *Purse) Abandon(k granitehoist.BudgetID, w *Waiter, now time.Time) Outcome {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a := p.account(k)
-	switch {
-	case w.ended && w.granted:
-		return Granted
-	case w.ended:
-		return Exhausted
-	}
-	a.drop(w)
-	if a.told && now.Sub(a.leftAt) < p.split(k).Wait {
-		return Exhausted
-	}
-	return Unreachable
-}
-
-func (a *account) drop(w *Waiter) {
-	for i, other := range a.waiters {
-		if other == w {
-			a.waiters = append(a.waiters[:i], a.waiters[i+1:]...)
-			return
-		}
-	}
-}
-
 // Settle ends a reservation of bound tokens with the use that the upstream
 // reported. If used is larger than bound the whole use is charged, and the
-// box's free tokens may be below zero until more arrive. It reports whether the
-// box now has tokens to give back that others may wait for. It panics if there
+// box's free tokens may be below zero until more arrive. urgent reports whether
+// the box now has tokens to give back that others may wait for. It panics if there
 // is no such reservation or if used is negative.
-func (p *Purse) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens, now time.Time) (hurry bool) {
+func (p *Purse) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens, now time.Time) (urgent bool) {
 	mustNotBeNegative(used)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -197,70 +85,33 @@
 	}
 	a.reserved -= bound
 	a.totals.Spent += used
-	a.spending.add(used, now)
-	a.largest = max(a.largest, bound)
+	a.demand.spending.add(used, now)
+	a.demand.largest = max(a.demand.largest, bound)
 	a.changed = true
 	a.wake()
 	return a.hasIdle()
 }
 
-// wake reserves for each waiter that fits, in the order of arrival.
-func (a *account) wake() {
-	kept := a.waiters[:0]
-	for _, w := range a.waiters {
-		if a.reserve(w.bound) {
-			w.end(true)
-			continue
-		}
-		kept = append(kept, w)
-	}
-	clear(a.waiters[len(kept):])
-	a.waiters = kept
-}
-
-// refuse ends the waits that the whole budget can't serve.
-func (a *account) refuse() {
-	kept := a.waiters[:0]
-	for _, w := range a.waiters {
-		if w.bound > a.left {
-			w.end(false)
-			continue
-		}
-		kept = append(kept, w)
-	}
-	clear(a.waiters[len(kept):])
-	a.waiters = kept
-}
-
-// waiting returns the sum of the bounds that requests wait for.
-func (a *account) waiting() granitehoist.Tokens {
-	var sum granitehoist.Tokens
-	for _, w := range a.waiters {
-		sum += w.bound
-	}
-	return sum
-}
-
 // Busy reports whether requests wait for tokens, here or elsewhere, that the
 // next messages may bring.
 func (p *Purse) Busy() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range p.accounts {
-		if len(a.waiters) > 0 || a.hasIdle() {
+		if len(a.demand.waiters) > 0 || a.hasIdle() {
 			return true
 		}
 	}
 	return false
 }
 
-// Short returns the budgets for which requests wait.
-func (p *Purse) Short() []granitehoist.BudgetID {
+// Waiting returns the budgets for which requests wait.
+func (p *Purse) Waiting() []granitehoist.BudgetID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var short []granitehoist.BudgetID
 	for k, a := range p.accounts {
-		if len(a.waiters) > 0 {
+		if len(a.demand.waiters) > 0 {
 			short = append(short, k)
 		}
 	}
@@ -268,9 +119,9 @@
 	return short
 }
 
-// Close makes the following Asks return everything that is free. From then on
-// the purse takes in no grant and no loan, so that the page can take back what
-// it granted and the purse has not seen.
+// Close makes the following Asks return everything that is free. After it the
+// purse takes in no grant and no loan, so that the page can take back what it
+// granted and the purse has not seen.
 func (p *Purse) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -285,11 +136,14 @@
 	Totals   Totals
 	Reserved granitehoist.Tokens
 	Free     granitehoist.Tokens
-	Waiting  int
-	Rate     float64
+	// Waiting is the number of requests that wait for tokens.
+	Waiting int
+	// Rate is the forecast in tokens a second.
+	Rate float64
 }
 
-// State returns the state of one budget.
+// State returns the state of one budget, the zero State if the box has none of
+// it.
 func (p *Purse) State(k granitehoist.BudgetID, now time.Time) State {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -297,9 +151,10 @@
 	if !ok {
 		return State{}
 	}
-	return State{Totals: a.totals, Reserved: a.reserved, Free: a.free(), Waiting: len(a.waiters), Rate: a.spending.rate(now)}
+	return State{Totals: a.totals, Reserved: a.reserved, Free: a.free(), Waiting: len(a.demand.waiters), Rate: a.demand.spending.rate(now)}
 }
 
+// mustNotBeNegative panics on an amount that only a fault of the program brings.
 func mustNotBeNegative(t granitehoist.Tokens) {
 	if t < 0 {
 		panic("budget: negative amount")
--- a/partner/config/document.go
+++ b/partner/config/document.go
@@ -4,20 +4,11 @@
 package config
 
 import (
-	"bytes"
-	"encoding/hex"
-	"fmt"
-	"net/url"
-	"regexp"
-	"strings"
-
-	"github.com/pelletier/go-toml/v2"
-
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/partner/policy"
+	"granitehoist.example/granitehoist/internal/tomlfile"
 )
 
-// Document is what the operators of one partner decide.
+// Document is what the operators of one partner decide, as they write it in TOML.
 type Document struct {
 	Partner    granitehoist.Partner `toml:"partner"`
 	Services   []Service            `toml:"service"`
@@ -28,248 +19,23 @@
 	Policies   []Policy             `toml:"policy"`
 }
 
-// Kind tells which protocol a service speaks.
-type Kind string
-
-// The kinds of services.
-const (
-	// KindEngine is a model engine that speaks the OpenAI-compatible protocol.
-	KindEngine Kind = "engine"
-	// KindPlain is any other HTTP service.
-	KindPlain Kind = "plain"
-)
-
-// Service is a group of upstreams of one kind.
-type Service struct {
-	Name granitehoist.Service `toml:"name"`
-	Kind Kind                 `toml:"kind"`
-	// Models lists what an engine service offers.
-	Models []granitehoist.Model `toml:"models"`
-	// MaxOutput bounds the output tokens of one answer; DefaultOutput is taken
-	// where the caller gives none. Both are for engines only.
-	MaxOutput     granitehoist.Tokens `toml:"max_output"`
-	DefaultOutput granitehoist.Tokens `toml:"default_output"`
-	// Price is what one call of a plain service costs.
-	Price granitehoist.Tokens `toml:"price"`
-	// Once says that every call of a plain service but GET, HEAD and OPTIONS
-	// is not to be repeated, whether the caller marks it or not.
-	Once bool `toml:"once"`
-}
-
-// Upstream is one back end.
-type Upstream struct {
-	Name    granitehoist.Upstream         `toml:"name"`
-	Service granitehoist.Service          `toml:"service"`
-	Zone    granitehoist.AvailabilityZone `toml:"place"`
-	Address string                        `toml:"address"`
-	// Box, if set, is the upstream's name in the platform's list of boxes.
-	Box granitehoist.Box `toml:"box"`
-	// Concurrency bounds the requests that one router has in progress there;
-	// zero stands for DefaultConcurrency.
-	Concurrency int `toml:"concurrency"`
-}
-
-// DefaultConcurrency is used for an upstream that names no bound.
-const DefaultConcurrency = 32
-
-// Workspace is a customer.
-type Workspace struct {
-	Name granitehoist.Workspace `toml:"name"`
-}
-
-// Key lets a caller act for a workspace. Only the hash of the key is kept.
-type Key struct {
-	Workspace granitehoist.Workspace `toml:"workspace"`
-	// Budget names the budget that pays when the caller names none.
-	Budget string `toml:"budget"`
-	// SHA256 is the hexadecimal SHA-256 of the key.
-	SHA256 string `toml:"sha256"`
-}
-
-// Budget is prepaid tokens of a workspace.
-type Budget struct {
-	Workspace granitehoist.Workspace `toml:"workspace"`
-	Name      string                 `toml:"name"`
-	// Tokens is the total ever prepaid; a top-up raises it.
-	Tokens granitehoist.Tokens `toml:"tokens"`
-}
-
-// Use tells which requests a policy is for.
-type Use string
-
-// The uses of a policy.
-const (
-	// UseOwn is for requests of the partner's own workspaces, on any capacity.
-	UseOwn Use = "own"
-	// UseLend is for requests of other partners' workspaces on the partner's
-	// capacity.
-	UseLend Use = "lend"
-)
-
-// Policy is the source of a policy and its use.
-type Policy struct {
-	Name     string `toml:"name"`
-	Use      Use    `toml:"use"`
-	Permit   string `toml:"permit"`
-	Priority string `toml:"priority"`
-}
-
-// Fault is one thing wrong with a document or a settings file.
-type Fault struct {
-	// File is the path as it was given.
-	File string
-	// Line counts from 1; zero where it is not known.
-	Line int
-	// Key is the table and key, such as "budget[2].tokens".
-	Key string
-	// Reason says what is wrong and Remedy what to write instead.
-	Reason string
-	Remedy string
-}
-
-// String returns one line with all parts.
-func (f Fault) String() string {
-	where := f.File
-	if f.Line > 0 {
-		where = fmt.Sprintf("%s:%d", f.File, f.Line)
-	}
-	return fmt.Sprintf("%s: %s: %s; %s", where, f.Key, f.Reason, f.Remedy)
-}
-
-// Faults is all that is wrong with a file.
-type Faults []Fault
-
-// Error returns one line a fault.
-func (f Faults) Error() string {
-	lines := make([]string, len(f))
-	for i, fault := range f {
-		lines[i] = fault.String()
-	}
-	return strings.Join(lines, "\n")
-}
-
-// Parse reads a document. file is used in faults only. It returns all faults
-// at once, as Faults; the document is then not to be used.
+// Parse reads a document. file is used in faults only. Its error is of type
+// tomlfile.Faults and holds all faults of the document.
 func Parse(file string, text []byte) (*Document, error) {
 	var d Document
-	if faults := Decode(file, text, &d); len(faults) > 0 {
+	if faults := tomlfile.Decode(file, text, &d); len(faults) > 0 {
 		return nil, faults
 	}
-	c := checker{file: file, text: text}
+	c := checker{tomlfile.NewChecker(file, text)}
 	c.document(&d)
-	if len(c.faults) > 0 {
-		return nil, c.faults
+	if faults := c.Faults(); len(faults) > 0 {
+		return nil, faults
 	}
 	return &d, nil
 }
 
-// Decode reads TOML strictly into target, and returns a fault for each key
-// that target does not have, or one for text that is not TOML.
-func Decode(file string, text []byte, target any) Faults {
-	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	err := decoder.Decode(target)
-	if err == nil {
-		return nil
-	}
-	return decodeFaults(file, err)
-}
-
-func decodeFaults(file string, err error) Faults {
-	if strict, ok := err.(*toml.StrictMissingError); ok {
-		var faults Faults
-		for i := range strict.Errors {
-			e := &strict.Errors[i]
-			line, _ := e.Position()
-			faults = append(faults, Fault{File: file, Line: line, Key: strings.Join(e.Key(), "."), Reason: "no such key", Remedy: "remove it or correct its spelling"})
-		}
-		return faults
-	}
-	if e, ok := err.(*toml.DecodeError); ok {
-		line, _ := e.Position()
-		key := strings.Join(e.Key(), ".")
-		if key == "" {
-			key = "(file)"
-		}
-		return Faults{{File: file, Line: line, Key: key, Reason: e.Error(), Remedy: "write it as TOML of the right type"}}
-	}
-	return Faults{{File: file, Key: "(file)", Reason: err.Error(), Remedy: "write it as TOML"}}
-}
-
-type checker struct {
-	file   string
-	text   []byte
-	faults Faults
-}
-
-// add records a fault in the index-th table named table.
-func (c *checker) add(table string, index int, key, reason, remedy string) {
-	path := key
-	if table != "" {
-		path = fmt.Sprintf("%s[%d].%s", table, index, key)
-	}
-	c.faults = append(c.faults, Fault{File: c.file, Line: c.line(table, index, key), Key: path, Reason: reason, Remedy: remedy})
-}
-
-// line finds the line of a key in the index-th [[table]], the line of the
-// table's heading if the key is not written, or zero.
-func (c *checker) line(table string, index int, key string) int {
-	heading := "[[" + table + "]]"
-	seen, found := -1, 0
-	if table == "" {
-		seen, index = 0, 0
-	}
-	for i, raw := range strings.Split(string(c.text), "\n") {
-		text := strings.TrimSpace(raw)
-		if strings.HasPrefix(text, "[") {
-			if seen == index && found > 0 {
-				return found
-			}
-			if text == heading {
-				seen++
-				if seen == index {
-					found = i + 1
-				}
-			}
-			continue
-		}
-		name, _, ok := strings.Cut(text, "=")
-		if ok && seen == index && strings.TrimSpace(name) == key {
-			return i + 1
-		}
-	}
-	return found
-}
-
-var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
-
-const (
-	nameReason = "is not a name"
-	nameRemedy = "use 1 to 63 of a-z, 0-9, dot, dash and underscore, a letter or digit first"
-	// MaxTokens bounds the amounts that a document may name, so that sums of
-	// all budgets stay far from overflow.
-	MaxTokens granitehoist.Tokens = 1 << 50
-)
-
-func (c *checker) name(table string, index int, key, value string) {
-	if !namePattern.MatchString(value) {
-		c.add(table, index, key, fmt.Sprintf("%q %s", value, nameReason), nameRemedy)
-	}
-}
-
-func (c *checker) unique(seen map[string]bool, table string, index int, key, value string) {
-	if seen[value] {
-		c.add(table, index, key, fmt.Sprintf("%q stands twice", value), "give each its own name")
-	}
-	seen[value] = true
-}
-
-func (c *checker) tokens(table string, index int, key string, value, least granitehoist.Tokens) {
-	if value < least || value > MaxTokens {
-		c.add(table, index, key, fmt.Sprintf("%d is out of range", value), fmt.Sprintf("use %d to %d", least, MaxTokens))
-	}
-}
-
-func (c *checker) document(d *Document) {
+// document checks the parts of a document in the order of what they refer to.
+func (c checker) document(d *Document) {
 	c.name("", 0, "partner", string(d.Partner))
 	services := c.services(d)
 	c.upstreams(d, services)
@@ -282,104 +48,3 @@
 	c.keys(d, workspaces, budgets)
 	c.policies(d)
 }
-
-func (c *checker) services(d *Document) map[string]bool {
-	services := map[string]bool{}
-	models := map[string]bool{}
-	for i, s := range d.Services {
-		c.name("service", i, "name", string(s.Name))
-		c.unique(services, "service", i, "name", string(s.Name))
-		switch s.Kind {
-		case KindEngine:
-			c.engine(i, s, models)
-		case KindPlain:
-			c.tokens("service", i, "price", s.Price, 0)
-		default:
-			c.add("service", i, "kind", fmt.Sprintf("%q is no kind", s.Kind), `use "engine" or "plain"`)
-		}
-	}
-	return services
-}
-
-func (c *checker) engine(i int, s Service, models map[string]bool) {
-	if len(s.Models) == 0 {
-		c.add("service", i, "models", "an engine service offers no model", "name at least one model")
-	}
-	for _, m := range s.Models {
-		c.unique(models, "service", i, "models", string(m))
-	}
-	c.tokens("service", i, "max_output", s.MaxOutput, 1)
-	c.tokens("service", i, "default_output", s.DefaultOutput, 1)
-	if s.DefaultOutput > s.MaxOutput {
-		c.add("service", i, "default_output", "is larger than max_output", "lower it or raise max_output")
-	}
-}
-
-func (c *checker) upstreams(d *Document, services map[string]bool) {
-	seen := map[string]bool{}
-	for i, u := range d.Upstreams {
-		c.name("upstream", i, "name", string(u.Name))
-		c.unique(seen, "upstream", i, "name", string(u.Name))
-		if !services[string(u.Service)] {
-			c.add("upstream", i, "service", fmt.Sprintf("no service %q in this document", u.Service), "name one of its services")
-		}
-		address, err := url.Parse(u.Address)
-		if err != nil || address.Host == "" || (address.Scheme != "http" && address.Scheme != "https") {
-			c.add("upstream", i, "address", fmt.Sprintf("%q is no address", u.Address), `write it as "http://127.0.0.1:9001"`)
-		}
-		if u.Concurrency < 0 {
-			c.add("upstream", i, "concurrency", "is negative", "use 1 or more, or leave it out")
-		}
-	}
-}
-
-func (c *checker) budgets(d *Document, workspaces map[string]bool) map[string]bool {
-	budgets := map[string]bool{}
-	for i, b := range d.Budgets {
-		c.name("budget", i, "name", b.Name)
-		if !workspaces[string(b.Workspace)] {
-			c.add("budget", i, "workspace", fmt.Sprintf("no workspace %q in this document", b.Workspace), "name one of its workspaces")
-		}
-		c.unique(budgets, "budget", i, "name", string(b.Workspace)+"/"+b.Name)
-		c.tokens("budget", i, "tokens", b.Tokens, 0)
-	}
-	return budgets
-}
-
-const sha256Bytes = 32
-
-func (c *checker) keys(d *Document, workspaces, budgets map[string]bool) {
-	seen := map[string]bool{}
-	for i, k := range d.Keys {
-		if !workspaces[string(k.Workspace)] {
-			c.add("key", i, "workspace", fmt.Sprintf("no workspace %q in this document", k.Workspace), "name one of its workspaces")
-		}
-		if !budgets[string(k.Workspace)+"/"+k.Budget] {
-			c.add("key", i, "budget", fmt.Sprintf("workspace %q has no budget %q", k.Workspace, k.Budget), "name one of its budgets")
-		}
-		raw, err := hex.DecodeString(k.SHA256)
-		if err != nil || len(raw) != sha256Bytes {
-			c.add("key", i, "sha256", "is no SHA-256", "write the 64 hexadecimal digits that \"granitehoist keys caller\" prints")
-		}
-		c.unique(seen, "key", i, "sha256", strings.ToLower(k.SHA256))
-	}
-}
-
-func (c *checker) policies(d *Document) {
-	seen := map[string]bool{}
-	for i, p := range d.Policies {
-		c.name("policy", i, "name", p.Name)
-		c.unique(seen, "policy", i, "name", p.Name)
-		if p.Use != UseOwn && p.Use != UseLend {
-			c.add("policy", i, "use", fmt.Sprintf("%q is no use", p.Use), `use "own" or "lend"`)
-		}
-		_, err := policy.New(p.source())
-		if fault, ok := err.(*policy.Fault); ok {
-			c.add("policy", i, fault.Program, fault.Reason, "correct the program; docs/OPERATIONS.md lists its inputs")
-		}
-	}
-}
-
-func (p Policy) source() policy.Source {
-	return policy.Source{Name: p.Name, Permit: p.Permit, Priority: p.Priority}
-}
--- /dev/null
+++ b/partner/settings/check.go
@@ -0,0 +1,103 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package settings
+
+import (
+	"fmt"
+	"net"
+	"strings"
+
+	"granitehoist.example/granitehoist/internal/tomlfile"
+	"granitehoist.example/granitehoist/partner/budget"
+)
+
+// checker checks settings that were decoded, and collects their faults.
+type checker struct {
+	*tomlfile.Checker
+}
+
+// add records a fault of a key, written as "table.name" or "name".
+func (c checker) add(key, reason, remedy string) {
+	k := tomlfile.Key{Name: key}
+	if at := strings.LastIndex(key, "."); at >= 0 {
+		k = tomlfile.Key{Table: key[:at], Index: tomlfile.AnyTable, Name: key[at+1:]}
+	}
+	c.Add(k, reason, remedy)
+}
+
+// router checks all settings. The keys in files are not read yet.
+func (c checker) router(r *Router) {
+	c.present("partner", string(r.Partner))
+	c.present("region", string(r.Region))
+	c.present("place", string(r.Zone))
+	c.present("box", string(r.Box))
+	c.url("store", r.Store)
+	c.address("listen.callers", r.Listen.Callers)
+	c.address("listen.peers", r.Listen.Peers)
+	c.address("listen.admin", r.Listen.Admin)
+	c.trust(r)
+	if len(r.Trust) == 0 {
+		c.add("trust.keys", "no partner is trusted", "add a [[trust]] table for each partner")
+	}
+	for _, s := range r.Splits {
+		if _, ok := budget.NewSplit(s.Weigh); !ok {
+			c.add("split.weigh", fmt.Sprintf("%q is no weighting", s.Weigh), `use "refusals" or "overspend"`)
+		}
+	}
+	c.limits(r)
+}
+
+// trust checks the partners' public keys.
+func (c checker) trust(r *Router) {
+	if _, err := r.TrustedKeys(); err != nil {
+		c.add("trust.keys", err.Error(), `write public keys as "granitehoist keys partner" prints them`)
+	}
+}
+
+// limits checks the numbers and the level of the log.
+func (c checker) limits(r *Router) {
+	c.positive("limits.body_bytes", r.Limits.BodyBytes)
+	c.positive("limits.header_bytes", int64(r.Limits.HeaderBytes))
+	c.positive("limits.read_timeout", int64(r.Limits.ReadTimeout))
+	c.positive("limits.request", int64(r.Limits.Request))
+	c.positive("limits.drain", int64(r.Limits.Drain))
+	c.positive("limits.unready", int64(r.Limits.Unready))
+	c.positive("budget.shards", int64(r.Budget.Shards))
+	c.positive("budget.interval", int64(r.Budget.Interval))
+	switch r.Log.Level {
+	case "debug", "info", "warn", "error":
+	default:
+		c.add("log.level", fmt.Sprintf("%q is no level", r.Log.Level), `use "debug", "info", "warn" or "error"`)
+	}
+}
+
+// present adds a fault if a name is empty or has a character that would be read
+// as a separator in the store's keys or in the log.
+func (c checker) present(key, value string) {
+	if value == "" || strings.ContainsAny(value, "/ \t\"") {
+		c.add(key, fmt.Sprintf("%q is not a name", value), "write a name without spaces, slashes and quotes")
+	}
+}
+
+// positive adds a fault if a value is zero or less.
+func (c checker) positive(key string, value int64) {
+	if value <= 0 {
+		c.add(key, "is not above zero", "use a value above zero, or leave it out")
+	}
+}
+
+// url adds a fault if a value is no http or https URL.
+func (c checker) url(key, value string) {
+	if !tomlfile.IsURL(value) {
+		c.add(key, fmt.Sprintf("%q is no address", value), `write it as "http://127.0.0.1:7000"`)
+	}
+}
+
+// address adds a fault if a value is no IP number and port.
+func (c checker) address(key, value string) {
+	host, _, err := net.SplitHostPort(value)
+	if err != nil || net.ParseIP(host) == nil {
+		c.add(key, fmt.Sprintf("%q is no IP number and port", value), `write it as "127.0.0.1:8080"`)
+	}
+}
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -7,8 +7,6 @@
 	"crypto/ed25519"
 	"encoding/base64"
 	"fmt"
-	"net"
-	"net/url"
 	"os"
 	"path/filepath"
 	"strings"
@@ -16,6 +14,7 @@
 
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/internal/defaults"
+	"granitehoist.example/granitehoist/internal/tomlfile"
 	"granitehoist.example/granitehoist/partner/budget"
 	"granitehoist.example/granitehoist/partner/config"
 )
@@ -37,10 +36,11 @@
 
 // Router is the settings of one router.
 type Router struct {
-	Partner granitehoist.Partner          `toml:"partner"`
-	Region  granitehoist.Region           `toml:"region"`
-	Zone    granitehoist.AvailabilityZone `toml:"place"`
-	Box     granitehoist.Box              `toml:"box"`
+	Partner granitehoist.Partner `toml:"partner"`
+	Region  granitehoist.Region  `toml:"region"`
+	// Zone is called place in settings files.
+	Zone granitehoist.AvailabilityZone `toml:"place"`
+	Box  granitehoist.Box              `toml:"box"`
 	// Store is the base URL of the platform's store.
 	Store  string  `toml:"store"`
 	Listen Listen  `toml:"listen"`
@@ -53,6 +53,7 @@
 
 // Listen holds the addresses that a router listens on, as IP number and port.
 type Listen struct {
+	// Callers is for requests, Peers for other routers and Admin for operators.
 	Callers string `toml:"callers"`
 	Peers   string `toml:"peers"`
 	Admin   string `toml:"admin"`
@@ -71,7 +72,8 @@
 // Split chooses how a partner's budgets are spread.
 type Split struct {
 	Partner granitehoist.Partner `toml:"partner"`
-	Weigh   budget.Weighting     `toml:"weigh"`
+	// Weigh is "refusals" or "overspend".
+	Weigh budget.Weighting `toml:"weigh"`
 	// Wait bounds how long a request waits for tokens; unset takes the
 	// weighting's.
 	Wait Duration `toml:"wait"`
@@ -79,8 +81,9 @@
 
 // Limits bound what one request may use. Unset values take the defaults.
 type Limits struct {
-	BodyBytes   int64    `toml:"body_bytes"`
-	HeaderBytes int      `toml:"header_bytes"`
+	BodyBytes   int64 `toml:"body_bytes"`
+	HeaderBytes int   `toml:"header_bytes"`
+	// ReadTimeout bounds the reading of a request.
 	ReadTimeout Duration `toml:"read_timeout"`
 	// Request bounds a request whose caller names no deadline.
 	Request Duration `toml:"request"`
@@ -89,17 +92,20 @@
 	// Unready is how long a stopping router goes on taking requests after it
 	// said that it is not ready, so that a balancer can leave it first.
 	Unready Duration `toml:"unready"`
-	// Bills bounds the unconfirmed charges.
+	// Bills bounds the number of unconfirmed charges; zero stands for
+	// bill.DefaultMost.
 	Bills int `toml:"bills"`
 }
 
 // Budget tunes the messages about budgets.
 type Budget struct {
 	// Shards must be the same on all routers.
-	Shards   int      `toml:"shards"`
+	Shards int `toml:"shards"`
+	// Interval is the time between a box's messages about budgets.
 	Interval Duration `toml:"interval"`
-	// Gather is how long a report that no request waits for is kept, so that
-	// one store write serves many boxes. A large fleet sets it to 10 s.
+	// Gather is how long a report that no request waits for may wait, so that
+	// one store write serves many boxes; zero does not gather. A large fleet sets
+	// it to 10 s (docs/CAPACITY.md).
 	Gather Duration `toml:"gather"`
 }
 
@@ -111,18 +117,27 @@
 
 // Defaults of unset values.
 const (
-	DefaultBodyBytes   = 4 << 20
+	// DefaultBodyBytes is 4 MiB. Chosen, not measured.
+	DefaultBodyBytes = 4 << 20
+	// DefaultHeaderBytes is 32 KiB. Chosen, not measured.
 	DefaultHeaderBytes = 32 << 10
+	// DefaultReadTimeout is chosen, not measured.
 	DefaultReadTimeout = Duration(10 * time.Second)
-	DefaultRequest     = Duration(5 * time.Minute)
-	DefaultDrain       = Duration(10 * time.Minute)
-	DefaultUnready     = Duration(3 * time.Second)
-	DefaultLevel       = "info"
+	// DefaultRequest is chosen, not measured.
+	DefaultRequest = Duration(5 * time.Minute)
+	// DefaultDrain is twice DefaultRequest, so that a stop waits for every request
+	// that names no deadline. Chosen, not measured.
+	DefaultDrain = Duration(10 * time.Minute)
+	// DefaultUnready is meant to be more than a balancer takes to see that a
+	// router is not ready. Chosen, not measured.
+	DefaultUnready = Duration(3 * time.Second)
+	// DefaultLevel leaves out what only debugging needs.
+	DefaultLevel = "info"
 )
 
 // Load reads a settings file and the files of keys that it names. It returns
 // all faults of the settings at once, and an error if a file can't be read.
-func Load(file string) (*Router, config.Faults, error) {
+func Load(file string) (*Router, tomlfile.Faults, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, nil, err
@@ -132,36 +147,44 @@
 		return r, faults, nil
 	}
 	for i := range r.Trust {
-		t := &r.Trust[i]
-		for _, name := range t.Files {
-			if !filepath.IsAbs(name) {
-				name = filepath.Join(filepath.Dir(file), name)
-			}
-			key, err := os.ReadFile(name)
-			if err != nil {
-				return nil, nil, err
-			}
-			t.Keys = append(t.Keys, strings.TrimSpace(string(key)))
+		if err := r.Trust[i].readFiles(filepath.Dir(file)); err != nil {
+			return nil, nil, err
 		}
 	}
-	c := checker{file: file, lines: strings.Split(string(text), "\n")}
+	c := checker{tomlfile.NewChecker(file, text)}
 	c.trust(r)
-	return r, c.faults, nil
+	return r, c.Faults(), nil
+}
+
+// readFiles adds the keys of the files to the keys. Relative paths begin at folder.
+func (t *Trust) readFiles(folder string) error {
+	for _, name := range t.Files {
+		if !filepath.IsAbs(name) {
+			name = filepath.Join(folder, name)
+		}
+		key, err := os.ReadFile(name)
+		if err != nil {
+			return err
+		}
+		t.Keys = append(t.Keys, strings.TrimSpace(string(key)))
+	}
+	return nil
 }
 
 // Parse reads the text of a settings file. file is used in faults only. It
 // returns all faults at once.
-func Parse(file string, text []byte) (*Router, config.Faults) {
+func Parse(file string, text []byte) (*Router, tomlfile.Faults) {
 	var r Router
-	if faults := config.Decode(file, text, &r); len(faults) > 0 {
+	if faults := tomlfile.Decode(file, text, &r); len(faults) > 0 {
 		return nil, faults
 	}
 	r.setDefaults()
-	c := checker{file: file, lines: strings.Split(string(text), "\n")}
+	c := checker{tomlfile.NewChecker(file, text)}
 	c.router(&r)
-	return &r, c.faults
+	return &r, c.Faults()
 }
 
+// setDefaults fills in the unset values.
 func (r *Router) setDefaults() {
 	defaults.Set(&r.Limits.BodyBytes, DefaultBodyBytes)
 	defaults.Set(&r.Limits.HeaderBytes, DefaultHeaderBytes)
@@ -174,109 +197,6 @@
 	defaults.Set(&r.Log.Level, DefaultLevel)
 }
 
-type checker struct {
-	file   string
-	lines  []string
-	faults config.Faults
-}
-
-// add records a fault at the line where the last part of the key is written.
-func (c *checker) add(key, reason, remedy string) {
-	c.faults = append(c.faults, config.Fault{File: c.file, Line: c.line(key), Key: key, Reason: reason, Remedy: remedy})
-}
-
-func (c *checker) line(key string) int {
-	table, name := "", key
-	if at := strings.LastIndex(key, "."); at >= 0 {
-		table, name = key[:at], key[at+1:]
-	}
-	current, heading := "", 0
-	for i, raw := range c.lines {
-		text := strings.TrimSpace(raw)
-		if strings.HasPrefix(text, "[") {
-			current = strings.Trim(text, "[] ")
-			if current == table {
-				heading = i + 1
-			}
-			continue
-		}
-		written, _, ok := strings.Cut(text, "=")
-		if ok && current == table && strings.TrimSpace(written) == name {
-			return i + 1
-		}
-	}
-	return heading
-}
-
-func (c *checker) router(r *Router) {
-	c.present("partner", string(r.Partner))
-	c.present("region", string(r.Region))
-	c.present("place", string(r.Zone))
-	c.present("box", string(r.Box))
-	c.url("store", r.Store)
-	c.address("listen.callers", r.Listen.Callers)
-	c.address("listen.peers", r.Listen.Peers)
-	c.address("listen.admin", r.Listen.Admin)
-	c.trust(r)
-	if len(r.Trust) == 0 {
-		c.add("trust.keys", "no partner is trusted", "add a [[trust]] table for each partner")
-	}
-	for _, s := range r.Splits {
-		if _, ok := budget.NewSplit(s.Weigh); !ok {
-			c.add("split.weigh", fmt.Sprintf("%q is no weighting", s.Weigh), `use "refusals" or "overspend"`)
-		}
-	}
-	c.limits(r)
-}
-
-func (c *checker) trust(r *Router) {
-	if _, err := r.TrustedKeys(); err != nil {
-		c.add("trust.keys", err.Error(), `write public keys as "granitehoist keys partner" prints them`)
-	}
-}
-
-func (c *checker) limits(r *Router) {
-	c.positive("limits.body_bytes", r.Limits.BodyBytes)
-	c.positive("limits.header_bytes", int64(r.Limits.HeaderBytes))
-	c.positive("limits.read_timeout", int64(r.Limits.ReadTimeout))
-	c.positive("limits.request", int64(r.Limits.Request))
-	c.positive("limits.drain", int64(r.Limits.Drain))
-	c.positive("limits.unready", int64(r.Limits.Unready))
-	c.positive("budget.shards", int64(r.Budget.Shards))
-	c.positive("budget.interval", int64(r.Budget.Interval))
-	switch r.Log.Level {
-	case "debug", "info", "warn", "error":
-	default:
-		c.add("log.level", fmt.Sprintf("%q is no level", r.Log.Level), `use "debug", "info", "warn" or "error"`)
-	}
-}
-
-func (c *checker) present(key, value string) {
-	if value == "" || strings.ContainsAny(value, "/ \t\"") {
-		c.add(key, fmt.Sprintf("%q is not a name", value), "write a name without spaces, slashes and quotes")
-	}
-}
-
-func (c *checker) positive(key string, value int64) {
-	if value <= 0 {
-		c.add(key, "is not above zero", "use a value above zero, or leave it out")
-	}
-}
-
-func (c *checker) url(key, value string) {
-	u, err := url.Parse(value)
-	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		c.add(key, fmt.Sprintf("%q is no address", value), `write it as "http://127.0.0.1:7000"`)
-	}
-}
-
-func (c *checker) address(key, value string) {
-	host, _, err := net.SplitHostPort(value)
-	if err != nil || net.ParseIP(host) == nil {
-		c.add(key, fmt.Sprintf("%q is no IP number and port", value), `write it as "127.0.0.1:8080"`)
-	}
-}
-
 // TrustedKeys returns the public keys of each partner, or an error that names
 // the key that can't be read.
 func (r *Router) TrustedKeys() (config.Trust, error) {
@@ -293,12 +213,14 @@
 	return trust, nil
 }
 
-// SplitOf returns the split of a budget, by its partner's weighting.
+// SplitOf returns the split of a budget, by its partner's weighting. A partner
+// without a [[split]] table has the zero Split.
 func (r *Router) SplitOf(k granitehoist.BudgetID) budget.Split {
 	for _, s := range r.Splits {
 		if s.Partner != k.Partner() {
 			continue
 		}
+		// Parse has refused unknown weightings.
 		split, _ := budget.NewSplit(s.Weigh)
 		if s.Wait > 0 {
 			split.Wait = time.Duration(s.Wait)
