--- a/measure/routing.go
+++ b/measure/routing.go
@@ -260,7 +260,7 @@
 }
 
 func (p *ringPolicy) choose(r *routingRun, router int, c *conversation) int {
-	want := route.Want{Service: "pool", Targets: p.targets, Affinity: route.Prefix([]byte(strconv.Itoa(c.id)))}
+	want := route.Want{Service: "pool", Targets: p.targets, Affinity: route.PrefixAffinity([]byte(strconv.Itoa(c.id)))}
 	slot, err := p.tables[router].Acquire(context.Background(), want, r.now)
 	if err != nil {
 		panic("measure: no worker: " + err.Error())
--- a/partner/gate/answer.go
+++ b/partner/gate/answer.go
@@ -54,7 +54,7 @@
 func (g *Gate) refuse(w http.ResponseWriter, id granitehoist.RequestID, err error) {
 	e := asError(err)
 	info := e.Code.Info()
-	g.count(e.Code)
+	g.countResult(e.Code)
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderRequest, string(id))
@@ -105,9 +105,9 @@
 	return nil
 }
 
-// breakOff tells a caller, in an answer that has begun, that it is not whole.
+// abort tells a caller, in an answer that has begun, that it is not whole.
 // A stream gets an error event and no end mark; anything else is cut off.
-func (s *sink) breakOff(e *granitehoist.Error) {
+func (s *sink) abort(e *granitehoist.Error) {
 	if !s.stream {
 		panic(http.ErrAbortHandler)
 	}
--- a/partner/gate/completion.go
+++ b/partner/gate/completion.go
@@ -18,9 +18,9 @@
 	templateMessageTokens = 16
 	templateTokens        = 64
 	// toolFactor bounds what the template may make of the tools' text.
-	toolFactor = 2
-	maxChoices = 8
-	maxWritten = granitehoist.Tokens(math.MaxInt32)
+	toolFactor    = 2
+	maxChoices    = 8
+	maxTokenCount = granitehoist.Tokens(math.MaxInt32)
 )
 
 // allowedFields are the fields of a completion request that can't raise its
@@ -36,24 +36,24 @@
 
 // completion is a completion request as a caller sent it.
 type completion struct {
-	fields map[string]json.RawMessage
-	size   int
-	// text bounds the tokens of the prompt's own text.
-	text     int
-	model    granitehoist.Model
-	stream   bool
-	usage    bool
-	choices  granitehoist.Tokens
-	messages int
-	maximum  *granitehoist.Tokens
-	// prompt is what requests are compared by when an upstream is chosen.
-	prompt []byte
+	fields    map[string]json.RawMessage
+	bodyBytes int
+	// textBytes bounds the tokens of the prompt's own text.
+	textBytes  int
+	model      granitehoist.Model
+	stream     bool
+	wantsUsage bool
+	choices    granitehoist.Tokens
+	messages   int
+	maxTokens  *granitehoist.Tokens
+	// prefix is what requests are compared by when an upstream is chosen.
+	prefix []byte
 }
 
 // parseCompletion reads a body. Its errors are *Error with codes BadRequest,
 // BadTokenCount and Unsupported.
 func parseCompletion(body []byte) (*completion, error) {
-	c := &completion{size: len(body), choices: 1}
+	c := &completion{bodyBytes: len(body), choices: 1}
 	if err := json.Unmarshal(body, &c.fields); err != nil {
 		return nil, granitehoist.Errorf(granitehoist.BadRequest, "it is no JSON object: %v", err)
 	}
@@ -99,7 +99,7 @@
 	if err := c.field("stream_options", &options); err != nil {
 		return err
 	}
-	c.usage = options.IncludeUsage
+	c.wantsUsage = options.IncludeUsage
 	return nil
 }
 
@@ -112,14 +112,14 @@
 		if n == nil {
 			continue
 		}
-		if *n != math.Trunc(*n) || *n < 1 || *n > float64(maxWritten) {
-			return granitehoist.Errorf(granitehoist.BadTokenCount, "field %q is a whole number from 1 to %d", name, maxWritten)
+		if *n != math.Trunc(*n) || *n < 1 || *n > float64(maxTokenCount) {
+			return granitehoist.Errorf(granitehoist.BadTokenCount, "field %q is a whole number from 1 to %d", name, maxTokenCount)
 		}
 		tokens := granitehoist.Tokens(*n)
-		if c.maximum != nil && *c.maximum != tokens {
+		if c.maxTokens != nil && *c.maxTokens != tokens {
 			return granitehoist.Errorf(granitehoist.BadTokenCount, "max_tokens and max_completion_tokens differ")
 		}
-		c.maximum = &tokens
+		c.maxTokens = &tokens
 	}
 	if err := c.field("n", &c.choices); err != nil {
 		return err
@@ -148,12 +148,12 @@
 	case chat:
 		return c.readMessages(messages)
 	case plain:
-		c.prompt = prompt[:min(len(prompt), promptBeginning)]
+		c.prefix = prompt[:min(len(prompt), plainPrefixBytes)]
 		var text string
 		if err := json.Unmarshal(prompt, &text); err != nil {
 			return granitehoist.Errorf(granitehoist.Unsupported, "field \"prompt\" is one text")
 		}
-		c.text = len(text)
+		c.textBytes = len(text)
 		return nil
 	}
 	return granitehoist.Errorf(granitehoist.BadRequest, "it has neither \"messages\" nor \"prompt\"")
@@ -165,22 +165,22 @@
 		return granitehoist.Errorf(granitehoist.BadRequest, "field \"messages\" is a list of at least one message")
 	}
 	c.messages = len(messages)
-	c.prompt = beginning(messages)
+	c.prefix = sharedPrefix(messages)
 	for i, m := range messages {
 		if err := checkContent(m["content"]); err != nil {
 			return granitehoist.Errorf(granitehoist.Unsupported, "message %d: %v", i, err)
 		}
-		c.text += m.size()
+		c.textBytes += m.size()
 	}
 	return nil
 }
 
-// promptBeginning is the length of a plain prompt's beginning in bytes.
-const promptBeginning = 1024
+// plainPrefixBytes is the length of a plain prompt's beginning in bytes.
+const plainPrefixBytes = 1024
 
-// beginning returns the part of a conversation that all its turns share: the
+// sharedPrefix returns the part of a conversation that all its turns share: the
 // messages up to the first of the user.
-func beginning(messages []chatMessage) []byte {
+func sharedPrefix(messages []chatMessage) []byte {
 	var shared []byte
 	for _, m := range messages {
 		shared = append(shared, m["content"]...)
@@ -225,10 +225,10 @@
 
 // maxOutput returns the output tokens of one choice that the service allows.
 func (c *completion) maxOutput(s config.Service) granitehoist.Tokens {
-	if c.maximum == nil {
+	if c.maxTokens == nil {
 		return s.DefaultOutput
 	}
-	return min(*c.maximum, s.MaxOutput)
+	return min(*c.maxTokens, s.MaxOutput)
 }
 
 // bound returns an upper bound of the request's cost: each byte of the prompt's
@@ -236,7 +236,7 @@
 // choice at most its maximum.
 func (c *completion) bound(s config.Service) granitehoist.Tokens {
 	extra := toolFactor * (len(c.fields["tools"]) + len(c.fields["response_format"]))
-	prompt := granitehoist.Tokens(c.text + templateTokens + c.messages*templateMessageTokens + extra)
+	prompt := granitehoist.Tokens(c.textBytes + templateTokens + c.messages*templateMessageTokens + extra)
 	return prompt + c.choices*c.maxOutput(s)
 }
 
--- a/partner/gate/gate.go
+++ b/partner/gate/gate.go
@@ -60,15 +60,15 @@
 	HeaderBytes int
 	// ReadTimeout bounds the reading of a body; zero stands for 10 seconds.
 	ReadTimeout time.Duration
-	// Request bounds a request without a deadline; zero stands for 5 minutes.
-	Request time.Duration
+	// RequestTimeout bounds a request without a deadline; zero stands for 5 minutes.
+	RequestTimeout time.Duration
 }
 
 const (
-	defaultBodyBytes   = 4 << 20
-	defaultHeaderBytes = 32 << 10
-	defaultReadTimeout = 10 * time.Second
-	defaultRequest     = 5 * time.Minute
+	defaultBodyBytes      = 4 << 20
+	defaultHeaderBytes    = 32 << 10
+	defaultReadTimeout    = 10 * time.Second
+	defaultRequestTimeout = 5 * time.Minute
 )
 
 // Gate is the callers' surface. It implements http.Handler.
@@ -79,7 +79,7 @@
 	unready  atomic.Bool
 	draining atomic.Bool
 	retries  retryBudget
-	prepared targetCache
+	targets  targetCache
 	// background holds what goes on after the answer was given.
 	background sync.WaitGroup
 }
@@ -92,7 +92,7 @@
 	defaults.Set(&s.BodyBytes, defaultBodyBytes)
 	defaults.Set(&s.HeaderBytes, defaultHeaderBytes)
 	defaults.Set(&s.ReadTimeout, defaultReadTimeout)
-	defaults.Set(&s.Request, defaultRequest)
+	defaults.Set(&s.RequestTimeout, defaultRequestTimeout)
 	g := &Gate{settings: s, mux: http.NewServeMux(), retries: retryBudget{allowed: retryMost / 2}}
 	g.mux.HandleFunc("POST "+pathChat, g.serveCompletion)
 	g.mux.HandleFunc("POST "+pathCompletions, g.serveCompletion)
@@ -100,7 +100,7 @@
 	g.mux.HandleFunc(pathServices+"{service}/{path...}", g.servePlain)
 	g.mux.HandleFunc("GET "+PathHealth, g.serveHealth)
 	g.mux.HandleFunc("GET "+PathReady, g.serveReady)
-	g.mux.HandleFunc("/", g.serveNothing)
+	g.mux.HandleFunc("/", g.serveUnknown)
 	return g
 }
 
@@ -181,7 +181,7 @@
 	_, _ = io.WriteString(w, text)
 }
 
-func (g *Gate) serveNothing(w http.ResponseWriter, r *http.Request) {
+func (g *Gate) serveUnknown(w http.ResponseWriter, r *http.Request) {
 	code := granitehoist.NotFound
 	switch r.URL.Path {
 	case pathChat, pathCompletions, pathModels:
@@ -283,8 +283,8 @@
 	_ = http.NewResponseController(w).SetReadDeadline(at)
 }
 
-// wishes is what a caller's headers ask for.
-type wishes struct {
+// options is what a caller's headers ask for.
+type options struct {
 	priority granitehoist.Priority
 	deadline time.Duration
 	once     bool
@@ -294,8 +294,8 @@
 // MaxDeadline bounds the deadline that a caller may name.
 const MaxDeadline = 24 * time.Hour
 
-func (g *Gate) readWishes(r *http.Request) (wishes, error) {
-	w := wishes{priority: granitehoist.DefaultPriority, deadline: g.settings.Request, budget: r.Header.Get(HeaderBudget)}
+func (g *Gate) readOptions(r *http.Request) (options, error) {
+	w := options{priority: granitehoist.DefaultPriority, deadline: g.settings.RequestTimeout, budget: r.Header.Get(HeaderBudget)}
 	if text := r.Header.Get(HeaderPriority); text != "" {
 		n, err := strconv.Atoi(text)
 		if err != nil || n < int(granitehoist.MinPriority) || n > int(granitehoist.MaxPriority) {
--- a/partner/gate/metrics.go
+++ b/partner/gate/metrics.go
@@ -12,12 +12,12 @@
 	"granitehoist.example/granitehoist"
 )
 
-// count counts a request's result.
-func (g *Gate) count(c granitehoist.Code) {
+// countResult counts a request's result.
+func (g *Gate) countResult(c granitehoist.Code) {
 	metrics.GetOrRegisterCounter("requests.code."+strconv.Itoa(int(c)), g.settings.Metrics).Inc(1)
 }
 
-// timer records a duration.
-func (g *Gate) timer(name string, d time.Duration) {
+// recordTime records a duration.
+func (g *Gate) recordTime(name string, d time.Duration) {
 	metrics.GetOrRegisterTimer(name, g.settings.Metrics).Update(d)
 }
--- a/partner/gate/serve.go
+++ b/partner/gate/serve.go
@@ -27,25 +27,25 @@
 	callersID bool
 	identity  config.Identity
 	offer     *config.Offer
-	wishes    wishes
+	options   options
 	model     granitehoist.Model
 	budget    granitehoist.BudgetID
 	bound     granitehoist.Tokens
 	output    granitehoist.Tokens
-	size      int
+	bodyBytes int
 	priority  granitehoist.Priority
 	affinity  uint64
 	// repeatable says that the request may be sent again after an attempt that
 	// may have run.
 	repeatable bool
 	// body returns the body for the upstream once the priority is known.
-	body   func() ([]byte, error)
-	call   granitehoist.Call
-	sink   *sink
-	began  time.Time
-	sent   time.Time
-	pieces int
-	last   time.Time
+	body      func() ([]byte, error)
+	call      granitehoist.Call
+	sink      *sink
+	began     time.Time
+	sent      time.Time
+	pieces    int
+	lastPiece time.Time
 	// counts is what the burn report takes of the request.
 	counts report.Counts
 }
@@ -73,7 +73,7 @@
 // begin reads what all requests have: the id, the key and the headers.
 func (g *Gate) begin(w http.ResponseWriter, r *http.Request) (*request, error) {
 	req := &request{id: g.requestID(r), callersID: r.Header.Get(HeaderRequest) != "", began: g.settings.Clock()}
-	req.sink = &sink{w: w, id: req.id, onPiece: func() { g.piece(req) }}
+	req.sink = &sink{w: w, id: req.id, onPiece: func() { g.recordPiece(req) }}
 	if g.draining.Load() {
 		return req, granitehoist.Errorf(granitehoist.Draining, "")
 	}
@@ -85,10 +85,10 @@
 	if req.identity, err = identify(view, r); err != nil {
 		return req, err
 	}
-	if req.wishes, err = g.readWishes(r); err != nil {
+	if req.options, err = g.readOptions(r); err != nil {
 		return req, err
 	}
-	name := req.wishes.budget
+	name := req.options.budget
 	if name == "" {
 		name = req.identity.Budget
 	}
@@ -118,9 +118,9 @@
 	req.offer, req.model = offer, c.model
 	req.bound = c.bound(offer.Service)
 	req.output = c.choices * c.maxOutput(offer.Service)
-	req.size = c.size
-	req.affinity = route.Prefix(c.prompt)
-	req.repeatable = !req.wishes.once
+	req.bodyBytes = c.bodyBytes
+	req.affinity = route.PrefixAffinity(c.prefix)
+	req.repeatable = !req.options.once
 	req.sink.stream = c.stream
 	req.body = func() ([]byte, error) { return c.forward(offer.Service, req.priority) }
 	req.call = granitehoist.Call{
@@ -128,8 +128,8 @@
 		Path:      r.URL.Path,
 		Header:    http.Header{"Content-Type": {"application/json"}},
 		Stream:    c.stream,
-		HideUsage: c.stream && !c.usage,
-		Once:      req.wishes.once,
+		HideUsage: c.stream && !c.wantsUsage,
+		Once:      req.options.once,
 	}
 	return nil
 }
@@ -145,11 +145,11 @@
 		return err
 	}
 	safe := r.Method == http.MethodGet || r.Method == http.MethodHead || r.Method == http.MethodOptions
-	req.wishes.once = req.wishes.once || (offer.Once && !safe)
+	req.options.once = req.options.once || (offer.Once && !safe)
 	req.offer = offer
 	req.bound = offer.Price
-	req.size = len(body)
-	req.repeatable = safe && !req.wishes.once
+	req.bodyBytes = len(body)
+	req.repeatable = safe && !req.options.once
 	req.body = func() ([]byte, error) { return body, nil }
 	path := "/" + r.PathValue("path")
 	if escaped := r.URL.EscapedPath(); len(escaped) > len(pathServices) {
@@ -162,7 +162,7 @@
 		Method: r.Method,
 		Path:   path,
 		Header: upstream.CopyHeader(r.Header, "Authorization", "Content-Length", "Host", HeaderRequest, HeaderPriority, HeaderDeadline, HeaderOnce, HeaderBudget),
-		Once:   req.wishes.once,
+		Once:   req.options.once,
 	}
 	return nil
 }
@@ -170,24 +170,24 @@
 // run takes a request from policy to charge, and answers it.
 func (g *Gate) run(w http.ResponseWriter, r *http.Request, req *request, err error) {
 	if err == nil {
-		ctx, cancel := context.WithTimeout(r.Context(), req.wishes.deadline)
+		ctx, cancel := context.WithTimeout(r.Context(), req.options.deadline)
 		defer cancel()
 		// A caller that does not read its answer is not waited for longer. A
 		// writer that can't set deadlines is one of a test.
-		_ = http.NewResponseController(w).SetWriteDeadline(req.began.Add(req.wishes.deadline + writeGrace))
+		_ = http.NewResponseController(w).SetWriteDeadline(req.began.Add(req.options.deadline + writeGrace))
 		err = g.admit(ctx, req)
 	}
 	if r.Context().Err() != nil && err != nil && granitehoist.CodeOf(err).Info().Fate != granitehoist.NotRun {
 		err = granitehoist.Wrap(granitehoist.CallerGone, err, "")
 	}
-	g.log(req, err)
-	g.report(req, err)
+	g.logResult(req, err)
+	g.reportBurn(req, err)
 	switch {
 	case err == nil:
-		g.count(granitehoist.Served)
+		g.countResult(granitehoist.Served)
 	case req.sink.started:
-		g.count(granitehoist.CodeOf(err))
-		req.sink.breakOff(asError(err))
+		g.countResult(granitehoist.CodeOf(err))
+		req.sink.abort(asError(err))
 	default:
 		g.refuse(w, req.id, err)
 	}
@@ -195,7 +195,7 @@
 
 // admit asks the policies and makes room for the charge and the tokens.
 func (g *Gate) admit(ctx context.Context, req *request) error {
-	if req.wishes.once && !req.callersID {
+	if req.options.once && !req.callersID {
 		return granitehoist.Errorf(granitehoist.BadHeader, "a request not to be repeated needs a %s of the caller's", HeaderRequest)
 	}
 	priority, err := g.settings.View().Decide(policy.Request{
@@ -205,8 +205,8 @@
 		Partner:    req.identity.Partner,
 		Owner:      req.offer.Owner,
 		Zone:       g.settings.Zone,
-		Priority:   req.wishes.priority,
-		PromptSize: req.size,
+		Priority:   req.options.priority,
+		PromptSize: req.bodyBytes,
 		MaxOutput:  req.output,
 		Budget:     req.budget.Name(),
 		Time:       req.began,
@@ -237,21 +237,21 @@
 func (g *Gate) execute(ctx context.Context, req *request, s *spend) error {
 	want := route.Want{
 		Service:  req.offer.Name,
-		Targets:  g.prepared.targets(g.settings.View(), req.offer),
+		Targets:  g.targets.targets(g.settings.View(), req.offer),
 		Affinity: req.affinity,
 		Priority: req.priority,
 		Tried:    map[granitehoist.Upstream]bool{},
 	}
 	g.retries.request()
 	var binding *once.Binding
-	var doubt error
+	var uncertain error
 	for attempt := 1; ; attempt++ {
 		slot, err := g.settings.Table.Acquire(ctx, want, g.settings.Clock())
 		if err != nil {
-			return g.release(ctx, binding, truthful(doubt, err))
+			return g.release(ctx, binding, overallError(uncertain, err))
 		}
 		id := granitehoist.NewAttemptID(g.settings.Incarnation, g.attempts.Add(1), req.budget, req.id)
-		if req.wishes.once && binding == nil {
+		if req.options.once && binding == nil {
 			binding, err = g.bind(ctx, req, id)
 			if err != nil {
 				slot.Done(route.Unclear, g.settings.Clock())
@@ -263,9 +263,9 @@
 			g.finishBinding(ctx, req, binding)
 			return nil
 		}
-		err = truthful(doubt, err)
+		err = overallError(uncertain, err)
 		if granitehoist.CodeOf(err).Info().Fate != granitehoist.NotRun {
-			doubt = err
+			uncertain = err
 		}
 		if !g.mayRetry(ctx, req, s, err, attempt) {
 			return g.release(ctx, binding, err)
@@ -279,11 +279,11 @@
 	return g.settings.Once.Bind(ctx, subject, id, g.settings.Clock())
 }
 
-// truthful returns what the caller is to be told of the last error: after an
+// overallError returns what the caller is to be told of the last error: after an
 // attempt that may have run, a later one that did not run changes nothing.
-func truthful(doubt, last error) error {
-	if doubt != nil && granitehoist.CodeOf(last).Info().Fate == granitehoist.NotRun {
-		return doubt
+func overallError(uncertain, last error) error {
+	if uncertain != nil && granitehoist.CodeOf(last).Info().Fate == granitehoist.NotRun {
+		return uncertain
 	}
 	return last
 }
@@ -326,7 +326,7 @@
 	req.sent = g.settings.Clock()
 	usage, err := protocol.Do(ctx, call, req.sink)
 	slot.Done(resultOf(ctx, err), g.settings.Clock())
-	s.attempted(id, u, usage, err)
+	s.attemptEnded(id, u, usage, err)
 	if err != nil {
 		g.settings.Log.Info("attempt", zap.String("request", string(req.id)), zap.String("attempt", string(id)), zap.String("upstream", string(u.Name)), zap.Int("code", int(granitehoist.CodeOf(err))), zap.Error(err))
 	}
@@ -371,29 +371,29 @@
 	return s.reserve(ctx) == nil
 }
 
-// piece notes the time of a piece of an answer.
-func (g *Gate) piece(req *request) {
+// recordPiece notes the time of a piece of an answer.
+func (g *Gate) recordPiece(req *request) {
 	now := g.settings.Clock()
 	if req.pieces == 0 {
-		g.timer("first_token", now.Sub(req.began))
+		g.recordTime("first_token", now.Sub(req.began))
 		req.counts.First++
 		if now.Sub(req.began) > report.FirstTokenLevel {
 			req.counts.SlowFirst++
 		}
 	} else if req.sink.stream {
-		g.timer("between_tokens", now.Sub(req.last))
+		g.recordTime("between_tokens", now.Sub(req.lastPiece))
 		req.counts.Between++
-		if now.Sub(req.last) > report.BetweenLevel {
+		if now.Sub(req.lastPiece) > report.BetweenLevel {
 			req.counts.SlowBetween++
 		}
 	}
 	req.pieces++
-	req.last = now
+	req.lastPiece = now
 }
 
-// report enters a request into the burn report. One that did not name a
+// reportBurn enters a request into the burn report. One that did not name a
 // service, or that nobody could serve as it was, is not entered.
-func (g *Gate) report(req *request, err error) {
+func (g *Gate) reportBurn(req *request, err error) {
 	if g.settings.Burn == nil || req.offer == nil {
 		return
 	}
@@ -404,7 +404,7 @@
 	g.settings.Burn.Add(key, counts, g.settings.Clock())
 }
 
-func (g *Gate) log(req *request, err error) {
+func (g *Gate) logResult(req *request, err error) {
 	fields := []zap.Field{
 		zap.String("request", string(req.id)),
 		zap.String("workspace", string(req.identity.Partner)+"/"+string(req.identity.Workspace)),
--- a/partner/gate/spend.go
+++ b/partner/gate/spend.go
@@ -18,14 +18,14 @@
 	gate    *Gate
 	request *request
 	// reserved is set while an attempt's bound is reserved and not settled.
-	reserved bool
-	charge   bill.Charge
-	ran      bool
-	doubts   []doubt
+	reserved   bool
+	charge     bill.Charge
+	mayHaveRun bool
+	unsettled  []unsettledAttempt
 }
 
-// doubt is an attempt whose cost is not known yet.
-type doubt struct {
+// unsettledAttempt is an attempt whose cost is not known yet.
+type unsettledAttempt struct {
 	attempt granitehoist.AttemptID
 	address string
 }
@@ -42,29 +42,29 @@
 	return nil
 }
 
-// attempted takes in the end of an attempt. An attempt that did not run leaves
+// attemptEnded takes in the end of an attempt. An attempt that did not run leaves
 // the reservation for the next.
-func (s *spend) attempted(id granitehoist.AttemptID, u config.Upstream, usage granitehoist.Usage, err error) {
+func (s *spend) attemptEnded(id granitehoist.AttemptID, u config.Upstream, usage granitehoist.Usage, err error) {
 	fate := granitehoist.CodeOf(err).Info().Fate
 	if fate == granitehoist.NotRun {
 		return
 	}
-	s.ran = true
+	s.mayHaveRun = true
 	s.reserved = false
 	s.charge.Attempts = append(s.charge.Attempts, id)
 	s.charge.Upstream = u.Name
 	switch {
 	case s.request.model == "":
-		s.use(s.request.bound)
+		s.settle(s.request.bound)
 	case usage.Reported && err == nil:
-		s.use(usage.Total())
+		s.settle(usage.Total())
 	default:
-		s.doubts = append(s.doubts, doubt{id, u.Address})
+		s.unsettled = append(s.unsettled, unsettledAttempt{id, u.Address})
 	}
 }
 
-// use settles one reservation.
-func (s *spend) use(tokens granitehoist.Tokens) {
+// settle settles one reservation.
+func (s *spend) settle(tokens granitehoist.Tokens) {
 	s.gate.settings.Funds.Settle(s.request.budget, s.request.bound, tokens)
 	s.charge.Tokens += tokens
 }
@@ -76,15 +76,15 @@
 		s.gate.settings.Funds.Settle(s.request.budget, s.request.bound, 0)
 		s.reserved = false
 	}
-	if len(s.doubts) == 0 {
-		s.enter()
+	if len(s.unsettled) == 0 {
+		s.enterCharge()
 		return
 	}
 	s.gate.background.Go(func() {
-		for _, d := range s.doubts {
+		for _, d := range s.unsettled {
 			s.resolve(d)
 		}
-		s.enter()
+		s.enterCharge()
 	})
 }
 
@@ -96,7 +96,7 @@
 
 // resolve stops an attempt in doubt and settles its cost. If the upstream
 // can't tell, the whole bound is charged and the charge marked as estimated.
-func (s *spend) resolve(d doubt) {
+func (s *spend) resolve(d unsettledAttempt) {
 	protocol := s.gate.settings.Protocols[s.request.offer.Kind]
 	for try := range resolveTries {
 		if try > 0 {
@@ -104,19 +104,19 @@
 		}
 		usage, ok := protocol.Stop(context.Background(), d.address, d.attempt)
 		if ok {
-			s.use(usage.Total())
+			s.settle(usage.Total())
 			return
 		}
 	}
 	s.charge.Estimated = true
-	s.use(s.request.bound)
+	s.settle(s.request.bound)
 }
 
-// enter makes the charge of the request, or none if it did not run: no attempt
+// enterCharge makes the charge of the request, or none if it did not run: no attempt
 // can have, or the engine that was in doubt says that it cost nothing.
-func (s *spend) enter() {
-	neverArrived := s.request.model != "" && len(s.doubts) > 0 && s.charge.Tokens == 0
-	if !s.ran || neverArrived {
+func (s *spend) enterCharge() {
+	neverArrived := s.request.model != "" && len(s.unsettled) > 0 && s.charge.Tokens == 0
+	if !s.mayHaveRun || neverArrived {
 		s.gate.settings.Ledger.Drop()
 		return
 	}
--- a/partner/gate/targets.go
+++ b/partner/gate/targets.go
@@ -27,12 +27,12 @@
 		c.view = v
 		c.byOffer = map[*config.Offer][]route.Target{}
 	}
-	known, ok := c.byOffer[offer]
+	prepared, ok := c.byOffer[offer]
 	if !ok {
-		known = newTargets(offer)
-		c.byOffer[offer] = known
+		prepared = newTargets(offer)
+		c.byOffer[offer] = prepared
 	}
-	return known
+	return prepared
 }
 
 func newTargets(offer *config.Offer) []route.Target {
--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -115,7 +115,7 @@
 // if the router is known to be gone. Settling again charges nothing twice.
 func (s *Settler) Settle(ctx context.Context, dead granitehoist.Incarnation, stop bool, now time.Time) (Result, error) {
 	result := Result{Incarnation: dead}
-	known, err := s.charged(ctx, dead)
+	charged, err := s.readCharged(ctx, dead)
 	if err != nil {
 		return result, err
 	}
@@ -129,7 +129,7 @@
 		}
 		for _, a := range attempts {
 			result.Found++
-			if known[a.ID] {
+			if charged[a.ID] {
 				continue
 			}
 			if stop && !a.Ended {
@@ -152,22 +152,22 @@
 	return result, s.write(ctx, dead, charges)
 }
 
-// charged returns the attempts of an incarnation that segments hold.
-func (s *Settler) charged(ctx context.Context, dead granitehoist.Incarnation) (map[granitehoist.AttemptID]bool, error) {
+// readCharged returns the attempts of an incarnation that segments hold.
+func (s *Settler) readCharged(ctx context.Context, dead granitehoist.Incarnation) (map[granitehoist.AttemptID]bool, error) {
 	charges, err := bill.Read(ctx, s.settings.Store)
 	if err != nil {
 		return nil, err
 	}
-	known := map[granitehoist.AttemptID]bool{}
+	charged := map[granitehoist.AttemptID]bool{}
 	prefix := granitehoist.AttemptPrefix(dead)
 	for _, c := range charges {
 		for _, attempt := range c.Attempts {
 			if strings.HasPrefix(string(attempt), prefix) {
-				known[attempt] = true
+				charged[attempt] = true
 			}
 		}
 	}
-	return known, nil
+	return charged, nil
 }
 
 func (s *Settler) budgetNames() map[string]granitehoist.BudgetID {
--- a/partner/report/burn.go
+++ b/partner/report/burn.go
@@ -18,10 +18,10 @@
 const (
 	FirstTokenLevel = 1100 * time.Millisecond
 	BetweenLevel    = 61 * time.Millisecond
-	allowedPart     = 0.05
+	slowAllowance   = 0.05
 	bucketLength    = 5 * time.Minute
-	bucketsKept     = 288
-	maxKeys         = 2000
+	bucketCount     = 288
+	maxRecordedKeys = 2000
 	bucketSeconds   = int64(bucketLength / time.Second)
 )
 
@@ -52,7 +52,7 @@
 	Errors  int `json:"errors"`
 }
 
-func (c Counts) plus(d Counts) Counts {
+func (c Counts) add(d Counts) Counts {
 	return Counts{
 		Requests:    c.Requests + d.Requests,
 		First:       c.First + d.First,
@@ -66,9 +66,9 @@
 
 // codeRanges: 30xx and 40xx are refusals, 50xx and 60xx failures.
 const (
-	refusalCodes = 3000
-	failureCodes = 5000
-	documentCode = 7000
+	refusalCodes  = 3000
+	failureCodes  = 5000
+	documentCodes = 7000
 )
 
 // CountsOf returns the counts of one request's result.
@@ -76,7 +76,7 @@
 	c := Counts{Requests: 1}
 	switch {
 	case code == granitehoist.AlreadyRun:
-	case code >= failureCodes && code < documentCode:
+	case code >= failureCodes && code < documentCodes:
 		c.Errors = 1
 	case code >= refusalCodes && code < failureCodes:
 		c.Refused = 1
@@ -94,7 +94,7 @@
 // is safe for concurrent use.
 type Recorder struct {
 	mu   sync.Mutex
-	keys map[Key]*[bucketsKept]bucket
+	keys map[Key]*[bucketCount]bucket
 }
 
 // Add enters counts. A key beyond the first 2,000 is counted under none of its
@@ -103,23 +103,23 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.keys == nil {
-		r.keys = map[Key]*[bucketsKept]bucket{}
+		r.keys = map[Key]*[bucketCount]bucket{}
 	}
 	buckets, ok := r.keys[k]
-	if !ok && len(r.keys) >= maxKeys {
+	if !ok && len(r.keys) >= maxRecordedKeys {
 		k = Key{}
 		buckets, ok = r.keys[k]
 	}
 	if !ok {
-		buckets = &[bucketsKept]bucket{}
+		buckets = &[bucketCount]bucket{}
 		r.keys[k] = buckets
 	}
 	number := now.Unix() / bucketSeconds
-	b := &buckets[number%bucketsKept]
+	b := &buckets[number%bucketCount]
 	if b.number != number {
 		*b = bucket{number: number}
 	}
-	b.counts = b.counts.plus(c)
+	b.counts = b.counts.add(c)
 }
 
 // Row is the counts of a key over each of Windows.
@@ -136,7 +136,7 @@
 	for k, buckets := range r.keys {
 		row := Row{Key: k, Windows: make([]Counts, len(Windows))}
 		for i, w := range Windows {
-			row.Windows[i] = within(buckets, w, now)
+			row.Windows[i] = sumWindow(buckets, w, now)
 		}
 		if row.Windows[len(Windows)-1].Requests > 0 {
 			rows = append(rows, row)
@@ -146,14 +146,14 @@
 	return rows
 }
 
-// within sums the buckets that begin in a window.
-func within(buckets *[bucketsKept]bucket, window time.Duration, now time.Time) Counts {
+// sumWindow sums the buckets that begin in a window.
+func sumWindow(buckets *[bucketCount]bucket, window time.Duration, now time.Time) Counts {
 	last := now.Unix() / bucketSeconds
 	oldest := last - int64(window/bucketLength)
 	var sum Counts
 	for _, b := range buckets {
 		if b.number > oldest && b.number <= last {
-			sum = sum.plus(b.counts)
+			sum = sum.add(b.counts)
 		}
 	}
 	return sum
@@ -195,7 +195,7 @@
 			continue
 		}
 		for w := range b.Rows[i].Windows {
-			b.Rows[i].Windows[w] = b.Rows[i].Windows[w].plus(row.Windows[w])
+			b.Rows[i].Windows[w] = b.Rows[i].Windows[w].add(row.Windows[w])
 		}
 	}
 	sortRows(b.Rows)
@@ -207,7 +207,7 @@
 	if all == 0 {
 		return 0
 	}
-	return float64(bad) / float64(all) / allowedPart
+	return float64(bad) / float64(all) / slowAllowance
 }
 
 // WriteBurn writes the burn as text: a table a window, and who could not be
--- a/partner/report/metrics.go
+++ b/partner/report/metrics.go
@@ -26,7 +26,7 @@
 		case metrics.Counter:
 			lines = append(lines, counterLine(name, m.Count()))
 		case metrics.Gauge:
-			lines = append(lines, fmt.Sprintf("%s%s %d", metricPrefix, flat(name), m.Value()))
+			lines = append(lines, fmt.Sprintf("%s%s %d", metricPrefix, metricName(name), m.Value()))
 		case metrics.Timer:
 			lines = append(lines, timerLines(name, m.Snapshot())...)
 		}
@@ -40,7 +40,7 @@
 	return nil
 }
 
-func flat(name string) string {
+func metricName(name string) string {
 	return strings.NewReplacer(".", "_", "-", "_").Replace(name)
 }
 
@@ -50,11 +50,11 @@
 	if code, ok := strings.CutPrefix(name, codeCounter); ok {
 		return fmt.Sprintf("%srequests_total{code=%q} %d", metricPrefix, code, count)
 	}
-	return fmt.Sprintf("%s%s_total %d", metricPrefix, flat(name), count)
+	return fmt.Sprintf("%s%s_total %d", metricPrefix, metricName(name), count)
 }
 
 func timerLines(name string, t metrics.Timer) []string {
-	base := metricPrefix + flat(name) + "_seconds"
+	base := metricPrefix + metricName(name) + "_seconds"
 	lines := []string{
 		fmt.Sprintf("%s_count %d", base, t.Count()),
 		fmt.Sprintf("%s_sum %g", base, float64(t.Sum())/1e9),
--- a/partner/route/pool.go
+++ b/partner/route/pool.go
@@ -40,9 +40,9 @@
 // kept when the documents change.
 type member struct {
 	Target
-	inFlight int
-	failures int
-	until    time.Time
+	inFlight     int
+	failures     int
+	ejectedUntil time.Time
 	// leaving members get no new work at all.
 	leaving bool
 }
@@ -70,15 +70,15 @@
 	return ring
 }
 
-// limit returns the load bound: the average with one more request, and slack.
-func (p *Pool) limit(slack float64) int {
+// loadLimit returns the load bound: the average with one more request, and slack.
+func (p *Pool) loadLimit(slack float64) int {
 	average := float64(p.inFlight+1) / float64(len(p.members))
 	return int(average*(1+slack)) + 1
 }
 
-// room reports whether a member may take one more request now.
-func (m *member) room(limit int, tried map[granitehoist.Upstream]bool, now time.Time) bool {
-	return !m.leaving && m.inFlight < min(m.Concurrency, limit) && !now.Before(m.until) && !tried[m.Name]
+// hasRoom reports whether a member may take one more request now.
+func (m *member) hasRoom(limit int, tried map[granitehoist.Upstream]bool, now time.Time) bool {
+	return !m.leaving && m.inFlight < min(m.Concurrency, limit) && !now.Before(m.ejectedUntil) && !tried[m.Name]
 }
 
 // ringSteps bounds the points that are looked at for one request. Among so many
@@ -91,7 +91,7 @@
 	start := sort.Search(len(p.ring), func(i int) bool { return p.ring[i].hash >= w.Affinity })
 	for step := range min(ringSteps, len(p.ring)) {
 		m := p.members[p.ring[(start+step)%len(p.ring)].member]
-		if m.room(limit, w.Tried, now) {
+		if m.hasRoom(limit, w.Tried, now) {
 			return m
 		}
 	}
@@ -113,7 +113,7 @@
 		a, b = b, a
 	}
 	for _, m := range []*member{a, b} {
-		if m.room(m.Concurrency, w.Tried, now) {
+		if m.hasRoom(m.Concurrency, w.Tried, now) {
 			return m
 		}
 	}
@@ -124,24 +124,24 @@
 func (p *Pool) scan(w Want, now time.Time) *member {
 	var best *member
 	for _, m := range p.members {
-		if m.room(m.Concurrency, w.Tried, now) && (best == nil || m.inFlight < best.inFlight) {
+		if m.hasRoom(m.Concurrency, w.Tried, now) && (best == nil || m.inFlight < best.inFlight) {
 			best = m
 		}
 	}
 	return best
 }
 
-// firstBack returns the untried member that returns first, if every untried
+// firstReturning returns the untried member that returns first, if every untried
 // member is left out, and whether there is an untried member at all.
-func (p *Pool) firstBack(w Want, now time.Time) (first *member, untried bool) {
+func (p *Pool) firstReturning(w Want, now time.Time) (first *member, untried bool) {
 	for _, m := range p.members {
 		if m.leaving || w.Tried[m.Name] {
 			continue
 		}
-		if !now.Before(m.until) {
+		if !now.Before(m.ejectedUntil) {
 			return nil, true
 		}
-		if first == nil || m.until.Before(first.until) {
+		if first == nil || m.ejectedUntil.Before(first.ejectedUntil) {
 			first = m
 		}
 	}
--- a/partner/route/queue.go
+++ b/partner/route/queue.go
@@ -42,7 +42,7 @@
 func (t *Table) serveQueue(p *Pool, now time.Time) {
 	for len(p.waiters) > 0 {
 		first := p.waiters[0]
-		slot, _ := t.pick(p, first.want, now)
+		slot, _ := t.assign(p, first.want, now)
 		if slot == nil {
 			return
 		}
--- a/partner/route/route_test.go
+++ b/partner/route/route_test.go
@@ -40,7 +40,7 @@
 	}
 
 	It("sends requests that begin alike to one upstream, on every router", func() {
-		want := route.Want{Service: "s", Targets: targets(20, 10), Affinity: route.Prefix([]byte("the same beginning"))}
+		want := route.Want{Service: "s", Targets: targets(20, 10), Affinity: route.PrefixAffinity([]byte("the same beginning"))}
 		first := acquire(want, start)
 		first.Done(route.Good, start)
 		other := route.NewTable(route.Settings{})
@@ -64,7 +64,7 @@
 		moved := 0
 		ten := targets(10, 10)
 		for affinity := range uint64(1000) {
-			all := route.Want{Service: "s", Targets: ten, Affinity: route.Prefix([]byte(fmt.Sprint(affinity)))}
+			all := route.Want{Service: "s", Targets: ten, Affinity: route.PrefixAffinity([]byte(fmt.Sprint(affinity)))}
 			before := acquire(all, start)
 			before.Done(route.Good, start)
 			fewer := all
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -39,9 +39,9 @@
 	// Slack is how much more than the average load an upstream may have before
 	// requests pass on to the next; zero stands for DefaultSlack.
 	Slack float64
-	// Eject is how long an upstream is left out after its first failure in a
+	// Ejection is how long an upstream is left out after its first failure in a
 	// row; zero stands for DefaultEject.
-	Eject time.Duration
+	Ejection time.Duration
 	// QueueLimit bounds the requests of a service that wait; zero stands for
 	// DefaultQueueLimit.
 	QueueLimit int
@@ -51,17 +51,17 @@
 
 // Defaults of Settings.
 const (
-	DefaultSlack      = 0.25
-	DefaultEject      = 500 * time.Millisecond
-	DefaultQueueLimit = 1000
-	maxEject          = 30 * time.Second
-	maxEjectDoublings = 10
+	DefaultSlack         = 0.25
+	DefaultEjection      = 500 * time.Millisecond
+	DefaultQueueLimit    = 1000
+	maxEjection          = 30 * time.Second
+	maxEjectionDoublings = 10
 )
 
 // NewTable returns an empty table.
 func NewTable(s Settings) *Table {
 	defaults.Set(&s.Slack, DefaultSlack)
-	defaults.Set(&s.Eject, DefaultEject)
+	defaults.Set(&s.Ejection, DefaultEjection)
 	defaults.Set(&s.QueueLimit, DefaultQueueLimit)
 	return &Table{
 		settings: s,
@@ -85,8 +85,8 @@
 	Tried map[granitehoist.Upstream]bool
 }
 
-// Prefix returns the affinity of a prompt's beginning.
-func Prefix(beginning []byte) uint64 { return xxhash.Sum64(beginning) }
+// PrefixAffinity returns the affinity of a prompt's beginning.
+func PrefixAffinity(beginning []byte) uint64 { return xxhash.Sum64(beginning) }
 
 // Slot is an upstream chosen for one attempt. It is to be ended by Done.
 type Slot struct {
@@ -100,15 +100,15 @@
 // *Error with codes NoUpstream and Overloaded.
 func (t *Table) Acquire(ctx context.Context, w Want, now time.Time) (*Slot, error) {
 	t.mu.Lock()
-	pool := t.pool(w)
-	slot, found := t.pick(pool, w, now)
+	pool := t.currentPool(w)
+	slot, possible := t.assign(pool, w, now)
 	switch {
 	case slot != nil:
 		t.mu.Unlock()
 		return slot, nil
-	case !found:
+	case !possible:
 		t.mu.Unlock()
-		return nil, none(w)
+		return nil, noUpstream(w)
 	case len(pool.waiters) >= t.settings.QueueLimit:
 		t.mu.Unlock()
 		return nil, overloaded()
@@ -119,11 +119,11 @@
 	case slot := <-added.slot:
 		return slot, nil
 	case <-ctx.Done():
-		return t.leave(pool, added)
+		return t.abandonWait(pool, added)
 	}
 }
 
-func none(w Want) error {
+func noUpstream(w Want) error {
 	e := granitehoist.Errorf(granitehoist.NoUpstream, "service %s", w.Service)
 	e.RetryAfter = time.Second
 	return e
@@ -135,8 +135,8 @@
 	return e
 }
 
-// leave ends a wait. A slot that was given at the same moment is taken.
-func (t *Table) leave(p *Pool, w *waiter) (*Slot, error) {
+// abandonWait ends a wait. A slot that was given at the same moment is taken.
+func (t *Table) abandonWait(p *Pool, w *waiter) (*Slot, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	select {
@@ -148,9 +148,9 @@
 	return nil, overloaded()
 }
 
-// pool returns the prepared upstreams of a service. Requests in progress and
+// currentPool returns the prepared upstreams of a service. Requests in progress and
 // waiting stay with the pool in which they began.
-func (t *Table) pool(w Want) *Pool {
+func (t *Table) currentPool(w Want) *Pool {
 	p, ok := t.pools[w.Service]
 	if ok && sameSlice(p.targets, w.Targets) {
 		return p
@@ -161,8 +161,8 @@
 	}
 	next := &Pool{service: w.Service, targets: w.Targets}
 	for _, target := range w.Targets {
-		m, known := t.members[target.Name]
-		if !known {
+		m, exists := t.members[target.Name]
+		if !exists {
 			m = &member{}
 			t.members[target.Name] = m
 		}
@@ -184,16 +184,16 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// pick chooses an upstream with room. found is false if no upstream could be
+// assign chooses an upstream with room. found is false if no upstream could be
 // chosen even with room.
-func (t *Table) pick(p *Pool, w Want, now time.Time) (slot *Slot, found bool) {
+func (t *Table) assign(p *Pool, w Want, now time.Time) (slot *Slot, possible bool) {
 	if len(p.members) == 0 {
 		return nil, false
 	}
 	if m := t.choose(p, w, now); m != nil {
 		return t.take(p, m), true
 	}
-	first, untried := p.firstBack(w, now)
+	first, untried := p.firstReturning(w, now)
 	if first != nil && first.inFlight < first.Concurrency {
 		return t.take(p, first), true
 	}
@@ -203,7 +203,7 @@
 // choose returns a member with room, nil if there is none.
 func (t *Table) choose(p *Pool, w Want, now time.Time) *member {
 	if w.Affinity != 0 {
-		if m := p.byRing(w, p.limit(t.settings.Slack), now); m != nil {
+		if m := p.byRing(w, p.loadLimit(t.settings.Slack), now); m != nil {
 			return m
 		}
 	}
@@ -245,7 +245,7 @@
 		m.failures = 0
 	case Bad:
 		m.failures++
-		m.until = now.Add(min(maxEject, t.settings.Eject<<min(m.failures-1, maxEjectDoublings)))
+		m.ejectedUntil = now.Add(min(maxEjection, t.settings.Ejection<<min(m.failures-1, maxEjectionDoublings)))
 	case Unclear:
 	}
 	t.serveQueue(pool, now)
--- a/partner/router/admin.go
+++ b/partner/router/admin.go
@@ -177,14 +177,14 @@
 	for _, m := range r.registry.View().Members() {
 		live[m.Incarnation] = true
 	}
-	listed, err := r.listedBoxes(ctx)
+	boxes, err := r.platformBoxes(ctx)
 	if err != nil {
 		return nil, err
 	}
 	var members []fleet.Member
 	for _, m := range entered {
-		_, known := listed[m.Box]
-		if live[m.Incarnation] || known || len(listed) == 0 {
+		_, boxListed := boxes[m.Box]
+		if live[m.Incarnation] || boxListed || len(boxes) == 0 {
 			members = append(members, m)
 			continue
 		}
@@ -194,7 +194,7 @@
 	return members, nil
 }
 
-func (r *Router) listedBoxes(ctx context.Context) (map[granitehoist.Box]bool, error) {
+func (r *Router) platformBoxes(ctx context.Context) (map[granitehoist.Box]bool, error) {
 	if r.settings.Platform == nil {
 		return nil, nil
 	}
--- a/partner/router/leaving.go
+++ b/partner/router/leaving.go
@@ -27,7 +27,7 @@
 		case err == nil:
 			r.table.SetLeaving(r.leavingUpstreams(boxes))
 		case ctx.Err() == nil:
-			r.failed("leaving_failed", err)
+			r.logFailure("leaving_failed", err)
 		}
 		select {
 		case <-ctx.Done():
--- a/partner/router/orphans.go
+++ b/partner/router/orphans.go
@@ -17,9 +17,9 @@
 	orphanRole = "orphan/settler"
 	// orphanInterval is the time between looks for routers that died.
 	orphanInterval = 30 * time.Second
-	// orphanRounds bounds how often one dead router is settled: an engine that
+	// maxOrphanRounds bounds how often one dead router is settled: an engine that
 	// was away at first is asked again.
-	orphanRounds = 20
+	maxOrphanRounds = 20
 )
 
 // settleOrphans charges the attempts of the region's dead routers, as long as
@@ -40,11 +40,11 @@
 		}
 		silent, err := r.orphans.Silent(ctx, r.settings.Clock())
 		if err != nil {
-			r.failed("orphan_failed", err)
+			r.logFailure("orphan_failed", err)
 			continue
 		}
 		for _, dead := range silent {
-			if rounds[dead]++; rounds[dead] <= orphanRounds {
+			if rounds[dead]++; rounds[dead] <= maxOrphanRounds {
 				r.settleOne(ctx, dead)
 			}
 		}
@@ -54,7 +54,7 @@
 func (r *Router) settleOne(ctx context.Context, dead granitehoist.Incarnation) {
 	result, err := r.SettleOrphans(ctx, dead, false)
 	if err != nil {
-		r.failed("orphan_failed", err)
+		r.logFailure("orphan_failed", err)
 		return
 	}
 	if result.Charged > 0 {
--- a/partner/router/router.go
+++ b/partner/router/router.go
@@ -67,9 +67,9 @@
 	callers  *http.Server
 	admin    *http.Server
 
-	callersAt, adminAt net.Listener
-	cancel             context.CancelFunc
-	loops              sync.WaitGroup
+	callersListener, adminListener net.Listener
+	cancel                         context.CancelFunc
+	loops                          sync.WaitGroup
 }
 
 // New opens the addresses of a router and builds its parts; nothing is served
@@ -107,7 +107,7 @@
 	r.build(trust)
 	r.loops.Go(func() {
 		if err := r.server.Serve(peers); err != nil {
-			r.failed("peers", err)
+			r.logFailure("peers", err)
 		}
 	})
 	return r, nil
@@ -117,28 +117,28 @@
 // for other routers.
 func (r *Router) listen() (net.Listener, error) {
 	var err error
-	if r.callersAt, err = net.Listen("tcp", r.settings.Router.Listen.Callers); err != nil {
+	if r.callersListener, err = net.Listen("tcp", r.settings.Router.Listen.Callers); err != nil {
 		return nil, eris.Wrap(err, "router: callers' address")
 	}
-	if r.adminAt, err = net.Listen("tcp", r.settings.Router.Listen.Admin); err != nil {
-		_ = r.callersAt.Close()
+	if r.adminListener, err = net.Listen("tcp", r.settings.Router.Listen.Admin); err != nil {
+		_ = r.callersListener.Close()
 		return nil, eris.Wrap(err, "router: admin address")
 	}
 	peers, err := net.Listen("tcp", r.settings.Router.Listen.Peers)
 	if err != nil {
-		_ = r.callersAt.Close()
-		_ = r.adminAt.Close()
+		_ = r.callersListener.Close()
+		_ = r.adminListener.Close()
 		return nil, eris.Wrap(err, "router: peers' address")
 	}
 	return peers, nil
 }
 
-func (r *Router) failed(event string, err error) {
+func (r *Router) logFailure(event string, err error) {
 	r.settings.Log.Warn(event, zap.Error(err))
 }
 
-func (r *Router) failedFunc(event string) func(error) {
-	return func(err error) { r.failed(event, err) }
+func (r *Router) failureLogger(event string) func(error) {
+	return func(err error) { r.logFailure(event, err) }
 }
 
 // build makes the parts and connects them.
@@ -149,7 +149,7 @@
 	r.follower = config.NewFollower(config.FollowerSettings{
 		Store:  s.Store,
 		Trust:  trust,
-		Failed: r.failedFunc("config_failed"),
+		Failed: r.failureLogger("config_failed"),
 		Changed: func(v *config.View) {
 			s.Log.Info("config_in_force", zap.Any("serials", v.Serials()))
 		},
@@ -194,7 +194,7 @@
 		Clock:    s.Clock,
 		Interval: time.Duration(s.Router.Budget.Interval),
 		Shards:   s.Router.Budget.Shards,
-		Failed:   r.failedFunc("budget_failed"),
+		Failed:   r.failureLogger("budget_failed"),
 	})
 }
 
@@ -206,7 +206,7 @@
 		Collector: bill.NewCollector(bill.CollectorSettings{Region: r.self.Region, Incarnation: r.self.Incarnation, Store: s.Store}),
 		Caller:    r.client,
 		Holder:    r.billHolder,
-		Failed:    r.failedFunc("bill_failed"),
+		Failed:    r.failureLogger("bill_failed"),
 	})
 }
 
@@ -230,15 +230,15 @@
 			config.KindEngine: r.engines,
 			config.KindPlain:  upstream.NewPlain(upstream.Settings{}),
 		},
-		Clock:       s.Clock,
-		Random:      s.Random,
-		Log:         s.Log,
-		Metrics:     r.metrics,
-		Burn:        &r.burn,
-		BodyBytes:   limits.BodyBytes,
-		HeaderBytes: limits.HeaderBytes,
-		ReadTimeout: time.Duration(limits.ReadTimeout),
-		Request:     time.Duration(limits.Request),
+		Clock:          s.Clock,
+		Random:         s.Random,
+		Log:            s.Log,
+		Metrics:        r.metrics,
+		Burn:           &r.burn,
+		BodyBytes:      limits.BodyBytes,
+		HeaderBytes:    limits.HeaderBytes,
+		ReadTimeout:    time.Duration(limits.ReadTimeout),
+		RequestTimeout: time.Duration(limits.Request),
 	})
 	r.callers = &http.Server{
 		Handler:           r.gate,
@@ -267,8 +267,8 @@
 	r.loops.Go(func() { r.sender.Run(ctx) })
 	r.loops.Go(func() { r.settleOrphans(ctx) })
 	r.loops.Go(func() { r.watchLeaving(ctx) })
-	r.loops.Go(func() { r.serve("callers", r.callers, r.callersAt) })
-	r.loops.Go(func() { r.serve("admin", r.admin, r.adminAt) })
+	r.loops.Go(func() { r.serve("callers", r.callers, r.callersListener) })
+	r.loops.Go(func() { r.serve("admin", r.admin, r.adminListener) })
 	r.settings.Log.Info("started",
 		zap.String("incarnation", string(r.self.Incarnation)),
 		zap.String("callers", r.CallersAddress()),
@@ -290,7 +290,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		r.failed("fleet_failed", err)
+		r.logFailure("fleet_failed", err)
 		select {
 		case <-time.After(enrollPause):
 		case <-ctx.Done():
@@ -302,7 +302,7 @@
 
 func (r *Router) serve(event string, server *http.Server, listener net.Listener) {
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-		r.failed(event, err)
+		r.logFailure(event, err)
 	}
 }
 
@@ -312,7 +312,7 @@
 	defer ticker.Stop()
 	for {
 		if err := r.registry.Refresh(ctx); err != nil && ctx.Err() == nil {
-			r.failed("fleet_failed", err)
+			r.logFailure("fleet_failed", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -323,10 +323,10 @@
 }
 
 // CallersAddress returns the address that callers reach.
-func (r *Router) CallersAddress() string { return r.callersAt.Addr().String() }
+func (r *Router) CallersAddress() string { return r.callersListener.Addr().String() }
 
 // AdminAddress returns the address that operators reach.
-func (r *Router) AdminAddress() string { return r.adminAt.Addr().String() }
+func (r *Router) AdminAddress() string { return r.adminListener.Addr().String() }
 
 // Incarnation returns the id of this run.
 func (r *Router) Incarnation() granitehoist.Incarnation { return r.self.Incarnation }
--- a/partner/router/stop.go
+++ b/partner/router/stop.go
@@ -68,8 +68,8 @@
 func (r *Router) close() {
 	// The errors are of listeners and connections that are being given up.
 	_ = r.admin.Close()
-	_ = r.callersAt.Close()
-	_ = r.adminAt.Close()
+	_ = r.callersListener.Close()
+	_ = r.adminListener.Close()
 	r.server.Close()
 	r.client.Close()
 	r.loops.Wait()
