--- /dev/null
+++ b/partner/gate/binding.go
@@ -0,0 +1,54 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package gate
+
+import (
+	"context"
+	"time"
+
+	"go.uber.org/zap"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/partner/once"
+)
+
+// bindingTimeout bounds the write that ends a binding, which outlives the
+// caller; chosen, not measured.
+const bindingTimeout = 2 * time.Second
+
+// bind records in the store that this router sends a request not to be
+// repeated. After an error the request is not sent.
+func (g *Gate) bind(ctx context.Context, req *request, id granitehoist.AttemptID) (*once.Binding, error) {
+	identity := req.asked.identity
+	subject := once.Subject{Partner: identity.Partner, Workspace: identity.Workspace, Request: req.asked.id}
+	return g.settings.Once.Bind(ctx, subject, id, g.settings.Clock())
+}
+
+// finishBinding records that a request not to be repeated has been answered. If
+// that fails the record stays bound, and later callers with the same id hear
+// that the request may have run.
+func (g *Gate) finishBinding(ctx context.Context, req *request, b *once.Binding) {
+	if b == nil {
+		return
+	}
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), bindingTimeout)
+	defer cancel()
+	if err := b.Finish(ctx, req.sink.status, g.settings.Clock()); err != nil {
+		g.settings.Log.Warn("once_record", zap.String("request", string(req.asked.id)), zap.Error(err))
+	}
+}
+
+// release frees a binding if err says that its request did not run, so that the
+// caller may try again, and returns err. If that fails the record stays bound.
+func (g *Gate) release(ctx context.Context, b *once.Binding, err error) error {
+	if b == nil || granitehoist.CodeOf(err).Info().Fate != granitehoist.NotRun {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), bindingTimeout)
+	defer cancel()
+	if failed := b.Release(ctx, g.settings.Clock()); failed != nil {
+		g.settings.Log.Warn("once_release", zap.Error(failed))
+	}
+	return err
+}
--- a/partner/gate/completion.go
+++ b/partner/gate/completion.go
@@ -5,24 +5,12 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"math"
 
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// Tokens that an engine's template may add to a prompt: for each message, and
-// for the whole. Both are upper bounds.
-const (
-	templateMessageTokens = 16
-	templateTokens        = 64
-	// toolFactor bounds what the template may make of the tools' text.
-	toolFactor    = 2
-	maxChoices    = 8
-	maxTokenCount = granitehoist.Tokens(math.MaxInt32)
-)
-
 // allowedFields are the fields of a completion request that can't raise its
 // cost beyond the bound. Others, such as a template of the caller's own, are
 // refused.
@@ -34,19 +22,32 @@
 	"response_format": true, "tools": true, "tool_choice": true, "parallel_tool_calls": true, "metadata": true,
 }
 
+const (
+	// maxChoices bounds the answers that one request may ask for; chosen, not
+	// measured.
+	maxChoices = 8
+	// maxTokenCount bounds a maximum of output tokens: the largest 32-bit number,
+	// so that the bound of no request overflows; chosen, not measured.
+	maxTokenCount = granitehoist.Tokens(math.MaxInt32)
+)
+
 // completion is a completion request as a caller sent it.
 type completion struct {
-	fields    map[string]json.RawMessage
+	fields map[string]json.RawMessage
+	// bodyBytes is the size of the body.
 	bodyBytes int
-	// textBytes bounds the tokens of the prompt's own text.
-	textBytes  int
-	model      granitehoist.Model
-	stream     bool
+	// textBytes is the size of the prompt's own text; it bounds its tokens.
+	textBytes int
+	model     granitehoist.Model
+	stream    bool
+	// wantsUsage says that the caller asked for the usage in its stream.
 	wantsUsage bool
 	choices    granitehoist.Tokens
-	messages   int
-	maxTokens  *granitehoist.Tokens
-	// prefix is what requests are compared by when an upstream is chosen.
+	// messages is the number of chat messages; zero for a plain prompt.
+	messages int
+	// maxTokens is the caller's maximum of one choice, nil if it gave none.
+	maxTokens *granitehoist.Tokens
+	// prefix is the part of the prompt by which requests share an upstream.
 	prefix []byte
 }
 
@@ -71,7 +72,10 @@
 	if err := c.readStream(); err != nil {
 		return nil, err
 	}
-	if err := c.readCounts(); err != nil {
+	if err := c.readMaxTokens(); err != nil {
+		return nil, err
+	}
+	if err := c.readChoices(); err != nil {
 		return nil, err
 	}
 	return c, c.readPrompt()
@@ -103,7 +107,9 @@
 	return nil
 }
 
-func (c *completion) readCounts() error {
+// readMaxTokens reads the caller's maximum, which may stand in either of two
+// fields, or in both if they agree.
+func (c *completion) readMaxTokens() error {
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		var n *float64
 		if err := c.field(name, &n); err != nil {
@@ -121,6 +127,10 @@
 		}
 		c.maxTokens = &tokens
 	}
+	return nil
+}
+
+func (c *completion) readChoices() error {
 	if err := c.field("n", &c.choices); err != nil {
 		return err
 	}
@@ -130,127 +140,16 @@
 	return nil
 }
 
-// chatMessage is one message by its fields.
-type chatMessage map[string]json.RawMessage
-
-type contentPart struct {
-	Type string `json:"type"`
-}
-
-// readPrompt checks that the prompt is text alone, whose tokens its bytes
-// bound.
-func (c *completion) readPrompt() error {
-	messages, chat := c.fields["messages"]
-	prompt, plain := c.fields["prompt"]
-	switch {
-	case chat && plain:
-		return granitehoist.Errorf(granitehoist.BadRequest, "it has both \"messages\" and \"prompt\"")
-	case chat:
-		return c.readMessages(messages)
-	case plain:
-		c.prefix = prompt[:min(len(prompt), plainPrefixBytes)]
-		var text string
-		if err := json.Unmarshal(prompt, &text); err != nil {
-			return granitehoist.Errorf(granitehoist.Unsupported, "field \"prompt\" is one text")
-		}
-		c.textBytes = len(text)
-		return nil
-	}
-	return granitehoist.Errorf(granitehoist.BadRequest, "it has neither \"messages\" nor \"prompt\"")
-}
-
-func (c *completion) readMessages(raw json.RawMessage) error {
-	var messages []chatMessage
-	if err := json.Unmarshal(raw, &messages); err != nil || len(messages) == 0 {
-		return granitehoist.Errorf(granitehoist.BadRequest, "field \"messages\" is a list of at least one message")
-	}
-	c.messages = len(messages)
-	c.prefix = sharedPrefix(messages)
-	for i, m := range messages {
-		if err := checkContent(m["content"]); err != nil {
-			return granitehoist.Errorf(granitehoist.Unsupported, "message %d: %v", i, err)
-		}
-		c.textBytes += m.size()
-	}
-	return nil
-}
-
-// plainPrefixBytes is the length of a plain prompt's beginning in bytes.
-const plainPrefixBytes = 1024
-
-// sharedPrefix returns the part of a conversation that all its turns share: the
-// messages up to the first of the user.
-func sharedPrefix(messages []chatMessage) []byte {
-	var shared []byte
-	for _, m := range messages {
-		shared = append(shared, m["content"]...)
-		if string(m["role"]) == `"user"` {
-			break
-		}
-	}
-	return shared
-}
-
-// size bounds the tokens of a message's text: the bytes of its content, or, if
-// it has parts or more fields than role and content, all its bytes.
-func (m chatMessage) size() int {
-	var content, role string
-	simple := len(m) == 2 && json.Unmarshal(m["content"], &content) == nil && json.Unmarshal(m["role"], &role) == nil
-	if simple {
-		return len(content) + len(role)
-	}
-	size := 0
-	for name, raw := range m {
-		size += len(name) + len(raw)
-	}
-	return size
-}
-
-func checkContent(raw json.RawMessage) error {
-	var text string
-	if len(raw) == 0 || string(raw) == "null" || json.Unmarshal(raw, &text) == nil {
-		return nil
-	}
-	var parts []contentPart
-	if err := json.Unmarshal(raw, &parts); err != nil {
-		return fmt.Errorf("its content is neither text nor a list of parts")
-	}
-	for _, part := range parts {
-		if part.Type != "text" {
-			return fmt.Errorf("a part of type %q", part.Type)
-		}
-	}
-	return nil
-}
-
-// maxOutput returns the output tokens of one choice that the service allows.
-func (c *completion) maxOutput(s config.Service) granitehoist.Tokens {
-	if c.maxTokens == nil {
-		return s.DefaultOutput
-	}
-	return min(*c.maxTokens, s.MaxOutput)
-}
-
-// bound returns an upper bound of the request's cost: each byte of the prompt's
-// text is at most one token, the template adds a bounded number, and each
-// choice at most its maximum.
-func (c *completion) bound(s config.Service) granitehoist.Tokens {
-	extra := toolFactor * (len(c.fields["tools"]) + len(c.fields["response_format"]))
-	prompt := granitehoist.Tokens(c.textBytes + templateTokens + c.messages*templateMessageTokens + extra)
-	return prompt + c.choices*c.maxOutput(s)
-}
-
-// forward returns the body for the engine: the caller's, with the maximum
-// output written out, the usage asked for and the priority set. Engines serve
-// a smaller number first.
-func (c *completion) forward(s config.Service, p granitehoist.Priority) ([]byte, error) {
+// upstreamBody returns the body for the engine: the caller's, with the maximum
+// output written out, the usage asked for and the priority set.
+func (c *completion) upstreamBody(s config.Service, p granitehoist.Priority) ([]byte, error) {
 	fields := make(map[string]any, len(c.fields)+3)
 	for name, raw := range c.fields {
 		fields[name] = raw
 	}
 	delete(fields, "max_completion_tokens")
 	fields["max_tokens"] = c.maxOutput(s)
-	fields["priority"] = granitehoist.MaxPriority - p
+	fields["priority"] = enginePriority(p)
 	if c.stream {
 		fields["stream_options"] = map[string]bool{"include_usage": true}
 	}
--- /dev/null
+++ b/partner/gate/failure.go
@@ -0,0 +1,71 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package gate
+
+import (
+	"encoding/json"
+	"errors"
+	"net/http"
+	"strconv"
+
+	"granitehoist.example/granitehoist"
+)
+
+// Failure is the body of an answer that is not Served. Its form is that of
+// OpenAI-compatible errors.
+type Failure struct {
+	Error FailureDetail `json:"error"`
+}
+
+// FailureDetail tells what went wrong.
+type FailureDetail struct {
+	// Code is the numbered result code, and Type its name.
+	Code    int    `json:"code"`
+	Type    string `json:"type"`
+	Message string `json:"message"`
+	// Fate says whether the request ran.
+	Fate    granitehoist.Fate      `json:"fate"`
+	Advice  granitehoist.Advice    `json:"advice"`
+	Request granitehoist.RequestID `json:"request_id"`
+}
+
+// asError returns an error as *Error; one without a code is Internal, whose
+// fate is that the request may have run.
+func asError(err error) *granitehoist.Error {
+	var e *granitehoist.Error
+	if errors.As(err, &e) {
+		return e
+	}
+	return granitehoist.Wrap(granitehoist.Internal, err, "")
+}
+
+func failure(id granitehoist.RequestID, e *granitehoist.Error) Failure {
+	info := e.Code.Info()
+	return Failure{Error: FailureDetail{
+		Code:    int(info.Code),
+		Type:    info.Name,
+		Message: e.Message(),
+		Fate:    info.Fate,
+		Advice:  info.Advice,
+		Request: id,
+	}}
+}
+
+// refuse answers with an error. It is called only before any other answer.
+func (g *Gate) refuse(w http.ResponseWriter, id granitehoist.RequestID, err error) {
+	e := asError(err)
+	info := e.Code.Info()
+	g.countResult(e.Code)
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
+	header.Set(HeaderRequest, string(id))
+	header.Set(HeaderCode, strconv.Itoa(int(info.Code)))
+	header.Set(HeaderFate, string(info.Fate))
+	if wait := retryAfter(e); wait > 0 {
+		header.Set("Retry-After", strconv.Itoa(wholeSeconds(wait)))
+	}
+	w.WriteHeader(info.Status)
+	// A caller that has left can't be told.
+	_ = json.NewEncoder(w).Encode(failure(id, e))
+}
--- a/partner/gate/fakes_test.go
+++ b/partner/gate/fakes_test.go
@@ -181,7 +181,7 @@
 		Random:      rand.Reader,
 		Log:         zap.NewNop(),
 		Metrics:     metrics.NewRegistry(),
-		BodyBytes:   10_000,
+		Limits:      gate.Limits{BodyBytes: 10_000},
 	}
 	s.gate = gate.New(s.settings)
 	return s
--- a/partner/gate/gate_test.go
+++ b/partner/gate/gate_test.go
@@ -375,7 +375,7 @@
 	})
 
 	DescribeTable("answers a caller whose body does not arrive in time", func(key string, code string) {
-		s.settings.ReadTimeout = 50 * time.Millisecond
+		s.settings.Limits.ReadTimeout = 50 * time.Millisecond
 		server := httptest.NewServer(gate.New(s.settings))
 		defer server.Close()
 		conn, err := net.Dial("tcp", server.Listener.Addr().String())
@@ -395,7 +395,7 @@
 	)
 
 	It("lets an answer take longer than a body may", func() {
-		s.settings.ReadTimeout = 50 * time.Millisecond
+		s.settings.Limits.ReadTimeout = 50 * time.Millisecond
 		s.engine.steps = []step{func(c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 			time.Sleep(200 * time.Millisecond)
 			return answers(c, sink)
--- /dev/null
+++ b/partner/gate/result.go
@@ -0,0 +1,44 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package gate
+
+import (
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/partner/route"
+)
+
+// overallError decides what the caller is told after several attempts: an
+// attempt that may have run stays true when a later one did not run. uncertain
+// is the error of an earlier attempt that may have run, nil if there is none,
+// and last the newest error.
+func overallError(uncertain, last error) error {
+	if uncertain != nil && granitehoist.CodeOf(last).Info().Fate == granitehoist.NotRun {
+		return uncertain
+	}
+	return last
+}
+
+// finalError decides what a request ends with if its caller has left: an error
+// after which the request may have run is put down to the caller, whose leaving
+// ends attempts. One that did not run keeps its code.
+func finalError(err error, callerLeft bool) error {
+	if err == nil || !callerLeft || granitehoist.CodeOf(err).Info().Fate == granitehoist.NotRun {
+		return err
+	}
+	return granitehoist.Wrap(granitehoist.CallerGone, err, "")
+}
+
+// upstreamResult decides what an attempt says of its upstream, for the choice
+// of later ones. A request that the upstream could not read says nothing bad of
+// it, and an attempt that ended with its caller or its deadline says nothing.
+func upstreamResult(err error, ended bool) route.Result {
+	code := granitehoist.CodeOf(err)
+	switch {
+	case err == nil, code == granitehoist.BadRequest:
+		return route.Good
+	case ended, code == granitehoist.CallerGone:
+		return route.Unclear
+	}
+	return route.Bad
+}
--- /dev/null
+++ b/partner/gate/run.go
@@ -0,0 +1,173 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package gate
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"go.uber.org/zap"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/partner/once"
+	"granitehoist.example/granitehoist/partner/policy"
+	"granitehoist.example/granitehoist/partner/route"
+)
+
+// writeGrace is the time after a request's deadline in which its answer may
+// still be written; chosen, not measured.
+const writeGrace = 5 * time.Second
+
+// run takes a request that was read, or failed to be read with err, from policy
+// to charge, and answers it.
+func (g *Gate) run(w http.ResponseWriter, r *http.Request, req *request, err error) {
+	if err == nil {
+		timeout := req.asked.options.timeout
+		ctx, cancel := context.WithTimeout(r.Context(), timeout)
+		defer cancel()
+		setWriteDeadline(w, req.asked.began.Add(timeout+writeGrace))
+		err = g.admit(ctx, req)
+	}
+	err = finalError(err, r.Context().Err() != nil)
+	g.logResult(req, err)
+	g.reportBurn(req, err)
+	switch {
+	case err == nil:
+		g.countResult(granitehoist.Served)
+	case req.sink.started:
+		g.countResult(granitehoist.CodeOf(err))
+		req.sink.abort(asError(err))
+	default:
+		g.refuse(w, req.asked.id, err)
+	}
+}
+
+// admit asks the policies and makes room for the charge and the tokens.
+func (g *Gate) admit(ctx context.Context, req *request) error {
+	if req.decided.once && !req.asked.hasID {
+		return granitehoist.Errorf(granitehoist.BadHeader, "a request not to be repeated needs a %s of the caller's", HeaderRequest)
+	}
+	priority, err := g.settings.View().Decide(g.policyRequest(req))
+	if err != nil {
+		return err
+	}
+	req.decided.priority = priority
+	if req.decided.call.Body, err = req.asked.writeBody(priority); err != nil {
+		return granitehoist.Wrap(granitehoist.BadRequest, err, "")
+	}
+	if !g.settings.Ledger.Open() {
+		return granitehoist.Errorf(granitehoist.BillsFull, "")
+	}
+	s := &spend{gate: g, request: req}
+	if err := s.reserve(ctx); err != nil {
+		g.settings.Ledger.Drop()
+		return err
+	}
+	err = g.execute(ctx, req, s)
+	s.finish()
+	return err
+}
+
+// policyRequest returns what the policies decide upon.
+func (g *Gate) policyRequest(req *request) policy.Request {
+	return policy.Request{
+		Workspace:  req.asked.identity.Workspace,
+		Service:    req.asked.offer.Name,
+		Model:      req.asked.model,
+		Partner:    req.asked.identity.Partner,
+		Owner:      req.asked.offer.Owner,
+		Zone:       g.settings.Zone,
+		Priority:   req.asked.options.priority,
+		PromptSize: req.asked.bodyBytes,
+		MaxOutput:  req.asked.maxOutput,
+		Budget:     req.decided.budget.Name(),
+		Time:       req.asked.began,
+	}
+}
+
+// execute sends the request, one attempt after the other, until one serves it
+// or no other may follow.
+func (g *Gate) execute(ctx context.Context, req *request, s *spend) error {
+	want := route.Want{
+		Service:  req.asked.offer.Name,
+		Targets:  g.targets.targets(g.settings.View(), req.asked.offer),
+		Affinity: req.decided.affinity,
+		Priority: req.decided.priority,
+		Tried:    map[granitehoist.Upstream]bool{},
+	}
+	g.retries.request()
+	var binding *once.Binding
+	var uncertain error
+	for attempt := 1; ; attempt++ {
+		slot, err := g.settings.Table.Acquire(ctx, want, g.settings.Clock())
+		if err != nil {
+			return g.release(ctx, binding, overallError(uncertain, err))
+		}
+		id := granitehoist.NewAttemptID(g.settings.Incarnation, g.attempts.Add(1), req.decided.budget, req.asked.id)
+		if req.decided.once && binding == nil {
+			binding, err = g.bind(ctx, req, id)
+			if err != nil {
+				slot.Done(route.Unclear, g.settings.Clock())
+				return err
+			}
+		}
+		err = g.send(ctx, req, s, slot, id)
+		if err == nil {
+			g.finishBinding(ctx, req, binding)
+			return nil
+		}
+		err = overallError(uncertain, err)
+		if granitehoist.CodeOf(err).Info().Fate != granitehoist.NotRun {
+			uncertain = err
+		}
+		if !g.mayRetry(ctx, req, s, err, attempt) {
+			return g.release(ctx, binding, err)
+		}
+		want.Tried[slot.Upstream] = true
+	}
+}
+
+// send makes one attempt and settles what it cost.
+func (g *Gate) send(ctx context.Context, req *request, s *spend, slot *route.Slot, id granitehoist.AttemptID) error {
+	u := upstreamOf(req.asked.offer, slot.Upstream)
+	call := req.decided.call
+	call.Attempt = id
+	call.Address = u.Address
+	protocol := g.settings.Protocols[req.asked.offer.Kind]
+	usage, err := protocol.Do(ctx, call, req.sink)
+	slot.Done(upstreamResult(err, ctx.Err() != nil), g.settings.Clock())
+	s.attemptEnded(id, u, usage, err)
+	if err != nil {
+		g.settings.Log.Info("attempt", zap.String("request", string(req.asked.id)), zap.String("attempt", string(id)), zap.String("upstream", string(u.Name)), zap.Int("code", int(granitehoist.CodeOf(err))), zap.Error(err))
+	}
+	return err
+}
+
+func upstreamOf(offer *config.Offer, name granitehoist.Upstream) config.Upstream {
+	u, ok := offer.Upstream(name)
+	if !ok {
+		panic("gate: an upstream was chosen that the service does not have")
+	}
+	return u
+}
+
+// mayRetry reports whether the request may be sent to another upstream, and
+// takes what a further attempt costs: one retry of the router's budget of
+// retries and a reservation. If the reservation fails the caller is told the
+// result of the attempt, since that is why its request did not succeed.
+func (g *Gate) mayRetry(ctx context.Context, req *request, s *spend, err error, attempt int) bool {
+	verdict := decideRetry(attemptState{
+		made:          attempt,
+		code:          granitehoist.CodeOf(err),
+		repeatable:    req.decided.repeatable,
+		answerStarted: req.sink.started,
+		ended:         ctx.Err() != nil,
+	})
+	if verdict != retryAllowed || !g.retries.retry() {
+		return false
+	}
+	return s.reserve(ctx) == nil
+}
--- a/partner/report/burn.go
+++ b/partner/report/burn.go
@@ -52,7 +52,8 @@
 	Errors  int `json:"errors"`
 }
 
-func (c Counts) add(d Counts) Counts {
+// Add returns the sum of two counts.
+func (c Counts) Add(d Counts) Counts {
 	return Counts{
 		Requests:    c.Requests + d.Requests,
 		First:       c.First + d.First,
@@ -64,6 +65,22 @@
 	}
 }
 
+// CountFirst enters an answer whose first token took a time.
+func (c *Counts) CountFirst(took time.Duration) {
+	c.First++
+	if took > FirstTokenLevel {
+		c.SlowFirst++
+	}
+}
+
+// CountBetween enters a gap between two tokens.
+func (c *Counts) CountBetween(gap time.Duration) {
+	c.Between++
+	if gap > BetweenLevel {
+		c.SlowBetween++
+	}
+}
+
 // codeRanges: 30xx and 40xx are refusals, 50xx and 60xx failures.
 const (
 	refusalCodes  = 3000
@@ -119,7 +136,7 @@
 	if b.number != number {
 		*b = bucket{number: number}
 	}
-	b.counts = b.counts.add(c)
+	b.counts = b.counts.Add(c)
 }
 
 // Row is the counts of a key over each of Windows.
@@ -153,7 +170,7 @@
 	var sum Counts
 	for _, b := range buckets {
 		if b.number > oldest && b.number <= last {
-			sum = sum.add(b.counts)
+			sum = sum.Add(b.counts)
 		}
 	}
 	return sum
@@ -195,7 +212,7 @@
 			continue
 		}
 		for w := range b.Rows[i].Windows {
-			b.Rows[i].Windows[w] = b.Rows[i].Windows[w].add(row.Windows[w])
+			b.Rows[i].Windows[w] = b.Rows[i].Windows[w].Add(row.Windows[w])
 		}
 	}
 	sortRows(b.Rows)
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -124,15 +124,11 @@
 }
 
 func noUpstream(w Want) error {
-	e := granitehoist.Errorf(granitehoist.NoUpstream, "service %s", w.Service)
-	e.RetryAfter = time.Second
-	return e
+	return granitehoist.Errorf(granitehoist.NoUpstream, "service %s", w.Service)
 }
 
 func overloaded() error {
-	e := granitehoist.Errorf(granitehoist.Overloaded, "")
-	e.RetryAfter = time.Second
-	return e
+	return granitehoist.Errorf(granitehoist.Overloaded, "")
 }
 
 // abandonWait ends a wait. A slot that was given at the same moment is taken.
