--- a/partner/gate/gate_test.go
+++ b/partner/gate/gate_test.go
@@ -291,6 +291,16 @@
 			Expect(left).To(Equal(granitehoist.Tokens(9997)))
 		})
 
+		DescribeTable("passes the same path through however the caller escaped its own part",
+			func(path string) {
+				Expect(s.send(http.MethodGet, path, "").status).To(Equal(http.StatusOK))
+				Expect(s.plain.calls[0].Path).To(Equal("/x%2Fy?z=1"))
+			},
+			Entry("not at all", "/services/desk/x%2Fy?z=1"),
+			Entry("the service's name", "/services/d%65sk/x%2Fy?z=1"),
+			Entry("the prefix", "/%73ervices/desk/x%2Fy?z=1"),
+		)
+
 		It("repeats a lost GET and no lost POST", func() {
 			s.plain.steps = []step{fails(granitehoist.UpstreamLost), answers}
 			Expect(s.send(http.MethodGet, "/services/desk/x", "").status).To(Equal(http.StatusOK))
--- a/partner/gate/read.go
+++ b/partner/gate/read.go
@@ -7,6 +7,7 @@
 	"errors"
 	"io"
 	"net/http"
+	"strings"
 	"time"
 
 	"granitehoist.example/granitehoist"
@@ -137,19 +138,20 @@
 	r.decided.repeatable = safe && !r.decided.once
 	r.decided.call = granitehoist.Call{
 		Method: from.Method,
-		Path:   plainPath(from, offer.Name),
+		Path:   plainPath(from),
 		Header: upstream.CopyHeader(from.Header, "Authorization", "Content-Length", "Host", HeaderRequest, HeaderPriority, HeaderDeadline, HeaderOnce, HeaderBudget),
 		Once:   r.decided.once,
 	}
 }
 
 // plainPath returns the path and query that a plain service gets: the caller's
-// without the prefix and the service's name, escaped as the caller wrote it.
-func plainPath(r *http.Request, service granitehoist.Service) string {
-	path := "/" + r.PathValue("path")
-	if escaped := r.URL.EscapedPath(); len(escaped) > len(pathServices) {
-		path = escaped[len(pathServices)+len(service):]
-	}
+// without the prefix and the service's name, escaped as the caller wrote it. It
+// begins with a slash. The pattern that servePlain is registered under makes
+// sure of the two parts before it, which the caller may have escaped as well.
+func plainPath(r *http.Request) string {
+	const partsBefore = 3 // the empty one before the first slash, the prefix and the name
+	parts := strings.SplitN(r.URL.EscapedPath(), "/", partsBefore+1)
+	path := "/" + parts[partsBefore]
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
 	}
