--- a/partner/route/pool.go
+++ b/partner/route/pool.go
@@ -13,10 +13,10 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Pool is the upstreams of one service, prepared for choosing. It holds what
+// servicePool is the upstreams of one service, prepared for choosing. It holds what
 // this router knows of each: its requests in progress and its failures. A Pool
 // is used by one Table only.
-type Pool struct {
+type servicePool struct {
 	service granitehoist.Service
 	targets []Target
 	members []*member
@@ -25,11 +25,11 @@
 	inFlight int
 	waiters  queue
 	// next is the pool that took this one's place.
-	next *Pool
+	next *servicePool
 }
 
 // current returns the pool that stands in a pool's place now.
-func (p *Pool) current() *Pool {
+func (p *servicePool) current() *servicePool {
 	for p.next != nil {
 		p = p.next
 	}
@@ -71,7 +71,7 @@
 }
 
 // loadLimit returns the load bound: the average with one more request, and slack.
-func (p *Pool) loadLimit(slack float64) int {
+func (p *servicePool) loadLimit(slack float64) int {
 	average := float64(p.inFlight+1) / float64(len(p.members))
 	return int(average*(1+slack)) + 1
 }
@@ -87,7 +87,7 @@
 const ringSteps = 64
 
 // byRing returns the first member with room, from the place of an affinity on.
-func (p *Pool) byRing(w Want, limit int, now time.Time) *member {
+func (p *servicePool) byRing(w Want, limit int, now time.Time) *member {
 	start := sort.Search(len(p.ring), func(i int) bool { return p.ring[i].hash >= w.Affinity })
 	for step := range min(ringSteps, len(p.ring)) {
 		m := p.members[p.ring[(start+step)%len(p.ring)].member]
@@ -104,7 +104,7 @@
 // lightest returns the member with room and the fewest requests: of all in a
 // small pool, of two random ones in a large one (M. Mitzenmacher, "The Power of
 // Two Choices in Randomized Load Balancing", 1996).
-func (p *Pool) lightest(w Want, random func(int) int, now time.Time) *member {
+func (p *servicePool) lightest(w Want, random func(int) int, now time.Time) *member {
 	if len(p.members) <= smallPool {
 		return p.scan(w, now)
 	}
@@ -121,7 +121,7 @@
 }
 
 // scan returns the member with room and the fewest requests among all.
-func (p *Pool) scan(w Want, now time.Time) *member {
+func (p *servicePool) scan(w Want, now time.Time) *member {
 	var best *member
 	for _, m := range p.members {
 		if m.hasRoom(m.Concurrency, w.Tried, now) && (best == nil || m.inFlight < best.inFlight) {
@@ -133,7 +133,7 @@
 
 // firstReturning returns the untried member that returns first, if every untried
 // member is left out, and whether there is an untried member at all.
-func (p *Pool) firstReturning(w Want, now time.Time) (first *member, untried bool) {
+func (p *servicePool) firstReturning(w Want, now time.Time) (first *member, untried bool) {
 	for _, m := range p.members {
 		if m.leaving || w.Tried[m.Name] {
 			continue
--- a/partner/route/queue.go
+++ b/partner/route/queue.go
@@ -39,7 +39,7 @@
 }
 
 // serveQueue gives room to waiting requests, in order, as long as there is any.
-func (t *Table) serveQueue(p *Pool, now time.Time) {
+func (t *Table) serveQueue(p *servicePool, now time.Time) {
 	for len(p.waiters) > 0 {
 		first := p.waiters[0]
 		slot, _ := t.assign(p, first.want, now)
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -31,7 +31,7 @@
 	mu      sync.Mutex
 	random  *rand.Rand
 	members map[granitehoist.Upstream]*member
-	pools   map[granitehoist.Service]*Pool
+	pools   map[granitehoist.Service]*servicePool
 }
 
 // Settings configure a Table. The zero value works.
@@ -67,7 +67,7 @@
 		settings: s,
 		random:   rand.New(rand.NewPCG(s.Seed, 0)),
 		members:  map[granitehoist.Upstream]*member{},
-		pools:    map[granitehoist.Service]*Pool{},
+		pools:    map[granitehoist.Service]*servicePool{},
 	}
 }
 
@@ -92,7 +92,7 @@
 type Slot struct {
 	Upstream granitehoist.Upstream
 	table    *Table
-	pool     *Pool
+	pool     *servicePool
 	member   *member
 }
 
@@ -132,7 +132,7 @@
 }
 
 // abandonWait ends a wait. A slot that was given at the same moment is taken.
-func (t *Table) abandonWait(p *Pool, w *waiter) (*Slot, error) {
+func (t *Table) abandonWait(p *servicePool, w *waiter) (*Slot, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	select {
@@ -146,7 +146,7 @@
 
 // currentPool returns the prepared upstreams of a service. Requests in progress and
 // waiting stay with the pool in which they began.
-func (t *Table) currentPool(w Want) *Pool {
+func (t *Table) currentPool(w Want) *servicePool {
 	p, ok := t.pools[w.Service]
 	if ok && sameSlice(p.targets, w.Targets) {
 		return p
@@ -155,7 +155,7 @@
 		p.targets = w.Targets
 		return p
 	}
-	next := &Pool{service: w.Service, targets: w.Targets}
+	next := &servicePool{service: w.Service, targets: w.Targets}
 	for _, target := range w.Targets {
 		m, exists := t.members[target.Name]
 		if !exists {
@@ -182,7 +182,7 @@
 
 // assign chooses an upstream with room. found is false if no upstream could be
 // chosen even with room.
-func (t *Table) assign(p *Pool, w Want, now time.Time) (slot *Slot, possible bool) {
+func (t *Table) assign(p *servicePool, w Want, now time.Time) (slot *Slot, possible bool) {
 	if len(p.members) == 0 {
 		return nil, false
 	}
@@ -197,7 +197,7 @@
 }
 
 // choose returns a member with room, nil if there is none.
-func (t *Table) choose(p *Pool, w Want, now time.Time) *member {
+func (t *Table) choose(p *servicePool, w Want, now time.Time) *member {
 	if w.Affinity != 0 {
 		if m := p.byRing(w, p.loadLimit(t.settings.Slack), now); m != nil {
 			return m
@@ -209,7 +209,7 @@
 	return p.scan(w, now)
 }
 
-func (t *Table) take(p *Pool, m *member) *Slot {
+func (t *Table) take(p *servicePool, m *member) *Slot {
 	m.inFlight++
 	p.inFlight++
 	return &Slot{Upstream: m.Name, table: t, pool: p, member: m}
