--- a/partner/route/queue.go
+++ b/partner/route/queue.go
@@ -42,6 +42,8 @@
 func (t *Table) serveQueue(p *servicePool, now time.Time) {
 	for len(p.waiters) > 0 {
 		first := p.waiters[0]
+		// Whether room is possible at all doesn't matter: a waiter that no upstream
+		// can serve waits until its deadline, as the ones behind it do.
 		slot, _ := t.assign(p, first.want, now)
 		if slot == nil {
 			return
@@ -51,6 +53,19 @@
 	}
 }
 
+// abandonWait ends a wait. A slot that was given at the same moment is taken.
+func (t *Table) abandonWait(p *servicePool, w *waiter) (*Slot, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	select {
+	case slot := <-w.slot:
+		return slot, nil
+	default:
+	}
+	p.waiters.remove(w)
+	return nil, granitehoist.Errorf(granitehoist.Overloaded, "")
+}
+
 // Waiting returns the number of a service's requests that wait.
 func (t *Table) Waiting(s granitehoist.Service) int {
 	t.mu.Lock()
--- /dev/null
+++ b/partner/route/rules_test.go
@@ -0,0 +1,83 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package route
+
+import (
+	"math/rand/v2"
+	"time"
+
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"granitehoist.example/granitehoist"
+)
+
+var _ = Describe("ejection", func() {
+	DescribeTable("doubles with each failure in a row, up to a bound",
+		func(failures int, want time.Duration) { Expect(ejection(failures)).To(Equal(want)) },
+		Entry("first", 1, 500*time.Millisecond),
+		Entry("second", 2, time.Second),
+		Entry("sixth", 6, 16*time.Second),
+		Entry("seventh", 7, 30*time.Second),
+		Entry("thousandth", 1000, 30*time.Second),
+	)
+})
+
+var _ = Describe("loadLimit", func() {
+	DescribeTable("is the average and a quarter, and never below one",
+		func(inFlight, members, want int) { Expect(loadLimit(inFlight, members)).To(Equal(want)) },
+		Entry("nothing in progress", 0, 4, 1),
+		Entry("an average of 25", 99, 4, 32),
+		Entry("one member", 9, 1, 13),
+	)
+})
+
+var _ = Describe("choose", func() {
+	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
+	random := rand.New(rand.NewPCG(1, 0))
+
+	// chosen returns the name of the member that a pool of them chooses, "" for
+	// none.
+	chosen := func(w Want, members ...*member) granitehoist.Upstream {
+		p := &servicePool{members: members, ring: newRing(members)}
+		for _, m := range members {
+			p.inFlight += m.inFlight
+		}
+		m := p.choose(w, random, now)
+		if m == nil {
+			return ""
+		}
+		return m.Name
+	}
+	free := func(name granitehoist.Upstream) *member { return &member{Target: Target{Name: name, Concurrency: 4}} }
+	busy := func(name granitehoist.Upstream, inFlight int) *member {
+		m := free(name)
+		m.inFlight = inFlight
+		return m
+	}
+	ejected := func(name granitehoist.Upstream) *member {
+		m := free(name)
+		m.ejectedUntil = now.Add(time.Millisecond)
+		return m
+	}
+	leaving := func(name granitehoist.Upstream) *member {
+		m := free(name)
+		m.leaving = true
+		return m
+	}
+	tried := map[granitehoist.Upstream]bool{"a": true}
+
+	DescribeTable("takes the member with room and the fewest requests",
+		func(want granitehoist.Upstream, w Want, members ...*member) {
+			Expect(chosen(w, members...)).To(Equal(want))
+		},
+		Entry("no members", granitehoist.Upstream(""), Want{}),
+		Entry("the lighter", granitehoist.Upstream("b"), Want{}, busy("a", 2), busy("b", 1)),
+		Entry("not a tried one", granitehoist.Upstream("b"), Want{Tried: tried}, free("a"), busy("b", 3)),
+		Entry("not one that is left out", granitehoist.Upstream("b"), Want{}, ejected("a"), busy("b", 3)),
+		Entry("not one that leaves", granitehoist.Upstream("b"), Want{}, leaving("a"), busy("b", 3)),
+		Entry("none when all are full", granitehoist.Upstream(""), Want{}, busy("a", 4), busy("b", 4)),
+		Entry("beyond the load bound when the ring has no room", granitehoist.Upstream("b"), Want{Affinity: 1, Tried: tried}, free("a"), busy("b", 3)),
+	)
+})
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -23,11 +23,12 @@
 	Concurrency int
 }
 
-// Table knows the requests in progress and the failures of each upstream, as
+// Table has the requests in progress and the failures of each upstream, as
 // this router sees them. It is safe for concurrent use and makes no calls.
 type Table struct {
 	settings Settings
 
+	// mu guards the fields below and everything reached from them.
 	mu      sync.Mutex
 	random  *rand.Rand
 	members map[granitehoist.Upstream]*member
@@ -36,12 +37,6 @@
 
 // Settings configure a Table. The zero value works.
 type Settings struct {
-	// Slack is how much more than the average load an upstream may have before
-	// requests pass on to the next; zero stands for DefaultSlack.
-	Slack float64
-	// Ejection is how long an upstream is left out after its first failure in a
-	// row; zero stands for DefaultEject.
-	Ejection time.Duration
 	// QueueLimit bounds the requests of a service that wait; zero stands for
 	// DefaultQueueLimit.
 	QueueLimit int
@@ -49,19 +44,12 @@
 	Seed uint64
 }
 
-// Defaults of Settings.
-const (
-	DefaultSlack         = 0.25
-	DefaultEjection      = 500 * time.Millisecond
-	DefaultQueueLimit    = 1000
-	maxEjection          = 30 * time.Second
-	maxEjectionDoublings = 10
-)
+// DefaultQueueLimit is in requests of one service at one router; chosen, not
+// measured.
+const DefaultQueueLimit = 1000
 
 // NewTable returns an empty table.
 func NewTable(s Settings) *Table {
-	defaults.Set(&s.Slack, DefaultSlack)
-	defaults.Set(&s.Ejection, DefaultEjection)
 	defaults.Set(&s.QueueLimit, DefaultQueueLimit)
 	return &Table{
 		settings: s,
@@ -85,19 +73,13 @@
 	Tried map[granitehoist.Upstream]bool
 }
 
-// PrefixAffinity returns the affinity of a prompt's beginning.
-func PrefixAffinity(beginning []byte) uint64 { return xxhash.Sum64(beginning) }
-
-// Slot is an upstream chosen for one attempt. It is to be ended by Done.
-type Slot struct {
-	Upstream granitehoist.Upstream
-	table    *Table
-	pool     *servicePool
-	member   *member
-}
+// PrefixAffinity returns the affinity of requests that share a prefix of their
+// prompts.
+func PrefixAffinity(prefix []byte) uint64 { return xxhash.Sum64(prefix) }
 
 // Acquire chooses an upstream, or waits for one until ctx ends. Its errors are
-// *Error with codes NoUpstream and Overloaded.
+// *Error with codes NoUpstream, if the service has none that could be chosen,
+// and Overloaded, if none had room in time or too many requests wait.
 func (t *Table) Acquire(ctx context.Context, w Want, now time.Time) (*Slot, error) {
 	t.mu.Lock()
 	pool := t.currentPool(w)
@@ -108,10 +90,10 @@
 		return slot, nil
 	case !possible:
 		t.mu.Unlock()
-		return nil, noUpstream(w)
+		return nil, granitehoist.Errorf(granitehoist.NoUpstream, "service %s", w.Service)
 	case len(pool.waiters) >= t.settings.QueueLimit:
 		t.mu.Unlock()
-		return nil, overloaded()
+		return nil, granitehoist.Errorf(granitehoist.Overloaded, "")
 	}
 	added := pool.waiters.add(w)
 	t.mu.Unlock()
@@ -123,70 +105,53 @@
 	}
 }
 
-func noUpstream(w Want) error {
-	return granitehoist.Errorf(granitehoist.NoUpstream, "service %s", w.Service)
-}
-
-func overloaded() error {
-	return granitehoist.Errorf(granitehoist.Overloaded, "")
-}
-
-// abandonWait ends a wait. A slot that was given at the same moment is taken.
-func (t *Table) abandonWait(p *servicePool, w *waiter) (*Slot, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	select {
-	case slot := <-w.slot:
-		return slot, nil
-	default:
-	}
-	p.waiters.remove(w)
-	return nil, overloaded()
-}
-
-// currentPool returns the prepared upstreams of a service. Requests in progress and
-// waiting stay with the pool in which they began.
+// currentPool returns the prepared upstreams of a service. Requests in progress
+// and waiting stay with the members and pass on to the new pool.
 func (t *Table) currentPool(w Want) *servicePool {
-	p, ok := t.pools[w.Service]
-	if ok && sameSlice(p.targets, w.Targets) {
+	p, exists := t.pools[w.Service]
+	if exists && sameSlice(p.targets, w.Targets) {
 		return p
 	}
-	if ok && slices.Equal(p.targets, w.Targets) {
+	if exists && slices.Equal(p.targets, w.Targets) {
 		p.targets = w.Targets
 		return p
 	}
-	next := &servicePool{service: w.Service, targets: w.Targets}
-	for _, target := range w.Targets {
+	next := t.newPool(w.Targets)
+	if exists {
+		next.waiters = p.waiters
+		p.waiters = nil
+		p.next = next
+	}
+	t.pools[w.Service] = next
+	return next
+}
+
+// newPool prepares upstreams. Those that were in a pool before keep what is
+// known of them.
+func (t *Table) newPool(targets []Target) *servicePool {
+	p := &servicePool{targets: targets}
+	for _, target := range targets {
 		m, exists := t.members[target.Name]
 		if !exists {
 			m = &member{}
 			t.members[target.Name] = m
 		}
 		m.Target = target
-		next.members = append(next.members, m)
-		next.inFlight += m.inFlight
-	}
-	next.ring = newRing(next.members)
-	if ok {
-		next.waiters = p.waiters
-		p.waiters = nil
-		p.next = next
+		p.members = append(p.members, m)
+		p.inFlight += m.inFlight
 	}
-	t.pools[w.Service] = next
-	return next
+	p.ring = newRing(p.members)
+	return p
 }
 
 func sameSlice(a, b []Target) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// assign chooses an upstream with room. found is false if no upstream could be
-// chosen even with room.
+// assign chooses an upstream with room and takes it. possible is false if no
+// upstream could be chosen even with room.
 func (t *Table) assign(p *servicePool, w Want, now time.Time) (slot *Slot, possible bool) {
-	if len(p.members) == 0 {
-		return nil, false
-	}
-	if m := t.choose(p, w, now); m != nil {
+	if m := p.choose(w, t.random, now); m != nil {
 		return t.take(p, m), true
 	}
 	first, untried := p.firstReturning(w, now)
@@ -196,59 +161,14 @@
 	return nil, untried
 }
 
-// choose returns a member with room, nil if there is none.
-func (t *Table) choose(p *servicePool, w Want, now time.Time) *member {
-	if w.Affinity != 0 {
-		if m := p.byRing(w, p.loadLimit(t.settings.Slack), now); m != nil {
-			return m
-		}
-	}
-	if m := p.lightest(w, t.random.IntN, now); m != nil {
-		return m
-	}
-	return p.scan(w, now)
-}
-
 func (t *Table) take(p *servicePool, m *member) *Slot {
 	m.inFlight++
 	p.inFlight++
 	return &Slot{Upstream: m.Name, table: t, pool: p, member: m}
 }
 
-// Result is how an attempt ended, for the choice of later ones.
-type Result int
-
-// The results.
-const (
-	// Good says that the upstream did its part.
-	Good Result = iota
-	// Bad says that the upstream refused or failed.
-	Bad
-	// Unclear says nothing of the upstream: the caller left, say.
-	Unclear
-)
-
-// Done ends an attempt and gives its room to a waiting request.
-func (s *Slot) Done(r Result, now time.Time) {
-	t, m := s.table, s.member
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	m.inFlight--
-	pool := s.pool.current()
-	pool.inFlight--
-	switch r {
-	case Good:
-		m.failures = 0
-	case Bad:
-		m.failures++
-		m.ejectedUntil = now.Add(min(maxEjection, t.settings.Ejection<<min(m.failures-1, maxEjectionDoublings)))
-	case Unclear:
-	}
-	t.serveQueue(pool, now)
-}
-
-// SetLeaving names all upstreams that are leaving: they get no new work. What
-// is in progress there goes on.
+// SetLeaving names all upstreams that are leaving: they get no new requests.
+// Those in progress there go on.
 func (t *Table) SetLeaving(leaving map[granitehoist.Upstream]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
