--- a/partner/route/queue.go
+++ b/partner/route/queue.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// abandonWait ends a wait. A slot that was given at the same moment is taken.
+// abandonWait ends a wait. A slot that was given at the same moment is taken. The
+// wait may have passed on to a later pool than the one in which it began.
 func (t *Table) abandonWait(p *servicePool, w *waiter) (*Slot, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,7 +63,7 @@
 		return slot, nil
 	default:
 	}
-	p.waiters.remove(w)
+	p.current().waiters.remove(w)
 	return nil, granitehoist.Errorf(granitehoist.Overloaded, "")
 }
 
--- a/partner/route/route_test.go
+++ b/partner/route/route_test.go
@@ -173,6 +173,30 @@
 		Expect(table.InFlight("u0")).To(BeZero())
 	})
 
+	It("loses no room when a wait ends after the documents changed", func() {
+		want := route.Want{Service: "s", Targets: targets(1, 1)}
+		held := acquire(want, start)
+		waiting, cancel := context.WithCancel(ctx)
+		done := make(chan error, 1)
+		go func() {
+			_, err := table.Acquire(waiting, want, start)
+			done <- err
+		}()
+		Eventually(func() int { return table.Waiting("s") }).Should(Equal(1))
+
+		By("another document, with one upstream more")
+		changed := want
+		changed.Targets = targets(2, 1)
+		other := acquire(changed, start)
+		cancel()
+		Expect(granitehoist.CodeOf(<-done)).To(Equal(granitehoist.Overloaded))
+		Expect(table.Waiting("s")).To(BeZero())
+		held.Done(route.Good, start)
+		other.Done(route.Good, start)
+		Expect(table.InFlight("u0")).To(BeZero())
+		Expect(table.InFlight("u1")).To(BeZero())
+	})
+
 	It("refuses at once when too many wait", func() {
 		table = route.NewTable(route.Settings{QueueLimit: 1})
 		want := route.Want{Service: "s", Targets: targets(1, 1)}
