--- a/partner/route/pool.go
+++ b/partner/route/pool.go
@@ -5,6 +5,7 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"sort"
 	"time"
 
@@ -33,6 +34,9 @@
 	return p
 }
 
+// has reports whether a member is one of the pool's.
+func (p *servicePool) has(m *member) bool { return slices.Contains(p.members, m) }
+
 // member is one upstream. It outlives pools, so that its requests in progress
 // and its failures are kept when the documents change.
 type member struct {
--- a/partner/route/rules_test.go
+++ b/partner/route/rules_test.go
@@ -4,6 +4,7 @@
 package route
 
 import (
+	"context"
 	"math/rand/v2"
 	"time"
 
@@ -81,3 +82,37 @@
 		Entry("beyond the load bound when the ring has no room", granitehoist.Upstream("b"), Want{Affinity: 1, Tried: tried}, free("a"), busy("b", 3)),
 	)
 })
+
+var _ = Describe("A pool that took another's place", func() {
+	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
+
+	// acquire takes a slot among upstreams of one name each.
+	acquire := func(t *Table, names ...granitehoist.Upstream) *Slot {
+		GinkgoHelper()
+		w := Want{Service: "s"}
+		for _, name := range names {
+			w.Targets = append(w.Targets, Target{Name: name, Concurrency: 4})
+		}
+		slot, err := t.Acquire(context.Background(), w, now)
+		Expect(err).NotTo(HaveOccurred())
+		return slot
+	}
+
+	DescribeTable("counts what its own members have in progress",
+		func(next ...granitehoist.Upstream) {
+			t := NewTable(Settings{})
+			held := acquire(t, "a")
+			other := acquire(t, next...)
+			sum := 0
+			for _, m := range t.pools["s"].members {
+				sum += m.inFlight
+			}
+			Expect(t.pools["s"].inFlight).To(Equal(sum))
+			held.Done(Good, now)
+			other.Done(Good, now)
+			Expect(t.pools["s"].inFlight).To(BeZero())
+		},
+		Entry("with one upstream more", granitehoist.Upstream("a"), granitehoist.Upstream("b")),
+		Entry("without an upstream that was in use", granitehoist.Upstream("b")),
+	)
+})
--- a/partner/route/slot.go
+++ b/partner/route/slot.go
@@ -37,7 +37,10 @@
 	defer t.mu.Unlock()
 	m.inFlight--
 	pool := s.pool.current()
-	pool.inFlight--
+	if pool == s.pool || pool.has(m) {
+		// A pool without the member never counted this request.
+		pool.inFlight--
+	}
 	switch r {
 	case Good:
 		m.failures = 0
