--- a/partner/policy/policy.go
+++ b/partner/policy/policy.go
@@ -5,37 +5,20 @@
 
 import (
 	"fmt"
-	"time"
 
 	"cel.dev/cel-go/cel"
 
 	"granitehoist.example/granitehoist"
 )
 
-// CostLimit bounds the cost of one program in CEL's own cost units.
+// CostLimit bounds the cost of one program in CEL's own cost units, about one
+// for each operation; chosen, not measured.
 const CostLimit = 10_000
 
-// MaxProgramSize bounds the length of one program in bytes.
+// MaxProgramSize bounds the length of one program in bytes; chosen, not
+// measured.
 const MaxProgramSize = 4096
 
-// Request holds the inputs of a policy. Each field is the CEL variable named
-// in its comment.
-type Request struct {
-	Workspace  granitehoist.Workspace        // workspace: string
-	Service    granitehoist.Service          // service: string
-	Model      granitehoist.Model            // model: string, "" for a plain service
-	Partner    granitehoist.Partner          // partner: string, the caller's partner
-	Owner      granitehoist.Partner          // owner: string, the partner whose capacity is asked for
-	Zone       granitehoist.AvailabilityZone // place: string, the availability zone of the router
-	Priority   granitehoist.Priority         // priority: int, as the caller asked
-	PromptSize int                           // prompt_size: int, bytes
-	MaxOutput  granitehoist.Tokens           // max_output: int, tokens
-	Budget     string                        // budget: string, the name within the workspace
-	// Time gives hour (int, 0 to 23) and weekday (int, Sunday is 0), in the
-	// location that the time carries.
-	Time time.Time
-}
-
 // Source is the text of a policy.
 type Source struct {
 	Name string
@@ -74,29 +57,7 @@
 	return fmt.Sprintf("policy %q, program %s: %s", f.Policy, f.Program, f.Reason)
 }
 
-var environment = newEnvironment()
-
-func newEnvironment() *cel.Env {
-	env, err := cel.NewEnv(
-		cel.Variable("workspace", cel.StringType),
-		cel.Variable("service", cel.StringType),
-		cel.Variable("model", cel.StringType),
-		cel.Variable("partner", cel.StringType),
-		cel.Variable("owner", cel.StringType),
-		cel.Variable("place", cel.StringType),
-		cel.Variable("budget", cel.StringType),
-		cel.Variable("priority", cel.IntType),
-		cel.Variable("prompt_size", cel.IntType),
-		cel.Variable("max_output", cel.IntType),
-		cel.Variable("hour", cel.IntType),
-		cel.Variable("weekday", cel.IntType),
-	)
-	if err != nil {
-		panic("policy: environment: " + err.Error())
-	}
-	return env
-}
-
+// defaultPriorityProgram keeps the priority that the caller asked for.
 const defaultPriorityProgram = "priority"
 
 // New compiles a policy. It returns a *Fault if a program does not compile or
@@ -117,6 +78,8 @@
 	return &Policy{name: source.Name, permit: permit, priority: priority}, nil
 }
 
+// compile checks one program and prepares it. want is the type that it must
+// yield.
 func compile(policy, program, text string, want *cel.Type) (cel.Program, error) {
 	fault := func(format string, args ...any) error {
 		return &Fault{Policy: policy, Program: program, Reason: fmt.Sprintf(format, args...)}
@@ -151,7 +114,8 @@
 func (p *Policy) Name() string { return p.name }
 
 // Decide evaluates the policy. A program that fails or costs too much yields
-// an error with code PolicyFailed; the request is then to be denied.
+// an error with code PolicyFailed; the request is then to be denied. A priority
+// out of range is taken for the nearest one in it.
 func (p *Policy) Decide(r Request) (Decision, error) {
 	vars := r.variables()
 	permit, err := p.evaluate("permit", p.permit, vars)
@@ -165,6 +129,8 @@
 	if err != nil {
 		return Decision{}, err
 	}
+	// New has made sure that the program yields an integer, which CEL gives as an
+	// int64.
 	number, _ := value.(int64)
 	return Decision{Permit: true, Priority: clamp(number)}, nil
 }
@@ -181,45 +147,3 @@
 func clamp(number int64) granitehoist.Priority {
 	return granitehoist.Priority(min(max(number, int64(granitehoist.MinPriority)), int64(granitehoist.MaxPriority)))
 }
-
-func (r Request) variables() map[string]any {
-	return map[string]any{
-		"workspace":   string(r.Workspace),
-		"service":     string(r.Service),
-		"model":       string(r.Model),
-		"partner":     string(r.Partner),
-		"owner":       string(r.Owner),
-		"place":       string(r.Zone),
-		"budget":      r.Budget,
-		"priority":    int64(r.Priority),
-		"prompt_size": int64(r.PromptSize),
-		"max_output":  int64(r.MaxOutput),
-		"hour":        int64(r.Time.Hour()),
-		"weekday":     int64(r.Time.Weekday()),
-	}
-}
-
-// Set is the policies of one partner for one use: its own workspaces, or its
-// capacity lent to the other partner's workspaces.
-type Set []*Policy
-
-// Decide permits a request if the set has a policy and every policy of it
-// permits. The priority is the lowest that any of them gives. Denial returns
-// an error with code PolicyDenied or PolicyFailed.
-func (s Set) Decide(r Request) (granitehoist.Priority, error) {
-	if len(s) == 0 {
-		return 0, granitehoist.Errorf(granitehoist.PolicyDenied, "no policy permits workspace %s of %s on %s of %s", r.Workspace, r.Partner, r.Service, r.Owner)
-	}
-	priority := granitehoist.MaxPriority
-	for _, p := range s {
-		d, err := p.Decide(r)
-		if err != nil {
-			return 0, err
-		}
-		if !d.Permit {
-			return 0, granitehoist.Errorf(granitehoist.PolicyDenied, "policy %s of this request's partners", p.name)
-		}
-		priority = min(priority, d.Priority)
-	}
-	return priority, nil
-}
--- a/partner/report/metrics.go
+++ b/partner/report/metrics.go
@@ -18,15 +18,14 @@
 const metricPrefix = "granitehoist_"
 
 // WriteMetrics writes a registry in the text form that collectors read. Timers
-// are in seconds.
+// are in seconds. Other kinds than counters and timers are left out; the router
+// has none.
 func WriteMetrics(w io.Writer, registry metrics.Registry) error {
 	var lines []string
 	registry.Each(func(name string, metric any) {
 		switch m := metric.(type) {
 		case metrics.Counter:
 			lines = append(lines, counterLine(name, m.Count()))
-		case metrics.Gauge:
-			lines = append(lines, fmt.Sprintf("%s%s %d", metricPrefix, metricName(name), m.Value()))
 		case metrics.Timer:
 			lines = append(lines, timerLines(name, m.Snapshot())...)
 		}
@@ -40,12 +39,15 @@
 	return nil
 }
 
+// metricName turns a name of the registry into one that collectors take.
 func metricName(name string) string {
 	return strings.NewReplacer(".", "_", "-", "_").Replace(name)
 }
 
 const codeCounter = "requests.code."
 
+// counterLine writes a counter; those of result codes become one metric with the
+// code as its label.
 func counterLine(name string, count int64) string {
 	if code, ok := strings.CutPrefix(name, codeCounter); ok {
 		return fmt.Sprintf("%srequests_total{code=%q} %d", metricPrefix, code, count)
@@ -53,6 +55,7 @@
 	return fmt.Sprintf("%s%s_total %d", metricPrefix, metricName(name), count)
 }
 
+// timerLines writes a timer, whose values are in nanoseconds, in seconds.
 func timerLines(name string, t metrics.Timer) []string {
 	base := metricPrefix + metricName(name) + "_seconds"
 	lines := []string{
