--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -6,7 +6,6 @@
 import (
 	"context"
 	"errors"
-	"sort"
 	"strings"
 	"time"
 
@@ -14,21 +13,15 @@
 
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/partner/bill"
-	"granitehoist.example/granitehoist/partner/budget"
 	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/store"
 )
 
-// SilentAfter is how long a router must be silent before its attempts are
-// charged by another. A router that is only cut off may come back: its own
-// charges then take the place of those made here.
-const SilentAfter = 2 * time.Minute
-
-// Settings configure a Settler.
+// Settings configure a Settler. All fields are required.
 type Settings struct {
 	Region granitehoist.Region
 	Store  granitehoist.Store
-	// Shards is the number of budget shards.
+	// Shards is the number of budget shards, the same on all routers.
 	Shards int
 	// View returns the documents in force.
 	View func() *config.View
@@ -36,7 +29,8 @@
 	Engines granitehoist.Protocol
 }
 
-// Settler charges the orphans of one region's dead routers.
+// Settler charges the orphans of one region's dead routers. It has no state of
+// its own and is safe for concurrent use.
 type Settler struct {
 	settings Settings
 }
@@ -61,35 +55,21 @@
 	Unreached []granitehoist.Upstream `json:"unreached,omitempty"`
 }
 
-// Silent returns the incarnations of the region that drew on budgets, did not
-// stop in good order and have been silent for SilentAfter.
-func (s *Settler) Silent(ctx context.Context, now time.Time) ([]granitehoist.Incarnation, error) {
-	seen := map[granitehoist.Incarnation]int64{}
-	closed := map[granitehoist.Incarnation]bool{}
-	for shard := range budget.Shard(s.settings.Shards) {
-		entry, err := s.settings.Store.Get(ctx, budget.PageKey(s.settings.Region, shard))
-		if err != nil {
-			return nil, err
-		}
-		page, err := budget.DecodePage(entry)
-		if err != nil {
-			return nil, err
-		}
-		for id, m := range page.Members {
-			seen[id] = max(seen[id], m.Seen)
-			closed[id] = closed[id] || m.Closed
-		}
-	}
-	var silent []granitehoist.Incarnation
-	for id, at := range seen {
-		if !closed[id] && now.Sub(time.Unix(at, 0)) > SilentAfter {
-			silent = append(silent, id)
-		}
-	}
-	sort.Slice(silent, func(i, j int) bool { return silent[i] < silent[j] })
-	return silent, nil
+// settlement is what one call of Settle knows and finds.
+type settlement struct {
+	// stop says that attempts that still run are to be ended.
+	stop bool
+	// charged holds the attempts that segments hold.
+	charged map[granitehoist.AttemptID]bool
+	names   budgetNames
+	now     time.Time
+	result  Result
+	charges []bill.Charge
 }
 
+// budgetNames gives the budgets in force by the hashes that attempt ids carry.
+type budgetNames map[string]granitehoist.BudgetID
+
 // engine is an upstream that may know attempts.
 type engine struct {
 	config.Upstream
@@ -97,59 +77,61 @@
 	owner   granitehoist.Partner
 }
 
-func (s *Settler) engines() []engine {
-	var engines []engine
-	for _, offer := range s.settings.View().Offers("") {
-		if offer.Kind != config.KindEngine {
-			continue
-		}
-		for _, u := range offer.Upstreams {
-			engines = append(engines, engine{u, offer.Name, offer.Owner})
-		}
-	}
-	return engines
-}
-
 // Settle charges a dead router's ended attempts that no segment holds yet. If
 // stop is set, attempts that still run are ended first; it is to be set only
-// if the router is known to be gone. Settling again charges nothing twice.
+// if the router is known to have stopped. Settling again charges nothing twice.
+// Its errors are the store's. An engine that can't be asked is no error: it is
+// listed in the result, and the next call asks it again.
 func (s *Settler) Settle(ctx context.Context, dead granitehoist.Incarnation, stop bool, now time.Time) (Result, error) {
-	result := Result{Incarnation: dead}
-	charged, err := s.readCharged(ctx, dead)
-	if err != nil {
-		return result, err
+	settlement := &settlement{stop: stop, names: s.budgetNames(), now: now, result: Result{Incarnation: dead}}
+	var err error
+	if settlement.charged, err = s.readCharged(ctx, dead); err != nil {
+		return settlement.result, err
 	}
-	names := s.budgetNames()
-	var charges []bill.Charge
 	for _, e := range s.engines() {
 		attempts, err := s.settings.Engines.List(ctx, e.Address, granitehoist.AttemptPrefix(dead))
 		if err != nil {
-			result.Unreached = append(result.Unreached, e.Name)
+			settlement.result.Unreached = append(settlement.result.Unreached, e.Name)
 			continue
 		}
 		for _, a := range attempts {
-			result.Found++
-			if charged[a.ID] {
-				continue
-			}
-			if stop && !a.Ended {
-				a.Usage, a.Ended = s.settings.Engines.Stop(ctx, e.Address, a.ID)
-			}
-			if !a.Ended || !a.Usage.Reported {
-				result.Running++
-				continue
-			}
-			if a.Usage.Total() == 0 {
-				// It was stopped before it reached the engine.
-				continue
-			}
-			if c, ok := newCharge(a, e, names, now); ok {
-				charges = append(charges, c)
-			}
+			s.settleAttempt(ctx, settlement, e, a)
 		}
 	}
-	result.Charged = len(charges)
-	return result, s.write(ctx, dead, charges)
+	settlement.result.Charged = len(settlement.charges)
+	return settlement.result, s.write(ctx, dead, settlement.charges)
+}
+
+// settleAttempt ends an attempt if asked to, and adds its charge if it gets one.
+func (s *Settler) settleAttempt(ctx context.Context, settlement *settlement, e engine, a granitehoist.KnownAttempt) {
+	settlement.result.Found++
+	charged := settlement.charged[a.ID]
+	if settlement.stop && !charged && !a.Ended {
+		a.Usage, a.Ended = s.settings.Engines.Stop(ctx, e.Address, a.ID)
+	}
+	switch decide(a, charged) {
+	case stillRunning:
+		settlement.result.Running++
+	case toCharge:
+		if c, ok := newCharge(a, e, settlement.names, settlement.now); ok {
+			settlement.charges = append(settlement.charges, c)
+		}
+	case alreadyCharged, neverArrived:
+	}
+}
+
+// engines returns all engines of all partners, by the documents in force.
+func (s *Settler) engines() []engine {
+	var engines []engine
+	for _, offer := range s.settings.View().Offers("") {
+		if offer.Kind != config.KindEngine {
+			continue
+		}
+		for _, u := range offer.Upstreams {
+			engines = append(engines, engine{u, offer.Name, offer.Owner})
+		}
+	}
+	return engines
 }
 
 // readCharged returns the attempts of an incarnation that segments hold.
@@ -170,39 +152,20 @@
 	return charged, nil
 }
 
-func (s *Settler) budgetNames() map[string]granitehoist.BudgetID {
-	names := map[string]granitehoist.BudgetID{}
+func (s *Settler) budgetNames() budgetNames {
+	names := budgetNames{}
 	for _, id := range s.settings.View().Budgets() {
 		names[granitehoist.BudgetHash(id)] = id
 	}
 	return names
 }
 
-// newCharge makes the charge of an attempt; false if its id names no budget in
-// force.
-func newCharge(a granitehoist.KnownAttempt, e engine, names map[string]granitehoist.BudgetID, now time.Time) (bill.Charge, bool) {
-	incarnation, hash, request, ok := a.ID.Parts()
-	if !ok || names[hash] == "" {
-		return bill.Charge{}, false
-	}
-	return bill.Charge{
-		Incarnation: incarnation,
-		Request:     request,
-		Attempts:    []granitehoist.AttemptID{a.ID},
-		Budget:      names[hash],
-		Owner:       e.owner,
-		Service:     e.service,
-		Upstream:    e.Name,
-		Tokens:      a.Usage.Total(),
-		Orphan:      true,
-		At:          now,
-	}, true
-}
-
-// maxOrphanSegments bounds the segments of one dead router.
+// maxOrphanSegments bounds the segments of one dead router; each settling that
+// finds something to charge writes one. Chosen, not measured.
 const maxOrphanSegments = 1000
 
-// write stores the charges under the first free key.
+// write stores the charges under the first free key. Two routers that settle at
+// once write two segments; readers count each attempt once.
 func (s *Settler) write(ctx context.Context, dead granitehoist.Incarnation, charges []bill.Charge) error {
 	if len(charges) == 0 {
 		return nil
