--- a/partner/config/doc.go
+++ b/partner/config/doc.go
@@ -13,9 +13,8 @@
 //
 // State: the store has the signed documents; Apply writes them by
 // compare-and-swap. A Follower has the router's View behind an atomic pointer,
-// which only its own goroutine replaces; it
-// follows the keys with package follow. A View and a Document never change once
-// they are made.
+// which only its own goroutine replaces; it follows the keys with package follow.
+// A View and a Document never change once they are made.
 //
 // It relies on the store, on internal/tomlfile to read TOML, and on package
 // policy to compile policies. What belongs to one box is in package settings.
--- a/partner/gate/gate_test.go
+++ b/partner/gate/gate_test.go
@@ -291,6 +291,16 @@
 			Expect(left).To(Equal(granitehoist.Tokens(9997)))
 		})
 
+		DescribeTable("passes the same path through however the caller escaped its own part",
+			func(path string) {
+				Expect(s.send(http.MethodGet, path, "").status).To(Equal(http.StatusOK))
+				Expect(s.plain.calls[0].Path).To(Equal("/x%2Fy?z=1"))
+			},
+			Entry("not at all", "/services/desk/x%2Fy?z=1"),
+			Entry("the service's name", "/services/d%65sk/x%2Fy?z=1"),
+			Entry("the prefix", "/%73ervices/desk/x%2Fy?z=1"),
+		)
+
 		It("repeats a lost GET and no lost POST", func() {
 			s.plain.steps = []step{fails(granitehoist.UpstreamLost), answers}
 			Expect(s.send(http.MethodGet, "/services/desk/x", "").status).To(Equal(http.StatusOK))
@@ -375,7 +385,7 @@
 	})
 
 	DescribeTable("answers a caller whose body does not arrive in time", func(key string, code string) {
-		s.settings.ReadTimeout = 50 * time.Millisecond
+		s.settings.Limits.ReadTimeout = 50 * time.Millisecond
 		server := httptest.NewServer(gate.New(s.settings))
 		defer server.Close()
 		conn, err := net.Dial("tcp", server.Listener.Addr().String())
@@ -395,7 +405,7 @@
 	)
 
 	It("lets an answer take longer than a body may", func() {
-		s.settings.ReadTimeout = 50 * time.Millisecond
+		s.settings.Limits.ReadTimeout = 50 * time.Millisecond
 		s.engine.steps = []step{func(c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 			time.Sleep(200 * time.Millisecond)
 			return answers(c, sink)
--- a/partner/route/queue.go
+++ b/partner/route/queue.go
@@ -39,10 +39,12 @@
 }
 
 // serveQueue gives room to waiting requests, in order, as long as there is any.
-func (t *Table) serveQueue(p *Pool, now time.Time) {
+func (t *Table) serveQueue(p *servicePool, now time.Time) {
 	for len(p.waiters) > 0 {
 		first := p.waiters[0]
-		slot, _ := t.pick(p, first.want, now)
+		// Whether room is possible at all doesn't matter: a waiter that no upstream
+		// can serve waits until its deadline, as the ones behind it do.
+		slot, _ := t.assign(p, first.want, now)
 		if slot == nil {
 			return
 		}
@@ -51,6 +53,20 @@
 	}
 }
 
+// abandonWait ends a wait. A slot that was given at the same moment is taken. The
+// wait may have passed on to a later pool than the one in which it began.
+func (t *Table) abandonWait(p *servicePool, w *waiter) (*Slot, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	select {
+	case slot := <-w.slot:
+		return slot, nil
+	default:
+	}
+	p.current().waiters.remove(w)
+	return nil, granitehoist.Errorf(granitehoist.Overloaded, "")
+}
+
 // Waiting returns the number of a service's requests that wait.
 func (t *Table) Waiting(s granitehoist.Service) int {
 	t.mu.Lock()
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -23,25 +23,20 @@
 	Concurrency int
 }
 
-// Table knows the requests in progress and the failures of each upstream, as
+// Table has the requests in progress and the failures of each upstream, as
 // this router sees them. It is safe for concurrent use and makes no calls.
 type Table struct {
 	settings Settings
 
+	// mu guards the fields below and everything reached from them.
 	mu      sync.Mutex
 	random  *rand.Rand
 	members map[granitehoist.Upstream]*member
-	pools   map[granitehoist.Service]*Pool
+	pools   map[granitehoist.Service]*servicePool
 }
 
 // Settings configure a Table. The zero value works.
 type Settings struct {
-	// Slack is how much more than the average load an upstream may have before
-	// requests pass on to the next; zero stands for DefaultSlack.
-	Slack float64
-	// Eject is how long an upstream is left out after its first failure in a
-	// row; zero stands for DefaultEject.
-	Eject time.Duration
 	// QueueLimit bounds the requests of a service that wait; zero stands for
 	// DefaultQueueLimit.
 	QueueLimit int
@@ -49,25 +44,18 @@
 	Seed uint64
 }
 
-// Defaults of Settings.
-const (
-	DefaultSlack      = 0.25
-	DefaultEject      = 500 * time.Millisecond
-	DefaultQueueLimit = 1000
-	maxEject          = 30 * time.Second
-	maxEjectDoublings = 10
-)
+// DefaultQueueLimit is in requests of one service at one router; chosen, not
+// measured.
+const DefaultQueueLimit = 1000
 
 // NewTable returns an empty table.
 func NewTable(s Settings) *Table {
-	defaults.Set(&s.Slack, DefaultSlack)
-	defaults.Set(&s.Eject, DefaultEject)
 	defaults.Set(&s.QueueLimit, DefaultQueueLimit)
 	return &Table{
 		settings: s,
 		random:   rand.New(rand.NewPCG(s.Seed, 0)),
 		members:  map[granitehoist.Upstream]*member{},
-		pools:    map[granitehoist.Service]*Pool{},
+		pools:    map[granitehoist.Service]*servicePool{},
 	}
 }
 
@@ -85,33 +73,27 @@
 	Tried map[granitehoist.Upstream]bool
 }
 
-// Prefix returns the affinity of a prompt's beginning.
-func Prefix(beginning []byte) uint64 { return xxhash.Sum64(beginning) }
-
-// Slot is an upstream chosen for one attempt. It is to be ended by Done.
-type Slot struct {
-	Upstream granitehoist.Upstream
-	table    *Table
-	pool     *Pool
-	member   *member
-}
+// PrefixAffinity returns the affinity of requests that share a prefix of their
+// prompts.
+func PrefixAffinity(prefix []byte) uint64 { return xxhash.Sum64(prefix) }
 
 // Acquire chooses an upstream, or waits for one until ctx ends. Its errors are
-// *Error with codes NoUpstream and Overloaded.
+// *Error with codes NoUpstream, if the service has none that could be chosen,
+// and Overloaded, if none had room in time or too many requests wait.
 func (t *Table) Acquire(ctx context.Context, w Want, now time.Time) (*Slot, error) {
 	t.mu.Lock()
-	pool := t.pool(w)
-	slot, found := t.pick(pool, w, now)
+	pool := t.currentPool(w)
+	slot, possible := t.assign(pool, w, now)
 	switch {
 	case slot != nil:
 		t.mu.Unlock()
 		return slot, nil
-	case !found:
+	case !possible:
 		t.mu.Unlock()
-		return nil, none(w)
+		return nil, granitehoist.Errorf(granitehoist.NoUpstream, "service %s", w.Service)
 	case len(pool.waiters) >= t.settings.QueueLimit:
 		t.mu.Unlock()
-		return nil, overloaded()
+		return nil, granitehoist.Errorf(granitehoist.Overloaded, "")
 	}
 	added := pool.waiters.add(w)
 	t.mu.Unlock()
@@ -119,59 +101,23 @@
 	case slot := <-added.slot:
 		return slot, nil
 	case <-ctx.Done():
-		return t.leave(pool, added)
-	}
-}
-
-func none(w Want) error {
-	e := granitehoist.Errorf(granitehoist.NoUpstream, "service %s", w.Service)
-	e.RetryAfter = time.Second
-	return e
-}
-
-func overloaded() error {
-	e := granitehoist.Errorf(granitehoist.Overloaded, "")
-	e.RetryAfter = time.Second
-	return e
-}
-
-// leave ends a wait. A slot that was given at the same moment is taken.
-func (t *Table) leave(p *Pool, w *waiter) (*Slot, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	select {
-	case slot := <-w.slot:
-		return slot, nil
-	default:
+		return t.abandonWait(pool, added)
 	}
-	p.waiters.remove(w)
-	return nil, overloaded()
 }
 
-// pool returns the prepared upstreams of a service. Requests in progress and
-// waiting stay with the pool in which they began.
-func (t *Table) pool(w Want) *Pool {
-	p, ok := t.pools[w.Service]
-	if ok && sameSlice(p.targets, w.Targets) {
+// currentPool returns the prepared upstreams of a service. Requests in progress
+// and waiting stay with the members and pass on to the new pool.
+func (t *Table) currentPool(w Want) *servicePool {
+	p, exists := t.pools[w.Service]
+	if exists && sameSlice(p.targets, w.Targets) {
 		return p
 	}
-	if ok && slices.Equal(p.targets, w.Targets) {
+	if exists && slices.Equal(p.targets, w.Targets) {
 		p.targets = w.Targets
 		return p
 	}
-	next := &Pool{service: w.Service, targets: w.Targets}
-	for _, target := range w.Targets {
-		m, known := t.members[target.Name]
-		if !known {
-			m = &member{}
-			t.members[target.Name] = m
-		}
-		m.Target = target
-		next.members = append(next.members, m)
-		next.inFlight += m.inFlight
-	}
-	next.ring = newRing(next.members)
-	if ok {
+	next := t.newPool(w.Targets)
+	if exists {
 		next.waiters = p.waiters
 		p.waiters = nil
 		p.next = next
@@ -180,79 +126,49 @@
 	return next
 }
 
+// newPool prepares upstreams. Those that were in a pool before keep what is
+// known of them.
+func (t *Table) newPool(targets []Target) *servicePool {
+	p := &servicePool{targets: targets}
+	for _, target := range targets {
+		m, exists := t.members[target.Name]
+		if !exists {
+			m = &member{}
+			t.members[target.Name] = m
+		}
+		m.Target = target
+		p.members = append(p.members, m)
+		p.inFlight += m.inFlight
+	}
+	p.ring = newRing(p.members)
+	return p
+}
+
 func sameSlice(a, b []Target) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// pick chooses an upstream with room. found is false if no upstream could be
-// chosen even with room.
-func (t *Table) pick(p *Pool, w Want, now time.Time) (slot *Slot, found bool) {
-	if len(p.members) == 0 {
-		return nil, false
-	}
-	if m := t.choose(p, w, now); m != nil {
+// assign chooses an upstream with room and takes it. possible is false if no
+// upstream could be chosen even with room.
+func (t *Table) assign(p *servicePool, w Want, now time.Time) (slot *Slot, possible bool) {
+	if m := p.choose(w, t.random, now); m != nil {
 		return t.take(p, m), true
 	}
-	first, untried := p.firstBack(w, now)
+	first, untried := p.firstReturning(w, now)
 	if first != nil && first.inFlight < first.Concurrency {
 		return t.take(p, first), true
 	}
 	return nil, untried
 }
 
-// choose returns a member with room, nil if there is none.
-func (t *Table) choose(p *Pool, w Want, now time.Time) *member {
-	if w.Affinity != 0 {
-		if m := p.byRing(w, p.limit(t.settings.Slack), now); m != nil {
-			return m
-		}
-	}
-	if m := p.lightest(w, t.random.IntN, now); m != nil {
-		return m
-	}
-	return p.scan(w, now)
-}
-
-func (t *Table) take(p *Pool, m *member) *Slot {
+func (t *Table) take(p *servicePool, m *member) *Slot {
 	m.inFlight++
 	p.inFlight++
 	return &Slot{Upstream: m.Name, table: t, pool: p, member: m}
 }
 
-// Result is how an attempt ended, for the choice of later ones.
-type Result int
-
-// The results.
-const (
-	// Good says that the upstream did its part.
-	Good Result = iota
-	// Bad says that the upstream refused or failed.
-	Bad
-	// Unclear says nothing of the upstream: the caller left, say.
-	Unclear
-)
-
-// Done ends an attempt and gives its room to a waiting request.
-func (s *Slot) Done(r Result, now time.Time) {
-	t, m := s.table, s.member
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	m.inFlight--
-	pool := s.pool.current()
-	pool.inFlight--
-	switch r {
-	case Good:
-		m.failures = 0
-	case Bad:
-		m.failures++
-		m.until = now.Add(min(maxEject, t.settings.Eject<<min(m.failures-1, maxEjectDoublings)))
-	case Unclear:
-	}
-	t.serveQueue(pool, now)
-}
-
-// SetLeaving names all upstreams that are leaving: they get no new work. What
-// is in progress there goes on.
+// SetLeaving names all upstreams that are leaving: they get no new requests.
+// Those in progress there go on.
 func (t *Table) SetLeaving(leaving map[granitehoist.Upstream]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
