--- a/balance/balance.go
+++ b/balance/balance.go
@@ -35,9 +35,9 @@
 type Settings struct {
 	// Zone is this router's own; equal instances nearby are preferred.
 	Zone granitehoist.AvailabilityZone
-	// Eject is how long an instance is left out after failures in a row; zero
+	// Ejection is how long an instance is left out after failures in a row; zero
 	// stands for DefaultEject.
-	Eject time.Duration
+	Ejection time.Duration
 	// Seed chooses among equals.
 	Seed uint64
 }
@@ -45,11 +45,11 @@
 // Constants of the estimate. They need only be roughly right: what counts is
 // the order of instances.
 const (
-	DefaultEject = 400 * time.Millisecond
-	maxEject     = 4 * time.Second
-	// ejectAfter is the number of failures in a row after which an instance is
+	DefaultEjection = 400 * time.Millisecond
+	maxEjection     = 4 * time.Second
+	// ejectAfterFailures is the number of failures in a row after which an instance is
 	// left out.
-	ejectAfter = 2
+	ejectAfterFailures = 2
 	// tokensPerMS is how fast a prompt is read.
 	tokensPerMS = 50.0
 	// perRequestMS is how much one more request in progress slows an instance.
@@ -63,13 +63,13 @@
 	// cacheMissWeight is what sending a beginning away from its home costs besides
 	// reading it there, as a part of that.
 	cacheMissWeight = 0.5
-	// cacheTime is how long a beginning is taken to be in a cache.
-	cacheTime = 20 * time.Second
-	// sentAtMost bounds the beginnings that are remembered of an instance.
-	sentAtMost = 512
-	// goneGrace is how long an instance whose announcement has gone may be
+	// prefixCacheTime is how long a beginning is taken to be in a cache.
+	prefixCacheTime = 20 * time.Second
+	// maxRememberedPrefixes bounds the beginnings that are remembered of an instance.
+	maxRememberedPrefixes = 512
+	// removedGrace is how long an instance whose announcement has gone may be
 	// used when its service has no other.
-	goneGrace = 1500 * time.Millisecond
+	removedGrace = 1500 * time.Millisecond
 )
 
 // Table knows the instances of all services and what this router has under way
@@ -85,20 +85,20 @@
 
 type member struct {
 	Instance
-	inFlight int
-	prefill  granitehoist.Tokens
-	failures int
-	failing  float64
-	until    time.Time
-	goneAt   time.Time
-	seed     uint64
-	// sent holds when beginnings were sent here that have their home elsewhere.
-	sent map[uint64]time.Time
+	inFlight      int
+	prefill       granitehoist.Tokens
+	failuresInRow int
+	failureRate   float64
+	ejectedUntil  time.Time
+	removedAt     time.Time
+	seed          uint64
+	// prefixSentAt holds when beginnings were sent here that have their home elsewhere.
+	prefixSentAt map[uint64]time.Time
 }
 
 // New returns an empty table.
 func New(s Settings) *Table {
-	defaults.Set(&s.Eject, DefaultEject)
+	defaults.Set(&s.Ejection, DefaultEjection)
 	return &Table{
 		settings: s,
 		random:   rand.New(rand.NewPCG(s.Seed, 1)),
@@ -126,7 +126,7 @@
 		t.unlist(m)
 	}
 	m.Instance = i
-	m.goneAt = time.Time{}
+	m.removedAt = time.Time{}
 	if !known || before.Service != i.Service {
 		t.services[i.Service] = append(t.services[i.Service], m)
 	}
@@ -142,8 +142,8 @@
 	if !known {
 		return Instance{}, false
 	}
-	if m.goneAt.IsZero() {
-		m.goneAt = now
+	if m.removedAt.IsZero() {
+		m.removedAt = now
 	}
 	t.sweep(now)
 	return m.Instance, true
@@ -152,7 +152,7 @@
 // sweep drops the instances that can't be used any more.
 func (t *Table) sweep(now time.Time) {
 	for id, m := range t.members {
-		if m.goneAt.IsZero() || now.Sub(m.goneAt) < goneGrace || m.inFlight > 0 {
+		if m.removedAt.IsZero() || now.Sub(m.removedAt) < removedGrace || m.inFlight > 0 {
 			continue
 		}
 		t.unlist(m)
@@ -188,50 +188,50 @@
 	// Owner says that requests with the same beginning have their home here.
 	Owner bool
 	// Load is the number of this router's requests in progress there before.
-	Load  int
-	table *Table
-	held  *member
-	work  granitehoist.Tokens
+	Load         int
+	table        *Table
+	member       *member
+	unreadTokens granitehoist.Tokens
 }
 
 // Pick chooses an instance. It returns an error with code NoUpstream if the
 // service has none that was not tried.
-func (t *Table) Pick(w Query, now time.Time) (*Lease, error) {
+func (t *Table) Pick(q Query, now time.Time) (*Lease, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	candidates := t.candidates(w, now)
+	candidates := t.candidates(q, now)
 	if len(candidates) == 0 {
-		e := granitehoist.Errorf(granitehoist.NoUpstream, "service %s", w.Service)
-		e.RetryAfter = noneRetry
+		e := granitehoist.Errorf(granitehoist.NoUpstream, "service %s", q.Service)
+		e.RetryAfter = noUpstreamRetry
 		return nil, e
 	}
-	home := ownerOf(candidates, w.PrefixHash)
+	owner := ownerOf(candidates, q.PrefixHash)
 	best := candidates[0]
-	least := t.cost(best, w, home, now)
+	least := t.cost(best, q, owner, now)
 	for _, m := range candidates[1:] {
-		if cost := t.cost(m, w, home, now); cost < least {
+		if cost := t.cost(m, q, owner, now); cost < least {
 			best, least = m, cost
 		}
 	}
-	return t.take(best, w, home, now), nil
+	return t.take(best, q, owner, now), nil
 }
 
-// noneRetry is when a caller should come back if there is no instance.
-const noneRetry = 500 * time.Millisecond
+// noUpstreamRetry is when a caller should come back if there is no instance.
+const noUpstreamRetry = 500 * time.Millisecond
 
 // candidates returns the instances that may be chosen: those that are live, or
 // else those left out for failures, or else those gone a moment ago.
-func (t *Table) candidates(w Query, now time.Time) []*member {
-	var live, out, gone []*member
-	for _, m := range t.services[w.Service] {
+func (t *Table) candidates(q Query, now time.Time) []*member {
+	var live, ejected, removed []*member
+	for _, m := range t.services[q.Service] {
 		switch {
-		case w.Tried[m.ID] || m.Draining:
-		case !m.goneAt.IsZero():
-			if now.Sub(m.goneAt) < goneGrace {
-				gone = append(gone, m)
+		case q.Tried[m.ID] || m.Draining:
+		case !m.removedAt.IsZero():
+			if now.Sub(m.removedAt) < removedGrace {
+				removed = append(removed, m)
 			}
-		case now.Before(m.until):
-			out = append(out, m)
+		case now.Before(m.ejectedUntil):
+			ejected = append(ejected, m)
 		default:
 			live = append(live, m)
 		}
@@ -239,11 +239,11 @@
 	switch {
 	case len(live) > 0:
 		return live
-	case len(out) > 0:
-		sort.Slice(out, func(i, j int) bool { return out[i].until.Before(out[j].until) })
-		return out[:1]
+	case len(ejected) > 0:
+		sort.Slice(ejected, func(i, j int) bool { return ejected[i].ejectedUntil.Before(ejected[j].ejectedUntil) })
+		return ejected[:1]
 	}
-	return gone
+	return removed
 }
 
 // ownerOf returns the member with the highest hash of its id and the affinity.
@@ -251,14 +251,14 @@
 	if affinity == 0 {
 		return nil
 	}
-	var home *member
+	var owner *member
 	var highest uint64
 	for _, m := range members {
-		if hash := mix(m.seed ^ affinity); home == nil || hash > highest {
-			home, highest = m, hash
+		if hash := mix(m.seed ^ affinity); owner == nil || hash > highest {
+			owner, highest = m, hash
 		}
 	}
-	return home
+	return owner
 }
 
 // mix spreads the bits of a number (the finalizer of MurmurHash3, A. Appleby).
@@ -272,19 +272,19 @@
 }
 
 // cost estimates the wait at a member in milliseconds.
-func (t *Table) cost(m *member, w Query, home *member, now time.Time) float64 {
-	read := w.PromptTokens
-	if t.cached(m, w, home, now) {
-		read -= w.PrefixTokens
+func (t *Table) cost(m *member, q Query, owner *member, now time.Time) float64 {
+	read := q.PromptTokens
+	if t.cached(m, q, owner, now) {
+		read -= q.PrefixTokens
 	}
 	cost := float64(m.prefill+read) / tokensPerMS
-	if m != home {
+	if m != owner {
 		// Reading a beginning at yet another instance takes memory there, and
 		// the home will go on to be asked for it by other routers.
-		cost += cacheMissWeight * float64(w.PrefixTokens) / tokensPerMS
+		cost += cacheMissWeight * float64(q.PrefixTokens) / tokensPerMS
 	}
 	cost += perRequestMS * float64(m.inFlight) * t.scale(m)
-	cost += failureMS * m.failing
+	cost += failureMS * m.failureRate
 	if m.Zone != t.settings.Zone {
 		cost += otherZoneMS
 	}
@@ -303,45 +303,45 @@
 
 // cached reports whether the beginning of a prompt is likely in a member's
 // cache: it is the home, or this router sent it there a short while ago.
-func (t *Table) cached(m *member, w Query, home *member, now time.Time) bool {
-	if w.PrefixHash == 0 {
+func (t *Table) cached(m *member, q Query, owner *member, now time.Time) bool {
+	if q.PrefixHash == 0 {
 		return false
 	}
-	if m == home {
+	if m == owner {
 		return true
 	}
-	last, ok := m.sent[w.PrefixHash]
-	return ok && now.Sub(last) < cacheTime
+	last, ok := m.prefixSentAt[q.PrefixHash]
+	return ok && now.Sub(last) < prefixCacheTime
 }
 
-func (t *Table) take(m *member, w Query, home *member, now time.Time) *Lease {
-	work := w.PromptTokens
-	if t.cached(m, w, home, now) {
-		work -= w.PrefixTokens
+func (t *Table) take(m *member, q Query, owner *member, now time.Time) *Lease {
+	unread := q.PromptTokens
+	if t.cached(m, q, owner, now) {
+		unread -= q.PrefixTokens
 	}
-	if w.PrefixHash != 0 && m != home {
-		m.remember(w.PrefixHash, now)
+	if q.PrefixHash != 0 && m != owner {
+		m.rememberPrefix(q.PrefixHash, now)
 	}
-	lease := &Lease{Instance: m.Instance, Owner: m == home, Load: m.inFlight, table: t, held: m, work: work}
+	lease := &Lease{Instance: m.Instance, Owner: m == owner, Load: m.inFlight, table: t, member: m, unreadTokens: unread}
 	m.inFlight++
-	m.prefill += work
+	m.prefill += unread
 	return lease
 }
 
-// remember notes that a beginning was sent to a member.
-func (m *member) remember(affinity uint64, now time.Time) {
-	if m.sent == nil || len(m.sent) >= sentAtMost {
-		m.sent = map[uint64]time.Time{}
+// rememberPrefix notes that a beginning was sent to a member.
+func (m *member) rememberPrefix(affinity uint64, now time.Time) {
+	if m.prefixSentAt == nil || len(m.prefixSentAt) >= maxRememberedPrefixes {
+		m.prefixSentAt = map[uint64]time.Time{}
 	}
-	m.sent[affinity] = now
+	m.prefixSentAt[affinity] = now
 }
 
 // PromptRead says that the prompt has been read: the first event has come.
 func (l *Lease) PromptRead() {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
-	l.held.prefill -= l.work
-	l.work = 0
+	l.member.prefill -= l.unreadTokens
+	l.unreadTokens = 0
 }
 
 // Result is how an attempt ended, for the choice of later ones.
@@ -366,42 +366,42 @@
 // Done ends an attempt.
 func (l *Lease) Done(r Result, now time.Time) {
 	l.PromptRead()
-	t, m := l.table, l.held
+	t, m := l.table, l.member
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m.inFlight--
 	switch r {
 	case Good:
-		m.failures = 0
-		m.failing -= m.failing * failureWeight
+		m.failuresInRow = 0
+		m.failureRate -= m.failureRate * failureWeight
 	case Failed:
-		m.failing += (1 - m.failing) * failureWeight
+		m.failureRate += (1 - m.failureRate) * failureWeight
 	case Refused:
-		m.until = now.Add(t.settings.Eject / refusedPart)
+		m.ejectedUntil = now.Add(t.settings.Ejection / refusedDivisor)
 	case Broken:
-		m.failures++
-		m.failing += (1 - m.failing) * failureWeight
-		if m.failures >= ejectAfter {
-			m.until = now.Add(min(maxEject, t.settings.Eject<<min(m.failures-ejectAfter, ejectDoublings)))
+		m.failuresInRow++
+		m.failureRate += (1 - m.failureRate) * failureWeight
+		if m.failuresInRow >= ejectAfterFailures {
+			m.ejectedUntil = now.Add(min(maxEjection, t.settings.Ejection<<min(m.failuresInRow-ejectAfterFailures, maxEjectionDoublings)))
 		}
 	case Moved:
-		m.until = now.Add(maxEject)
+		m.ejectedUntil = now.Add(maxEjection)
 	case Unclear:
 	}
 }
 
 // Bounds of being left out.
 const (
-	ejectDoublings = 5
-	refusedPart    = 4
+	maxEjectionDoublings = 5
+	refusedDivisor       = 4
 )
 
 // Status is what the table knows of an instance, for logs and metrics.
 type Status struct {
 	Instance
-	InFlight int
-	Failing  float64
-	Ejected  bool
+	InFlight    int
+	FailureRate float64
+	Ejected     bool
 }
 
 // Statuses returns the instances of all services, by id.
@@ -410,7 +410,7 @@
 	defer t.mu.Unlock()
 	statuses := make([]Status, 0, len(t.members))
 	for _, m := range t.members {
-		statuses = append(statuses, Status{Instance: m.Instance, InFlight: m.inFlight, Failing: m.failing, Ejected: now.Before(m.until) || !m.goneAt.IsZero()})
+		statuses = append(statuses, Status{Instance: m.Instance, InFlight: m.inFlight, FailureRate: m.failureRate, Ejected: now.Before(m.ejectedUntil) || !m.removedAt.IsZero()})
 	}
 	sort.Slice(statuses, func(i, j int) bool { return statuses[i].ID < statuses[j].ID })
 	return statuses
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -41,24 +41,24 @@
 	// Length is that of the body, or -1 if it is not told ahead.
 	Length int64
 	// Framed is false if the body ends with the connection.
-	Framed bool
-	body   io.Reader
-	whole  bool
-	end    func(whole bool)
+	Framed   bool
+	body     io.Reader
+	complete bool
+	end      func(whole bool)
 }
 
 // Read reads the body. io.EOF says that it is whole.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if errors.Is(err, io.EOF) {
-		r.whole = true
+		r.complete = true
 	}
 	return n, err
 }
 
 // Close ends the exchange. A connection whose answer was not read to its end is
 // closed with it.
-func (r *Response) Close() { r.end(r.whole) }
+func (r *Response) Close() { r.end(r.complete) }
 
 // skipLimit bounds the answers that are passed over because they belong to
 // earlier requests of a connection, and interim answers.
@@ -145,7 +145,7 @@
 	for range skipLimit {
 		answer, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
 		if err != nil {
-			return nil, lost(err, crossed)
+			return nil, answerError(err, crossed)
 		}
 		if answer.StatusCode < http.StatusOK {
 			continue
@@ -166,7 +166,7 @@
 	return err == nil && n < drainLimit
 }
 
-func lost(err error, crossed bool) error {
+func answerError(err error, crossed bool) error {
 	switch {
 	case crossed:
 		return granitehoist.Wrap(granitehoist.AnswerCrossed, err, "")
@@ -204,14 +204,14 @@
 
 // PassedOn returns a copy of a header without what belongs to one connection.
 func PassedOn(h http.Header) http.Header {
-	kept := h.Clone()
+	passed := h.Clone()
 	for _, named := range h.Values("Connection") {
 		for name := range strings.SplitSeq(named, ",") {
-			kept.Del(strings.TrimSpace(name))
+			passed.Del(strings.TrimSpace(name))
 		}
 	}
 	for _, name := range hopHeaders {
-		kept.Del(name)
+		passed.Del(name)
 	}
-	return kept
+	return passed
 }
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -17,18 +17,18 @@
 
 // Settings configure a Pool. The zero value works.
 type Settings struct {
-	// Connect bounds the making of a connection; zero stands for
+	// ConnectTimeout bounds the making of a connection; zero stands for
 	// DefaultConnect.
-	Connect time.Duration
-	// Silence is how long the peer's machine may be silent before a
+	ConnectTimeout time.Duration
+	// SilenceTimeout is how long the peer's machine may be silent before a
 	// connection is given up; zero stands for DefaultSilence.
-	Silence time.Duration
-	// Idle is how long a connection is kept where the upstream does not tell;
+	SilenceTimeout time.Duration
+	// IdleTimeout is how long a connection is kept where the upstream does not tell;
 	// zero stands for DefaultIdle.
-	Idle time.Duration
-	// PerUpstream bounds the idle connections to one address; zero stands for
+	IdleTimeout time.Duration
+	// MaxIdlePerUpstream bounds the idle connections to one address; zero stands for
 	// DefaultPerUpstream.
-	PerUpstream int
+	MaxIdlePerUpstream int
 	// Meter, if set, counts the bytes of the connections.
 	Meter *linkmeter.Meter
 	// Opened, if set, is told of each new connection.
@@ -37,10 +37,10 @@
 
 // Defaults of Settings.
 const (
-	DefaultConnect     = 400 * time.Millisecond
-	DefaultSilence     = 1500 * time.Millisecond
-	DefaultIdle        = 4 * time.Second
-	DefaultPerUpstream = 16
+	DefaultConnectTimeout     = 400 * time.Millisecond
+	DefaultSilenceTimeout     = 1500 * time.Millisecond
+	DefaultIdleTimeout        = 4 * time.Second
+	DefaultMaxIdlePerUpstream = 16
 )
 
 // Pool keeps idle connections to upstreams. It is safe for concurrent use.
@@ -57,10 +57,10 @@
 	net.Conn
 	reader  *bufio.Reader
 	address string
-	// since is when it became idle, until when the upstream keeps it.
-	since, until time.Time
-	// told says that the upstream told how long it keeps the connection.
-	told bool
+	// idleSince is when it became idle, idleUntil when the upstream keeps it.
+	idleSince, idleUntil time.Time
+	// keepAliveReported says that the upstream told how long it keeps the connection.
+	keepAliveReported bool
 }
 
 const readBufferBytes = 2048
@@ -71,13 +71,13 @@
 
 // NewPool returns an empty pool.
 func NewPool(s Settings) *Pool {
-	defaults.Set(&s.Connect, DefaultConnect)
-	defaults.Set(&s.Silence, DefaultSilence)
-	defaults.Set(&s.Idle, DefaultIdle)
-	defaults.Set(&s.PerUpstream, DefaultPerUpstream)
+	defaults.Set(&s.ConnectTimeout, DefaultConnectTimeout)
+	defaults.Set(&s.SilenceTimeout, DefaultSilenceTimeout)
+	defaults.Set(&s.IdleTimeout, DefaultIdleTimeout)
+	defaults.Set(&s.MaxIdlePerUpstream, DefaultMaxIdlePerUpstream)
 	p := &Pool{settings: s, idle: map[string][]*conn{}}
 	p.dialer = net.Dialer{
-		Timeout: s.Connect,
+		Timeout: s.ConnectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     time.Second,
@@ -87,7 +87,7 @@
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
 				// Without the option a silent peer is noticed later.
-				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(s.Silence.Milliseconds()))
+				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(s.SilenceTimeout.Milliseconds()))
 			})
 		},
 	}
@@ -96,9 +96,9 @@
 
 // get returns an idle connection that the upstream said it keeps, or one that
 // has rested for no longer than maxRest, or a new one.
-func (p *Pool) get(ctx context.Context, address string, maxRest time.Duration, now time.Time) (*conn, error) {
+func (p *Pool) get(ctx context.Context, address string, maxIdle time.Duration, now time.Time) (*conn, error) {
 	for {
-		c := p.take(address, maxRest, now)
+		c := p.take(address, maxIdle, now)
 		if c == nil {
 			return p.dial(ctx, address)
 		}
@@ -110,15 +110,15 @@
 }
 
 // take removes the connection that was used last.
-func (p *Pool) take(address string, maxRest time.Duration, now time.Time) *conn {
+func (p *Pool) take(address string, maxIdle time.Duration, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[address]
-	for len(kept) > 0 {
-		c := kept[len(kept)-1]
-		kept = kept[:len(kept)-1]
-		p.idle[address] = kept
-		if now.Before(c.until) && (c.told || now.Sub(c.since) <= maxRest) {
+	idle := p.idle[address]
+	for len(idle) > 0 {
+		c := idle[len(idle)-1]
+		idle = idle[:len(idle)-1]
+		p.idle[address] = idle
+		if now.Before(c.idleUntil) && (c.keepAliveReported || now.Sub(c.idleSince) <= maxIdle) {
 			return c
 		}
 		_ = c.Close()
@@ -140,16 +140,16 @@
 }
 
 // put keeps a connection for later requests.
-func (p *Pool) put(c *conn, kept time.Duration, now time.Time) {
-	c.told = kept > 0
-	if !c.told {
-		kept = p.settings.Idle
+func (p *Pool) put(c *conn, keepAlive time.Duration, now time.Time) {
+	c.keepAliveReported = keepAlive > 0
+	if !c.keepAliveReported {
+		keepAlive = p.settings.IdleTimeout
 	}
-	c.since = now
-	c.until = now.Add(min(kept, p.settings.Idle))
+	c.idleSince = now
+	c.idleUntil = now.Add(min(keepAlive, p.settings.IdleTimeout))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= p.settings.PerUpstream {
+	if len(p.idle[c.address]) >= p.settings.MaxIdlePerUpstream {
 		_ = c.Close()
 		return
 	}
@@ -159,10 +159,10 @@
 // Forget closes the idle connections to an address.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
-	kept := p.idle[address]
+	idle := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
-	for _, c := range kept {
+	for _, c := range idle {
 		_ = c.Close()
 	}
 }
@@ -173,8 +173,8 @@
 	idle := p.idle
 	p.idle = map[string][]*conn{}
 	p.mu.Unlock()
-	for _, kept := range idle {
-		for _, c := range kept {
+	for _, connections := range idle {
+		for _, c := range connections {
 			_ = c.Close()
 		}
 	}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -234,7 +234,7 @@
 		case !errors.Is(err, io.EOF):
 			return granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
 		default:
-			return w.endStream(response, splitter.Rest())
+			return w.endStream(response, splitter.Incomplete())
 		}
 	}
 }
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -14,7 +14,7 @@
 
 // Splitter collects the bytes of a stream. The zero value works.
 type Splitter struct {
-	held []byte
+	incomplete []byte
 }
 
 // MaxEventBytes bounds one event.
@@ -34,26 +34,26 @@
 
 // Add takes in bytes and returns the events that are now whole.
 func (s *Splitter) Add(piece []byte) ([]Event, error) {
-	s.held = append(s.held, piece...)
+	s.incomplete = append(s.incomplete, piece...)
 	var events []Event
-	rest := s.held
+	remaining := s.incomplete
 	for {
-		end := endOfEvent(rest)
+		end := endOfEvent(remaining)
 		if end < 0 {
 			break
 		}
-		events = append(events, parse(rest[:end]))
-		rest = rest[end:]
+		events = append(events, parse(remaining[:end]))
+		remaining = remaining[end:]
 	}
-	if len(rest) > MaxEventBytes {
+	if len(remaining) > MaxEventBytes {
 		return nil, ErrTooLong
 	}
-	s.held = rest
+	s.incomplete = remaining
 	return events, nil
 }
 
-// Rest returns the bytes of an event that is not whole.
-func (s *Splitter) Rest() []byte { return s.held }
+// Incomplete returns the bytes of an event that is not whole.
+func (s *Splitter) Incomplete() []byte { return s.incomplete }
 
 // endOfEvent returns the index after the first empty line, -1 if there is none.
 func endOfEvent(b []byte) int {
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -29,7 +29,7 @@
 			}
 			rest = rest[n:]
 		}
-		joined.Write(splitter.Rest())
+		joined.Write(splitter.Incomplete())
 		if !bytes.Equal(joined.Bytes(), text) {
 			t.Fatalf("%q became %q", text, joined.Bytes())
 		}
@@ -46,7 +46,7 @@
 	if !events[0].HasID || events[0].ID != 12 || events[1].HasID {
 		t.Fatalf("%+v", events)
 	}
-	if string(splitter.Rest()) != "id: 13" {
-		t.Fatalf("rest %q", splitter.Rest())
+	if string(splitter.Incomplete()) != "id: 13" {
+		t.Fatalf("rest %q", splitter.Incomplete())
 	}
 }
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -19,9 +19,9 @@
 type Sink struct {
 	lines chan []byte
 	// dropped counts all lines dropped, told those that the log was told of.
-	dropped atomic.Int64
-	told    int64
-	written chan struct{}
+	dropped  atomic.Int64
+	reported int64
+	written  chan struct{}
 }
 
 // New returns a sink that holds at most depth lines.
@@ -34,8 +34,8 @@
 func (s *Sink) run(w io.Writer) {
 	defer close(s.written)
 	for line := range s.lines {
-		if n := s.dropped.Load() - s.told; n > 0 {
-			s.told += n
+		if n := s.dropped.Load() - s.reported; n > 0 {
+			s.reported += n
 			_, _ = fmt.Fprintf(w, "event=%s lines=%d\n", event.LogDropped, n)
 		}
 		_, _ = w.Write(line)
@@ -57,10 +57,10 @@
 
 // Close writes what is queued, for at most the given time. No line may be
 // written after it.
-func (s *Sink) Close(atMost time.Duration) {
+func (s *Sink) Close(timeout time.Duration) {
 	close(s.lines)
 	select {
 	case <-s.written:
-	case <-time.After(atMost):
+	case <-time.After(timeout):
 	}
 }
