--- /dev/null
+++ b/balance/status.go
@@ -0,0 +1,29 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package balance
+
+import (
+	"sort"
+	"time"
+)
+
+// Status is what the table knows of an instance, for logs and metrics.
+type Status struct {
+	Instance
+	InFlight    int
+	FailureRate float64
+	Ejected     bool
+}
+
+// Statuses returns the instances of all services, by id.
+func (t *Table) Statuses(now time.Time) []Status {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	statuses := make([]Status, 0, len(t.members))
+	for _, m := range t.members {
+		statuses = append(statuses, Status{Instance: m.Instance, InFlight: m.inFlight, FailureRate: m.failureRate, Ejected: now.Before(m.ejectedUntil) || !m.removedAt.IsZero()})
+	}
+	sort.Slice(statuses, func(i, j int) bool { return statuses[i].ID < statuses[j].ID })
+	return statuses
+}
