--- /dev/null
+++ b/catalog/current.go
@@ -0,0 +1,31 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package catalog
+
+import (
+	"sync/atomic"
+)
+
+// Current holds the snapshot in force. The zero value holds none. It is safe
+// for concurrent use.
+type Current struct {
+	newest atomic.Pointer[Snapshot]
+}
+
+// Get returns the snapshot in force, nil before the first.
+func (c *Current) Get() *Snapshot { return c.newest.Load() }
+
+// Offer puts a snapshot in force if it is newer than the present one, and
+// reports whether it did.
+func (c *Current) Offer(s *Snapshot) bool {
+	for {
+		old := c.newest.Load()
+		if old != nil && old.Version >= s.Version {
+			return false
+		}
+		if c.newest.CompareAndSwap(old, s) {
+			return true
+		}
+	}
+}
--- /dev/null
+++ b/catalog/document.go
@@ -0,0 +1,127 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package catalog
+
+import (
+	"time"
+
+	"granitehoist.example/granitehoist"
+)
+
+// RouteName names a route within a configuration.
+type RouteName string
+
+// Kind tells how often a request of a route may run and how it is answered.
+type Kind int
+
+// The kinds of routes.
+const (
+	// Safe requests may run more than once.
+	Safe Kind = iota
+	// Unsafe requests run at most once.
+	Unsafe
+	// Stream requests are answered by a sequence of events. They run at most
+	// once unless the route says that they may be resumed.
+	Stream
+)
+
+// String returns the name of a kind as logs show it.
+func (k Kind) String() string {
+	return [...]string{"safe", "unsafe", "stream"}[k]
+}
+
+// Share is a service's part of the requests of a route.
+type Share struct {
+	Service granitehoist.Service
+	Weight  float64
+}
+
+// Route leads the requests of a host below a path to services.
+type Route struct {
+	Name RouteName
+	Host string
+	// Prefix begins and ends with a slash.
+	Prefix string
+	Kind   Kind
+	// Timeout is the longest that a request may be held; zero sets no bound.
+	Timeout time.Duration
+	// Target is the time within which an answer has its full worth.
+	Target   time.Duration
+	Priority granitehoist.Priority
+	Split    []Share
+	// MaxAttempts bounds the upstreams that may run one request.
+	MaxAttempts int
+	// Anonymous routes need no key.
+	Anonymous bool
+	// Affinity says that requests with a common beginning gain by sharing an
+	// upstream.
+	Affinity bool
+	// Resume says that a stream may go on at another upstream.
+	Resume bool
+}
+
+// Repeatable reports whether a request may run more than once.
+func (r *Route) Repeatable() bool {
+	return r.Kind == Safe || (r.Kind == Stream && r.Resume)
+}
+
+// Service is a group of upstreams that offer the same thing.
+type Service struct {
+	Name       granitehoist.Service
+	HealthPath string
+	// TokensPerEvent is the most tokens that one event of a stream holds; zero
+	// where events are not counted.
+	TokensPerEvent granitehoist.Tokens
+	// Capacity is the number of requests that an upstream runs at once; zero
+	// where the configuration says nothing.
+	Capacity int
+}
+
+// Workspace is a customer and its rights.
+type Workspace struct {
+	Name granitehoist.Workspace
+	Keys []string
+	// Priority goes before that of the route if HasPriority is set.
+	Priority    granitehoist.Priority
+	HasPriority bool
+	// Prepaid is what the workspace may spend in all if Limited is set.
+	Prepaid granitehoist.Tokens
+	Limited bool
+}
+
+// Limits bound what callers send.
+type Limits struct {
+	HeaderBytes   int
+	BodyBytes     int64
+	HeaderTimeout time.Duration
+	Idle          time.Duration
+}
+
+// Document is a configuration as operators wrote it, decoded.
+type Document struct {
+	// Revision is the operators' own number of the configuration.
+	Revision   int64
+	Routes     []Route
+	Services   []Service
+	Workspaces []Workspace
+	// Keyed says that routes which are not anonymous need a key.
+	Keyed  bool
+	Limits Limits
+}
+
+// Pick returns the service of a route's split at a point from 0 up to 1.
+func (r *Route) Pick(point float64) granitehoist.Service {
+	var total float64
+	for _, share := range r.Split {
+		total += share.Weight
+	}
+	mark := point * total
+	for _, share := range r.Split {
+		if mark < share.Weight {
+			return share.Service
+		}
+		mark -= share.Weight
+	}
+	return r.Split[len(r.Split)-1].Service
+}
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -4,13 +4,10 @@
 package exchange
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"io"
 	"net/http"
-	"strconv"
-	"strings"
 	"time"
 
 	"granitehoist.example/granitehoist"
@@ -60,17 +57,10 @@
 // closed with it.
 func (r *Response) Close() { r.end(r.complete) }
 
-// skipLimit bounds the answers that are passed over because they belong to
-// earlier requests of a connection, and interim answers.
-const skipLimit = 8
-
 // writtenGrace is how long the end of an exchange waits for the word that the
 // request has been written, which may come after its answer.
 const writtenGrace = 5 * time.Millisecond
 
-// drainLimit bounds the bytes that are read of such an answer.
-const drainLimit = 1 << 20
-
 // Do sends a request and returns the head of its answer. Its errors are
 // *granitehoist.Error: UpstreamRefused if nothing was sent, UpstreamLost,
 // UpstreamBadAnswer or AnswerCrossed if the upstream may have run it. When ctx
@@ -121,97 +111,3 @@
 		end:    end,
 	}
 }
-
-// write sends the whole request.
-func (c *conn) write(r Request) error {
-	var head bytes.Buffer
-	head.Grow(1024 + len(r.Body))
-	head.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	if err := r.Header.Write(&head); err != nil {
-		return err
-	}
-	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut {
-		head.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
-	}
-	head.WriteString("\r\n")
-	head.Write(r.Body)
-	_, err := c.Write(head.Bytes())
-	return err
-}
-
-// readAnswer reads answers until one belongs to the request.
-func (c *conn) readAnswer(r Request) (*http.Response, error) {
-	crossed := false
-	for range skipLimit {
-		answer, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
-		if err != nil {
-			return nil, answerError(err, crossed)
-		}
-		if answer.StatusCode < http.StatusOK {
-			continue
-		}
-		if r.Matches == nil || r.Matches(answer.Header) {
-			return answer, nil
-		}
-		crossed = true
-		if answer.Close || !drained(answer) {
-			break
-		}
-	}
-	return nil, granitehoist.Errorf(granitehoist.AnswerCrossed, "")
-}
-
-func drained(answer *http.Response) bool {
-	n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, drainLimit))
-	return err == nil && n < drainLimit
-}
-
-func answerError(err error, crossed bool) error {
-	switch {
-	case crossed:
-		return granitehoist.Wrap(granitehoist.AnswerCrossed, err, "")
-	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
-		return granitehoist.Wrap(granitehoist.UpstreamLost, err, "the connection ended")
-	}
-	var malformed interface{ Timeout() bool }
-	if errors.As(err, &malformed) {
-		return granitehoist.Wrap(granitehoist.UpstreamLost, err, "the connection broke")
-	}
-	return granitehoist.Wrap(granitehoist.UpstreamBadAnswer, err, "")
-}
-
-// keepAliveMargin is taken off what an upstream tells, for the way there.
-const keepAliveMargin = 400 * time.Millisecond
-
-// keepAlive returns how long the upstream keeps the connection, zero if it does
-// not tell.
-func keepAlive(h http.Header) time.Duration {
-	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		if !strings.EqualFold(name, "timeout") {
-			continue
-		}
-		seconds, err := strconv.Atoi(strings.TrimSpace(value))
-		if err == nil && seconds > 0 {
-			return time.Duration(seconds)*time.Second - keepAliveMargin
-		}
-	}
-	return 0
-}
-
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
-
-// PassedOn returns a copy of a header without what belongs to one connection.
-func PassedOn(h http.Header) http.Header {
-	passed := h.Clone()
-	for _, named := range h.Values("Connection") {
-		for name := range strings.SplitSeq(named, ",") {
-			passed.Del(strings.TrimSpace(name))
-		}
-	}
-	for _, name := range hopHeaders {
-		passed.Del(name)
-	}
-	return passed
-}
--- /dev/null
+++ b/exchange/header.go
@@ -0,0 +1,26 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package exchange
+
+import (
+	"net/http"
+	"strings"
+)
+
+// hopHeaders belong to one connection and are not passed on.
+var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
+
+// PassedOn returns a copy of a header without what belongs to one connection.
+func PassedOn(h http.Header) http.Header {
+	passed := h.Clone()
+	for _, named := range h.Values("Connection") {
+		for name := range strings.SplitSeq(named, ",") {
+			passed.Del(strings.TrimSpace(name))
+		}
+	}
+	for _, name := range hopHeaders {
+		passed.Del(name)
+	}
+	return passed
+}
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -52,19 +52,6 @@
 	idle map[string][]*conn
 }
 
-// conn is one connection. It serves one request at a time.
-type conn struct {
-	net.Conn
-	reader  *bufio.Reader
-	address string
-	// idleSince is when it became idle, idleUntil when the upstream keeps it.
-	idleSince, idleUntil time.Time
-	// keepAliveReported says that the upstream told how long it keeps the connection.
-	keepAliveReported bool
-}
-
-const readBufferBytes = 2048
-
 // tcpUserTimeout is the Linux socket option that bounds the time for which
 // sent bytes may stay unacknowledged, in milliseconds.
 const tcpUserTimeout = 18
@@ -179,27 +166,3 @@
 		}
 	}
 }
-
-// quiet reports whether an idle connection is open and nothing has arrived on
-// it. Whatever has arrived belongs to no request that is still to be sent.
-func (c *conn) quiet() bool {
-	if c.reader.Buffered() > 0 {
-		return false
-	}
-	syscallConn, ok := c.Conn.(syscall.Conn)
-	if !ok {
-		return false
-	}
-	raw, err := syscallConn.SyscallConn()
-	if err != nil {
-		return false
-	}
-	quiet := false
-	err = raw.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, failure := syscall.Read(int(fd), one[:])
-		quiet = failure == syscall.EAGAIN
-		return true
-	})
-	return err == nil && quiet
-}
