--- a/explain/explain.go
+++ b/explain/explain.go
@@ -22,8 +22,8 @@
 
 const maxLineBytes = 1 << 20
 
-// background holds the latest lines of a box that bear on its requests.
-type background struct {
+// boxState holds the latest lines of a box that bear on its requests.
+type boxState struct {
 	config  *Line
 	store   *Line
 	sync    *Line
@@ -34,8 +34,8 @@
 
 // Story is what a log tells of one request.
 type Story struct {
-	Request granitehoist.RequestID
-	told    []sentence
+	Request   granitehoist.RequestID
+	sentences []sentence
 }
 
 type sentence struct {
@@ -48,7 +48,7 @@
 // ErrNoRequest if no line names the request, and an error of the reader.
 func Read(log io.Reader, request granitehoist.RequestID) (*Story, error) {
 	story := &Story{Request: request}
-	boxes := map[string]*background{}
+	boxes := map[string]*boxState{}
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
@@ -56,28 +56,28 @@
 		if !ok {
 			continue
 		}
-		known, ok := boxes[line.Box]
+		box, ok := boxes[line.Box]
 		if !ok {
-			known = &background{upstreams: map[string]*Line{}}
-			boxes[line.Box] = known
+			box = &boxState{upstreams: map[string]*Line{}}
+			boxes[line.Box] = box
 		}
-		known.note(&line)
+		box.note(&line)
 		if line.Get("request") == string(request) {
-			story.tell(&line, known)
+			story.addLine(&line, box)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, eris.Wrap(err, "explain: log")
 	}
-	if len(story.told) == 0 {
+	if len(story.sentences) == 0 {
 		return nil, ErrNoRequest
 	}
-	sort.SliceStable(story.told, func(i, j int) bool { return story.told[i].at < story.told[j].at })
+	sort.SliceStable(story.sentences, func(i, j int) bool { return story.sentences[i].at < story.sentences[j].at })
 	return story, nil
 }
 
 // note keeps a line that later requests may depend on.
-func (b *background) note(l *Line) {
+func (b *boxState) note(l *Line) {
 	switch l.Event {
 	case event.ConfigInForce:
 		b.config = l
@@ -95,24 +95,24 @@
 }
 
 func (s *Story) add(l *Line, format string, args ...any) {
-	s.told = append(s.told, sentence{l.At, l.Box, fmt.Sprintf(format, args...)})
+	s.sentences = append(s.sentences, sentence{l.At, l.Box, fmt.Sprintf(format, args...)})
 }
 
-// tell adds what a line of the request says.
-func (s *Story) tell(l *Line, known *background) {
+// addLine adds what a line of the request says.
+func (s *Story) addLine(l *Line, box *boxState) {
 	switch l.Event {
 	case event.Attempt:
-		s.attempt(l, known)
+		s.addAttempt(l, box)
 	case event.Request:
-		s.end(l, known)
+		s.addOutcome(l, box)
 	}
 }
 
-func (s *Story) attempt(l *Line, known *background) {
+func (s *Story) addAttempt(l *Line, box *boxState) {
 	s.add(l, "attempt %s was sent to upstream %s (entry of version %s, %s of this router's requests there, home %s): %s after %s",
 		l.Get("attempt"), l.Get("upstream"), l.Get("entry"), l.Get("load"), l.Get("home"), attemptOutcome(l), seconds(l.Number("took")))
-	if up, ok := known.upstreams[l.Get("upstream")]; ok && up.Event == event.UpstreamGone {
-		s.add(l, "  the upstream's entry had gone %s before", gap(up, l))
+	if up, ok := box.upstreams[l.Get("upstream")]; ok && up.Event == event.UpstreamGone {
+		s.add(l, "  the upstream's entry had gone %s before", secondsBetween(up, l))
 	}
 	if after := l.Number("after"); after > 0 {
 		s.add(l, "  the caller had events up to %.0f by then", after)
@@ -126,10 +126,10 @@
 	return "status " + l.Get("status")
 }
 
-func (s *Story) end(l *Line, known *background) {
+func (s *Story) addOutcome(l *Line, box *boxState) {
 	s.add(l, "the request on route %s of workspace %q, service %s, was decided under configuration %s", l.Get("route"), l.Get("workspace"), l.Get("service"), l.Get("config"))
-	if known.config != nil && known.config.Get("version") != l.Get("config") {
-		s.add(l, "  configuration %s has come into force since", known.config.Get("version"))
+	if box.config != nil && box.config.Get("version") != l.Get("config") {
+		s.add(l, "  configuration %s has come into force since", box.config.Get("version"))
 	}
 	if bound := l.Get("bound"); bound != "" {
 		s.add(l, "  it needed at most %s tokens; the budget said %s", bound, l.Get("budget"))
@@ -138,28 +138,28 @@
 		s.add(l, "  it was charged %s tokens", used)
 	}
 	if l.Get("budget") != "" && l.Get("budget") != "granted" {
-		s.budgetCause(l, known)
+		s.addBudgetCause(l, box)
 	}
 	s.add(l, "it ended with %s after %s; %s attempts, %s events; to the caller it has %s", codeText(l.Get("code")), seconds(l.Number("took")), l.Get("attempts"), l.Get("events"), fateText(l.Get("fate")))
 	if detail := l.Get("detail"); detail != "" {
 		s.add(l, "  in detail: %s", detail)
 	}
-	if known.restart != nil && known.restart.Event == event.Stop {
-		s.add(l, "  the router had been told to stop %s before", gap(known.restart, l))
+	if box.restart != nil && box.restart.Event == event.Stop {
+		s.add(l, "  the router had been told to stop %s before", secondsBetween(box.restart, l))
 	}
 }
 
-// budgetCause tells why tokens could not be had.
-func (s *Story) budgetCause(l *Line, known *background) {
+// addBudgetCause tells why tokens could not be had.
+func (s *Story) addBudgetCause(l *Line, box *boxState) {
 	s.add(l, "  the router owned %s free tokens; the store had %s left, as read %s before", l.Get("free"), l.Get("rest"), seconds(l.Number("rest_age")))
 	if silent := l.Number("silent"); silent > 0 {
 		s.add(l, "  the store had not answered calls for the budgets for %s", seconds(silent))
 	}
-	if known.sync != nil {
-		s.add(l, "  the last sync of the budgets failed %s before: %s", gap(known.sync, l), known.sync.Get("error"))
+	if box.sync != nil {
+		s.add(l, "  the last sync of the budgets failed %s before: %s", secondsBetween(box.sync, l), box.sync.Get("error"))
 	}
-	if known.store != nil && known.store.Event == event.StoreLost {
-		s.add(l, "  the store had not answered for %s: %s", gap(known.store, l), known.store.Get("error"))
+	if box.store != nil && box.store.Event == event.StoreLost {
+		s.add(l, "  the store had not answered for %s: %s", secondsBetween(box.store, l), box.store.Get("error"))
 	}
 }
 
@@ -183,7 +183,7 @@
 	return "the fate \"" + fate + "\""
 }
 
-func gap(before, after *Line) string { return seconds((after.At - before.At).Seconds()) }
+func secondsBetween(before, after *Line) string { return seconds((after.At - before.At).Seconds()) }
 
 func seconds(s float64) string { return strconv.FormatFloat(s, 'f', 3, 64) + " s" }
 
@@ -192,8 +192,8 @@
 	if _, err := fmt.Fprintf(w, "request %s\n", s.Request); err != nil {
 		return err
 	}
-	first := s.told[0].at
-	for _, t := range s.told {
+	first := s.sentences[0].at
+	for _, t := range s.sentences {
 		if _, err := fmt.Fprintf(w, "%9.3f s  %-22s %s\n", (t.at - first).Seconds(), t.box, t.text); err != nil {
 			return err
 		}
--- a/explain/line.go
+++ b/explain/line.go
@@ -68,17 +68,17 @@
 func parsePairs(text string, into map[string]string) {
 	for {
 		text = strings.TrimLeft(text, " \t\r\n")
-		key, rest, found := strings.Cut(text, "=")
+		key, remaining, found := strings.Cut(text, "=")
 		if !found {
 			return
 		}
-		value, after := cutValue(rest)
+		value, after := cutValue(remaining)
 		into[key] = value
 		text = after
 	}
 }
 
-func cutValue(text string) (value, rest string) {
+func cutValue(text string) (value, remaining string) {
 	if strings.HasPrefix(text, "\"") {
 		quoted, err := strconv.QuotedPrefix(text)
 		if err == nil {
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -73,10 +73,10 @@
 
 // Refresh renews the router's entry and reads the others'.
 func (r *Registry) Refresh(ctx context.Context) error {
-	if err := r.enter(ctx); err != nil {
+	if err := r.renewEntry(ctx); err != nil {
 		return err
 	}
-	members, err := list(ctx, r.settings.Store, KeyPrefix)
+	members, err := readMembers(ctx, r.settings.Store, KeyPrefix)
 	if err != nil {
 		return err
 	}
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// enter renews the lease, and writes the entry if it is new or has changed.
-func (r *Registry) enter(ctx context.Context) error {
+// renewEntry renews the lease, and writes the entry if it is new or has changed.
+func (r *Registry) renewEntry(ctx context.Context) error {
 	r.mu.Lock()
 	lease, self, written := r.lease, r.self, r.written
 	r.mu.Unlock()
@@ -109,7 +109,7 @@
 		}
 		lease = granted
 	}
-	if err := r.write(ctx, lease, self); err != nil {
+	if err := r.writeEntry(ctx, lease, self); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -143,16 +143,16 @@
 
 // Serving returns the routers that may serve, live or not.
 func Serving(ctx context.Context, s granitehoist.Store) ([]Member, error) {
-	return list(ctx, s, ServingPrefix)
+	return readMembers(ctx, s, ServingPrefix)
 }
 
 // Withdraw removes a router from those that may serve. It is called by the
 // router itself when it has stopped, or when it is known to be gone.
 func Withdraw(ctx context.Context, s granitehoist.Store, m Member) error {
-	return remove(ctx, s, ServingPrefix+memberKey(m))
+	return deleteKey(ctx, s, ServingPrefix+memberKey(m))
 }
 
-func list(ctx context.Context, s granitehoist.Store, prefix string) ([]Member, error) {
+func readMembers(ctx context.Context, s granitehoist.Store, prefix string) ([]Member, error) {
 	entries, _, err := s.List(ctx, prefix)
 	if err != nil {
 		return nil, err
@@ -168,8 +168,8 @@
 	return members, nil
 }
 
-// write sets the entry. Only this incarnation writes its key.
-func (r *Registry) write(ctx context.Context, lease granitehoist.LeaseID, self Member) error {
+// writeEntry sets the entry. Only this incarnation writes its key.
+func (r *Registry) writeEntry(ctx context.Context, lease granitehoist.LeaseID, self Member) error {
 	raw, err := json.Marshal(self)
 	if err != nil {
 		return eris.Wrap(err, "fleet: entry does not encode")
@@ -191,19 +191,19 @@
 
 // Remove deletes the router's entries, when it has stopped.
 func (r *Registry) Remove(ctx context.Context) error {
-	if err := remove(ctx, r.settings.Store, r.key()); err != nil {
+	if err := deleteKey(ctx, r.settings.Store, r.key()); err != nil {
 		return err
 	}
 	return Withdraw(ctx, r.settings.Store, r.settings.Self)
 }
 
-// removeTries bounds how often remove reads an entry again after the answer to
+// maxDeleteTries bounds how often remove reads an entry again after the answer to
 // its write was lost.
-const removeTries = 3
+const maxDeleteTries = 3
 
-func remove(ctx context.Context, s granitehoist.Store, key string) error {
+func deleteKey(ctx context.Context, s granitehoist.Store, key string) error {
 	var err error
-	for range removeTries {
+	for range maxDeleteTries {
 		var current granitehoist.Entry
 		current, err = s.Get(ctx, key)
 		if err != nil || current.Version == 0 {
--- a/fleet/rpc.go
+++ b/fleet/rpc.go
@@ -46,8 +46,8 @@
 // its address.
 var ErrOtherIncarnation = errors.New("fleet: another incarnation has the address")
 
-// codeNotMe is the JSON-RPC error code of a call for another incarnation.
-const codeNotMe = -32001
+// codeOtherIncarnation is the JSON-RPC error code of a call for another incarnation.
+const codeOtherIncarnation = -32001
 
 // Server serves the calls of other routers.
 type Server struct {
@@ -100,7 +100,7 @@
 			}
 			return eris.Wrap(err, "fleet: accept")
 		}
-		s.start(conn)
+		s.startConn(conn)
 	}
 }
 
@@ -110,7 +110,7 @@
 	return s.closed
 }
 
-func (s *Server) start(conn net.Conn) {
+func (s *Server) startConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -118,7 +118,7 @@
 		return
 	}
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle))
-	c := jsonrpc2.NewConn(context.Background(), stream(conn), handler, jsonrpc2.SetLogger(quiet))
+	c := jsonrpc2.NewConn(context.Background(), newStream(conn), handler, jsonrpc2.SetLogger(discardLog))
 	s.conns[c] = struct{}{}
 	s.done.Go(func() {
 		<-c.DisconnectNotify()
@@ -128,11 +128,11 @@
 	})
 }
 
-// quiet keeps the library from writing lines of its own: what fails is told to
+// discardLog keeps the library from writing lines of its own: what fails is told to
 // the caller.
-var quiet = log.New(io.Discard, "", 0)
+var discardLog = log.New(io.Discard, "", 0)
 
-func stream(conn net.Conn) jsonrpc2.ObjectStream {
+func newStream(conn net.Conn) jsonrpc2.ObjectStream {
 	return jsonrpc2.NewBufferedStream(conn, jsonrpc2.VarintObjectCodec{})
 }
 
@@ -150,7 +150,7 @@
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
 	if e.To != s.self && !greeting {
-		return nil, &jsonrpc2.Error{Code: codeNotMe, Message: "this is router " + string(s.self) + " and not " + string(e.To)}
+		return nil, &jsonrpc2.Error{Code: codeOtherIncarnation, Message: "this is router " + string(s.self) + " and not " + string(e.To)}
 	}
 	return serve(ctx, e.Params)
 }
@@ -206,9 +206,9 @@
 	err = conn.Call(ctx, method, envelope{To: to.Incarnation, Params: raw}, result)
 	answer, answered := err.(*jsonrpc2.Error)
 	if err != nil && !answered {
-		c.drop(to.Address, conn)
+		c.discard(to.Address, conn)
 	}
-	if answered && answer.Code == codeNotMe {
+	if answered && answer.Code == codeOtherIncarnation {
 		err = eris.Wrap(ErrOtherIncarnation, answer.Message)
 	}
 	return eris.Wrapf(err, "fleet: call of %s at %s", method, to.Address)
@@ -226,7 +226,7 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "fleet: connect to %s", address)
 	}
-	conn = jsonrpc2.NewConn(context.Background(), stream(raw), refuseAll{}, jsonrpc2.SetLogger(quiet))
+	conn = jsonrpc2.NewConn(context.Background(), newStream(raw), refuseAll{}, jsonrpc2.SetLogger(discardLog))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if other, ok := c.conns[address]; ok {
@@ -237,7 +237,7 @@
 	return conn, nil
 }
 
-func (c *Client) drop(address string, conn *jsonrpc2.Conn) {
+func (c *Client) discard(address string, conn *jsonrpc2.Conn) {
 	c.mu.Lock()
 	if c.conns[address] == conn {
 		delete(c.conns, address)
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -19,30 +19,30 @@
 
 // The names of the figures. docs/METRICS.md explains each.
 const (
-	metricActive       = "active_requests"
-	metricRouters      = "routers"
-	metricConfig       = "config_version"
-	metricConfigAge    = "config_age_seconds"
-	metricInstancesAge = "instances_age_seconds"
-	metricFree         = "budget_free"
-	metricSpent        = "budget_spent"
-	metricRest         = "budget_rest"
-	metricRequests     = "requests"
-	metricAttempts     = "attempts"
-	metricRefusals     = "refusals"
-	metricTook         = "took_seconds"
-	metricFirst        = "first_seconds"
-	metricConnections  = "upstream_connections"
-	metricOut          = "upstream_out"
-	metricStoreCalls   = "store_calls"
-	metricDropped      = "log_dropped"
+	metricActive         = "active_requests"
+	metricRouters        = "routers"
+	metricConfig         = "config_version"
+	metricConfigAge      = "config_age_seconds"
+	metricInstancesAge   = "instances_age_seconds"
+	metricBudgetFree     = "budget_free"
+	metricBudgetSpent    = "budget_spent"
+	metricStoreRemaining = "budget_rest"
+	metricRequests       = "requests"
+	metricAttempts       = "attempts"
+	metricRefusals       = "refusals"
+	metricDuration       = "took_seconds"
+	metricFirstByte      = "first_seconds"
+	metricConnections    = "upstream_connections"
+	metricUpstreamsOut   = "upstream_out"
+	metricStoreCalls     = "store_calls"
+	metricDropped        = "log_dropped"
 )
 
 // Metrics returns the names of all figures.
 func Metrics() []string {
 	return []string{
-		metricActive, metricRouters, metricConfig, metricConfigAge, metricInstancesAge, metricFree, metricSpent, metricRest,
-		metricRequests, metricAttempts, metricRefusals, metricTook, metricFirst, metricConnections, metricOut, metricStoreCalls, metricDropped,
+		metricActive, metricRouters, metricConfig, metricConfigAge, metricInstancesAge, metricBudgetFree, metricBudgetSpent, metricStoreRemaining,
+		metricRequests, metricAttempts, metricRefusals, metricDuration, metricFirstByte, metricConnections, metricUpstreamsOut, metricStoreCalls, metricDropped,
 	}
 }
 
@@ -73,8 +73,8 @@
 	}
 }
 
-// ended counts a request.
-func (n *Node) ended(r forward.Report) {
+// noteRequest counts a request.
+func (n *Node) noteRequest(r forward.Report) {
 	n.count(1, metricRequests, "service=%q,code=\"%d\"", r.Service, int(r.Code))
 	n.count(int64(r.Attempts), metricAttempts, "service=%q", r.Service)
 	if r.Budget != escrow.Granted {
@@ -83,9 +83,9 @@
 	if r.Service == "" {
 		return
 	}
-	n.observe(r.Took, metricTook, r.Service)
+	n.observe(r.Took, metricDuration, r.Service)
 	if r.First > 0 {
-		n.observe(r.First, metricFirst, r.Service)
+		n.observe(r.First, metricFirstByte, r.Service)
 	}
 }
 
@@ -128,7 +128,7 @@
 		fmt.Sprintf("%s %d", metricRouters, n.peers.routers()),
 		fmt.Sprintf("%s %.3f", metricConfigAge, n.configs.Age(now).Seconds()),
 		fmt.Sprintf("%s %.3f", metricInstancesAge, n.instances.Age(now).Seconds()),
-		fmt.Sprintf("%s %d", metricOut, out),
+		fmt.Sprintf("%s %d", metricUpstreamsOut, out),
 	}
 	if n.config.LogDropped != nil {
 		lines = append(lines, fmt.Sprintf("%s %d", metricDropped, n.config.LogDropped()))
@@ -141,9 +141,9 @@
 	for name := range snapshot.Workspaces() {
 		state := n.ledger.State(name)
 		lines = append(lines,
-			fmt.Sprintf("%s{workspace=%q} %d", metricFree, name, state.Free),
-			fmt.Sprintf("%s{workspace=%q} %d", metricSpent, name, state.Spent),
-			fmt.Sprintf("%s{workspace=%q} %d", metricRest, name, state.StoreRemaining))
+			fmt.Sprintf("%s{workspace=%q} %d", metricBudgetFree, name, state.Free),
+			fmt.Sprintf("%s{workspace=%q} %d", metricBudgetSpent, name, state.Spent),
+			fmt.Sprintf("%s{workspace=%q} %d", metricStoreRemaining, name, state.StoreRemaining))
 	}
 	return lines
 }
--- a/node/node.go
+++ b/node/node.go
@@ -116,12 +116,12 @@
 	})
 	n.ledger = escrow.NewLedger(escrow.LedgerSettings{Incarnation: n.incarnation})
 	n.syncer = escrow.NewSyncer(escrow.SyncerSettings{
-		Box: n.config.Box, Ledger: n.ledger, Store: n.adapter.Store, Routers: n.peers.sharers, Writes: n.peers.writes, Serves: n.peers.direct, Clock: time.Now, Log: n.log,
+		Box: n.config.Box, Ledger: n.ledger, Store: n.adapter.Store, Routers: n.peers.sharers, Writes: n.peers.writesRecord, Serves: n.peers.isRelay, Clock: time.Now, Log: n.log,
 		Lenders: n.peers.lenders, Caller: n.peers,
 	})
 	n.path = forward.New(forward.Settings{
 		Catalog: &n.catalog, Funds: n.syncer, Table: n.table, Pool: n.pool, Codec: n.adapter.Codec,
-		Retry: n.config.Retry, Routers: n.peers.routers, Clock: time.Now, Log: n.log, Ended: n.ended,
+		Retry: n.config.Retry, Routers: n.peers.routers, Clock: time.Now, Log: n.log, Ended: n.noteRequest,
 	})
 	n.configs = n.follower(n.adapter.ConfigPrefix, n.configChanged, nil)
 	n.instances = n.follower(n.adapter.InstancesPrefix, n.instancesChanged, n.sameInstance)
@@ -143,7 +143,7 @@
 func (n *Node) follower(prefix string, changed func([]granitehoist.Entry, granitehoist.Version), same func(before, after granitehoist.Entry) bool) *follow.Follower {
 	return follow.New(follow.Settings{
 		Store: n.adapter.Store, Prefix: prefix, Changed: changed, Same: same, Gather: gatherChanges,
-		Relays: n.peers.relays, Neighbours: n.peers.neighbours, Updates: n.updates, Clock: time.Now, Log: n.log,
+		Relays: n.peers.relaysToAsk, Neighbours: n.peers.neighboursToAsk, Updates: n.askUpdates, Clock: time.Now, Log: n.log,
 	})
 }
 
--- a/node/overload.go
+++ b/node/overload.go
@@ -20,14 +20,14 @@
 
 // Bounds of shedding callers, as parts of the link's rate.
 const (
-	shedAbove = 0.82
-	keepBelow = 0.5
-	// shedLeast is the least time of shedding: the balancer and the callers
+	shedAboveLoad         = 0.82
+	stopSheddingBelowLoad = 0.5
+	// minSheddingTime is the least time of shedding: the balancer and the callers
 	// notice late.
-	shedLeast = 3 * time.Second
-	// shedPause is the least time from one shedding to the next.
-	shedPause    = 2 * time.Second
-	linkInterval = 500 * time.Millisecond
+	minSheddingTime = 3 * time.Second
+	// minSheddingPause is the least time from one shedding to the next.
+	minSheddingPause = 2 * time.Second
+	linkInterval     = 500 * time.Millisecond
 	// linkWindow is the number of intervals over which the rate is taken.
 	linkWindow = 2
 )
@@ -35,10 +35,10 @@
 // linkWatch decides whether a box sheds callers.
 type linkWatch struct {
 	// capacity is the link's rate in bytes a second; zero never sheds.
-	capacity float64
-	readings []linkmeter.Reading
-	shedding bool
-	changed  time.Time
+	capacity  float64
+	readings  []linkmeter.Reading
+	shedding  bool
+	changedAt time.Time
 }
 
 // observe takes a reading in, and reports whether the box should shed callers.
@@ -49,12 +49,12 @@
 	}
 	load := r.Rate(w.readings[0]) / w.capacity
 	w.readings = w.readings[1:]
-	lasted := r.At.Sub(w.changed)
+	lasted := r.At.Sub(w.changedAt)
 	switch {
-	case !w.shedding && load > shedAbove && lasted >= shedPause:
-		w.shedding, w.changed = true, r.At
-	case w.shedding && load < keepBelow && lasted >= shedLeast:
-		w.shedding, w.changed = false, r.At
+	case !w.shedding && load > shedAboveLoad && lasted >= minSheddingPause:
+		w.shedding, w.changedAt = true, r.At
+	case w.shedding && load < stopSheddingBelowLoad && lasted >= minSheddingTime:
+		w.shedding, w.changedAt = false, r.At
 	}
 	return w.shedding
 }
--- a/node/overload_test.go
+++ b/node/overload_test.go
@@ -47,7 +47,7 @@
 				shed++
 			}
 		}
-		if least := int(shedLeast / linkInterval); shed < least || decisions[len(decisions)-1] {
+		if least := int(minSheddingTime / linkInterval); shed < least || decisions[len(decisions)-1] {
 			t.Fatalf("shed for %d intervals of at least %d, then %v", shed, least, decisions)
 		}
 	})
--- a/node/peers.go
+++ b/node/peers.go
@@ -26,16 +26,16 @@
 
 // Times of the exchange with neighbours.
 const (
-	peersInterval = 8 * time.Second
-	peersPause    = 300 * time.Millisecond
-	// peersFill is the time in which all nodes of a fleet enter themselves at
+	listInterval   = 8 * time.Second
+	listRetryPause = 300 * time.Millisecond
+	// firstListPause is the time in which all nodes of a fleet enter themselves at
 	// its first start.
-	peersFill    = 1500 * time.Millisecond
-	greetTimeout = 200 * time.Millisecond
-	// listFresh is the age up to which a list of entries is passed on.
-	listFresh = 2 * peersInterval
-	// greetAtMost bounds the neighbours that are greeted at a time.
-	greetAtMost = 12
+	firstListPause = 1500 * time.Millisecond
+	greetTimeout   = 200 * time.Millisecond
+	// listFreshFor is the age up to which a list of entries is passed on.
+	listFreshFor = 2 * listInterval
+	// maxGreeted bounds the neighbours that are greeted at a time.
+	maxGreeted = 12
 )
 
 // peerEntry is what a node writes of itself.
@@ -66,9 +66,9 @@
 	others  []peerEntry
 	next    int
 	entered bool
-	// listed counts the lists read, the last of them at listedAt.
-	listed   int
-	listedAt time.Time
+	// listsRead counts the lists read, the last of them at listedAt.
+	listsRead int
+	listedAt  time.Time
 }
 
 func newPeers(s peersSettings) *peers {
@@ -82,18 +82,18 @@
 func (p *peers) run(ctx context.Context) {
 	greeted := false
 	for ctx.Err() == nil {
-		wait := peersInterval
-		err := p.refresh(ctx)
-		if p.lists() < p.listsNeeded() {
-			wait = peersFill
+		wait := listInterval
+		err := p.refreshList(ctx)
+		if p.listCount() < p.listsNeeded() {
+			wait = firstListPause
 		}
 		if err != nil {
-			wait = peersPause
+			wait = listRetryPause
 		}
 		if err != nil || !greeted {
 			// The store tells neighbours of a new incarnation late, or not at
 			// all while it does not answer.
-			p.greet(ctx)
+			p.greetNeighbours(ctx)
 			greeted = err == nil
 		}
 		timer := time.NewTimer(wait)
@@ -105,25 +105,25 @@
 	}
 }
 
-func (p *peers) lists() int {
+func (p *peers) listCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.listed
+	return p.listsRead
 }
 
-// refresh learns the present entries, from a relay if there is one.
-func (p *peers) refresh(ctx context.Context) error {
-	for _, relay := range p.relays() {
-		if reply, err := p.greetOne(ctx, relay.Address); err == nil && p.adopt(reply) {
+// refreshList learns the present entries, from a relay if there is one.
+func (p *peers) refreshList(ctx context.Context) error {
+	for _, relay := range p.relaysToAsk() {
+		if reply, err := p.greetAddress(ctx, relay.Address); err == nil && p.adoptRelayList(reply) {
 			return nil
 		}
 	}
-	return p.list(ctx)
+	return p.readList(ctx)
 }
 
-// adopt takes the entries that a relay has read in place of the node's own
+// adoptRelayList takes the entries that a relay has read in place of the node's own
 // list, unless they lack this node.
-func (p *peers) adopt(reply greeting) bool {
+func (p *peers) adoptRelayList(reply greeting) bool {
 	if !reply.Listed || !slices.Contains(reply.Others, p.settings.self) {
 		return false
 	}
@@ -138,9 +138,9 @@
 	return true
 }
 
-// list reads all entries, and writes the node's own if it is missing or is that
+// readList reads all entries, and writes the node's own if it is missing or is that
 // of an earlier incarnation.
-func (p *peers) list(ctx context.Context) error {
+func (p *peers) readList(ctx context.Context) error {
 	entries, _, err := p.settings.store.List(ctx, peersPrefix)
 	if err != nil {
 		return err
@@ -163,16 +163,16 @@
 	}
 	p.mu.Lock()
 	p.others, p.entered = others, entered
-	p.listed++
+	p.listsRead++
 	p.listedAt = time.Now()
 	p.mu.Unlock()
 	if entered {
 		return nil
 	}
-	return p.enter(ctx, own)
+	return p.writeEntry(ctx, own)
 }
 
-func (p *peers) enter(ctx context.Context, own granitehoist.Entry) error {
+func (p *peers) writeEntry(ctx context.Context, own granitehoist.Entry) error {
 	value, err := json.Marshal(p.settings.self)
 	if err != nil {
 		return err
@@ -189,26 +189,26 @@
 	Listed bool `json:"listed,omitempty"`
 }
 
-// greet tells neighbours of this node and learns their present incarnations.
-func (p *peers) greet(ctx context.Context) {
+// greetNeighbours tells neighbours of this node and learns their present incarnations.
+func (p *peers) greetNeighbours(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
-	for _, other := range p.some(greetAtMost) {
-		calls.Go(func() { _, _ = p.greetOne(ctx, other.Address) })
+	for _, other := range p.nextNeighbours(maxGreeted) {
+		calls.Go(func() { _, _ = p.greetAddress(ctx, other.Address) })
 	}
 	calls.Wait()
 }
 
-// greetOne greets whoever is at an address. The incarnation that was known may
+// greetAddress greets whoever is at an address. The incarnation that was known may
 // be gone; the one that answers says who it is.
-func (p *peers) greetOne(ctx context.Context, address string) (greeting, error) {
+func (p *peers) greetAddress(ctx context.Context, address string) (greeting, error) {
 	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
 	var reply greeting
 	err := p.client.Call(ctx, granitehoist.Peer{Address: address}, methodGreet, greeting{Self: p.settings.self}, &reply)
 	if err == nil {
-		p.met(reply)
+		p.noteGreeting(reply)
 	}
 	return reply, err
 }
@@ -218,24 +218,24 @@
 func (p *peers) Call(ctx context.Context, to granitehoist.Peer, method string, params, result any) error {
 	err := p.client.Call(ctx, to, method, params, result)
 	if errors.Is(err, fleet.ErrOtherIncarnation) {
-		_, _ = p.greetOne(ctx, to.Address)
+		_, _ = p.greetAddress(ctx, to.Address)
 	}
 	return err
 }
 
-// met takes in what a node said of itself, and the boxes that were not known.
-func (p *peers) met(g greeting) {
+// noteGreeting takes in what a node said of itself, and the boxes that were not known.
+func (p *peers) noteGreeting(g greeting) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.enterOther(g.Self, true)
+	p.noteNeighbour(g.Self, true)
 	for _, other := range g.Others {
-		p.enterOther(other, false)
+		p.noteNeighbour(other, false)
 	}
 }
 
-// enterOther enters a neighbour. What a box says of itself goes before what
+// noteNeighbour enters a neighbour. What a box says of itself goes before what
 // others say of it.
-func (p *peers) enterOther(entry peerEntry, itself bool) {
+func (p *peers) noteNeighbour(entry peerEntry, itself bool) {
 	if entry.Box == "" || entry.Box == p.settings.self.Box {
 		return
 	}
@@ -253,15 +253,15 @@
 
 // serveGreet answers a neighbour's greeting.
 func (p *peers) serveGreet(_ context.Context, g greeting) (greeting, error) {
-	p.met(greeting{Self: g.Self})
+	p.noteGreeting(greeting{Self: g.Self})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	listed := p.isDirect() && time.Since(p.listedAt) <= listFresh
+	listed := p.isRelayLocked() && time.Since(p.listedAt) <= listFreshFor
 	return greeting{Self: p.settings.self, Others: append([]peerEntry(nil), p.others...), Listed: listed}, nil
 }
 
-// leave removes the node's entry.
-func (p *peers) leave(ctx context.Context) error {
+// removeEntry removes the node's entry.
+func (p *peers) removeEntry(ctx context.Context) error {
 	entry, err := p.settings.store.Get(ctx, p.key())
 	if err != nil || entry.Version == 0 {
 		return err
@@ -277,8 +277,8 @@
 	return len(p.others) + 1
 }
 
-// some returns at most so many neighbours, each in its turn.
-func (p *peers) some(most int) []peerEntry {
+// nextNeighbours returns at most so many neighbours, each in its turn.
+func (p *peers) nextNeighbours(most int) []peerEntry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var chosen []peerEntry
--- a/node/relays.go
+++ b/node/relays.go
@@ -48,15 +48,15 @@
 // small reports whether every node speaks with the store.
 func (p *peers) small() bool { return len(p.others)+1 < largeFleet }
 
-// direct reports whether this node speaks with the store itself.
-func (p *peers) direct() bool {
+// isRelay reports whether this node speaks with the store itself.
+func (p *peers) isRelay() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.isDirect()
+	return p.isRelayLocked()
 }
 
-func (p *peers) isDirect() bool {
-	if p.listed < p.listsNeeded() {
+func (p *peers) isRelayLocked() bool {
+	if p.listsRead < p.listsNeeded() {
 		return false
 	}
 	return p.chooseRelays()[p.settings.self.Box]
@@ -71,12 +71,12 @@
 	return 1
 }
 
-// relays returns the relays for this node, those of its own zone first; none
+// relaysToAsk returns the relays for this node, those of its own zone first; none
 // if it speaks with the store itself or does not know the others yet.
-func (p *peers) relays() []granitehoist.Peer {
+func (p *peers) relaysToAsk() []granitehoist.Peer {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.listed < p.listsNeeded() {
+	if p.listsRead < p.listsNeeded() {
 		return nil
 	}
 	chosen := p.chooseRelays()
@@ -100,12 +100,12 @@
 	return granitehoist.Peer{Incarnation: e.Incarnation, Address: e.Address}
 }
 
-// writes reports whether this node writes the record of the budgets of its own
+// writesRecord reports whether this node writes the record of the budgets of its own
 // accord.
-func (p *peers) writes() bool {
+func (p *peers) writesRecord() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.listed < p.listsNeeded() {
+	if p.listsRead < p.listsNeeded() {
 		return false
 	}
 	return p.small() || p.firstRelay(p.chooseRelays()) == p.settings.self.Box
--- a/node/relays_test.go
+++ b/node/relays_test.go
@@ -25,7 +25,7 @@
 	for i, self := range entries {
 		p := newPeers(peersSettings{self: self})
 		p.others = append(append([]peerEntry(nil), entries[:i]...), entries[i+1:]...)
-		p.listed = 1
+		p.listsRead = 1
 		all = append(all, p)
 	}
 	return all
@@ -35,14 +35,14 @@
 // a large one agree on two a zone and ask those of their own zone first.
 func TestRelays(t *testing.T) {
 	for _, p := range fleetOf(9) {
-		if !p.direct() || !p.writes() || len(p.relays()) > 0 || p.sharers() != 9 {
-			t.Fatalf("%s: direct %v, writes %v, relays %v, %d sharers", p.settings.self.Box, p.direct(), p.writes(), p.relays(), p.sharers())
+		if !p.isRelay() || !p.writesRecord() || len(p.relaysToAsk()) > 0 || p.sharers() != 9 {
+			t.Fatalf("%s: direct %v, writes %v, relays %v, %d sharers", p.settings.self.Box, p.isRelay(), p.writesRecord(), p.relaysToAsk(), p.sharers())
 		}
 	}
 	relays := map[granitehoist.Incarnation]granitehoist.AvailabilityZone{}
 	fleet := fleetOf(60)
 	for _, p := range fleet {
-		if p.direct() {
+		if p.isRelay() {
 			relays[p.settings.self.Incarnation] = p.settings.self.Zone
 		}
 	}
@@ -50,8 +50,8 @@
 		t.Fatalf("%d relays: %v", len(relays), relays)
 	}
 	for _, p := range fleet {
-		asked := p.relays()
-		if p.direct() {
+		asked := p.relaysToAsk()
+		if p.isRelay() {
 			continue
 		}
 		if first := asked[0].Incarnation; relays[first] != p.settings.self.Zone {
@@ -64,12 +64,12 @@
 // of nodes has had time to fill.
 func TestFirstStart(t *testing.T) {
 	p := newPeers(peersSettings{first: true})
-	p.listed = 1
-	if p.direct() {
+	p.listsRead = 1
+	if p.isRelay() {
 		t.Fatal("a relay after one list of a first start")
 	}
-	p.listed = 2
-	if !p.direct() {
+	p.listsRead = 2
+	if !p.isRelay() {
 		t.Fatal("no relay after two lists")
 	}
 }
@@ -91,13 +91,13 @@
 	}
 	writers := 0
 	for _, p := range fleet {
-		if p.direct() != fast[p.settings.self.Box] {
-			t.Fatalf("%s: direct %v", p.settings.self.Box, p.direct())
+		if p.isRelay() != fast[p.settings.self.Box] {
+			t.Fatalf("%s: direct %v", p.settings.self.Box, p.isRelay())
 		}
-		if p.writes() {
+		if p.writesRecord() {
 			writers++
 		}
-		if relays := p.relays(); p.direct() == (len(relays) == 6) {
+		if relays := p.relaysToAsk(); p.isRelay() == (len(relays) == 6) {
 			t.Fatalf("%s has relays %v", p.settings.self.Box, relays)
 		}
 	}
@@ -106,7 +106,7 @@
 	}
 	first := fleet[0].lenders()[0]
 	for _, p := range fleet {
-		if lender := p.lenders()[0]; !p.writes() && lender != first {
+		if lender := p.lenders()[0]; !p.writesRecord() && lender != first {
 			t.Fatalf("%s asks %v first and not %v", p.settings.self.Box, lender, first)
 		}
 	}
--- a/node/stop.go
+++ b/node/stop.go
@@ -14,17 +14,17 @@
 
 // Times of a stop, as parts of what the platform grants.
 const (
-	// servePart is how long new requests are still served, since callers
+	// serveShare is how long new requests are still served, since callers
 	// notice late that the node leaves.
-	servePart = 0.32
-	// finishPart is when the last request in progress is given up.
-	finishPart = 0.95
-	stopPoll   = 20 * time.Millisecond
-	// returnPart is when the return of tokens is given up, returnLeast and
+	serveShare = 0.32
+	// finishShare is when the last request in progress is given up.
+	finishShare      = 0.95
+	stopPollInterval = 20 * time.Millisecond
+	// returnShare is when the return of tokens is given up, returnLeast and
 	// returnMost bound the time that it gets.
-	returnPart  = 0.97
-	returnLeast = 300 * time.Millisecond
-	returnMost  = 1500 * time.Millisecond
+	returnShare   = 0.97
+	minReturnTime = 300 * time.Millisecond
+	maxReturnTime = 1500 * time.Millisecond
 )
 
 // Stop stops the node in good order: it is no longer ready, serves on while
@@ -36,14 +36,14 @@
 	began := time.Now()
 	n.leaving.Store(true)
 	n.log.Info(event.Stop, zap.Int("active", n.path.Active()), zap.Duration("grace", n.config.Grace))
-	serveUntil := began.Add(time.Duration(servePart * float64(n.config.Grace)))
-	finishUntil := began.Add(time.Duration(finishPart * float64(n.config.Grace)))
+	serveUntil := began.Add(time.Duration(serveShare * float64(n.config.Grace)))
+	finishUntil := began.Add(time.Duration(finishShare * float64(n.config.Grace)))
 	sleepUntil(serveUntil)
 	// The listener stays open: a caller that comes now is told that its request
 	// was not run.
 	n.path.Stop()
 	for n.path.Active() > 0 && time.Now().Before(finishUntil) {
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 	n.returnTokens(began)
 	n.log.Info(event.Stopped, zap.Int("active", n.path.Active()), zap.Duration("took", time.Since(began)))
@@ -62,13 +62,13 @@
 
 // returnTokens gives back what is free, in what is left of the grace.
 func (n *Node) returnTokens(began time.Time) {
-	left := time.Until(began.Add(time.Duration(returnPart * float64(n.config.Grace))))
-	ctx, cancel := context.WithTimeout(context.Background(), max(returnLeast, min(left, returnMost)))
+	left := time.Until(began.Add(time.Duration(returnShare * float64(n.config.Grace))))
+	ctx, cancel := context.WithTimeout(context.Background(), max(minReturnTime, min(left, maxReturnTime)))
 	defer cancel()
 	if err := n.syncer.Close(ctx); err != nil {
 		n.log.Warn(event.ReturnFailed, zap.Error(err))
 	}
-	if err := n.peers.leave(ctx); err != nil {
+	if err := n.peers.removeEntry(ctx); err != nil {
 		n.log.Warn(event.LeaveFailed, zap.Error(err))
 	}
 }
--- a/node/updates.go
+++ b/node/updates.go
@@ -20,8 +20,8 @@
 	updatesTimeout = 400 * time.Millisecond
 	// maxUpdatesWait bounds the wait that is granted to a caller.
 	maxUpdatesWait = time.Second
-	// askAtMost bounds the neighbours that are asked at a time.
-	askAtMost = 3
+	// maxAsked bounds the neighbours that are asked at a time.
+	maxAsked = 3
 )
 
 // updatesParams asks for what changed under a prefix after a version, to be
@@ -34,8 +34,8 @@
 	Cut time.Duration `json:"cut,omitempty"`
 }
 
-// updates asks a router what changed.
-func (n *Node) updates(ctx context.Context, to granitehoist.Peer, prefix string, after granitehoist.Version, wait time.Duration) (follow.Update, error) {
+// askUpdates asks a router what changed.
+func (n *Node) askUpdates(ctx context.Context, to granitehoist.Peer, prefix string, after granitehoist.Version, wait time.Duration) (follow.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+updatesTimeout)
 	defer cancel()
 	params := updatesParams{Prefix: prefix, After: after, Wait: wait, Cut: n.ledger.StoreSilence(time.Now())}
@@ -46,10 +46,10 @@
 	return packed.Unpack()
 }
 
-// neighbours returns some routers, each in its turn.
-func (p *peers) neighbours() []granitehoist.Peer {
+// neighboursToAsk returns some routers, each in its turn.
+func (p *peers) neighboursToAsk() []granitehoist.Peer {
 	var chosen []granitehoist.Peer
-	for _, other := range p.some(askAtMost) {
+	for _, other := range p.nextNeighbours(maxAsked) {
 		chosen = append(chosen, other.peer())
 	}
 	return chosen
