--- a/node/servers.go
+++ b/node/servers.go
@@ -40,26 +40,45 @@
 	metrics net.Listener
 }
 
-// listen opens the addresses that the settings name.
+// listen opens the addresses that the settings name. If one can't be opened,
+// those before it are closed.
 func listen(c *Config) (listeners, error) {
 	var l listeners
+	if err := l.open(c); err != nil {
+		l.close()
+		return listeners{}, err
+	}
+	return l, nil
+}
+
+func (l *listeners) open(c *Config) error {
 	var err error
 	if l.callers, err = net.Listen("tcp", c.Callers); err != nil {
-		return l, eris.Wrap(err, "node: address for callers")
+		return eris.Wrap(err, "node: address for callers")
 	}
 	if l.ready, err = net.Listen("tcp", c.Ready); err != nil {
-		return l, eris.Wrap(err, "node: address for readiness")
+		return eris.Wrap(err, "node: address for readiness")
 	}
 	if l.peers, err = net.Listen("tcp", net.JoinHostPort(c.IP, strconv.Itoa(c.PeerPort))); err != nil {
-		return l, eris.Wrap(err, "node: address for neighbours")
+		return eris.Wrap(err, "node: address for neighbours")
 	}
 	if c.Metrics == "" {
-		return l, nil
+		return nil
 	}
 	if l.metrics, err = net.Listen("tcp", c.Metrics); err != nil {
-		return l, eris.Wrap(err, "node: address for metrics")
+		return eris.Wrap(err, "node: address for metrics")
+	}
+	return nil
+}
+
+// close closes the listeners that are open.
+func (l *listeners) close() {
+	for _, listener := range []net.Listener{l.callers, l.ready, l.peers, l.metrics} {
+		if listener != nil {
+			// No connection was accepted; nothing is lost if this fails.
+			_ = listener.Close()
+		}
 	}
-	return l, nil
 }
 
 // servers holds what answers from outside: callers, health checks, neighbours
