--- a/node/node_test.go
+++ b/node/node_test.go
@@ -211,4 +211,16 @@
 		Expect(string(text)).To(ContainSubstring("config_version"))
 		Expect(string(text)).To(ContainSubstring(`budget_free{workspace="kiosk"}`))
 	})
+
+	It("closes all its addresses when it has stopped", func() {
+		m := newSite(1).members[0]
+		addresses := []string{m.config.Callers, m.config.Ready, m.config.Metrics}
+		for _, address := range addresses {
+			Eventually(func() bool { return reachable(address) }).Should(BeTrue())
+		}
+		m.node.Stop()
+		for _, address := range addresses {
+			Expect(reachable(address)).To(BeFalse(), address)
+		}
+	})
 })
--- a/node/servers.go
+++ b/node/servers.go
@@ -117,6 +117,16 @@
 	return s
 }
 
+// closeHTTP closes the HTTP servers, and with them the connections of callers
+// whose requests are still in progress.
+func (s *servers) closeHTTP() {
+	s.callers.Close()
+	s.ready.Close()
+	if s.metrics != nil {
+		s.metrics.Close()
+	}
+}
+
 // newCallServer returns the server of the calls between nodes.
 func newCallServer(n *Node) *fleet.Server {
 	return fleet.NewServer(fleet.ServerSettings{
--- a/node/stop.go
+++ b/node/stop.go
@@ -38,11 +38,12 @@
 	}
 	n.returnTokens(plan)
 	n.log.Info(event.Stopped, zap.Int("active", path.Active()), zap.Duration("took", n.clock().Sub(start)))
-	n.servers.callers.Close()
-	n.servers.ready.Close()
+	n.servers.closeHTTP()
 	n.cancel()
 	n.servers.calls.Close()
 	n.parts.pool.Close()
+	// Connections to neighbours end with the process: a call in progress that
+	// failed on one closed here would be logged as a lost relay.
 }
 
 // returnTokens returns the tokens that are free and removes the node's entry, in
