--- /dev/null
+++ b/fleet/call.go
@@ -0,0 +1,50 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package fleet
+
+import (
+	"encoding/json"
+	"errors"
+	"io"
+	"log"
+	"net"
+
+	"github.com/sourcegraph/jsonrpc2"
+
+	"granitehoist.example/granitehoist"
+)
+
+// envelope is what a call carries: the incarnation that it is for, and the
+// method's own parameters. An address may have passed to another router since the
+// caller learnt it, even to one of another fleet (docs/design/fleet.md has the
+// measurement).
+type envelope struct {
+	To     granitehoist.Incarnation `json:"to"`
+	Params json.RawMessage          `json:"params"`
+}
+
+// ErrOtherIncarnation says that another router than the one called answers at
+// its address. The call was not run.
+var ErrOtherIncarnation = errors.New("fleet: another incarnation has the address")
+
+// codeOtherIncarnation is the JSON-RPC error code of ErrOtherIncarnation. It
+// is the second of the codes that JSON-RPC 2.0 leaves to servers (-32000 to
+// -32099).
+const codeOtherIncarnation = -32001
+
+// discardLog keeps the library from writing lines of its own to the standard
+// error: what fails is returned to the caller.
+var discardLog = log.New(io.Discard, "", 0)
+
+// newStream frames the messages of a connection: each is preceded by its length.
+func newStream(conn net.Conn) jsonrpc2.ObjectStream {
+	return jsonrpc2.NewBufferedStream(conn, jsonrpc2.VarintObjectCodec{})
+}
+
+// discard closes a connection or listener that is not used any more.
+func discard(c io.Closer) {
+	// What was in progress on it has failed already or is given up, so that an
+	// error in closing it changes nothing.
+	_ = c.Close()
+}
--- /dev/null
+++ b/fleet/entries.go
@@ -0,0 +1,52 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+
+	"github.com/rotisserie/eris"
+
+	"granitehoist.example/granitehoist"
+)
+
+// readMembers reads the members under a prefix. An entry that can't be read fails
+// the whole: acting without a router that may serve would be unsafe.
+func readMembers(ctx context.Context, s granitehoist.Store, prefix string) ([]Member, error) {
+	entries, _, err := s.List(ctx, prefix)
+	if err != nil {
+		return nil, err
+	}
+	var members []Member
+	for _, e := range entries {
+		var m Member
+		if err := json.Unmarshal(e.Value, &m); err != nil {
+			return nil, eris.Wrapf(err, "fleet: entry %s can't be read", e.Key)
+		}
+		members = append(members, m)
+	}
+	return members, nil
+}
+
+// maxDeleteTries bounds how often deleteKey reads an entry again after the answer to
+// its write was lost, or after another write came between. Chosen, not measured.
+const maxDeleteTries = 3
+
+// deleteKey deletes a key, whatever it holds. One that does not exist is no error.
+func deleteKey(ctx context.Context, s granitehoist.Store, key string) error {
+	var err error
+	for range maxDeleteTries {
+		var current granitehoist.Entry
+		current, err = s.Get(ctx, key)
+		if err != nil || current.Version == 0 {
+			return err
+		}
+		_, err = s.CompareAndSwap(ctx, granitehoist.Change{Key: key, Expect: current.Version, Delete: true})
+		if err == nil {
+			return nil
+		}
+	}
+	return err
+}
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -6,7 +6,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"sync"
 	"time"
 
@@ -34,21 +33,29 @@
 	TTL time.Duration
 }
 
-// DefaultTTL bounds how long a dead router stays in the views of others.
+// DefaultTTL bounds how long a dead router stays in the views of others. Chosen,
+// not measured: a shorter one costs more writes for renewals, a longer one leaves
+// roles with a dead router for longer.
 const DefaultTTL = 15 * time.Second
 
+// renewalsPerTTL is how often an entry is renewed within its TTL, so that two
+// renewals in a row may fail. Chosen, not measured.
 const renewalsPerTTL = 3
 
 // Registry keeps a router's own entry in the store and its view of the others.
-// While the store is away the last view stands.
+// While the store does not answer the last view stands. It is safe for concurrent
+// use.
 type Registry struct {
 	settings RegistrySettings
 
-	mu      sync.Mutex
+	// mu guards the fields below.
+	mu sync.Mutex
+	// self is what the entry is to say, written what it says under lease.
 	self    Member
-	view    View
-	lease   granitehoist.LeaseID
 	written Member
+	lease   granitehoist.LeaseID
+	// view holds the others and this router as last read.
+	view View
 }
 
 // NewRegistry returns a registry whose view holds the router alone. It panics
@@ -71,7 +78,10 @@
 // Interval returns how often Refresh is to be called.
 func (r *Registry) Interval() time.Duration { return r.settings.TTL / renewalsPerTTL }
 
-// Refresh renews the router's entry and reads the others'.
+// Refresh renews the router's entry and reads the others'. A router is in the
+// view from its first entry until its lease ends or it removes the entry. The
+// error is that of the store, or names an entry that can't be read; the view
+// then stays as it was.
 func (r *Registry) Refresh(ctx context.Context) error {
 	if err := r.renewEntry(ctx); err != nil {
 		return err
@@ -89,20 +99,20 @@
 // renewEntry renews the lease, and writes the entry if it is new or has changed.
 func (r *Registry) renewEntry(ctx context.Context) error {
 	r.mu.Lock()
-	lease, self, written := r.lease, r.self, r.written
+	lease, self, changed := r.lease, r.self, r.self != r.written
 	r.mu.Unlock()
+	verdict := needsLease
 	if lease != "" {
 		err := r.settings.Store.RenewLease(ctx, lease)
-		switch {
-		case errors.Is(err, granitehoist.ErrNoLease):
-			lease = ""
-		case err != nil:
+		verdict = decideRenewal(err, changed)
+		if verdict == renewalFailed {
 			return err
-		case self == written:
-			return nil
 		}
 	}
-	if lease == "" {
+	if verdict == entryStands {
+		return nil
+	}
+	if verdict == needsLease {
 		granted, err := r.settings.Store.GrantLease(ctx, r.settings.TTL)
 		if err != nil {
 			return err
@@ -120,54 +130,11 @@
 
 func (r *Registry) key() string { return KeyPrefix + memberKey(r.settings.Self) }
 
+// memberKey is the part of a member's keys after their prefix.
 func memberKey(m Member) string {
 	return string(m.Region) + "/" + string(m.Box) + "/" + string(m.Incarnation)
 }
 
-// Enroll enters the router among those that may serve. It must succeed before
-// the router serves its first request, and before it reads the documents by
-// which it does.
-func (r *Registry) Enroll(ctx context.Context) error {
-	raw, err := json.Marshal(r.settings.Self)
-	if err != nil {
-		return eris.Wrap(err, "fleet: entry does not encode")
-	}
-	key := ServingPrefix + memberKey(r.settings.Self)
-	current, err := r.settings.Store.Get(ctx, key)
-	if err != nil || current.Version != 0 {
-		return err
-	}
-	_, err = store.Create(ctx, r.settings.Store, key, raw)
-	return err
-}
-
-// Serving returns the routers that may serve, live or not.
-func Serving(ctx context.Context, s granitehoist.Store) ([]Member, error) {
-	return readMembers(ctx, s, ServingPrefix)
-}
-
-// Withdraw removes a router from those that may serve. It is called by the
-// router itself when it has stopped, or when it is known to be gone.
-func Withdraw(ctx context.Context, s granitehoist.Store, m Member) error {
-	return deleteKey(ctx, s, ServingPrefix+memberKey(m))
-}
-
-func readMembers(ctx context.Context, s granitehoist.Store, prefix string) ([]Member, error) {
-	entries, _, err := s.List(ctx, prefix)
-	if err != nil {
-		return nil, err
-	}
-	var members []Member
-	for _, e := range entries {
-		var m Member
-		if err := json.Unmarshal(e.Value, &m); err != nil {
-			return nil, eris.Wrapf(err, "fleet: entry %s can't be read", e.Key)
-		}
-		members = append(members, m)
-	}
-	return members, nil
-}
-
 // writeEntry sets the entry. Only this incarnation writes its key.
 func (r *Registry) writeEntry(ctx context.Context, lease granitehoist.LeaseID, self Member) error {
 	raw, err := json.Marshal(self)
@@ -196,23 +163,3 @@
 	}
 	return Withdraw(ctx, r.settings.Store, r.settings.Self)
 }
-
-// maxDeleteTries bounds how often remove reads an entry again after the answer to
-// its write was lost.
-const maxDeleteTries = 3
-
-func deleteKey(ctx context.Context, s granitehoist.Store, key string) error {
-	var err error
-	for range maxDeleteTries {
-		var current granitehoist.Entry
-		current, err = s.Get(ctx, key)
-		if err != nil || current.Version == 0 {
-			return err
-		}
-		_, err = s.CompareAndSwap(ctx, granitehoist.Change{Key: key, Expect: current.Version, Delete: true})
-		if err == nil {
-			return nil
-		}
-	}
-	return err
-}
--- /dev/null
+++ b/fleet/server.go
@@ -0,0 +1,151 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package fleet
+
+import (
+	"context"
+	"encoding/json"
+	"net"
+	"sync"
+
+	"github.com/rotisserie/eris"
+	"github.com/sourcegraph/jsonrpc2"
+
+	"granitehoist.example/granitehoist"
+)
+
+// HandlerFunc serves one method of a Server.
+type HandlerFunc func(ctx context.Context, params json.RawMessage) (any, error)
+
+// Handle returns a HandlerFunc that decodes the parameters for serve.
+func Handle[Params, Result any](serve func(context.Context, Params) (Result, error)) HandlerFunc {
+	return func(ctx context.Context, raw json.RawMessage) (any, error) {
+		var params Params
+		if err := json.Unmarshal(raw, &params); err != nil {
+			return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
+		}
+		return serve(ctx, params)
+	}
+}
+
+// Server serves the calls of other routers. It is safe for concurrent use.
+type Server struct {
+	self      granitehoist.Incarnation
+	methods   map[string]HandlerFunc
+	greetings map[string]HandlerFunc
+
+	// mu guards the fields below but for done.
+	mu       sync.Mutex
+	listener net.Listener
+	conns    map[*jsonrpc2.Conn]struct{}
+	closed   bool
+	// done counts the goroutines that wait for the end of a connection.
+	done sync.WaitGroup
+}
+
+// ServerSettings configure a Server.
+type ServerSettings struct {
+	// Self is the incarnation that is served; calls for others are refused.
+	Self granitehoist.Incarnation
+	// Methods holds the handlers by method name.
+	Methods map[string]HandlerFunc
+	// Greetings holds those of methods that a caller may use before it knows
+	// the incarnation at an address; their replies must name it. A name is in
+	// one of the two maps.
+	Greetings map[string]HandlerFunc
+}
+
+// NewServer returns a server that does not listen yet. It panics if the
+// settings have no incarnation.
+func NewServer(s ServerSettings) *Server {
+	if s.Self == "" {
+		panic("fleet: server without incarnation")
+	}
+	return &Server{self: s.Self, methods: s.Methods, greetings: s.Greetings, conns: map[*jsonrpc2.Conn]struct{}{}}
+}
+
+// Serve accepts connections from a listener until Close, and returns nil then. It
+// returns the listener's error if that fails before. If Close came first it closes
+// the listener and returns.
+func (s *Server) Serve(listener net.Listener) error {
+	s.mu.Lock()
+	s.listener = listener
+	closed := s.closed
+	s.mu.Unlock()
+	if closed {
+		return listener.Close()
+	}
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			if s.isClosed() {
+				return nil
+			}
+			return eris.Wrap(err, "fleet: accept")
+		}
+		s.startConn(conn)
+	}
+}
+
+func (s *Server) isClosed() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.closed
+}
+
+// startConn serves the calls of a connection, each on a goroutine of its own,
+// until it ends. A connection accepted beside Close is closed at once.
+func (s *Server) startConn(conn net.Conn) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.closed {
+		discard(conn)
+		return
+	}
+	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle))
+	c := jsonrpc2.NewConn(context.Background(), newStream(conn), handler, jsonrpc2.SetLogger(discardLog))
+	s.conns[c] = struct{}{}
+	s.done.Go(func() {
+		<-c.DisconnectNotify()
+		s.mu.Lock()
+		delete(s.conns, c)
+		s.mu.Unlock()
+	})
+}
+
+// handle runs one call. Methods are refused to callers that name another
+// incarnation; greetings are not, since they serve to learn the incarnation.
+func (s *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
+	serve, ok := s.methods[r.Method]
+	greeting := false
+	if !ok {
+		serve, greeting = s.greetings[r.Method]
+	}
+	if (!ok && !greeting) || r.Params == nil {
+		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "no such method: " + r.Method}
+	}
+	var e envelope
+	if err := json.Unmarshal(*r.Params, &e); err != nil {
+		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
+	}
+	if e.To != s.self && !greeting {
+		return nil, &jsonrpc2.Error{Code: codeOtherIncarnation, Message: "this is router " + string(s.self) + " and not " + string(e.To)}
+	}
+	return serve(ctx, e.Params)
+}
+
+// Close closes the listener and all connections, and waits until they have
+// ended. Calls in progress go on and their replies are lost.
+func (s *Server) Close() {
+	s.mu.Lock()
+	s.closed = true
+	if s.listener != nil {
+		discard(s.listener)
+	}
+	for c := range s.conns {
+		discard(c)
+	}
+	s.mu.Unlock()
+	s.done.Wait()
+}
