--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -8,6 +8,8 @@
 	"errors"
 	"fmt"
 	"net"
+	"sync"
+	"sync/atomic"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -151,6 +153,19 @@
 	})
 })
 
+// slowLeases is a store that takes its time to grant a lease, and counts grants.
+type slowLeases struct {
+	granitehoist.Store
+	grants atomic.Int32
+}
+
+// GrantLease implements granitehoist.Store.
+func (s *slowLeases) GrantLease(ctx context.Context, ttl time.Duration) (granitehoist.LeaseID, error) {
+	s.grants.Add(1)
+	time.Sleep(200 * time.Millisecond)
+	return s.Store.GrantLease(ctx, ttl)
+}
+
 var _ = Describe("Registry", func() {
 	var now time.Time
 	var store *standin.Store
@@ -183,6 +198,35 @@
 		Expect(b.View().Members()).To(HaveLen(2))
 	})
 
+	It("grants itself one lease though two refresh at once", func() {
+		slow := &slowLeases{Store: store}
+		r := fleet.NewRegistry(fleet.RegistrySettings{Self: fleet.Member{Incarnation: "a", Region: "tuul", Box: "a"}, Store: slow})
+		var refreshes sync.WaitGroup
+		for range 2 {
+			refreshes.Go(func() {
+				defer GinkgoRecover()
+				Expect(r.Refresh(ctx)).To(Succeed())
+			})
+		}
+		refreshes.Wait()
+		Expect(slow.grants.Load()).To(BeEquivalentTo(1))
+	})
+
+	It("gives up a refresh that waits for another when its time is over", func() {
+		slow := &slowLeases{Store: store}
+		r := fleet.NewRegistry(fleet.RegistrySettings{Self: fleet.Member{Incarnation: "a", Region: "tuul", Box: "a"}, Store: slow})
+		var refreshes sync.WaitGroup
+		refreshes.Go(func() {
+			defer GinkgoRecover()
+			Expect(r.Refresh(ctx)).To(Succeed())
+		})
+		Eventually(slow.grants.Load).Should(BeEquivalentTo(1))
+		ended, cancel := context.WithCancel(ctx)
+		cancel()
+		Expect(r.Refresh(ended)).To(MatchError(context.Canceled))
+		refreshes.Wait()
+	})
+
 	It("says that it leaves, and goes, though answers are lost", func() {
 		store.Fail(standin.StoreFaults{LoseEvery: 2})
 		a, b := newRegistry("a"), newRegistry("b")
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -47,6 +47,10 @@
 // use.
 type Registry struct {
 	settings RegistrySettings
+	// refreshing holds a value while a Refresh runs: two beside each other would
+	// each grant a lease, and the entry could stand under the one that is not
+	// renewed.
+	refreshing chan struct{}
 
 	// mu guards the fields below.
 	mu sync.Mutex
@@ -65,7 +69,12 @@
 		panic("fleet: registry without store or incarnation")
 	}
 	defaults.Set(&s.TTL, DefaultTTL)
-	return &Registry{settings: s, self: s.Self, view: NewView([]Member{s.Self})}
+	return &Registry{
+		settings:   s,
+		refreshing: make(chan struct{}, 1),
+		self:       s.Self,
+		view:       NewView([]Member{s.Self}),
+	}
 }
 
 // View returns the last view.
@@ -81,8 +90,15 @@
 // Refresh renews the router's entry and reads the others'. A router is in the
 // view from its first entry until its lease ends or it removes the entry. The
 // error is that of the store, or names an entry that can't be read; the view
-// then stays as it was.
+// then stays as it was. A Refresh beside another one waits for it, and returns
+// the context's error if that ends first.
 func (r *Registry) Refresh(ctx context.Context) error {
+	select {
+	case r.refreshing <- struct{}{}:
+		defer func() { <-r.refreshing }()
+	case <-ctx.Done():
+		return ctx.Err()
+	}
 	if err := r.renewEntry(ctx); err != nil {
 		return err
 	}
