--- a/cmd/granitehoist-edge/main.go
+++ b/cmd/granitehoist-edge/main.go
@@ -1,8 +1,13 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Command granitehoist-edge runs a router on the users' platform. It takes its
-// settings from the file that the platform names.
+// Command granitehoist-edge runs a router on the users' platform until SIGTERM or
+// SIGINT. It takes its settings from the file that the platform names and writes
+// its log to the standard output, one line of key=value pairs an event.
+//
+// The program owns the process: signals, the memory limit and the log's queue.
+// All else is package node's, by way of package platform. Begin reading at run,
+// then at node.New.
 package main
 
 // The platform loads its library into the program, which has to be linked with
@@ -29,20 +34,31 @@
 	"granitehoist.example/granitehoist/platform"
 )
 
-// Bounds of the log's queue.
 const (
+	// logLines is the number of log lines that wait for a slow reader of the log;
+	// those beyond are dropped and counted (log_dropped). Chosen, not measured.
 	logLines = 2048
+	// logFlush bounds the writing of the lines that still wait when the process
+	// ends. Chosen, not measured: it has to fit between the end of a stop, at 97 %
+	// of the grace, and the platform's SIGKILL.
 	logFlush = 100 * time.Millisecond
+	// memoryShare is the share of the process's bound (limits.memoryMb in the
+	// settings file; above it the platform kills the process) from which on the
+	// garbage collector works harder. The platform counts bytes that have arrived
+	// and are not read yet as well, so that some room is left. Chosen, not
+	// measured.
+	memoryShare = 0.6
+	// signalQueue is the number of signals that wait while one is handled. Chosen,
+	// not measured: a signal beyond it is lost, and a stop needs one only.
+	signalQueue = 4
 )
 
-// memoryPart of the process's limit is where the garbage collector works
-// harder.
-const memoryPart = 0.6
-
+// main reads the command line and runs the router. It exits with 1 if the
+// settings or an address can't be used.
 func main() {
 	app := kingpin.New("granitehoist-edge", "Run a router on the platform until SIGTERM.")
 	file := app.Flag("settings", "The settings file.").Envar(platform.SettingsVariable).Required().String()
-	metrics := app.Flag("metrics", "The port of the figures; 0 serves none.").Default("0").Int()
+	metrics := app.Flag("metrics", "The port at which metrics are served; 0 serves none.").Default("0").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if err := run(*file, *metrics); err != nil {
 		fmt.Fprintf(os.Stderr, "granitehoist-edge: %v\n", err)
@@ -50,6 +66,8 @@
 	}
 }
 
+// run serves with the settings in file until a signal to stop, and returns when
+// the router has stopped. metricsPort is the port of the metrics, zero for none.
 func run(file string, metricsPort int) error {
 	config, err := platform.ReadSettings(file)
 	if err != nil {
@@ -59,7 +77,7 @@
 		config.Metrics = fmt.Sprintf("%s:%d", config.IP, metricsPort)
 	}
 	if config.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryPart * float64(config.Memory)))
+		debug.SetMemoryLimit(int64(memoryShare * float64(config.Memory)))
 	}
 	sink := logsink.New(os.Stdout, logLines)
 	defer sink.Close(logFlush)
@@ -69,7 +87,7 @@
 	if err != nil {
 		return err
 	}
-	signals := make(chan os.Signal, 4)
+	signals := make(chan os.Signal, signalQueue)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	n.Start()
 	for received := range signals {
@@ -82,8 +100,9 @@
 	return nil
 }
 
-// reload reads the settings anew. The addresses of a running process stay; a
-// file that can't be read changes nothing.
+// reload reads the settings file again after SIGHUP and logs whether it can be
+// read. No setting of the running process changes by it: those that matter are
+// fixed at the start (addresses, box, grace), and a restart takes in the others.
 func reload(file string, log *zap.Logger) {
 	if _, err := platform.ReadSettings(file); err != nil {
 		log.Error(event.ReloadFailed, zap.Error(err))
--- a/explain/doc.go
+++ b/explain/doc.go
@@ -4,4 +4,14 @@
 // Package explain tells the story of one request from the log lines of nodes:
 // what was known when it was decided on, what was tried, what the caller was
 // told, and which lost dependencies stood behind it.
+//
+// 'granitehoist explain' runs it on a log from its standard input; granitehoist-edge
+// writes the lines. The package keeps no state between stories, and a Story is used
+// by one goroutine at a time. It relies on the names of events (internal/event), on
+// the keys of their lines as package forward and others write them, and on the
+// root package's result codes: a key that is renamed there is no longer found here.
+//
+// Read collects: boxState keeps what each box logged of its dependencies up to the
+// line at hand, sentences.go turns the lines of the request into facts. Begin
+// reading at Read.
 package explain
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -8,44 +8,37 @@
 	"fmt"
 	"io"
 	"sort"
-	"strconv"
 	"time"
 
 	"github.com/rotisserie/eris"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/internal/event"
 )
 
 // ErrNoRequest says that the log has no line of the request.
 var ErrNoRequest = eris.New("explain: the log has no line of this request")
 
+// maxLineBytes bounds a line of the log in bytes; a longer one fails Read. Chosen,
+// not measured: lines of nodes have some hundred bytes.
 const maxLineBytes = 1 << 20
 
-// boxState holds the latest lines of a box that bear on its requests.
-type boxState struct {
-	config  *Line
-	store   *Line
-	sync    *Line
-	restart *Line
-	// upstreams holds the latest announcement of each instance.
-	upstreams map[string]*Line
-}
-
-// Story is what a log tells of one request.
+// Story is what a log tells of one request. Read makes one.
 type Story struct {
 	Request   granitehoist.RequestID
 	sentences []sentence
 }
 
+// sentence is one fact of a story, with the time (Line.At) and box of the line
+// that it was read from.
 type sentence struct {
 	at   time.Duration
 	box  string
 	text string
 }
 
-// Read reads a log and collects the story of one request. It returns
-// ErrNoRequest if no line names the request, and an error of the reader.
+// Read reads a log and collects the story of one request. Lines without an event
+// are passed over. It returns ErrNoRequest if no line names the request, and an
+// error if log can't be read or has a line above maxLineBytes.
 func Read(log io.Reader, request granitehoist.RequestID) (*Story, error) {
 	story := &Story{Request: request}
 	boxes := map[string]*boxState{}
@@ -76,125 +69,14 @@
 	return story, nil
 }
 
-// note keeps a line that later requests may depend on.
-func (b *boxState) note(l *Line) {
-	switch l.Event {
-	case event.ConfigInForce:
-		b.config = l
-	case event.StoreLost, event.StoreRegained:
-		b.store = l
-	case event.BudgetSyncFailed:
-		b.sync = l
-	case event.BudgetGrant:
-		b.sync = nil
-	case event.Start, event.Stop:
-		b.restart = l
-	case event.Upstream, event.UpstreamGone:
-		b.upstreams[l.Get("upstream")] = l
-	}
-}
-
-func (s *Story) add(l *Line, format string, args ...any) {
-	s.sentences = append(s.sentences, sentence{l.At, l.Box, fmt.Sprintf(format, args...)})
-}
-
-// addLine adds what a line of the request says.
-func (s *Story) addLine(l *Line, box *boxState) {
-	switch l.Event {
-	case event.Attempt:
-		s.addAttempt(l, box)
-	case event.Request:
-		s.addOutcome(l, box)
-	}
-}
-
-func (s *Story) addAttempt(l *Line, box *boxState) {
-	s.add(l, "attempt %s was sent to upstream %s (entry of version %s, %s of this router's requests there, home %s): %s after %s",
-		l.Get("attempt"), l.Get("upstream"), l.Get("entry"), l.Get("load"), l.Get("home"), attemptOutcome(l), seconds(l.Number("took")))
-	if up, ok := box.upstreams[l.Get("upstream")]; ok && up.Event == event.UpstreamGone {
-		s.add(l, "  the upstream's entry had gone %s before", secondsBetween(up, l))
-	}
-	if after := l.Number("after"); after > 0 {
-		s.add(l, "  the caller had events up to %.0f by then", after)
-	}
-}
-
-func attemptOutcome(l *Line) string {
-	if cause := l.Get("error"); cause != "" {
-		return "it failed: " + cause
-	}
-	return "status " + l.Get("status")
-}
-
-func (s *Story) addOutcome(l *Line, box *boxState) {
-	s.add(l, "the request on route %s of workspace %q, service %s, was decided under configuration %s", l.Get("route"), l.Get("workspace"), l.Get("service"), l.Get("config"))
-	if box.config != nil && box.config.Get("version") != l.Get("config") {
-		s.add(l, "  configuration %s has come into force since", box.config.Get("version"))
-	}
-	if bound := l.Get("bound"); bound != "" {
-		s.add(l, "  it needed at most %s tokens; the budget said %s", bound, l.Get("budget"))
-	}
-	if used := l.Get("used"); used != "" {
-		s.add(l, "  it was charged %s tokens", used)
-	}
-	if l.Get("budget") != "" && l.Get("budget") != "granted" {
-		s.addBudgetCause(l, box)
-	}
-	s.add(l, "it ended with %s after %s; %s attempts, %s events; to the caller it has %s", codeText(l.Get("code")), seconds(l.Number("took")), l.Get("attempts"), l.Get("events"), fateText(l.Get("fate")))
-	if detail := l.Get("detail"); detail != "" {
-		s.add(l, "  in detail: %s", detail)
-	}
-	if box.restart != nil && box.restart.Event == event.Stop {
-		s.add(l, "  the router had been told to stop %s before", secondsBetween(box.restart, l))
-	}
-}
-
-// addBudgetCause tells why tokens could not be had.
-func (s *Story) addBudgetCause(l *Line, box *boxState) {
-	s.add(l, "  the router owned %s free tokens; the store had %s left, as read %s before", l.Get("free"), l.Get("rest"), seconds(l.Number("rest_age")))
-	if silent := l.Number("silent"); silent > 0 {
-		s.add(l, "  the store had not answered calls for the budgets for %s", seconds(silent))
-	}
-	if box.sync != nil {
-		s.add(l, "  the last sync of the budgets failed %s before: %s", secondsBetween(box.sync, l), box.sync.Get("error"))
-	}
-	if box.store != nil && box.store.Event == event.StoreLost {
-		s.add(l, "  the store had not answered for %s: %s", secondsBetween(box.store, l), box.store.Get("error"))
-	}
-}
-
-func codeText(number string) string {
-	n, err := strconv.Atoi(number)
-	if err != nil {
-		return "code " + number
-	}
-	for _, info := range granitehoist.Codes() {
-		if int(info.Code) == n {
-			return fmt.Sprintf("code %d, %s", n, info.Message)
-		}
-	}
-	return "code " + number
-}
-
-func fateText(fate string) string {
-	if fate == "" {
-		return "an unknown fate"
-	}
-	return "the fate \"" + fate + "\""
-}
-
-func secondsBetween(before, after *Line) string { return seconds((after.At - before.At).Seconds()) }
-
-func seconds(s float64) string { return strconv.FormatFloat(s, 'f', 3, 64) + " s" }
-
-// Write prints the story, a line a fact, with the time and the box.
+// Write prints the story, one line for each fact, with the time in seconds since
+// the first fact and the box. Its error is that of w.
 func (s *Story) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "request %s\n", s.Request); err != nil {
 		return err
 	}
-	first := s.sentences[0].at
 	for _, t := range s.sentences {
-		if _, err := fmt.Fprintf(w, "%9.3f s  %-22s %s\n", (t.at - first).Seconds(), t.box, t.text); err != nil {
+		if _, err := fmt.Fprintf(w, "%9.3f s  %-22s %s\n", (t.at - s.sentences[0].at).Seconds(), t.box, t.text); err != nil {
 			return err
 		}
 	}
--- a/explain/line.go
+++ b/explain/line.go
@@ -9,12 +9,13 @@
 	"time"
 )
 
-// Line is one log line of key=value pairs.
+// Line is one log line of key=value pairs. It is not changed after Parse.
 type Line struct {
 	// Box is the node that wrote the line, empty if the log does not say.
 	Box string
 	// At orders the lines of all boxes: the time of the log's reader if it
-	// gives one, else the box's own clock.
+	// gives one, else the box's own clock, since 1970. It is zero for a line that
+	// has neither.
 	At time.Duration
 	// Event is the name of the event.
 	Event  string
@@ -24,7 +25,8 @@
 // Get returns the value of a key, empty if the line has none.
 func (l *Line) Get(key string) string { return l.fields[key] }
 
-// Number returns the value of a key as a number, 0 if it is none.
+// Number returns the value of a key as a number. It returns 0 if the line has no
+// such key or the value is no number: keys that a line may lack stand for 0.
 func (l *Line) Number(key string) float64 {
 	value, err := strconv.ParseFloat(l.fields[key], 64)
 	if err != nil {
@@ -48,13 +50,15 @@
 		return Line{}, false
 	}
 	if len(prefix) >= 2 {
-		seconds, err := strconv.ParseFloat(prefix[0], 64)
-		if err == nil {
+		// A prefix that does not begin with a time is of another reader; the box's
+		// own clock is used then.
+		if seconds, err := strconv.ParseFloat(prefix[0], 64); err == nil {
 			l.Box = prefix[1]
 			l.At = time.Duration(seconds * float64(time.Second))
 			return l, true
 		}
 	}
+	// Without a time that can be read the line comes first in its story.
 	if at, err := time.Parse(time.RFC3339Nano, l.fields["ts"]); err == nil {
 		l.At = time.Duration(at.UnixNano())
 	}
@@ -78,10 +82,13 @@
 	}
 }
 
+// cutValue returns the value at the beginning of text and what follows it. A quote
+// that does not end is taken as part of a plain value.
 func cutValue(text string) (value, remaining string) {
 	if strings.HasPrefix(text, "\"") {
 		quoted, err := strconv.QuotedPrefix(text)
 		if err == nil {
+			// QuotedPrefix returns only what Unquote takes.
 			value, _ = strconv.Unquote(quoted)
 			return value, text[len(quoted):]
 		}
--- /dev/null
+++ b/explain/sentences.go
@@ -0,0 +1,113 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package explain
+
+import (
+	"fmt"
+	"strconv"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/event"
+)
+
+// add adds a fact that was read from a line.
+func (s *Story) add(l *Line, format string, args ...any) {
+	s.sentences = append(s.sentences, sentence{l.At, l.Box, fmt.Sprintf(format, args...)})
+}
+
+// addLine adds what a line of the request says.
+func (s *Story) addLine(l *Line, box *boxState) {
+	switch l.Event {
+	case event.Attempt:
+		s.addAttempt(l, box)
+	case event.Request:
+		s.addOutcome(l, box)
+	}
+}
+
+// addAttempt tells one attempt, and whether its upstream's entry was deleted by
+// then.
+func (s *Story) addAttempt(l *Line, box *boxState) {
+	s.add(l, "attempt %s was sent to upstream %s (entry of version %s, %s of this router's requests there, home %s): %s after %s",
+		l.Get("attempt"), l.Get("upstream"), l.Get("entry"), l.Get("load"), l.Get("home"), attemptOutcome(l), seconds(l.Number("took")))
+	if up, ok := box.upstreams[l.Get("upstream")]; ok && up.Event == event.UpstreamGone {
+		s.add(l, "  the upstream's entry had gone %s before", secondsBetween(up, l))
+	}
+	if after := l.Number("after"); after > 0 {
+		s.add(l, "  the caller had events up to %.0f by then", after)
+	}
+}
+
+func attemptOutcome(l *Line) string {
+	if cause := l.Get("error"); cause != "" {
+		return "it failed: " + cause
+	}
+	return "status " + l.Get("status")
+}
+
+// addOutcome tells how the request ended, and what the box knew when it decided:
+// the configuration, the budget, and an order to stop.
+func (s *Story) addOutcome(l *Line, box *boxState) {
+	s.add(l, "the request on route %s of workspace %q, service %s, was decided under configuration %s", l.Get("route"), l.Get("workspace"), l.Get("service"), l.Get("config"))
+	if box.config != nil && box.config.Get("version") != l.Get("config") {
+		s.add(l, "  configuration %s has come into force since", box.config.Get("version"))
+	}
+	if bound := l.Get("bound"); bound != "" {
+		s.add(l, "  it needed at most %s tokens; the budget said %s", bound, l.Get("budget"))
+	}
+	if used := l.Get("used"); used != "" {
+		s.add(l, "  it was charged %s tokens", used)
+	}
+	if l.Get("budget") != "" && l.Get("budget") != "granted" {
+		s.addBudgetCause(l, box)
+	}
+	s.add(l, "it ended with %s after %s; %s attempts, %s events; to the caller it has %s", codeText(l.Get("code")), seconds(l.Number("took")), l.Get("attempts"), l.Get("events"), fateText(l.Get("fate")))
+	if detail := l.Get("detail"); detail != "" {
+		s.add(l, "  in detail: %s", detail)
+	}
+	if box.restart != nil && box.restart.Event == event.Stop {
+		s.add(l, "  the router had been told to stop %s before", secondsBetween(box.restart, l))
+	}
+}
+
+// addBudgetCause tells why the request got no tokens: what the router owned, how
+// old its reading of the store was, and whether the store answered.
+func (s *Story) addBudgetCause(l *Line, box *boxState) {
+	s.add(l, "  the router owned %s free tokens; the store had %s left, as read %s before", l.Get("free"), l.Get("rest"), seconds(l.Number("rest_age")))
+	if silent := l.Number("silent"); silent > 0 {
+		s.add(l, "  the store had not answered calls for the budgets for %s", seconds(silent))
+	}
+	if box.sync != nil {
+		s.add(l, "  the last sync of the budgets failed %s before: %s", secondsBetween(box.sync, l), box.sync.Get("error"))
+	}
+	if box.store != nil && box.store.Event == event.StoreLost {
+		s.add(l, "  the store had not answered for %s: %s", secondsBetween(box.store, l), box.store.Get("error"))
+	}
+}
+
+// codeText returns a result code with its message. A code that this version does
+// not know, or that is no number, stands alone.
+func codeText(number string) string {
+	n, err := strconv.Atoi(number)
+	if err != nil {
+		return "code " + number
+	}
+	for _, info := range granitehoist.Codes() {
+		if int(info.Code) == n {
+			return fmt.Sprintf("code %d, %s", n, info.Message)
+		}
+	}
+	return "code " + number
+}
+
+func fateText(fate string) string {
+	if fate == "" {
+		return "an unknown fate"
+	}
+	return "the fate \"" + fate + "\""
+}
+
+func secondsBetween(before, after *Line) string { return seconds((after.At - before.At).Seconds()) }
+
+func seconds(s float64) string { return strconv.FormatFloat(s, 'f', 3, 64) + " s" }
