--- a/node/listschedule.go
+++ b/node/listschedule.go
@@ -16,8 +16,8 @@
 	listRetryPause = 300 * time.Millisecond
 	// firstListPause is the time in which all nodes of a fleet enter themselves
 	// at its first start. Chosen, not measured on its own; commit 0c0db10
-	// measured that a site of 75 routers (carga-andina-grown quiet-1) earned 0.04
-	// without the wait for a second list and 0.27 with it.
+	// measured that carga-andina-grown quiet-1 earned 0.04 without the wait for a
+	// second list and 0.27 with it.
 	firstListPause = 1500 * time.Millisecond
 	// listsAtFirstStart and listsAtStart are how many lists a node reads before it
 	// takes its view of the fleet to be complete. At the first start of a whole
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -162,3 +162,26 @@
 		}
 	}
 }
+
+// TestServeGreet checks what a node answers to a greeting: that it takes in the
+// sender's entry and no others, and vouches for its list only while that is
+// fresh by the node's clock.
+func TestServeGreet(t *testing.T) {
+	now := time.Unix(1000, 0)
+	a, b := entryOf("a", "a-1"), entryOf("b", "b-1")
+	p := newPeers(peersSettings{self: entryOf("self", "s-1"), clock: func() time.Time { return now }})
+	p.listsRead, p.listedAt = 1, now
+	greet := func(listed bool, others ...peerEntry) {
+		t.Helper()
+		reply, err := p.serveGreet(t.Context(), greeting{Self: a, Others: []peerEntry{b}})
+		if err != nil || reply.Self != p.settings.self || reply.Listed != listed {
+			t.Fatalf("reply %+v, error %v, not listed %v", reply, err, listed)
+		}
+		expectEntries(t, reply.Others, others)
+	}
+	greet(true, a)
+	now = now.Add(listFreshFor)
+	greet(true, a)
+	now = now.Add(1)
+	greet(false, a)
+}
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -37,8 +37,8 @@
 }
 
 // readiness decides whether a node is ready. The age of its copies plays no
-// part: a store that does not answer concerns all nodes alike, and a fleet in
-// which none is ready would serve no caller.
+// part: a node that has lost the store serves on with its last copies and the
+// tokens that it owns (docs/design/platform.md, "Start, stop, loss").
 func (s serving) readiness() readiness {
 	switch {
 	case s.leaving:
--- a/node/servers.go
+++ b/node/servers.go
@@ -51,6 +51,7 @@
 	return l, nil
 }
 
+// open opens the addresses in turn and leaves those before a failure open.
 func (l *listeners) open(c *Config) error {
 	var err error
 	if l.callers, err = net.Listen("tcp", c.Callers); err != nil {
