--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -6,7 +6,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"sync"
 	"time"
 
@@ -34,21 +33,33 @@
 	TTL time.Duration
 }
 
-// DefaultTTL bounds how long a dead router stays in the views of others.
+// DefaultTTL bounds how long a dead router stays in the views of others. Chosen,
+// not measured: a shorter one costs more writes for renewals, a longer one leaves
+// roles with a dead router for longer.
 const DefaultTTL = 15 * time.Second
 
+// renewalsPerTTL is how often an entry is renewed within its TTL, so that two
+// renewals in a row may fail. Chosen, not measured.
 const renewalsPerTTL = 3
 
 // Registry keeps a router's own entry in the store and its view of the others.
-// While the store is away the last view stands.
+// While the store does not answer the last view stands. It is safe for concurrent
+// use.
 type Registry struct {
 	settings RegistrySettings
-
-	mu      sync.Mutex
+	// refreshing holds a value while a Refresh runs: two beside each other would
+	// each grant a lease, and the entry could stand under the one that is not
+	// renewed.
+	refreshing chan struct{}
+
+	// mu guards the fields below.
+	mu sync.Mutex
+	// self is what the entry is to say, written what it says under lease.
 	self    Member
-	view    View
-	lease   granitehoist.LeaseID
 	written Member
+	lease   granitehoist.LeaseID
+	// view holds the others and this router as last read.
+	view View
 }
 
 // NewRegistry returns a registry whose view holds the router alone. It panics
@@ -58,7 +69,12 @@
 		panic("fleet: registry without store or incarnation")
 	}
 	defaults.Set(&s.TTL, DefaultTTL)
-	return &Registry{settings: s, self: s.Self, view: NewView([]Member{s.Self})}
+	return &Registry{
+		settings:   s,
+		refreshing: make(chan struct{}, 1),
+		self:       s.Self,
+		view:       NewView([]Member{s.Self}),
+	}
 }
 
 // View returns the last view.
@@ -71,12 +87,22 @@
 // Interval returns how often Refresh is to be called.
 func (r *Registry) Interval() time.Duration { return r.settings.TTL / renewalsPerTTL }
 
-// Refresh renews the router's entry and reads the others'.
+// Refresh renews the router's entry and reads the others'. A router is in the
+// view from its first entry until its lease ends or it removes the entry. The
+// error is that of the store, or names an entry that can't be read; the view
+// then stays as it was. A Refresh beside another one waits for it, and returns
+// the context's error if that ends first.
 func (r *Registry) Refresh(ctx context.Context) error {
-	if err := r.enter(ctx); err != nil {
+	select {
+	case r.refreshing <- struct{}{}:
+		defer func() { <-r.refreshing }()
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	if err := r.renewEntry(ctx); err != nil {
 		return err
 	}
-	members, err := list(ctx, r.settings.Store, KeyPrefix)
+	members, err := readMembers(ctx, r.settings.Store, KeyPrefix)
 	if err != nil {
 		return err
 	}
@@ -86,30 +112,30 @@
 	return nil
 }
 
-// enter renews the lease, and writes the entry if it is new or has changed.
-func (r *Registry) enter(ctx context.Context) error {
+// renewEntry renews the lease, and writes the entry if it is new or has changed.
+func (r *Registry) renewEntry(ctx context.Context) error {
 	r.mu.Lock()
-	lease, self, written := r.lease, r.self, r.written
+	lease, self, changed := r.lease, r.self, r.self != r.written
 	r.mu.Unlock()
+	verdict := needsLease
 	if lease != "" {
 		err := r.settings.Store.RenewLease(ctx, lease)
-		switch {
-		case errors.Is(err, granitehoist.ErrNoLease):
-			lease = ""
-		case err != nil:
+		verdict = decideRenewal(err, changed)
+		if verdict == renewalFailed {
 			return err
-		case self == written:
-			return nil
 		}
 	}
-	if lease == "" {
+	if verdict == entryStands {
+		return nil
+	}
+	if verdict == needsLease {
 		granted, err := r.settings.Store.GrantLease(ctx, r.settings.TTL)
 		if err != nil {
 			return err
 		}
 		lease = granted
 	}
-	if err := r.write(ctx, lease, self); err != nil {
+	if err := r.writeEntry(ctx, lease, self); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -120,56 +146,13 @@
 
 func (r *Registry) key() string { return KeyPrefix + memberKey(r.settings.Self) }
 
+// memberKey is the part of a member's keys after their prefix.
 func memberKey(m Member) string {
 	return string(m.Region) + "/" + string(m.Box) + "/" + string(m.Incarnation)
 }
 
-// Enroll enters the router among those that may serve. It must succeed before
-// the router serves its first request, and before it reads the documents by
-// which it does.
-func (r *Registry) Enroll(ctx context.Context) error {
-	raw, err := json.Marshal(r.settings.Self)
-	if err != nil {
-		return eris.Wrap(err, "fleet: entry does not encode")
-	}
-	key := ServingPrefix + memberKey(r.settings.Self)
-	current, err := r.settings.Store.Get(ctx, key)
-	if err != nil || current.Version != 0 {
-		return err
-	}
-	_, err = store.Create(ctx, r.settings.Store, key, raw)
-	return err
-}
-
-// Serving returns the routers that may serve, live or not.
-func Serving(ctx context.Context, s granitehoist.Store) ([]Member, error) {
-	return list(ctx, s, ServingPrefix)
-}
-
-// Withdraw removes a router from those that may serve. It is called by the
-// router itself when it has stopped, or when it is known to be gone.
-func Withdraw(ctx context.Context, s granitehoist.Store, m Member) error {
-	return remove(ctx, s, ServingPrefix+memberKey(m))
-}
-
-func list(ctx context.Context, s granitehoist.Store, prefix string) ([]Member, error) {
-	entries, _, err := s.List(ctx, prefix)
-	if err != nil {
-		return nil, err
-	}
-	var members []Member
-	for _, e := range entries {
-		var m Member
-		if err := json.Unmarshal(e.Value, &m); err != nil {
-			return nil, eris.Wrapf(err, "fleet: entry %s can't be read", e.Key)
-		}
-		members = append(members, m)
-	}
-	return members, nil
-}
-
-// write sets the entry. Only this incarnation writes its key.
-func (r *Registry) write(ctx context.Context, lease granitehoist.LeaseID, self Member) error {
+// writeEntry sets the entry. Only this incarnation writes its key.
+func (r *Registry) writeEntry(ctx context.Context, lease granitehoist.LeaseID, self Member) error {
 	raw, err := json.Marshal(self)
 	if err != nil {
 		return eris.Wrap(err, "fleet: entry does not encode")
@@ -191,28 +174,8 @@
 
 // Remove deletes the router's entries, when it has stopped.
 func (r *Registry) Remove(ctx context.Context) error {
-	if err := remove(ctx, r.settings.Store, r.key()); err != nil {
+	if err := deleteKey(ctx, r.settings.Store, r.key()); err != nil {
 		return err
 	}
 	return Withdraw(ctx, r.settings.Store, r.settings.Self)
 }
-
-// removeTries bounds how often remove reads an entry again after the answer to
-// its write was lost.
-const removeTries = 3
-
-func remove(ctx context.Context, s granitehoist.Store, key string) error {
-	var err error
-	for range removeTries {
-		var current granitehoist.Entry
-		current, err = s.Get(ctx, key)
-		if err != nil || current.Version == 0 {
-			return err
-		}
-		_, err = s.CompareAndSwap(ctx, granitehoist.Change{Key: key, Expect: current.Version, Delete: true})
-		if err == nil {
-			return nil
-		}
-	}
-	return err
-}
