--- a/forward/forward.go
+++ b/forward/forward.go
@@ -59,7 +59,7 @@
 // Path serves requests. It is safe for concurrent use.
 type Path struct {
 	settings Settings
-	retries  *retries
+	retries  *retryBudgets
 	active   atomic.Int64
 	stopped  atomic.Bool
 }
@@ -85,14 +85,9 @@
 	if s.Ended == nil {
 		s.Ended = func(Report) {}
 	}
-	if s.Retry.Window <= 0 {
-		s.Retry.Window = defaultRetryWindow
-	}
-	return &Path{settings: s, retries: newRetries(s.Retry, s.Routers)}
+	return &Path{settings: s, retries: newRetryBudgets(s.Retry, s.Routers)}
 }
 
-const defaultRetryWindow = 10 * time.Second
-
 // Active returns the number of requests in progress.
 func (p *Path) Active() int { return int(p.active.Load()) }
 
@@ -296,7 +291,7 @@
 // forward makes attempts until one ends the request.
 func (w *work) forward(ctx context.Context) error {
 	now := w.path.settings.Clock()
-	w.path.retries.request(w.service.Name, now)
+	w.path.retries.of(w.service.Name).Earn(now)
 	var doubt, last error
 	for {
 		lease, err := w.path.settings.Table.Pick(w.want(), w.path.settings.Clock())
@@ -379,7 +374,7 @@
 	if e.unsent {
 		return true
 	}
-	return w.path.retries.take(w.service.Name, now)
+	return w.path.retries.of(w.service.Name).Take(now)
 }
 
 // resultOf tells what an attempt says of its instance.
--- a/partner/gate/gate.go
+++ b/partner/gate/gate.go
@@ -20,6 +20,7 @@
 
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/internal/defaults"
+	"granitehoist.example/granitehoist/internal/retrybudget"
 	"granitehoist.example/granitehoist/partner/bill"
 	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/partner/once"
@@ -78,7 +79,7 @@
 	attempts atomic.Uint64
 	unready  atomic.Bool
 	draining atomic.Bool
-	retries  retryBudget
+	retries  *retrybudget.Budget
 	prepared targetCache
 	// background holds what goes on after the answer was given.
 	background sync.WaitGroup
@@ -93,7 +94,7 @@
 	defaults.Set(&s.HeaderBytes, defaultHeaderBytes)
 	defaults.Set(&s.ReadTimeout, defaultReadTimeout)
 	defaults.Set(&s.Request, defaultRequest)
-	g := &Gate{settings: s, mux: http.NewServeMux(), retries: retryBudget{allowed: retryMost / 2}}
+	g := &Gate{settings: s, mux: http.NewServeMux(), retries: newRetryBudget()}
 	g.mux.HandleFunc("POST "+pathChat, g.serveCompletion)
 	g.mux.HandleFunc("POST "+pathCompletions, g.serveCompletion)
 	g.mux.HandleFunc("GET "+pathModels, g.serveModels)
--- a/partner/gate/retry.go
+++ b/partner/gate/retry.go
@@ -3,36 +3,27 @@
 
 package gate
 
-import "sync"
+import "granitehoist.example/granitehoist/internal/retrybudget"
 
-// Retries are bounded to a part of the requests, so that a failing service is
-// not loaded further by them.
 const (
-	retryPart = 0.1
-	retryMost = 20.0
+	// retriesPerRequest bounds retries to a tenth of the requests of all
+	// services together, so that a failing service is not loaded much further
+	// by them. Chosen, not measured.
+	retriesPerRequest = 0.1
+	// maxSavedRetries is the most retries that requests without a retry can
+	// save up. Chosen, not measured.
+	maxSavedRetries = 20
+	// initialRetryPart is the part of maxSavedRetries that a router starts
+	// with: 10 retries. Chosen, not measured.
+	initialRetryPart = 0.5
 )
 
-// retryBudget counts the retries that may be made: some at the start, and then
-// a part of the requests.
-type retryBudget struct {
-	mu      sync.Mutex
-	allowed float64
-}
-
-// request adds a request's part.
-func (b *retryBudget) request() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.allowed = min(retryMost, b.allowed+retryPart)
-}
-
-// retry takes one retry, if one is allowed.
-func (b *retryBudget) retry() bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.allowed < 1 {
-		return false
-	}
-	b.allowed--
-	return true
+// newRetryBudget returns the retry budget of a router. It does not refill with
+// time.
+func newRetryBudget() *retrybudget.Budget {
+	return retrybudget.New(retrybudget.Settings{
+		PerRequest:  retriesPerRequest,
+		Capacity:    maxSavedRetries,
+		InitialPart: initialRetryPart,
+	})
 }
--- a/partner/gate/serve.go
+++ b/partner/gate/serve.go
@@ -242,7 +242,7 @@
 		Priority: req.priority,
 		Tried:    map[granitehoist.Upstream]bool{},
 	}
-	g.retries.request()
+	g.retries.Earn(g.settings.Clock())
 	var binding *once.Binding
 	var doubt error
 	for attempt := 1; ; attempt++ {
@@ -365,7 +365,7 @@
 	if !notRun && !req.repeatable {
 		return false
 	}
-	if !g.retries.retry() {
+	if !g.retries.Take(g.settings.Clock()) {
 		return false
 	}
 	return s.reserve(ctx) == nil
