--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -17,8 +17,8 @@
 	"granitehoist.example/granitehoist/internal/eventstream"
 )
 
-// ending is how an attempt ended.
-type ending struct {
+// attemptResult is how an attempt ended.
+type attemptResult struct {
 	// err is nil if the answer was passed on whole.
 	err    error
 	status int
@@ -29,19 +29,19 @@
 	// refused says that the upstream had no room, moved that another instance
 	// answered, failed that it answered with a failure of its own.
 	refused, moved, failed bool
-	result                 balance.Result
+	instanceResult         balance.Result
 }
 
 // Rests of reused connections. An upstream may close a connection that rests
 // at the moment at which a request is sent, and a request that runs at most
 // once is then lost.
 const (
-	maxRest       = time.Minute
-	maxRestUnsafe = 150 * time.Millisecond
+	maxIdle       = time.Minute
+	maxIdleUnsafe = 150 * time.Millisecond
 )
 
 // attempt sends the request to one instance.
-func (w *work) attempt(ctx context.Context, lease *balance.Lease) ending {
+func (w *activeRequest) attempt(ctx context.Context, lease *balance.Lease) attemptResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	guard := w.newGuard(cancel)
@@ -49,7 +49,7 @@
 	now := w.path.settings.Clock()
 	response, err := w.path.settings.Pool.Do(ctx, w.message(lease, now), now)
 	if err != nil {
-		e := ending{err: guard.explain(ctx, err)}
+		e := attemptResult{err: guard.explain(ctx, err)}
 		e.unsent = granitehoist.CodeOf(err) == granitehoist.UpstreamRefused
 		return e
 	}
@@ -58,7 +58,7 @@
 	switch {
 	case e.refused, e.moved:
 		// The rest of a short refusal frees the connection for others.
-		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxRefusal))
+		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxRefusalBytes))
 		return e
 	case e.err != nil:
 		return e
@@ -68,7 +68,7 @@
 	if w.route.Kind == catalog.Stream && response.Status < http.StatusMultipleChoices {
 		e.err = w.stream(response, lease, guard)
 	} else {
-		e.err = w.whole(response)
+		e.err = w.passWhole(response)
 	}
 	if e.err != nil {
 		e.err = guard.explain(ctx, e.err)
@@ -79,8 +79,8 @@
 }
 
 // message returns what is sent.
-func (w *work) message(lease *balance.Lease, now time.Time) exchange.Request {
-	r := w.request
+func (w *activeRequest) message(lease *balance.Lease, now time.Time) exchange.Request {
+	r := w.asked
 	header := w.path.settings.Codec.Header(&Attempt{
 		Request:     r,
 		Route:       w.route,
@@ -89,11 +89,11 @@
 		Keyed:       w.keyed,
 		Instance:    lease.ID,
 		Remaining:   w.deadline.Sub(now),
-		LastEventID: w.after,
+		LastEventID: w.lastEventID,
 	})
-	rest := maxRest
+	rest := maxIdle
 	if !w.route.Repeatable() {
-		rest = maxRestUnsafe
+		rest = maxIdleUnsafe
 	}
 	return exchange.Request{
 		Address: lease.Address,
@@ -108,14 +108,14 @@
 }
 
 // judge reads the head of an answer.
-func (w *work) judge(response *exchange.Response) ending {
-	e := ending{status: response.Status}
+func (w *activeRequest) judge(response *exchange.Response) attemptResult {
+	e := attemptResult{status: response.Status}
 	verdict := w.path.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
 	switch {
 	case verdict.NotRun:
 		e.refused = !verdict.Moved
 		e.moved = verdict.Moved
-		refusal := later(granitehoist.UpstreamRefused, refusedRetry)
+		refusal := refusalError(granitehoist.UpstreamRefused, refusedRetry)
 		if verdict.RetryAfter > 0 {
 			refusal.RetryAfter = verdict.RetryAfter
 		}
@@ -132,20 +132,20 @@
 	return e
 }
 
-// maxWhole bounds the answers that are held until they are whole.
-const maxWhole = 8 << 20
+// maxAnswerBytes bounds the answers that are held until they are whole.
+const maxAnswerBytes = 8 << 20
 
 // passFailure passes an upstream's own failure on unless another attempt may
 // do better.
-func (w *work) passFailure(ctx context.Context, response *exchange.Response, e ending) ending {
-	body, err := readWhole(response)
+func (w *activeRequest) passFailure(ctx context.Context, response *exchange.Response, e attemptResult) attemptResult {
+	body, err := readBody(response)
 	if err != nil {
 		e.err = err
 		return e
 	}
 	e.err = granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d", response.Status)
 	w.runs++
-	repeat := w.again(ctx, e)
+	repeat := w.mayRetry(ctx, e)
 	w.runs--
 	if repeat {
 		// The attempt is paid for; forward must not ask for another.
@@ -158,48 +158,48 @@
 	return e
 }
 
-const maxRefusal = 64 << 10
+const maxRefusalBytes = 64 << 10
 
-// whole passes an answer on when all of it is here.
-func (w *work) whole(response *exchange.Response) error {
-	body, err := readWhole(response)
+// passWhole passes an answer on when all of it is here.
+func (w *activeRequest) passWhole(response *exchange.Response) error {
+	body, err := readBody(response)
 	if err != nil {
 		return err
 	}
 	return w.pass(response, body)
 }
 
-func (w *work) pass(response *exchange.Response, body []byte) error {
+func (w *activeRequest) pass(response *exchange.Response, body []byte) error {
 	if err := w.start(response); err != nil {
 		return err
 	}
 	return w.write(body)
 }
 
-func readWhole(response *exchange.Response) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(response, maxWhole+1))
+func readBody(response *exchange.Response) ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(response, maxAnswerBytes+1))
 	switch {
 	case err != nil:
 		return nil, granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
-	case len(body) > maxWhole:
+	case len(body) > maxAnswerBytes:
 		return nil, granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "the answer is too long")
 	}
 	return body, nil
 }
 
-func (w *work) start(response *exchange.Response) error {
+func (w *activeRequest) start(response *exchange.Response) error {
 	if w.started {
 		return nil
 	}
 	w.started = true
-	w.first = w.path.settings.Clock()
+	w.firstByteAt = w.path.settings.Clock()
 	if err := w.sink.Start(response.Status, exchange.PassedOn(response.Header)); err != nil {
 		return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 	}
 	return nil
 }
 
-func (w *work) write(piece []byte) error {
+func (w *activeRequest) write(piece []byte) error {
 	if len(piece) == 0 {
 		return nil
 	}
@@ -213,7 +213,7 @@
 
 // stream passes events on as they come whole. The head is held until the first
 // event, so that until then another instance may answer.
-func (w *work) stream(response *exchange.Response, lease *balance.Lease, guard *guard) error {
+func (w *activeRequest) stream(response *exchange.Response, lease *balance.Lease, guard *stallTimer) error {
 	var splitter eventstream.Splitter
 	buffer := make([]byte, streamBufferBytes)
 	for {
@@ -240,14 +240,14 @@
 }
 
 // passEvents passes on the events that the caller does not have yet.
-func (w *work) passEvents(response *exchange.Response, events []eventstream.Event) error {
+func (w *activeRequest) passEvents(response *exchange.Response, events []eventstream.Event) error {
 	for _, event := range events {
 		if event.HasID {
-			if event.ID <= w.after {
+			if event.ID <= w.lastEventID {
 				continue
 			}
-			if event.ID != w.after+1 {
-				return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "event %d follows %d", event.ID, w.after)
+			if event.ID != w.lastEventID+1 {
+				return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "event %d follows %d", event.ID, w.lastEventID)
 			}
 		}
 		if err := w.start(response); err != nil {
@@ -256,16 +256,16 @@
 		if err := w.write(event.Raw); err != nil {
 			return err
 		}
-		w.events++
+		w.eventsPassed++
 		if event.HasID {
-			w.after = event.ID
+			w.lastEventID = event.ID
 		}
 	}
 	return nil
 }
 
 // endStream passes on what follows the last event.
-func (w *work) endStream(response *exchange.Response, rest []byte) error {
+func (w *activeRequest) endStream(response *exchange.Response, rest []byte) error {
 	if !response.Framed && len(rest) > 0 {
 		return granitehoist.Errorf(granitehoist.UpstreamCut, "the stream ended within an event")
 	}
@@ -275,8 +275,8 @@
 	return w.write(rest)
 }
 
-// guard ends an attempt that makes no progress, if another may follow it.
-type guard struct {
+// stallTimer ends an attempt that makes no progress, if another may follow it.
+type stallTimer struct {
 	timer *time.Timer
 	pause time.Duration
 }
@@ -286,47 +286,47 @@
 
 // Times without progress after which an attempt gives way to another.
 const (
-	// firstPart of the target is waited for the beginning of an answer, and
+	// firstEventPart of the target is waited for the beginning of an answer, and
 	// longer for a long prompt.
-	firstPart      = 0.55
-	promptPerMS    = 12
-	firstAtLeast   = 150 * time.Millisecond
-	streamPause    = 900 * time.Millisecond
-	wholePartOfAim = 2.0
+	firstEventPart    = 0.55
+	promptTokensPerMS = 12
+	minFirstEventWait = 150 * time.Millisecond
+	maxEventGap       = 900 * time.Millisecond
+	wholeAnswerPart   = 2.0
 )
 
 // newGuard returns a guard for the next attempt.
-func (w *work) newGuard(cancel context.CancelCauseFunc) *guard {
+func (w *activeRequest) newGuard(cancel context.CancelCauseFunc) *stallTimer {
 	if !w.route.Repeatable() || w.runs+1 >= max(1, w.route.MaxAttempts) || w.route.Target <= 0 {
-		return &guard{}
+		return &stallTimer{}
 	}
-	wait := time.Duration(wholePartOfAim * float64(w.route.Target))
+	wait := time.Duration(wholeAnswerPart * float64(w.route.Target))
 	pause := time.Duration(0)
 	if w.route.Kind == catalog.Stream {
-		wait = max(firstAtLeast, time.Duration(firstPart*float64(w.route.Target)))
-		pause = streamPause
-		if w.request.Cost != nil {
-			wait += time.Duration(w.request.Cost.Prompt/promptPerMS) * time.Millisecond
+		wait = max(minFirstEventWait, time.Duration(firstEventPart*float64(w.route.Target)))
+		pause = maxEventGap
+		if w.asked.Cost != nil {
+			wait += time.Duration(w.asked.Cost.Prompt/promptTokensPerMS) * time.Millisecond
 		}
 	}
-	return &guard{pause: pause, timer: time.AfterFunc(wait, func() { cancel(errStalled) })}
+	return &stallTimer{pause: pause, timer: time.AfterFunc(wait, func() { cancel(errStalled) })}
 }
 
 // progress notes that a piece of the answer has come.
-func (g *guard) progress() {
+func (g *stallTimer) progress() {
 	if g.timer != nil && g.pause > 0 {
 		g.timer.Reset(g.pause)
 	}
 }
 
-func (g *guard) stop() {
+func (g *stallTimer) stop() {
 	if g.timer != nil {
 		g.timer.Stop()
 	}
 }
 
 // explain tells why an attempt ended.
-func (g *guard) explain(ctx context.Context, err error) error {
+func (g *stallTimer) explain(ctx context.Context, err error) error {
 	if errors.Is(context.Cause(ctx), errStalled) && granitehoist.CodeOf(err) != granitehoist.UpstreamRefused {
 		return granitehoist.Wrap(granitehoist.UpstreamLost, err, "no progress")
 	}
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -58,10 +58,10 @@
 
 // Path serves requests. It is safe for concurrent use.
 type Path struct {
-	settings Settings
-	retries  *retryBudgets
-	active   atomic.Int64
-	stopped  atomic.Bool
+	settings     Settings
+	retryBudgets *retryBudgets
+	active       atomic.Int64
+	stopped      atomic.Bool
 }
 
 // defaultTimeout bounds a request for which neither caller nor route says how
@@ -85,7 +85,7 @@
 	if s.Ended == nil {
 		s.Ended = func(Report) {}
 	}
-	return &Path{settings: s, retries: newRetryBudgets(s.Retry, s.Routers)}
+	return &Path{settings: s, retryBudgets: newRetryBudgets(s.Retry, s.Routers)}
 }
 
 // Active returns the number of requests in progress.
@@ -100,7 +100,7 @@
 func (p *Path) Serve(ctx context.Context, r *Request, sink Sink) (started bool, err error) {
 	p.active.Add(1)
 	defer p.active.Add(-1)
-	w := &work{path: p, request: r, sink: sink, tried: map[granitehoist.Upstream]bool{}}
+	w := &activeRequest{path: p, asked: r, sink: sink, tried: map[granitehoist.Upstream]bool{}}
 	err = w.run(ctx)
 	if err != nil && ctx.Err() != nil {
 		err = granitehoist.Wrap(granitehoist.CallerGone, err, "")
@@ -109,11 +109,11 @@
 	return w.started, err
 }
 
-// work is one request on its way.
-type work struct {
-	path    *Path
-	request *Request
-	sink    Sink
+// activeRequest is one request on its way.
+type activeRequest struct {
+	path  *Path
+	asked *Request
+	sink  Sink
 
 	route     *catalog.Route
 	workspace *catalog.Workspace
@@ -126,19 +126,19 @@
 	tried    map[granitehoist.Upstream]bool
 	attempts int
 	// runs counts the attempts that ran or may have run.
-	runs   int
-	events int64
-	// after is the id of the last event passed on.
-	after   int64
-	started bool
-	first   time.Time
-	// bound is what was reserved at the most, used what the request was charged.
-	bound, used granitehoist.Tokens
-	answer      escrow.Answer
-	paid        bool
+	runs         int
+	eventsPassed int64
+	// lastEventID is the id of the last event passed on.
+	lastEventID int64
+	started     bool
+	firstByteAt time.Time
+	// reserved is what was reserved at the most, charged what the request was charged.
+	reserved, charged granitehoist.Tokens
+	budgetAnswer      escrow.Answer
+	paid              bool
 }
 
-func (w *work) run(ctx context.Context) error {
+func (w *activeRequest) run(ctx context.Context) error {
 	if err := w.identify(); err != nil {
 		return err
 	}
@@ -153,38 +153,38 @@
 }
 
 // identify finds the route, the workspace and the deadline.
-func (w *work) identify() error {
+func (w *activeRequest) identify() error {
 	snapshot := w.path.settings.Catalog.Get()
 	if snapshot == nil {
-		return later(granitehoist.NotReady, notReadyRetry)
+		return refusalError(granitehoist.NotReady, notReadyRetry)
 	}
 	w.version = snapshot.Version
 	w.keyed = snapshot.Keyed
-	w.route = snapshot.Match(w.request.Host, w.request.Path)
+	w.route = snapshot.Match(w.asked.Host, w.asked.Path)
 	if w.route == nil {
 		return granitehoist.Errorf(granitehoist.NotFound, "")
 	}
 	if snapshot.Keyed && !w.route.Anonymous {
-		if w.request.Key == "" {
+		if w.asked.Key == "" {
 			return granitehoist.Errorf(granitehoist.MissingKey, "")
 		}
-		if w.workspace = snapshot.ByKey(w.request.Key); w.workspace == nil {
+		if w.workspace = snapshot.ByKey(w.asked.Key); w.workspace == nil {
 			return granitehoist.Errorf(granitehoist.WrongKey, "")
 		}
 	}
 	if w.path.stopped.Load() {
-		return later(granitehoist.Draining, drainingRetry)
+		return refusalError(granitehoist.Draining, drainingRetry)
 	}
 	w.service = snapshot.Service(w.route.Pick(rand.Float64()))
 	if w.service == nil {
-		return later(granitehoist.NoUpstream, notReadyRetry)
+		return refusalError(granitehoist.NoUpstream, notReadyRetry)
 	}
 	w.priority = w.route.Priority
 	if w.workspace != nil && w.workspace.HasPriority {
 		w.priority = w.workspace.Priority
 	}
-	w.after = w.request.LastEventID
-	w.deadline = w.request.Arrived.Add(w.patience())
+	w.lastEventID = w.asked.LastEventID
+	w.deadline = w.asked.Arrived.Add(w.timeout())
 	return nil
 }
 
@@ -202,21 +202,21 @@
 	refusedRetry   = 300 * time.Millisecond
 )
 
-// later returns an error that tells when to come back.
-func later(code granitehoist.Code, after time.Duration) *granitehoist.Error {
+// refusalError returns an error that tells when to come back.
+func refusalError(code granitehoist.Code, after time.Duration) *granitehoist.Error {
 	e := granitehoist.Errorf(code, "")
 	e.RetryAfter = after
 	return e
 }
 
-// patience returns how long the request may take in all.
-func (w *work) patience() time.Duration {
+// timeout returns how long the request may take in all.
+func (w *activeRequest) timeout() time.Duration {
 	patience := defaultTimeout
 	if w.route.Timeout > 0 {
 		patience = min(patience, w.route.Timeout)
 	}
-	if w.request.Timeout > 0 {
-		patience = min(patience, w.request.Timeout)
+	if w.asked.Timeout > 0 {
+		patience = min(patience, w.asked.Timeout)
 	}
 	return patience
 }
@@ -224,79 +224,79 @@
 // payPart of the target is how long a request waits for tokens, so that a
 // refusal comes while the caller can still be served elsewhere.
 const (
-	payPart    = 0.18
-	payAtLeast = 30 * time.Millisecond
+	tokenWaitPart = 0.18
+	minTokenWait  = 30 * time.Millisecond
 )
 
 // pay reserves the most that the request can cost.
-func (w *work) pay(ctx context.Context) error {
-	if w.workspace == nil || !w.workspace.Limited || w.request.Cost == nil {
+func (w *activeRequest) pay(ctx context.Context) error {
+	if w.workspace == nil || !w.workspace.Limited || w.asked.Cost == nil {
 		return nil
 	}
-	w.bound = w.request.Cost.Bound()
-	if w.bound > w.workspace.Prepaid {
+	w.reserved = w.asked.Cost.Bound()
+	if w.reserved > w.workspace.Prepaid {
 		return granitehoist.Errorf(granitehoist.BudgetExhausted, "")
 	}
-	wait := max(payAtLeast, time.Duration(payPart*float64(w.route.Target)))
+	wait := max(minTokenWait, time.Duration(tokenWaitPart*float64(w.route.Target)))
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	w.answer = w.path.settings.Funds.Reserve(ctx, w.workspace.Name, w.bound, w.priority)
-	switch w.answer.Outcome {
+	w.budgetAnswer = w.path.settings.Funds.Reserve(ctx, w.workspace.Name, w.reserved, w.priority)
+	switch w.budgetAnswer.Outcome {
 	case escrow.Exhausted:
-		return later(granitehoist.BudgetExhausted, w.within(exhaustedRetry))
+		return refusalError(granitehoist.BudgetExhausted, w.shortenRetryAfter(exhaustedRetry))
 	case escrow.Scarce:
-		return later(granitehoist.BudgetUnreachable, w.within(scarceRetry))
+		return refusalError(granitehoist.BudgetUnreachable, w.shortenRetryAfter(scarceRetry))
 	case escrow.Withheld:
-		return later(granitehoist.BudgetUnreachable, w.within(exhaustedRetry))
+		return refusalError(granitehoist.BudgetUnreachable, w.shortenRetryAfter(exhaustedRetry))
 	case escrow.Unreachable:
-		return later(granitehoist.BudgetUnreachable, w.within(unreachableRetry))
+		return refusalError(granitehoist.BudgetUnreachable, w.shortenRetryAfter(unreachableRetry))
 	case escrow.Granted:
 	}
 	w.paid = true
 	return nil
 }
 
-// comeBackPart of its patience is the latest that a caller can use to come
+// maxRetryAfterPart of its patience is the latest that a caller can use to come
 // back and still be served.
-const comeBackPart = 0.3
+const maxRetryAfterPart = 0.3
 
-// within shortens a time to come back so that the caller can still be served
+// shortenRetryAfter shortens a time to come back so that the caller can still be served
 // then.
-func (w *work) within(after time.Duration) time.Duration {
-	left := time.Duration(comeBackPart * float64(w.deadline.Sub(w.path.settings.Clock())))
+func (w *activeRequest) shortenRetryAfter(after time.Duration) time.Duration {
+	left := time.Duration(maxRetryAfterPart * float64(w.deadline.Sub(w.path.settings.Clock())))
 	return max(drainingRetry, min(after, left))
 }
 
 // settle ends the reservation with what the caller can have got. What the
 // prompt cost is charged once, unless nothing can have run.
-func (w *work) settle(err error) {
+func (w *activeRequest) settle(err error) {
 	if !w.paid {
 		return
 	}
 	if w.runs > 0 {
-		events := w.events
+		events := w.eventsPassed
 		if err != nil {
 			// The next event may have been on its way.
 			events++
 		}
-		output := w.request.Cost.Output
+		output := w.asked.Cost.Output
 		if per := w.service.TokensPerEvent; per > 0 {
 			output = min(output, granitehoist.Tokens(events)*per)
 		}
-		w.used = w.request.Cost.Prompt + output
+		w.charged = w.asked.Cost.Prompt + output
 	}
-	w.path.settings.Funds.Settle(w.workspace.Name, w.bound, w.used)
+	w.path.settings.Funds.Settle(w.workspace.Name, w.reserved, w.charged)
 }
 
 // forward makes attempts until one ends the request.
-func (w *work) forward(ctx context.Context) error {
+func (w *activeRequest) forward(ctx context.Context) error {
 	now := w.path.settings.Clock()
-	w.path.retries.of(w.service.Name).Earn(now)
+	w.path.retryBudgets.of(w.service.Name).Earn(now)
 	var doubt, last error
 	for {
 		lease, err := w.path.settings.Table.Pick(w.want(), w.path.settings.Clock())
 		if err != nil && last != nil {
-			return truthful(doubt, last)
+			return errorForCaller(doubt, last)
 		}
 		if err != nil {
 			return err
@@ -305,8 +305,8 @@
 		w.attempts++
 		sent := w.path.settings.Clock()
 		ended := w.attempt(ctx, lease)
-		ended.result = resultOf(ctx, ended)
-		lease.Done(ended.result, w.path.settings.Clock())
+		ended.instanceResult = resultOf(ctx, ended)
+		lease.Done(ended.instanceResult, w.path.settings.Clock())
 		w.logAttempt(lease, ended, w.path.settings.Clock().Sub(sent))
 		if ended.err == nil {
 			return nil
@@ -316,28 +316,28 @@
 			w.runs++
 		}
 		last = ended.err
-		if !w.again(ctx, ended) {
-			return truthful(doubt, ended.err)
+		if !w.mayRetry(ctx, ended) {
+			return errorForCaller(doubt, ended.err)
 		}
 	}
 }
 
-func (w *work) want() balance.Query {
+func (w *activeRequest) want() balance.Query {
 	want := balance.Query{Service: w.service.Name, Tried: w.tried}
-	if w.request.Cost == nil {
+	if w.asked.Cost == nil {
 		return want
 	}
-	want.PromptTokens = w.request.Cost.Prompt
+	want.PromptTokens = w.asked.Cost.Prompt
 	if w.route.Affinity {
-		want.PrefixHash = balance.PrefixHash(w.request.PrefixParts)
-		want.PrefixTokens = min(w.request.PrefixTokens, want.PromptTokens)
+		want.PrefixHash = balance.PrefixHash(w.asked.PrefixParts)
+		want.PrefixTokens = min(w.asked.PrefixTokens, want.PromptTokens)
 	}
 	return want
 }
 
-// truthful returns what the caller is told of the last error: after an attempt
+// errorForCaller returns what the caller is told of the last error: after an attempt
 // that may have run, a later one that did not run changes nothing.
-func truthful(doubt, last error) error {
+func errorForCaller(doubt, last error) error {
 	if doubt != nil && fateOf(last) == granitehoist.NotRun {
 		return doubt
 	}
@@ -346,21 +346,21 @@
 
 func fateOf(err error) granitehoist.Fate { return granitehoist.CodeOf(err).Info().Fate }
 
-// leastLeft is the time below which another attempt is not worth making.
-const leastLeft = 20 * time.Millisecond
+// minRetryTime is the time below which another attempt is not worth making.
+const minRetryTime = 20 * time.Millisecond
 
-// maxSends bounds the sendings of one request, refused ones included.
-const maxSends = 4
+// maxAttempts bounds the sendings of one request, refused ones included.
+const maxAttempts = 4
 
-// again reports whether another attempt may be made. One that may have run is
+// mayRetry reports whether another attempt may be made. One that may have run is
 // followed by another only if the request may run more than once and its route
 // allows one more upstream.
-func (w *work) again(ctx context.Context, e ending) bool {
-	if ctx.Err() != nil || e.final || w.attempts >= maxSends {
+func (w *activeRequest) mayRetry(ctx context.Context, e attemptResult) bool {
+	if ctx.Err() != nil || e.final || w.attempts >= maxAttempts {
 		return false
 	}
 	now := w.path.settings.Clock()
-	if w.deadline.Sub(now) < leastLeft {
+	if w.deadline.Sub(now) < minRetryTime {
 		return false
 	}
 	if fateOf(e.err) != granitehoist.NotRun {
@@ -374,11 +374,11 @@
 	if e.unsent {
 		return true
 	}
-	return w.path.retries.of(w.service.Name).Take(now)
+	return w.path.retryBudgets.of(w.service.Name).Take(now)
 }
 
 // resultOf tells what an attempt says of its instance.
-func resultOf(ctx context.Context, e ending) balance.Result {
+func resultOf(ctx context.Context, e attemptResult) balance.Result {
 	switch {
 	case e.moved:
 		return balance.Moved
@@ -395,17 +395,17 @@
 }
 
 // end logs and reports a request.
-func (w *work) end(err error) {
+func (w *activeRequest) end(err error) {
 	now := w.path.settings.Clock()
-	report := Report{Code: granitehoist.CodeOf(err), Attempts: w.attempts, Budget: w.answer.Outcome, Took: now.Sub(w.request.Arrived)}
+	report := Report{Code: granitehoist.CodeOf(err), Attempts: w.attempts, Budget: w.budgetAnswer.Outcome, Took: now.Sub(w.asked.Arrived)}
 	if w.service != nil {
 		report.Service = w.service.Name
 	}
 	if w.workspace != nil {
 		report.Workspace = w.workspace.Name
 	}
-	if !w.first.IsZero() {
-		report.First = w.first.Sub(w.request.Arrived)
+	if !w.firstByteAt.IsZero() {
+		report.First = w.firstByteAt.Sub(w.asked.Arrived)
 	}
 	w.path.settings.Ended(report)
 	w.logEnd(report, err)
