--- a/forward/forward.go
+++ b/forward/forward.go
@@ -97,7 +97,7 @@
 // Serve serves a request. A nil error means that the answer was passed on whole
 // to the sink. Otherwise the error is a *granitehoist.Error, and started tells
 // whether a part of an answer was passed on, which then must not look complete.
-func (p *Path) Serve(ctx context.Context, r *Request, sink Sink) (started bool, err error) {
+func (p *Path) Serve(ctx context.Context, r *Request, sink granitehoist.Sink) (started bool, err error) {
 	p.active.Add(1)
 	defer p.active.Add(-1)
 	w := &activeRequest{path: p, asked: r, sink: sink, tried: map[granitehoist.Upstream]bool{}}
@@ -113,7 +113,7 @@
 type activeRequest struct {
 	path  *Path
 	asked *Request
-	sink  Sink
+	sink  granitehoist.Sink
 
 	route     *catalog.Route
 	workspace *catalog.Workspace
--- a/forward/request.go
+++ b/forward/request.go
@@ -48,11 +48,6 @@
 // Bound returns the most that the request can cost.
 func (c *Cost) Bound() granitehoist.Tokens { return c.Prompt + c.Output }
 
-// Sink takes the answer of a request.
-type Sink interface {
-	granitehoist.Sink
-}
-
 // Attempt is one sending of a request, as a Codec needs to know it.
 type Attempt struct {
 	Request *Request
