--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -41,20 +41,20 @@
 )
 
 // attempt sends the request to one instance.
-func (w *activeRequest) attempt(ctx context.Context, lease *balance.Lease) attemptResult {
+func (a *activeRequest) attempt(ctx context.Context, lease *balance.Lease) attemptResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	guard := w.newGuard(cancel)
+	guard := a.newGuard(cancel)
 	defer guard.stop()
-	now := w.path.settings.Clock()
-	response, err := w.path.settings.Pool.Do(ctx, w.message(lease, now), now)
+	now := a.path.settings.Clock()
+	response, err := a.path.settings.Pool.Do(ctx, a.message(lease, now), now)
 	if err != nil {
 		e := attemptResult{err: guard.explain(ctx, err)}
 		e.unsent = granitehoist.CodeOf(err) == granitehoist.UpstreamRefused
 		return e
 	}
 	defer response.Close()
-	e := w.judge(response)
+	e := a.judge(response)
 	switch {
 	case e.refused, e.moved:
 		// The rest of a short refusal frees the connection for others.
@@ -63,36 +63,36 @@
 	case e.err != nil:
 		return e
 	case e.failed:
-		return w.passFailure(ctx, response, e)
+		return a.passFailure(ctx, response, e)
 	}
-	if w.route.Kind == catalog.Stream && response.Status < http.StatusMultipleChoices {
-		e.err = w.stream(response, lease, guard)
+	if a.decided.route.Kind == catalog.Stream && response.Status < http.StatusMultipleChoices {
+		e.err = a.stream(response, lease, guard)
 	} else {
-		e.err = w.passWhole(response)
+		e.err = a.passWhole(response)
 	}
 	if e.err != nil {
 		e.err = guard.explain(ctx, e.err)
 		return e
 	}
-	w.runs++
+	a.progress.runs++
 	return e
 }
 
 // message returns what is sent.
-func (w *activeRequest) message(lease *balance.Lease, now time.Time) exchange.Request {
-	r := w.asked
-	header := w.path.settings.Codec.Header(&Attempt{
+func (a *activeRequest) message(lease *balance.Lease, now time.Time) exchange.Request {
+	r := a.asked
+	header := a.path.settings.Codec.Header(&Attempt{
 		Request:     r,
-		Route:       w.route,
-		Workspace:   w.workspace,
-		Priority:    w.priority,
-		Keyed:       w.keyed,
+		Route:       a.decided.route,
+		Workspace:   a.decided.workspace,
+		Priority:    a.decided.priority,
+		Keyed:       a.decided.keyed,
 		Instance:    lease.ID,
-		Remaining:   w.deadline.Sub(now),
-		LastEventID: w.lastEventID,
+		Remaining:   a.decided.deadline.Sub(now),
+		LastEventID: a.progress.lastEventID,
 	})
 	rest := maxIdle
-	if !w.route.Repeatable() {
+	if !a.decided.route.Repeatable() {
 		rest = maxIdleUnsafe
 	}
 	return exchange.Request{
@@ -102,21 +102,21 @@
 		Host:    r.Host,
 		Header:  header,
 		Body:    r.Body,
-		Matches: func(h http.Header) bool { return w.path.settings.Codec.Matches(r, h) },
+		Matches: func(h http.Header) bool { return a.path.settings.Codec.Matches(r, h) },
 		MaxIdle: rest,
 	}
 }
 
 // judge reads the head of an answer.
-func (w *activeRequest) judge(response *exchange.Response) attemptResult {
+func (a *activeRequest) judge(response *exchange.Response) attemptResult {
 	e := attemptResult{status: response.Status}
-	verdict := w.path.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
+	verdict := a.path.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
 	switch {
 	case verdict.NotRun:
 		e.refused = !verdict.Moved
 		e.moved = verdict.Moved
 		e.err = instanceRefusal(verdict.RetryAfter)
-	case w.started && response.Status >= http.StatusMultipleChoices:
+	case a.progress.started && response.Status >= http.StatusMultipleChoices:
 		// A part of another worker's answer has been passed on, which this
 		// can't complete.
 		e.err = granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d to a stream that was to go on", response.Status)
@@ -133,23 +133,23 @@
 
 // passFailure passes an upstream's own failure on unless another attempt may
 // do better.
-func (w *activeRequest) passFailure(ctx context.Context, response *exchange.Response, e attemptResult) attemptResult {
+func (a *activeRequest) passFailure(ctx context.Context, response *exchange.Response, e attemptResult) attemptResult {
 	body, err := readBody(response)
 	if err != nil {
 		e.err = err
 		return e
 	}
 	e.err = granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d", response.Status)
-	w.runs++
-	repeat := w.mayRetry(ctx, e)
-	w.runs--
+	a.progress.runs++
+	repeat := a.mayRetry(ctx, e)
+	a.progress.runs--
 	if repeat {
 		// The attempt is paid for; forward must not ask for another.
 		e.unsent = true
 		return e
 	}
-	w.runs++
-	e.err = w.pass(response, body)
+	a.progress.runs++
+	e.err = a.pass(response, body)
 	e.final = true
 	return e
 }
@@ -157,19 +157,19 @@
 const maxRefusalBytes = 64 << 10
 
 // passWhole passes an answer on when all of it is here.
-func (w *activeRequest) passWhole(response *exchange.Response) error {
+func (a *activeRequest) passWhole(response *exchange.Response) error {
 	body, err := readBody(response)
 	if err != nil {
 		return err
 	}
-	return w.pass(response, body)
+	return a.pass(response, body)
 }
 
-func (w *activeRequest) pass(response *exchange.Response, body []byte) error {
-	if err := w.start(response); err != nil {
+func (a *activeRequest) pass(response *exchange.Response, body []byte) error {
+	if err := a.start(response); err != nil {
 		return err
 	}
-	return w.write(body)
+	return a.write(body)
 }
 
 func readBody(response *exchange.Response) ([]byte, error) {
@@ -183,23 +183,23 @@
 	return body, nil
 }
 
-func (w *activeRequest) start(response *exchange.Response) error {
-	if w.started {
+func (a *activeRequest) start(response *exchange.Response) error {
+	if a.progress.started {
 		return nil
 	}
-	w.started = true
-	w.firstByteAt = w.path.settings.Clock()
-	if err := w.sink.Start(response.Status, exchange.PassedOn(response.Header)); err != nil {
+	a.progress.started = true
+	a.progress.firstByteAt = a.path.settings.Clock()
+	if err := a.sink.Start(response.Status, exchange.PassedOn(response.Header)); err != nil {
 		return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 	}
 	return nil
 }
 
-func (w *activeRequest) write(piece []byte) error {
+func (a *activeRequest) write(piece []byte) error {
 	if len(piece) == 0 {
 		return nil
 	}
-	if err := w.sink.Write(piece); err != nil {
+	if err := a.sink.Write(piece); err != nil {
 		return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 	}
 	return nil
@@ -209,7 +209,7 @@
 
 // stream passes events on as they come whole. The head is held until the first
 // event, so that until then another instance may answer.
-func (w *activeRequest) stream(response *exchange.Response, lease *balance.Lease, guard *stallTimer) error {
+func (a *activeRequest) stream(response *exchange.Response, lease *balance.Lease, guard *stallTimer) error {
 	var splitter eventstream.Splitter
 	buffer := make([]byte, streamBufferBytes)
 	for {
@@ -221,7 +221,7 @@
 		if len(events) > 0 {
 			lease.PromptRead()
 			guard.progress()
-			if failure := w.passEvents(response, events); failure != nil {
+			if failure := a.passEvents(response, events); failure != nil {
 				return failure
 			}
 		}
@@ -230,45 +230,45 @@
 		case !errors.Is(err, io.EOF):
 			return granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
 		default:
-			return w.endStream(response, splitter.Rest())
+			return a.endStream(response, splitter.Rest())
 		}
 	}
 }
 
 // passEvents passes on the events that the caller does not have yet.
-func (w *activeRequest) passEvents(response *exchange.Response, events []eventstream.Event) error {
+func (a *activeRequest) passEvents(response *exchange.Response, events []eventstream.Event) error {
 	for _, event := range events {
 		if event.HasID {
-			if event.ID <= w.lastEventID {
+			if event.ID <= a.progress.lastEventID {
 				continue
 			}
-			if event.ID != w.lastEventID+1 {
-				return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "event %d follows %d", event.ID, w.lastEventID)
+			if event.ID != a.progress.lastEventID+1 {
+				return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "event %d follows %d", event.ID, a.progress.lastEventID)
 			}
 		}
-		if err := w.start(response); err != nil {
+		if err := a.start(response); err != nil {
 			return err
 		}
-		if err := w.write(event.Raw); err != nil {
+		if err := a.write(event.Raw); err != nil {
 			return err
 		}
-		w.eventsPassed++
+		a.progress.events++
 		if event.HasID {
-			w.lastEventID = event.ID
+			a.progress.lastEventID = event.ID
 		}
 	}
 	return nil
 }
 
 // endStream passes on what follows the last event.
-func (w *activeRequest) endStream(response *exchange.Response, rest []byte) error {
+func (a *activeRequest) endStream(response *exchange.Response, rest []byte) error {
 	if !response.Framed && len(rest) > 0 {
 		return granitehoist.Errorf(granitehoist.UpstreamCut, "the stream ended within an event")
 	}
-	if err := w.start(response); err != nil {
+	if err := a.start(response); err != nil {
 		return err
 	}
-	return w.write(rest)
+	return a.write(rest)
 }
 
 // stallTimer ends an attempt that makes no progress, if another may follow it.
@@ -281,12 +281,12 @@
 var errStalled = errors.New("no progress")
 
 // newGuard returns a guard for the next attempt.
-func (w *activeRequest) newGuard(cancel context.CancelCauseFunc) *stallTimer {
+func (a *activeRequest) newGuard(cancel context.CancelCauseFunc) *stallTimer {
 	prompt := granitehoist.Tokens(0)
-	if w.asked.Cost != nil {
-		prompt = w.asked.Cost.Prompt
+	if a.asked.Cost != nil {
+		prompt = a.asked.Cost.Prompt
 	}
-	limits := limitProgress(w.route, prompt, w.runs)
+	limits := limitProgress(a.decided.route, prompt, a.progress.runs)
 	if limits.first <= 0 {
 		return &stallTimer{}
 	}
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -96,177 +96,168 @@
 func (p *Path) Serve(ctx context.Context, r *Request, sink granitehoist.Sink) (started bool, err error) {
 	p.active.Add(1)
 	defer p.active.Add(-1)
-	w := &activeRequest{path: p, asked: r, sink: sink, tried: map[granitehoist.Upstream]bool{}}
-	err = w.run(ctx)
+	a := &activeRequest{path: p, sink: sink, asked: r}
+	a.progress = progress{tried: map[granitehoist.Upstream]bool{}, lastEventID: r.LastEventID}
+	err = a.run(ctx)
 	if err != nil && ctx.Err() != nil {
 		err = granitehoist.Wrap(granitehoist.CallerGone, err, "")
 	}
-	w.end(err)
-	return w.started, err
+	a.end(err)
+	return a.progress.started, err
 }
 
-// activeRequest is one request on its way.
+// activeRequest is one request while a Path serves it. Only the goroutine that
+// called Path.Serve uses it.
 type activeRequest struct {
-	path  *Path
-	asked *Request
-	sink  granitehoist.Sink
+	path     *Path
+	sink     granitehoist.Sink
+	asked    *Request
+	decided  decided
+	progress progress
+}
 
-	route     *catalog.Route
+// decided is what was decided about a request before its first attempt. Fields
+// that a refused request did not come to are zero.
+type decided struct {
+	// version is that of the configuration by which the request is served.
+	version granitehoist.Version
+	// keyed says that keys identify callers.
+	keyed bool
+	route *catalog.Route
+	// workspace is nil for requests of routes that need no key.
 	workspace *catalog.Workspace
-	version   granitehoist.Version
-	keyed     bool
 	service   *catalog.Service
 	priority  granitehoist.Priority
-	deadline  time.Time
+	// deadline is when the request's timeout ends.
+	deadline time.Time
+	// reserve is the most tokens that the request can cost, zero if it costs no
+	// prepaid tokens.
+	reserve granitehoist.Tokens
+}
 
+// progress is what has happened to a request so far.
+type progress struct {
+	// budget is the answer to the reservation; its zero value if none was
+	// asked for. reserved says that it was granted and is to be settled.
+	budget   escrow.Answer
+	reserved bool
+	// charged is how many tokens the request was charged at its end.
+	charged granitehoist.Tokens
+	// tried holds the instances that were sent the request.
 	tried    map[granitehoist.Upstream]bool
 	attempts int
 	// runs counts the attempts that ran or may have run.
-	runs         int
-	eventsPassed int64
-	// lastEventID is the id of the last event passed on.
-	lastEventID int64
+	runs int
+	// started says that the head of an answer was passed on, at firstByteAt.
 	started     bool
 	firstByteAt time.Time
-	// reserved is what was reserved at the most, charged what the request was charged.
-	reserved, charged granitehoist.Tokens
-	budgetAnswer      escrow.Answer
-	paid              bool
+	// events counts the events passed on, lastEventID is the id of the last one
+	// that the caller has.
+	events      int64
+	lastEventID int64
 }
 
-func (w *activeRequest) run(ctx context.Context) error {
-	if err := w.identify(); err != nil {
-		return err
+// run takes the request through its steps. The error is a *granitehoist.Error.
+func (a *activeRequest) run(ctx context.Context) error {
+	settings := &a.path.settings
+	var refused refusal
+	a.decided, refused = identify(settings.Catalog.Get(), a.asked, a.path.stopped.Load(), rand.Float64())
+	if refused != noRefusal {
+		return refused.error(a.timeLeft())
 	}
-	ctx, cancel := context.WithDeadline(ctx, w.deadline)
+	ctx, cancel := context.WithDeadline(ctx, a.decided.deadline)
 	defer cancel()
-	if err := w.pay(ctx); err != nil {
+	if err := a.pay(ctx); err != nil {
 		return err
 	}
-	err := w.forward(ctx)
-	w.settle(err)
+	err := a.forward(ctx)
+	a.settle(err)
 	return err
 }
 
-// identify finds the route, the workspace and the deadline.
-func (w *activeRequest) identify() error {
-	snapshot := w.path.settings.Catalog.Get()
-	if snapshot == nil {
-		return configurationMissing.error(0)
-	}
-	w.version = snapshot.Version
-	w.keyed = snapshot.Keyed
-	w.route = snapshot.Match(w.asked.Host, w.asked.Path)
-	if w.route == nil {
-		return routeUnknown.error(0)
-	}
-	if snapshot.Keyed && !w.route.Anonymous {
-		if w.asked.Key == "" {
-			return keyMissing.error(0)
-		}
-		if w.workspace = snapshot.ByKey(w.asked.Key); w.workspace == nil {
-			return keyUnknown.error(0)
-		}
-	}
-	if w.path.stopped.Load() {
-		return routerStopping.error(0)
-	}
-	w.service = snapshot.Service(w.route.Pick(rand.Float64()))
-	if w.service == nil {
-		return serviceMissing.error(0)
-	}
-	w.priority = w.route.Priority
-	if w.workspace != nil && w.workspace.HasPriority {
-		w.priority = w.workspace.Priority
-	}
-	w.lastEventID = w.asked.LastEventID
-	w.deadline = w.asked.Arrived.Add(timeoutOf(w.route.Timeout, w.asked.Timeout))
-	return nil
-}
-
 // pay reserves the most that the request can cost.
-func (w *activeRequest) pay(ctx context.Context) error {
-	plan, refused := planReservation(w.workspace, w.asked.Cost, w.route.Target)
-	w.reserved = plan.bound
+func (a *activeRequest) pay(ctx context.Context) error {
+	plan, refused := planReservation(a.decided.workspace, a.asked.Cost, a.decided.route.Target)
+	a.decided.reserve = plan.bound
 	if refused != noRefusal {
-		return refused.error(w.timeLeft())
+		return refused.error(a.timeLeft())
 	}
 	if !plan.needed {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, plan.wait)
 	defer cancel()
-	w.budgetAnswer = w.path.settings.Funds.Reserve(ctx, w.workspace.Name, plan.bound, w.priority)
-	if refused := budgetRefusal(w.budgetAnswer.Outcome); refused != noRefusal {
-		return refused.error(w.timeLeft())
+	a.progress.budget = a.path.settings.Funds.Reserve(ctx, a.decided.workspace.Name, plan.bound, a.decided.priority)
+	if refused := budgetRefusal(a.progress.budget.Outcome); refused != noRefusal {
+		return refused.error(a.timeLeft())
 	}
-	w.paid = true
+	a.progress.reserved = true
 	return nil
 }
 
 // timeLeft returns the time until the request's timeout.
-func (w *activeRequest) timeLeft() time.Duration {
-	return w.deadline.Sub(w.path.settings.Clock())
+func (a *activeRequest) timeLeft() time.Duration {
+	return a.decided.deadline.Sub(a.path.settings.Clock())
 }
 
 // settle ends the reservation.
-func (w *activeRequest) settle(err error) {
-	if !w.paid {
+func (a *activeRequest) settle(err error) {
+	if !a.progress.reserved {
 		return
 	}
-	w.charged = settlement{
-		cost:           *w.asked.Cost,
-		tokensPerEvent: w.service.TokensPerEvent,
-		events:         w.eventsPassed,
-		runs:           w.runs,
+	a.progress.charged = settlement{
+		cost:           *a.asked.Cost,
+		tokensPerEvent: a.decided.service.TokensPerEvent,
+		events:         a.progress.events,
+		runs:           a.progress.runs,
 		complete:       err == nil,
 	}.charge()
-	w.path.settings.Funds.Settle(w.workspace.Name, w.reserved, w.charged)
+	a.path.settings.Funds.Settle(a.decided.workspace.Name, a.decided.reserve, a.progress.charged)
 }
 
 // forward makes attempts until one ends the request.
-func (w *activeRequest) forward(ctx context.Context) error {
-	now := w.path.settings.Clock()
-	w.path.retryBudgets.of(w.service.Name).Earn(now)
+func (a *activeRequest) forward(ctx context.Context) error {
+	now := a.path.settings.Clock()
+	a.path.retryBudgets.of(a.decided.service.Name).Earn(now)
 	var doubt, last error
 	for {
-		lease, err := w.path.settings.Table.Pick(w.want(), w.path.settings.Clock())
+		lease, err := a.path.settings.Table.Pick(a.want(), a.path.settings.Clock())
 		if err != nil && last != nil {
 			return errorForCaller(doubt, last)
 		}
 		if err != nil {
 			return withRetryAfter(err)
 		}
-		w.tried[lease.ID] = true
-		w.attempts++
-		sent := w.path.settings.Clock()
-		ended := w.attempt(ctx, lease)
+		a.progress.tried[lease.ID] = true
+		a.progress.attempts++
+		sent := a.path.settings.Clock()
+		ended := a.attempt(ctx, lease)
 		ended.instanceResult = resultOf(ctx, ended)
-		lease.Done(ended.instanceResult, w.path.settings.Clock())
-		w.logAttempt(lease, ended, w.path.settings.Clock().Sub(sent))
+		lease.Done(ended.instanceResult, a.path.settings.Clock())
+		a.logAttempt(lease, ended, a.path.settings.Clock().Sub(sent))
 		if ended.err == nil {
 			return nil
 		}
 		if fateOf(ended.err) != granitehoist.NotRun {
 			doubt = ended.err
-			w.runs++
+			a.progress.runs++
 		}
 		last = ended.err
-		if !w.mayRetry(ctx, ended) {
+		if !a.mayRetry(ctx, ended) {
 			return errorForCaller(doubt, ended.err)
 		}
 	}
 }
 
-func (w *activeRequest) want() balance.Query {
-	want := balance.Query{Service: w.service.Name, Tried: w.tried}
-	if w.asked.Cost == nil {
+func (a *activeRequest) want() balance.Query {
+	want := balance.Query{Service: a.decided.service.Name, Tried: a.progress.tried}
+	if a.asked.Cost == nil {
 		return want
 	}
-	want.PromptTokens = w.asked.Cost.Prompt
-	if w.route.Affinity {
-		want.PrefixHash = balance.PrefixHash(w.asked.PrefixParts)
-		want.PrefixTokens = min(w.asked.PrefixTokens, want.PromptTokens)
+	want.PromptTokens = a.asked.Cost.Prompt
+	if a.decided.route.Affinity {
+		want.PrefixHash = balance.PrefixHash(a.asked.PrefixParts)
+		want.PrefixTokens = min(a.asked.PrefixTokens, want.PromptTokens)
 	}
 	return want
 }
@@ -291,26 +282,26 @@
 // mayRetry reports whether another attempt may be made. One that may have run is
 // followed by another only if the request may run more than once and its route
 // allows one more upstream.
-func (w *activeRequest) mayRetry(ctx context.Context, e attemptResult) bool {
-	if ctx.Err() != nil || e.final || w.attempts >= maxAttempts {
+func (a *activeRequest) mayRetry(ctx context.Context, e attemptResult) bool {
+	if ctx.Err() != nil || e.final || a.progress.attempts >= maxAttempts {
 		return false
 	}
-	now := w.path.settings.Clock()
-	if w.deadline.Sub(now) < minRetryTime {
+	now := a.path.settings.Clock()
+	if a.decided.deadline.Sub(now) < minRetryTime {
 		return false
 	}
 	if fateOf(e.err) != granitehoist.NotRun {
-		if !w.route.Repeatable() || w.runs >= max(1, w.route.MaxAttempts) {
+		if !a.decided.route.Repeatable() || a.progress.runs >= max(1, a.decided.route.MaxAttempts) {
 			return false
 		}
-		if w.started && !w.route.Resume {
+		if a.progress.started && !a.decided.route.Resume {
 			return false
 		}
 	}
 	if e.unsent {
 		return true
 	}
-	return w.path.retryBudgets.of(w.service.Name).Take(now)
+	return a.path.retryBudgets.of(a.decided.service.Name).Take(now)
 }
 
 // resultOf tells what an attempt says of its instance.
@@ -331,18 +322,18 @@
 }
 
 // end logs and reports a request.
-func (w *activeRequest) end(err error) {
-	now := w.path.settings.Clock()
-	report := Report{Code: granitehoist.CodeOf(err), Attempts: w.attempts, Budget: w.budgetAnswer.Outcome, Took: now.Sub(w.asked.Arrived)}
-	if w.service != nil {
-		report.Service = w.service.Name
+func (a *activeRequest) end(err error) {
+	now := a.path.settings.Clock()
+	report := Report{Code: granitehoist.CodeOf(err), Attempts: a.progress.attempts, Budget: a.progress.budget.Outcome, Took: now.Sub(a.asked.Arrived)}
+	if a.decided.service != nil {
+		report.Service = a.decided.service.Name
 	}
-	if w.workspace != nil {
-		report.Workspace = w.workspace.Name
+	if a.decided.workspace != nil {
+		report.Workspace = a.decided.workspace.Name
 	}
-	if !w.firstByteAt.IsZero() {
-		report.First = w.firstByteAt.Sub(w.asked.Arrived)
+	if !a.progress.firstByteAt.IsZero() {
+		report.First = a.progress.firstByteAt.Sub(a.asked.Arrived)
 	}
-	w.path.settings.Ended(report)
-	w.logEnd(report, err)
+	a.path.settings.Ended(report)
+	a.logEnd(report, err)
 }
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -54,8 +54,8 @@
 	// drainingRetry is short because another box can serve the caller at once.
 	// Chosen, not measured.
 	drainingRetry = 50 * time.Millisecond
-	// noInstanceRetry is the time in which an instance may appear or become
-	// free of its ejection. Chosen, not measured.
+	// noInstanceRetry is the time in which a new instance may be announced.
+	// Chosen, not measured.
 	noInstanceRetry = 500 * time.Millisecond
 	// scarceRetry is the time in which other boxes return tokens that they
 	// don't need. Raised from 700 ms in commit 7a995c8 because callers came back
