--- /dev/null
+++ b/forward/active.go
@@ -0,0 +1,221 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package forward
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/balance"
+	"granitehoist.example/granitehoist/catalog"
+	"granitehoist.example/granitehoist/escrow"
+)
+
+// activeRequest is one request while a Path serves it. Only the goroutine that
+// called Path.Serve uses it.
+type activeRequest struct {
+	path     *Path
+	sink     granitehoist.Sink
+	asked    *Request
+	decided  decided
+	progress progress
+}
+
+// decided is what was decided about a request before its first attempt. Fields
+// that a refused request did not come to are zero.
+type decided struct {
+	// version is that of the configuration by which the request is served.
+	version granitehoist.Version
+	// keyed says that keys identify callers.
+	keyed bool
+	route *catalog.Route
+	// workspace is nil for requests of routes that need no key.
+	workspace *catalog.Workspace
+	service   *catalog.Service
+	priority  granitehoist.Priority
+	// deadline is when the request's timeout ends.
+	deadline time.Time
+	// reserve is the most tokens that the request can cost, zero if it costs no
+	// prepaid tokens.
+	reserve granitehoist.Tokens
+}
+
+// progress is what has happened to a request so far.
+type progress struct {
+	// budget is the answer to the reservation; its zero value if none was
+	// asked for. reserved says that it was granted and is to be settled.
+	budget   escrow.Answer
+	reserved bool
+	// charged is how many tokens the request was charged at its end.
+	charged granitehoist.Tokens
+	// tried holds the instances that were sent the request.
+	tried    map[granitehoist.Upstream]bool
+	attempts int
+	// runs counts the attempts that ran or may have run.
+	runs int
+	// started says that the head of an answer was passed on, at firstByteAt.
+	started     bool
+	firstByteAt time.Time
+	// events counts the events passed on, lastEventID is the id of the last one
+	// that the caller has.
+	events      int64
+	lastEventID int64
+}
+
+// run takes the request through its steps. The error is a *granitehoist.Error.
+func (a *activeRequest) run(ctx context.Context) error {
+	settings := &a.path.settings
+	var refused refusal
+	a.decided, refused = identify(settings.Catalog.Get(), a.asked, a.path.stopped.Load(), rand.Float64())
+	if refused != noRefusal {
+		return refused.error(a.timeLeft())
+	}
+	ctx, cancel := context.WithDeadline(ctx, a.decided.deadline)
+	defer cancel()
+	if err := a.pay(ctx); err != nil {
+		return err
+	}
+	err := a.forward(ctx)
+	a.settle(err)
+	return err
+}
+
+// pay reserves the most that the request can cost.
+func (a *activeRequest) pay(ctx context.Context) error {
+	plan, refused := planReservation(a.decided.workspace, a.asked.Cost, a.decided.route.Target)
+	a.decided.reserve = plan.bound
+	if refused != noRefusal {
+		return refused.error(a.timeLeft())
+	}
+	if !plan.needed {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(ctx, plan.wait)
+	defer cancel()
+	a.progress.budget = a.path.settings.Funds.Reserve(ctx, a.decided.workspace.Name, plan.bound, a.decided.priority)
+	if refused := budgetRefusal(a.progress.budget.Outcome); refused != noRefusal {
+		return refused.error(a.timeLeft())
+	}
+	a.progress.reserved = true
+	return nil
+}
+
+// timeLeft returns the time until the request's timeout.
+func (a *activeRequest) timeLeft() time.Duration {
+	return a.decided.deadline.Sub(a.path.settings.Clock())
+}
+
+// settle ends the reservation.
+func (a *activeRequest) settle(err error) {
+	if !a.progress.reserved {
+		return
+	}
+	a.progress.charged = settlement{
+		cost:           *a.asked.Cost,
+		tokensPerEvent: a.decided.service.TokensPerEvent,
+		events:         a.progress.events,
+		runs:           a.progress.runs,
+		complete:       err == nil,
+	}.charge()
+	a.path.settings.Funds.Settle(a.decided.workspace.Name, a.decided.reserve, a.progress.charged)
+}
+
+// forward makes attempts until one ends the request or no other may follow.
+func (a *activeRequest) forward(ctx context.Context) error {
+	settings := &a.path.settings
+	a.path.retryBudgets.of(a.decided.service.Name).Earn(settings.Clock())
+	afterEvent := a.asked.LastEventID
+	// failure is what the caller is told if no attempt follows.
+	var failure error
+	for {
+		lease, err := settings.Table.Pick(a.query(), settings.Clock())
+		if err != nil && failure != nil {
+			return failure
+		}
+		if err != nil {
+			return withRetryAfter(err)
+		}
+		a.progress.tried[lease.ID] = true
+		a.progress.attempts++
+		sent := settings.Clock()
+		result := a.attempt(ctx, lease, afterEvent)
+		verdict := a.conclude(ctx, &result)
+		ended := settings.Clock()
+		lease.Done(instanceResult(&result, ctx.Err() != nil), ended)
+		a.logAttempt(lease, &result, ended.Sub(sent))
+		if result.err == nil {
+			return nil
+		}
+		failure = errorForCaller(failure, result.err)
+		if !verdict.allowed {
+			return failure
+		}
+		afterEvent = verdict.afterEvent
+	}
+}
+
+// conclude counts an attempt that ran, decides whether another one follows, and
+// passes an instance's own failure on if none does.
+func (a *activeRequest) conclude(ctx context.Context, result *attemptResult) retryVerdict {
+	if result.err == nil {
+		a.progress.runs++
+		return retryVerdict{}
+	}
+	fate := fateOf(result.err)
+	if fate != granitehoist.NotRun {
+		a.progress.runs++
+	}
+	now := a.path.settings.Clock()
+	verdict := decideRetry(retryInput{
+		route:       a.decided.route,
+		fate:        fate,
+		unsent:      result.unsent,
+		over:        ctx.Err() != nil,
+		attempts:    a.progress.attempts,
+		runs:        a.progress.runs,
+		started:     a.progress.started,
+		lastEventID: a.progress.lastEventID,
+		timeLeft:    a.decided.deadline.Sub(now),
+	})
+	if verdict.allowed && verdict.paid {
+		verdict.allowed = a.path.retryBudgets.of(a.decided.service.Name).Take(now)
+	}
+	if result.failure != nil && !verdict.allowed {
+		result.err = a.pass(*result.failure)
+	}
+	return verdict
+}
+
+// query returns what the next attempt asks of the table of instances.
+func (a *activeRequest) query() balance.Query {
+	query := balance.Query{Service: a.decided.service.Name, Tried: a.progress.tried}
+	if a.asked.Cost == nil {
+		return query
+	}
+	query.PromptTokens = a.asked.Cost.Prompt
+	if a.decided.route.Affinity {
+		query.PrefixHash = balance.PrefixHash(a.asked.PrefixParts)
+		query.PrefixTokens = min(a.asked.PrefixTokens, query.PromptTokens)
+	}
+	return query
+}
+
+// end logs and reports a request.
+func (a *activeRequest) end(err error) {
+	now := a.path.settings.Clock()
+	report := Report{Code: granitehoist.CodeOf(err), Attempts: a.progress.attempts, Budget: a.progress.budget.Outcome, Took: now.Sub(a.asked.Arrived)}
+	if a.decided.service != nil {
+		report.Service = a.decided.service.Name
+	}
+	if a.decided.workspace != nil {
+		report.Workspace = a.decided.workspace.Name
+	}
+	if !a.progress.firstByteAt.IsZero() {
+		report.First = a.progress.firstByteAt.Sub(a.asked.Arrived)
+	}
+	a.path.settings.Ended(report)
+	a.logEnd(report, err)
+}
--- /dev/null
+++ b/forward/answer.go
@@ -0,0 +1,85 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package forward
+
+import (
+	"io"
+	"net/http"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/balance"
+	"granitehoist.example/granitehoist/catalog"
+	"granitehoist.example/granitehoist/exchange"
+)
+
+// maxAnswerBytes bounds the body of an answer that is held until it is
+// complete, which bounds the memory for it. Chosen, not measured.
+const maxAnswerBytes = 8 << 20
+
+// wholeAnswer is an answer that has arrived completely.
+type wholeAnswer struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// readWhole reads an answer to its end. It returns an error with code
+// UpstreamCut if the answer broke off, and UpstreamBadAnswer if it is longer
+// than maxAnswerBytes.
+func readWhole(response *exchange.Response) (wholeAnswer, error) {
+	body, err := io.ReadAll(io.LimitReader(response, maxAnswerBytes+1))
+	switch {
+	case err != nil:
+		return wholeAnswer{}, granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
+	case len(body) > maxAnswerBytes:
+		return wholeAnswer{}, granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "the answer is longer than %d bytes", maxAnswerBytes)
+	}
+	return wholeAnswer{status: response.Status, header: response.Header, body: body}, nil
+}
+
+// passAnswer passes a usable answer on: a stream event by event, any other when
+// it has arrived completely.
+func (a *activeRequest) passAnswer(response *exchange.Response, lease *balance.Lease, timer *stallTimer) error {
+	if a.decided.route.Kind == catalog.Stream && response.Status < http.StatusMultipleChoices {
+		return a.passStream(response, lease, timer)
+	}
+	answer, err := readWhole(response)
+	if err != nil {
+		return err
+	}
+	return a.pass(answer)
+}
+
+// pass passes a whole answer on. Its error has code CallerGone.
+func (a *activeRequest) pass(answer wholeAnswer) error {
+	if err := a.start(answer.status, answer.header); err != nil {
+		return err
+	}
+	return a.write(answer.body)
+}
+
+// start passes the head of an answer on, unless the caller already has one. Its
+// error has code CallerGone.
+func (a *activeRequest) start(status int, header http.Header) error {
+	if a.progress.started {
+		return nil
+	}
+	a.progress.started = true
+	a.progress.firstByteAt = a.path.settings.Clock()
+	if err := a.sink.Start(status, exchange.PassedOn(header)); err != nil {
+		return granitehoist.Wrap(granitehoist.CallerGone, err, "")
+	}
+	return nil
+}
+
+// write passes a piece of the body on. Its error has code CallerGone.
+func (a *activeRequest) write(piece []byte) error {
+	if len(piece) == 0 {
+		return nil
+	}
+	if err := a.sink.Write(piece); err != nil {
+		return granitehoist.Wrap(granitehoist.CallerGone, err, "")
+	}
+	return nil
+}
--- /dev/null
+++ b/forward/judge.go
@@ -0,0 +1,66 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package forward
+
+import (
+	"net/http"
+	"time"
+
+	"granitehoist.example/granitehoist"
+)
+
+// reply is what the head of an answer means for its attempt.
+type reply int
+
+// The meanings.
+const (
+	// replyMissing: no answer to the attempt arrived.
+	replyMissing reply = iota
+	// replyRefused: the instance did not run the request, for want of room.
+	replyRefused
+	// replyMoved: another instance has this address, and did not run it.
+	replyMoved
+	// replyFailed: the instance's own failure, which may be passed on.
+	replyFailed
+	// replyNoContinuation: no stream, where the rest of a stream was due.
+	replyNoContinuation
+	// replyUnusable: an answer that must not be passed on.
+	replyUnusable
+	// replyUsable: an answer that is to be passed on.
+	replyUsable
+)
+
+// judgeHead decides what the head of an answer means, from its status and what
+// the Codec read in it. started says that the caller has a part of an earlier
+// instance's stream: only a successful answer can continue that.
+func judgeHead(v Verdict, status int, started bool) reply {
+	switch {
+	case v.NotRun && v.Moved:
+		return replyMoved
+	case v.NotRun:
+		return replyRefused
+	case started && status >= http.StatusMultipleChoices:
+		return replyNoContinuation
+	case !v.Usable:
+		return replyUnusable
+	case status >= http.StatusInternalServerError:
+		return replyFailed
+	}
+	return replyUsable
+}
+
+// error returns the error of an attempt that got the reply, nil for a usable
+// one. retryAfter is what the instance stated, zero if nothing.
+func (r reply) error(status int, retryAfter time.Duration) error {
+	switch r {
+	case replyRefused, replyMoved:
+		return instanceRefusal(retryAfter)
+	case replyNoContinuation:
+		return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d instead of the rest of a stream", status)
+	case replyUnusable, replyFailed:
+		return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d", status)
+	case replyMissing, replyUsable:
+	}
+	return nil
+}
--- a/forward/log.go
+++ b/forward/log.go
@@ -53,7 +53,7 @@
 	return granitehoist.MayHaveRun
 }
 
-func (a *activeRequest) logAttempt(l *balance.Lease, e attemptResult, took time.Duration) {
+func (a *activeRequest) logAttempt(l *balance.Lease, result *attemptResult, took time.Duration) {
 	fields := []zap.Field{
 		zap.String("request", string(a.asked.ID)),
 		zap.Int("attempt", a.progress.attempts),
@@ -61,12 +61,12 @@
 		zap.Uint64("entry", uint64(l.Version)),
 		zap.Bool("home", l.Owner),
 		zap.Int("load", l.Load),
-		zap.Int("status", e.status),
+		zap.Int("status", result.status),
 		zap.Int64("after", a.progress.lastEventID),
 		zap.Duration("took", took),
 	}
-	if e.err != nil {
-		fields = append(fields, zap.Error(e.err))
+	if result.err != nil {
+		fields = append(fields, zap.Error(result.err))
 	}
 	a.path.settings.Log.Info(event.Attempt, fields...)
 }
--- /dev/null
+++ b/forward/retry.go
@@ -0,0 +1,121 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package forward
+
+import (
+	"time"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/balance"
+	"granitehoist.example/granitehoist/catalog"
+)
+
+const (
+	// minRetryTime is the time left below which another attempt is not made,
+	// since no instance answers in less. Chosen, not measured.
+	minRetryTime = 20 * time.Millisecond
+	// maxAttempts bounds the attempts of one request, also those that did not
+	// run, which the route's own bound does not count. Chosen, not measured.
+	maxAttempts = 4
+)
+
+// retryInput is what the decision on another attempt depends on.
+type retryInput struct {
+	// route says whether a request may run more than once, at how many upstreams,
+	// and whether a stream may be resumed. It is as old as the configuration.
+	route *catalog.Route
+	// fate is what is known of the latest attempt, and unsent says that no byte
+	// of it left this router.
+	fate   granitehoist.Fate
+	unsent bool
+	// over says that the caller has left or the request's timeout has passed.
+	over bool
+	// attempts counts all attempts so far, runs those that ran or may have run.
+	attempts, runs int
+	// started says that a part of an answer was passed on, up to the event
+	// lastEventID.
+	started     bool
+	lastEventID int64
+	// timeLeft is the time until the request's timeout.
+	timeLeft time.Duration
+}
+
+// retryVerdict is the decision on another attempt.
+type retryVerdict struct {
+	// allowed says that another attempt may follow.
+	allowed bool
+	// paid says that it must take one from the retry budget of the service, and
+	// does not follow if there is none.
+	paid bool
+	// afterEvent is the event after which its stream goes on.
+	afterEvent int64
+}
+
+// decideRetry decides whether another attempt may follow one that failed, who
+// pays for it, and from which event on.
+//
+//   - None follows if the request is over, too little time is left for an
+//     answer, or it was attempted maxAttempts times.
+//   - An attempt that may have run is followed by another only if the request
+//     may run more than once, its route allows another upstream to run it, and,
+//     once the caller has a part of a stream, the stream may be resumed. One
+//     that did not run may always be followed.
+//   - The operators bound the requests that reach upstreams beyond the first of
+//     each caller's request. So every attempt is paid for from the retry budget
+//     unless the attempt before it never left this router.
+//   - A stream goes on after the last event that the caller has.
+//
+// The instances that were already tried are never chosen again; that is part of
+// the choice in package balance.
+func decideRetry(in retryInput) retryVerdict {
+	switch {
+	case in.over, in.attempts >= maxAttempts, in.timeLeft < minRetryTime:
+		return retryVerdict{}
+	case in.fate != granitehoist.NotRun && !in.mayRunAgain():
+		return retryVerdict{}
+	}
+	return retryVerdict{allowed: true, paid: !in.unsent, afterEvent: in.lastEventID}
+}
+
+// mayRunAgain reports whether a request that may have run may run once more.
+func (in *retryInput) mayRunAgain() bool {
+	if !in.route.Repeatable() || in.runs >= max(1, in.route.MaxAttempts) {
+		return false
+	}
+	return !in.started || in.route.Resume
+}
+
+// errorForCaller decides what the caller is told if no further attempt follows:
+// the error of the last attempt, unless that one did not run and an earlier one
+// may have. Then it is the earlier error, since the request as a whole may have
+// run. earlier is the result for the attempts before, nil if there were none.
+func errorForCaller(earlier, last error) error {
+	if earlier != nil && fateOf(earlier) != granitehoist.NotRun && fateOf(last) == granitehoist.NotRun {
+		return earlier
+	}
+	return last
+}
+
+// fateOf returns what an error says of the execution of its attempt.
+func fateOf(err error) granitehoist.Fate { return granitehoist.CodeOf(err).Info().Fate }
+
+// instanceResult decides what an attempt says of the instance that it was sent
+// to, for the choice of later ones. An attempt that ended because the caller
+// left or the request's timeout passed (over) says nothing, unless the instance
+// had already answered with a failure or that it is another one.
+func instanceResult(r *attemptResult, over bool) balance.Result {
+	switch {
+	case r.reply == replyMoved:
+		return balance.Moved
+	case r.reply == replyFailed:
+		return balance.Failed
+	case r.err == nil:
+		return balance.Good
+	case over, granitehoist.CodeOf(r.err) == granitehoist.CallerGone:
+		return balance.Unclear
+	case r.reply == replyRefused:
+		return balance.Refused
+	}
+	return balance.Broken
+}
--- /dev/null
+++ b/forward/stream.go
@@ -0,0 +1,83 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package forward
+
+import (
+	"errors"
+	"io"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/balance"
+	"granitehoist.example/granitehoist/exchange"
+	"granitehoist.example/granitehoist/internal/eventstream"
+)
+
+// streamBufferBytes is how much of a stream is read at once. Chosen, not
+// measured.
+const streamBufferBytes = 4096
+
+// passStream passes events on as soon as each has arrived completely. The head
+// is held until the first event, so that until then another instance may answer.
+func (a *activeRequest) passStream(response *exchange.Response, lease *balance.Lease, timer *stallTimer) error {
+	var splitter eventstream.Splitter
+	buffer := make([]byte, streamBufferBytes)
+	for {
+		n, readErr := response.Read(buffer)
+		events, err := splitter.Add(buffer[:n])
+		if err != nil {
+			return granitehoist.Wrap(granitehoist.UpstreamBadAnswer, err, "")
+		}
+		if len(events) > 0 {
+			lease.PromptRead()
+			timer.restart()
+			if err := a.passEvents(response, events); err != nil {
+				return err
+			}
+		}
+		switch {
+		case readErr == nil:
+		case !errors.Is(readErr, io.EOF):
+			return granitehoist.Wrap(granitehoist.UpstreamCut, readErr, "")
+		default:
+			return a.endStream(response, splitter.Rest())
+		}
+	}
+}
+
+// passEvents passes on the events that the caller does not have yet. Events
+// with ids must follow each other without a gap.
+func (a *activeRequest) passEvents(response *exchange.Response, events []eventstream.Event) error {
+	last := &a.progress.lastEventID
+	for _, event := range events {
+		if event.HasID && event.ID <= *last {
+			continue
+		}
+		if event.HasID && event.ID != *last+1 {
+			return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "event %d follows %d", event.ID, *last)
+		}
+		if err := a.start(response.Status, response.Header); err != nil {
+			return err
+		}
+		if err := a.write(event.Raw); err != nil {
+			return err
+		}
+		a.progress.events++
+		if event.HasID {
+			*last = event.ID
+		}
+	}
+	return nil
+}
+
+// endStream passes on the bytes after the last event. A stream without a length
+// is complete only if there are none.
+func (a *activeRequest) endStream(response *exchange.Response, remaining []byte) error {
+	if !response.Framed && len(remaining) > 0 {
+		return granitehoist.Errorf(granitehoist.UpstreamCut, "the stream ended within an event")
+	}
+	if err := a.start(response.Status, response.Header); err != nil {
+		return err
+	}
+	return a.write(remaining)
+}
