--- /dev/null
+++ b/forward/bench_test.go
@@ -0,0 +1,39 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package forward_test
+
+import (
+	"context"
+	"testing"
+
+	. "github.com/onsi/gomega"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/balance"
+	"granitehoist.example/granitehoist/standin"
+)
+
+// benchmarkServe serves requests of a path by one worker over loopback.
+func benchmarkServe(b *testing.B, path string, service granitehoist.Service, answer standin.WorkerAnswer) {
+	RegisterTestingT(b)
+	s := newSite()
+	w, err := standin.NewWorker("i-1", always(answer))
+	Expect(err).NotTo(HaveOccurred())
+	b.Cleanup(w.Close)
+	s.table.Announce(balance.Instance{ID: "i-1", Service: service, Address: w.Address(), Version: 1})
+	b.ReportAllocs()
+	for b.Loop() {
+		if _, err := s.path.Serve(context.Background(), request(path), &fakeSink{}); err != nil {
+			b.Fatal(err)
+		}
+	}
+}
+
+func BenchmarkServePlain(b *testing.B) {
+	benchmarkServe(b, "/safe/x", desk, standin.WorkerAnswer{Body: "permit"})
+}
+
+func BenchmarkServeStream(b *testing.B) {
+	benchmarkServe(b, "/resume/x", model, standin.WorkerAnswer{Events: 20})
+}
--- a/forward/doc.go
+++ b/forward/doc.go
@@ -1,15 +1,48 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package forward takes a request from its caller to an upstream and back.
+// Package forward takes a request from its caller to an upstream and the answer
+// back. The edge router (granitehoist-edge) runs it. The partner router serves
+// another callers' interface, by its own request path in partner/gate.
 //
-// The steps are: identify (route, workspace, deadline), pay (the most that the
-// request can cost is reserved), choose (an instance of the service), attempt,
-// answer. Front doors translate their callers' protocol into a Request and a
-// Sink; a Codec writes what upstreams are told and reads what they say. No
-// decision is made in either.
+// A request goes through these steps: identify (its route, workspace, service
+// and deadline), pay (reserve the most that it can cost), choose (an instance of
+// the service), attempt, answer. Frontends translate their callers' protocol
+// into a Request and a granitehoist.Sink; a Codec writes the header that
+// upstreams get and reads the heads of their answers. Neither decides anything.
 //
-// Of every attempt it is known whether it has not run, may have run, or has
-// run. A caller is told that its request was not run only if that is so of all
+// Of every attempt it is known whether it did not run, may have run, or ran. A
+// caller is told that its request did not run only if that holds for all
 // attempts.
+//
+// # Rules
+//
+// Each rule is a function that makes no call and takes no lock, in a file of its
+// own:
+//
+//   - timeout.go: how long a request may take.
+//   - identify.go: by which route, for whom and at which service it is served.
+//   - reserve.go: how many tokens it reserves, and how long it waits for them.
+//   - refusal.go: the code and the Retry-After of each refusal.
+//   - giveup.go: how long an attempt may make no progress.
+//   - judge.go: what the head of an answer means.
+//   - retry.go: whether another attempt follows, what the caller is told, and
+//     what an attempt says of its instance.
+//   - settle.go: how many tokens a request is charged.
+//
+// Which instance gets an attempt is decided in package balance, whether the
+// budget pays in package escrow, whether the router may retry at all in package
+// internal/retrybudget, with the figures in retrybudget.go here.
+//
+// # State
+//
+// A Path owns the number of requests in progress and whether it was stopped
+// (both atomic), and a retry budget for each service (behind a lock). Each
+// request has an activeRequest, which only the goroutine that called Path.Serve
+// uses. A Path relies on the configuration in force (catalog), the tokens of
+// this box (Funds), the table of instances (balance) and the connections to
+// upstreams (exchange), each with locks of its own. It holds no lock while it
+// calls them.
+//
+// Begin reading at activeRequest.run in active.go, then activeRequest.forward.
 package forward
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -17,41 +17,57 @@
 	"granitehoist.example/granitehoist/exchange"
 )
 
-// Funds pays for requests.
+// Funds pays for requests from the prepaid tokens of their workspaces. It is
+// safe for concurrent use.
 type Funds interface {
-	// Reserve sets tokens of a workspace aside, waiting until ctx ends.
+	// Reserve sets tokens of a workspace aside. It waits for them until ctx ends.
 	Reserve(ctx context.Context, w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority) escrow.Answer
-	// Settle ends a reservation with what was used.
+	// Settle ends a granted reservation of bound tokens, of which used were used.
+	// It is called once for each, with used from 0 up to bound.
 	Settle(w granitehoist.Workspace, bound, used granitehoist.Tokens)
 }
 
-// Settings configure a Path.
+// Settings configure a Path. Catalog, Funds, Table, Pool and Codec are needed.
 type Settings struct {
+	// Catalog holds the configuration in force.
 	Catalog *catalog.Current
 	Funds   Funds
-	Table   *balance.Table
-	Pool    *exchange.Pool
-	Codec   Codec
-	Retry   RetrySettings
-	// Routers returns the number of routers that share the retries.
+	// Table chooses instances.
+	Table *balance.Table
+	// Pool sends requests to them.
+	Pool  *exchange.Pool
+	Codec Codec
+	// Retry bounds the retries of the fleet. Its zero value allows each router
+	// one retry every 10 seconds for each service.
+	Retry RetrySettings
+	// Routers returns the number of routers that share the retries; nil stands
+	// for a single router.
 	Routers func() int
-	Clock   granitehoist.Clock
-	Log     *zap.Logger
-	// Ended, if set, is told of each request as it ends.
+	// Clock tells the present time; nil stands for time.Now.
+	Clock granitehoist.Clock
+	// Log receives a line for each attempt and each request; nil drops them.
+	Log *zap.Logger
+	// Ended, if set, receives a report of each request when it ends. It is called
+	// on the goroutine of the request.
 	Ended func(Report)
 }
 
 // Report is what became of a request, for metrics.
 type Report struct {
+	// Service and Workspace are empty if the request was refused before they
+	// were known, Workspace also on routes that need no key.
 	Service   granitehoist.Service
 	Workspace granitehoist.Workspace
-	Code      granitehoist.Code
-	Attempts  int
-	// Budget is what the request for tokens was told; Granted where there was
-	// none.
+	// Code is Served if the whole answer was passed on.
+	Code granitehoist.Code
+	// Attempts counts the sendings to upstreams, also those that did not run.
+	Attempts int
+	// Budget is the outcome of the reservation; Granted where there was none.
 	Budget escrow.Outcome
-	Took   time.Duration
-	// First is the time to the beginning of the answer, zero if there was none.
+	// Took is the time from the arrival of the request to its end.
+	Took time.Duration
+	// First is the time from the arrival to the head of the answer, zero if none
+	// was passed on.
 	First time.Duration
 }
 
@@ -63,7 +79,7 @@
 	stopped      atomic.Bool
 }
 
-// New returns a path. It panics if a part is missing.
+// New returns a path. It panics if a needed setting is missing.
 func New(s Settings) *Path {
 	if s.Catalog == nil || s.Funds == nil || s.Table == nil || s.Pool == nil || s.Codec == nil {
 		panic("forward: a setting is missing")
@@ -86,12 +102,14 @@
 // Active returns the number of requests in progress.
 func (p *Path) Active() int { return int(p.active.Load()) }
 
-// Stop makes the path refuse new requests. Those in progress go on.
+// Stop makes the path refuse new requests for good. Those in progress go on.
 func (p *Path) Stop() { p.stopped.Store(true) }
 
-// Serve serves a request. A nil error means that the answer was passed on whole
-// to the sink. Otherwise the error is a *granitehoist.Error, and started tells
-// whether a part of an answer was passed on, which then must not look complete.
+// Serve serves a request until ctx, which stands for the caller's connection,
+// ends. A nil error means that the whole answer was passed to the sink.
+// Otherwise the error is a *granitehoist.Error, and started tells whether a part
+// of an answer was passed on, which then must not look complete. Serve uses the
+// sink only until it returns.
 func (p *Path) Serve(ctx context.Context, r *Request, sink granitehoist.Sink) (started bool, err error) {
 	p.active.Add(1)
 	defer p.active.Add(-1)
--- a/forward/log.go
+++ b/forward/log.go
@@ -14,11 +14,12 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
+// logEnd logs the end of a request.
 func (a *activeRequest) logEnd(report Report, err error) {
 	fields := []zap.Field{
 		zap.String("request", string(a.asked.ID)),
 		zap.Int("code", int(report.Code)),
-		zap.String("fate", string(a.fate(err))),
+		zap.String("fate", string(requestFate(err, a.progress.runs))),
 		zap.String("service", string(report.Service)),
 		zap.String("workspace", string(report.Workspace)),
 		zap.Int("attempts", a.progress.attempts),
@@ -31,9 +32,7 @@
 		fields = append(fields, zap.String("route", string(a.decided.route.Name)))
 	}
 	if a.decided.reserve > 0 {
-		fields = append(fields, zap.Int64("bound", int64(a.decided.reserve)), zap.Int64("used", int64(a.progress.charged)), zap.String("budget", a.progress.budget.Outcome.String()),
-			zap.Int64("free", int64(a.progress.budget.Free)), zap.Int64("rest", int64(a.progress.budget.StoreRemaining)),
-			zap.Duration("rest_age", a.progress.budget.Age), zap.Duration("silent", a.progress.budget.Silent))
+		fields = append(fields, a.budgetFields()...)
 	}
 	var e *granitehoist.Error
 	if errors.As(err, &e) {
@@ -42,17 +41,34 @@
 	a.path.settings.Log.Info(event.Request, fields...)
 }
 
-// fate returns what is known of the execution of the whole request.
-func (a *activeRequest) fate(err error) granitehoist.Fate {
+// budgetFields returns what was reserved and charged, and what this box knew of
+// the budget when it was asked.
+func (a *activeRequest) budgetFields() []zap.Field {
+	budget := a.progress.budget
+	return []zap.Field{
+		zap.Int64("bound", int64(a.decided.reserve)),
+		zap.Int64("used", int64(a.progress.charged)),
+		zap.String("budget", budget.Outcome.String()),
+		zap.Int64("free", int64(budget.Free)),
+		zap.Int64("rest", int64(budget.StoreRemaining)),
+		zap.Duration("rest_age", budget.Age),
+		zap.Duration("silent", budget.Silent),
+	}
+}
+
+// requestFate returns what is known of the execution of a whole request that
+// ended with err, of whose attempts so many ran or may have run.
+func requestFate(err error, runs int) granitehoist.Fate {
 	switch {
 	case err == nil:
 		return granitehoist.Ran
-	case a.progress.runs == 0:
+	case runs == 0:
 		return granitehoist.NotRun
 	}
 	return granitehoist.MayHaveRun
 }
 
+// logAttempt logs an attempt, which took from its choice to its end.
 func (a *activeRequest) logAttempt(l *balance.Lease, result *attemptResult, took time.Duration) {
 	fields := []zap.Field{
 		zap.String("request", string(a.asked.ID)),
--- a/forward/request.go
+++ b/forward/request.go
@@ -11,35 +11,40 @@
 	"granitehoist.example/granitehoist/catalog"
 )
 
-// Request is a caller's request, translated.
+// Request is a caller's request, translated by a frontend. A Path does not
+// change it.
 type Request struct {
-	ID     granitehoist.RequestID
+	// ID is the caller's own id of the request.
+	ID granitehoist.RequestID
+	// Host and Path choose the route. Host may name a port.
 	Host   string
 	Method string
-	// Path picks the route. Target is the path and query as they are passed
-	// on.
 	Path   string
+	// Target is the path and query as they are passed on.
 	Target string
 	Header http.Header
-	Body   []byte
+	// Body is the whole body, already received.
+	Body []byte
 	// Key is the caller's key, empty if it gave none.
 	Key string
-	// Arrived is when the request arrived.
+	// Arrived is when the head of the request had arrived.
 	Arrived time.Time
-	// Timeout is how long the caller waits from then on; zero if it did not
-	// say.
+	// Timeout is how long the caller waits from Arrived on; zero if it states
+	// nothing.
 	Timeout time.Duration
-	// Cost is what the request may cost; nil for requests without tokens.
+	// Cost is the most that the request can cost; nil for requests without
+	// tokens.
 	Cost *Cost
 	// PrefixParts are the ids of the parts of the prompt that other requests
-	// share, in order, and SharedTokens their length.
+	// share, in order, and PrefixTokens is their length together.
 	PrefixParts  []string
 	PrefixTokens granitehoist.Tokens
-	// LastEventID is the id of the last event that the caller has of the stream.
+	// LastEventID is the id of the last event of the stream that the caller
+	// already has; zero if it has none.
 	LastEventID int64
 }
 
-// Cost is what a request may cost at its most.
+// Cost is the most that a request can cost, in tokens.
 type Cost struct {
 	Prompt granitehoist.Tokens
 	Output granitehoist.Tokens
@@ -52,16 +57,17 @@
 type Attempt struct {
 	Request *Request
 	Route   *catalog.Route
-	// Workspace is nil for a request of nobody's.
+	// Workspace is nil on routes that need no key.
 	Workspace *catalog.Workspace
 	Priority  granitehoist.Priority
 	// Keyed says that keys identify callers and must not be passed on.
 	Keyed bool
-	// Instance is the upstream that alone may run it.
+	// Instance is the only upstream that may run the attempt.
 	Instance granitehoist.Upstream
-	// Remaining is the time that the upstream has.
+	// Remaining is the time until the request's timeout.
 	Remaining time.Duration
-	// LastEventID is the id of the last event that has been passed on.
+	// LastEventID is the id of the event after which a stream is to begin; zero
+	// for its start.
 	LastEventID int64
 }
 
@@ -71,24 +77,26 @@
 	Header http.Header
 }
 
-// Verdict is what the head of an answer says.
+// Verdict is what a Codec reads in the head of an answer.
 type Verdict struct {
 	// NotRun says that the upstream did not run the request and never will.
 	NotRun bool
-	// Moved says that another instance answered.
+	// Moved says that another instance has the address. It also sets NotRun.
 	Moved bool
-	// Usable says that the answer is one of an upstream, so that it may be
-	// passed on.
+	// Usable says that the answer is the upstream's own and may be passed on.
 	Usable bool
-	// RetryAfter is when the upstream says to come back.
+	// RetryAfter is how long the upstream asks callers to wait; zero if it states
+	// nothing.
 	RetryAfter time.Duration
 }
 
-// Codec translates between requests and what upstreams understand.
+// Codec translates between requests and the protocol of upstreams. It is safe
+// for concurrent use.
 type Codec interface {
-	// Header returns the header of an attempt.
+	// Header returns the header of an attempt. It does not change the request's.
 	Header(a *Attempt) http.Header
-	// Matches reports whether an answer belongs to a request.
+	// Matches reports whether an answer with header h belongs to a request. A
+	// late answer to an earlier request of the connection does not.
 	Matches(r *Request, h http.Header) bool
 	// Judge reads the head of an answer.
 	Judge(h ResponseHead) Verdict
