--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -5,7 +5,6 @@
 
 import (
 	"context"
-	"errors"
 	"io"
 	"net/http"
 	"time"
@@ -14,321 +13,120 @@
 	"granitehoist.example/granitehoist/balance"
 	"granitehoist.example/granitehoist/catalog"
 	"granitehoist.example/granitehoist/exchange"
-	"granitehoist.example/granitehoist/internal/eventstream"
 )
 
-// ending is how an attempt ended.
-type ending struct {
-	// err is nil if the answer was passed on whole.
-	err    error
+// attemptResult is how an attempt ended.
+type attemptResult struct {
+	// err is nil if the answer was passed on completely.
+	err error
+	// status is that of the answer, zero if there was none.
 	status int
-	// final says that no other attempt may follow.
-	final bool
+	reply  reply
 	// unsent says that no byte left this router.
 	unsent bool
-	// refused says that the upstream had no room, moved that another instance
-	// answered, failed that it answered with a failure of its own.
-	refused, moved, failed bool
-	result                 balance.Result
+	// failure is the instance's own failure, to be passed on if no other attempt
+	// follows; nil if the attempt ended otherwise. err is set then too.
+	failure *wholeAnswer
 }
 
-// Rests of reused connections. An upstream may close a connection that rests
-// at the moment at which a request is sent, and a request that runs at most
-// once is then lost.
+// An upstream may close an idle connection at the moment at which a request is
+// sent on it. A request that runs at most once is lost then, since nobody knows
+// whether it ran.
 const (
-	maxRest       = time.Minute
-	maxRestUnsafe = 150 * time.Millisecond
+	// maxIdle is how long a connection may have been idle that is used for a
+	// request that may run more than once. Chosen, not measured; the pool's own
+	// bound is shorter today.
+	maxIdle = time.Minute
+	// maxIdleUnsafe is the same for a request that runs at most once. Chosen,
+	// not measured.
+	maxIdleUnsafe = 150 * time.Millisecond
+	// maxRefusalBytes is how much of a refusal's body is read to free its
+	// connection for other requests. Chosen, not measured.
+	maxRefusalBytes = 64 << 10
 )
 
-// attempt sends the request to one instance.
-func (w *work) attempt(ctx context.Context, lease *balance.Lease) ending {
+// idleLimit decides how long a connection may have been idle to be reused for a
+// request of a route, where the upstream does not state how long it keeps it.
+func idleLimit(r *catalog.Route) time.Duration {
+	if r.Repeatable() {
+		return maxIdle
+	}
+	return maxIdleUnsafe
+}
+
+// attempt sends the request to one instance and passes its answer on. A stream
+// begins after the event afterEvent.
+func (a *activeRequest) attempt(ctx context.Context, lease *balance.Lease, afterEvent int64) attemptResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	guard := w.newGuard(cancel)
-	defer guard.stop()
-	now := w.path.settings.Clock()
-	response, err := w.path.settings.Pool.Do(ctx, w.message(lease, now), now)
+	timer := newStallTimer(a.progressLimits(), cancel)
+	defer timer.stop()
+	now := a.path.settings.Clock()
+	response, err := a.path.settings.Pool.Do(ctx, a.message(lease, afterEvent, now), now)
 	if err != nil {
-		e := ending{err: guard.explain(ctx, err)}
-		e.unsent = granitehoist.CodeOf(err) == granitehoist.UpstreamRefused
-		return e
+		return attemptResult{
+			err:    timer.explain(ctx, err),
+			unsent: granitehoist.CodeOf(err) == granitehoist.UpstreamRefused,
+		}
 	}
 	defer response.Close()
-	e := w.judge(response)
-	switch {
-	case e.refused, e.moved:
-		// The rest of a short refusal frees the connection for others.
-		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxRefusal))
-		return e
-	case e.err != nil:
-		return e
-	case e.failed:
-		return w.passFailure(ctx, response, e)
-	}
-	if w.route.Kind == catalog.Stream && response.Status < http.StatusMultipleChoices {
-		e.err = w.stream(response, lease, guard)
-	} else {
-		e.err = w.whole(response)
+	verdict := a.path.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
+	result := attemptResult{status: response.Status, reply: judgeHead(verdict, response.Status, a.progress.started)}
+	result.err = result.reply.error(response.Status, verdict.RetryAfter)
+	switch result.reply {
+	case replyRefused, replyMoved:
+		// After an error here Close ends the connection in place of keeping it.
+		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxRefusalBytes))
+	case replyFailed:
+		result.holdFailure(response)
+	case replyUsable:
+		result.err = timer.explain(ctx, a.passAnswer(response, lease, timer))
+	case replyMissing, replyNoContinuation, replyUnusable:
+	}
+	return result
+}
+
+// holdFailure keeps an instance's own failure until it is decided whether
+// another attempt follows.
+func (r *attemptResult) holdFailure(response *exchange.Response) {
+	answer, err := readWhole(response)
+	if err != nil {
+		r.err = err
+		return
 	}
-	if e.err != nil {
-		e.err = guard.explain(ctx, e.err)
-		return e
+	r.failure = &answer
+}
+
+// progressLimits returns the limits of the next attempt.
+func (a *activeRequest) progressLimits() progressLimits {
+	prompt := granitehoist.Tokens(0)
+	if a.asked.Cost != nil {
+		prompt = a.asked.Cost.Prompt
 	}
-	w.runs++
-	return e
+	return limitProgress(a.decided.route, prompt, a.progress.runs)
 }
 
 // message returns what is sent.
-func (w *work) message(lease *balance.Lease, now time.Time) exchange.Request {
-	r := w.request
-	header := w.path.settings.Codec.Header(&Attempt{
-		Request:     r,
-		Route:       w.route,
-		Workspace:   w.workspace,
-		Priority:    w.priority,
-		Keyed:       w.keyed,
+func (a *activeRequest) message(lease *balance.Lease, afterEvent int64, now time.Time) exchange.Request {
+	asked, codec := a.asked, a.path.settings.Codec
+	header := codec.Header(&Attempt{
+		Request:     asked,
+		Route:       a.decided.route,
+		Workspace:   a.decided.workspace,
+		Priority:    a.decided.priority,
+		Keyed:       a.decided.keyed,
 		Instance:    lease.ID,
-		Remaining:   w.deadline.Sub(now),
-		LastEventID: w.after,
+		Remaining:   a.decided.deadline.Sub(now),
+		LastEventID: afterEvent,
 	})
-	rest := maxRest
-	if !w.route.Repeatable() {
-		rest = maxRestUnsafe
-	}
 	return exchange.Request{
 		Address: lease.Address,
-		Method:  r.Method,
-		Target:  r.Target,
-		Host:    r.Host,
+		Method:  asked.Method,
+		Target:  asked.Target,
+		Host:    asked.Host,
 		Header:  header,
-		Body:    r.Body,
-		Matches: func(h http.Header) bool { return w.path.settings.Codec.Matches(r, h) },
-		MaxIdle: rest,
-	}
-}
-
-// judge reads the head of an answer.
-func (w *work) judge(response *exchange.Response) ending {
-	e := ending{status: response.Status}
-	verdict := w.path.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
-	switch {
-	case verdict.NotRun:
-		e.refused = !verdict.Moved
-		e.moved = verdict.Moved
-		refusal := later(granitehoist.UpstreamRefused, refusedRetry)
-		if verdict.RetryAfter > 0 {
-			refusal.RetryAfter = verdict.RetryAfter
-		}
-		e.err = refusal
-	case w.started && response.Status >= http.StatusMultipleChoices:
-		// A part of another worker's answer has been passed on, which this
-		// can't complete.
-		e.err = granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d to a stream that was to go on", response.Status)
-	case !verdict.Usable:
-		e.err = granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d", response.Status)
-	case response.Status >= http.StatusInternalServerError:
-		e.failed = true
-	}
-	return e
-}
-
-// maxWhole bounds the answers that are held until they are whole.
-const maxWhole = 8 << 20
-
-// passFailure passes an upstream's own failure on unless another attempt may
-// do better.
-func (w *work) passFailure(ctx context.Context, response *exchange.Response, e ending) ending {
-	body, err := readWhole(response)
-	if err != nil {
-		e.err = err
-		return e
-	}
-	e.err = granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d", response.Status)
-	w.runs++
-	repeat := w.again(ctx, e)
-	w.runs--
-	if repeat {
-		// The attempt is paid for; forward must not ask for another.
-		e.unsent = true
-		return e
-	}
-	w.runs++
-	e.err = w.pass(response, body)
-	e.final = true
-	return e
-}
-
-const maxRefusal = 64 << 10
-
-// whole passes an answer on when all of it is here.
-func (w *work) whole(response *exchange.Response) error {
-	body, err := readWhole(response)
-	if err != nil {
-		return err
-	}
-	return w.pass(response, body)
-}
-
-func (w *work) pass(response *exchange.Response, body []byte) error {
-	if err := w.start(response); err != nil {
-		return err
-	}
-	return w.write(body)
-}
-
-func readWhole(response *exchange.Response) ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(response, maxWhole+1))
-	switch {
-	case err != nil:
-		return nil, granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
-	case len(body) > maxWhole:
-		return nil, granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "the answer is too long")
-	}
-	return body, nil
-}
-
-func (w *work) start(response *exchange.Response) error {
-	if w.started {
-		return nil
-	}
-	w.started = true
-	w.first = w.path.settings.Clock()
-	if err := w.sink.Start(response.Status, exchange.PassedOn(response.Header)); err != nil {
-		return granitehoist.Wrap(granitehoist.CallerGone, err, "")
-	}
-	return nil
-}
-
-func (w *work) write(piece []byte) error {
-	if len(piece) == 0 {
-		return nil
-	}
-	if err := w.sink.Write(piece); err != nil {
-		return granitehoist.Wrap(granitehoist.CallerGone, err, "")
-	}
-	return nil
-}
-
-const streamBufferBytes = 4096
-
-// stream passes events on as they come whole. The head is held until the first
-// event, so that until then another instance may answer.
-func (w *work) stream(response *exchange.Response, lease *balance.Lease, guard *guard) error {
-	var splitter eventstream.Splitter
-	buffer := make([]byte, streamBufferBytes)
-	for {
-		n, err := response.Read(buffer)
-		events, failure := splitter.Add(buffer[:n])
-		if failure != nil {
-			return granitehoist.Wrap(granitehoist.UpstreamBadAnswer, failure, "")
-		}
-		if len(events) > 0 {
-			lease.PromptRead()
-			guard.progress()
-			if failure := w.passEvents(response, events); failure != nil {
-				return failure
-			}
-		}
-		switch {
-		case err == nil:
-		case !errors.Is(err, io.EOF):
-			return granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
-		default:
-			return w.endStream(response, splitter.Incomplete())
-		}
-	}
-}
-
-// passEvents passes on the events that the caller does not have yet.
-func (w *work) passEvents(response *exchange.Response, events []eventstream.Event) error {
-	for _, event := range events {
-		if event.HasID {
-			if event.ID <= w.after {
-				continue
-			}
-			if event.ID != w.after+1 {
-				return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "event %d follows %d", event.ID, w.after)
-			}
-		}
-		if err := w.start(response); err != nil {
-			return err
-		}
-		if err := w.write(event.Raw); err != nil {
-			return err
-		}
-		w.events++
-		if event.HasID {
-			w.after = event.ID
-		}
-	}
-	return nil
-}
-
-// endStream passes on what follows the last event.
-func (w *work) endStream(response *exchange.Response, rest []byte) error {
-	if !response.Framed && len(rest) > 0 {
-		return granitehoist.Errorf(granitehoist.UpstreamCut, "the stream ended within an event")
-	}
-	if err := w.start(response); err != nil {
-		return err
-	}
-	return w.write(rest)
-}
-
-// guard ends an attempt that makes no progress, if another may follow it.
-type guard struct {
-	timer *time.Timer
-	pause time.Duration
-}
-
-// errStalled says that an attempt made no progress.
-var errStalled = errors.New("no progress")
-
-// Times without progress after which an attempt gives way to another.
-const (
-	// firstPart of the target is waited for the beginning of an answer, and
-	// longer for a long prompt.
-	firstPart      = 0.55
-	promptPerMS    = 12
-	firstAtLeast   = 150 * time.Millisecond
-	streamPause    = 900 * time.Millisecond
-	wholePartOfAim = 2.0
-)
-
-// newGuard returns a guard for the next attempt.
-func (w *work) newGuard(cancel context.CancelCauseFunc) *guard {
-	if !w.route.Repeatable() || w.runs+1 >= max(1, w.route.MaxAttempts) || w.route.Target <= 0 {
-		return &guard{}
-	}
-	wait := time.Duration(wholePartOfAim * float64(w.route.Target))
-	pause := time.Duration(0)
-	if w.route.Kind == catalog.Stream {
-		wait = max(firstAtLeast, time.Duration(firstPart*float64(w.route.Target)))
-		pause = streamPause
-		if w.request.Cost != nil {
-			wait += time.Duration(w.request.Cost.Prompt/promptPerMS) * time.Millisecond
-		}
-	}
-	return &guard{pause: pause, timer: time.AfterFunc(wait, func() { cancel(errStalled) })}
-}
-
-// progress notes that a piece of the answer has come.
-func (g *guard) progress() {
-	if g.timer != nil && g.pause > 0 {
-		g.timer.Reset(g.pause)
-	}
-}
-
-func (g *guard) stop() {
-	if g.timer != nil {
-		g.timer.Stop()
-	}
-}
-
-// explain tells why an attempt ended.
-func (g *guard) explain(ctx context.Context, err error) error {
-	if errors.Is(context.Cause(ctx), errStalled) && granitehoist.CodeOf(err) != granitehoist.UpstreamRefused {
-		return granitehoist.Wrap(granitehoist.UpstreamLost, err, "no progress")
+		Body:    asked.Body,
+		Matches: func(h http.Header) bool { return codec.Matches(asked, h) },
+		MaxIdle: idleLimit(a.decided.route),
 	}
-	return err
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -5,7 +5,6 @@
 
 import (
 	"context"
-	"math/rand/v2"
 	"sync/atomic"
 	"time"
 
@@ -18,57 +17,69 @@
 	"granitehoist.example/granitehoist/exchange"
 )
 
-// Funds pays for requests.
+// Funds pays for requests from the prepaid tokens of their workspaces. It is
+// safe for concurrent use.
 type Funds interface {
-	// Reserve sets tokens of a workspace aside, waiting until ctx ends.
+	// Reserve sets tokens of a workspace aside. It waits for them until ctx ends.
 	Reserve(ctx context.Context, w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority) escrow.Answer
-	// Settle ends a reservation with what was used.
+	// Settle ends a granted reservation of bound tokens, of which used were used.
+	// It is called once for each, with used from 0 up to bound.
 	Settle(w granitehoist.Workspace, bound, used granitehoist.Tokens)
 }
 
-// Settings configure a Path.
+// Settings configure a Path. Catalog, Funds, Table, Pool and Codec are needed.
 type Settings struct {
+	// Catalog holds the configuration in force.
 	Catalog *catalog.Current
 	Funds   Funds
-	Table   *balance.Table
-	Pool    *exchange.Pool
-	Codec   Codec
-	Retry   RetrySettings
-	// Routers returns the number of routers that share the retries.
+	// Table chooses instances.
+	Table *balance.Table
+	// Pool sends requests to them.
+	Pool  *exchange.Pool
+	Codec Codec
+	// Retry bounds the retries of the fleet. Its zero value allows each router
+	// one retry every 10 seconds for each service.
+	Retry RetrySettings
+	// Routers returns the number of routers that share the retries; nil stands
+	// for a single router.
 	Routers func() int
-	Clock   granitehoist.Clock
-	Log     *zap.Logger
-	// Ended, if set, is told of each request as it ends.
+	// Clock tells the present time; nil stands for time.Now.
+	Clock granitehoist.Clock
+	// Log receives a line for each attempt and each request; nil drops them.
+	Log *zap.Logger
+	// Ended, if set, receives a report of each request when it ends. It is called
+	// on the goroutine of the request.
 	Ended func(Report)
 }
 
 // Report is what became of a request, for metrics.
 type Report struct {
+	// Service and Workspace are empty if the request was refused before they
+	// were known, Workspace also on routes that need no key.
 	Service   granitehoist.Service
 	Workspace granitehoist.Workspace
-	Code      granitehoist.Code
-	Attempts  int
-	// Budget is what the request for tokens was told; Granted where there was
-	// none.
+	// Code is Served if the whole answer was passed on.
+	Code granitehoist.Code
+	// Attempts counts the sendings to upstreams, also those that did not run.
+	Attempts int
+	// Budget is the outcome of the reservation; Granted where there was none.
 	Budget escrow.Outcome
-	Took   time.Duration
-	// First is the time to the beginning of the answer, zero if there was none.
+	// Took is the time from the arrival of the request to its end.
+	Took time.Duration
+	// First is the time from the arrival to the head of the answer, zero if none
+	// was passed on.
 	First time.Duration
 }
 
 // Path serves requests. It is safe for concurrent use.
 type Path struct {
-	settings Settings
-	retries  *retries
-	active   atomic.Int64
-	stopped  atomic.Bool
+	settings     Settings
+	retryBudgets *retryBudgets
+	active       atomic.Int64
+	stopped      atomic.Bool
 }
 
-// defaultTimeout bounds a request for which neither caller nor route says how
-// long it may take.
-const defaultTimeout = 60 * time.Second
-
-// New returns a path. It panics if a part is missing.
+// New returns a path. It panics if a needed setting is missing.
 func New(s Settings) *Path {
 	if s.Catalog == nil || s.Funds == nil || s.Table == nil || s.Pool == nil || s.Codec == nil {
 		panic("forward: a setting is missing")
@@ -85,333 +96,29 @@
 	if s.Ended == nil {
 		s.Ended = func(Report) {}
 	}
-	if s.Retry.Window <= 0 {
-		s.Retry.Window = defaultRetryWindow
-	}
-	return &Path{settings: s, retries: newRetries(s.Retry, s.Routers)}
+	return &Path{settings: s, retryBudgets: newRetryBudgets(s.Retry, s.Routers)}
 }
 
-const defaultRetryWindow = 10 * time.Second
-
 // Active returns the number of requests in progress.
 func (p *Path) Active() int { return int(p.active.Load()) }
 
-// Stop makes the path refuse new requests. Those in progress go on.
+// Stop makes the path refuse new requests for good. Those in progress go on.
 func (p *Path) Stop() { p.stopped.Store(true) }
 
-// Serve serves a request. A nil error means that the answer was passed on whole
-// to the sink. Otherwise the error is a *granitehoist.Error, and started tells
-// whether a part of an answer was passed on, which then must not look complete.
-func (p *Path) Serve(ctx context.Context, r *Request, sink Sink) (started bool, err error) {
+// Serve serves a request until ctx, which stands for the caller's connection,
+// ends. A nil error means that the whole answer was passed to the sink.
+// Otherwise the error is a *granitehoist.Error, and started tells whether a part
+// of an answer was passed on, which then must not look complete. Serve uses the
+// sink only until it returns.
+func (p *Path) Serve(ctx context.Context, r *Request, sink granitehoist.Sink) (started bool, err error) {
 	p.active.Add(1)
 	defer p.active.Add(-1)
-	w := &work{path: p, request: r, sink: sink, tried: map[granitehoist.Upstream]bool{}}
-	err = w.run(ctx)
+	a := &activeRequest{path: p, sink: sink, asked: r}
+	a.progress = progress{tried: map[granitehoist.Upstream]bool{}, lastEventID: r.LastEventID}
+	err = a.run(ctx)
 	if err != nil && ctx.Err() != nil {
 		err = granitehoist.Wrap(granitehoist.CallerGone, err, "")
 	}
-	w.end(err)
-	return w.started, err
-}
-
-// work is one request on its way.
-type work struct {
-	path    *Path
-	request *Request
-	sink    Sink
-
-	route     *catalog.Route
-	workspace *catalog.Workspace
-	version   granitehoist.Version
-	keyed     bool
-	service   *catalog.Service
-	priority  granitehoist.Priority
-	deadline  time.Time
-
-	tried    map[granitehoist.Upstream]bool
-	attempts int
-	// runs counts the attempts that ran or may have run.
-	runs   int
-	events int64
-	// after is the id of the last event passed on.
-	after   int64
-	started bool
-	first   time.Time
-	// bound is what was reserved at the most, used what the request was charged.
-	bound, used granitehoist.Tokens
-	answer      escrow.Answer
-	paid        bool
-}
-
-func (w *work) run(ctx context.Context) error {
-	if err := w.identify(); err != nil {
-		return err
-	}
-	ctx, cancel := context.WithDeadline(ctx, w.deadline)
-	defer cancel()
-	if err := w.pay(ctx); err != nil {
-		return err
-	}
-	err := w.forward(ctx)
-	w.settle(err)
-	return err
-}
-
-// identify finds the route, the workspace and the deadline.
-func (w *work) identify() error {
-	snapshot := w.path.settings.Catalog.Get()
-	if snapshot == nil {
-		return later(granitehoist.NotReady, notReadyRetry)
-	}
-	w.version = snapshot.Version
-	w.keyed = snapshot.Keyed
-	w.route = snapshot.Match(w.request.Host, w.request.Path)
-	if w.route == nil {
-		return granitehoist.Errorf(granitehoist.NotFound, "")
-	}
-	if snapshot.Keyed && !w.route.Anonymous {
-		if w.request.Key == "" {
-			return granitehoist.Errorf(granitehoist.MissingKey, "")
-		}
-		if w.workspace = snapshot.ByKey(w.request.Key); w.workspace == nil {
-			return granitehoist.Errorf(granitehoist.WrongKey, "")
-		}
-	}
-	if w.path.stopped.Load() {
-		return later(granitehoist.Draining, drainingRetry)
-	}
-	w.service = snapshot.Service(w.route.Pick(rand.Float64()))
-	if w.service == nil {
-		return later(granitehoist.NoUpstream, notReadyRetry)
-	}
-	w.priority = w.route.Priority
-	if w.workspace != nil && w.workspace.HasPriority {
-		w.priority = w.workspace.Priority
-	}
-	w.after = w.request.LastEventID
-	w.deadline = w.request.Arrived.Add(w.patience())
-	return nil
-}
-
-// Times after which callers should come back.
-const (
-	notReadyRetry = 500 * time.Millisecond
-	drainingRetry = 50 * time.Millisecond
-	// scarceRetry is when neighbours will have returned what they don't need.
-	scarceRetry = 900 * time.Millisecond
-	// unreachableRetry is when a store that does not answer may be back: its
-	// outages last for some seconds.
-	unreachableRetry = 4500 * time.Millisecond
-	// exhaustedRetry is when a spent budget may have been topped up.
-	exhaustedRetry = 5 * time.Second
-	refusedRetry   = 300 * time.Millisecond
-)
-
-// later returns an error that tells when to come back.
-func later(code granitehoist.Code, after time.Duration) *granitehoist.Error {
-	e := granitehoist.Errorf(code, "")
-	e.RetryAfter = after
-	return e
-}
-
-// patience returns how long the request may take in all.
-func (w *work) patience() time.Duration {
-	patience := defaultTimeout
-	if w.route.Timeout > 0 {
-		patience = min(patience, w.route.Timeout)
-	}
-	if w.request.Timeout > 0 {
-		patience = min(patience, w.request.Timeout)
-	}
-	return patience
-}
-
-// payPart of the target is how long a request waits for tokens, so that a
-// refusal comes while the caller can still be served elsewhere.
-const (
-	payPart    = 0.18
-	payAtLeast = 30 * time.Millisecond
-)
-
-// pay reserves the most that the request can cost.
-func (w *work) pay(ctx context.Context) error {
-	if w.workspace == nil || !w.workspace.Limited || w.request.Cost == nil {
-		return nil
-	}
-	w.bound = w.request.Cost.Bound()
-	if w.bound > w.workspace.Prepaid {
-		return granitehoist.Errorf(granitehoist.BudgetExhausted, "")
-	}
-	wait := max(payAtLeast, time.Duration(payPart*float64(w.route.Target)))
-	ctx, cancel := context.WithTimeout(ctx, wait)
-	defer cancel()
-	w.answer = w.path.settings.Funds.Reserve(ctx, w.workspace.Name, w.bound, w.priority)
-	switch w.answer.Outcome {
-	case escrow.Exhausted:
-		return later(granitehoist.BudgetExhausted, w.within(exhaustedRetry))
-	case escrow.Scarce:
-		return later(granitehoist.BudgetUnreachable, w.within(scarceRetry))
-	case escrow.Withheld:
-		return later(granitehoist.BudgetUnreachable, w.within(exhaustedRetry))
-	case escrow.Unreachable:
-		return later(granitehoist.BudgetUnreachable, w.within(unreachableRetry))
-	case escrow.Granted:
-	}
-	w.paid = true
-	return nil
-}
-
-// comeBackPart of its patience is the latest that a caller can use to come
-// back and still be served.
-const comeBackPart = 0.3
-
-// within shortens a time to come back so that the caller can still be served
-// then.
-func (w *work) within(after time.Duration) time.Duration {
-	left := time.Duration(comeBackPart * float64(w.deadline.Sub(w.path.settings.Clock())))
-	return max(drainingRetry, min(after, left))
-}
-
-// settle ends the reservation with what the caller can have got. What the
-// prompt cost is charged once, unless nothing can have run.
-func (w *work) settle(err error) {
-	if !w.paid {
-		return
-	}
-	if w.runs > 0 {
-		events := w.events
-		if err != nil {
-			// The next event may have been on its way.
-			events++
-		}
-		output := w.request.Cost.Output
-		if per := w.service.TokensPerEvent; per > 0 {
-			output = min(output, granitehoist.Tokens(events)*per)
-		}
-		w.used = w.request.Cost.Prompt + output
-	}
-	w.path.settings.Funds.Settle(w.workspace.Name, w.bound, w.used)
-}
-
-// forward makes attempts until one ends the request.
-func (w *work) forward(ctx context.Context) error {
-	now := w.path.settings.Clock()
-	w.path.retries.request(w.service.Name, now)
-	var doubt, last error
-	for {
-		lease, err := w.path.settings.Table.Pick(w.want(), w.path.settings.Clock())
-		if err != nil && last != nil {
-			return truthful(doubt, last)
-		}
-		if err != nil {
-			return err
-		}
-		w.tried[lease.ID] = true
-		w.attempts++
-		sent := w.path.settings.Clock()
-		ended := w.attempt(ctx, lease)
-		ended.result = resultOf(ctx, ended)
-		lease.Done(ended.result, w.path.settings.Clock())
-		w.logAttempt(lease, ended, w.path.settings.Clock().Sub(sent))
-		if ended.err == nil {
-			return nil
-		}
-		if fateOf(ended.err) != granitehoist.NotRun {
-			doubt = ended.err
-			w.runs++
-		}
-		last = ended.err
-		if !w.again(ctx, ended) {
-			return truthful(doubt, ended.err)
-		}
-	}
-}
-
-func (w *work) want() balance.Query {
-	want := balance.Query{Service: w.service.Name, Tried: w.tried}
-	if w.request.Cost == nil {
-		return want
-	}
-	want.PromptTokens = w.request.Cost.Prompt
-	if w.route.Affinity {
-		want.PrefixHash = balance.PrefixHash(w.request.PrefixParts)
-		want.PrefixTokens = min(w.request.PrefixTokens, want.PromptTokens)
-	}
-	return want
-}
-
-// truthful returns what the caller is told of the last error: after an attempt
-// that may have run, a later one that did not run changes nothing.
-func truthful(doubt, last error) error {
-	if doubt != nil && fateOf(last) == granitehoist.NotRun {
-		return doubt
-	}
-	return last
-}
-
-func fateOf(err error) granitehoist.Fate { return granitehoist.CodeOf(err).Info().Fate }
-
-// leastLeft is the time below which another attempt is not worth making.
-const leastLeft = 20 * time.Millisecond
-
-// maxSends bounds the sendings of one request, refused ones included.
-const maxSends = 4
-
-// again reports whether another attempt may be made. One that may have run is
-// followed by another only if the request may run more than once and its route
-// allows one more upstream.
-func (w *work) again(ctx context.Context, e ending) bool {
-	if ctx.Err() != nil || e.final || w.attempts >= maxSends {
-		return false
-	}
-	now := w.path.settings.Clock()
-	if w.deadline.Sub(now) < leastLeft {
-		return false
-	}
-	if fateOf(e.err) != granitehoist.NotRun {
-		if !w.route.Repeatable() || w.runs >= max(1, w.route.MaxAttempts) {
-			return false
-		}
-		if w.started && !w.route.Resume {
-			return false
-		}
-	}
-	if e.unsent {
-		return true
-	}
-	return w.path.retries.take(w.service.Name, now)
-}
-
-// resultOf tells what an attempt says of its instance.
-func resultOf(ctx context.Context, e ending) balance.Result {
-	switch {
-	case e.moved:
-		return balance.Moved
-	case e.failed:
-		return balance.Failed
-	case e.err == nil:
-		return balance.Good
-	case ctx.Err() != nil, granitehoist.CodeOf(e.err) == granitehoist.CallerGone:
-		return balance.Unclear
-	case e.refused:
-		return balance.Refused
-	}
-	return balance.Broken
-}
-
-// end logs and reports a request.
-func (w *work) end(err error) {
-	now := w.path.settings.Clock()
-	report := Report{Code: granitehoist.CodeOf(err), Attempts: w.attempts, Budget: w.answer.Outcome, Took: now.Sub(w.request.Arrived)}
-	if w.service != nil {
-		report.Service = w.service.Name
-	}
-	if w.workspace != nil {
-		report.Workspace = w.workspace.Name
-	}
-	if !w.first.IsZero() {
-		report.First = w.first.Sub(w.request.Arrived)
-	}
-	w.path.settings.Ended(report)
-	w.logEnd(report, err)
+	a.end(err)
+	return a.progress.started, err
 }
--- a/forward/log.go
+++ b/forward/log.go
@@ -14,59 +14,75 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-func (w *work) logEnd(report Report, err error) {
+// logEnd logs the end of a request.
+func (a *activeRequest) logEnd(report Report, err error) {
 	fields := []zap.Field{
-		zap.String("request", string(w.request.ID)),
+		zap.String("request", string(a.asked.ID)),
 		zap.Int("code", int(report.Code)),
-		zap.String("fate", string(w.fate(err))),
+		zap.String("fate", string(requestFate(err, a.progress.runs))),
 		zap.String("service", string(report.Service)),
 		zap.String("workspace", string(report.Workspace)),
-		zap.Int("attempts", w.attempts),
-		zap.Int64("events", w.events),
-		zap.Uint64("config", uint64(w.version)),
+		zap.Int("attempts", a.progress.attempts),
+		zap.Int64("events", a.progress.events),
+		zap.Uint64("config", uint64(a.decided.version)),
 		zap.Duration("first", report.First),
 		zap.Duration("took", report.Took),
 	}
-	if w.route != nil {
-		fields = append(fields, zap.String("route", string(w.route.Name)))
+	if a.decided.route != nil {
+		fields = append(fields, zap.String("route", string(a.decided.route.Name)))
 	}
-	if w.bound > 0 {
-		fields = append(fields, zap.Int64("bound", int64(w.bound)), zap.Int64("used", int64(w.used)), zap.String("budget", w.answer.Outcome.String()),
-			zap.Int64("free", int64(w.answer.Free)), zap.Int64("rest", int64(w.answer.StoreRemaining)),
-			zap.Duration("rest_age", w.answer.Age), zap.Duration("silent", w.answer.Silent))
+	if a.decided.reserve > 0 {
+		fields = append(fields, a.budgetFields()...)
 	}
 	var e *granitehoist.Error
 	if errors.As(err, &e) {
 		fields = append(fields, zap.String("detail", e.Error()))
 	}
-	w.path.settings.Log.Info(event.Request, fields...)
+	a.path.settings.Log.Info(event.Request, fields...)
 }
 
-// fate returns what is known of the execution of the whole request.
-func (w *work) fate(err error) granitehoist.Fate {
+// budgetFields returns what was reserved and charged, and what this box knew of
+// the budget when it was asked.
+func (a *activeRequest) budgetFields() []zap.Field {
+	budget := a.progress.budget
+	return []zap.Field{
+		zap.Int64("bound", int64(a.decided.reserve)),
+		zap.Int64("used", int64(a.progress.charged)),
+		zap.String("budget", budget.Outcome.String()),
+		zap.Int64("free", int64(budget.Free)),
+		zap.Int64("rest", int64(budget.StoreRemaining)),
+		zap.Duration("rest_age", budget.Age),
+		zap.Duration("silent", budget.Silent),
+	}
+}
+
+// requestFate returns what is known of the execution of a whole request that
+// ended with err, of whose attempts so many ran or may have run.
+func requestFate(err error, runs int) granitehoist.Fate {
 	switch {
 	case err == nil:
 		return granitehoist.Ran
-	case w.runs == 0:
+	case runs == 0:
 		return granitehoist.NotRun
 	}
 	return granitehoist.MayHaveRun
 }
 
-func (w *work) logAttempt(l *balance.Lease, e ending, took time.Duration) {
+// logAttempt logs an attempt, which took from its choice to its end.
+func (a *activeRequest) logAttempt(l *balance.Lease, result *attemptResult, took time.Duration) {
 	fields := []zap.Field{
-		zap.String("request", string(w.request.ID)),
-		zap.Int("attempt", w.attempts),
+		zap.String("request", string(a.asked.ID)),
+		zap.Int("attempt", a.progress.attempts),
 		zap.String("upstream", string(l.ID)),
 		zap.Uint64("entry", uint64(l.Version)),
 		zap.Bool("home", l.Owner),
 		zap.Int("load", l.Load),
-		zap.Int("status", e.status),
-		zap.Int64("after", w.after),
+		zap.Int("status", result.status),
+		zap.Int64("after", a.progress.lastEventID),
 		zap.Duration("took", took),
 	}
-	if e.err != nil {
-		fields = append(fields, zap.Error(e.err))
+	if result.err != nil {
+		fields = append(fields, zap.Error(result.err))
 	}
-	w.path.settings.Log.Info(event.Attempt, fields...)
+	a.path.settings.Log.Info(event.Attempt, fields...)
 }
--- a/partner/gate/gate.go
+++ b/partner/gate/gate.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/retrybudget"
 )
 
 // Gate serves the callers. It implements http.Handler and is safe for
@@ -20,7 +21,7 @@
 	attempts atomic.Uint64
 	unready  atomic.Bool
 	draining atomic.Bool
-	retries  retryBudget
+	retries  *retrybudget.Budget
 	targets  targetCache
 	// background counts the requests that are answered but whose cost is still
 	// being asked for.
@@ -33,7 +34,7 @@
 		panic("gate: a setting is missing")
 	}
 	s.Limits.setDefaults()
-	g := &Gate{settings: s, mux: http.NewServeMux(), retries: retryBudget{allowed: retryMost / 2}}
+	g := &Gate{settings: s, mux: http.NewServeMux(), retries: newRetryBudget()}
 	g.mux.HandleFunc("POST "+pathChat, g.serveCompletion)
 	g.mux.HandleFunc("POST "+pathCompletions, g.serveCompletion)
 	g.mux.HandleFunc("GET "+pathModels, g.serveModels)
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -98,7 +98,7 @@
 		Priority: req.decided.priority,
 		Tried:    map[granitehoist.Upstream]bool{},
 	}
-	g.retries.request()
+	g.retries.Earn(g.settings.Clock())
 	var binding *once.Binding
 	var uncertain error
 	for attempt := 1; ; attempt++ {
@@ -166,7 +166,7 @@
 		answerStarted: req.sink.started,
 		ended:         ctx.Err() != nil,
 	})
-	if verdict != retryAllowed || !g.retries.retry() {
+	if verdict != retryAllowed || !g.retries.Take(g.settings.Clock()) {
 		return false
 	}
 	return s.reserve(ctx) == nil
