--- a/escrow/contact.go
+++ b/escrow/contact.go
@@ -9,25 +9,25 @@
 	// expectedOutage is how long tokens are kept for urgent requests while the
 	// store is silent.
 	expectedOutage = 10 * time.Second
-	// outageLeast is the shortest silence that counts as an outage.
-	outageLeast = 4 * time.Second
+	// minOutage is the shortest silence that counts as an outage.
+	minOutage = 4 * time.Second
 	// exposedAfterOutage is the part of a prepaid total that all routers may
 	// hold together right after an outage. It stays so for exposedLow and grows
 	// to sharePart until exposedGrown.
 	exposedAfterOutage = 0.008
-	exposedLow         = 4 * time.Second
-	exposedGrown       = 9 * time.Second
+	exposureLowTime    = 4 * time.Second
+	exposureGrownTime  = 9 * time.Second
 )
 
 // contact is what a router knows of its contact with the store. The zero value
 // stands for a store that has not been called.
 type contact struct {
-	// reached is when the store last answered this router or a lender that is
+	// lastAnswer is when the store last answered this router or a lender that is
 	// in touch with it, and silentSince when a call first failed since.
-	reached     time.Time
+	lastAnswer  time.Time
 	silentSince time.Time
-	// synced is when the store last answered this router itself.
-	synced time.Time
+	// lastSync is when the store last answered this router itself.
+	lastSync time.Time
 	// cutSince is when a call first failed since the store answered this router
 	// itself, or a relay that speaks with the store for it.
 	cutSince time.Time
@@ -35,25 +35,25 @@
 	outageEnded time.Time
 }
 
-// heard notes that the store answered this router.
-func (c *contact) heard(now time.Time) {
-	c.synced = now
-	c.joined(now)
+// answeredDirectly notes that the store answered this router.
+func (c *contact) answeredDirectly(now time.Time) {
+	c.lastSync = now
+	c.answeredThroughRelay(now)
 }
 
-// joined notes that the store answered this router, or a relay that speaks with
+// answeredThroughRelay notes that the store answered this router, or a relay that speaks with
 // it for this router.
-func (c *contact) joined(now time.Time) {
-	if c.cut(now) >= outageLeast {
+func (c *contact) answeredThroughRelay(now time.Time) {
+	if c.cut(now) >= minOutage {
 		c.outageEnded = now
 	}
 	c.cutSince = time.Time{}
-	c.answered(now)
+	c.answeredAnyone(now)
 }
 
-// answered notes that the store answered this router or a lender.
-func (c *contact) answered(now time.Time) {
-	c.reached = now
+// answeredAnyone notes that the store answered this router or a lender.
+func (c *contact) answeredAnyone(now time.Time) {
+	c.lastAnswer = now
 	c.silentSince = time.Time{}
 }
 
@@ -76,10 +76,10 @@
 	return now.Sub(c.cutSince)
 }
 
-// hearCut takes in for how long the store has not answered a neighbour. While
+// noteNeighbourSilence takes in for how long the store has not answered a neighbour. While
 // it answers this router, an outage there holds as one here.
-func (c *contact) hearCut(cut time.Duration, now time.Time) {
-	if c.cutSince.IsZero() && cut >= outageLeast {
+func (c *contact) noteNeighbourSilence(cut time.Duration, now time.Time) {
+	if c.cutSince.IsZero() && cut >= minOutage {
 		c.outageEnded = now
 	}
 }
@@ -101,49 +101,49 @@
 	return max(0, 1-c.silence(now).Seconds()/expectedOutage.Seconds())
 }
 
-// exposed returns the part of a prepaid total that all routers may hold
+// exposedPart returns the part of a prepaid total that all routers may hold
 // together. What is held protects against the next outage and is lost if the
 // routers die. Right after an outage the next one is far, so the holdings grow
 // back slowly.
-func (c *contact) exposed(now time.Time) float64 {
+func (c *contact) exposedPart(now time.Time) float64 {
 	if c.outageEnded.IsZero() {
 		return 1
 	}
 	since := now.Sub(c.outageEnded)
-	if since >= exposedGrown {
+	if since >= exposureGrownTime {
 		return 1
 	}
-	grown := max(0, (since-exposedLow).Seconds()/(exposedGrown-exposedLow).Seconds())
+	grown := max(0, (since-exposureLowTime).Seconds()/(exposureGrownTime-exposureLowTime).Seconds())
 	return exposedAfterOutage + (sharePart-exposedAfterOutage)*grown
 }
 
-// heard notes that the store has answered.
-func (l *Ledger) heard(now time.Time) {
+// noteStoreAnswer notes that the store has answered.
+func (l *Ledger) noteStoreAnswer(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.contact.heard(now)
+	l.contact.answeredDirectly(now)
 }
 
-// isSilent reports whether the store has not answered the last call.
-func (l *Ledger) isSilent() bool {
+// isStoreSilent reports whether the store has not answered the last call.
+func (l *Ledger) isStoreSilent() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return !l.contact.silentSince.IsZero()
 }
 
-// silent notes that the store has not answered.
-func (l *Ledger) silent(now time.Time) {
+// noteStoreFailure notes that the store has not answered.
+func (l *Ledger) noteStoreFailure(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.contact.failed(now)
 }
 
-// relayed notes that a relay that is in touch with the store spoke for this
+// noteRelayAnswer notes that a relay that is in touch with the store spoke for this
 // router.
-func (l *Ledger) relayed(now time.Time) {
+func (l *Ledger) noteRelayAnswer(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.contact.joined(now)
+	l.contact.answeredThroughRelay(now)
 }
 
 // StoreSilence returns for how long the store has not answered this router itself, nor
@@ -158,5 +158,5 @@
 func (l *Ledger) NoteNeighbourSilence(cut time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.contact.hearCut(cut, now)
+	l.contact.noteNeighbourSilence(cut, now)
 }
--- a/escrow/export_test.go
+++ b/escrow/export_test.go
@@ -13,14 +13,14 @@
 // Enter enters a request that waits, as Syncer.Reserve does, and returns where
 // its outcome arrives.
 func (l *Ledger) Enter(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) <-chan Outcome {
-	return l.wait(w, demand{bound: bound, priority: priority}, now).ended
+	return l.wait(w, claim{bound: bound, priority: priority}, now).outcome
 }
 
 // Replenish and GiveBack do one step of a syncer that does not write the record.
 func Replenish(s *Syncer) { s.replenish(context.Background()) }
 
 // GiveBack gives back what the syncer's ledger holds beyond its needs.
-func GiveBack(s *Syncer) { s.giveBack(context.Background()) }
+func GiveBack(s *Syncer) { s.returnSurplus(context.Background()) }
 
 // Repay takes tokens off a ledger's own and returns what the receiver is told.
 func Repay(l *Ledger, to granitehoist.Incarnation, w granitehoist.Workspace, tokens granitehoist.Tokens) RepayParams {
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -43,23 +43,23 @@
 	// joinBelow is the part under which a holding is filled when the record is
 	// written anyway.
 	joinBelow = 0.9
-	// returnLeast is the part of the budget below which it is not worth a write to
+	// minReturnPart is the part of the budget below which it is not worth a write to
 	// give tokens back.
-	returnLeast = 0.005
-	// returnLeastAtEnd stands for it when the store has less than endBelow of the
+	minReturnPart = 0.005
+	// minReturnPartAtEnd stands for it when the store has less than endBelow of the
 	// budget left: what each router keeps is then a good part of what there is.
-	returnLeastAtEnd = 0.0002
-	endBelow         = 0.02
-	// returnAbove is the multiple of the holding above which tokens are given
+	minReturnPartAtEnd = 0.0002
+	endPart            = 0.02
+	// returnAboveTarget is the multiple of the holding above which tokens are given
 	// back.
-	returnAbove = 2.0
-	// returnExposed stands for returnAbove while holdings are kept low after an
+	returnAboveTarget = 2.0
+	// returnAboveTargetAfterOutage stands for returnAbove while holdings are kept low after an
 	// outage.
-	returnExposed = 1.2
+	returnAboveTargetAfterOutage = 1.2
 )
 
-// restFresh is how long the last known rest of a budget is taken for true.
-const restFresh = 800 * time.Millisecond
+// remainingFresh is how long the last known rest of a budget is taken for true.
+const remainingFresh = 800 * time.Millisecond
 
 type account struct {
 	granted  granitehoist.Tokens
@@ -74,35 +74,35 @@
 	// frozen says that the limit was reduced and the free tokens may no longer
 	// be covered.
 	frozen bool
-	// rest is what the store had left, idle what others had, as read at restAt.
+	// remaining is what the store had left, idle what others had, as read at restAt.
 	// lentIdle is what borrowers had then.
-	rest     granitehoist.Tokens
-	idle     granitehoist.Tokens
-	lentIdle granitehoist.Tokens
-	restAt   time.Time
-	known    bool
-	// told says that a lender has told toldLeft, what was left in the store and
+	remaining       granitehoist.Tokens
+	idleElsewhere   granitehoist.Tokens
+	idleAtBorrowers granitehoist.Tokens
+	readAt          time.Time
+	readValid       bool
+	// reported says that a lender has told toldLeft, what was left in the store and
 	// idle elsewhere, at toldAt, and toldRest, the part of it in the store.
-	told               bool
-	toldAt             time.Time
-	toldLeft, toldRest granitehoist.Tokens
+	reported                        bool
+	reportedAt                      time.Time
+	reportedLeft, reportedRemaining granitehoist.Tokens
 
-	// holding is the target at the last sync, and urgent the highest priority
+	// lastTarget is the target at the last sync, and urgent the highest priority
 	// of a request so far.
-	holding granitehoist.Tokens
-	urgent  granitehoist.Priority
+	lastTarget      granitehoist.Tokens
+	highestPriority granitehoist.Priority
 
 	rate rate
 	// rateElsewhere is what the record says that others spend, fleetRate what a
 	// lender tells of all, in tokens a second, and demands what borrowers tell of
 	// themselves.
 	rateElsewhere float64
-	demands       map[granitehoist.Incarnation]toldDemand
+	borrowers     map[granitehoist.Incarnation]borrowerReport
 	fleetRate     float64
 
-	largest granitehoist.Tokens
-	// mean is that of the requests' bounds.
-	mean float64
+	largestBound granitehoist.Tokens
+	// meanBound is that of the requests' bounds.
+	meanBound float64
 	// routers is the number of routers that share the budget, and ration what
 	// this one may spend of the last of it.
 	routers int
@@ -111,9 +111,9 @@
 	changed bool
 }
 
-// toldDemand is what a borrower told at a time: its rate in tokens a second, and
+// borrowerReport is what a borrower told at a time: its rate in tokens a second, and
 // what it owned beside its requests.
-type toldDemand struct {
+type borrowerReport struct {
 	perSecond float64
 	idle      granitehoist.Tokens
 	at        time.Time
@@ -141,8 +141,8 @@
 
 // waiter is a request that waits for tokens.
 type waiter struct {
-	demand
-	ended chan Outcome
+	claim
+	outcome chan Outcome
 }
 
 // Outcome tells how a reservation ended.
@@ -209,7 +209,7 @@
 		a.frozen = true
 	}
 	if limit != a.limit {
-		a.known = false
+		a.readValid = false
 		a.changed = true
 	}
 	a.limit = limit
@@ -217,17 +217,17 @@
 
 // wait enters a request that waits for tokens. If the budget is known to have
 // too few it ends at once.
-func (l *Ledger) wait(w granitehoist.Workspace, d demand, now time.Time) *waiter {
+func (l *Ledger) wait(w granitehoist.Workspace, d claim, now time.Time) *waiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	added := &waiter{demand: d, ended: make(chan Outcome, 1)}
+	added := &waiter{claim: d, outcome: make(chan Outcome, 1)}
 	if l.take(a, d, now) {
-		added.ended <- Granted
+		added.outcome <- Granted
 		return added
 	}
-	if a.fresh(now) && a.hopeless(d, now) {
-		added.ended <- a.refusal(d, now)
+	if a.fresh(now) && a.unservable(d, now) {
+		added.outcome <- a.refusal(d, now)
 		return added
 	}
 	a.waiters = append(a.waiters, added)
@@ -236,24 +236,24 @@
 
 // fresh reports whether what is believed to be left is so of late.
 func (a *account) fresh(now time.Time) bool {
-	return now.Sub(a.restAt) < restFresh || now.Sub(a.toldAt) < restFresh
+	return now.Sub(a.readAt) < remainingFresh || now.Sub(a.reportedAt) < remainingFresh
 }
 
-// hopeless reports whether waiting can't help a demand. A router that does not
+// unservable reports whether waiting can't help a demand. A router that does not
 // read the record asks its neighbours for what they have idle.
-func (a *account) hopeless(d demand, now time.Time) bool {
+func (a *account) unservable(d claim, now time.Time) bool {
 	if a.tapered(d, now) {
 		return true
 	}
-	if left, known := a.believedLeft(); a.secondhand() {
+	if left, known := a.leftAnywhere(); a.lenderIsNewer() {
 		return known && d.bound > left
 	}
-	return a.known && d.bound > a.rest+max(0, a.owned())
+	return a.readValid && d.bound > a.remaining+max(0, a.owned())
 }
 
 // refusal tells why a demand can't be met.
-func (a *account) refusal(d demand, now time.Time) Outcome {
-	left, known := a.believedLeft()
+func (a *account) refusal(d claim, now time.Time) Outcome {
+	left, known := a.leftAnywhere()
 	switch {
 	case known && d.bound > left:
 		return Exhausted
@@ -264,22 +264,22 @@
 }
 
 // abandon ends a wait that nothing answered in time.
-func (l *Ledger) abandon(w granitehoist.Workspace, gone *waiter, now time.Time) Outcome {
+func (l *Ledger) abandon(w granitehoist.Workspace, abandoned *waiter, now time.Time) Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
-	case outcome := <-gone.ended:
+	case outcome := <-abandoned.outcome:
 		return outcome
 	default:
 	}
 	a := l.account(w)
 	for i, other := range a.waiters {
-		if other == gone {
+		if other == abandoned {
 			a.waiters = append(a.waiters[:i], a.waiters[i+1:]...)
 			break
 		}
 	}
-	if now.Sub(l.contact.reached) > unreachableAfter {
+	if now.Sub(l.contact.lastAnswer) > unreachableAfter {
 		return Unreachable
 	}
 	return Scarce
@@ -307,30 +307,30 @@
 
 // wake reserves for the waiters that fit, the earlier ones first.
 func (l *Ledger) wake(a *account, now time.Time) {
-	kept := a.waiters[:0]
+	waiting := a.waiters[:0]
 	for _, w := range a.waiters {
-		if !a.tapered(w.demand, now) && l.take(a, w.demand, now) {
-			w.ended <- Granted
+		if !a.tapered(w.claim, now) && l.take(a, w.claim, now) {
+			w.outcome <- Granted
 			continue
 		}
-		kept = append(kept, w)
+		waiting = append(waiting, w)
 	}
-	clear(a.waiters[len(kept):])
-	a.waiters = kept
+	clear(a.waiters[len(waiting):])
+	a.waiters = waiting
 }
 
 // refuse ends the waits that what is left can't serve.
 func (l *Ledger) refuse(a *account, now time.Time) {
-	kept := a.waiters[:0]
+	waiting := a.waiters[:0]
 	for _, w := range a.waiters {
-		if a.hopeless(w.demand, now) {
-			w.ended <- a.refusal(w.demand, now)
+		if a.unservable(w.claim, now) {
+			w.outcome <- a.refusal(w.claim, now)
 			continue
 		}
-		kept = append(kept, w)
+		waiting = append(waiting, w)
 	}
-	clear(a.waiters[len(kept):])
-	a.waiters = kept
+	clear(a.waiters[len(waiting):])
+	a.waiters = waiting
 	l.wake(a, now)
 }
 
@@ -353,9 +353,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	answer := Answer{Outcome: o, Free: a.free(), StoreRemaining: a.rest}
-	if !a.restAt.IsZero() {
-		answer.Age = now.Sub(a.restAt)
+	answer := Answer{Outcome: o, Free: a.free(), StoreRemaining: a.remaining}
+	if !a.readAt.IsZero() {
+		answer.Age = now.Sub(a.readAt)
 	}
 	answer.Silent = l.contact.silence(now)
 	return answer
@@ -368,8 +368,8 @@
 	Free granitehoist.Tokens
 	// StoreRemaining is what the store was last known to have left.
 	StoreRemaining granitehoist.Tokens
-	// RestAt is when Rest was read.
-	RestAt  time.Time
+	// ReadAt is when Rest was read.
+	ReadAt  time.Time
 	Waiting int
 }
 
@@ -380,7 +380,7 @@
 	a := l.account(w)
 	return State{
 		Granted: a.granted, Returned: a.returned, Spent: a.spent, Reserved: a.reserved,
-		Free: a.free(), StoreRemaining: a.rest, RestAt: a.restAt, Waiting: len(a.waiters),
+		Free: a.free(), StoreRemaining: a.remaining, ReadAt: a.readAt, Waiting: len(a.waiters),
 	}
 }
 
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -36,10 +36,10 @@
 	// InTouch says that the store answered the lender a short while ago.
 	// The others then tell what it knows: what is left in the store, what is
 	// left there and idle anywhere, and what the fleet spends a second.
-	InTouch bool                `json:"in_touch,omitempty"`
-	Rest    granitehoist.Tokens `json:"rest,omitempty"`
-	Left    granitehoist.Tokens `json:"left,omitempty"`
-	Rate    granitehoist.Tokens `json:"rate,omitempty"`
+	InTouch        bool                `json:"in_touch,omitempty"`
+	StoreRemaining granitehoist.Tokens `json:"rest,omitempty"`
+	LeftAnywhere   granitehoist.Tokens `json:"left,omitempty"`
+	FleetRate      granitehoist.Tokens `json:"rate,omitempty"`
 }
 
 // lendPart of its free tokens is what a lender parts with if that is less than
@@ -51,14 +51,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(p.Workspace)
-	a.hearDemand(p, now)
+	a.noteBorrower(p, now)
 	free := a.free()
 	if !l.closing && p.Need > 0 && free > 0 && len(a.waiters) == 0 {
 		give := min(p.Want, granitehoist.Tokens(lendPart*float64(free)))
 		if free >= p.Need {
 			give = max(p.Need, give)
 		}
-		a.give(p.Borrower, max(0, give))
+		a.lend(p.Borrower, max(0, give))
 	}
 	return l.lendResult(a, p.Borrower, now)
 }
@@ -66,20 +66,20 @@
 // lendResult tells a borrower of its loans and of what is known here.
 func (l *Ledger) lendResult(a *account, borrower granitehoist.Incarnation, now time.Time) LendResult {
 	result := LendResult{Total: a.lent[borrower]}
-	if !a.known || !l.contact.silentSince.IsZero() || now.Sub(l.contact.synced) > inTouchTime {
+	if !a.readValid || !l.contact.silentSince.IsZero() || now.Sub(l.contact.lastSync) > inTouchTime {
 		return result
 	}
 	result.InTouch = true
-	result.Rest = max(0, a.rest)
-	result.Left = result.Rest + max(0, a.owned()) + a.idle + a.borrowersIdle(borrower, now)
-	result.Rate = granitehoist.Tokens(a.rate.value(now) + a.borrowersDemand(now))
+	result.StoreRemaining = max(0, a.remaining)
+	result.LeftAnywhere = result.StoreRemaining + max(0, a.owned()) + a.idleElsewhere + a.borrowersIdle(borrower, now)
+	result.FleetRate = granitehoist.Tokens(a.rate.value(now) + a.borrowersDemand(now))
 	return result
 }
 
 // inTouchTime is how long after an answer of the store a lender is in touch.
-const inTouchTime = syncLeast + time.Second
+const inTouchTime = maxRecordAge + time.Second
 
-func (a *account) give(to granitehoist.Incarnation, tokens granitehoist.Tokens) {
+func (a *account) lend(to granitehoist.Incarnation, tokens granitehoist.Tokens) {
 	if a.lent == nil {
 		a.lent = map[granitehoist.Incarnation]granitehoist.Tokens{}
 	}
@@ -91,9 +91,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(p.Workspace)
-	a.hearDemand(p, now)
+	a.noteBorrower(p, now)
 	a.reserved -= bound
-	a.give(p.Borrower, bound)
+	a.lend(p.Borrower, bound)
 	return l.lendResult(a, p.Borrower, now)
 }
 
@@ -103,9 +103,9 @@
 	defer l.mu.Unlock()
 	a := l.account(w)
 	if r.InTouch {
-		l.contact.answered(now)
-		a.told, a.toldAt = true, now
-		a.toldRest, a.toldLeft, a.fleetRate = r.Rest, r.Left, float64(r.Rate)
+		l.contact.answeredAnyone(now)
+		a.reported, a.reportedAt = true, now
+		a.reportedRemaining, a.reportedLeft, a.fleetRate = r.StoreRemaining, r.LeftAnywhere, float64(r.FleetRate)
 	}
 	brought := r.Total > a.borrowed[lender]
 	if brought {
@@ -131,16 +131,16 @@
 	waiting   bool
 }
 
-// patience is how long a neighbour may take to help.
-func (s shortage) patience() time.Duration {
+// timeout is how long a neighbour may take to help.
+func (s shortage) timeout() time.Duration {
 	if s.waiting {
 		return lendTimeout
 	}
 	return replenishTimeout
 }
 
-// shortages returns the workspaces for which requests wait.
-func (l *Ledger) shortages(now time.Time) []shortage {
+// waitersLacks returns the workspaces for which requests wait.
+func (l *Ledger) waitersLacks(now time.Time) []shortage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var short []shortage
@@ -159,7 +159,7 @@
 		free := max(0, a.owned())
 		need := max(1, first-free)
 		want := sum - free
-		if l.contact.exposed(now) >= 1 {
+		if l.contact.exposedPart(now) >= 1 {
 			want += granitehoist.Tokens(a.rate.value(now) * loanCover.Seconds())
 		}
 		short = append(short, shortage{workspace: w, waiting: true, need: need, want: max(need, want), rate: granitehoist.Tokens(a.rate.value(now)), idle: free})
@@ -174,8 +174,8 @@
 	// borrowAfter is how long a sync may take before neighbours are asked.
 	borrowAfter = 20 * time.Millisecond
 	lendTimeout = 120 * time.Millisecond
-	// lendersAtMost bounds the neighbours that are asked for one shortage.
-	lendersAtMost = 12
+	// maxLenders bounds the neighbours that are asked for one shortage.
+	maxLenders = 12
 )
 
 // borrow asks neighbours, one after the other, until no request waits.
@@ -184,8 +184,8 @@
 		return
 	}
 	for i, lender := range s.lenders() {
-		short := s.settings.Ledger.shortages(s.settings.Clock())
-		if len(short) == 0 || i >= lendersAtMost || ctx.Err() != nil {
+		short := s.settings.Ledger.waitersLacks(s.settings.Clock())
+		if len(short) == 0 || i >= maxLenders || ctx.Err() != nil {
 			return
 		}
 		for _, missing := range short {
@@ -229,7 +229,7 @@
 // borrowFrom asks one neighbour for one loan, and reports whether it is in touch
 // with the store.
 func (s *Syncer) borrowFrom(ctx context.Context, lender granitehoist.Peer, missing shortage) bool {
-	ctx, cancel := context.WithTimeout(ctx, missing.patience())
+	ctx, cancel := context.WithTimeout(ctx, missing.timeout())
 	defer cancel()
 	params := LendParams{Borrower: s.settings.Ledger.settings.Incarnation, Workspace: missing.workspace, Need: missing.need, Want: missing.want, Rate: missing.rate, Idle: missing.idle}
 	var result LendResult
@@ -238,7 +238,7 @@
 		return false
 	}
 	if result.InTouch && !s.settings.Writes() {
-		s.settings.Ledger.relayed(s.settings.Clock())
+		s.settings.Ledger.noteRelayAnswer(s.settings.Clock())
 	}
 	if s.settings.Ledger.Borrowed(missing.workspace, lender.Incarnation, result, s.settings.Clock()) {
 		s.settings.Log.Info(event.BudgetLoan, zap.String("workspace", string(missing.workspace)), zap.String("lender", string(lender.Incarnation)), zap.Int64("total", int64(result.Total)))
@@ -255,7 +255,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayWait)
 	defer cancel()
-	if s.reserve(ctx, p.Workspace, demand{bound: p.Want, priority: granitehoist.MaxPriority, loan: true}) != Granted {
+	if s.reserve(ctx, p.Workspace, claim{bound: p.Want, priority: granitehoist.MaxPriority, loan: true}) != Granted {
 		return s.settings.Ledger.Lend(p, s.settings.Clock()), nil
 	}
 	return s.settings.Ledger.lendReserved(p, p.Want, s.settings.Clock()), nil
--- a/escrow/rate.go
+++ b/escrow/rate.go
@@ -15,8 +15,8 @@
 	perSecond float64
 	sum       float64
 	began     time.Time
-	// seen is the time that the mean covers, up to rateTime.
-	seen time.Duration
+	// covered is the time that the mean covers, up to rateTime.
+	covered time.Duration
 }
 
 // Times of the estimate.
@@ -48,8 +48,8 @@
 	}
 	// The first steps weigh as much as they are of what has been seen, so that
 	// the mean does not begin at zero.
-	r.seen = min(rateTime, r.seen+elapsed)
-	weight := max(1-math.Exp(-elapsed.Seconds()/rateTime.Seconds()), min(1, elapsed.Seconds()/r.seen.Seconds()))
+	r.covered = min(rateTime, r.covered+elapsed)
+	weight := max(1-math.Exp(-elapsed.Seconds()/rateTime.Seconds()), min(1, elapsed.Seconds()/r.covered.Seconds()))
 	r.perSecond += (r.sum/elapsed.Seconds() - r.perSecond) * weight
 	r.sum = 0
 	r.began = now
--- a/escrow/repay.go
+++ b/escrow/repay.go
@@ -35,7 +35,7 @@
 func (l *Ledger) surpluses(routers int, now time.Time) []surplus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	o := l.outlook(routers, now)
+	o := l.conditions(routers, now)
 	o.start = 0
 	var found []surplus
 	for w, a := range l.accounts {
@@ -43,20 +43,20 @@
 		if free <= 0 || len(a.waiters) > 0 {
 			continue
 		}
-		target := a.target(a.believedRest(), o)
+		target := a.target(a.remainingInStore(), o)
 		if l.closing {
 			target = 0
 		}
-		if float64(free) > returnAbove*float64(target) && float64(free-target) > repayLeast*float64(a.limit) {
+		if float64(free) > returnAboveTarget*float64(target) && float64(free-target) > minRepayPart*float64(a.limit) {
 			found = append(found, surplus{w, free - target})
 		}
 	}
 	return found
 }
 
-// repayLeast is the part of a budget below which it is not worth a call to give
+// minRepayPart is the part of a budget below which it is not worth a call to give
 // tokens back.
-const repayLeast = 0.0005
+const minRepayPart = 0.0005
 
 // repay takes tokens off what this ledger owns and tells what to say to the
 // receiver.
@@ -65,7 +65,7 @@
 	defer l.mu.Unlock()
 	a := l.account(s.workspace)
 	if give := min(s.tokens, a.free()); give > 0 {
-		a.give(to, give)
+		a.lend(to, give)
 	}
 	return RepayParams{Giver: l.settings.Incarnation, Workspace: s.workspace, Total: a.lent[to]}
 }
@@ -83,8 +83,8 @@
 	return s.settings.Ledger.lendResult(s.settings.Ledger.account(p.Workspace), p.Giver, now), nil
 }
 
-// giveBack repays what is held beyond need to the first relay that takes it.
-func (s *Syncer) giveBack(ctx context.Context) {
+// returnSurplus repays what is held beyond need to the first relay that takes it.
+func (s *Syncer) returnSurplus(ctx context.Context) {
 	for _, extra := range s.settings.Ledger.surpluses(s.settings.Routers(), s.settings.Clock()) {
 		lenders := s.lenders()
 		for _, to := range lenders[:min(len(lenders), relaysAsked)] {
@@ -100,29 +100,29 @@
 func (s *Syncer) handOver(ctx context.Context) {
 	lenders := s.lenders()
 	for i, free := range s.settings.Ledger.surpluses(s.settings.Routers(), s.settings.Clock()) {
-		for j := range min(len(lenders), handOverTries) {
-			if s.give(ctx, lenders[(i+j)%len(lenders)], free) {
+		for j := range min(len(lenders), maxHandOverTries) {
+			if s.giveTo(ctx, lenders[(i+j)%len(lenders)], free) {
 				break
 			}
 		}
 	}
 }
 
-// handOverTries bounds the neighbours that are offered one workspace's tokens.
-const handOverTries = 3
+// maxHandOverTries bounds the neighbours that are offered one workspace's tokens.
+const maxHandOverTries = 3
 
 // repayTo gives tokens back to a relay that is in touch with the store, and
 // reports whether it was one.
 func (s *Syncer) repayTo(ctx context.Context, to granitehoist.Peer, extra surplus) bool {
-	return s.giveIf(ctx, to, extra, func(r LendResult) bool { return r.InTouch })
+	return s.offer(ctx, to, extra, func(r LendResult) bool { return r.InTouch })
 }
 
-// give gives tokens to any neighbour that answers, and reports whether it did.
-func (s *Syncer) give(ctx context.Context, to granitehoist.Peer, extra surplus) bool {
-	return s.giveIf(ctx, to, extra, func(LendResult) bool { return true })
+// giveTo gives tokens to any neighbour that answers, and reports whether it did.
+func (s *Syncer) giveTo(ctx context.Context, to granitehoist.Peer, extra surplus) bool {
+	return s.offer(ctx, to, extra, func(LendResult) bool { return true })
 }
 
-func (s *Syncer) giveIf(ctx context.Context, to granitehoist.Peer, extra surplus, fits func(LendResult) bool) bool {
+func (s *Syncer) offer(ctx context.Context, to granitehoist.Peer, extra surplus, fits func(LendResult) bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, replenishTimeout)
 	defer cancel()
 	// A neighbour that can't be reached must not be given anything.
@@ -131,11 +131,11 @@
 	if err := s.settings.Caller.Call(ctx, to, MethodRepay, ask, &result); err != nil || !fits(result) {
 		return false
 	}
-	told := s.settings.Ledger.repay(to.Incarnation, extra)
-	if err := s.settings.Caller.Call(ctx, to, MethodRepay, told, &result); err != nil {
+	repayment := s.settings.Ledger.repay(to.Incarnation, extra)
+	if err := s.settings.Caller.Call(ctx, to, MethodRepay, repayment, &result); err != nil {
 		s.settings.Log.Warn(event.BudgetSyncFailed, zap.Error(err))
 		return true
 	}
-	s.settings.Log.Info(event.BudgetRepaid, zap.String("workspace", string(extra.workspace)), zap.String("to", string(to.Incarnation)), zap.Int64("total", int64(told.Total)))
+	s.settings.Log.Info(event.BudgetRepaid, zap.String("workspace", string(extra.workspace)), zap.String("to", string(to.Incarnation)), zap.Int64("total", int64(repayment.Total)))
 	return true
 }
--- a/escrow/replenish.go
+++ b/escrow/replenish.go
@@ -25,17 +25,17 @@
 	replenishTimeout = 400 * time.Millisecond
 )
 
-// lows returns the workspaces whose holding is low or for which requests wait.
-func (l *Ledger) lows(routers int, now time.Time) []shortage {
+// lacks returns the workspaces whose holding is low or for which requests wait.
+func (l *Ledger) lacks(routers int, now time.Time) []shortage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	o := l.outlook(routers, now)
+	o := l.conditions(routers, now)
 	// Relays hold the tokens of requests that have not come yet.
 	o.start = 0
 	var low []shortage
 	for w, a := range l.accounts {
 		a.routers = routers
-		if missing := a.low(o); missing.want > 0 {
+		if missing := a.lack(o); missing.want > 0 {
 			missing.workspace = w
 			low = append(low, missing)
 		}
@@ -43,10 +43,10 @@
 	return low
 }
 
-// low returns what an account lacks of its target. Before a relay has told what
+// lack returns what an account lacks of its target. Before a relay has told what
 // is left, the whole budget is taken to be.
-func (a *account) low(o outlook) shortage {
-	target := a.target(a.believedRest(), o)
+func (a *account) lack(o conditions) shortage {
+	target := a.target(a.remainingInStore(), o)
 	free := max(0, a.owned())
 	var waiting granitehoist.Tokens
 	for _, each := range a.waiters {
@@ -63,7 +63,7 @@
 // what can be done: the record can't help either where a relay that knows it
 // does not.
 func (s *Syncer) replenish(ctx context.Context) bool {
-	low := s.settings.Ledger.lows(s.settings.Routers(), s.settings.Clock())
+	low := s.settings.Ledger.lacks(s.settings.Routers(), s.settings.Clock())
 	lenders := s.lenders()
 	lenders = lenders[:min(len(lenders), relaysAsked)]
 	var unhelped atomic.Int32
@@ -78,7 +78,7 @@
 	asking.Wait()
 	inTouch := unhelped.Load() == 0
 	if !inTouch {
-		s.settings.Ledger.silent(s.settings.Clock())
+		s.settings.Ledger.noteStoreFailure(s.settings.Clock())
 	}
 	return s.settings.Ledger.replenished(inTouch)
 }
@@ -91,20 +91,20 @@
 		if s.borrowFrom(ctx, lender, missing) {
 			return true
 		}
-		if missing = s.settings.Ledger.lowOf(missing.workspace, s.settings.Routers(), s.settings.Clock()); missing.want == 0 {
+		if missing = s.settings.Ledger.lackOf(missing.workspace, s.settings.Routers(), s.settings.Clock()); missing.want == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// lowOf returns what one workspace lacks.
-func (l *Ledger) lowOf(w granitehoist.Workspace, routers int, now time.Time) shortage {
+// lackOf returns what one workspace lacks.
+func (l *Ledger) lackOf(w granitehoist.Workspace, routers int, now time.Time) shortage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	o := l.outlook(routers, now)
+	o := l.conditions(routers, now)
 	o.start = 0
-	missing := l.account(w).low(o)
+	missing := l.account(w).lack(o)
 	missing.workspace = w
 	return missing
 }
--- a/escrow/reserve.go
+++ b/escrow/reserve.go
@@ -14,18 +14,18 @@
 // of a higher priority. Each success is to be followed by one Settle. It panics
 // if bound is negative.
 func (l *Ledger) Reserve(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) bool {
-	return l.reserve(w, demand{bound: bound, priority: priority}, now)
+	return l.reserve(w, claim{bound: bound, priority: priority}, now)
 }
 
-// demand is what tokens are wanted for: a request, or a loan to a router that
+// claim is what tokens are wanted for: a request, or a loan to a router that
 // has requests.
-type demand struct {
+type claim struct {
 	bound    granitehoist.Tokens
 	priority granitehoist.Priority
 	loan     bool
 }
 
-func (l *Ledger) reserve(w granitehoist.Workspace, d demand, now time.Time) bool {
+func (l *Ledger) reserve(w granitehoist.Workspace, d claim, now time.Time) bool {
 	mustNotBeNegative(d.bound)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -35,7 +35,7 @@
 	}
 	if !d.loan {
 		a.measure(d.bound)
-		a.urgent = max(a.urgent, d.priority)
+		a.highestPriority = max(a.highestPriority, d.priority)
 	}
 	if a.tapered(d, now) {
 		return false
@@ -48,17 +48,17 @@
 
 // measure takes the size of a request into the mean.
 func (a *account) measure(bound granitehoist.Tokens) {
-	a.largest = max(a.largest, bound)
-	if a.mean == 0 {
-		a.mean = float64(bound)
+	a.largestBound = max(a.largestBound, bound)
+	if a.meanBound == 0 {
+		a.meanBound = float64(bound)
 	}
-	a.mean += (float64(bound) - a.mean) * meanWeight
+	a.meanBound += (float64(bound) - a.meanBound) * meanWeight
 }
 
 // take reserves for a demand if there is enough. The most that a request can cost
 // counts as demand until it is known what it did.
-func (l *Ledger) take(a *account, d demand, now time.Time) bool {
-	if !a.reserve(d.bound, a.kept(d.priority, l.contact.outageLeft(now))) {
+func (l *Ledger) take(a *account, d claim, now time.Time) bool {
+	if !a.reserve(d.bound, a.reservedForUrgent(d.priority, l.contact.outageLeft(now))) {
 		return false
 	}
 	if !d.loan {
@@ -68,19 +68,19 @@
 	return true
 }
 
-func (a *account) reserve(bound, kept granitehoist.Tokens) bool {
-	if a.free() < bound+kept {
+func (a *account) reserve(bound, reservedForUrgent granitehoist.Tokens) bool {
+	if a.free() < bound+reservedForUrgent {
 		return false
 	}
 	a.reserved += bound
 	return true
 }
 
-// keptPart of a holding is kept for each step of priority.
-const keptPart = 0.3
+// urgentPart of a holding is kept for each step of priority.
+const urgentPart = 0.3
 
-// kept returns the tokens that a request of a priority leaves to higher ones.
-func (a *account) kept(priority granitehoist.Priority, outageLeft float64) granitehoist.Tokens {
-	steps := float64(max(0, a.urgent-priority))
-	return granitehoist.Tokens(min(1, keptPart*steps) * outageLeft * float64(a.holding))
+// reservedForUrgent returns the tokens that a request of a priority leaves to higher ones.
+func (a *account) reservedForUrgent(priority granitehoist.Priority, outageLeft float64) granitehoist.Tokens {
+	steps := float64(max(0, a.highestPriority-priority))
+	return granitehoist.Tokens(min(1, urgentPart*steps) * outageLeft * float64(a.lastTarget))
 }
--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -23,10 +23,10 @@
 
 	// mu is held during a sync. seen is the record as it last was in the store
 	// if seenKnown is set. failures counts the syncs that failed in a row.
-	mu        sync.Mutex
-	seen      granitehoist.Entry
-	seenKnown bool
-	failures  int
+	mu             sync.Mutex
+	lastEntry      granitehoist.Entry
+	lastEntryValid bool
+	failures       int
 
 	// avoided holds until when neighbours that did not answer are left out, by
 	// address.
@@ -72,19 +72,19 @@
 const (
 	conflictTries = 8
 	failurePause  = 150 * time.Millisecond
-	// aloneAfter is how often in a row relays may fail to help before a router
+	// relayFailureLimit is how often in a row relays may fail to help before a router
 	// that is none goes to the record itself.
-	aloneAfter = 3
+	relayFailureLimit = 3
 	// maxFailurePause bounds the pause while the store fails for long.
 	maxFailurePause = 300 * time.Millisecond
 	// probeTimeout bounds the calls to a store that is silent, so that its return
 	// is soon seen: a call that was sent before would wait for its whole timeout.
 	probeTimeout = 400 * time.Millisecond
-	// patientEvery is how often such a call gets its whole timeout all the same:
+	// fullTimeoutEvery is how often such a call gets its whole timeout all the same:
 	// the store may be slow.
-	patientEvery = 4
-	// gather lets requests that arrive together share a sync.
-	gather = 3 * time.Millisecond
+	fullTimeoutEvery = 4
+	// gatherTime lets requests that arrive together share a sync.
+	gatherTime = 3 * time.Millisecond
 )
 
 // NewSyncer returns a syncer. It panics if the settings lack the box, the
@@ -119,18 +119,18 @@
 // Reserve sets bound tokens of a workspace aside, waiting for a sync until ctx
 // ends if the router owns too few.
 func (s *Syncer) Reserve(ctx context.Context, w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority) Answer {
-	outcome := s.reserve(ctx, w, demand{bound: bound, priority: priority})
+	outcome := s.reserve(ctx, w, claim{bound: bound, priority: priority})
 	return s.settings.Ledger.answer(w, outcome, s.settings.Clock())
 }
 
-func (s *Syncer) reserve(ctx context.Context, w granitehoist.Workspace, d demand) Outcome {
+func (s *Syncer) reserve(ctx context.Context, w granitehoist.Workspace, d claim) Outcome {
 	if s.settings.Ledger.reserve(w, d, s.settings.Clock()) {
 		return Granted
 	}
 	entered := s.settings.Ledger.wait(w, d, s.settings.Clock())
 	s.Kick()
 	select {
-	case outcome := <-entered.ended:
+	case outcome := <-entered.outcome:
 		return outcome
 	case <-ctx.Done():
 		return s.settings.Ledger.abandon(w, entered, s.settings.Clock())
@@ -156,27 +156,27 @@
 	defer ticker.Stop()
 	var retryAt time.Time
 	wait := failurePause
-	alone := 0
+	relayFailures := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-s.kick:
-			pause(ctx, gather)
+			pause(ctx, gatherTime)
 		case <-ticker.C:
 		}
 		now := s.settings.Clock()
 		switch {
 		case !s.settings.Ledger.urgent() && !s.isDue(now):
 			if !s.settings.Writes() {
-				s.giveBack(ctx)
+				s.returnSurplus(ctx)
 			}
 		case !s.settings.Writes() && s.replenish(ctx):
-			alone = 0
+			relayFailures = 0
 			// What is left may be idle at others.
 			s.borrow(ctx)
-		case !s.settings.Writes() && alone < aloneAfter:
-			alone++
+		case !s.settings.Writes() && relayFailures < relayFailureLimit:
+			relayFailures++
 		case now.Before(retryAt):
 			s.borrow(ctx)
 		case s.syncOrBorrow(ctx):
@@ -191,7 +191,7 @@
 // isDue reports whether holdings are off enough to be worth a call.
 func (s *Syncer) isDue(now time.Time) bool {
 	if !s.settings.Writes() {
-		return len(s.settings.Ledger.lows(s.settings.Routers(), now)) > 0
+		return len(s.settings.Ledger.lacks(s.settings.Routers(), now)) > 0
 	}
 	return s.settings.Ledger.due(s.settings.Routers(), now)
 }
@@ -216,7 +216,7 @@
 func (s *Syncer) Close(ctx context.Context) error {
 	s.settings.Ledger.Close()
 	err := error(granitehoist.ErrUnavailable)
-	if !s.settings.Ledger.isSilent() {
+	if !s.settings.Ledger.isStoreSilent() {
 		err = s.Sync(ctx)
 	}
 	if err != nil && s.settings.Caller != nil {
@@ -262,7 +262,7 @@
 func (s *Syncer) try(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.timeout())
 	defer cancel()
-	fresh := !s.seenKnown
+	fresh := !s.lastEntryValid
 	if fresh {
 		if err := s.read(ctx); err != nil {
 			return err
@@ -293,8 +293,8 @@
 
 // timeout returns the time that the next calls have.
 func (s *Syncer) timeout() time.Duration {
-	first := s.failures == 0 && s.seen.Version == 0
-	if s.failures%patientEvery == 0 && !first {
+	first := s.failures == 0 && s.lastEntry.Version == 0
+	if s.failures%fullTimeoutEvery == 0 && !first {
 		return s.settings.Timeout
 	}
 	return min(probeTimeout, s.settings.Timeout)
@@ -304,19 +304,19 @@
 func (s *Syncer) read(ctx context.Context) error {
 	entry, err := s.settings.Store.Get(ctx, RecordKey)
 	if err != nil {
-		s.settings.Ledger.silent(s.settings.Clock())
+		s.settings.Ledger.noteStoreFailure(s.settings.Clock())
 		return err
 	}
-	s.settings.Ledger.heard(s.settings.Clock())
-	s.seen, s.seenKnown = entry, true
+	s.settings.Ledger.noteStoreAnswer(s.settings.Clock())
+	s.lastEntry, s.lastEntryValid = entry, true
 	return nil
 }
 
 // plan enters the ledger's wishes into a copy of the record last seen.
 func (s *Syncer) plan() (*Record, plan, error) {
-	record, err := DecodeRecord(s.seen)
+	record, err := DecodeRecord(s.lastEntry)
 	if err != nil {
-		s.seenKnown = false
+		s.lastEntryValid = false
 		return nil, plan{}, err
 	}
 	record.Enter(s.settings.Box, s.settings.Ledger.settings.Incarnation)
@@ -329,22 +329,22 @@
 	if err != nil {
 		return err
 	}
-	version, err := s.settings.Store.CompareAndSwap(ctx, granitehoist.Change{Key: RecordKey, Value: value, Expect: s.seen.Version})
+	version, err := s.settings.Store.CompareAndSwap(ctx, granitehoist.Change{Key: RecordKey, Value: value, Expect: s.lastEntry.Version})
 	var conflict *granitehoist.Conflict
 	switch {
 	case err == nil:
-		s.settings.Ledger.heard(s.settings.Clock())
-		s.seen = granitehoist.Entry{Key: RecordKey, Value: value, Version: version}
+		s.settings.Ledger.noteStoreAnswer(s.settings.Clock())
+		s.lastEntry = granitehoist.Entry{Key: RecordKey, Value: value, Version: version}
 		return nil
 	case errors.As(err, &conflict):
-		s.settings.Ledger.heard(s.settings.Clock())
-		s.seen = conflict.Current
+		s.settings.Ledger.noteStoreAnswer(s.settings.Clock())
+		s.lastEntry = conflict.Current
 		return err
 	case errors.Is(err, granitehoist.ErrConflict):
 	default:
-		s.settings.Ledger.silent(s.settings.Clock())
+		s.settings.Ledger.noteStoreFailure(s.settings.Clock())
 	}
-	s.seenKnown = false
+	s.lastEntryValid = false
 	return err
 }
 
@@ -352,8 +352,8 @@
 	for w, row := range planned.rows {
 		s.settings.Log.Info(event.BudgetGrant,
 			zap.String("workspace", string(w)), zap.Int64("granted", int64(row.Granted)), zap.Int64("returned", int64(row.Returned)),
-			zap.Int64("spent", int64(row.Spent)), zap.Int64("idle", int64(row.Idle)), zap.Int64("rest", int64(planned.rests[w])),
+			zap.Int64("spent", int64(row.Spent)), zap.Int64("idle", int64(row.Idle)), zap.Int64("rest", int64(planned.remaining[w])),
 			zap.Int64("prepaid", int64(planned.limits[w])),
-			zap.Uint64("version", uint64(s.seen.Version)))
+			zap.Uint64("version", uint64(s.lastEntry.Version)))
 	}
 }
--- a/escrow/taper.go
+++ b/escrow/taper.go
@@ -22,30 +22,30 @@
 	// are asked for it.
 	rationTime   = 20 * time.Second
 	rationedPart = 0.5
-	// rationKept bounds the unused ration, in requests of the mean size.
-	rationKept = 2.0
+	// rationRequests bounds the unused ration, in requests of the mean size.
+	rationRequests = 2.0
 )
 
 // tapered reports whether a request is too large for the little that is left.
-func (a *account) tapered(d demand, now time.Time) bool {
+func (a *account) tapered(d claim, now time.Time) bool {
 	if d.loan {
 		return false
 	}
-	believed, known := a.believedLeft()
-	left := float64(believed)
+	leftAnywhere, known := a.leftAnywhere()
+	left := float64(leftAnywhere)
 	limit := float64(a.limit)
 	if !known || left >= taperBelow*limit {
 		return false
 	}
 	bound := float64(d.bound)
-	if bound > taperShare*left || bound > a.mean {
+	if bound > taperShare*left || bound > a.meanBound {
 		return true
 	}
 	if left >= rationBelow*limit {
 		return false
 	}
 	sharing := max(1, rationedPart*float64(a.routers))
-	a.ration.grow(left/sharing/rationTime.Seconds(), rationKept*a.mean, now)
+	a.ration.grow(left/sharing/rationTime.Seconds(), rationRequests*a.meanBound, now)
 	return bound > a.ration.tokens
 }
 
