--- /dev/null
+++ b/escrow/account.go
@@ -0,0 +1,46 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package escrow
+
+import (
+	"granitehoist.example/granitehoist"
+)
+
+// account is all that a Ledger has of one workspace. Ledger.mu guards it.
+type account struct {
+	// owned holds this router's tokens: the only part that decides what may be
+	// spent. The other parts only decide how much is held and what is refused.
+	owned  owned
+	fleet  fleetView
+	demand demand
+	// routers is the number of routers that share the budget, and ration what
+	// this one may spend of the last part of it.
+	routers int
+	ration  ration
+	// lastTarget is what the router was to hold as of the last sync.
+	lastTarget granitehoist.Tokens
+	// waiters are the requests that wait for tokens, the earliest first.
+	waiters []*waiter
+	// changed says that the limit is another one since the last sync.
+	changed bool
+}
+
+// claim is what tokens are wanted for: a request, or a loan to a router that
+// has requests.
+type claim struct {
+	// bound is the most that the request can cost, or the size of the loan.
+	bound    granitehoist.Tokens
+	priority granitehoist.Priority
+	// loan is set for a loan: it is no demand of this router, and the borrower
+	// applies the rules of the end of a budget.
+	loan bool
+}
+
+// waiter is a request that waits for tokens.
+type waiter struct {
+	claim
+	// outcome gets the one outcome of the wait. It has room for it, so that
+	// whoever sends holds no lock for long.
+	outcome chan Outcome
+}
--- a/escrow/export_test.go
+++ b/escrow/export_test.go
@@ -5,6 +5,7 @@
 
 import (
 	"context"
+	"fmt"
 	"time"
 
 	"granitehoist.example/granitehoist"
@@ -26,3 +27,32 @@
 func Repay(l *Ledger, to granitehoist.Incarnation, w granitehoist.Workspace, tokens granitehoist.Tokens) RepayParams {
 	return l.repay(to, surplus{w, tokens})
 }
+
+// CheckConservation checks for every workspace the conservation rule that owned
+// states, where no request used more than its bound.
+func CheckConservation(l *Ledger) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for w, a := range l.accounts {
+		if err := a.owned.check(); err != nil {
+			return fmt.Errorf("%s: %w", w, err)
+		}
+	}
+	return nil
+}
+
+func (o *owned) check() error {
+	lowest := min(o.granted, o.returned, o.spent, o.reserved)
+	for _, loans := range []map[granitehoist.Incarnation]granitehoist.Tokens{o.lent, o.borrowed} {
+		for _, loan := range loans {
+			lowest = min(lowest, loan)
+		}
+	}
+	if lowest < 0 {
+		return fmt.Errorf("a total is %d", lowest)
+	}
+	if missing := -o.unreserved(); missing > 0 {
+		return fmt.Errorf("%d tokens are spent, reserved, returned or lent that were never owned", missing)
+	}
+	return nil
+}
--- a/escrow/history_test.go
+++ b/escrow/history_test.go
@@ -278,6 +278,11 @@
 			if total := h.outstanding(); total > h.most {
 				t.Fatalf("%d tokens may be spent of a budget that was never above %d", total, h.most)
 			}
+			for _, b := range h.boxes {
+				if err := escrow.CheckConservation(b.ledger); err != nil {
+					t.Fatal(err)
+				}
+			}
 		}
 	})
 }
--- a/escrow/holding.go
+++ b/escrow/holding.go
@@ -56,12 +56,12 @@
 // target is what the router should hold ahead of requests while rest is left in
 // the store.
 func (a *account) target(remaining granitehoist.Tokens, o conditions) granitehoist.Tokens {
-	want := a.rate.value(o.now)*o.cover.Seconds() + a.borrowersDemand(o.now)*lentCover.Seconds()
-	left := float64(max(0, remaining+max(0, a.owned())))
+	want := a.demand.rate.value(o.now)*o.cover.Seconds() + a.demand.borrowersRate(o.now)*lentCover.Seconds()
+	left := float64(max(0, remaining+max(0, a.owned.unreserved())))
 	want = max(want, o.start*left/float64(o.routers)*(1-o.confidence))
 	held := min(want, sharePart*left*a.portion(o))
-	spare := min(spareRequests*float64(a.largestBound), sparePart*left/float64(o.routers))
-	return granitehoist.Tokens(min(max(held, spare), o.exposedPart*float64(a.limit)*a.portion(o)))
+	spare := min(spareRequests*float64(a.demand.largest), sparePart*left/float64(o.routers))
+	return granitehoist.Tokens(min(max(held, spare), o.exposedPart*float64(a.owned.limit)*a.portion(o)))
 }
 
 // portion is the router's part of the fleet's demand as far as that is known, but
@@ -69,79 +69,10 @@
 func (a *account) portion(o conditions) float64 {
 	equal := 1 / float64(o.routers)
 	// Whoever lends to others holds for them too.
-	own := a.rate.value(o.now) + a.borrowersDemand(o.now)
-	fleet := max(own+a.rateElsewhere, a.fleetRate)
+	own := a.demand.rate.value(o.now) + a.demand.borrowersRate(o.now)
+	fleet := max(own+a.demand.othersRate, a.demand.fleetRate)
 	if fleet <= 0 {
 		return equal
 	}
 	return max(equal*(1-o.confidence), own/fleet)
 }
-
-// Times for which a borrower's word counts.
-const (
-	borrowerRateFresh = 8 * time.Second
-	borrowerIdleFresh = 15 * time.Second
-)
-
-// borrowersDemand returns the tokens a second that borrowers spend.
-func (a *account) borrowersDemand(now time.Time) float64 {
-	var sum float64
-	for _, told := range a.borrowers {
-		if now.Sub(told.at) <= borrowerRateFresh {
-			sum += told.perSecond
-		}
-	}
-	return sum
-}
-
-// borrowersIdle returns what borrowers have idle, one of them left out.
-func (a *account) borrowersIdle(without granitehoist.Incarnation, now time.Time) granitehoist.Tokens {
-	var sum granitehoist.Tokens
-	for borrower, told := range a.borrowers {
-		if borrower != without && now.Sub(told.at) <= borrowerIdleFresh {
-			sum += told.idle
-		}
-	}
-	return sum
-}
-
-// noteBorrower notes what a borrower told of itself.
-func (a *account) noteBorrower(p LendParams, now time.Time) {
-	for borrower, told := range a.borrowers {
-		if now.Sub(told.at) > borrowerIdleFresh {
-			delete(a.borrowers, borrower)
-		}
-	}
-	if a.borrowers == nil {
-		a.borrowers = map[granitehoist.Incarnation]borrowerReport{}
-	}
-	a.borrowers[p.Borrower] = borrowerReport{perSecond: float64(max(0, p.Rate)), idle: max(0, p.Idle), at: now}
-}
-
-// lenderIsNewer reports whether what a lender told is newer than the record.
-func (a *account) lenderIsNewer() bool { return a.reported && a.reportedAt.After(a.readAt) }
-
-// remainingInStore returns what is left in the store as far as is known: as the
-// record said or a lender told, whichever is newer.
-func (a *account) remainingInStore() granitehoist.Tokens {
-	switch {
-	case a.lenderIsNewer():
-		return a.reportedRemaining
-	case a.readValid:
-		return a.remaining
-	}
-	return a.limit
-}
-
-// leftAnywhere returns what is left of the budget anywhere as far as is known,
-// and whether anything is.
-func (a *account) leftAnywhere() (left granitehoist.Tokens, known bool) {
-	own := max(0, a.owned())
-	switch {
-	case a.lenderIsNewer():
-		return a.reportedLeft + own, true
-	case a.readValid:
-		return max(0, a.remaining) + own + a.idleElsewhere + a.idleAtBorrowers, true
-	}
-	return 0, false
-}
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -58,93 +58,6 @@
 	returnAboveTargetAfterOutage = 1.2
 )
 
-// remainingFresh is how long the last known rest of a budget is taken for true.
-const remainingFresh = 800 * time.Millisecond
-
-type account struct {
-	granted  granitehoist.Tokens
-	returned granitehoist.Tokens
-	spent    granitehoist.Tokens
-	reserved granitehoist.Tokens
-	// lent and borrowed are the sums of loans by the other's incarnation.
-	lent     map[granitehoist.Incarnation]granitehoist.Tokens
-	borrowed map[granitehoist.Incarnation]granitehoist.Tokens
-	// limit is the prepaid total in force.
-	limit granitehoist.Tokens
-	// frozen says that the limit was reduced and the free tokens may no longer
-	// be covered.
-	frozen bool
-	// remaining is what the store had left, idle what others had, as read at restAt.
-	// lentIdle is what borrowers had then.
-	remaining       granitehoist.Tokens
-	idleElsewhere   granitehoist.Tokens
-	idleAtBorrowers granitehoist.Tokens
-	readAt          time.Time
-	readValid       bool
-	// reported says that a lender has told toldLeft, what was left in the store and
-	// idle elsewhere, at toldAt, and toldRest, the part of it in the store.
-	reported                        bool
-	reportedAt                      time.Time
-	reportedLeft, reportedRemaining granitehoist.Tokens
-
-	// lastTarget is the target at the last sync, and urgent the highest priority
-	// of a request so far.
-	lastTarget      granitehoist.Tokens
-	highestPriority granitehoist.Priority
-
-	rate rate
-	// rateElsewhere is what the record says that others spend, fleetRate what a
-	// lender tells of all, in tokens a second, and demands what borrowers tell of
-	// themselves.
-	rateElsewhere float64
-	borrowers     map[granitehoist.Incarnation]borrowerReport
-	fleetRate     float64
-
-	largestBound granitehoist.Tokens
-	// meanBound is that of the requests' bounds.
-	meanBound float64
-	// routers is the number of routers that share the budget, and ration what
-	// this one may spend of the last of it.
-	routers int
-	ration  ration
-	waiters []*waiter
-	changed bool
-}
-
-// borrowerReport is what a borrower told at a time: its rate in tokens a second, and
-// what it owned beside its requests.
-type borrowerReport struct {
-	perSecond float64
-	idle      granitehoist.Tokens
-	at        time.Time
-}
-
-// free returns the tokens that a request may reserve.
-func (a *account) free() granitehoist.Tokens {
-	if a.frozen {
-		return 0
-	}
-	return a.owned()
-}
-
-func (a *account) owned() granitehoist.Tokens {
-	return a.granted - a.returned - a.spent - a.reserved + sum(a.borrowed) - sum(a.lent)
-}
-
-func sum(loans map[granitehoist.Incarnation]granitehoist.Tokens) granitehoist.Tokens {
-	var total granitehoist.Tokens
-	for _, loan := range loans {
-		total += loan
-	}
-	return total
-}
-
-// waiter is a request that waits for tokens.
-type waiter struct {
-	claim
-	outcome chan Outcome
-}
-
 // Outcome tells how a reservation ended.
 type Outcome int
 
@@ -205,14 +118,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	if limit < a.limit {
-		a.frozen = true
-	}
-	if limit != a.limit {
-		a.readValid = false
+	if a.owned.setLimit(limit) {
+		a.fleet.record.valid = false
 		a.changed = true
 	}
-	a.limit = limit
 }
 
 // wait enters a request that waits for tokens. If the budget is known to have
@@ -226,7 +135,7 @@
 		added.outcome <- Granted
 		return added
 	}
-	if a.fresh(now) && a.unservable(d, now) {
+	if a.fleet.isFresh(now) && a.unservable(d, now) {
 		added.outcome <- a.refusal(d, now)
 		return added
 	}
@@ -234,28 +143,23 @@
 	return added
 }
 
-// fresh reports whether what is believed to be left is so of late.
-func (a *account) fresh(now time.Time) bool {
-	return now.Sub(a.readAt) < remainingFresh || now.Sub(a.reportedAt) < remainingFresh
-}
-
 // unservable reports whether waiting can't help a demand. A router that does not
 // read the record asks its neighbours for what they have idle.
 func (a *account) unservable(d claim, now time.Time) bool {
 	if a.tapered(d, now) {
 		return true
 	}
-	if left, known := a.leftAnywhere(); a.lenderIsNewer() {
-		return known && d.bound > left
+	if a.fleet.lenderIsNewer() {
+		return d.bound > a.fleet.leftAnywhere(a.owned.unreserved()).tokens
 	}
-	return a.readValid && d.bound > a.remaining+max(0, a.owned())
+	return a.fleet.record.valid && d.bound > a.fleet.record.remaining+max(0, a.owned.unreserved())
 }
 
 // refusal tells why a demand can't be met.
 func (a *account) refusal(d claim, now time.Time) Outcome {
-	left, known := a.leftAnywhere()
+	left := a.fleet.leftAnywhere(a.owned.unreserved())
 	switch {
-	case known && d.bound > left:
+	case left.reported && d.bound > left.tokens:
 		return Exhausted
 	case a.tapered(d, now):
 		return Withheld
@@ -296,12 +200,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	if a.reserved < bound {
-		panic("escrow: settlement without reservation")
-	}
-	a.reserved -= bound
-	a.spent += used
-	a.rate.add(used-bound, l.began, now)
+	a.owned.settle(bound, used)
+	a.demand.rate.add(used-bound, l.began, now)
 	l.wake(a, now)
 }
 
@@ -353,9 +253,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	answer := Answer{Outcome: o, Free: a.free(), StoreRemaining: a.remaining}
-	if !a.readAt.IsZero() {
-		answer.Age = now.Sub(a.readAt)
+	answer := Answer{Outcome: o, Free: a.owned.free(), StoreRemaining: a.fleet.record.remaining}
+	if !a.fleet.record.readAt.IsZero() {
+		answer.Age = now.Sub(a.fleet.record.readAt)
 	}
 	answer.Silent = l.contact.silence(now)
 	return answer
@@ -379,8 +279,8 @@
 	defer l.mu.Unlock()
 	a := l.account(w)
 	return State{
-		Granted: a.granted, Returned: a.returned, Spent: a.spent, Reserved: a.reserved,
-		Free: a.free(), StoreRemaining: a.remaining, ReadAt: a.readAt, Waiting: len(a.waiters),
+		Granted: a.owned.granted, Returned: a.owned.returned, Spent: a.owned.spent, Reserved: a.owned.reserved,
+		Free: a.owned.free(), StoreRemaining: a.fleet.record.remaining, ReadAt: a.fleet.record.readAt, Waiting: len(a.waiters),
 	}
 }
 
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -51,49 +51,41 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(p.Workspace)
-	a.noteBorrower(p, now)
-	free := a.free()
+	a.demand.noteBorrower(p, now)
+	free := a.owned.free()
 	if !l.closing && p.Need > 0 && free > 0 && len(a.waiters) == 0 {
 		give := min(p.Want, granitehoist.Tokens(lendPart*float64(free)))
 		if free >= p.Need {
 			give = max(p.Need, give)
 		}
-		a.lend(p.Borrower, max(0, give))
+		a.owned.lend(p.Borrower, max(0, give))
 	}
 	return l.lendResult(a, p.Borrower, now)
 }
 
 // lendResult tells a borrower of its loans and of what is known here.
 func (l *Ledger) lendResult(a *account, borrower granitehoist.Incarnation, now time.Time) LendResult {
-	result := LendResult{Total: a.lent[borrower]}
-	if !a.readValid || !l.contact.silentSince.IsZero() || now.Sub(l.contact.lastSync) > inTouchTime {
+	result := LendResult{Total: a.owned.lent[borrower]}
+	if !a.fleet.record.valid || !l.contact.silentSince.IsZero() || now.Sub(l.contact.lastSync) > inTouchTime {
 		return result
 	}
 	result.InTouch = true
-	result.StoreRemaining = max(0, a.remaining)
-	result.LeftAnywhere = result.StoreRemaining + max(0, a.owned()) + a.idleElsewhere + a.borrowersIdle(borrower, now)
-	result.FleetRate = granitehoist.Tokens(a.rate.value(now) + a.borrowersDemand(now))
+	result.StoreRemaining = max(0, a.fleet.record.remaining)
+	result.LeftAnywhere = result.StoreRemaining + max(0, a.owned.unreserved()) + a.fleet.record.idleElsewhere + a.demand.borrowersIdle(borrower, now)
+	result.FleetRate = granitehoist.Tokens(a.demand.rate.value(now) + a.demand.borrowersRate(now))
 	return result
 }
 
 // inTouchTime is how long after an answer of the store a lender is in touch.
 const inTouchTime = maxRecordAge + time.Second
 
-func (a *account) lend(to granitehoist.Incarnation, tokens granitehoist.Tokens) {
-	if a.lent == nil {
-		a.lent = map[granitehoist.Incarnation]granitehoist.Tokens{}
-	}
-	a.lent[to] += tokens
-}
-
 // lendReserved turns a reservation into a loan.
 func (l *Ledger) lendReserved(p LendParams, bound granitehoist.Tokens, now time.Time) LendResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(p.Workspace)
-	a.noteBorrower(p, now)
-	a.reserved -= bound
-	a.lend(p.Borrower, bound)
+	a.demand.noteBorrower(p, now)
+	a.owned.lendReserved(p.Borrower, bound)
 	return l.lendResult(a, p.Borrower, now)
 }
 
@@ -104,15 +96,11 @@
 	a := l.account(w)
 	if r.InTouch {
 		l.contact.answeredAnyone(now)
-		a.reported, a.reportedAt = true, now
-		a.reportedRemaining, a.reportedLeft, a.fleetRate = r.StoreRemaining, r.LeftAnywhere, float64(r.FleetRate)
+		a.fleet.lender = lenderView{remaining: r.StoreRemaining, left: r.LeftAnywhere, at: now, valid: true}
+		a.demand.fleetRate = float64(r.FleetRate)
 	}
-	brought := r.Total > a.borrowed[lender]
+	brought := a.owned.borrow(lender, r.Total)
 	if brought {
-		if a.borrowed == nil {
-			a.borrowed = map[granitehoist.Incarnation]granitehoist.Tokens{}
-		}
-		a.borrowed[lender] = r.Total
 		l.wake(a, now)
 	}
 	if r.InTouch {
@@ -145,7 +133,7 @@
 	defer l.mu.Unlock()
 	var short []shortage
 	for w, a := range l.accounts {
-		if len(a.waiters) == 0 || a.frozen {
+		if len(a.waiters) == 0 || a.owned.frozen {
 			continue
 		}
 		first := a.waiters[0].bound
@@ -156,13 +144,13 @@
 		for _, waiting := range a.waiters {
 			sum += waiting.bound
 		}
-		free := max(0, a.owned())
+		free := max(0, a.owned.unreserved())
 		need := max(1, first-free)
 		want := sum - free
 		if l.contact.exposedPart(now) >= 1 {
-			want += granitehoist.Tokens(a.rate.value(now) * loanCover.Seconds())
+			want += granitehoist.Tokens(a.demand.rate.value(now) * loanCover.Seconds())
 		}
-		short = append(short, shortage{workspace: w, waiting: true, need: need, want: max(need, want), rate: granitehoist.Tokens(a.rate.value(now)), idle: free})
+		short = append(short, shortage{workspace: w, waiting: true, need: need, want: max(need, want), rate: granitehoist.Tokens(a.demand.rate.value(now)), idle: free})
 	}
 	return short
 }
--- /dev/null
+++ b/escrow/owned.go
@@ -0,0 +1,120 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package escrow
+
+import (
+	"granitehoist.example/granitehoist"
+)
+
+// owned is what one incarnation owns of a workspace's tokens. Ledger.mu guards it.
+//
+// The conservation rule: every token of the prepaid total is at one place. At
+// this incarnation there are
+//
+//	granted + sum(borrowed) - returned - sum(lent) = spent + reserved + unreserved
+//
+// tokens. Each total only grows, and only by the methods below; reserved is the
+// exception, which Settle and lendReserved take from. No term is negative.
+// unreserved is negative only by what upstreams used beyond the bounds of their
+// requests: that was spent though nobody had set it aside, and nothing more is
+// reserved until grants or loans have covered it. The tests check this after
+// each step of random histories (CheckConservation in export_test.go).
+type owned struct {
+	// granted and returned are the totals of this incarnation's row. granted
+	// counts a grant once the store has confirmed it, returned once it has been
+	// decided: a lost write must neither create tokens nor let them be spent here.
+	granted  granitehoist.Tokens
+	returned granitehoist.Tokens
+	// spent is the use of the settled requests, reserved the sum of the bounds of
+	// the others.
+	spent    granitehoist.Tokens
+	reserved granitehoist.Tokens
+	// lent and borrowed are the totals of all loans by the other's incarnation.
+	lent     map[granitehoist.Incarnation]granitehoist.Tokens
+	borrowed map[granitehoist.Incarnation]granitehoist.Tokens
+	// limit is the prepaid total in force.
+	limit granitehoist.Tokens
+	// frozen says that the limit was reduced and the record has not been read
+	// since: the free tokens may no longer be covered.
+	frozen bool
+}
+
+// unreserved returns the tokens that are neither spent nor reserved.
+func (o *owned) unreserved() granitehoist.Tokens {
+	return o.granted - o.returned - o.spent - o.reserved + sum(o.borrowed) - sum(o.lent)
+}
+
+// free returns the tokens that a request may reserve.
+func (o *owned) free() granitehoist.Tokens {
+	if o.frozen {
+		return 0
+	}
+	return o.unreserved()
+}
+
+// setLimit puts a prepaid total in force and reports whether it is another one.
+func (o *owned) setLimit(limit granitehoist.Tokens) bool {
+	changed := limit != o.limit
+	if limit < o.limit {
+		o.frozen = true
+	}
+	o.limit = limit
+	return changed
+}
+
+// confirmGranted takes in the total that the store is known to have granted.
+func (o *owned) confirmGranted(total granitehoist.Tokens) {
+	o.granted = max(o.granted, total)
+}
+
+// giveBack deducts tokens that are about to be returned to the store.
+func (o *owned) giveBack(tokens granitehoist.Tokens) { o.returned += tokens }
+
+// reserve sets tokens aside that the caller has found to be free.
+func (o *owned) reserve(bound granitehoist.Tokens) { o.reserved += bound }
+
+// settle ends a reservation with what was used. It panics if there is no such
+// reservation.
+func (o *owned) settle(bound, used granitehoist.Tokens) {
+	if o.reserved < bound {
+		panic("escrow: settlement without reservation")
+	}
+	o.reserved -= bound
+	o.spent += used
+}
+
+// lend deducts a loan before the borrower hears of it.
+func (o *owned) lend(to granitehoist.Incarnation, tokens granitehoist.Tokens) {
+	if o.lent == nil {
+		o.lent = map[granitehoist.Incarnation]granitehoist.Tokens{}
+	}
+	o.lent[to] += tokens
+}
+
+// lendReserved turns a reservation into a loan.
+func (o *owned) lendReserved(to granitehoist.Incarnation, bound granitehoist.Tokens) {
+	o.reserved -= bound
+	o.lend(to, bound)
+}
+
+// borrow takes in the total of a lender's loans and reports whether it is larger
+// than the one before: an old message changes nothing.
+func (o *owned) borrow(from granitehoist.Incarnation, total granitehoist.Tokens) bool {
+	if total <= o.borrowed[from] {
+		return false
+	}
+	if o.borrowed == nil {
+		o.borrowed = map[granitehoist.Incarnation]granitehoist.Tokens{}
+	}
+	o.borrowed[from] = total
+	return true
+}
+
+func sum(loans map[granitehoist.Incarnation]granitehoist.Tokens) granitehoist.Tokens {
+	var total granitehoist.Tokens
+	for _, loan := range loans {
+		total += loan
+	}
+	return total
+}
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -40,33 +40,33 @@
 	for w, a := range l.accounts {
 		stored := r.account(w)
 		row := stored.Rows[l.settings.Incarnation]
-		a.adopt(row)
-		remaining := a.limit - stored.Taken()
+		a.owned.confirmGranted(row.Granted)
+		remaining := a.owned.limit - stored.Taken()
 		next := row
-		next.Spent = a.spent
-		next.Rate = granitehoist.Tokens(a.rate.value(now) + a.borrowersDemand(now))
-		a.rateElsewhere = float64(stored.rateElsewhere(l.settings.Incarnation))
+		next.Spent = a.owned.spent
+		next.Rate = granitehoist.Tokens(a.demand.rate.value(now) + a.demand.borrowersRate(now))
+		a.demand.othersRate = float64(stored.rateElsewhere(l.settings.Incarnation))
 		give := a.returnable(remaining, o, l.closing)
-		a.returned += give
-		next.Returned = a.returned
+		a.owned.giveBack(give)
+		next.Returned = a.owned.returned
 		if !l.closing {
 			next.Granted += a.grantWanted(remaining+next.Returned-row.Returned, o, below)
 		}
-		next.Idle = max(0, a.owned()+next.Granted-row.Granted)
+		next.Idle = max(0, a.owned.unreserved()+next.Granted-row.Granted)
 		if next.Granted != row.Granted || next.Returned != row.Returned || a.staleIdle(row, next, remaining) {
 			stored.Rows[l.settings.Incarnation] = next
 			p.rows[w] = next
 			p.changed = true
 		}
-		a.readValid = true
+		a.fleet.record.valid = true
 		a.lastTarget = a.target(remaining, o)
 		a.routers = routers
-		a.remaining = remaining - (next.Granted - row.Granted) + (next.Returned - row.Returned)
-		p.remaining[w] = a.remaining
-		p.limits[w] = a.limit
-		a.idleElsewhere = stored.IdleElsewhere(l.settings.Incarnation)
-		a.idleAtBorrowers = a.borrowersIdle("", now)
-		a.readAt = now
+		a.fleet.record.remaining = remaining - (next.Granted - row.Granted) + (next.Returned - row.Returned)
+		p.remaining[w] = a.fleet.record.remaining
+		p.limits[w] = a.owned.limit
+		a.fleet.record.idleElsewhere = stored.IdleElsewhere(l.settings.Incarnation)
+		a.fleet.record.idleAtBorrowers = a.demand.borrowersIdle("", now)
+		a.fleet.record.readAt = now
 	}
 	return p
 }
@@ -81,15 +81,10 @@
 // staleIdle reports whether a row tells much more idle tokens than there are
 // while little is left.
 func (a *account) staleIdle(told, is Row, remaining granitehoist.Tokens) bool {
-	limit := float64(a.limit)
+	limit := float64(a.owned.limit)
 	return float64(remaining) < staleIdleBelow*limit && float64(told.Idle-is.Idle) > staleIdlePart*limit
 }
 
-// adopt takes what the record confirms of the ledger's own row.
-func (a *account) adopt(row Row) {
-	a.granted = max(a.granted, row.Granted)
-}
-
 // grantWanted returns the tokens to be granted now: what waiting requests need and, if
 // the holding is low, enough to fill it.
 func (a *account) grantWanted(remaining granitehoist.Tokens, o conditions, below float64) granitehoist.Tokens {
@@ -98,7 +93,7 @@
 	}
 	need := a.lackOfWaiters(remaining, o.now)
 	target := a.target(remaining, o)
-	free := a.owned()
+	free := a.owned.unreserved()
 	if need == 0 && float64(free) >= below*float64(target) {
 		return 0
 	}
@@ -115,7 +110,7 @@
 		bounds = append(bounds, w.bound)
 	}
 	sort.Slice(bounds, func(i, j int) bool { return bounds[i] < bounds[j] })
-	have := remaining + max(0, a.owned())
+	have := remaining + max(0, a.owned.unreserved())
 	var sum granitehoist.Tokens
 	for _, bound := range bounds {
 		if sum+bound > have {
@@ -123,12 +118,12 @@
 		}
 		sum += bound
 	}
-	return max(0, sum-max(0, a.owned()))
+	return max(0, sum-max(0, a.owned.unreserved()))
 }
 
 // returnable returns the free tokens that the router should not keep.
 func (a *account) returnable(remaining granitehoist.Tokens, o conditions, closing bool) granitehoist.Tokens {
-	free := a.owned()
+	free := a.owned.unreserved()
 	switch {
 	case free <= 0:
 		return 0
@@ -146,10 +141,10 @@
 		above = returnAboveTargetAfterOutage
 	}
 	least := minReturnPart
-	if float64(remaining) < endPart*float64(a.limit) {
+	if float64(remaining) < endPart*float64(a.owned.limit) {
 		least = minReturnPartAtEnd
 	}
-	if float64(free) <= above*float64(target) || float64(extra) < least*float64(a.limit) {
+	if float64(free) <= above*float64(target) || float64(extra) < least*float64(a.owned.limit) {
 		return 0
 	}
 	return extra
@@ -161,10 +156,10 @@
 	defer l.mu.Unlock()
 	for w, a := range l.accounts {
 		if stored, ok := r.Accounts[w]; ok {
-			a.adopt(stored.Rows[l.settings.Incarnation])
+			a.owned.confirmGranted(stored.Rows[l.settings.Incarnation].Granted)
 		}
-		if a.readValid {
-			a.frozen = false
+		if a.fleet.record.valid {
+			a.owned.frozen = false
 		}
 		a.changed = false
 		l.wake(a, now)
@@ -178,7 +173,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.accounts {
-		if len(a.waiters) > 0 || a.frozen || a.changed {
+		if len(a.waiters) > 0 || a.owned.frozen || a.changed {
 			return true
 		}
 	}
@@ -188,8 +183,8 @@
 // anyLow reports whether a holding is low or requests wait.
 func (l *Ledger) anyLow(o conditions) bool {
 	for _, a := range l.accounts {
-		target := a.target(a.remaining, o)
-		if len(a.waiters) > 0 || float64(a.owned()) < refillBelow*float64(target) {
+		target := a.target(a.fleet.record.remaining, o)
+		if len(a.waiters) > 0 || float64(a.owned.unreserved()) < refillBelow*float64(target) {
 			return true
 		}
 	}
@@ -210,11 +205,11 @@
 	}
 	o := l.conditions(routers, now)
 	for _, a := range l.accounts {
-		target := a.target(a.remaining, o)
-		if a.remaining > 0 && float64(a.owned()) < refillBelow*float64(target) {
+		target := a.target(a.fleet.record.remaining, o)
+		if a.fleet.record.remaining > 0 && float64(a.owned.unreserved()) < refillBelow*float64(target) {
 			return true
 		}
-		if a.returnable(a.remaining, o, l.closing) > 0 {
+		if a.returnable(a.fleet.record.remaining, o, l.closing) > 0 {
 			return true
 		}
 	}
--- a/escrow/repay.go
+++ b/escrow/repay.go
@@ -39,15 +39,15 @@
 	o.start = 0
 	var found []surplus
 	for w, a := range l.accounts {
-		free := a.free()
+		free := a.owned.free()
 		if free <= 0 || len(a.waiters) > 0 {
 			continue
 		}
-		target := a.target(a.remainingInStore(), o)
+		target := a.target(a.fleet.remainingInStore(a.owned.limit), o)
 		if l.closing {
 			target = 0
 		}
-		if float64(free) > returnAboveTarget*float64(target) && float64(free-target) > minRepayPart*float64(a.limit) {
+		if float64(free) > returnAboveTarget*float64(target) && float64(free-target) > minRepayPart*float64(a.owned.limit) {
 			found = append(found, surplus{w, free - target})
 		}
 	}
@@ -64,10 +64,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(s.workspace)
-	if give := min(s.tokens, a.free()); give > 0 {
-		a.lend(to, give)
+	if give := min(s.tokens, a.owned.free()); give > 0 {
+		a.owned.lend(to, give)
 	}
-	return RepayParams{Giver: l.settings.Incarnation, Workspace: s.workspace, Total: a.lent[to]}
+	return RepayParams{Giver: l.settings.Incarnation, Workspace: s.workspace, Total: a.owned.lent[to]}
 }
 
 // ServeRepay answers a neighbour's call of MethodRepay.
--- a/escrow/replenish.go
+++ b/escrow/replenish.go
@@ -46,17 +46,17 @@
 // lack returns what an account lacks of its target. Before a relay has told what
 // is left, the whole budget is taken to be.
 func (a *account) lack(o conditions) shortage {
-	target := a.target(a.remainingInStore(), o)
-	free := max(0, a.owned())
+	target := a.target(a.fleet.remainingInStore(a.owned.limit), o)
+	free := max(0, a.owned.unreserved())
 	var waiting granitehoist.Tokens
 	for _, each := range a.waiters {
 		waiting += each.bound
 	}
-	if a.frozen || (waiting == 0 && float64(free) >= refillBelow*float64(target)) {
+	if a.owned.frozen || (waiting == 0 && float64(free) >= refillBelow*float64(target)) {
 		return shortage{}
 	}
 	want := max(1, target+waiting-free)
-	return shortage{need: min(want, max(1, waiting)), want: want, rate: granitehoist.Tokens(a.rate.value(o.now)), idle: free, waiting: waiting > 0}
+	return shortage{need: min(want, max(1, waiting)), want: want, rate: granitehoist.Tokens(a.demand.rate.value(o.now)), idle: free, waiting: waiting > 0}
 }
 
 // replenish fills the holdings from relays, and reports whether they have done
@@ -118,7 +118,7 @@
 	settled := true
 	for _, a := range l.accounts {
 		a.changed = false
-		settled = settled && !a.frozen && (inTouch || len(a.waiters) == 0)
+		settled = settled && !a.owned.frozen && (inTouch || len(a.waiters) == 0)
 	}
 	return settled
 }
--- a/escrow/reserve.go
+++ b/escrow/reserve.go
@@ -17,14 +17,6 @@
 	return l.reserve(w, claim{bound: bound, priority: priority}, now)
 }
 
-// claim is what tokens are wanted for: a request, or a loan to a router that
-// has requests.
-type claim struct {
-	bound    granitehoist.Tokens
-	priority granitehoist.Priority
-	loan     bool
-}
-
 func (l *Ledger) reserve(w granitehoist.Workspace, d claim, now time.Time) bool {
 	mustNotBeNegative(d.bound)
 	l.mu.Lock()
@@ -34,8 +26,7 @@
 		l.began = now
 	}
 	if !d.loan {
-		a.measure(d.bound)
-		a.highestPriority = max(a.highestPriority, d.priority)
+		a.demand.measure(d.bound, d.priority)
 	}
 	if a.tapered(d, now) {
 		return false
@@ -43,18 +34,6 @@
 	return l.take(a, d, now)
 }
 
-// meanWeight is that of the newest request in the mean of sizes.
-const meanWeight = 0.05
-
-// measure takes the size of a request into the mean.
-func (a *account) measure(bound granitehoist.Tokens) {
-	a.largestBound = max(a.largestBound, bound)
-	if a.meanBound == 0 {
-		a.meanBound = float64(bound)
-	}
-	a.meanBound += (float64(bound) - a.meanBound) * meanWeight
-}
-
 // take reserves for a demand if there is enough. The most that a request can cost
 // counts as demand until it is known what it did.
 func (l *Ledger) take(a *account, d claim, now time.Time) bool {
@@ -62,17 +41,17 @@
 		return false
 	}
 	if !d.loan {
-		a.rate.add(d.bound, l.began, now)
+		a.demand.rate.add(d.bound, l.began, now)
 		a.ration.spend(d.bound)
 	}
 	return true
 }
 
 func (a *account) reserve(bound, reservedForUrgent granitehoist.Tokens) bool {
-	if a.free() < bound+reservedForUrgent {
+	if a.owned.free() < bound+reservedForUrgent {
 		return false
 	}
-	a.reserved += bound
+	a.owned.reserve(bound)
 	return true
 }
 
@@ -81,6 +60,6 @@
 
 // reservedForUrgent returns the tokens that a request of a priority leaves to higher ones.
 func (a *account) reservedForUrgent(priority granitehoist.Priority, outageLeft float64) granitehoist.Tokens {
-	steps := float64(max(0, a.highestPriority-priority))
+	steps := float64(max(0, a.demand.highestPriority-priority))
 	return granitehoist.Tokens(min(1, urgentPart*steps) * outageLeft * float64(a.lastTarget))
 }
--- a/escrow/taper.go
+++ b/escrow/taper.go
@@ -31,21 +31,21 @@
 	if d.loan {
 		return false
 	}
-	leftAnywhere, known := a.leftAnywhere()
-	left := float64(leftAnywhere)
-	limit := float64(a.limit)
-	if !known || left >= taperBelow*limit {
+	believed := a.fleet.leftAnywhere(a.owned.unreserved())
+	left := float64(believed.tokens)
+	limit := float64(a.owned.limit)
+	if !believed.reported || left >= taperBelow*limit {
 		return false
 	}
 	bound := float64(d.bound)
-	if bound > taperShare*left || bound > a.meanBound {
+	if bound > taperShare*left || bound > a.demand.mean {
 		return true
 	}
 	if left >= rationBelow*limit {
 		return false
 	}
 	sharing := max(1, rationedPart*float64(a.routers))
-	a.ration.grow(left/sharing/rationTime.Seconds(), rationRequests*a.meanBound, now)
+	a.ration.grow(left/sharing/rationTime.Seconds(), rationRequests*a.demand.mean, now)
 	return bound > a.ration.tokens
 }
 
