--- a/escrow/account.go
+++ b/escrow/account.go
@@ -4,6 +4,8 @@
 package escrow
 
 import (
+	"time"
+
 	"granitehoist.example/granitehoist"
 )
 
@@ -44,3 +46,25 @@
 	// whoever sends holds no lock for long.
 	outcome chan Outcome
 }
+
+// judgeEnd applies the rules of the end of a budget to a claim. A loan is not
+// judged: the borrower judges its own requests.
+func (a *account) judgeEnd(c claim, now time.Time) endVerdict {
+	if c.loan {
+		return endAllows
+	}
+	end := budgetEnd{
+		left:    a.fleet.leftAnywhere(a.owned.unreserved()),
+		limit:   a.owned.limit,
+		mean:    a.demand.mean,
+		routers: a.routers,
+	}
+	verdict, ration := end.judge(c.bound, a.ration, now)
+	a.ration = ration
+	return verdict
+}
+
+// judgeWait decides whether waiting can still help a claim.
+func (a *account) judgeWait(c claim, now time.Time) waitVerdict {
+	return judgeWait(c.bound, a.judgeEnd(c, now), a.fleet, a.owned.unreserved())
+}
--- a/escrow/contact.go
+++ b/escrow/contact.go
@@ -6,21 +6,19 @@
 import "time"
 
 const (
-	// expectedOutage is how long tokens are kept for urgent requests while the
-	// store is silent.
-	expectedOutage = 10 * time.Second
-	// minOutage is the shortest silence that counts as an outage.
+	// minOutage is the shortest silence of the store that counts as an outage.
+	// Chosen, not measured (e3d7583).
 	minOutage = 4 * time.Second
-	// exposedAfterOutage is the part of a prepaid total that all routers may
-	// hold together right after an outage. It stays so for exposedLow and grows
-	// to sharePart until exposedGrown.
-	exposedAfterOutage = 0.008
-	exposureLowTime    = 4 * time.Second
-	exposureGrownTime  = 9 * time.Second
+	// inTouchTime is how long after an answer of the store a router says that it is
+	// in touch: a router that works reads the record each maxRecordAge, and has a
+	// second to do so. Chosen, not measured (c814f3e).
+	inTouchTime = maxRecordAge + time.Second
 )
 
 // contact is what a router knows of its contact with the store. The zero value
-// stands for a store that has not been called.
+// stands for a store that has not been called. The store counts as silent from
+// the first failed call until the next answer; there is no threshold, since a
+// call fails only after its timeout.
 type contact struct {
 	// lastAnswer is when the store last answered this router or a lender that is
 	// in touch with it, and silentSince when a call first failed since.
@@ -29,7 +27,7 @@
 	// lastSync is when the store last answered this router itself.
 	lastSync time.Time
 	// cutSince is when a call first failed since the store answered this router
-	// itself, or a relay that speaks with the store for it.
+	// itself, or a relay that called it for this router.
 	cutSince time.Time
 	// outageEnded is when the last outage ended, here or at a neighbour.
 	outageEnded time.Time
@@ -41,8 +39,8 @@
 	c.answeredThroughRelay(now)
 }
 
-// answeredThroughRelay notes that the store answered this router, or a relay that speaks with
-// it for this router.
+// answeredThroughRelay notes that the store answered this router, or a relay that
+// called it for this router.
 func (c *contact) answeredThroughRelay(now time.Time) {
 	if c.cut(now) >= minOutage {
 		c.outageEnded = now
@@ -67,96 +65,36 @@
 	}
 }
 
-// cut returns for how long the store has not answered this router itself, nor a
-// relay for it; zero if it does.
-func (c *contact) cut(now time.Time) time.Duration {
-	if c.cutSince.IsZero() {
-		return 0
-	}
-	return now.Sub(c.cutSince)
-}
-
-// noteNeighbourSilence takes in for how long the store has not answered a neighbour. While
-// it answers this router, an outage there holds as one here.
+// noteNeighbourSilence takes in for how long the store has not answered a
+// neighbour. While it answers this router, an outage there counts as one here.
 func (c *contact) noteNeighbourSilence(cut time.Duration, now time.Time) {
 	if c.cutSince.IsZero() && cut >= minOutage {
 		c.outageEnded = now
 	}
 }
 
+// isSilent reports whether a call has failed since the last answer.
+func (c contact) isSilent() bool { return !c.silentSince.IsZero() }
+
 // silence returns for how long the store has not answered, zero if it does.
-func (c *contact) silence(now time.Time) time.Duration {
-	if c.silentSince.IsZero() {
+func (c contact) silence(now time.Time) time.Duration {
+	if !c.isSilent() {
 		return 0
 	}
 	return now.Sub(c.silentSince)
 }
 
-// outageLeft returns the part of an expected outage that is still to come, zero
-// if there is none.
-func (c *contact) outageLeft(now time.Time) float64 {
-	if c.silentSince.IsZero() {
+// cut returns for how long the store has not answered this router itself, nor a
+// relay for it; zero if it does.
+func (c contact) cut(now time.Time) time.Duration {
+	if c.cutSince.IsZero() {
 		return 0
 	}
-	return max(0, 1-c.silence(now).Seconds()/expectedOutage.Seconds())
-}
-
-// exposedPart returns the part of a prepaid total that all routers may hold
-// together. What is held protects against the next outage and is lost if the
-// routers die. Right after an outage the next one is far, so the holdings grow
-// back slowly.
-func (c *contact) exposedPart(now time.Time) float64 {
-	if c.outageEnded.IsZero() {
-		return 1
-	}
-	since := now.Sub(c.outageEnded)
-	if since >= exposureGrownTime {
-		return 1
-	}
-	grown := max(0, (since-exposureLowTime).Seconds()/(exposureGrownTime-exposureLowTime).Seconds())
-	return exposedAfterOutage + (sharePart-exposedAfterOutage)*grown
-}
-
-// noteStoreAnswer notes that the store has answered.
-func (l *Ledger) noteStoreAnswer(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.contact.answeredDirectly(now)
-}
-
-// isStoreSilent reports whether the store has not answered the last call.
-func (l *Ledger) isStoreSilent() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return !l.contact.silentSince.IsZero()
-}
-
-// noteStoreFailure notes that the store has not answered.
-func (l *Ledger) noteStoreFailure(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.contact.failed(now)
-}
-
-// noteRelayAnswer notes that a relay that is in touch with the store spoke for this
-// router.
-func (l *Ledger) noteRelayAnswer(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.contact.answeredThroughRelay(now)
-}
-
-// StoreSilence returns for how long the store has not answered this router itself, nor
-// a relay for it; zero if it does.
-func (l *Ledger) StoreSilence(now time.Time) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.contact.cut(now)
+	return now.Sub(c.cutSince)
 }
 
-// NoteNeighbourSilence takes in for how long the store has not answered a neighbour.
-func (l *Ledger) NoteNeighbourSilence(cut time.Duration, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.contact.noteNeighbourSilence(cut, now)
+// isInTouch reports whether what this router knows of the record is new enough to
+// be reported to borrowers.
+func (c contact) isInTouch(now time.Time) bool {
+	return !c.isSilent() && now.Sub(c.lastSync) <= inTouchTime
 }
--- a/escrow/holding.go
+++ b/escrow/holding.go
@@ -46,7 +46,7 @@
 
 // conditions returns the outlook at a time.
 func (l *Ledger) conditions(routers int, now time.Time) conditions {
-	o := conditions{now: now, routers: max(1, routers), cover: l.settings.Cover, start: startPart, exposedPart: l.contact.exposedPart(now)}
+	o := conditions{now: now, routers: max(1, routers), cover: l.settings.Cover, start: startPart, exposedPart: exposedPart(l.contact.outageEnded, now)}
 	if !l.began.IsZero() {
 		o.confidence = min(1, now.Sub(l.began).Seconds()/rateTime.Seconds())
 	}
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -124,75 +124,47 @@
 	}
 }
 
-// wait enters a request that waits for tokens. If the budget is known to have
-// too few it ends at once.
-func (l *Ledger) wait(w granitehoist.Workspace, d claim, now time.Time) *waiter {
+// Reserve sets bound tokens aside, and reports whether the router owns that
+// many. While the store is silent, a part of what is left is reserved for
+// requests of a higher priority. Each success is to be followed by one Settle. It
+// panics if bound is negative.
+func (l *Ledger) Reserve(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) bool {
+	return l.reserve(w, claim{bound: bound, priority: priority}, now)
+}
+
+// reserve is Reserve for a claim of any kind.
+func (l *Ledger) reserve(w granitehoist.Workspace, c claim, now time.Time) bool {
+	mustNotBeNegative(c.bound)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	added := &waiter{claim: d, outcome: make(chan Outcome, 1)}
-	if l.take(a, d, now) {
-		added.outcome <- Granted
-		return added
-	}
-	if a.fleet.isFresh(now) && a.unservable(d, now) {
-		added.outcome <- a.refusal(d, now)
-		return added
+	if l.began.IsZero() {
+		l.began = now
 	}
-	a.waiters = append(a.waiters, added)
-	return added
-}
-
-// unservable reports whether waiting can't help a demand. A router that does not
-// read the record asks its neighbours for what they have idle.
-func (a *account) unservable(d claim, now time.Time) bool {
-	if a.tapered(d, now) {
-		return true
+	if !c.loan {
+		a.demand.measure(c.bound, c.priority)
 	}
-	if a.fleet.lenderIsNewer() {
-		return d.bound > a.fleet.leftAnywhere(a.owned.unreserved()).tokens
+	if a.judgeEnd(c, now).withholds() {
+		return false
 	}
-	return a.fleet.record.valid && d.bound > a.fleet.record.remaining+max(0, a.owned.unreserved())
+	return l.take(a, c, now)
 }
 
-// refusal tells why a demand can't be met.
-func (a *account) refusal(d claim, now time.Time) Outcome {
-	left := a.fleet.leftAnywhere(a.owned.unreserved())
-	switch {
-	case left.reported && d.bound > left.tokens:
-		return Exhausted
-	case a.tapered(d, now):
-		return Withheld
-	}
-	return Scarce
-}
-
-// abandon ends a wait that nothing answered in time.
-func (l *Ledger) abandon(w granitehoist.Workspace, abandoned *waiter, now time.Time) Outcome {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	select {
-	case outcome := <-abandoned.outcome:
-		return outcome
-	default:
-	}
-	a := l.account(w)
-	for i, other := range a.waiters {
-		if other == abandoned {
-			a.waiters = append(a.waiters[:i], a.waiters[i+1:]...)
-			break
-		}
+// take reserves for a claim if admit allows it. The most that a request can cost
+// counts as demand until its use is known.
+func (l *Ledger) take(a *account, c claim, now time.Time) bool {
+	forUrgent := reservedForUrgent(c.priority, a.demand.highestPriority, a.lastTarget, outageLeft(l.contact.silentSince, now))
+	if admit(a.owned.free(), c.bound, forUrgent) != admitted {
+		return false
 	}
-	if now.Sub(l.contact.lastAnswer) > unreachableAfter {
-		return Unreachable
+	a.owned.reserve(c.bound)
+	if !c.loan {
+		a.demand.rate.add(c.bound, l.began, now)
+		a.ration = a.ration.less(c.bound)
 	}
-	return Scarce
+	return true
 }
 
-// unreachableAfter is how long the store may be silent while requests wait
-// before it is said not to answer.
-const unreachableAfter = 100 * time.Millisecond
-
 // Settle ends a reservation of bound tokens with what was used. It panics if
 // there is no such reservation or if used is negative.
 func (l *Ledger) Settle(w granitehoist.Workspace, bound, used granitehoist.Tokens, now time.Time) {
@@ -205,35 +177,6 @@
 	l.wake(a, now)
 }
 
-// wake reserves for the waiters that fit, the earlier ones first.
-func (l *Ledger) wake(a *account, now time.Time) {
-	waiting := a.waiters[:0]
-	for _, w := range a.waiters {
-		if !a.tapered(w.claim, now) && l.take(a, w.claim, now) {
-			w.outcome <- Granted
-			continue
-		}
-		waiting = append(waiting, w)
-	}
-	clear(a.waiters[len(waiting):])
-	a.waiters = waiting
-}
-
-// refuse ends the waits that what is left can't serve.
-func (l *Ledger) refuse(a *account, now time.Time) {
-	waiting := a.waiters[:0]
-	for _, w := range a.waiters {
-		if a.unservable(w.claim, now) {
-			w.outcome <- a.refusal(w.claim, now)
-			continue
-		}
-		waiting = append(waiting, w)
-	}
-	clear(a.waiters[len(waiting):])
-	a.waiters = waiting
-	l.wake(a, now)
-}
-
 // Close makes the following syncs return everything that is free, and grants
 // nothing more.
 func (l *Ledger) Close() {
@@ -284,6 +227,51 @@
 	}
 }
 
+// isStoreSilent reports whether the last call to the store failed.
+func (l *Ledger) isStoreSilent() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.contact.isSilent()
+}
+
+// noteStoreAnswer notes that the store has answered this router.
+func (l *Ledger) noteStoreAnswer(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.contact.answeredDirectly(now)
+}
+
+// noteRelayAnswer notes that a relay that is in touch with the store called it
+// for this router.
+func (l *Ledger) noteRelayAnswer(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.contact.answeredThroughRelay(now)
+}
+
+// noteStoreFailure notes that a call to the store failed.
+func (l *Ledger) noteStoreFailure(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.contact.failed(now)
+}
+
+// StoreSilence returns for how long the store has not answered this router itself,
+// nor a relay for it; zero if it does.
+func (l *Ledger) StoreSilence(now time.Time) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.contact.cut(now)
+}
+
+// NoteNeighbourSilence takes in for how long the store has not answered a
+// neighbour, as the neighbour says.
+func (l *Ledger) NoteNeighbourSilence(silence time.Duration, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.contact.noteNeighbourSilence(silence, now)
+}
+
 func mustNotBeNegative(t granitehoist.Tokens) {
 	if t < 0 {
 		panic("escrow: negative amount")
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -66,7 +66,7 @@
 // lendResult tells a borrower of its loans and of what is known here.
 func (l *Ledger) lendResult(a *account, borrower granitehoist.Incarnation, now time.Time) LendResult {
 	result := LendResult{Total: a.owned.lent[borrower]}
-	if !a.fleet.record.valid || !l.contact.silentSince.IsZero() || now.Sub(l.contact.lastSync) > inTouchTime {
+	if !a.fleet.record.valid || !l.contact.isInTouch(now) {
 		return result
 	}
 	result.InTouch = true
@@ -76,9 +76,6 @@
 	return result
 }
 
-// inTouchTime is how long after an answer of the store a lender is in touch.
-const inTouchTime = maxRecordAge + time.Second
-
 // lendReserved turns a reservation into a loan.
 func (l *Ledger) lendReserved(p LendParams, bound granitehoist.Tokens, now time.Time) LendResult {
 	l.mu.Lock()
@@ -147,7 +144,7 @@
 		free := max(0, a.owned.unreserved())
 		need := max(1, first-free)
 		want := sum - free
-		if l.contact.exposedPart(now) >= 1 {
+		if exposedPart(l.contact.outageEnded, now) >= 1 {
 			want += granitehoist.Tokens(a.demand.rate.value(now) * loanCover.Seconds())
 		}
 		short = append(short, shortage{workspace: w, waiting: true, need: need, want: max(need, want), rate: granitehoist.Tokens(a.demand.rate.value(now)), idle: free})
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -104,7 +104,7 @@
 func (a *account) lackOfWaiters(remaining granitehoist.Tokens, now time.Time) granitehoist.Tokens {
 	bounds := make([]granitehoist.Tokens, 0, len(a.waiters))
 	for _, w := range a.waiters {
-		if a.tapered(w.claim, now) {
+		if a.judgeEnd(w.claim, now).withholds() {
 			continue
 		}
 		bounds = append(bounds, w.bound)
--- a/escrow/remaining.go
+++ b/escrow/remaining.go
@@ -47,20 +47,20 @@
 const remainingFresh = 800 * time.Millisecond
 
 // isFresh reports whether either source is younger than remainingFresh.
-func (v fleetView) isFresh(now time.Time) bool {
+func (v *fleetView) isFresh(now time.Time) bool {
 	return now.Sub(v.record.readAt) < remainingFresh || now.Sub(v.lender.at) < remainingFresh
 }
 
 // lenderIsNewer decides which source to believe: the lender's report if it
 // arrived after the record was read here.
-func (v fleetView) lenderIsNewer() bool {
+func (v *fleetView) lenderIsNewer() bool {
 	return v.lender.valid && v.lender.at.After(v.record.readAt)
 }
 
 // remainingInStore returns what the store has left according to the newer
 // source. Without any source it is the whole limit, so that a router that starts
 // asks for tokens instead of refusing requests.
-func (v fleetView) remainingInStore(limit granitehoist.Tokens) granitehoist.Tokens {
+func (v *fleetView) remainingInStore(limit granitehoist.Tokens) granitehoist.Tokens {
 	switch {
 	case v.lenderIsNewer():
 		return v.lender.remaining
@@ -80,7 +80,7 @@
 // leftAnywhere returns what is left of the budget in the store, here and at all
 // other routers, according to the newer source. unreserved is what is owned here
 // now; the other terms are as old as their source.
-func (v fleetView) leftAnywhere(unreserved granitehoist.Tokens) budgetLeft {
+func (v *fleetView) leftAnywhere(unreserved granitehoist.Tokens) budgetLeft {
 	here := max(0, unreserved)
 	switch {
 	case v.lenderIsNewer():
--- /dev/null
+++ b/escrow/waiters.go
@@ -0,0 +1,80 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package escrow
+
+import (
+	"time"
+
+	"granitehoist.example/granitehoist"
+)
+
+// wait enters a request that waits for tokens. If the budget is known of late to
+// have too few, the wait ends at once.
+func (l *Ledger) wait(w granitehoist.Workspace, c claim, now time.Time) *waiter {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.account(w)
+	added := &waiter{claim: c, outcome: make(chan Outcome, 1)}
+	if l.take(a, c, now) {
+		added.outcome <- Granted
+		return added
+	}
+	if a.fleet.isFresh(now) {
+		if verdict := a.judgeWait(c, now); verdict.ends {
+			added.outcome <- verdict.outcome
+			return added
+		}
+	}
+	a.waiters = append(a.waiters, added)
+	return added
+}
+
+// abandon ends a wait that nothing answered in time.
+func (l *Ledger) abandon(w granitehoist.Workspace, abandoned *waiter, now time.Time) Outcome {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	select {
+	case outcome := <-abandoned.outcome:
+		return outcome
+	default:
+	}
+	a := l.account(w)
+	for i, other := range a.waiters {
+		if other == abandoned {
+			a.waiters = append(a.waiters[:i], a.waiters[i+1:]...)
+			break
+		}
+	}
+	return judgeTimeout(l.contact.lastAnswer, now)
+}
+
+// wake reserves for the waiters that fit, the earlier ones first.
+func (l *Ledger) wake(a *account, now time.Time) {
+	a.endWaits(func(c claim) waitVerdict {
+		if a.judgeEnd(c, now).withholds() || !l.take(a, c, now) {
+			return waitVerdict{}
+		}
+		return waitVerdict{ends: true, outcome: Granted}
+	})
+}
+
+// refuse ends the waits that what is left can't serve, and wakes the others.
+func (l *Ledger) refuse(a *account, now time.Time) {
+	a.endWaits(func(c claim) waitVerdict { return a.judgeWait(c, now) })
+	l.wake(a, now)
+}
+
+// endWaits ends the waits that a function says end, the earlier ones first.
+func (a *account) endWaits(judge func(claim) waitVerdict) {
+	waiting := a.waiters[:0]
+	for _, w := range a.waiters {
+		if verdict := judge(w.claim); verdict.ends {
+			w.outcome <- verdict.outcome
+			continue
+		}
+		waiting = append(waiting, w)
+	}
+	clear(a.waiters[len(waiting):])
+	a.waiters = waiting
+}
