--- a/escrow/export_test.go
+++ b/escrow/export_test.go
@@ -5,6 +5,7 @@
 
 import (
 	"context"
+	"fmt"
 	"time"
 
 	"granitehoist.example/granitehoist"
@@ -13,16 +14,45 @@
 // Enter enters a request that waits, as Syncer.Reserve does, and returns where
 // its outcome arrives.
 func (l *Ledger) Enter(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) <-chan Outcome {
-	return l.wait(w, demand{bound: bound, priority: priority}, now).ended
+	return l.wait(w, claim{bound: bound, priority: priority}, now).outcome
 }
 
 // Replenish and GiveBack do one step of a syncer that does not write the record.
 func Replenish(s *Syncer) { s.replenish(context.Background()) }
 
 // GiveBack gives back what the syncer's ledger holds beyond its needs.
-func GiveBack(s *Syncer) { s.giveBack(context.Background()) }
+func GiveBack(s *Syncer) { s.returnSurplus(context.Background()) }
 
 // Repay takes tokens off a ledger's own and returns what the receiver is told.
 func Repay(l *Ledger, to granitehoist.Incarnation, w granitehoist.Workspace, tokens granitehoist.Tokens) RepayParams {
 	return l.repay(to, surplus{w, tokens})
 }
+
+// CheckConservation checks for every workspace the conservation rule that owned
+// states, where no request used more than its bound.
+func CheckConservation(l *Ledger) error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for w, a := range l.accounts {
+		if err := a.owned.check(); err != nil {
+			return fmt.Errorf("%s: %w", w, err)
+		}
+	}
+	return nil
+}
+
+func (o *owned) check() error {
+	lowest := min(o.granted, o.returned, o.spent, o.reserved)
+	for _, loans := range []map[granitehoist.Incarnation]granitehoist.Tokens{o.lent, o.borrowed} {
+		for _, loan := range loans {
+			lowest = min(lowest, loan)
+		}
+	}
+	if lowest < 0 {
+		return fmt.Errorf("a total is %d", lowest)
+	}
+	if missing := -o.unreserved(); missing > 0 {
+		return fmt.Errorf("%d tokens are spent, reserved, returned or lent that were never owned", missing)
+	}
+	return nil
+}
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -43,108 +43,21 @@
 	// joinBelow is the part under which a holding is filled when the record is
 	// written anyway.
 	joinBelow = 0.9
-	// returnLeast is the part of the budget below which it is not worth a write to
+	// minReturnPart is the part of the budget below which it is not worth a write to
 	// give tokens back.
-	returnLeast = 0.005
-	// returnLeastAtEnd stands for it when the store has less than endBelow of the
+	minReturnPart = 0.005
+	// minReturnPartAtEnd stands for it when the store has less than endBelow of the
 	// budget left: what each router keeps is then a good part of what there is.
-	returnLeastAtEnd = 0.0002
-	endBelow         = 0.02
-	// returnAbove is the multiple of the holding above which tokens are given
+	minReturnPartAtEnd = 0.0002
+	endPart            = 0.02
+	// returnAboveTarget is the multiple of the holding above which tokens are given
 	// back.
-	returnAbove = 2.0
-	// returnExposed stands for returnAbove while holdings are kept low after an
+	returnAboveTarget = 2.0
+	// returnAboveTargetAfterOutage stands for returnAbove while holdings are kept low after an
 	// outage.
-	returnExposed = 1.2
+	returnAboveTargetAfterOutage = 1.2
 )
 
-// restFresh is how long the last known rest of a budget is taken for true.
-const restFresh = 800 * time.Millisecond
-
-type account struct {
-	granted  granitehoist.Tokens
-	returned granitehoist.Tokens
-	spent    granitehoist.Tokens
-	reserved granitehoist.Tokens
-	// lent and borrowed are the sums of loans by the other's incarnation.
-	lent     map[granitehoist.Incarnation]granitehoist.Tokens
-	borrowed map[granitehoist.Incarnation]granitehoist.Tokens
-	// limit is the prepaid total in force.
-	limit granitehoist.Tokens
-	// frozen says that the limit was reduced and the free tokens may no longer
-	// be covered.
-	frozen bool
-	// rest is what the store had left, idle what others had, as read at restAt.
-	// lentIdle is what borrowers had then.
-	rest     granitehoist.Tokens
-	idle     granitehoist.Tokens
-	lentIdle granitehoist.Tokens
-	restAt   time.Time
-	known    bool
-	// told says that a lender has told toldLeft, what was left in the store and
-	// idle elsewhere, at toldAt, and toldRest, the part of it in the store.
-	told               bool
-	toldAt             time.Time
-	toldLeft, toldRest granitehoist.Tokens
-
-	// holding is the target at the last sync, and urgent the highest priority
-	// of a request so far.
-	holding granitehoist.Tokens
-	urgent  granitehoist.Priority
-
-	rate rate
-	// rateElsewhere is what the record says that others spend, fleetRate what a
-	// lender tells of all, in tokens a second, and demands what borrowers tell of
-	// themselves.
-	rateElsewhere float64
-	demands       map[granitehoist.Incarnation]toldDemand
-	fleetRate     float64
-
-	largest granitehoist.Tokens
-	// mean is that of the requests' bounds.
-	mean float64
-	// routers is the number of routers that share the budget, and ration what
-	// this one may spend of the last of it.
-	routers int
-	ration  ration
-	waiters []*waiter
-	changed bool
-}
-
-// toldDemand is what a borrower told at a time: its rate in tokens a second, and
-// what it owned beside its requests.
-type toldDemand struct {
-	perSecond float64
-	idle      granitehoist.Tokens
-	at        time.Time
-}
-
-// free returns the tokens that a request may reserve.
-func (a *account) free() granitehoist.Tokens {
-	if a.frozen {
-		return 0
-	}
-	return a.owned()
-}
-
-func (a *account) owned() granitehoist.Tokens {
-	return a.granted - a.returned - a.spent - a.reserved + sum(a.borrowed) - sum(a.lent)
-}
-
-func sum(loans map[granitehoist.Incarnation]granitehoist.Tokens) granitehoist.Tokens {
-	var total granitehoist.Tokens
-	for _, loan := range loans {
-		total += loan
-	}
-	return total
-}
-
-// waiter is a request that waits for tokens.
-type waiter struct {
-	demand
-	ended chan Outcome
-}
-
 // Outcome tells how a reservation ended.
 type Outcome int
 
@@ -205,90 +118,53 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	if limit < a.limit {
-		a.frozen = true
-	}
-	if limit != a.limit {
-		a.known = false
+	if a.owned.setLimit(limit) {
+		a.fleet.record.valid = false
 		a.changed = true
 	}
-	a.limit = limit
 }
 
-// wait enters a request that waits for tokens. If the budget is known to have
-// too few it ends at once.
-func (l *Ledger) wait(w granitehoist.Workspace, d demand, now time.Time) *waiter {
+// Reserve sets bound tokens aside, and reports whether the router owns that
+// many. While the store is silent, a part of what is left is reserved for
+// requests of a higher priority. Each success is to be followed by one Settle. It
+// panics if bound is negative.
+func (l *Ledger) Reserve(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) bool {
+	return l.reserve(w, claim{bound: bound, priority: priority}, now)
+}
+
+// reserve is Reserve for a claim of any kind.
+func (l *Ledger) reserve(w granitehoist.Workspace, c claim, now time.Time) bool {
+	mustNotBeNegative(c.bound)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	added := &waiter{demand: d, ended: make(chan Outcome, 1)}
-	if l.take(a, d, now) {
-		added.ended <- Granted
-		return added
-	}
-	if a.fresh(now) && a.hopeless(d, now) {
-		added.ended <- a.refusal(d, now)
-		return added
-	}
-	a.waiters = append(a.waiters, added)
-	return added
-}
-
-// fresh reports whether what is believed to be left is so of late.
-func (a *account) fresh(now time.Time) bool {
-	return now.Sub(a.restAt) < restFresh || now.Sub(a.toldAt) < restFresh
-}
-
-// hopeless reports whether waiting can't help a demand. A router that does not
-// read the record asks its neighbours for what they have idle.
-func (a *account) hopeless(d demand, now time.Time) bool {
-	if a.tapered(d, now) {
-		return true
+	if l.began.IsZero() {
+		l.began = now
 	}
-	if left, known := a.believedLeft(); a.secondhand() {
-		return known && d.bound > left
+	if !c.loan {
+		a.demand.measure(c.bound, c.priority)
 	}
-	return a.known && d.bound > a.rest+max(0, a.owned())
-}
-
-// refusal tells why a demand can't be met.
-func (a *account) refusal(d demand, now time.Time) Outcome {
-	left, known := a.believedLeft()
-	switch {
-	case known && d.bound > left:
-		return Exhausted
-	case a.tapered(d, now):
-		return Withheld
+	if a.judgeEnd(c, now).withholds() {
+		return false
 	}
-	return Scarce
+	return l.take(a, c, now)
 }
 
-// abandon ends a wait that nothing answered in time.
-func (l *Ledger) abandon(w granitehoist.Workspace, gone *waiter, now time.Time) Outcome {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	select {
-	case outcome := <-gone.ended:
-		return outcome
-	default:
-	}
-	a := l.account(w)
-	for i, other := range a.waiters {
-		if other == gone {
-			a.waiters = append(a.waiters[:i], a.waiters[i+1:]...)
-			break
-		}
+// take reserves for a claim if admit allows it. The most that a request can cost
+// counts as demand until its use is known.
+func (l *Ledger) take(a *account, c claim, now time.Time) bool {
+	forUrgent := reservedForUrgent(c.priority, a.demand.highestPriority, a.lastTarget, outageLeft(l.contact.silentSince, now))
+	if admit(a.owned.free(), c.bound, forUrgent) != admitted {
+		return false
 	}
-	if now.Sub(l.contact.reached) > unreachableAfter {
-		return Unreachable
+	a.owned.reserve(c.bound)
+	if !c.loan {
+		a.demand.rate.add(c.bound, l.began, now)
+		a.ration = a.ration.less(c.bound)
 	}
-	return Scarce
+	return true
 }
 
-// unreachableAfter is how long the store may be silent while requests wait
-// before it is said not to answer.
-const unreachableAfter = 100 * time.Millisecond
-
 // Settle ends a reservation of bound tokens with what was used. It panics if
 // there is no such reservation or if used is negative.
 func (l *Ledger) Settle(w granitehoist.Workspace, bound, used granitehoist.Tokens, now time.Time) {
@@ -296,41 +172,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	if a.reserved < bound {
-		panic("escrow: settlement without reservation")
-	}
-	a.reserved -= bound
-	a.spent += used
-	a.rate.add(used-bound, l.began, now)
-	l.wake(a, now)
-}
-
-// wake reserves for the waiters that fit, the earlier ones first.
-func (l *Ledger) wake(a *account, now time.Time) {
-	kept := a.waiters[:0]
-	for _, w := range a.waiters {
-		if !a.tapered(w.demand, now) && l.take(a, w.demand, now) {
-			w.ended <- Granted
-			continue
-		}
-		kept = append(kept, w)
-	}
-	clear(a.waiters[len(kept):])
-	a.waiters = kept
-}
-
-// refuse ends the waits that what is left can't serve.
-func (l *Ledger) refuse(a *account, now time.Time) {
-	kept := a.waiters[:0]
-	for _, w := range a.waiters {
-		if a.hopeless(w.demand, now) {
-			w.ended <- a.refusal(w.demand, now)
-			continue
-		}
-		kept = append(kept, w)
-	}
-	clear(a.waiters[len(kept):])
-	a.waiters = kept
+	a.owned.settle(bound, used)
+	a.demand.rate.add(used-bound, l.began, now)
 	l.wake(a, now)
 }
 
@@ -353,9 +196,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	answer := Answer{Outcome: o, Free: a.free(), StoreRemaining: a.rest}
-	if !a.restAt.IsZero() {
-		answer.Age = now.Sub(a.restAt)
+	answer := Answer{Outcome: o, Free: a.owned.free(), StoreRemaining: a.fleet.record.remaining}
+	if !a.fleet.record.readAt.IsZero() {
+		answer.Age = now.Sub(a.fleet.record.readAt)
 	}
 	answer.Silent = l.contact.silence(now)
 	return answer
@@ -368,8 +211,8 @@
 	Free granitehoist.Tokens
 	// StoreRemaining is what the store was last known to have left.
 	StoreRemaining granitehoist.Tokens
-	// RestAt is when Rest was read.
-	RestAt  time.Time
+	// ReadAt is when Rest was read.
+	ReadAt  time.Time
 	Waiting int
 }
 
@@ -379,11 +222,56 @@
 	defer l.mu.Unlock()
 	a := l.account(w)
 	return State{
-		Granted: a.granted, Returned: a.returned, Spent: a.spent, Reserved: a.reserved,
-		Free: a.free(), StoreRemaining: a.rest, RestAt: a.restAt, Waiting: len(a.waiters),
+		Granted: a.owned.granted, Returned: a.owned.returned, Spent: a.owned.spent, Reserved: a.owned.reserved,
+		Free: a.owned.free(), StoreRemaining: a.fleet.record.remaining, ReadAt: a.fleet.record.readAt, Waiting: len(a.waiters),
 	}
 }
 
+// isStoreSilent reports whether the last call to the store failed.
+func (l *Ledger) isStoreSilent() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.contact.isSilent()
+}
+
+// noteStoreAnswer notes that the store has answered this router.
+func (l *Ledger) noteStoreAnswer(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.contact.answeredDirectly(now)
+}
+
+// noteRelayAnswer notes that a relay that is in touch with the store called it
+// for this router.
+func (l *Ledger) noteRelayAnswer(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.contact.answeredThroughRelay(now)
+}
+
+// noteStoreFailure notes that a call to the store failed.
+func (l *Ledger) noteStoreFailure(now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.contact.failed(now)
+}
+
+// StoreSilence returns for how long the store has not answered this router itself,
+// nor a relay for it; zero if it does.
+func (l *Ledger) StoreSilence(now time.Time) time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.contact.cut(now)
+}
+
+// NoteNeighbourSilence takes in for how long the store has not answered a
+// neighbour, as the neighbour says.
+func (l *Ledger) NoteNeighbourSilence(silence time.Duration, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.contact.noteNeighbourSilence(silence, now)
+}
+
 func mustNotBeNegative(t granitehoist.Tokens) {
 	if t < 0 {
 		panic("escrow: negative amount")
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -36,10 +36,10 @@
 	// InTouch says that the store answered the lender a short while ago.
 	// The others then tell what it knows: what is left in the store, what is
 	// left there and idle anywhere, and what the fleet spends a second.
-	InTouch bool                `json:"in_touch,omitempty"`
-	Rest    granitehoist.Tokens `json:"rest,omitempty"`
-	Left    granitehoist.Tokens `json:"left,omitempty"`
-	Rate    granitehoist.Tokens `json:"rate,omitempty"`
+	InTouch        bool                `json:"in_touch,omitempty"`
+	StoreRemaining granitehoist.Tokens `json:"rest,omitempty"`
+	LeftAnywhere   granitehoist.Tokens `json:"left,omitempty"`
+	FleetRate      granitehoist.Tokens `json:"rate,omitempty"`
 }
 
 // lendPart of its free tokens is what a lender parts with if that is less than
@@ -51,49 +51,38 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(p.Workspace)
-	a.hearDemand(p, now)
-	free := a.free()
+	a.demand.noteBorrower(p, now)
+	free := a.owned.free()
 	if !l.closing && p.Need > 0 && free > 0 && len(a.waiters) == 0 {
 		give := min(p.Want, granitehoist.Tokens(lendPart*float64(free)))
 		if free >= p.Need {
 			give = max(p.Need, give)
 		}
-		a.give(p.Borrower, max(0, give))
+		a.owned.lend(p.Borrower, max(0, give))
 	}
 	return l.lendResult(a, p.Borrower, now)
 }
 
 // lendResult tells a borrower of its loans and of what is known here.
 func (l *Ledger) lendResult(a *account, borrower granitehoist.Incarnation, now time.Time) LendResult {
-	result := LendResult{Total: a.lent[borrower]}
-	if !a.known || !l.contact.silentSince.IsZero() || now.Sub(l.contact.synced) > inTouchTime {
+	result := LendResult{Total: a.owned.lent[borrower]}
+	if !a.fleet.record.valid || !l.contact.isInTouch(now) {
 		return result
 	}
 	result.InTouch = true
-	result.Rest = max(0, a.rest)
-	result.Left = result.Rest + max(0, a.owned()) + a.idle + a.borrowersIdle(borrower, now)
-	result.Rate = granitehoist.Tokens(a.rate.value(now) + a.borrowersDemand(now))
+	result.StoreRemaining = max(0, a.fleet.record.remaining)
+	result.LeftAnywhere = result.StoreRemaining + max(0, a.owned.unreserved()) + a.fleet.record.idleElsewhere + a.demand.borrowersIdle(borrower, now)
+	result.FleetRate = granitehoist.Tokens(a.demand.rate.value(now) + a.demand.borrowersRate(now))
 	return result
 }
 
-// inTouchTime is how long after an answer of the store a lender is in touch.
-const inTouchTime = syncLeast + time.Second
-
-func (a *account) give(to granitehoist.Incarnation, tokens granitehoist.Tokens) {
-	if a.lent == nil {
-		a.lent = map[granitehoist.Incarnation]granitehoist.Tokens{}
-	}
-	a.lent[to] += tokens
-}
-
 // lendReserved turns a reservation into a loan.
 func (l *Ledger) lendReserved(p LendParams, bound granitehoist.Tokens, now time.Time) LendResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(p.Workspace)
-	a.hearDemand(p, now)
-	a.reserved -= bound
-	a.give(p.Borrower, bound)
+	a.demand.noteBorrower(p, now)
+	a.owned.lendReserved(p.Borrower, bound)
 	return l.lendResult(a, p.Borrower, now)
 }
 
@@ -103,16 +92,12 @@
 	defer l.mu.Unlock()
 	a := l.account(w)
 	if r.InTouch {
-		l.contact.answered(now)
-		a.told, a.toldAt = true, now
-		a.toldRest, a.toldLeft, a.fleetRate = r.Rest, r.Left, float64(r.Rate)
+		l.contact.answeredAnyone(now)
+		a.fleet.lender = lenderView{remaining: r.StoreRemaining, left: r.LeftAnywhere, at: now, valid: true}
+		a.demand.fleetRate = float64(r.FleetRate)
 	}
-	brought := r.Total > a.borrowed[lender]
+	brought := a.owned.borrow(lender, r.Total)
 	if brought {
-		if a.borrowed == nil {
-			a.borrowed = map[granitehoist.Incarnation]granitehoist.Tokens{}
-		}
-		a.borrowed[lender] = r.Total
 		l.wake(a, now)
 	}
 	if r.InTouch {
@@ -131,21 +116,21 @@
 	waiting   bool
 }
 
-// patience is how long a neighbour may take to help.
-func (s shortage) patience() time.Duration {
+// timeout is how long a neighbour may take to help.
+func (s shortage) timeout() time.Duration {
 	if s.waiting {
 		return lendTimeout
 	}
 	return replenishTimeout
 }
 
-// shortages returns the workspaces for which requests wait.
-func (l *Ledger) shortages(now time.Time) []shortage {
+// waitersLacks returns the workspaces for which requests wait.
+func (l *Ledger) waitersLacks(now time.Time) []shortage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var short []shortage
 	for w, a := range l.accounts {
-		if len(a.waiters) == 0 || a.frozen {
+		if len(a.waiters) == 0 || a.owned.frozen {
 			continue
 		}
 		first := a.waiters[0].bound
@@ -156,13 +141,13 @@
 		for _, waiting := range a.waiters {
 			sum += waiting.bound
 		}
-		free := max(0, a.owned())
+		free := max(0, a.owned.unreserved())
 		need := max(1, first-free)
 		want := sum - free
-		if l.contact.exposed(now) >= 1 {
-			want += granitehoist.Tokens(a.rate.value(now) * loanCover.Seconds())
+		if exposedPart(l.contact.outageEnded, now) >= 1 {
+			want += granitehoist.Tokens(a.demand.rate.value(now) * loanCover.Seconds())
 		}
-		short = append(short, shortage{workspace: w, waiting: true, need: need, want: max(need, want), rate: granitehoist.Tokens(a.rate.value(now)), idle: free})
+		short = append(short, shortage{workspace: w, waiting: true, need: need, want: max(need, want), rate: granitehoist.Tokens(a.demand.rate.value(now)), idle: free})
 	}
 	return short
 }
@@ -174,8 +159,8 @@
 	// borrowAfter is how long a sync may take before neighbours are asked.
 	borrowAfter = 20 * time.Millisecond
 	lendTimeout = 120 * time.Millisecond
-	// lendersAtMost bounds the neighbours that are asked for one shortage.
-	lendersAtMost = 12
+	// maxLenders bounds the neighbours that are asked for one shortage.
+	maxLenders = 12
 )
 
 // borrow asks neighbours, one after the other, until no request waits.
@@ -184,8 +169,8 @@
 		return
 	}
 	for i, lender := range s.lenders() {
-		short := s.settings.Ledger.shortages(s.settings.Clock())
-		if len(short) == 0 || i >= lendersAtMost || ctx.Err() != nil {
+		short := s.settings.Ledger.waitersLacks(s.settings.Clock())
+		if len(short) == 0 || i >= maxLenders || ctx.Err() != nil {
 			return
 		}
 		for _, missing := range short {
@@ -229,7 +214,7 @@
 // borrowFrom asks one neighbour for one loan, and reports whether it is in touch
 // with the store.
 func (s *Syncer) borrowFrom(ctx context.Context, lender granitehoist.Peer, missing shortage) bool {
-	ctx, cancel := context.WithTimeout(ctx, missing.patience())
+	ctx, cancel := context.WithTimeout(ctx, missing.timeout())
 	defer cancel()
 	params := LendParams{Borrower: s.settings.Ledger.settings.Incarnation, Workspace: missing.workspace, Need: missing.need, Want: missing.want, Rate: missing.rate, Idle: missing.idle}
 	var result LendResult
@@ -238,7 +223,7 @@
 		return false
 	}
 	if result.InTouch && !s.settings.Writes() {
-		s.settings.Ledger.relayed(s.settings.Clock())
+		s.settings.Ledger.noteRelayAnswer(s.settings.Clock())
 	}
 	if s.settings.Ledger.Borrowed(missing.workspace, lender.Incarnation, result, s.settings.Clock()) {
 		s.settings.Log.Info(event.BudgetLoan, zap.String("workspace", string(missing.workspace)), zap.String("lender", string(lender.Incarnation)), zap.Int64("total", int64(result.Total)))
@@ -255,7 +240,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayWait)
 	defer cancel()
-	if s.reserve(ctx, p.Workspace, demand{bound: p.Want, priority: granitehoist.MaxPriority, loan: true}) != Granted {
+	if s.reserve(ctx, p.Workspace, claim{bound: p.Want, priority: granitehoist.MaxPriority, loan: true}) != Granted {
 		return s.settings.Ledger.Lend(p, s.settings.Clock()), nil
 	}
 	return s.settings.Ledger.lendReserved(p, p.Want, s.settings.Clock()), nil
