--- a/store/store_test.go
+++ b/store/store_test.go
@@ -16,6 +16,26 @@
 
 var ctx = context.Background()
 
+// lateStore loses the first write and makes it when deliver is called; it refuses
+// every other write.
+type lateStore struct {
+	granitehoist.Store
+	lost *granitehoist.Change
+}
+
+func (s *lateStore) CompareAndSwap(_ context.Context, change granitehoist.Change) (granitehoist.Version, error) {
+	if s.lost != nil {
+		return 0, granitehoist.ErrUnavailable
+	}
+	s.lost = &change
+	return 0, granitehoist.ErrUnknown
+}
+
+func (s *lateStore) deliver() error {
+	_, err := s.Store.CompareAndSwap(ctx, *s.lost)
+	return err
+}
+
 var _ = Describe("Swap", func() {
 	var stand *standin.Store
 	BeforeEach(func() { stand = standin.NewStore(standin.StoreSettings{}) })
@@ -37,6 +57,17 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
+	It("leaves the outcome open if the store refuses to repeat a write that may still take effect", func() {
+		late := &lateStore{Store: stand}
+		_, err := store.Create(ctx, late, "a", []byte("mine"))
+		Expect(err).To(HaveOccurred())
+		Expect(err).NotTo(MatchError(granitehoist.ErrUnavailable), "that error says that the write had no effect")
+		Expect(late.deliver()).To(Succeed())
+		e, err := stand.Get(ctx, "a")
+		Expect(err).NotTo(HaveOccurred())
+		Expect(string(e.Value)).To(Equal("mine"))
+	})
+
 	It("tells that another writer was first", func() {
 		_, err := store.Create(ctx, stand, "a", []byte("theirs"))
 		Expect(err).NotTo(HaveOccurred())
--- a/store/swap.go
+++ b/store/swap.go
@@ -18,7 +18,7 @@
 // Create writes a key that must not exist and returns its version. If the answer
 // is lost it reads the key back and compares, so value must be unique to this
 // write. It returns ErrConflict if the key has another value, ErrUnavailable if
-// the store refused the write, and another error if it stays open whether the
+// the store refused the first write, and ErrUnknown if it stays open whether the
 // write took effect.
 func Create(ctx context.Context, s granitehoist.Store, key string, value []byte) (granitehoist.Version, error) {
 	return Swap(ctx, s, granitehoist.Change{Key: key, Value: value})
@@ -47,8 +47,12 @@
 		// The write has not taken effect but still may. Under the same condition
 		// only one of the two can succeed, so it is safe to write again.
 		version, err = s.CompareAndSwap(ctx, change)
-		if err == nil || errors.Is(err, granitehoist.ErrUnavailable) {
-			return version, err
+		if err == nil {
+			return version, nil
+		}
+		if errors.Is(err, granitehoist.ErrUnavailable) {
+			// The store refused this write only; the first may still take effect.
+			return 0, granitehoist.ErrUnknown
 		}
 	}
 	// A conflict in the last try may come from the delayed first write.
