--- a/store/swap.go
+++ b/store/swap.go
@@ -4,7 +4,6 @@
 package store
 
 import (
-	"bytes"
 	"context"
 	"errors"
 
@@ -38,11 +37,12 @@
 			// The next try reads again. The last one leaves the outcome unknown.
 			continue
 		}
-		if bytes.Equal(entry.Value, change.Value) {
+		switch judgeReadBack(entry, change) {
+		case tookEffect:
 			return entry.Version, nil
-		}
-		if entry.Version != change.Expect {
+		case otherWriter:
 			return 0, granitehoist.ErrConflict
+		case notYet:
 		}
 		// The write has not taken effect but still may. Under the same condition
 		// only one of the two can succeed, so it is safe to write again.
