--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -71,30 +71,30 @@
 type silentStore struct {
 	granitehoist.Store
 	mu       sync.Mutex
-	patience []time.Duration
+	timeouts []time.Duration
 }
 
 func (s *silentStore) List(ctx context.Context, _ string) ([]granitehoist.Entry, granitehoist.Version, error) {
-	patience := time.Hour
+	timeout := time.Hour
 	if deadline, ok := ctx.Deadline(); ok {
-		patience = time.Until(deadline)
+		timeout = time.Until(deadline)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.patience = append(s.patience, patience)
+	s.timeouts = append(s.timeouts, timeout)
 	return nil, 0, granitehoist.ErrUnknown
 }
 
-// longest returns the longest patience of the first calls, none before there are
+// longest returns the longest timeout of the first calls, none before there are
 // as many.
 func (s *silentStore) longest(calls int) func() time.Duration {
 	return func() time.Duration {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if len(s.patience) < calls {
+		if len(s.timeouts) < calls {
 			return -1
 		}
-		return slices.Max(s.patience[:calls])
+		return slices.Max(s.timeouts[:calls])
 	}
 }
 
--- a/follow/suite_test.go
+++ b/follow/suite_test.go
@@ -11,11 +11,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// patience is how long an eventual thing may take on a busy machine.
-const patience = 20 * time.Second
+// eventuallyTimeout is how long an expected change may take on a busy machine.
+const eventuallyTimeout = 20 * time.Second
 
 func TestSuite(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(patience)
+	SetDefaultEventuallyTimeout(eventuallyTimeout)
 	RunSpecs(t, "follow")
 }
