--- a/explain/doc.go
+++ b/explain/doc.go
@@ -2,8 +2,8 @@
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
 // Package explain tells the story of one request from the log lines of nodes:
-// what was known when it was decided on, what was tried, what the caller was
-// told, and which lost dependencies stood behind it.
+// what the router knew when it decided, which attempts it made, what the caller
+// got, and which lost dependencies caused it.
 //
 // 'granitehoist explain' runs it on a log from its standard input; granitehoist-edge
 // writes the lines. The package keeps no state between stories, and a Story is used
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -60,15 +60,15 @@
 	if entry.Box == "" || entry.Box == self {
 		return others
 	}
-	known := slices.IndexFunc(others, func(e peerEntry) bool { return e.Box == entry.Box })
+	index := slices.IndexFunc(others, func(e peerEntry) bool { return e.Box == entry.Box })
 	switch {
-	case known < 0:
+	case index < 0:
 		return append(slices.Clone(others), entry)
-	case from == fromOther || others[known] == entry:
+	case from == fromOther || others[index] == entry:
 		return others
 	}
 	changed := slices.Clone(others)
-	changed[known] = entry
+	changed[index] = entry
 	return changed
 }
 
--- a/node/updates.go
+++ b/node/updates.go
@@ -40,7 +40,7 @@
 	Cut time.Duration `json:"cut,omitempty"`
 }
 
-// askUpdates asks a router what changed, and tells it how long the store has
+// askUpdates asks a router what changed, and reports how long the store has
 // not answered this one.
 func (n *Node) askUpdates(ctx context.Context, to granitehoist.Peer, prefix string, after granitehoist.Version, wait time.Duration) (follow.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+updatesTimeout)
