--- a/partner/once/registry.go
+++ b/partner/once/registry.go
@@ -5,8 +5,6 @@
 
 import (
 	"context"
-	"crypto/sha256"
-	"encoding/hex"
 	"encoding/json"
 	"errors"
 	"time"
@@ -15,50 +13,14 @@
 	"granitehoist.example/granitehoist/store"
 )
 
-// KeyPrefix is where records stand in the store.
-const KeyPrefix = "once/"
-
-// State is what is known of a bound request.
-type State string
-
-// The states of a record.
-const (
-	// Bound says that an attempt may be running or may have run.
-	Bound State = "bound"
-	// Done says that the upstream has answered.
-	Done State = "done"
-	// Free says that the attempt did not run, and that the request may be
-	// bound again.
-	Free State = "free"
-)
-
-// Record is what stands in the store of one request.
-type Record struct {
-	Attempt granitehoist.AttemptID `json:"attempt"`
-	State   State                  `json:"state"`
-	// Status is the upstream's HTTP status if State is Done.
-	Status int       `json:"status,omitempty"`
-	At     time.Time `json:"at"`
-}
-
-// Subject names a request not to be repeated.
-type Subject struct {
-	Partner   granitehoist.Partner
-	Workspace granitehoist.Workspace
-	Request   granitehoist.RequestID
-}
-
-func (s Subject) key() string {
-	sum := sha256.Sum256([]byte(s.Request))
-	return KeyPrefix + string(s.Partner) + "/" + string(s.Workspace) + "/" + hex.EncodeToString(sum[:])
-}
-
 // Settings configure a Registry.
 type Settings struct {
+	// Store is required.
 	Store granitehoist.Store
 }
 
-// Registry binds requests.
+// Registry binds requests. It keeps nothing: what is bound stands in the store.
+// It is safe for concurrent use.
 type Registry struct {
 	store granitehoist.Store
 }
@@ -72,7 +34,7 @@
 }
 
 // Binding is a request that may be sent by this router, in one attempt at a
-// time.
+// time. It is used by one goroutine.
 type Binding struct {
 	registry *Registry
 	key      string
@@ -104,25 +66,8 @@
 	return nil, granitehoist.Wrap(granitehoist.OnceUnavailable, err, "")
 }
 
-// mayBind returns nil if an entry does not exist or is free.
-func mayBind(e granitehoist.Entry) error {
-	if e.Version == 0 {
-		return nil
-	}
-	var record Record
-	if err := json.Unmarshal(e.Value, &record); err != nil {
-		return granitehoist.Wrap(granitehoist.OnceUnsure, err, "the record can't be read")
-	}
-	switch record.State {
-	case Free:
-		return nil
-	case Done:
-		return granitehoist.Errorf(granitehoist.AlreadyRun, "the upstream answered status %d at %s", record.Status, record.At.UTC().Format(time.RFC3339))
-	}
-	return granitehoist.Errorf(granitehoist.OnceUnsure, "an attempt was begun at %s", record.At.UTC().Format(time.RFC3339))
-}
-
-// conflict tells what another router has bound meanwhile.
+// conflict returns the error of a request that another router has bound at the
+// same time.
 func (r *Registry) conflict(ctx context.Context, key string) error {
 	current, err := r.store.Get(ctx, key)
 	if err != nil {
@@ -134,6 +79,8 @@
 	return granitehoist.Errorf(granitehoist.OnceUnavailable, "another attempt was given up at the same time")
 }
 
+// write replaces the record, if nobody else has since it was read or written. Its
+// errors are the store's: ErrConflict if somebody has.
 func (b *Binding) write(ctx context.Context) error {
 	raw, err := json.Marshal(b.record)
 	if err != nil {
--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -83,38 +83,38 @@
 // Its errors are the store's. An engine that can't be asked is no error: it is
 // listed in the result, and the next call asks it again.
 func (s *Settler) Settle(ctx context.Context, dead granitehoist.Incarnation, stop bool, now time.Time) (Result, error) {
-	settlement := &settlement{stop: stop, names: s.budgetNames(), now: now, result: Result{Incarnation: dead}}
+	job := &settlement{stop: stop, names: s.budgetNames(), now: now, result: Result{Incarnation: dead}}
 	var err error
-	if settlement.charged, err = s.readCharged(ctx, dead); err != nil {
-		return settlement.result, err
+	if job.charged, err = s.readCharged(ctx, dead); err != nil {
+		return job.result, err
 	}
 	for _, e := range s.engines() {
 		attempts, err := s.settings.Engines.List(ctx, e.Address, granitehoist.AttemptPrefix(dead))
 		if err != nil {
-			settlement.result.Unreached = append(settlement.result.Unreached, e.Name)
+			job.result.Unreached = append(job.result.Unreached, e.Name)
 			continue
 		}
 		for _, a := range attempts {
-			s.settleAttempt(ctx, settlement, e, a)
+			s.settleAttempt(ctx, job, e, a)
 		}
 	}
-	settlement.result.Charged = len(settlement.charges)
-	return settlement.result, s.write(ctx, dead, settlement.charges)
+	job.result.Charged = len(job.charges)
+	return job.result, s.write(ctx, dead, job.charges)
 }
 
 // settleAttempt ends an attempt if asked to, and adds its charge if it gets one.
-func (s *Settler) settleAttempt(ctx context.Context, settlement *settlement, e engine, a granitehoist.KnownAttempt) {
-	settlement.result.Found++
-	charged := settlement.charged[a.ID]
-	if settlement.stop && !charged && !a.Ended {
+func (s *Settler) settleAttempt(ctx context.Context, job *settlement, e engine, a granitehoist.KnownAttempt) {
+	job.result.Found++
+	charged := job.charged[a.ID]
+	if job.stop && !charged && !a.Ended {
 		a.Usage, a.Ended = s.settings.Engines.Stop(ctx, e.Address, a.ID)
 	}
 	switch decide(a, charged) {
 	case stillRunning:
-		settlement.result.Running++
+		job.result.Running++
 	case toCharge:
-		if c, ok := newCharge(a, e, settlement.names, settlement.now); ok {
-			settlement.charges = append(settlement.charges, c)
+		if c, ok := newCharge(a, e, job.names, job.now); ok {
+			job.charges = append(job.charges, c)
 		}
 	case alreadyCharged, neverArrived:
 	}
