--- a/partner/policy/policy.go
+++ b/partner/policy/policy.go
@@ -110,9 +110,6 @@
 	return fmt.Sprintf("line %d, column %d: %s", first.Location.Line(), first.Location.Column()+1, first.Message)
 }
 
-// Name returns the policy's name.
-func (p *Policy) Name() string { return p.name }
-
 // Decide evaluates the policy. A program that fails or costs too much yields
 // an error with code PolicyFailed; the request is then to be denied. A priority
 // out of range is taken for the nearest one in it.
--- a/partner/route/queue.go
+++ b/partner/route/queue.go
@@ -66,13 +66,3 @@
 	p.current().waiters.remove(w)
 	return nil, granitehoist.Errorf(granitehoist.Overloaded, "")
 }
-
-// Waiting returns the number of a service's requests that wait.
-func (t *Table) Waiting(s granitehoist.Service) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if p, ok := t.pools[s]; ok {
-		return len(p.waiters)
-	}
-	return 0
-}
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -181,13 +181,3 @@
 		}
 	}
 }
-
-// InFlight returns the requests in progress at an upstream.
-func (t *Table) InFlight(u granitehoist.Upstream) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if m, ok := t.members[u]; ok {
-		return m.inFlight
-	}
-	return 0
-}
