--- a/partner/policy/doc.go
+++ b/partner/policy/doc.go
@@ -8,5 +8,13 @@
 // boolean, and priority, an integer. The inputs are listed at Request. A
 // program that costs more than CostLimit steps, or that fails, denies.
 //
-// The library is cel-go.
+// It runs in 'granitehoist router', where config.View asks the policies of the
+// documents in force, and in 'granitehoist check'. granitehoist-edge has no
+// policies.
+//
+// State. There is none: a compiled Policy does not change and is safe for
+// concurrent use, and the time comes with the request. The package relies on the
+// library cel-go.
+//
+// Begin with Set.Decide, the rule over several policies, and Policy.Decide.
 package policy
