--- a/partner/gate/availability.go
+++ b/partner/gate/availability.go
@@ -5,16 +5,16 @@
 
 import "granitehoist.example/granitehoist"
 
-// availability decides whether the router takes requests, and what its balancer
-// hears. The two differ on purpose while a router stops: balancers are turned
-// away first, requests are refused only after they had time to notice.
+// availability decides whether the router takes requests, and what it answers its
+// balancer. The two differ on purpose while a router stops: the balancer sees it
+// first, and requests are refused only after the balancer had time to react.
 type availability struct {
 	// unready is set at the start of a planned stop.
 	unready bool
 	// draining is set when requests are refused.
 	draining bool
 	// documents is the number of partners whose document is in force; without
-	// one no key is known.
+	// one no key is valid.
 	documents int
 }
 
--- a/partner/gate/binding.go
+++ b/partner/gate/binding.go
@@ -26,8 +26,8 @@
 }
 
 // finishBinding records that a request not to be repeated has been answered. If
-// that fails the record stays bound, and later callers with the same id hear
-// that the request may have run.
+// that fails the record stays bound, and later requests with the same id are
+// answered that the request may have run.
 func (g *Gate) finishBinding(ctx context.Context, req *request, b *once.Binding) {
 	if b == nil {
 		return
--- a/partner/gate/bound.go
+++ b/partner/gate/bound.go
@@ -14,8 +14,8 @@
 	// templateMessageTokens is what the chat template adds to each message;
 	// chosen, not measured.
 	templateMessageTokens = 16
-	// templateTokens is what the template adds to the prompt as a whole; chosen,
-	// not measured.
+	// templateTokens is what the template adds to the prompt once; chosen, not
+	// measured.
 	templateTokens = 64
 	// toolFactor is the tokens that the template may make of each byte of the
 	// tools and the response format; chosen, not measured.
@@ -54,7 +54,7 @@
 }
 
 // bound returns an upper bound of the request's cost, which is reserved before
-// an upstream hears of it.
+// it is sent to an upstream.
 func (c *completion) bound(s config.Service) granitehoist.Tokens {
 	prompt := promptSize{
 		textBytes:   c.textBytes,
--- a/partner/gate/completion.go
+++ b/partner/gate/completion.go
@@ -93,6 +93,8 @@
 	return nil
 }
 
+// readStream reads whether the answer is a stream, and whether the caller wants
+// the usage in it.
 func (c *completion) readStream() error {
 	if err := c.field("stream", &c.stream); err != nil {
 		return err
@@ -130,6 +132,7 @@
 	return nil
 }
 
+// readChoices reads how many answers the caller asks for, one if it does not say.
 func (c *completion) readChoices() error {
 	if err := c.field("n", &c.choices); err != nil {
 		return err
--- a/partner/gate/endpoints.go
+++ b/partner/gate/endpoints.go
@@ -27,7 +27,7 @@
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	// The reader has closed its connection; there is nobody to tell.
+	// It fails only if the reader has closed its connection.
 	_, _ = io.WriteString(w, text)
 }
 
@@ -68,6 +68,7 @@
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// The list always encodes; a failed write has nobody left to tell.
+	// The list always encodes; a write fails only if the reader has closed its
+	// connection.
 	_ = json.NewEncoder(w).Encode(list)
 }
--- a/partner/gate/failure.go
+++ b/partner/gate/failure.go
@@ -18,7 +18,7 @@
 	Error FailureDetail `json:"error"`
 }
 
-// FailureDetail tells what went wrong.
+// FailureDetail describes a failure.
 type FailureDetail struct {
 	// Code is the numbered result code, and Type its name.
 	Code    int    `json:"code"`
@@ -40,6 +40,7 @@
 	return granitehoist.Wrap(granitehoist.Internal, err, "")
 }
 
+// failure returns the body that describes an error to a caller.
 func failure(id granitehoist.RequestID, e *granitehoist.Error) Failure {
 	info := e.Code.Info()
 	return Failure{Error: FailureDetail{
@@ -66,6 +67,6 @@
 		header.Set("Retry-After", strconv.Itoa(wholeSeconds(wait)))
 	}
 	w.WriteHeader(info.Status)
-	// A caller that has left can't be told.
+	// It fails only if the caller has closed its connection.
 	_ = json.NewEncoder(w).Encode(failure(id, e))
 }
--- a/partner/gate/options.go
+++ b/partner/gate/options.go
@@ -45,6 +45,7 @@
 	return o, nil
 }
 
+// parsePriority takes 0 to 9.
 func (o *options) parsePriority(text string) error {
 	if text == "" {
 		return nil
@@ -57,6 +58,7 @@
 	return nil
 }
 
+// parseDeadline takes milliseconds up to MaxDeadline.
 func (o *options) parseDeadline(text string) error {
 	if text == "" {
 		return nil
@@ -69,6 +71,7 @@
 	return nil
 }
 
+// parseOnce takes what strconv.ParseBool does.
 func (o *options) parseOnce(text string) error {
 	if text == "" {
 		return nil
--- a/partner/gate/prompt.go
+++ b/partner/gate/prompt.go
@@ -37,6 +37,7 @@
 // upstream, in bytes of its JSON; chosen, not measured.
 const plainPrefixBytes = 1024
 
+// readPlainPrompt reads a prompt that is one text.
 func (c *completion) readPlainPrompt(raw json.RawMessage) error {
 	c.prefix = raw[:min(len(raw), plainPrefixBytes)]
 	var text string
@@ -47,6 +48,7 @@
 	return nil
 }
 
+// readMessages reads the messages of a chat.
 func (c *completion) readMessages(raw json.RawMessage) error {
 	var messages []chatMessage
 	if err := json.Unmarshal(raw, &messages); err != nil || len(messages) == 0 {
--- a/partner/gate/read.go
+++ b/partner/gate/read.go
@@ -88,6 +88,7 @@
 	return nil
 }
 
+// askCompletion notes what a completion asks for.
 func (r *request) askCompletion(c *completion, offer *config.Offer) {
 	r.asked.offer = offer
 	r.asked.model = c.model
@@ -97,6 +98,9 @@
 	r.sink.stream = c.stream
 }
 
+// decideCompletion decides how a completion is reserved, placed and sent. It may
+// be repeated unless its caller says otherwise: an answer that nobody got has cost
+// tokens, which the budget pays, and changed nothing.
 func (r *request) decideCompletion(c *completion, path string) {
 	r.decided.bound = c.bound(r.asked.offer.Service)
 	r.decided.affinity = route.PrefixAffinity(c.prefix)
@@ -130,6 +134,9 @@
 	return nil
 }
 
+// decidePlain decides how a request to a plain service is reserved and sent. Only
+// methods that HTTP calls safe may be repeated; the document may mark the others
+// of a service as once.
 func (r *request) decidePlain(from *http.Request) {
 	safe := from.Method == http.MethodGet || from.Method == http.MethodHead || from.Method == http.MethodOptions
 	offer := r.asked.offer
@@ -176,14 +183,16 @@
 }
 
 // setReadDeadline bounds the reading of a request; the zero time lifts the
-// bound. Every connection of net/http takes deadlines; a recorder of a test
-// does not, and has nothing to wait for.
+// bound.
 func setReadDeadline(w http.ResponseWriter, at time.Time) {
+	// Every connection of net/http takes deadlines. A recorder of a test does not,
+	// and has nothing to wait for.
 	_ = http.NewResponseController(w).SetReadDeadline(at)
 }
 
 // setWriteDeadline bounds the writing of an answer, so that a caller that does
-// not read holds no request. For recorders of tests see setReadDeadline.
+// not read holds no request.
 func setWriteDeadline(w http.ResponseWriter, at time.Time) {
+	// As in setReadDeadline, only a recorder of a test takes none.
 	_ = http.NewResponseController(w).SetWriteDeadline(at)
 }
--- a/partner/gate/refusals.go
+++ b/partner/gate/refusals.go
@@ -21,7 +21,8 @@
 	billsRetryAfter = 10 * time.Second
 )
 
-// retryAfter decides when a refused caller may try again; zero says nothing. An
+// retryAfter decides when a refused caller may try again; zero stands for
+// no advice. An
 // error that carries its own time keeps it: budget.Agent sets one for tokens
 // that can't be had here now.
 func retryAfter(e *granitehoist.Error) time.Duration {
--- a/partner/gate/result.go
+++ b/partner/gate/result.go
@@ -8,8 +8,8 @@
 	"granitehoist.example/granitehoist/partner/route"
 )
 
-// overallError decides what the caller is told after several attempts: an
-// attempt that may have run stays true when a later one did not run. uncertain
+// overallError decides the result of several attempts for the caller:
+// once an attempt may have run, a later one that did not run changes nothing. uncertain
 // is the error of an earlier attempt that may have run, nil if there is none,
 // and last the newest error.
 func overallError(uncertain, last error) error {
@@ -29,9 +29,10 @@
 	return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 }
 
-// upstreamResult decides what an attempt says of its upstream, for the choice
-// of later ones. A request that the upstream could not read says nothing bad of
-// it, and an attempt that ended with its caller or its deadline says nothing.
+// upstreamResult decides how an attempt counts for its upstream in the choice of
+// later ones. A request that the upstream could not read is no failure of the
+// upstream, and an attempt that ended with its caller or its deadline counts
+// neither way.
 func upstreamResult(err error, ended bool) route.Result {
 	code := granitehoist.CodeOf(err)
 	switch {
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -156,7 +156,7 @@
 
 // mayRetry reports whether the request may be sent to another upstream, and
 // takes what a further attempt costs: one retry of the router's budget of
-// retries and a reservation. If the reservation fails the caller is told the
+// retries and a reservation. If the reservation fails the caller gets the
 // result of the attempt, since that is why its request did not succeed.
 func (g *Gate) mayRetry(ctx context.Context, req *request, s *spend, err error, attempt int) bool {
 	verdict := decideRetry(attemptState{
--- a/partner/gate/settings.go
+++ b/partner/gate/settings.go
@@ -23,7 +23,7 @@
 // Funds pays for requests; budget.Agent implements it.
 type Funds interface {
 	// Reserve sets tokens aside, waiting for them as long as the budget's split
-	// says. Its errors are *Error.
+	// allows. Its errors are *Error.
 	Reserve(ctx context.Context, k granitehoist.BudgetID, bound granitehoist.Tokens) error
 	// Settle ends a reservation with the use.
 	Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens)
--- a/partner/gate/sink.go
+++ b/partner/gate/sink.go
@@ -55,7 +55,8 @@
 
 // abort ends an answer that has begun and will not be complete. A stream gets an
 // error event and no end mark. Anything else is cut off: net/http closes the
-// connection on this panic, so that the caller can't take a part for the whole.
+// connection on this panic, so that the caller
+// notices that a part is missing.
 func (s *sink) abort(e *granitehoist.Error) {
 	if !s.stream {
 		panic(http.ErrAbortHandler)
@@ -64,6 +65,6 @@
 	if err != nil {
 		panic("gate: failure does not encode: " + err.Error())
 	}
-	// A caller that has left can't be told.
+	// It fails only if the caller has closed its connection.
 	_ = s.Write([]byte("data: " + string(raw) + "\n\n"))
 }
--- a/partner/gate/spend.go
+++ b/partner/gate/spend.go
@@ -26,7 +26,7 @@
 	unsettled  []unsettledAttempt
 }
 
-// unsettledAttempt is an attempt whose cost is not known yet.
+// unsettledAttempt is an attempt whose upstream has yet to say what it cost.
 type unsettledAttempt struct {
 	attempt granitehoist.AttemptID
 	address string
@@ -46,8 +46,8 @@
 
 func (s *spend) plain() bool { return s.request.asked.model == "" }
 
-// attemptEnded records the end of an attempt and settles it, if its cost is
-// known. An attempt that did not run leaves its reservation to the next.
+// attemptEnded records the end of an attempt and settles it, unless its upstream
+// has to be asked. An attempt that did not run leaves its reservation to the next.
 func (s *spend) attemptEnded(id granitehoist.AttemptID, u config.Upstream, usage granitehoist.Usage, err error) {
 	how := decideSettlement(attemptEnd{code: granitehoist.CodeOf(err), plain: s.plain(), usage: usage})
 	if how == keepReservation {
@@ -101,7 +101,7 @@
 )
 
 // resolve stops an unsettled attempt and settles its cost. If the upstream
-// can't tell, the whole bound is charged and the charge marked as estimated.
+// can't say, the whole bound is charged and the charge marked as estimated.
 func (s *spend) resolve(a unsettledAttempt) {
 	protocol := s.gate.settings.Protocols[s.request.asked.offer.Kind]
 	for try := range resolveTries {
--- a/partner/once/record.go
+++ b/partner/once/record.go
@@ -55,7 +55,7 @@
 }
 
 // mayBind decides whether a request may be bound, from its entry in the store: if
-// there is none, or if its attempts are known not to have run. It returns nil
+// there is none, or if its record says that no attempt ran. It returns nil
 // then. No clock is asked: a record that is bound stays so until its own router
 // ends it, since a paused router may still send. Its errors are *Error with codes
 // AlreadyRun and OnceUnsure.
--- a/partner/once/registry.go
+++ b/partner/once/registry.go
@@ -95,8 +95,8 @@
 }
 
 // Finish records that the upstream answered with a status. If it fails the
-// record stays Bound, and later callers are told that the request may have
-// run.
+// record stays Bound, and later requests with the same id are answered that the
+// request may have run.
 func (b *Binding) Finish(ctx context.Context, status int, now time.Time) error {
 	b.record = Record{Attempt: b.record.Attempt, State: Done, Status: status, At: now}
 	return b.write(ctx)
--- a/partner/orphan/charge.go
+++ b/partner/orphan/charge.go
@@ -16,7 +16,7 @@
 const (
 	// alreadyCharged attempts stand in a segment.
 	alreadyCharged verdict = iota
-	// stillRunning attempts have not ended, or their cost is not known yet.
+	// stillRunning attempts have not ended, or their engine has not said what they cost.
 	stillRunning
 	// neverArrived attempts were stopped before they reached the engine.
 	neverArrived
@@ -24,7 +24,7 @@
 	toCharge
 )
 
-// decide decides what becomes of an attempt, from what its engine says now and
+// decide says what becomes of an attempt, from what its engine says now and
 // from whether a segment that was read before holds it.
 func decide(a granitehoist.KnownAttempt, charged bool) verdict {
 	switch {
--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -43,7 +43,7 @@
 	return &Settler{settings: s}
 }
 
-// Result tells what was done for one dead router.
+// Result is what was done for one dead router.
 type Result struct {
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
 	// Found is the attempts that engines knew, Charged those charged now and
@@ -55,7 +55,7 @@
 	Unreached []granitehoist.Upstream `json:"unreached,omitempty"`
 }
 
-// settlement is what one call of Settle knows and finds.
+// settlement is the input and the result of one call of Settle.
 type settlement struct {
 	// stop says that attempts that still run are to be ended.
 	stop bool
@@ -79,7 +79,7 @@
 
 // Settle charges a dead router's ended attempts that no segment holds yet. If
 // stop is set, attempts that still run are ended first; it is to be set only
-// if the router is known to have stopped. Settling again charges nothing twice.
+// if the router has stopped for certain. Settling again charges nothing twice.
 // Its errors are the store's. An engine that can't be asked is no error: it is
 // listed in the result, and the next call asks it again.
 func (s *Settler) Settle(ctx context.Context, dead granitehoist.Incarnation, stop bool, now time.Time) (Result, error) {
--- a/partner/orphan/silent.go
+++ b/partner/orphan/silent.go
@@ -17,7 +17,7 @@
 // then take the place of those made here. Chosen, not measured.
 const SilentAfter = 2 * time.Minute
 
-// lastSeen is what the pages of a region's budgets say of a router.
+// lastSeen is what the pages of a region's budgets record of a router.
 type lastSeen struct {
 	// at is its newest report, in seconds of Unix time.
 	at int64
--- a/partner/policy/policy.go
+++ b/partner/policy/policy.go
@@ -29,7 +29,7 @@
 	Priority string
 }
 
-// Decision is what a policy says of a request.
+// Decision is the result of one policy for one request.
 type Decision struct {
 	Permit   bool
 	Priority granitehoist.Priority
@@ -42,7 +42,7 @@
 	priority cel.Program
 }
 
-// Fault tells what is wrong with one program of a policy.
+// Fault describes what is wrong with one program of a policy.
 type Fault struct {
 	// Policy is the policy's name.
 	Policy string
--- a/partner/report/doc.go
+++ b/partner/report/doc.go
@@ -1,7 +1,7 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package report tells operators how the fleet serves: the burn of the service
+// Package report shows operators how the fleet serves: the burn of the service
 // levels (how fast the allowance of slow answers, refusals and errors is used
 // up) and the metrics of a router in the text form that collectors read.
 //
--- a/partner/report/recorder.go
+++ b/partner/report/recorder.go
@@ -27,7 +27,7 @@
 // Windows are those that a burn report is made for, shortest first.
 var Windows = []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour, 24 * time.Hour}
 
-// Key is what burn is told apart by.
+// Key is what burn is counted by.
 type Key struct {
 	Service   granitehoist.Service          `json:"service"`
 	Workspace granitehoist.Workspace        `json:"workspace"`
@@ -36,7 +36,7 @@
 
 // bucket holds the counts of one stretch of time.
 type bucket struct {
-	// number counts the stretches since 1970; a bucket is used anew a day later.
+	// number counts the stretches since 1970; a bucket is reused a day later.
 	number int64
 	counts Counts
 }
--- a/partner/route/slot.go
+++ b/partner/route/slot.go
@@ -22,11 +22,11 @@
 
 // The results.
 const (
-	// Good says that the upstream did its part.
+	// Good stands for an upstream that did its part.
 	Good Result = iota
-	// Bad says that the upstream refused or failed.
+	// Bad stands for an upstream that refused or failed.
 	Bad
-	// Unclear says nothing of the upstream: the caller left, say.
+	// Unclear counts neither way: for example, the caller left.
 	Unclear
 )
 
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -126,8 +126,8 @@
 	return next
 }
 
-// newPool prepares upstreams. Those that were in a pool before keep what is
-// known of them.
+// newPool prepares upstreams. Those that were in a pool before keep their
+// requests in progress and their failures.
 func (t *Table) newPool(targets []Target) *servicePool {
 	p := &servicePool{targets: targets}
 	for _, target := range targets {
--- a/partner/router/admin.go
+++ b/partner/router/admin.go
@@ -16,8 +16,8 @@
 
 // Paths that operators use.
 const (
-	// PathDocuments is followed by a partner: GET tells the state of its
-	// document, PUT applies one.
+	// PathDocuments is followed by a partner: GET answers the state of
+	// its document, PUT applies one.
 	PathDocuments = "/admin/documents/"
 	PathBudgets   = "/admin/budgets"
 	// PathBills takes form=charges, form=requests or, for sums, none.
@@ -31,6 +31,7 @@
 	PathBurn = "/admin/burn"
 )
 
+// adminHandler returns the handler for operators and collectors of metrics.
 func (r *Router) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathDocuments+"{partner}", r.serveDocument)
@@ -53,7 +54,7 @@
 }
 
 // writeError refuses with an error's numbered code. The cause below it is not
-// told.
+// shown.
 func writeError(w http.ResponseWriter, err error) {
 	code := granitehoist.CodeOf(err)
 	info := code.Info()
@@ -65,13 +66,14 @@
 	writeJSON(w, info.Status, AdminError{Code: int(code), Name: info.Name, Message: message, Fate: info.Fate})
 }
 
+// writeJSON answers with a value.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	// The values are the package's own and encode; a reader that has closed its
-	// connection can't be told.
+	// The values are the package's own and encode; a write fails only if the reader has
+	// closed its connection.
 	_ = encoder.Encode(value)
 }
 
@@ -108,6 +110,6 @@
 
 func (r *Router) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	// A reader that has closed its connection can't be told.
+	// It fails only if the reader has closed its connection.
 	_ = report.WriteMetrics(w, r.metrics)
 }
--- a/partner/router/build.go
+++ b/partner/router/build.go
@@ -35,6 +35,7 @@
 	r.buildPeers()
 }
 
+// buildStoreView makes the followers of the documents and of the fleet.
 func (r *Router) buildStoreView() {
 	s := r.settings
 	r.store.members = fleet.NewRegistry(fleet.RegistrySettings{Self: r.self, Store: s.Store})
@@ -73,6 +74,8 @@
 	})
 }
 
+// buildBills makes the ledger of charges and the sender to their collector, which
+// any router may be.
 func (r *Router) buildBills() {
 	s := r.settings
 	r.parts.ledger = bill.NewLedger(bill.LedgerSettings{Incarnation: r.self.Incarnation, Most: s.Router.Limits.Bills})
@@ -85,6 +88,7 @@
 	})
 }
 
+// buildOrphans makes the settler of the charges of dead routers.
 func (r *Router) buildOrphans(engines granitehoist.Protocol) {
 	r.parts.orphans = orphan.New(orphan.Settings{
 		Region:  r.self.Region,
@@ -95,6 +99,7 @@
 	})
 }
 
+// buildGate makes what serves callers.
 func (r *Router) buildGate(engines granitehoist.Protocol) {
 	s := r.settings
 	r.parts.table = route.NewTable(route.Settings{})
@@ -120,6 +125,7 @@
 	})
 }
 
+// gateLimits returns the limits of the file; zeros take the defaults of the gate.
 func (r *Router) gateLimits() gate.Limits {
 	limits := r.settings.Router.Limits
 	return gate.Limits{
@@ -142,7 +148,7 @@
 }
 
 // prepaid returns what was prepaid on a budget by the documents in force, the
-// serial of the document that says so, and false if none does.
+// serial of that document, and false if no document has the budget.
 func (r *Router) prepaid(k granitehoist.BudgetID) (granitehoist.Tokens, granitehoist.Serial, bool) {
 	view := r.View()
 	tokens, ok := view.Prepaid(k)
--- a/partner/router/burn.go
+++ b/partner/router/burn.go
@@ -21,7 +21,7 @@
 	Rows []report.Row `json:"rows"`
 }
 
-// serveBurnRows tells another router the burn here.
+// serveBurnRows answers another router with the burn at this one.
 func (r *Router) serveBurnRows(context.Context, burnParams) (burnResult, error) {
 	return burnResult{Rows: r.parts.burn.Rows(r.settings.Clock())}, nil
 }
--- a/partner/router/documents.go
+++ b/partner/router/documents.go
@@ -14,7 +14,7 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// DocumentState tells where a partner's document is in force.
+// DocumentState lists where a partner's document is in force.
 type DocumentState struct {
 	Partner granitehoist.Partner `json:"partner"`
 	// Current is what stands in the store.
@@ -68,7 +68,7 @@
 	Serials map[granitehoist.Partner]granitehoist.Serial `json:"serials"`
 }
 
-// serveSerials tells another router the serials in force here.
+// serveSerials answers another router with the serials in force at this one.
 func (r *Router) serveSerials(context.Context, serialsParams) (serialsResult, error) {
 	return serialsResult{Serials: r.View().Serials()}, nil
 }
--- a/partner/router/orphans.go
+++ b/partner/router/orphans.go
@@ -52,6 +52,7 @@
 	}
 }
 
+// settleOne charges the ended attempts of one dead router and logs what it did.
 func (r *Router) settleOne(ctx context.Context, dead granitehoist.Incarnation) {
 	result, err := r.SettleOrphans(ctx, dead, false)
 	if err != nil {
@@ -68,14 +69,14 @@
 }
 
 // SettleOrphans charges the attempts of a dead router. If stop is set, those
-// that still run are ended; the router must then be known to have stopped. It
-// may be called again, and charges nothing twice.
+// that still run are ended, so that the router must have stopped for certain. It
+// may be repeated, and charges nothing twice.
 func (r *Router) SettleOrphans(ctx context.Context, dead granitehoist.Incarnation, stop bool) (orphan.Result, error) {
 	return r.parts.orphans.Settle(ctx, dead, stop, r.settings.Clock())
 }
 
-// serveOrphans takes an operator's word that a router has stopped. One that
-// still renews its lease is refused.
+// serveOrphans settles the attempts of a router that an operator has found
+// stopped. A router that still renews its lease is refused.
 func (r *Router) serveOrphans(w http.ResponseWriter, req *http.Request) {
 	dead := granitehoist.Incarnation(req.PathValue("incarnation"))
 	for _, m := range r.store.members.View().Members() {
--- a/partner/router/router.go
+++ b/partner/router/router.go
@@ -31,10 +31,10 @@
 	Router *settings.Router
 	// Store is the platform's store.
 	Store granitehoist.Store
-	// Platform has the list of boxes. Nil goes without: no upstream is then
-	// known to leave, and no router to be removed.
+	// Platform has the list of boxes. Nil goes without: leaving upstreams
+	// then get requests until they refuse, and no router is taken to be removed.
 	Platform granitehoist.Platform
-	// Clock tells the time; nil stands for time.Now.
+	// Clock gives the time; nil stands for time.Now.
 	Clock granitehoist.Clock
 	// Random makes identifiers; nil stands for the system's source.
 	Random io.Reader
@@ -110,6 +110,7 @@
 	return r, nil
 }
 
+// setDefaults fills in the fields that may be nil.
 func (s *Settings) setDefaults() {
 	if s.Clock == nil {
 		s.Clock = time.Now
--- a/partner/router/servers.go
+++ b/partner/router/servers.go
@@ -71,10 +71,11 @@
 	s.peers.Close()
 }
 
-// discard closes what is being given up. An error can't matter: the connections
-// and listeners are used no more, and the process keeps nothing of them.
+// discard closes what is being given up.
 func discard(closers ...io.Closer) {
 	for _, c := range closers {
+		// The connections and listeners are not used any more, so that an error
+		// can't matter.
 		_ = c.Close()
 	}
 }
--- a/partner/router/serving.go
+++ b/partner/router/serving.go
@@ -10,7 +10,8 @@
 	"granitehoist.example/granitehoist/fleet"
 )
 
-// evidence is what tells whether a router that entered itself may still serve.
+// evidence is the input of the rule whether a router that entered itself may
+// still serve.
 type evidence struct {
 	// live holds the routers whose lease stood when the view was read.
 	live map[granitehoist.Incarnation]bool
@@ -65,8 +66,7 @@
 	return r.settings.Platform.Boxes(ctx)
 }
 
-// withdraw removes a router that is known to have stopped from those that may
-// serve.
+// withdraw removes a router that has stopped from those that may serve.
 func (r *Router) withdraw(ctx context.Context, dead granitehoist.Incarnation) error {
 	entered, err := fleet.Serving(ctx, r.settings.Store)
 	if err != nil {
