--- a/partner/orphan/charge.go
+++ b/partner/orphan/charge.go
@@ -24,9 +24,9 @@
 	toCharge
 )
 
-// decide says what becomes of an attempt, from what its engine says now and
+// verdictOf says what becomes of an attempt, from what its engine says now and
 // from whether a segment that was read before holds it.
-func decide(a granitehoist.KnownAttempt, charged bool) verdict {
+func verdictOf(a granitehoist.KnownAttempt, charged bool) verdict {
 	switch {
 	case charged:
 		return alreadyCharged
