--- a/partner/gate/log.go
+++ b/partner/gate/log.go
@@ -11,6 +11,16 @@
 	"granitehoist.example/granitehoist"
 )
 
+// logAttempt writes the event "attempt", one for each attempt that failed.
+func (g *Gate) logAttempt(req *request, id granitehoist.AttemptID, u granitehoist.Upstream, err error) {
+	g.settings.Log.Info("attempt",
+		zap.String("request", string(req.asked.id)),
+		zap.String("attempt", string(id)),
+		zap.String("upstream", string(u)),
+		zap.Int("code", int(granitehoist.CodeOf(err))),
+		zap.Error(err))
+}
+
 // logResult writes the event "request", one for each request.
 func (g *Gate) logResult(req *request, err error) {
 	code := granitehoist.CodeOf(err)
--- a/partner/gate/result.go
+++ b/partner/gate/result.go
@@ -9,9 +9,9 @@
 )
 
 // overallError decides the result of several attempts for the caller:
-// once an attempt may have run, a later one that did not run changes nothing. uncertain
-// is the error of an earlier attempt that may have run, nil if there is none,
-// and last the newest error.
+// once an attempt may have run, a later one that did not run changes nothing.
+// uncertain is the error of an earlier attempt that may have run, nil if there is
+// none, and last the newest error.
 func overallError(uncertain, last error) error {
 	if uncertain != nil && granitehoist.CodeOf(last).Info().Fate == granitehoist.NotRun {
 		return uncertain
--- a/partner/gate/retryrule.go
+++ b/partner/gate/retryrule.go
@@ -37,7 +37,8 @@
 )
 
 // decideRetry decides whether a request may be sent to another upstream. It may
-// as long as the caller waits, has no part of an answer and is not at fault; after an attempt that may have run, only if the request may run twice.
+// as long as the caller waits, has no part of an answer and is not at fault;
+// after an attempt that may have run, only if the request may run twice.
 // The router's budget of retries and the reservation of a further attempt are
 // asked only after this rule, since asking takes from them.
 func decideRetry(s attemptState) retryVerdict {
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -8,8 +8,6 @@
 	"net/http"
 	"time"
 
-	"go.uber.org/zap"
-
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/partner/once"
@@ -141,7 +139,7 @@
 	slot.Done(upstreamResult(err, ctx.Err() != nil), g.settings.Clock())
 	s.attemptEnded(id, u, usage, err)
 	if err != nil {
-		g.settings.Log.Info("attempt", zap.String("request", string(req.asked.id)), zap.String("attempt", string(id)), zap.String("upstream", string(u.Name)), zap.Int("code", int(granitehoist.CodeOf(err))), zap.Error(err))
+		g.logAttempt(req, id, u.Name, err)
 	}
 	return err
 }
