--- a/partner/gate/completion.go
+++ b/partner/gate/completion.go
@@ -146,7 +146,8 @@
 // upstreamBody returns the body for the engine: the caller's, with the maximum
 // output written out, the usage asked for and the priority set.
 func (c *completion) upstreamBody(s config.Service, p granitehoist.Priority) ([]byte, error) {
-	fields := make(map[string]any, len(c.fields)+3)
+	const added = 3 // max_tokens, priority and stream_options
+	fields := make(map[string]any, len(c.fields)+added)
 	for name, raw := range c.fields {
 		fields[name] = raw
 	}
--- a/partner/report/metrics.go
+++ b/partner/report/metrics.go
@@ -8,11 +8,13 @@
 	"io"
 	"sort"
 	"strings"
+	"time"
 
 	"github.com/rcrowley/go-metrics"
 )
 
-// Quantiles that are written of each timer.
+// quantiles are those that are written of each timer: the median, the one of the
+// service levels, and one beyond; chosen, not measured.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
 const metricPrefix = "granitehoist_"
@@ -60,10 +62,10 @@
 	base := metricPrefix + metricName(name) + "_seconds"
 	lines := []string{
 		fmt.Sprintf("%s_count %d", base, t.Count()),
-		fmt.Sprintf("%s_sum %g", base, float64(t.Sum())/1e9),
+		fmt.Sprintf("%s_sum %g", base, float64(t.Sum())/float64(time.Second)),
 	}
 	for i, value := range t.Percentiles(quantiles) {
-		lines = append(lines, fmt.Sprintf("%s{quantile=\"%g\"} %g", base, quantiles[i], value/1e9))
+		lines = append(lines, fmt.Sprintf("%s{quantile=\"%g\"} %g", base, quantiles[i], value/float64(time.Second)))
 	}
 	return lines
 }
