--- a/partner/gate/gate_test.go
+++ b/partner/gate/gate_test.go
@@ -11,6 +11,7 @@
 	"net/http"
 	"net/http/httptest"
 	"strings"
+	"sync/atomic"
 	"time"
 
 	. "github.com/onsi/ginkgo/v2"
@@ -379,6 +380,50 @@
 		}
 	})
 
+	It("serves a request that waited while an upstream was added", func() {
+		const first, second = "http://127.0.0.1:1", "http://127.0.0.1:2"
+		release := map[string]chan struct{}{first: make(chan struct{}, 3), second: make(chan struct{}, 3)}
+		s.engine.steps = []step{func(c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
+			<-release[c.Address]
+			return answers(c, sink)
+		}}
+		var view atomic.Pointer[config.View]
+		serve := func(serial granitehoist.Serial, upstreams int) {
+			document := document()
+			document.Services, document.Upstreams = document.Services[:1], document.Upstreams[:upstreams]
+			for i := range document.Upstreams {
+				document.Upstreams[i].Concurrency = 1
+			}
+			view.Store(config.NewView().With(document, serial))
+		}
+		serve(2, 1)
+		s.settings.View = view.Load
+		s.gate = gate.New(s.settings)
+		finished := make(chan told, 3)
+		chat := func() {
+			defer GinkgoRecover()
+			finished <- s.chat(goodBody)
+		}
+		go chat()
+		Eventually(s.engine.count).Should(Equal(1))
+		go chat()
+		Consistently(s.engine.count, "200ms").Should(Equal(1), "the second request waits")
+		serve(3, 2)
+		go chat()
+		Eventually(s.engine.count).Should(Equal(2))
+
+		By("room at the new upstream")
+		release[second] <- struct{}{}
+		Expect((<-finished).status).To(Equal(http.StatusOK))
+		Eventually(s.engine.count).Should(Equal(3))
+		release[second] <- struct{}{}
+		release[first] <- struct{}{}
+		Expect((<-finished).status).To(Equal(http.StatusOK))
+		Expect((<-finished).status).To(Equal(http.StatusOK))
+		_, reserved := s.funds.state()
+		Expect(reserved).To(BeZero())
+	})
+
 	It("never tells a caller what lies behind an error", func() {
 		s.funds.fail = granitehoist.Wrap(granitehoist.BudgetUnreachable, errors.New("store at 10.0.0.1"), "")
 		Expect(s.chat(goodBody).body).NotTo(ContainSubstring("10.0.0.1"))
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -130,7 +130,11 @@
 
 // send makes one attempt and settles what it cost.
 func (g *Gate) send(ctx context.Context, req *request, s *spend, slot *route.Slot, id granitehoist.AttemptID) error {
-	u := upstreamOf(req.asked.offer, slot.Upstream)
+	u, err := g.upstreamOf(req, slot.Upstream)
+	if err != nil {
+		slot.Done(route.Unclear, g.settings.Clock())
+		return err
+	}
 	call := req.decided.call
 	call.Attempt = id
 	call.Address = u.Address
@@ -144,12 +148,21 @@
 	return err
 }
 
-func upstreamOf(offer *config.Offer, name granitehoist.Upstream) config.Upstream {
-	u, ok := offer.Upstream(name)
-	if !ok {
-		panic("gate: an upstream was chosen that the service does not have")
+// upstreamOf returns an upstream that was chosen for a request. If the documents
+// changed while the request waited for room, it may be one that the request's own
+// offer lacks and the service has by now. Its error is NoUpstream, if the service
+// has lost it again.
+func (g *Gate) upstreamOf(req *request, name granitehoist.Upstream) (config.Upstream, error) {
+	if u, ok := req.asked.offer.Upstream(name); ok {
+		return u, nil
+	}
+	service := req.asked.offer.Name
+	if offer, ok := g.settings.View().OfferOf(req.asked.identity.Partner, service); ok {
+		if u, ok := offer.Upstream(name); ok {
+			return u, nil
+		}
 	}
-	return u
+	return config.Upstream{}, granitehoist.Errorf(granitehoist.NoUpstream, "service %s", service)
 }
 
 // mayRetry reports whether the request may be sent to another upstream, and
