--- a/partner/route/queue.go
+++ b/partner/route/queue.go
@@ -4,6 +4,7 @@
 package route
 
 import (
+	"slices"
 	"sort"
 	"time"
 
@@ -38,18 +39,24 @@
 	}
 }
 
-// serveQueue gives room to waiting requests, in order, as long as there is any.
+// serveQueue gives room to waiting requests, in order. It ends at the first that
+// gets none, since those behind it would get none either, unless that one is a
+// retry: upstreams that it has tried may have room for the others.
 func (t *Table) serveQueue(p *servicePool, now time.Time) {
-	for len(p.waiters) > 0 {
-		first := p.waiters[0]
-		// Whether room is possible at all doesn't matter: a waiter that no upstream
-		// can serve waits until its deadline, as the ones behind it do.
-		slot, _ := t.assign(p, first.want, now)
-		if slot == nil {
+	for at := 0; at < len(p.waiters); {
+		w := p.waiters[at]
+		// Whether the waiter could get room at another time doesn't matter here: it
+		// waits until its deadline.
+		slot, _ := t.assign(p, w.want, now)
+		switch {
+		case slot != nil:
+			p.waiters = slices.Delete(p.waiters, at, at+1)
+			w.slot <- slot
+		case len(w.want.Tried) == 0:
 			return
+		default:
+			at++
 		}
-		p.waiters = p.waiters[1:]
-		first.slot <- slot
 	}
 }
 
--- a/partner/route/route_test.go
+++ b/partner/route/route_test.go
@@ -197,6 +197,33 @@
 		Expect(table.InFlight("u1")).To(BeZero())
 	})
 
+	It("does not let a retry that can't use the free room hold up the others", func() {
+		want := route.Want{Service: "s", Targets: targets(2, 1)}
+		first, second := acquire(want, start), acquire(want, start)
+		waiting, cancel := context.WithCancel(ctx)
+		defer cancel()
+		retry, plain := want, want
+		retry.Priority = 9
+		retry.Tried = map[granitehoist.Upstream]bool{first.Upstream: true}
+		given := make(chan *route.Slot, 2)
+		for i, w := range []route.Want{retry, plain} {
+			go func() {
+				if slot, err := table.Acquire(waiting, w, start); err == nil {
+					given <- slot
+				}
+			}()
+			Eventually(func() int { return table.Waiting("s") }).Should(Equal(i + 1))
+		}
+		first.Done(route.Good, start)
+		var slot *route.Slot
+		Eventually(given).Should(Receive(&slot))
+		Expect(slot.Upstream).To(Equal(first.Upstream))
+		Expect(table.Waiting("s")).To(Equal(1))
+		second.Done(route.Good, start)
+		Eventually(given).Should(Receive(&slot))
+		Expect(slot.Upstream).To(Equal(second.Upstream))
+	})
+
 	It("refuses at once when too many wait", func() {
 		table = route.NewTable(route.Settings{QueueLimit: 1})
 		want := route.Want{Service: "s", Targets: targets(1, 1)}
