--- a/partner/gate/fakes_test.go
+++ b/partner/gate/fakes_test.go
@@ -187,8 +187,8 @@
 	return s
 }
 
-// told is an answer of the gate.
-type told struct {
+// answer is an answer of the gate.
+type answer struct {
 	status int
 	header http.Header
 	body   string
@@ -196,7 +196,7 @@
 	fate   granitehoist.Fate
 }
 
-func (s *site) send(method, path, body string, headers ...string) told {
+func (s *site) send(method, path, body string, headers ...string) answer {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+key)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -213,7 +213,7 @@
 		s.gate.ServeHTTP(w, r)
 	}()
 	s.gate.Wait()
-	t := told{status: w.Code, header: w.Header(), body: w.Body.String(), code: granitehoist.Served, fate: granitehoist.Ran}
+	t := answer{status: w.Code, header: w.Header(), body: w.Body.String(), code: granitehoist.Served, fate: granitehoist.Ran}
 	var failure gate.Failure
 	if json.Unmarshal(w.Body.Bytes(), &failure) == nil && failure.Error.Code != 0 {
 		t.code, t.fate = granitehoist.Code(failure.Error.Code), failure.Error.Fate
@@ -223,6 +223,6 @@
 
 const goodBody = `{"model":"m","messages":[{"role":"user","content":"hello"}]}`
 
-func (s *site) chat(body string, headers ...string) told {
+func (s *site) chat(body string, headers ...string) answer {
 	return s.send(http.MethodPost, "/v1/chat/completions", body, headers...)
 }
--- a/partner/gate/gate_test.go
+++ b/partner/gate/gate_test.go
@@ -313,7 +313,7 @@
 	})
 
 	Describe("a request not to be repeated", func() {
-		permit := func() told {
+		permit := func() answer {
 			return s.send(http.MethodPost, "/services/gate/permits", "p", gate.HeaderRequest, "permit-1")
 		}
 
@@ -365,7 +365,7 @@
 			document.Upstreams[i].Concurrency = 1
 		}
 		s.view = config.NewView().With(document, 2)
-		finished := make(chan told, 3)
+		finished := make(chan answer, 3)
 		for range 3 {
 			go func() { finished <- s.chat(goodBody) }()
 		}
@@ -399,7 +399,7 @@
 		serve(2, 1)
 		s.settings.View = view.Load
 		s.gate = gate.New(s.settings)
-		finished := make(chan told, 3)
+		finished := make(chan answer, 3)
 		chat := func() {
 			defer GinkgoRecover()
 			finished <- s.chat(goodBody)
