--- a/partner/gate/completion.go
+++ b/partner/gate/completion.go
@@ -93,6 +93,8 @@
 	return nil
 }
 
+// readStream reads whether the answer is a stream, and whether the caller wants
+// the usage in it.
 func (c *completion) readStream() error {
 	if err := c.field("stream", &c.stream); err != nil {
 		return err
@@ -130,6 +132,7 @@
 	return nil
 }
 
+// readChoices reads how many answers the caller asks for, one if it does not say.
 func (c *completion) readChoices() error {
 	if err := c.field("n", &c.choices); err != nil {
 		return err
@@ -143,7 +146,8 @@
 // upstreamBody returns the body for the engine: the caller's, with the maximum
 // output written out, the usage asked for and the priority set.
 func (c *completion) upstreamBody(s config.Service, p granitehoist.Priority) ([]byte, error) {
-	fields := make(map[string]any, len(c.fields)+3)
+	const added = 3 // max_tokens, priority and stream_options
+	fields := make(map[string]any, len(c.fields)+added)
 	for name, raw := range c.fields {
 		fields[name] = raw
 	}
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -8,8 +8,6 @@
 	"net/http"
 	"time"
 
-	"go.uber.org/zap"
-
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/partner/once"
@@ -132,7 +130,11 @@
 
 // send makes one attempt and settles what it cost.
 func (g *Gate) send(ctx context.Context, req *request, s *spend, slot *route.Slot, id granitehoist.AttemptID) error {
-	u := upstreamOf(req.asked.offer, slot.Upstream)
+	u, err := g.upstreamOf(req, slot.Upstream)
+	if err != nil {
+		slot.Done(route.Unclear, g.settings.Clock())
+		return err
+	}
 	call := req.decided.call
 	call.Attempt = id
 	call.Address = u.Address
@@ -141,22 +143,31 @@
 	slot.Done(upstreamResult(err, ctx.Err() != nil), g.settings.Clock())
 	s.attemptEnded(id, u, usage, err)
 	if err != nil {
-		g.settings.Log.Info("attempt", zap.String("request", string(req.asked.id)), zap.String("attempt", string(id)), zap.String("upstream", string(u.Name)), zap.Int("code", int(granitehoist.CodeOf(err))), zap.Error(err))
+		g.logAttempt(req, id, u.Name, err)
 	}
 	return err
 }
 
-func upstreamOf(offer *config.Offer, name granitehoist.Upstream) config.Upstream {
-	u, ok := offer.Upstream(name)
-	if !ok {
-		panic("gate: an upstream was chosen that the service does not have")
+// upstreamOf returns an upstream that was chosen for a request. If the documents
+// changed while the request waited for room, it may be one that the request's own
+// offer lacks and the service has by now. Its error is NoUpstream, if the service
+// has lost it again.
+func (g *Gate) upstreamOf(req *request, name granitehoist.Upstream) (config.Upstream, error) {
+	if u, ok := req.asked.offer.Upstream(name); ok {
+		return u, nil
+	}
+	service := req.asked.offer.Name
+	if offer, ok := g.settings.View().OfferOf(req.asked.identity.Partner, service); ok {
+		if u, ok := offer.Upstream(name); ok {
+			return u, nil
+		}
 	}
-	return u
+	return config.Upstream{}, granitehoist.Errorf(granitehoist.NoUpstream, "service %s", service)
 }
 
 // mayRetry reports whether the request may be sent to another upstream, and
 // takes what a further attempt costs: one retry of the router's budget of
-// retries and a reservation. If the reservation fails the caller is told the
+// retries and a reservation. If the reservation fails the caller gets the
 // result of the attempt, since that is why its request did not succeed.
 func (g *Gate) mayRetry(ctx context.Context, req *request, s *spend, err error, attempt int) bool {
 	verdict := decideRetry(attemptState{
--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -43,7 +43,7 @@
 	return &Settler{settings: s}
 }
 
-// Result tells what was done for one dead router.
+// Result is what was done for one dead router.
 type Result struct {
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
 	// Found is the attempts that engines knew, Charged those charged now and
@@ -55,7 +55,7 @@
 	Unreached []granitehoist.Upstream `json:"unreached,omitempty"`
 }
 
-// settlement is what one call of Settle knows and finds.
+// settlement is the input and the result of one call of Settle.
 type settlement struct {
 	// stop says that attempts that still run are to be ended.
 	stop bool
@@ -79,42 +79,42 @@
 
 // Settle charges a dead router's ended attempts that no segment holds yet. If
 // stop is set, attempts that still run are ended first; it is to be set only
-// if the router is known to have stopped. Settling again charges nothing twice.
+// if the router has stopped for certain. Settling again charges nothing twice.
 // Its errors are the store's. An engine that can't be asked is no error: it is
 // listed in the result, and the next call asks it again.
 func (s *Settler) Settle(ctx context.Context, dead granitehoist.Incarnation, stop bool, now time.Time) (Result, error) {
-	settlement := &settlement{stop: stop, names: s.budgetNames(), now: now, result: Result{Incarnation: dead}}
+	job := &settlement{stop: stop, names: s.budgetNames(), now: now, result: Result{Incarnation: dead}}
 	var err error
-	if settlement.charged, err = s.readCharged(ctx, dead); err != nil {
-		return settlement.result, err
+	if job.charged, err = s.readCharged(ctx, dead); err != nil {
+		return job.result, err
 	}
 	for _, e := range s.engines() {
 		attempts, err := s.settings.Engines.List(ctx, e.Address, granitehoist.AttemptPrefix(dead))
 		if err != nil {
-			settlement.result.Unreached = append(settlement.result.Unreached, e.Name)
+			job.result.Unreached = append(job.result.Unreached, e.Name)
 			continue
 		}
 		for _, a := range attempts {
-			s.settleAttempt(ctx, settlement, e, a)
+			s.settleAttempt(ctx, job, e, a)
 		}
 	}
-	settlement.result.Charged = len(settlement.charges)
-	return settlement.result, s.write(ctx, dead, settlement.charges)
+	job.result.Charged = len(job.charges)
+	return job.result, s.write(ctx, dead, job.charges)
 }
 
 // settleAttempt ends an attempt if asked to, and adds its charge if it gets one.
-func (s *Settler) settleAttempt(ctx context.Context, settlement *settlement, e engine, a granitehoist.KnownAttempt) {
-	settlement.result.Found++
-	charged := settlement.charged[a.ID]
-	if settlement.stop && !charged && !a.Ended {
+func (s *Settler) settleAttempt(ctx context.Context, job *settlement, e engine, a granitehoist.KnownAttempt) {
+	job.result.Found++
+	charged := job.charged[a.ID]
+	if job.stop && !charged && !a.Ended {
 		a.Usage, a.Ended = s.settings.Engines.Stop(ctx, e.Address, a.ID)
 	}
-	switch decide(a, charged) {
+	switch verdictOf(a, charged) {
 	case stillRunning:
-		settlement.result.Running++
+		job.result.Running++
 	case toCharge:
-		if c, ok := newCharge(a, e, settlement.names, settlement.now); ok {
-			settlement.charges = append(settlement.charges, c)
+		if c, ok := newCharge(a, e, job.names, job.now); ok {
+			job.charges = append(job.charges, c)
 		}
 	case alreadyCharged, neverArrived:
 	}
--- a/partner/policy/policy.go
+++ b/partner/policy/policy.go
@@ -29,7 +29,7 @@
 	Priority string
 }
 
-// Decision is what a policy says of a request.
+// Decision is the result of one policy for one request.
 type Decision struct {
 	Permit   bool
 	Priority granitehoist.Priority
@@ -42,7 +42,7 @@
 	priority cel.Program
 }
 
-// Fault tells what is wrong with one program of a policy.
+// Fault describes what is wrong with one program of a policy.
 type Fault struct {
 	// Policy is the policy's name.
 	Policy string
@@ -110,9 +110,6 @@
 	return fmt.Sprintf("line %d, column %d: %s", first.Location.Line(), first.Location.Column()+1, first.Message)
 }
 
-// Name returns the policy's name.
-func (p *Policy) Name() string { return p.name }
-
 // Decide evaluates the policy. A program that fails or costs too much yields
 // an error with code PolicyFailed; the request is then to be denied. A priority
 // out of range is taken for the nearest one in it.
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -126,8 +126,8 @@
 	return next
 }
 
-// newPool prepares upstreams. Those that were in a pool before keep what is
-// known of them.
+// newPool prepares upstreams. Those that were in a pool before keep their
+// requests in progress and their failures.
 func (t *Table) newPool(targets []Target) *servicePool {
 	p := &servicePool{targets: targets}
 	for _, target := range targets {
@@ -181,13 +181,3 @@
 		}
 	}
 }
-
-// InFlight returns the requests in progress at an upstream.
-func (t *Table) InFlight(u granitehoist.Upstream) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if m, ok := t.members[u]; ok {
-		return m.inFlight
-	}
-	return 0
-}
