--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -9,6 +9,7 @@
 
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+	"pgregory.net/rapid"
 
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/balance"
@@ -62,6 +63,29 @@
 		ginkgo.Entry("not to follow with less than 20 ms left", with(refused, func(in *retryInput) { in.timeLeft = 20*time.Millisecond - 1 }), no),
 		ginkgo.Entry("to follow with 20 ms left", with(refused, func(in *retryInput) { in.timeLeft = 20 * time.Millisecond }), paid),
 	)
+
+	ginkgo.It("never follows one that may have run, unless the route lets requests run again", func() {
+		rapid.Check(ginkgo.GinkgoT(), func(t *rapid.T) {
+			in := retryInput{
+				route: &catalog.Route{
+					Kind:        rapid.SampledFrom([]catalog.Kind{catalog.Safe, catalog.Unsafe, catalog.Stream}).Draw(t, "kind"),
+					Resume:      rapid.Bool().Draw(t, "resume"),
+					MaxAttempts: rapid.IntRange(0, 5).Draw(t, "max attempts"),
+				},
+				fate:     rapid.SampledFrom([]granitehoist.Fate{granitehoist.Ran, granitehoist.MayHaveRun}).Draw(t, "fate"),
+				attempts: rapid.IntRange(1, 5).Draw(t, "attempts"),
+				runs:     rapid.IntRange(1, 5).Draw(t, "runs"),
+				started:  rapid.Bool().Draw(t, "started"),
+				timeLeft: time.Duration(rapid.IntRange(-100, 1000).Draw(t, "ms left")) * time.Millisecond,
+			}
+			if !decideRetry(in).allowed {
+				return
+			}
+			Expect(in.route.Repeatable()).To(BeTrue())
+			Expect(in.runs).To(BeNumerically("<", in.route.MaxAttempts))
+			Expect(in.started && !in.route.Resume).To(BeFalse())
+		})
+	})
 })
 
 var _ = ginkgo.Describe("A caller is told", func() {
--- a/forward/settle_test.go
+++ b/forward/settle_test.go
@@ -6,6 +6,7 @@
 import (
 	"github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
+	"pgregory.net/rapid"
 
 	"granitehoist.example/granitehoist"
 )
@@ -30,3 +31,25 @@
 	ginkgo.Entry("what it reserved where events are not counted",
 		settlement{events: 1, runs: 1, complete: true}, granitehoist.Tokens(300)),
 )
+
+var _ = ginkgo.It("A charge stays within the reservation and grows with the events", func() {
+	rapid.Check(ginkgo.GinkgoT(), func(t *rapid.T) {
+		s := settlement{
+			cost:           Cost{Prompt: draw(t, "prompt"), Output: draw(t, "output")},
+			tokensPerEvent: draw(t, "tokens per event"),
+			events:         int64(draw(t, "events")),
+			runs:           1,
+			complete:       rapid.Bool().Draw(t, "complete"),
+		}
+		more := s
+		more.events++
+		Expect(s.charge()).To(BeNumerically(">=", s.cost.Prompt))
+		Expect(s.charge()).To(BeNumerically("<=", s.cost.Bound()))
+		Expect(more.charge()).To(BeNumerically(">=", s.charge()))
+	})
+})
+
+// draw returns a number of tokens.
+func draw(t *rapid.T, name string) granitehoist.Tokens {
+	return granitehoist.Tokens(rapid.Int64Range(0, 10_000).Draw(t, name))
+}
