--- a/forward/identify.go
+++ b/forward/identify.go
@@ -13,8 +13,8 @@
 // the request; whether this router is stopping; and draw, a random number from 0
 // up to 1 that chooses among the services of a split route.
 //
-// A wrong path or key is told also by a stopping router, since another box
-// would say the same. The priority of a workspace takes precedence over that of
+// A stopping router still reports a wrong path or key, since every other box
+// would refuse the request for it too. The priority of a workspace takes precedence over that of
 // its route. For a refused request the fields are set that were decided before
 // the refusal.
 func identify(s *catalog.Snapshot, r *Request, stopping bool, draw float64) (decided, refusal) {
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -62,8 +62,8 @@
 	// too soon; the new value itself is chosen, not measured.
 	scarceRetry = 900 * time.Millisecond
 	// unreachableRetry outlasts most outages of the store. Measured in commit
-	// 7a995c8 together with exhaustedRetry: callers told 700 ms were refused
-	// again and lost their one retry; score of a Tuul site 0.815 to 0.861, of a
+	// 7a995c8 together with exhaustedRetry: callers with a Retry-After of
+	// 700 ms were refused again and lost their one retry; score of a Tuul site 0.815 to 0.861, of a
 	// Lima site 0.955 to 0.949, which is noise. Other values were not tried.
 	unreachableRetry = 4500 * time.Millisecond
 	// exhaustedRetry is the time in which a spent budget may be raised or small
@@ -84,7 +84,7 @@
 	minRetryAfter = 50 * time.Millisecond
 )
 
-// refusalRule is what a caller is told of a refusal.
+// refusalRule is the answer to a refused request.
 type refusalRule struct {
 	code granitehoist.Code
 	// retryAfter is zero where a new attempt can't succeed.
@@ -111,8 +111,8 @@
 	refusedByInstance:    {code: granitehoist.UpstreamRefused, retryAfter: instanceRefusedRetry},
 }
 
-// error decides what a caller is told of a refusal: the code and the
-// Retry-After of refusalRules. timeLeft is what remains of the caller's timeout
+// error decides the answer to a refused request: the code and the Retry-After
+// of refusalRules. timeLeft is what remains of the caller's timeout
 // now. It panics for noRefusal.
 func (r refusal) error(timeLeft time.Duration) *granitehoist.Error {
 	if r == noRefusal {
--- a/forward/retrybudget.go
+++ b/forward/retrybudget.go
@@ -26,12 +26,13 @@
 }
 
 const (
-	// usedRatioPart is the part of Ratio that is used, so that requests which
-	// the operators count in another window leave the bound kept. Chosen, not
+	// usedRatioPart is the part of Ratio that is used, so that the bound holds
+	// although the operators count some requests in another window. Chosen, not
 	// measured.
 	usedRatioPart = 0.6
-	// usedSlackPart is the part of Slack that is used, so that routers which
-	// restart with a full budget leave the bound kept. Chosen, not measured.
+	// usedSlackPart is the part of Slack that is used, so that the bound holds
+	// although routers that restart begin with a full budget. Chosen, not
+	// measured.
 	usedSlackPart = 0.5
 	// defaultRetryWindow is the window that the operators' settings files state
 	// at every site.
