--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -61,10 +61,11 @@
 	// don't need. Raised from 700 ms in commit 7a995c8 because callers came back
 	// too soon; the new value itself is chosen, not measured.
 	scarceRetry = 900 * time.Millisecond
-	// unreachableRetry outlasts most outages of the store. Measured in commit
-	// 7a995c8 together with exhaustedRetry: callers with a Retry-After of
-	// 700 ms were refused again and lost their one retry; score of a Tuul site 0.815 to 0.861, of a
-	// Lima site 0.955 to 0.949, which is noise. Other values were not tried.
+	// unreachableRetry is the time in which a silent store may answer again: its
+	// outages last for some seconds. Measured in commit 7a995c8 together with
+	// exhaustedRetry: callers with a Retry-After of 700 ms were refused again and
+	// lost their one retry; score of a Tuul site 0.815 to 0.861, of a Lima site
+	// 0.955 to 0.949, which is noise. No other value was tried.
 	unreachableRetry = 4500 * time.Millisecond
 	// exhaustedRetry is the time in which a spent budget may be raised or small
 	// requests may leave some tokens. Measured with unreachableRetry.
@@ -112,8 +113,8 @@
 }
 
 // error decides the answer to a refused request: the code and the Retry-After
-// of refusalRules. timeLeft is what remains of the caller's timeout
-// now. It panics for noRefusal.
+// of refusalRules. timeLeft is what remains of the request's timeout now. It
+// panics for noRefusal.
 func (r refusal) error(timeLeft time.Duration) *granitehoist.Error {
 	if r == noRefusal {
 		panic("forward: error of a request that was not refused")
