--- a/exchange/answer.go
+++ b/exchange/answer.go
@@ -11,28 +11,56 @@
 	"granitehoist.example/granitehoist"
 )
 
-// skipLimit bounds the answers that are passed over because they belong to
-// earlier requests of a connection, and interim answers.
-const skipLimit = 8
+const (
+	// maxAnswersRead bounds the answers read for one request: interim ones and
+	// those of earlier requests come before its own. Chosen, not measured.
+	maxAnswersRead = 8
+	// maxDrainBytes bounds the body of an earlier request's answer that is read
+	// to reach the next. Chosen, not measured.
+	maxDrainBytes = 1 << 20
+)
+
+// answerKind is how an answer relates to the request that waits for one.
+type answerKind int
 
-// drainLimit bounds the bytes that are read of such an answer.
-const drainLimit = 1 << 20
+const (
+	// interim answers (1xx) announce another one.
+	interim answerKind = iota
+	// own answers belong to the request.
+	own
+	// foreign answers belong to an earlier request of the connection.
+	foreign
+)
 
-// readAnswer reads answers until one belongs to the request.
+// kindOf decides how an answer relates to the request. matches reports whether a
+// header belongs to it and is asked of final answers only; nil matches all.
+func kindOf(status int, header http.Header, matches func(http.Header) bool) answerKind {
+	switch {
+	case status < http.StatusOK:
+		return interim
+	case matches == nil || matches(header):
+		return own
+	}
+	return foreign
+}
+
+// readAnswer reads answers until one belongs to the request. It passes foreign
+// ones over if they can be read to their end.
 func (c *conn) readAnswer(r Request) (*http.Response, error) {
 	crossed := false
-	for range skipLimit {
+	for range maxAnswersRead {
 		answer, err := http.ReadResponse(c.reader, &http.Request{Method: r.Method})
 		if err != nil {
-			return nil, answerError(err, crossed)
+			return nil, readError(err, crossed)
 		}
-		if answer.StatusCode < http.StatusOK {
+		switch kindOf(answer.StatusCode, answer.Header, r.Matches) {
+		case interim:
 			continue
-		}
-		if r.Matches == nil || r.Matches(answer.Header) {
+		case own:
 			return answer, nil
+		case foreign:
+			crossed = true
 		}
-		crossed = true
 		if answer.Close || !drained(answer) {
 			break
 		}
@@ -40,20 +68,27 @@
 	return nil, granitehoist.Errorf(granitehoist.AnswerCrossed, "")
 }
 
+// drained reads the body of an answer that is passed over, and reports whether
+// it reached its end.
 func drained(answer *http.Response) bool {
-	n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, drainLimit))
-	return err == nil && n < drainLimit
+	n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxDrainBytes))
+	return err == nil && n < maxDrainBytes
 }
 
-func answerError(err error, crossed bool) error {
+// readError decides what a failure to read an answer says of the request, which
+// may have run in each case. After a foreign answer its own can't be told from
+// others' any more (AnswerCrossed). If the connection ended, broke or was closed
+// because the context ended, there is no answer (UpstreamLost). Otherwise the
+// bytes that arrived are no answer (UpstreamBadAnswer).
+func readError(err error, crossed bool) error {
+	// The errors of connections, those of a closed one too, have this method.
+	var network interface{ Timeout() bool }
 	switch {
 	case crossed:
 		return granitehoist.Wrap(granitehoist.AnswerCrossed, err, "")
 	case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF):
 		return granitehoist.Wrap(granitehoist.UpstreamLost, err, "the connection ended")
-	}
-	var malformed interface{ Timeout() bool }
-	if errors.As(err, &malformed) {
+	case errors.As(err, &network):
 		return granitehoist.Wrap(granitehoist.UpstreamLost, err, "the connection broke")
 	}
 	return granitehoist.Wrap(granitehoist.UpstreamBadAnswer, err, "")
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -10,13 +10,12 @@
 	"net/http"
 	"strconv"
 	"syscall"
-	"time"
 )
 
-// write sends the whole request.
+// write writes the whole request with one call.
 func (c *conn) write(r Request) error {
 	var head bytes.Buffer
-	head.Grow(1024 + len(r.Body))
+	head.Grow(headBytes + len(r.Body))
 	head.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if err := r.Header.Write(&head); err != nil {
 		return err
@@ -35,16 +34,21 @@
 	net.Conn
 	reader  *bufio.Reader
 	address string
-	// idleSince is when it became idle, idleUntil when the upstream keeps it.
-	idleSince, idleUntil time.Time
-	// keepAliveReported says that the upstream told how long it keeps the connection.
-	keepAliveReported bool
+	// idle is when it may be used again. The lock of the pool guards it.
+	idle idlePeriod
 }
 
+// readBufferBytes is the size of a connection's buffer for reading, which each open
+// connection has. Chosen, not measured.
 const readBufferBytes = 2048
 
+// headBytes is the room reserved for the head of a request before its body.
+// Chosen, not measured.
+const headBytes = 1024
+
 // quiet reports whether an idle connection is open and nothing has arrived on
-// it. Whatever has arrived belongs to no request that is still to be sent.
+// it: bytes that have arrived belong to no request that is still to be sent. A
+// connection that can't be examined is not quiet.
 func (c *conn) quiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- /dev/null
+++ b/exchange/doubt.go
@@ -0,0 +1,66 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package exchange
+
+import "time"
+
+// writtenGrace is how long the end of an exchange waits for the report that the
+// request has been written. The report of the writing goroutine can come after
+// the answer: without a wait connections were not used again (commit 6d43b45,
+// once in a run under the race detector). The length is chosen, not measured.
+const writtenGrace = 5 * time.Millisecond
+
+// outcome is what is known of an exchange and its connection at its end.
+type outcome struct {
+	// complete says that the answer's body was read to its end.
+	complete bool
+	// cancelled says that the context ended, which closes the connection.
+	cancelled bool
+	// written says that the whole request was written, and that this was reported
+	// at the latest writtenGrace after the end of the exchange.
+	written bool
+	// framed says that the answer told where it ends.
+	framed bool
+	// closing says that the upstream announced to close the connection.
+	closing bool
+	// surplus is the number of bytes read after the answer.
+	surplus int
+}
+
+// doubt is why a connection must not serve another request.
+type doubt string
+
+// The doubts.
+const (
+	noDoubt           doubt = ""
+	answerIncomplete  doubt = "the answer was not read to its end"
+	exchangeCancelled doubt = "the exchange was cancelled"
+	requestUnwritten  doubt = "the request was not written to its end"
+	answerUnframed    doubt = "the answer ends with the connection"
+	upstreamClosing   doubt = "the upstream closes the connection"
+	surplusBytes      doubt = "bytes follow the answer"
+)
+
+// doubt decides whether the connection may serve another request, and returns
+// why not. The next answer must belong to the next request, so no byte of this
+// exchange may be outstanding in either direction: an upstream that answered
+// before it had the whole request may take what follows for the rest of it, and
+// what is unread after an answer would be read as the next one.
+func (o outcome) doubt() doubt {
+	switch {
+	case !o.complete:
+		return answerIncomplete
+	case o.cancelled:
+		return exchangeCancelled
+	case !o.written:
+		return requestUnwritten
+	case !o.framed:
+		return answerUnframed
+	case o.closing:
+		return upstreamClosing
+	case o.surplus > 0:
+		return surplusBytes
+	}
+	return noDoubt
+}
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -13,38 +13,40 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Request is one sending to one upstream.
+// Request is a request as it is sent to one upstream.
 type Request struct {
 	// Address is the upstream's IP and port.
 	Address string
 	Method  string
-	// Target is the path and query as they are to arrive.
+	// Target is the path and query as the upstream receives them.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches reports whether an answer belongs to the request.
+	// Matches reports whether an answer with the given header belongs to the
+	// request; nil accepts every answer.
 	Matches func(http.Header) bool
-	// MaxIdle bounds how long a reused connection may have rested if its
-	// upstream did not tell how long it keeps it.
+	// MaxIdle bounds how long a reused connection may have been idle if its
+	// upstream did not report how long it keeps it.
 	MaxIdle time.Duration
 }
 
-// Response is the head of an upstream's answer and its body. Close ends the
-// exchange and is to be called once.
+// Response is the head of an upstream's answer and its body. Close must be called
+// once. It is not safe for concurrent use.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, or -1 if it is not told ahead.
+	// Length is that of the body in bytes, or -1 if the header does not tell it.
 	Length int64
 	// Framed is false if the body ends with the connection.
 	Framed   bool
 	body     io.Reader
 	complete bool
-	end      func(whole bool)
+	end      func(complete bool)
 }
 
-// Read reads the body. io.EOF says that it is whole.
+// Read reads the body. io.EOF says that it was read to its end; any other error
+// that it was cut off or malformed.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -53,14 +55,11 @@
 	return n, err
 }
 
-// Close ends the exchange. A connection whose answer was not read to its end is
-// closed with it.
+// Close ends the exchange. The connection is kept for another request unless it
+// is in doubt, for example because the answer was not read to its end. Close
+// waits up to 5 ms if the request has not been written yet.
 func (r *Response) Close() { r.end(r.complete) }
 
-// writtenGrace is how long the end of an exchange waits for the word that the
-// request has been written, which may come after its answer.
-const writtenGrace = 5 * time.Millisecond
-
 // Do sends a request and returns the head of its answer. Its errors are
 // *granitehoist.Error: UpstreamRefused if nothing was sent, UpstreamLost,
 // UpstreamBadAnswer or AnswerCrossed if the upstream may have run it. When ctx
@@ -70,44 +69,58 @@
 	if err != nil {
 		return nil, granitehoist.Wrap(granitehoist.UpstreamRefused, err, "no connection")
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+	stop := context.AfterFunc(ctx, func() { discard(c) })
 	written := make(chan error, 1)
 	go func() { written <- c.write(r) }()
-	response, err := c.readAnswer(r)
+	answer, err := c.readAnswer(r)
 	if err != nil {
+		// An error of the writing is not asked for: the request may have run
+		// either way, and a broken connection fails the reading too.
 		stop()
-		_ = c.Close()
+		discard(c)
 		return nil, err
 	}
-	return p.prepare(c, response, stop, written), nil
-}
-
-// prepare returns the answer with an end that keeps the connection if it can
-// serve another request.
-func (p *Pool) prepare(c *conn, answer *http.Response, stop func() bool, written <-chan error) *Response {
-	framed := answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
-	end := func(whole bool) {
-		live := stop()
-		sent := false
-		select {
-		case err := <-written:
-			sent = err == nil
-		case <-time.After(writtenGrace):
-			// The upstream answered before it had the whole request, and may
-			// go on reading it: nothing else may follow on this connection.
-		}
-		if !whole || !live || !sent || !framed || answer.Close || c.reader.Buffered() > 0 {
-			_ = c.Close()
-			return
-		}
-		p.put(c, keepAlive(answer.Header), time.Now())
-	}
+	framed := isFramed(answer)
 	return &Response{
 		Status: answer.StatusCode,
 		Header: answer.Header,
 		Length: answer.ContentLength,
 		Framed: framed,
 		body:   answer.Body,
-		end:    end,
+		end: func(complete bool) {
+			p.finish(c, answer.Header, outcome{
+				complete:  complete,
+				cancelled: !stop(),
+				written:   isWritten(written),
+				framed:    framed,
+				closing:   answer.Close,
+				surplus:   c.reader.Buffered(),
+			})
+		},
+	}, nil
+}
+
+// finish keeps the connection of an ended exchange unless it is in doubt.
+func (p *Pool) finish(c *conn, header http.Header, o outcome) {
+	if o.doubt() != noDoubt {
+		discard(c)
+		return
+	}
+	p.put(c, keepAlive(header), time.Now())
+}
+
+// isFramed reports whether an answer tells where its body ends.
+func isFramed(answer *http.Response) bool {
+	return answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
+}
+
+// isWritten waits up to writtenGrace for the report of the writing and reports
+// whether the whole request was written.
+func isWritten(written <-chan error) bool {
+	select {
+	case err := <-written:
+		return err == nil
+	case <-time.After(writtenGrace):
+		return false
 	}
 }
--- a/exchange/header.go
+++ b/exchange/header.go
@@ -8,10 +8,12 @@
 	"strings"
 )
 
-// hopHeaders belong to one connection and are not passed on.
+// hopHeaders belong to one connection (RFC 9110, 7.6.1) or to the framing of one
+// message, which the next connection's own replaces.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// PassedOn returns a copy of a header without what belongs to one connection.
+// PassedOn returns a copy of a header without the fields that belong to one
+// connection, those that its Connection field names among them.
 func PassedOn(h http.Header) http.Header {
 	passed := h.Clone()
 	for _, named := range h.Values("Connection") {
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -18,44 +18,64 @@
 // Settings configure a Pool. The zero value works.
 type Settings struct {
 	// ConnectTimeout bounds the making of a connection; zero stands for
-	// DefaultConnect.
+	// DefaultConnectTimeout.
 	ConnectTimeout time.Duration
-	// SilenceTimeout is how long the peer's machine may be silent before a
-	// connection is given up; zero stands for DefaultSilence.
+	// SilenceTimeout is how long sent bytes may stay unacknowledged by the peer
+	// before its connection is given up; zero stands for DefaultSilenceTimeout.
 	SilenceTimeout time.Duration
-	// IdleTimeout is how long a connection is kept where the upstream does not tell;
-	// zero stands for DefaultIdle.
+	// IdleTimeout is how long an idle connection is kept at most, and how long
+	// where the upstream does not report it; zero stands for DefaultIdleTimeout.
 	IdleTimeout time.Duration
-	// MaxIdlePerUpstream bounds the idle connections to one address; zero stands for
-	// DefaultPerUpstream.
+	// MaxIdlePerUpstream bounds the idle connections to one address; zero stands
+	// for DefaultMaxIdlePerUpstream.
 	MaxIdlePerUpstream int
 	// Meter, if set, counts the bytes of the connections.
 	Meter *linkmeter.Meter
-	// Opened, if set, is told of each new connection.
+	// Opened, if set, is called for each new connection, by the goroutine that
+	// opened it.
 	Opened func()
 }
 
 // Defaults of Settings.
 const (
-	DefaultConnectTimeout     = 400 * time.Millisecond
-	DefaultSilenceTimeout     = 1500 * time.Millisecond
-	DefaultIdleTimeout        = 4 * time.Second
+	// DefaultConnectTimeout is chosen, not measured: an attempt that can't
+	// connect leaves time for another.
+	DefaultConnectTimeout = 400 * time.Millisecond
+	// DefaultSilenceTimeout is chosen, not measured.
+	DefaultSilenceTimeout = 1500 * time.Millisecond
+	// DefaultIdleTimeout is chosen, not measured.
+	DefaultIdleTimeout = 4 * time.Second
+	// DefaultMaxIdlePerUpstream is chosen, not measured. Upstreams bound the
+	// connections that they accept from all callers together.
 	DefaultMaxIdlePerUpstream = 16
 )
 
-// Pool keeps idle connections to upstreams. It is safe for concurrent use.
+// Pool sends requests and keeps idle connections to upstreams. It is safe for
+// concurrent use.
 type Pool struct {
 	settings Settings
 	dialer   net.Dialer
 
-	mu   sync.Mutex
+	// mu guards idle.
+	mu sync.Mutex
+	// idle holds the idle connections by address, the last used last.
 	idle map[string][]*conn
 }
 
-// tcpUserTimeout is the Linux socket option that bounds the time for which
-// sent bytes may stay unacknowledged, in milliseconds.
+// tcpUserTimeout is the number of the Linux socket option TCP_USER_TIMEOUT, which
+// bounds in milliseconds how long sent bytes may stay unacknowledged.
 const tcpUserTimeout = 18
 
+const (
+	// probeInterval is how long a connection is silent before the kernel probes
+	// the peer, and the time between probes. One second is the least that the
+	// socket option can say.
+	probeInterval = time.Second
+	// maxProbes is the number of unanswered probes that end a connection.
+	// Chosen, not measured.
+	maxProbes = 2
+)
+
 // NewPool returns an empty pool.
 func NewPool(s Settings) *Pool {
 	defaults.Set(&s.ConnectTimeout, DefaultConnectTimeout)
@@ -67,13 +87,14 @@
 		Timeout: s.ConnectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     time.Second,
-			Interval: time.Second,
-			Count:    2,
+			Idle:     probeInterval,
+			Interval: probeInterval,
+			Count:    maxProbes,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// Without the option a silent peer is noticed later.
+				// Without the option a silent peer is only noticed later, by the
+				// keep-alive probes or the attempt's own deadline.
 				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(s.SilenceTimeout.Milliseconds()))
 			})
 		},
@@ -81,8 +102,8 @@
 	return p
 }
 
-// get returns an idle connection that the upstream said it keeps, or one that
-// has rested for no longer than maxRest, or a new one.
+// get returns an idle connection that may serve a request which allows maxIdle,
+// or a new one.
 func (p *Pool) get(ctx context.Context, address string, maxIdle time.Duration, now time.Time) (*conn, error) {
 	for {
 		c := p.take(address, maxIdle, now)
@@ -92,11 +113,12 @@
 		if c.quiet() {
 			return c, nil
 		}
-		_ = c.Close()
+		discard(c)
 	}
 }
 
-// take removes the connection that was used last.
+// take removes the connection that was used last of those that may be reused, and
+// closes those that may not. It returns nil if there is none.
 func (p *Pool) take(address string, maxIdle time.Duration, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -105,15 +127,16 @@
 		c := idle[len(idle)-1]
 		idle = idle[:len(idle)-1]
 		p.idle[address] = idle
-		if now.Before(c.idleUntil) && (c.keepAliveReported || now.Sub(c.idleSince) <= maxIdle) {
+		if c.idle.reusable(maxIdle, now) {
 			return c
 		}
-		_ = c.Close()
+		discard(c)
 	}
 	delete(p.idle, address)
 	return nil
 }
 
+// dial makes a connection.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -126,35 +149,32 @@
 	return &conn{Conn: metered, reader: bufio.NewReaderSize(metered, readBufferBytes), address: address}, nil
 }
 
-// put keeps a connection for later requests.
+// put keeps a connection for later requests. keepAlive is what its upstream
+// reported, or zero.
 func (p *Pool) put(c *conn, keepAlive time.Duration, now time.Time) {
-	c.keepAliveReported = keepAlive > 0
-	if !c.keepAliveReported {
-		keepAlive = p.settings.IdleTimeout
-	}
-	c.idleSince = now
-	c.idleUntil = now.Add(min(keepAlive, p.settings.IdleTimeout))
 	p.mu.Lock()
 	defer p.mu.Unlock()
+	c.idle = newIdlePeriod(keepAlive, p.settings.IdleTimeout, now)
 	if len(p.idle[c.address]) >= p.settings.MaxIdlePerUpstream {
-		_ = c.Close()
+		discard(c)
 		return
 	}
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Forget closes the idle connections to an address.
+// Forget closes the idle connections to an address, whose upstream has left.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	idle := p.idle[address]
 	delete(p.idle, address)
 	p.mu.Unlock()
 	for _, c := range idle {
-		_ = c.Close()
+		discard(c)
 	}
 }
 
-// Close closes all idle connections.
+// Close closes all idle connections. Connections in use are kept again when their
+// exchange ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
@@ -162,7 +182,7 @@
 	p.mu.Unlock()
 	for _, connections := range idle {
 		for _, c := range connections {
-			_ = c.Close()
+			discard(c)
 		}
 	}
 }
--- a/exchange/reuse.go
+++ b/exchange/reuse.go
@@ -10,11 +10,48 @@
 	"time"
 )
 
-// keepAliveMargin is taken off what an upstream tells, for the way there.
+// keepAliveMargin is subtracted from the time for which an upstream reports to
+// keep a connection, so that a request does not meet its closing. Chosen, not
+// measured. The report is in whole seconds, so at least 0.6 s remain.
 const keepAliveMargin = 400 * time.Millisecond
 
-// keepAlive returns how long the upstream keeps the connection, zero if it does
-// not tell.
+// idlePeriod is for how long an idle connection can be expected to stay open.
+type idlePeriod struct {
+	// since is when the connection became idle.
+	since time.Time
+	// until is when it must no longer be used.
+	until time.Time
+	// reported says that the upstream reported how long it keeps it.
+	reported bool
+}
+
+// newIdlePeriod decides how long a connection that became idle now is kept:
+// keepAlive as the upstream reported it, which is zero if it did not, but no
+// longer than idleTimeout.
+func newIdlePeriod(keepAlive, idleTimeout time.Duration, now time.Time) idlePeriod {
+	period := idlePeriod{since: now, reported: keepAlive > 0}
+	if !period.reported {
+		keepAlive = idleTimeout
+	}
+	period.until = now.Add(min(keepAlive, idleTimeout))
+	return period
+}
+
+// reusable decides whether an idle connection may serve a request that allows
+// maxIdle. A connection that the upstream reported to keep may be used until
+// then, whatever maxIdle is. Of others nothing is known: a request that must not
+// run twice can't be sent again if it meets the closing, so its caller allows
+// less than that of a repeatable one.
+func (p idlePeriod) reusable(maxIdle time.Duration, now time.Time) bool {
+	if !now.Before(p.until) {
+		return false
+	}
+	return p.reported || now.Sub(p.since) <= maxIdle
+}
+
+// keepAlive returns how long the upstream keeps the connection of an answer with
+// the given header, less keepAliveMargin. It returns zero if the header does not
+// say, or not in whole positive seconds.
 func keepAlive(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
