--- a/catalog/current.go
+++ b/catalog/current.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// Current holds the snapshot in force. The zero value holds none. It is safe
-// for concurrent use.
+// Current holds the snapshot in force. The zero value holds none. It is safe for
+// concurrent use.
 type Current struct {
 	newest atomic.Pointer[Snapshot]
 }
@@ -16,12 +16,12 @@
 // Get returns the snapshot in force, nil before the first.
 func (c *Current) Get() *Snapshot { return c.newest.Load() }
 
-// Offer puts a snapshot in force if it is newer than the present one, and
-// reports whether it did.
+// Offer puts a snapshot in force if it supersedes the present one, and reports
+// whether it did.
 func (c *Current) Offer(s *Snapshot) bool {
 	for {
 		old := c.newest.Load()
-		if old != nil && old.Version >= s.Version {
+		if !s.supersedes(old) {
 			return false
 		}
 		if c.newest.CompareAndSwap(old, s) {
@@ -29,3 +29,12 @@
 		}
 	}
 }
+
+// supersedes decides whether a snapshot replaces the one in force, which is nil
+// before the first. The store's version orders configurations: it grows with each
+// write and comes from the store also where a neighbour passed the configuration
+// on, so an old copy never takes back a newer one. The operators' revision plays no
+// part, nor does the time of arrival.
+func (s *Snapshot) supersedes(old *Snapshot) bool {
+	return old == nil || s.Version > old.Version
+}
--- a/catalog/document.go
+++ b/catalog/document.go
@@ -26,7 +26,8 @@
 	Stream
 )
 
-// String returns the name of a kind as logs show it.
+// String returns the name of a kind as logs show it. It panics for a number that
+// is none of the kinds.
 func (k Kind) String() string {
 	return [...]string{"safe", "unsafe", "stream"}[k]
 }
@@ -34,19 +35,23 @@
 // Share is a service's part of the requests of a route.
 type Share struct {
 	Service granitehoist.Service
-	Weight  float64
+	// Weight is its part relative to the sum of the weights of the route; it is
+	// not negative.
+	Weight float64
 }
 
-// Route leads the requests of a host below a path to services.
+// Route leads the requests of a host below a path to services. It does not change
+// once a Snapshot holds it.
 type Route struct {
 	Name RouteName
+	// Host is compared without port and case.
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix is that of the path. It begins and ends with a slash.
 	Prefix string
 	Kind   Kind
 	// Timeout is the longest that a request may be held; zero sets no bound.
 	Timeout time.Duration
-	// Target is the time within which an answer has its full worth.
+	// Target is the latency up to which an answer has its full worth.
 	Target   time.Duration
 	Priority granitehoist.Priority
 	Split    []Share
@@ -54,10 +59,10 @@
 	MaxAttempts int
 	// Anonymous routes need no key.
 	Anonymous bool
-	// Affinity says that requests with a common beginning gain by sharing an
+	// Affinity says that requests with a common prefix gain by sharing an
 	// upstream.
 	Affinity bool
-	// Resume says that a stream may go on at another upstream.
+	// Resume says that a stream that broke off may continue at another upstream.
 	Resume bool
 }
 
@@ -81,8 +86,10 @@
 // Workspace is a customer and its rights.
 type Workspace struct {
 	Name granitehoist.Workspace
+	// Keys are the secrets that identify its requests. No two workspaces share
+	// one.
 	Keys []string
-	// Priority goes before that of the route if HasPriority is set.
+	// Priority replaces that of the route if HasPriority is set.
 	Priority    granitehoist.Priority
 	HasPriority bool
 	// Prepaid is what the workspace may spend in all if Limited is set.
@@ -90,27 +97,35 @@
 	Limited bool
 }
 
-// Limits bound what callers send.
+// Limits bound what callers send, as the configuration says; zero where it does
+// not. Only BodyBytes is in force: the servers of package node are made before a
+// configuration is known and have constants for the others.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
+	// HeaderBytes bounds the header of a request, BodyBytes its body.
+	HeaderBytes int
+	BodyBytes   int64
+	// HeaderTimeout bounds the reading of a header.
 	HeaderTimeout time.Duration
-	Idle          time.Duration
+	// Idle is how long a caller's connection may be idle.
+	Idle time.Duration
 }
 
-// Document is a configuration as operators wrote it, decoded.
+// Document is a configuration as operators wrote it, decoded. Build checks it.
 type Document struct {
 	// Revision is the operators' own number of the configuration.
 	Revision   int64
 	Routes     []Route
 	Services   []Service
 	Workspaces []Workspace
-	// Keyed says that routes which are not anonymous need a key.
+	// Keyed says that requests of routes which are not anonymous need a key.
 	Keyed  bool
 	Limits Limits
 }
 
-// Pick returns the service of a route's split at a point from 0 up to 1.
+// Pick decides which service of a route's split serves a request. point, from 0 up
+// to 1, is drawn by the caller; each service owns a part of that range in
+// proportion to its weight, in the order of the split. If all weights are zero it
+// is the last service. It panics if the split is empty, which Build refuses.
 func (r *Route) Pick(point float64) granitehoist.Service {
 	var total float64
 	for _, share := range r.Split {
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -12,14 +12,17 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Snapshot is a configuration prepared for requests. It does not change.
+// Snapshot is a configuration prepared for requests. It does not change and is
+// safe for concurrent use.
 type Snapshot struct {
 	// Version is the store's version of the configuration.
 	Version granitehoist.Version
 	// Revision is the operators' own number.
-	Revision   int64
-	Limits     Limits
-	Keyed      bool
+	Revision int64
+	Limits   Limits
+	// Keyed says that requests of routes which are not anonymous need a key.
+	Keyed bool
+	// hosts holds the routes by canonical host, those with longer prefixes first.
 	hosts      map[string][]*Route
 	services   map[granitehoist.Service]*Service
 	workspaces map[granitehoist.Workspace]*Workspace
@@ -27,7 +30,10 @@
 }
 
 // Build prepares a configuration. It returns an error that names the route or
-// workspace that can't be served.
+// workspace that can't be served: a prefix without slashes at its ends, a route
+// without services or with a negative weight, a workspace without a name, a key of
+// two workspaces. Of services or workspaces with the same name the last counts. The
+// snapshot keeps parts of d, which must not change afterwards.
 func Build(d *Document, version granitehoist.Version) (*Snapshot, error) {
 	s := &Snapshot{
 		Version:    version,
@@ -58,6 +64,7 @@
 	return s, nil
 }
 
+// addRoute checks a route and lists it under its host.
 func (s *Snapshot) addRoute(r *Route) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return eris.Errorf("catalog: route %q: prefix %q does not begin and end with a slash", r.Name, r.Prefix)
@@ -75,6 +82,7 @@
 	return nil
 }
 
+// addWorkspace checks a workspace and lists it under its name and keys.
 func (s *Snapshot) addWorkspace(w *Workspace) error {
 	if w.Name == "" {
 		return eris.New("catalog: a workspace has no name")
@@ -89,7 +97,8 @@
 	return nil
 }
 
-// canonicalHost drops the port of a host and folds its letters.
+// canonicalHost returns a host without its port, in small letters. An IPv6 address
+// must stand in brackets.
 func canonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -97,8 +106,9 @@
 	return strings.ToLower(host)
 }
 
-// Match returns the route of a host with the longest prefix that begins the
-// path, and nil if there is none.
+// Match decides which route serves a request: that of its host with the longest
+// prefix of its path. It returns nil if there is none. Of equal prefixes the first
+// in the configuration counts.
 func (s *Snapshot) Match(host, path string) *Route {
 	for _, r := range s.hosts[canonicalHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -114,5 +124,5 @@
 // ByKey returns the workspace that holds a key, and nil if none does.
 func (s *Snapshot) ByKey(key string) *Workspace { return s.keys[key] }
 
-// Workspaces returns the workspaces by name. The map is not to be changed.
+// Workspaces returns the workspaces by name. The map must not be changed.
 func (s *Snapshot) Workspaces() map[granitehoist.Workspace]*Workspace { return s.workspaces }
