--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,8 +1,14 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package batch lets many callers share one slow operation: what arrives while
-// an operation is in progress is done together by the next one.
+// Package batch lets many callers share one slow operation, for example a write to
+// the store: the items that arrive while an operation is in progress are committed
+// together by the next one.
+//
+// The partner router (granitehoist router) runs it, for the reports of budgets and
+// the charges of bills. A Group owns the items that wait, under its lock, and one
+// goroutine that commits while there are any. It relies on Commit to return: a
+// Commit that hangs holds up every later item. Begin reading at Group.Do.
 package batch
 
 import (
@@ -13,27 +19,36 @@
 
 // Settings configure a Group.
 type Settings[In, Out any] struct {
-	// Commit does the operation for all of a batch and returns one result an
-	// item, in order. An error is given to every caller of the batch.
+	// Commit does the operation for all items of a batch and returns one result
+	// an item, in order; fewer results without an error are a panic. Every caller
+	// of the batch gets its error. It is never called twice at a time, and its
+	// context outlives that of the callers.
 	Commit func(ctx context.Context, items []In) ([]Out, error)
 	// Most bounds the items of one batch; zero stands for no bound.
 	Most int
-	// Linger is how long an item waits for others; an item for which Urgent
-	// returns true ends the wait. Zero does not wait.
+	// Linger is how long an item waits for others; zero does not wait.
 	Linger time.Duration
+	// Urgent, if set, reports whether an item ends the wait of its batch.
 	Urgent func(item In) bool
 }
 
-// Group gathers items into batches. At most one batch is in progress.
+// Group gathers items into batches. At most one batch is in progress. It is safe
+// for concurrent use.
 type Group[In, Out any] struct {
 	settings Settings[In, Out]
-	mu       sync.Mutex
-	waiting  []*call[In, Out]
-	busy     bool
-	// hurry ends a wait for others.
+
+	// mu guards waiting and busy.
+	mu      sync.Mutex
+	waiting []*call[In, Out]
+	// busy says that a goroutine runs drain.
+	busy bool
+	// hurry ends a wait for others. It holds one signal, so an urgent item that
+	// arrives between two waits shortens the next one.
 	hurry chan struct{}
 }
 
+// call is an item with the caller that waits for its result. result and err may be
+// read once done is closed.
 type call[In, Out any] struct {
 	item   In
 	result Out
@@ -49,8 +64,8 @@
 	return &Group[In, Out]{settings: s, hurry: make(chan struct{}, 1)}
 }
 
-// Do hands in an item and waits for its result. If ctx ends first the item may
-// still be committed.
+// Do adds an item to the next batch and waits for its result. It returns the error
+// of Commit, or that of ctx if it ends first; the item may still be committed then.
 func (g *Group[In, Out]) Do(ctx context.Context, item In) (Out, error) {
 	c := &call[In, Out]{item: item, done: make(chan struct{})}
 	g.mu.Lock()
@@ -62,6 +77,7 @@
 		select {
 		case g.hurry <- struct{}{}:
 		default:
+			// A signal is waiting already; one is enough.
 		}
 	}
 	if lead {
@@ -77,7 +93,7 @@
 	}
 }
 
-// drain commits what waits until nothing does.
+// drain commits the waiting items until there are none.
 func (g *Group[In, Out]) drain(ctx context.Context) {
 	for {
 		g.linger()
@@ -102,6 +118,8 @@
 	}
 }
 
+// take removes the items of the next batch from those that wait, the oldest first.
+// If there are none the goroutine that called it must end.
 func (g *Group[In, Out]) take() []*call[In, Out] {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -114,6 +132,7 @@
 	return calls
 }
 
+// commit does the operation for the items of a batch and hands out the results.
 func (g *Group[In, Out]) commit(ctx context.Context, calls []*call[In, Out]) {
 	items := make([]In, len(calls))
 	for i, c := range calls {
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,8 +1,10 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package event names what a node writes to its log. docs/OPERATIONS.md explains
-// each; a test holds the two together.
+// Package event names the lines that an edge router (granitehoist-edge) writes to
+// its log. Package explain reads them by these names, and docs/OPERATIONS.md
+// explains each; a test of package node compares that page with All. The package
+// holds no state.
 package event
 
 // Name is the name of an event, the value of the key "event" of a log line.
@@ -27,7 +29,7 @@
 	Attempt Name = "attempt"
 )
 
-// The events of what a node believes.
+// The events of what a router knows of the fleet, the store and the budgets.
 const (
 	ConfigInForce     Name = "config_in_force"
 	ConfigBad         Name = "config_bad"
@@ -47,7 +49,7 @@
 	BudgetSyncFailed  Name = "budget_sync_failed"
 )
 
-// All returns the names of all events.
+// All returns the names of all events, in the order of the groups above.
 func All() []Name {
 	return []Name{
 		Start, Stop, Stopped, Reload, ReloadFailed, ServeFailed, ReturnFailed, LeaveFailed, LogDropped,
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -1,8 +1,13 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package eventstream cuts a text/event-stream into whole events and reads
-// their ids.
+// Package eventstream cuts a text/event-stream into complete events and reads their
+// ids. The edge router (package forward) passes streams on event by event with it,
+// so that a stream which breaks off can continue at another upstream after the last
+// complete one.
+//
+// A Splitter owns the bytes of the event that is still incomplete and belongs to one
+// stream and one goroutine. Begin reading at Splitter.Add.
 package eventstream
 
 import (
@@ -12,27 +17,34 @@
 	"github.com/rotisserie/eris"
 )
 
-// Splitter collects the bytes of a stream. The zero value works.
+// Splitter collects the bytes of a stream. The zero value works. It is not safe for
+// concurrent use.
 type Splitter struct {
+	// incomplete holds the bytes after the last complete event.
 	incomplete []byte
 }
 
-// MaxEventBytes bounds one event.
+// MaxEventBytes bounds the bytes that are held of an incomplete event. Chosen, not
+// measured.
 const MaxEventBytes = 1 << 20
 
-// ErrTooLong says that an event is larger than MaxEventBytes.
+// ErrTooLong says that an incomplete event is larger than MaxEventBytes.
 var ErrTooLong = eris.New("eventstream: event too long")
 
-// Event is one whole event, its closing empty line included. Raw is valid until
-// the next call of the Splitter.
+// Event is one complete event.
 type Event struct {
+	// Raw holds its bytes, the closing empty line included. It is valid until the
+	// next call of the Splitter.
 	Raw []byte
-	// ID is the event's id if HasID is set.
+	// ID is the event's id if HasID is set. Ids that are not whole numbers count
+	// as none; of several the last counts.
 	ID    int64
 	HasID bool
 }
 
-// Add takes in bytes and returns the events that are now whole.
+// Add appends bytes of the stream and returns the events that they complete. It
+// returns ErrTooLong, and no events, if what follows them is too long; the stream
+// can't be used then.
 func (s *Splitter) Add(piece []byte) ([]Event, error) {
 	s.incomplete = append(s.incomplete, piece...)
 	var events []Event
@@ -52,10 +64,11 @@
 	return events, nil
 }
 
-// Incomplete returns the bytes of an event that is not whole.
+// Incomplete returns the bytes that follow the last complete event.
 func (s *Splitter) Incomplete() []byte { return s.incomplete }
 
-// endOfEvent returns the index after the first empty line, -1 if there is none.
+// endOfEvent returns the index after the first empty line, -1 if there is none. Lines
+// end in LF or CRLF; an empty line whose two ends differ is not seen as one.
 func endOfEvent(b []byte) int {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
@@ -68,6 +81,7 @@
 	return lf + len("\n\n")
 }
 
+// parse reads the id of an event.
 func parse(raw []byte) Event {
 	event := Event{Raw: raw}
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
--- a/internal/linkmeter/linkmeter.go
+++ b/internal/linkmeter/linkmeter.go
@@ -1,8 +1,13 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package linkmeter counts the bytes that pass over the connections of a
-// process, to tell how much of its box's link they take.
+// Package linkmeter counts the bytes that pass over the connections of a process, to
+// tell how much of its box's link they take. Bytes of headers below TCP and of
+// retransmissions are not counted.
+//
+// The edge router granitehoist-edge runs it: package node wraps its listeners,
+// package exchange its connections, and node/overload.go reads the rates. A Meter
+// owns two counters that need no lock. Begin reading at Meter.Conn.
 package linkmeter
 
 import (
@@ -16,19 +21,20 @@
 // nil Meter counts nothing. It is safe for concurrent use.
 type Meter struct{ received, sent atomic.Int64 }
 
-// Reading is what a Meter has counted at a time.
+// Reading is what a Meter has counted up to a time.
 type Reading struct {
-	At             time.Time
+	At time.Time
+	// Received and Sent are bytes.
 	Received, Sent int64
 }
 
-// Read returns what has been counted so far.
+// Read returns what has been counted so far. It panics on a nil Meter.
 func (m *Meter) Read(now time.Time) Reading {
 	return Reading{At: now, Received: m.received.Load(), Sent: m.sent.Load()}
 }
 
-// Rate returns the bytes a second from an earlier reading to this one in the
-// busier direction, zero if no time has passed.
+// Rate returns the bytes a second from an earlier reading to this one in the busier
+// direction, zero if no time has passed: links carry both directions at once.
 func (r Reading) Rate(earlier Reading) float64 {
 	seconds := r.At.Sub(earlier.At).Seconds()
 	if seconds <= 0 {
@@ -37,7 +43,7 @@
 	return float64(max(r.Received-earlier.Received, r.Sent-earlier.Sent)) / seconds
 }
 
-// Conn returns a connection whose bytes m counts.
+// Conn returns a connection whose bytes m counts as they are read and written.
 func (m *Meter) Conn(c net.Conn) net.Conn {
 	if m == nil {
 		return c
@@ -53,6 +59,7 @@
 	return &listener{Listener: l, meter: m}
 }
 
+// listener counts the bytes of the connections that it accepts.
 type listener struct {
 	net.Listener
 	meter *Meter
@@ -67,6 +74,7 @@
 	return l.meter.Conn(c), nil
 }
 
+// conn counts the bytes of a connection.
 type conn struct {
 	net.Conn
 	meter *Meter
@@ -86,7 +94,8 @@
 	return n, err
 }
 
-// SyscallConn implements syscall.Conn where the connection does.
+// SyscallConn implements syscall.Conn. It returns EINVAL if the counted connection
+// does not. Bytes read through it are not counted.
 func (c *conn) SyscallConn() (syscall.RawConn, error) {
 	inner, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/logsink/logger.go
+++ b/internal/logsink/logger.go
@@ -11,9 +11,10 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// NewLogger returns a log that writes one line of key=value pairs an event, of
-// the given level or above. A named logger tells its name as the box. w is not
-// locked.
+// NewLogger returns a logger that writes each event of the given level or above as
+// one line of key=value pairs. The name of a logger appears as the key "box", the
+// message as the key "event". It calls w from all goroutines that log, so w must be
+// safe for concurrent use.
 func NewLogger(w io.Writer, least zapcore.LevelEnabler) *zap.Logger {
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.MessageKey = "event"
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,7 +1,12 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package logsink writes log lines without ever holding up those who log.
+// Package logsink writes log lines without ever holding up the code that logs: a
+// reader of standard output that stops must not stop a router.
+//
+// The edge router granitehoist-edge writes its log through a Sink; both routers use
+// NewLogger. A Sink owns its queue and one goroutine, which alone writes. Begin
+// reading at Sink.Write.
 package logsink
 
 import (
@@ -13,12 +18,14 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// Sink hands lines to a writer on a goroutine of its own. Lines that come while
-// its queue is full are dropped and counted, and the count is written when
-// there is room again. It implements io.Writer.
+// Sink passes lines to a writer on a goroutine of its own. Lines that arrive while
+// its queue is full are dropped and counted, and the count is written as a line of
+// its own before the next line. It implements io.Writer and is safe for concurrent
+// use, but for Close.
 type Sink struct {
 	lines chan []byte
-	// dropped counts all lines dropped, told those that the log was told of.
+	// dropped counts all lines dropped, reported those of which the log has a line.
+	// Only run uses reported. written is closed when all lines are written.
 	dropped  atomic.Int64
 	reported int64
 	written  chan struct{}
@@ -31,18 +38,23 @@
 	return s
 }
 
+// run writes the lines until the sink is closed. Errors of w are dropped: w is where
+// errors are logged, and the next line may be written again.
 func (s *Sink) run(w io.Writer) {
 	defer close(s.written)
 	for line := range s.lines {
 		if n := s.dropped.Load() - s.reported; n > 0 {
 			s.reported += n
+			// No other place is left to report an error of w.
 			_, _ = fmt.Fprintf(w, "event=%s lines=%d\n", event.LogDropped, n)
 		}
+		// As above.
 		_, _ = w.Write(line)
 	}
 }
 
-// Write takes a line. It never waits and never fails.
+// Write queues a copy of a line or drops it. It never waits and never fails. It
+// panics after Close.
 func (s *Sink) Write(line []byte) (int, error) {
 	select {
 	case s.lines <- append([]byte(nil), line...):
@@ -55,8 +67,8 @@
 // Dropped returns the number of lines dropped so far.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close writes what is queued, for at most the given time. No line may be
-// written after it.
+// Close waits until the queued lines are written, at most for the given time; what
+// is left then may be lost. Neither Write nor Close may be called after it.
 func (s *Sink) Close(timeout time.Duration) {
 	close(s.lines)
 	select {
--- a/internal/pack/pack.go
+++ b/internal/pack/pack.go
@@ -1,8 +1,13 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package pack turns values into compressed JSON and back, for records in the
-// store and for messages between routers.
+// Package pack turns values into compressed JSON (zstd) and back, for records in the
+// store and for messages between routers. Both the edge router (package follow) and
+// the partner router (budgets and bills) use it; what one release packs the next
+// must read.
+//
+// The package owns one encoder and one decoder, made at the start of the process and
+// safe for concurrent use. Begin reading at Pack.
 package pack
 
 import (
@@ -12,11 +17,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// windowSize is how far back the compression looks. Records are small, and a
-// small window costs little to begin with.
+// windowSize is how far back the compression looks, in bytes. Records are small, and
+// a small window costs little memory. Chosen, not measured.
 const windowSize = 64 << 10
 
-// maxUnpacked bounds what a packed record may grow to.
+// maxUnpacked bounds the bytes that a packed record may grow to, so that a bad one
+// can't fill the memory. Chosen, not measured.
 const maxUnpacked = 64 << 20
 
 var (
@@ -24,6 +30,8 @@
 	decoder = newDecoder()
 )
 
+// newEncoder returns the encoder. Its settings are constants, so an error is one of
+// the program.
 func newEncoder() *zstd.Encoder {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(windowSize), zstd.WithLowerEncoderMem(true))
 	if err != nil {
@@ -32,6 +40,8 @@
 	return e
 }
 
+// newDecoder returns the decoder. Its settings are constants, so an error is one of
+// the program.
 func newDecoder() *zstd.Decoder {
 	d, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxUnpacked), zstd.WithDecoderConcurrency(0), zstd.WithDecoderLowmem(true))
 	if err != nil {
@@ -40,7 +50,8 @@
 	return d
 }
 
-// Pack returns a value as compressed JSON.
+// Pack returns a value as compressed JSON. It returns an error if the value has no
+// JSON form. The same value gives the same bytes.
 func Pack(value any) ([]byte, error) {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -49,7 +60,8 @@
 	return encoder.EncodeAll(raw, nil), nil
 }
 
-// Unpack reads what Pack made. Anything else is an error.
+// Unpack decodes what Pack returned into value, a pointer. Anything else is an error,
+// also more than maxUnpacked bytes of JSON; value may hold a part of it then.
 func Unpack(packed []byte, value any) error {
 	raw, err := decoder.DecodeAll(packed, nil)
 	if err != nil {
@@ -61,18 +73,19 @@
 	return nil
 }
 
-// Message is a value of type T as it is sent between routers.
+// Message is a value of type T as routers send it to each other.
 type Message[T any] struct {
 	Packed []byte `json:"packed"`
 }
 
-// NewMessage packs a value.
+// NewMessage packs a value. It returns the errors of Pack.
 func NewMessage[T any](value T) (Message[T], error) {
 	packed, err := Pack(value)
 	return Message[T]{Packed: packed}, err
 }
 
-// Value reads the message.
+// Value unpacks the message. It returns the errors of Unpack; the zero message is
+// one.
 func (m Message[T]) Value() (T, error) {
 	var value T
 	err := Unpack(m.Packed, &value)
