--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -12,8 +12,8 @@
 	"syscall"
 )
 
-// write writes the whole request with one call.
-func (c *conn) write(r Request) error {
+// write writes the whole request.
+func (c *conn) write(r Request, w *writing) error {
 	var head bytes.Buffer
 	head.Grow(headBytes + len(r.Body))
 	head.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -25,8 +25,7 @@
 	}
 	head.WriteString("\r\n")
 	head.Write(r.Body)
-	_, err := c.Write(head.Bytes())
-	return err
+	return w.send(c, head.Bytes())
 }
 
 // conn is one connection. It serves one request at a time.
--- a/exchange/doubt.go
+++ b/exchange/doubt.go
@@ -3,22 +3,13 @@
 
 package exchange
 
-import "time"
-
-// writtenGrace is how long the end of an exchange waits for the report that the
-// request has been written. The report of the writing goroutine can come after
-// the answer: without a wait connections were not used again (commit 6d43b45,
-// once in a run under the race detector). The length is chosen, not measured.
-const writtenGrace = 5 * time.Millisecond
-
 // outcome is what is known of an exchange and its connection at its end.
 type outcome struct {
 	// complete says that the answer's body was read to its end.
 	complete bool
 	// cancelled says that the context ended, which closes the connection.
 	cancelled bool
-	// written says that the whole request was written, and that this was reported
-	// at the latest writtenGrace after the end of the exchange.
+	// written says that the whole request was written, as writing.complete reports.
 	written bool
 	// framed says that the answer told where it ends.
 	framed bool
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -70,8 +70,8 @@
 		return nil, granitehoist.Wrap(granitehoist.UpstreamRefused, err, "no connection")
 	}
 	stop := context.AfterFunc(ctx, func() { discard(c) })
-	written := make(chan error, 1)
-	go func() { written <- c.write(r) }()
+	writing := newWriting()
+	go func() { writing.ended <- c.write(r, writing) }()
 	answer, err := c.readAnswer(r)
 	if err != nil {
 		// An error of the writing is not asked for: the request may have run
@@ -91,7 +91,7 @@
 			p.finish(c, answer.Header, outcome{
 				complete:  complete,
 				cancelled: !stop(),
-				written:   isWritten(written),
+				written:   writing.complete(),
 				framed:    framed,
 				closing:   answer.Close,
 				surplus:   c.reader.Buffered(),
@@ -113,14 +113,3 @@
 func isFramed(answer *http.Response) bool {
 	return answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
 }
-
-// isWritten waits up to writtenGrace for the report of the writing and reports
-// whether the whole request was written.
-func isWritten(written <-chan error) bool {
-	select {
-	case err := <-written:
-		return err == nil
-	case <-time.After(writtenGrace):
-		return false
-	}
-}
