--- a/balance/balance.go
+++ b/balance/balance.go
@@ -47,16 +47,16 @@
 type Table struct {
 	settings Settings
 
-	// mu guards the fields below, the members and the open leases.
-	mu       sync.Mutex
-	random   *rand.Rand
-	services map[granitehoist.Service][]*member
-	members  map[granitehoist.Upstream]*member
+	// mu guards the fields below, the instances and the open leases.
+	mu        sync.Mutex
+	random    *rand.Rand
+	services  map[granitehoist.Service][]*instanceState
+	instances map[granitehoist.Upstream]*instanceState
 }
 
-// member is an instance with what this router observed of it. The lock of its
+// instanceState is an instance with what this router observed of it. The lock of its
 // table guards it.
-type member struct {
+type instanceState struct {
 	Instance
 	health
 	// inFlight is the number of this router's attempts in progress there.
@@ -76,9 +76,9 @@
 func New(s Settings) *Table {
 	defaults.Set(&s.Ejection, DefaultEjection)
 	return &Table{
-		settings: s,
-		random:   rand.New(rand.NewPCG(s.Seed, 1)),
-		services: map[granitehoist.Service][]*member{},
-		members:  map[granitehoist.Upstream]*member{},
+		settings:  s,
+		random:    rand.New(rand.NewPCG(s.Seed, 1)),
+		services:  map[granitehoist.Service][]*instanceState{},
+		instances: map[granitehoist.Upstream]*instanceState{},
 	}
 }
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -27,15 +27,15 @@
 // standing decides how far an instance comes into question for an attempt whose
 // request tried the instances in tried before. The announcement it reads is as
 // old as this router's copy of the store.
-func (m *member) standing(tried map[granitehoist.Upstream]bool, now time.Time) standing {
+func (s *instanceState) standing(tried map[granitehoist.Upstream]bool, now time.Time) standing {
 	switch {
-	case tried[m.ID] || m.Draining:
+	case tried[s.ID] || s.Draining:
 		return excluded
-	case !m.removedAt.IsZero() && usableAfterRemoval(m.removedAt, now):
+	case !s.removedAt.IsZero() && usableAfterRemoval(s.removedAt, now):
 		return removed
-	case !m.removedAt.IsZero():
+	case !s.removedAt.IsZero():
 		return excluded
-	case m.ejected(now):
+	case s.ejected(now):
 		return ejected
 	}
 	return live
@@ -45,21 +45,21 @@
 // are live; if there is none, the one ejected instance whose ejection ends first,
 // since a request that is refused has no chance at all; if there is none either,
 // those removed a moment ago. It returns none if all are excluded. The order is
-// that of members, on which the random choice among equals depends.
-func candidates(members []*member, tried map[granitehoist.Upstream]bool, now time.Time) []*member {
-	lives := make([]*member, 0, len(members))
-	var removals []*member
-	var nextBack *member
-	for _, m := range members {
-		switch m.standing(tried, now) {
+// that of instances, on which the random choice among equals depends.
+func candidates(states []*instanceState, tried map[granitehoist.Upstream]bool, now time.Time) []*instanceState {
+	lives := make([]*instanceState, 0, len(states))
+	var removals []*instanceState
+	var nextBack *instanceState
+	for _, s := range states {
+		switch s.standing(tried, now) {
 		case live:
-			lives = append(lives, m)
+			lives = append(lives, s)
 		case ejected:
-			if nextBack == nil || m.ejectedUntil.Before(nextBack.ejectedUntil) {
-				nextBack = m
+			if nextBack == nil || s.ejectedUntil.Before(nextBack.ejectedUntil) {
+				nextBack = s
 			}
 		case removed:
-			removals = append(removals, m)
+			removals = append(removals, s)
 		case excluded:
 		}
 	}
@@ -67,7 +67,7 @@
 	case len(lives) > 0:
 		return lives
 	case nextBack != nil:
-		return []*member{nextBack}
+		return []*instanceState{nextBack}
 	}
 	return removals
 }
--- a/balance/candidates_test.go
+++ b/balance/candidates_test.go
@@ -14,29 +14,29 @@
 
 var noon = time.Unix(1000, 0)
 
-// announced returns a member that is live unless change does something to it.
-func announced(id granitehoist.Upstream, change func(*member)) *member {
-	m := &member{Instance: Instance{ID: id}}
+// announced returns an instance that is live unless change does something to it.
+func announced(id granitehoist.Upstream, change func(*instanceState)) *instanceState {
+	s := &instanceState{Instance: Instance{ID: id}}
 	if change != nil {
-		change(m)
+		change(s)
 	}
-	return m
+	return s
 }
 
-func ejectedFor(d time.Duration) func(*member) {
-	return func(m *member) { m.ejectedUntil = noon.Add(d) }
+func ejectedFor(d time.Duration) func(*instanceState) {
+	return func(s *instanceState) { s.ejectedUntil = noon.Add(d) }
 }
 
-func removedSince(d time.Duration) func(*member) {
-	return func(m *member) { m.removedAt = noon.Add(-d) }
+func removedSince(d time.Duration) func(*instanceState) {
+	return func(s *instanceState) { s.removedAt = noon.Add(-d) }
 }
 
-func draining(m *member) { m.Draining = true }
+func draining(s *instanceState) { s.Draining = true }
 
-func idsOf(members []*member) []granitehoist.Upstream {
+func idsOf(instances []*instanceState) []granitehoist.Upstream {
 	ids := []granitehoist.Upstream{}
-	for _, m := range members {
-		ids = append(ids, m.ID)
+	for _, s := range instances {
+		ids = append(ids, s.ID)
 	}
 	return ids
 }
@@ -45,7 +45,7 @@
 	tried := map[granitehoist.Upstream]bool{"tried": true}
 
 	DescribeTable("of one instance",
-		func(id granitehoist.Upstream, change func(*member), expected standing) {
+		func(id granitehoist.Upstream, change func(*instanceState), expected standing) {
 			Expect(announced(id, change).standing(tried, noon)).To(Equal(expected))
 		},
 		Entry("announced", granitehoist.Upstream("a"), nil, live),
@@ -60,22 +60,22 @@
 	)
 
 	DescribeTable("are",
-		func(members []*member, expected ...granitehoist.Upstream) {
-			Expect(idsOf(candidates(members, tried, noon))).To(Equal(append([]granitehoist.Upstream{}, expected...)))
+		func(instances []*instanceState, expected ...granitehoist.Upstream) {
+			Expect(idsOf(candidates(instances, tried, noon))).To(Equal(append([]granitehoist.Upstream{}, expected...)))
 		},
-		Entry("none of no members", nil),
-		Entry("none if all are excluded", []*member{announced("tried", nil), announced("b", draining)}),
-		Entry("all live ones, in order, and no others", []*member{
+		Entry("none of no instances", nil),
+		Entry("none if all are excluded", []*instanceState{announced("tried", nil), announced("b", draining)}),
+		Entry("all live ones, in order, and no others", []*instanceState{
 			announced("c", nil), announced("b", ejectedFor(time.Second)), announced("a", nil), announced("d", removedSince(0)),
 		}, granitehoist.Upstream("c"), granitehoist.Upstream("a")),
-		Entry("the ejected one that ends first if none is live", []*member{
+		Entry("the ejected one that ends first if none is live", []*instanceState{
 			announced("a", ejectedFor(3*time.Second)), announced("b", ejectedFor(time.Second)),
 			announced("c", ejectedFor(2*time.Second)), announced("d", removedSince(0)),
 		}, granitehoist.Upstream("b")),
-		Entry("the first of ejected ones that end together", []*member{
+		Entry("the first of ejected ones that end together", []*instanceState{
 			announced("a", ejectedFor(time.Second)), announced("b", ejectedFor(time.Second)),
 		}, granitehoist.Upstream("a")),
-		Entry("those removed a moment ago as a last resort", []*member{
+		Entry("those removed a moment ago as a last resort", []*instanceState{
 			announced("a", removedSince(time.Second)), announced("b", removedSince(removedGrace)), announced("c", removedSince(0)),
 		}, granitehoist.Upstream("a"), granitehoist.Upstream("c")),
 	)
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -42,50 +42,50 @@
 	owner := ownerOf(choices, q.PrefixHash)
 	best := choices[0]
 	least := t.costOf(best, &q, owner, now)
-	for _, m := range choices[1:] {
-		if cost := t.costOf(m, &q, owner, now); cost < least {
-			best, least = m, cost
+	for _, s := range choices[1:] {
+		if cost := t.costOf(s, &q, owner, now); cost < least {
+			best, least = s, cost
 		}
 	}
 	return t.take(best, &q, owner, now), nil
 }
 
-// costOf gathers what a member's cost is computed from and returns that cost. It
+// costOf gathers what an instance's cost is computed from and returns that cost. It
 // draws a random number.
-func (t *Table) costOf(m *member, q *Query, owner *member, now time.Time) milliseconds {
+func (t *Table) costOf(s *instanceState, q *Query, owner *instanceState, now time.Time) milliseconds {
 	// Field by field: a composite literal of this size is built apart and copied,
 	// which made BenchmarkPick with 140 instances a fifth slower.
 	var l load
-	l.queuedTokens = m.unreadTokens
-	l.unreadTokens = m.unreadOf(q, owner, now)
-	if m != owner {
+	l.queuedTokens = s.unreadTokens
+	l.unreadTokens = s.unreadOf(q, owner, now)
+	if s != owner {
 		l.strayTokens = q.PrefixTokens
 	}
-	l.inFlight = m.inFlight
-	l.capacity = m.Capacity
-	l.failureRate = m.failureRate
-	l.otherZone = m.Zone != t.settings.Zone
+	l.inFlight = s.inFlight
+	l.capacity = s.Capacity
+	l.failureRate = s.failureRate
+	l.otherZone = s.Zone != t.settings.Zone
 	l.tieBreak = t.random.Float64()
 	return l.cost()
 }
 
-// unreadOf returns the tokens of a query's prompt that a member would have to
+// unreadOf returns the tokens of a query's prompt that an instance would have to
 // read.
-func (m *member) unreadOf(q *Query, owner *member, now time.Time) granitehoist.Tokens {
-	if m.prefixCached(q, owner, now) {
+func (s *instanceState) unreadOf(q *Query, owner *instanceState, now time.Time) granitehoist.Tokens {
+	if s.prefixCached(q, owner, now) {
 		return q.PromptTokens - q.PrefixTokens
 	}
 	return q.PromptTokens
 }
 
-// take counts an attempt as in progress at a member and returns its lease.
-func (t *Table) take(m *member, q *Query, owner *member, now time.Time) *Lease {
-	unread := m.unreadOf(q, owner, now)
-	if q.PrefixHash != 0 && m != owner {
-		m.rememberPrefix(q.PrefixHash, now)
+// take counts an attempt as in progress at an instance and returns its lease.
+func (t *Table) take(s *instanceState, q *Query, owner *instanceState, now time.Time) *Lease {
+	unread := s.unreadOf(q, owner, now)
+	if q.PrefixHash != 0 && s != owner {
+		s.rememberPrefix(q.PrefixHash, now)
 	}
-	lease := &Lease{Instance: m.Instance, Owner: m == owner, Load: m.inFlight, table: t, member: m, unreadTokens: unread}
-	m.inFlight++
-	m.unreadTokens += unread
+	lease := &Lease{Instance: s.Instance, Owner: s == owner, Load: s.inFlight, table: t, state: s, unreadTokens: unread}
+	s.inFlight++
+	s.unreadTokens += unread
 	return lease
 }
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -16,9 +16,9 @@
 	// Owner says that the instance owns the query's prefix.
 	Owner bool
 	// Load is the number of this router's requests that were in progress there.
-	Load   int
-	table  *Table
-	member *member
+	Load  int
+	table *Table
+	state *instanceState
 	// unreadTokens is the part of the prompt that the instance has yet to read.
 	unreadTokens granitehoist.Tokens
 }
@@ -28,7 +28,7 @@
 func (l *Lease) PromptRead() {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
-	l.member.unreadTokens -= l.unreadTokens
+	l.state.unreadTokens -= l.unreadTokens
 	l.unreadTokens = 0
 }
 
@@ -37,6 +37,6 @@
 	l.PromptRead()
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
-	l.member.inFlight--
-	l.member.health = l.member.after(r, l.table.settings.Ejection, now)
+	l.state.inFlight--
+	l.state.health = l.state.after(r, l.table.settings.Ejection, now)
 }
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -17,22 +17,22 @@
 func (t *Table) Announce(i Instance) (before Instance, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m, known := t.members[i.ID]
+	s, known := t.instances[i.ID]
 	if !known {
-		m = &member{idHash: xxhash.Sum64String(string(i.ID))}
-		t.members[i.ID] = m
+		s = &instanceState{idHash: xxhash.Sum64String(string(i.ID))}
+		t.instances[i.ID] = s
 	}
-	before = m.Instance
+	before = s.Instance
 	if known && i.Version < before.Version {
 		return before, true
 	}
 	if known && before.Service != i.Service {
-		t.unlist(m)
+		t.unlist(s)
 	}
-	m.Instance = i
-	m.removedAt = time.Time{}
+	s.Instance = i
+	s.removedAt = time.Time{}
 	if !known || before.Service != i.Service {
-		t.services[i.Service] = append(t.services[i.Service], m)
+		t.services[i.Service] = append(t.services[i.Service], s)
 	}
 	return before, known
 }
@@ -43,35 +43,35 @@
 func (t *Table) Remove(id granitehoist.Upstream, now time.Time) (Instance, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	m, known := t.members[id]
+	s, known := t.instances[id]
 	if !known {
 		return Instance{}, false
 	}
-	if m.removedAt.IsZero() {
-		m.removedAt = now
+	if s.removedAt.IsZero() {
+		s.removedAt = now
 	}
 	t.sweep(now)
-	return m.Instance, true
+	return s.Instance, true
 }
 
 // sweep forgets the removed instances that are of no more use. It runs at each
 // removal, so an instance stays in the table until a later one is removed.
 func (t *Table) sweep(now time.Time) {
-	for id, m := range t.members {
-		if !forgettable(m.removedAt, m.inFlight, now) {
+	for id, s := range t.instances {
+		if !forgettable(s.removedAt, s.inFlight, now) {
 			continue
 		}
-		t.unlist(m)
-		delete(t.members, id)
+		t.unlist(s)
+		delete(t.instances, id)
 	}
 }
 
-// unlist takes a member off the list of its service, whose order stays.
-func (t *Table) unlist(m *member) {
-	listed := t.services[m.Service]
+// unlist takes an instance off the list of its service, whose order stays.
+func (t *Table) unlist(s *instanceState) {
+	listed := t.services[s.Service]
 	for i, other := range listed {
-		if other == m {
-			t.services[m.Service] = append(listed[:i:i], listed[i+1:]...)
+		if other == s {
+			t.services[s.Service] = append(listed[:i:i], listed[i+1:]...)
 			return
 		}
 	}
--- a/balance/owner.go
+++ b/balance/owner.go
@@ -9,20 +9,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ownerOf decides which of the members owns a prefix: the one with the highest
+// ownerOf decides which of the instances owns a prefix: the one with the highest
 // hash of its ID and the prefix (rendezvous hashing). All routers that see the
-// same members choose the same owner without asking each other, and when a
-// member leaves only its own prefixes change owner. It returns nil for the hash
-// zero, which stands for no prefix, and if there are no members.
-func ownerOf(members []*member, prefixHash uint64) *member {
+// same instances choose the same owner without asking each other, and when one
+// leaves only its own prefixes change owner. It returns nil for the hash
+// zero, which stands for no prefix, and if there are no instances.
+func ownerOf(states []*instanceState, prefixHash uint64) *instanceState {
 	if prefixHash == 0 {
 		return nil
 	}
-	var owner *member
+	var owner *instanceState
 	var highest uint64
-	for _, m := range members {
-		if hash := mix(m.idHash ^ prefixHash); owner == nil || hash > highest {
-			owner, highest = m, hash
+	for _, s := range states {
+		if hash := mix(s.idHash ^ prefixHash); owner == nil || hash > highest {
+			owner, highest = s, hash
 		}
 	}
 	return owner
--- a/balance/owner_test.go
+++ b/balance/owner_test.go
@@ -13,40 +13,40 @@
 	"granitehoist.example/granitehoist"
 )
 
-func hashed(count int) []*member {
-	var members []*member
+func hashed(count int) []*instanceState {
+	var instances []*instanceState
 	for i := range count {
 		id := fmt.Sprint("i-", i)
-		members = append(members, &member{Instance: Instance{ID: granitehoist.Upstream(id)}, idHash: xxhash.Sum64String(id)})
+		instances = append(instances, &instanceState{Instance: Instance{ID: granitehoist.Upstream(id)}, idHash: xxhash.Sum64String(id)})
 	}
-	return members
+	return instances
 }
 
 var _ = Describe("The owner of a prefix", func() {
 	DescribeTable("is none",
-		func(members []*member, prefixHash uint64) {
-			Expect(ownerOf(members, prefixHash)).To(BeNil())
+		func(instances []*instanceState, prefixHash uint64) {
+			Expect(ownerOf(instances, prefixHash)).To(BeNil())
 		},
 		Entry("of no prefix", hashed(3), uint64(0)),
-		Entry("among no members", nil, uint64(7)),
+		Entry("among no instances", nil, uint64(7)),
 	)
 
-	It("does not depend on the order of the members", func() {
-		members := hashed(5)
-		reversed := []*member{members[4], members[3], members[2], members[1], members[0]}
+	It("does not depend on the order of the instances", func() {
+		instances := hashed(5)
+		reversed := []*instanceState{instances[4], instances[3], instances[2], instances[1], instances[0]}
 		for prefix := range uint64(100) {
-			Expect(ownerOf(reversed, prefix)).To(BeIdenticalTo(ownerOf(members, prefix)))
+			Expect(ownerOf(reversed, prefix)).To(BeIdenticalTo(ownerOf(instances, prefix)))
 		}
 	})
 
-	It("stays when another member leaves, and each member owns some", func() {
-		members := hashed(5)
-		owned := map[*member]int{}
+	It("stays when another instance leaves, and each instance owns some", func() {
+		instances := hashed(5)
+		owned := map[*instanceState]int{}
 		for prefix := uint64(1); prefix <= 500; prefix++ {
-			owner := ownerOf(members, prefix)
+			owner := ownerOf(instances, prefix)
 			owned[owner]++
-			if owner != members[4] {
-				Expect(ownerOf(members[:4], prefix)).To(BeIdenticalTo(owner))
+			if owner != instances[4] {
+				Expect(ownerOf(instances[:4], prefix)).To(BeIdenticalTo(owner))
 			}
 		}
 		Expect(owned).To(HaveLen(5))
--- a/balance/prefixcache.go
+++ b/balance/prefixcache.go
@@ -22,16 +22,16 @@
 	return owner || (!sentAt.IsZero() && now.Sub(sentAt) < prefixCacheTime)
 }
 
-// prefixCached reports whether a query's prefix is likely in a member's cache.
-func (m *member) prefixCached(q *Query, owner *member, now time.Time) bool {
-	return q.PrefixHash != 0 && prefixCached(m == owner, m.prefixSentAt[q.PrefixHash], now)
+// prefixCached reports whether a query's prefix is likely in an instance's cache.
+func (s *instanceState) prefixCached(q *Query, owner *instanceState, now time.Time) bool {
+	return q.PrefixHash != 0 && prefixCached(s == owner, s.prefixSentAt[q.PrefixHash], now)
 }
 
-// rememberPrefix records that a prefix was sent to a member that does not own
+// rememberPrefix records that a prefix was sent to an instance that does not own
 // it. A full memory starts anew.
-func (m *member) rememberPrefix(prefixHash uint64, now time.Time) {
-	if m.prefixSentAt == nil || len(m.prefixSentAt) >= maxRememberedPrefixes {
-		m.prefixSentAt = map[uint64]time.Time{}
+func (s *instanceState) rememberPrefix(prefixHash uint64, now time.Time) {
+	if s.prefixSentAt == nil || len(s.prefixSentAt) >= maxRememberedPrefixes {
+		s.prefixSentAt = map[uint64]time.Time{}
 	}
-	m.prefixSentAt[prefixHash] = now
+	s.prefixSentAt[prefixHash] = now
 }
--- a/balance/prefixcache_test.go
+++ b/balance/prefixcache_test.go
@@ -23,19 +23,19 @@
 	)
 
 	It("is remembered, in a memory that starts anew when it is full", func() {
-		var m member
+		var s instanceState
 		for prefix := range uint64(maxRememberedPrefixes) {
-			m.rememberPrefix(prefix+1, noon)
+			s.rememberPrefix(prefix+1, noon)
 		}
-		Expect(m.prefixSentAt).To(HaveLen(maxRememberedPrefixes))
-		m.rememberPrefix(maxRememberedPrefixes+1, noon)
-		Expect(m.prefixSentAt).To(HaveLen(1))
+		Expect(s.prefixSentAt).To(HaveLen(maxRememberedPrefixes))
+		s.rememberPrefix(maxRememberedPrefixes+1, noon)
+		Expect(s.prefixSentAt).To(HaveLen(1))
 	})
 
 	It("is cached for no query without one", func() {
-		var m member
-		Expect(m.prefixCached(&Query{}, &m, noon)).To(BeFalse())
-		Expect(m.prefixCached(&Query{PrefixHash: 1}, &m, noon)).To(BeTrue())
-		Expect(m.prefixCached(&Query{PrefixHash: 1}, nil, noon)).To(BeFalse())
+		var s instanceState
+		Expect(s.prefixCached(&Query{}, &s, noon)).To(BeFalse())
+		Expect(s.prefixCached(&Query{PrefixHash: 1}, &s, noon)).To(BeTrue())
+		Expect(s.prefixCached(&Query{PrefixHash: 1}, nil, noon)).To(BeFalse())
 	})
 })
--- a/balance/status.go
+++ b/balance/status.go
@@ -24,13 +24,13 @@
 func (t *Table) Statuses(now time.Time) []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	statuses := make([]Status, 0, len(t.members))
-	for _, m := range t.members {
+	statuses := make([]Status, 0, len(t.instances))
+	for _, s := range t.instances {
 		statuses = append(statuses, Status{
-			Instance:    m.Instance,
-			InFlight:    m.inFlight,
-			FailureRate: m.failureRate,
-			Ejected:     m.ejected(now) || !m.removedAt.IsZero(),
+			Instance:    s.Instance,
+			InFlight:    s.inFlight,
+			FailureRate: s.failureRate,
+			Ejected:     s.ejected(now) || !s.removedAt.IsZero(),
 		})
 	}
 	sort.Slice(statuses, func(i, j int) bool { return statuses[i].ID < statuses[j].ID })
