--- a/partner/bill/bill.go
+++ b/partner/bill/bill.go
@@ -28,26 +28,26 @@
 	// Estimated says that the upstream reported no use, and that the reserved
 	// upper bound was charged.
 	Estimated bool `json:"estimated,omitempty"`
-	// Orphan says that the charge was made by another router, from the
-	// upstream's record of an attempt whose incarnation is gone. It has no
-	// number, and gives way to a charge of the incarnation's own.
+	// Orphan says that another router made the charge, from the upstream's record
+	// of an attempt whose incarnation died. It has no number, and does not count
+	// if the incarnation's own charge for the attempt is in the store too.
 	Orphan bool `json:"orphan,omitempty"`
 	// At is when the charge was made.
 	At time.Time `json:"at"`
 }
 
-// Batch is consecutive charges of one incarnation.
+// Batch is consecutive charges of one incarnation, oldest first.
 type Batch struct {
 	Charges []Charge `json:"charges"`
 }
 
-// MethodCollect hands CollectParams to a collector.
+// MethodCollect carries CollectParams to a collector and its CollectResult back.
 const MethodCollect = "bill.collect"
 
-// CollectParams is a Batch on its way between routers.
+// CollectParams is a Batch in the form in which routers send it.
 type CollectParams = pack.Message[Batch]
 
-// CollectResult confirms that a batch is in the store.
+// CollectResult confirms that a batch is in the store, in the segment of that key.
 type CollectResult struct {
 	Segment string `json:"segment"`
 }
--- a/partner/bill/collector.go
+++ b/partner/bill/collector.go
@@ -14,20 +14,22 @@
 	"granitehoist.example/granitehoist/store"
 )
 
-// MaxBatch bounds the charges that a box sends at once, and maxSegment the
-// batches of one segment, so that a segment stays under the store's limit.
 const (
-	MaxBatch   = 500
+	// MaxBatch bounds the charges that a box sends at once. Chosen, not measured.
+	MaxBatch = 500
+	// maxSegment bounds the batches of one segment, so that its 5,000 charges stay
+	// below granitehoist.MaxValueSize. Chosen, not measured.
 	maxSegment = 10
 )
 
 // Collector writes batches into segments. Batches that arrive while a segment
-// is being written go into the next one together.
+// is being written go into the next one together. It is safe for concurrent use.
 type Collector struct {
 	settings CollectorSettings
 	group    *batch.Group[Batch, CollectResult]
-	mu       sync.Mutex
-	next     uint64
+	// mu guards next, the number of the last segment.
+	mu   sync.Mutex
+	next uint64
 }
 
 // CollectorSettings configure a Collector.
@@ -48,7 +50,7 @@
 }
 
 // Collect puts a batch into a segment. After an error the batch may be in the
-// store or not, and is to be sent again.
+// store or not, and must be sent again.
 func (c *Collector) Collect(ctx context.Context, b Batch) (CollectResult, error) {
 	if len(b.Charges) == 0 {
 		return CollectResult{}, nil
@@ -59,6 +61,7 @@
 	return c.group.Do(ctx, b)
 }
 
+// commit writes the charges of some batches as one segment.
 func (c *Collector) commit(ctx context.Context, batches []Batch) ([]CollectResult, error) {
 	var charges []Charge
 	for _, b := range batches {
--- a/partner/bill/ledger.go
+++ b/partner/bill/ledger.go
@@ -16,8 +16,11 @@
 type Ledger struct {
 	settings LedgerSettings
 
-	mu      sync.Mutex
-	seq     uint64
+	// mu guards the fields below.
+	mu sync.Mutex
+	// seq is the number of the last charge.
+	seq uint64
+	// pending holds the unconfirmed charges, oldest first.
 	pending []Charge
 	// open counts the requests that will each make a charge.
 	open int
@@ -31,8 +34,8 @@
 	Most int
 }
 
-// DefaultMost holds about half an hour of charges at 57 requests a second in
-// some 40 MB.
+// DefaultMost holds about half an hour of charges at 57 requests a second, the
+// rate of the busiest box in docs/CAPACITY.md, in some 40 MB.
 const DefaultMost = 100_000
 
 // NewLedger returns an empty ledger. It panics if the settings have no
@@ -46,8 +49,8 @@
 }
 
 // Open makes room for the charge of one request. It returns false if
-// unconfirmed charges have reached the limit; the request is then not to run.
-// Each successful Open is to be followed by one Charge or Drop.
+// unconfirmed charges have reached the limit; the request must not run then. One
+// Charge or Drop must follow each successful Open.
 func (l *Ledger) Open() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -76,7 +79,7 @@
 	l.pending = append(l.pending, c)
 }
 
-// Next returns the oldest unconfirmed charges, most at the most.
+// Next returns the oldest unconfirmed charges, no more than limit of them.
 func (l *Ledger) Next(limit int) Batch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/partner/bill/segment.go
+++ b/partner/bill/segment.go
@@ -12,6 +12,8 @@
 	"granitehoist.example/granitehoist/internal/pack"
 )
 
+// segmentFormat is the format number of stored segments. A reader refuses all
+// others.
 const segmentFormat = 1
 
 // Segment is a record of charges in the store.
@@ -21,7 +23,7 @@
 	Charges []Charge `json:"charges"`
 }
 
-// KeyPrefix is where segments stand in the store.
+// KeyPrefix begins the store's keys of segments.
 const KeyPrefix = "bills/"
 
 // SegmentKey returns the store's key of a collector's n-th segment.
@@ -44,8 +46,8 @@
 	return pack.Pack(Segment{Format: segmentFormat, ID: id, Charges: charges})
 }
 
-// DecodeSegment reads a stored segment. What can't be read is an error and
-// never an empty segment.
+// DecodeSegment reads a stored segment. A record that can't be read, or that has
+// no charges, is an error and never an empty segment.
 func DecodeSegment(e granitehoist.Entry) (Segment, error) {
 	var s Segment
 	if err := pack.Unpack(e.Value, &s); err != nil {
--- a/partner/bill/sender.go
+++ b/partner/bill/sender.go
@@ -22,14 +22,17 @@
 	Holder func() (granitehoist.Peer, bool)
 	// Interval is the time between batches; zero stands for DefaultInterval.
 	Interval time.Duration
-	// Failed is told of errors; nil ignores them.
+	// Failed is called with each error; nil ignores them. The charges stay in the
+	// ledger and are sent again.
 	Failed func(error)
 }
 
-// DefaultInterval is the time between a box's batches.
+// DefaultInterval is the time between a box's batches. What a router that is
+// killed leaves unconfirmed is about as old. Chosen, not measured.
 const DefaultInterval = time.Second
 
-// Sender brings the charges of a Ledger into the store.
+// Sender brings the charges of a Ledger into the store. It is safe for concurrent
+// use: a batch that is sent twice is counted once.
 type Sender struct {
 	settings SenderSettings
 }
@@ -77,8 +80,10 @@
 	}
 }
 
-// send hands a batch to the region's collector, or collects it here if that
-// fails. A batch may so be in two segments; readers count it once.
+// send sends a batch to the region's collector, or collects it here if that fails.
+// The error of the call is not reported: the charges are safe if the own try
+// succeeds, and its error says more if it does not. A batch may then be in two
+// segments; readers count it once.
 func (s *Sender) send(ctx context.Context, b Batch) error {
 	if peer, ok := s.settings.Holder(); ok {
 		params, err := pack.NewMessage(b)
@@ -94,7 +99,7 @@
 	return err
 }
 
-// ServeCollect serves MethodCollect.
+// ServeCollect serves MethodCollect for another router's sender.
 func (s *Sender) ServeCollect(ctx context.Context, p CollectParams) (CollectResult, error) {
 	b, err := p.Value()
 	if err != nil {
--- a/partner/bill/sum.go
+++ b/partner/bill/sum.go
@@ -19,15 +19,16 @@
 	Charges []Charge               `json:"charges"`
 }
 
+// billID is what makes charges one bill.
 type billID struct {
 	partner   granitehoist.Partner
 	workspace granitehoist.Workspace
 	request   granitehoist.RequestID
 }
 
-// Bills returns one bill a request id of a workspace, in the order of their
-// first charges. A caller that sent a request again to another router, while
-// the first served it, so gets one bill for both executions.
+// Bills returns one bill for each request id of a workspace, in the order of their
+// first charges. A caller that repeated a request at another router, while the
+// first still served it, therefore gets one bill for both executions.
 func Bills(charges []Charge) []Bill {
 	index := map[billID]int{}
 	var bills []Bill
@@ -58,14 +59,16 @@
 	Lent granitehoist.Tokens
 }
 
+// chargeID identifies a charge that is not an orphan's.
 type chargeID struct {
 	incarnation granitehoist.Incarnation
 	seq         uint64
 }
 
 // Merge returns each charge once, however often and in however many segments it
-// stands: the incarnations' own by incarnation and number, and those of orphans
-// by attempt, where no incarnation charged the attempt itself.
+// is stored: the incarnations' own by incarnation and number, and those of orphans
+// by attempt, unless an incarnation charged the attempt itself. The charges are
+// in the order of incarnations and their numbers.
 func Merge(segments []Segment) []Charge {
 	var charges []Charge
 	seen := map[chargeID]bool{}
@@ -97,8 +100,7 @@
 	return charges
 }
 
-// chargesOf returns the charges of segments that are of orphans, or those that are
-// not.
+// chargesOf returns the charges of orphans in the segments, or all others.
 func chargesOf(segments []Segment, orphans bool) []Charge {
 	var charges []Charge
 	for _, s := range segments {
@@ -140,7 +142,8 @@
 	return list
 }
 
-// Read returns all charges in the store, each once.
+// Read returns all charges in the store, each once. It reads every segment there
+// is; one that can't be read is an error.
 func Read(ctx context.Context, s granitehoist.Store) ([]Charge, error) {
 	entries, _, err := s.List(ctx, KeyPrefix)
 	if err != nil {
