--- a/cmd/granitehoist/check.go
+++ b/cmd/granitehoist/check.go
@@ -17,6 +17,7 @@
 	"granitehoist.example/granitehoist/partner/settings"
 )
 
+// newCheck returns the command that checks files without a router.
 func newCheck(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("check", "Check settings files and partners' documents, and tell all faults at once.")
 	files := clause.Arg("file", "Files to check; a file with a [listen] table is taken as a router's settings.").Required().Strings()
@@ -42,6 +43,7 @@
 	}}
 }
 
+// checkFile returns the faults of a file, or an error if it can't be read.
 func checkFile(file string) (tomlfile.Faults, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -58,7 +60,8 @@
 	return nil, err
 }
 
-// isSettings reports whether a file is a router's settings and no document.
+// isSettings reports whether a file is a router's settings and no document: only
+// settings have a [listen] table.
 func isSettings(text string) bool {
 	for line := range strings.Lines(text) {
 		if strings.HasPrefix(strings.TrimSpace(line), "[listen]") {
--- a/cmd/granitehoist/documents.go
+++ b/cmd/granitehoist/documents.go
@@ -19,6 +19,21 @@
 	"granitehoist.example/granitehoist/partner/router"
 )
 
+// acceptancePause is the time between two questions whether a document is
+// accepted. Chosen, not measured.
+const acceptancePause = 200 * time.Millisecond
+
+// application is one run of the command apply.
+type application struct {
+	operator operator
+	out      io.Writer
+	// file is the document and keyFile the partner's secret key.
+	file, keyFile string
+	// wait bounds the wait for acceptance.
+	wait time.Duration
+}
+
+// newApply returns the command that puts a document in force.
 func newApply(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("apply", "Sign a partner's document and put it in force.")
 	o := newOperator(clause)
@@ -26,26 +41,28 @@
 	wait := clause.Flag("wait", "How long to wait until every router has it in force.").Default("10s").Duration()
 	file := clause.Arg("file", "The document.").Required().String()
 	return command{clause, func(ctx context.Context) error {
-		return apply(ctx, o, out, *file, *keyFile, *wait)
+		a := application{operator: o, out: out, file: *file, keyFile: *keyFile, wait: *wait}
+		return a.run(ctx)
 	}}
 }
 
-func apply(ctx context.Context, o operator, out io.Writer, file, keyFile string, wait time.Duration) error {
-	text, err := os.ReadFile(file)
+// run signs the document as the one that follows the present one, hands it to a
+// router and waits until it is accepted.
+func (a application) run(ctx context.Context) error {
+	text, err := os.ReadFile(a.file)
 	if err != nil {
 		return err
 	}
-	document, err := config.Parse(file, text)
+	document, err := config.Parse(a.file, text)
 	if err != nil {
 		return err
 	}
-	key, err := readSecret(keyFile)
+	key, err := readSecret(a.keyFile)
 	if err != nil {
 		return err
 	}
-	path := router.PathDocuments + string(document.Partner)
-	var state router.DocumentState
-	if _, err := o.call(ctx, o.base().Get(path), &state); err != nil {
+	state, err := a.operator.document(ctx, document.Partner)
+	if err != nil {
 		return err
 	}
 	signed := config.Signed{
@@ -56,35 +73,46 @@
 		Previous: state.Current.Signed.ChangeID,
 	}
 	signed.Sign(key)
-	if _, err := o.call(ctx, o.base().Put(path).BodyJSON(signed), &state); err != nil {
+	put := a.operator.base().Put(documentPath(document.Partner)).BodyJSON(signed)
+	if err := a.operator.call(ctx, put, &state); err != nil {
 		return err
 	}
-	return waitAccepted(ctx, o, out, path, signed.Serial, state, wait)
+	return a.waitAccepted(ctx, signed, state)
 }
 
-const acceptancePause = 200 * time.Millisecond
-
-// waitAccepted asks until the document is accepted. What it prints is "pending"
-// unless every router of the view has the document in force.
-func waitAccepted(ctx context.Context, o operator, out io.Writer, path string, serial granitehoist.Serial, state router.DocumentState, wait time.Duration) error {
-	limit := time.After(wait)
+// waitAccepted asks until the document is accepted: until every router that may
+// serve has it in force. It prints "pending", and fails, if that takes too long.
+func (a application) waitAccepted(ctx context.Context, signed config.Signed, state router.DocumentState) error {
+	limit := time.After(a.wait)
 	for !state.Accepted {
 		select {
 		case <-limit:
-			fmt.Fprintf(out, "serial=%d state=pending in_force=%d waiting=%s\n", serial, len(state.InForce), joinBoxes(state.Waiting))
+			fmt.Fprintf(a.out, "serial=%d state=pending in_force=%d waiting=%s\n", signed.Serial, len(state.InForce), joinBoxes(state.Waiting))
 			return failed{}
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(acceptancePause):
 		}
-		if _, err := o.call(ctx, o.base().Get(path), &state); err != nil {
+		var err error
+		if state, err = a.operator.document(ctx, signed.Partner); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(out, "serial=%d state=accepted in_force=%d\n", serial, len(state.InForce))
+	fmt.Fprintf(a.out, "serial=%d state=accepted in_force=%d\n", signed.Serial, len(state.InForce))
 	return nil
 }
 
+// documentPath returns the admin path of a partner's document.
+func documentPath(p granitehoist.Partner) string { return router.PathDocuments + string(p) }
+
+// document returns a partner's document and where it is in force.
+func (o operator) document(ctx context.Context, p granitehoist.Partner) (router.DocumentState, error) {
+	var state router.DocumentState
+	err := o.call(ctx, o.base().Get(documentPath(p)), &state)
+	return state, err
+}
+
+// joinBoxes returns the names of boxes with commas between them.
 func joinBoxes(boxes []granitehoist.Box) string {
 	names := make([]string, len(boxes))
 	for i, b := range boxes {
@@ -93,13 +121,14 @@
 	return strings.Join(names, ",")
 }
 
+// newShow returns the command that shows a document.
 func newShow(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("show", "Show a partner's document and where it is in force.")
 	o := newOperator(clause)
 	partner := clause.Arg("partner", "The partner.").Required().String()
 	return command{clause, func(ctx context.Context) error {
-		var state router.DocumentState
-		if _, err := o.call(ctx, o.base().Get(router.PathDocuments+*partner), &state); err != nil {
+		state, err := o.document(ctx, granitehoist.Partner(*partner))
+		if err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "# serial=%d accepted=%t in_force=%s waiting=%s\n", state.Current.Signed.Serial, state.Accepted, joinBoxes(state.InForce), joinBoxes(state.Waiting))
--- a/cmd/granitehoist/keys.go
+++ b/cmd/granitehoist/keys.go
@@ -9,6 +9,7 @@
 	"crypto/rand"
 	"encoding/base64"
 	"encoding/hex"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -21,8 +22,10 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
+// secretFileMode lets nobody but the owner read a secret key.
 const secretFileMode = 0o600
 
+// newKeysPartner returns the command that makes a partner's key pair.
 func newKeysPartner(app *kingpin.Application, out io.Writer) command {
 	clause := keysCommand(app).Command("partner", "Make a key with which a partner signs its documents. The secret goes to a file, the public key to standard output.")
 	file := clause.Flag("out", "File of the secret key; it must not exist.").Required().String()
@@ -31,14 +34,7 @@
 		if err != nil {
 			return eris.Wrap(err, "key")
 		}
-		secret, err := os.OpenFile(*file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, secretFileMode)
-		if err != nil {
-			return err
-		}
-		if _, err := fmt.Fprintln(secret, base64.StdEncoding.EncodeToString(private.Seed())); err != nil {
-			return err
-		}
-		if err := secret.Close(); err != nil {
+		if err := writeSecret(*file, private); err != nil {
 			return err
 		}
 		fmt.Fprintln(out, base64.StdEncoding.EncodeToString(public))
@@ -46,6 +42,17 @@
 	}}
 }
 
+// writeSecret writes a partner's secret key to a new file.
+func writeSecret(file string, key ed25519.PrivateKey) error {
+	secret, err := os.OpenFile(file, os.O_WRONLY|os.O_CREATE|os.O_EXCL, secretFileMode)
+	if err != nil {
+		return err
+	}
+	_, err = fmt.Fprintln(secret, base64.StdEncoding.EncodeToString(key.Seed()))
+	return errors.Join(err, secret.Close())
+}
+
+// newKeysCaller returns the command that makes a key for callers.
 func newKeysCaller(app *kingpin.Application, out io.Writer) command {
 	clause := keysCommand(app).Command("caller", "Make a key for callers of a workspace, and the hash that goes into the document.")
 	return command{clause, func(context.Context) error {
@@ -65,7 +72,7 @@
 	return app.Command(name, "Make keys.")
 }
 
-// readSecret reads a partner's secret key.
+// readSecret reads a partner's secret key, as writeSecret wrote it.
 func readSecret(file string) (ed25519.PrivateKey, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
--- a/cmd/granitehoist/operator.go
+++ b/cmd/granitehoist/operator.go
@@ -25,57 +25,66 @@
 	"granitehoist.example/granitehoist/partner/router"
 )
 
-const defaultAdmin = "http://127.0.0.1:8082"
+const (
+	// defaultAdmin is the admin address of the first router of examples/site.
+	defaultAdmin = "http://127.0.0.1:8082"
+	// operatorTimeout bounds one call. Some answers read all records of a kind
+	// from the store, so it is longer than a request's. Chosen, not measured.
+	operatorTimeout = 30 * time.Second
+)
 
 // operator calls a router's admin address.
 type operator struct {
 	address *string
 }
 
+// newOperator adds the flag that names the router to a command.
 func newOperator(clause *kingpin.CmdClause) operator {
 	return operator{clause.Flag("router", "Admin address of any router.").Default(defaultAdmin).String()}
 }
 
-const operatorTimeout = 30 * time.Second
-
-// call sends a request and decodes the answer into result. It returns the
-// status, and an error that tells what the router said.
-func (o operator) call(ctx context.Context, s *sling.Sling, result any) (int, error) {
+// call sends a request and decodes the answer into result. Its error says what
+// the router answered, or that it did not.
+func (o operator) call(ctx context.Context, s *sling.Sling, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	request, err := s.Request()
 	if err != nil {
-		return 0, eris.Wrap(err, "request")
+		return eris.Wrap(err, "request")
 	}
 	var refusal router.AdminError
 	response, err := s.Do(request.WithContext(ctx), result, &refusal)
 	switch {
 	case refusal.Code != 0:
-		return response.StatusCode, eris.Errorf("%d %s: %s", refusal.Code, refusal.Name, refusal.Message)
+		return eris.Errorf("%d %s: %s", refusal.Code, refusal.Name, refusal.Message)
 	case err != nil:
-		return 0, eris.Wrap(err, "router")
+		return eris.Wrap(err, "router")
 	case response.StatusCode >= http.StatusBadRequest:
-		return response.StatusCode, eris.Errorf("router answered status %d", response.StatusCode)
+		return eris.Errorf("router answered status %d", response.StatusCode)
 	}
-	return response.StatusCode, nil
+	return nil
 }
 
+// base returns the beginning of a request to the router.
 func (o operator) base() *sling.Sling { return sling.New().Base(*o.address) }
 
+// tablePadding is the number of spaces between two columns.
 const tablePadding = 2
 
+// newTable returns a table with a line of column names.
 func newTable(out io.Writer, columns ...string) *tabwriter.Writer {
 	table := tabwriter.NewWriter(out, 0, 0, tablePadding, ' ', 0)
 	fmt.Fprintln(table, strings.Join(columns, "\t"))
 	return table
 }
 
+// newBudgets returns the command that shows where the tokens are.
 func newBudgets(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("budget", "Look at budgets.").Command("show", "Show where the tokens of each budget are.")
 	o := newOperator(clause)
 	return command{clause, func(ctx context.Context) error {
 		var budgets []budget.Overview
-		if _, err := o.call(ctx, o.base().Get(router.PathBudgets), &budgets); err != nil {
+		if err := o.call(ctx, o.base().Get(router.PathBudgets), &budgets); err != nil {
 			return err
 		}
 		table := newTable(out, "BUDGET", "PREPAID", "UNALLOCATED", "REGION STOCK", "HELD BY BOXES", "OF THEM IN DOUBT", "CHARGED", "ON THE WAY")
@@ -86,12 +95,13 @@
 	}}
 }
 
+// newBills returns the command that shows what was charged.
 func newBills(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("bills", "Show what was charged to each budget.")
 	o := newOperator(clause)
 	return command{clause, func(ctx context.Context) error {
 		var bills []bill.Summary
-		if _, err := o.call(ctx, o.base().Get(router.PathBills), &bills); err != nil {
+		if err := o.call(ctx, o.base().Get(router.PathBills), &bills); err != nil {
 			return err
 		}
 		table := newTable(out, "BUDGET", "REQUESTS", "TOKENS", "OF THEM ESTIMATED", "ON THE PARTNER'S CAPACITY")
@@ -112,13 +122,14 @@
 	return strings.Join(parts, " ")
 }
 
+// newSettle returns the command that charges the attempts of a dead router.
 func newSettle(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("settle", "Charge the attempts of a router that is known to be gone, and end those that still run.")
 	o := newOperator(clause)
 	incarnation := clause.Arg("incarnation", "The router's incarnation, as its log lines name it.").Required().String()
 	return command{clause, func(ctx context.Context) error {
 		var result orphan.Result
-		if _, err := o.call(ctx, o.base().Post(router.PathOrphans+*incarnation), &result); err != nil {
+		if err := o.call(ctx, o.base().Post(router.PathOrphans+*incarnation), &result); err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "incarnation=%s found=%d charged=%d running=%d unreached=%d\n", result.Incarnation, result.Found, result.Charged, result.Running, len(result.Unreached))
@@ -126,12 +137,13 @@
 	}}
 }
 
+// newReportBurn returns the command that shows the service-level burn.
 func newReportBurn(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("report", "Reports on the fleet.").Command("burn", "Service-level burn by service, workspace and availability zone over several windows.")
 	o := newOperator(clause)
 	return command{clause, func(ctx context.Context) error {
 		var burn report.Burn
-		if _, err := o.call(ctx, o.base().Get(router.PathBurn), &burn); err != nil {
+		if err := o.call(ctx, o.base().Get(router.PathBurn), &burn); err != nil {
 			return err
 		}
 		return report.WriteBurn(out, burn)
