--- a/partner/bill/sender.go
+++ b/partner/bill/sender.go
@@ -18,7 +18,7 @@
 	Collector *Collector
 	Caller    granitehoist.Caller
 	// Holder returns the region's collector, and false if it is this router or
-	// none is known.
+	// there is none.
 	Holder func() (granitehoist.Peer, bool)
 	// Interval is the time between batches; zero stands for DefaultInterval.
 	Interval time.Duration
--- a/partner/budget/account.go
+++ b/partner/budget/account.go
@@ -26,8 +26,8 @@
 	reply  lastReply
 	demand demand
 
-	// changed is set when the Keeper has to hear of the account, and reportedAt
-	// is when it last did.
+	// changed is set when there is something to report to the Keeper, and
+	// reportedAt is when the last report was made.
 	changed    bool
 	reportedAt time.Time
 }
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -23,7 +23,7 @@
 	// Caller reaches other routers.
 	Caller granitehoist.Caller
 	// Holder returns the router that keeps a shard for this region, and false
-	// if it is this router or none is known.
+	// if that is this router or there is none.
 	Holder func(Shard) (granitehoist.Peer, bool)
 	// Peers returns the other routers of the region.
 	Peers func() []granitehoist.Peer
@@ -39,8 +39,8 @@
 }
 
 const (
-	// DefaultInterval is the time between two looks at what the keepers should
-	// hear of. Chosen, not measured.
+	// DefaultInterval is the time between two rounds of messages; a round holds
+	// only the accounts that are due. Chosen, not measured.
 	DefaultInterval = time.Second
 	// waitingInterval is that time while requests wait: a twentieth of
 	// DefaultWait, so that a waiting request is asked for several times. Chosen,
--- a/partner/budget/keeper.go
+++ b/partner/budget/keeper.go
@@ -42,7 +42,7 @@
 	Prepaid func(granitehoist.BudgetID) (granitehoist.Tokens, granitehoist.Serial, bool)
 	// Split returns the split of a budget; nil stands for the zero Split.
 	Split func(granitehoist.BudgetID) Split
-	// Gather is how long a message that no request waits for is kept, so that
+	// Gather is how long a message that no request waits for may wait, so that
 	// one write serves many; zero keeps none.
 	Gather time.Duration
 }
@@ -208,8 +208,8 @@
 	}
 }
 
-// addReturning adds the budgets of which the root must hear that tokens were
-// given back.
+// addReturning adds the budgets of which tokens were given back that the root has
+// not confirmed, so that they are reported to it.
 func (a asksByBudget) addReturning(page *Page) {
 	for budget, account := range page.Accounts {
 		if account.Sent > account.Confirmed && a[budget] == nil {
--- a/partner/budget/page.go
+++ b/partner/budget/page.go
@@ -222,8 +222,8 @@
 }
 
 // Ask returns what the region has of a budget and asks of the root. It deducts the
-// stock beyond the root's limit after it has made the report: the root may hear
-// of that only once the page is written.
+// stock beyond the root's limit after it has made the report: that may be reported
+// only once the page is written.
 func (p *Page) Ask(k granitehoist.BudgetID, split Split, now time.Time) RegionAsk {
 	a := p.account(k)
 	live, rate := p.live(a, now)
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -53,7 +53,7 @@
 	Confirmed granitehoist.Tokens `json:"conf,omitempty"`
 	// Folded holds the sums of rows that were removed.
 	Folded Totals `json:"folded"`
-	// ReportedAt is when the root last heard of the account, in Unix seconds.
+	// ReportedAt is when the account was last reported to the root, in Unix seconds.
 	ReportedAt int64 `json:"told,omitempty"`
 	// Limit is what the root lets the region hold, and Elsewhere what the
 	// whole budget has left outside the region, as the root last said.
--- a/partner/budget/report.go
+++ b/partner/budget/report.go
@@ -12,7 +12,7 @@
 
 // Times between messages about one account while no request waits for tokens.
 const (
-	// reportInterval is how long the Keeper may hear nothing of an account that
+	// reportInterval is the longest time between two reports of an account that
 	// holds tokens or has changed. With it, rootInterval and gathered messages
 	// the store calls fell from 88 to 9.75 a second (commit 82e9a37).
 	reportInterval = 10 * time.Second
@@ -21,9 +21,9 @@
 	shortfallInterval = time.Second
 )
 
-// Asks returns the message about every account that the Keeper should hear of
-// now, and whether requests wait for its answer here or elsewhere. The message
-// returns the surplus of the accounts.
+// Asks returns the reports of every account that is due, and whether requests wait
+// for the answer, here or elsewhere. The
+// reports return the surplus of the accounts.
 func (p *Purse) Asks(now time.Time) (asks []Ask, urgent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -40,7 +40,7 @@
 	return asks, urgent || p.closing
 }
 
-// isDue decides whether the Keeper should hear of an account now: at once if
+// isDue decides whether an account is reported to the Keeper now: at once if
 // requests wait, here or elsewhere, or if the box stops; soon if the account has
 // fallen below half of its target; and otherwise each reportInterval, if there
 // is something to report.
--- a/partner/budget/split.go
+++ b/partner/budget/split.go
@@ -17,8 +17,8 @@
 	// Cover is how long a box's holding should last at its forecast. Zero
 	// stands for DefaultCover.
 	Cover time.Duration
-	// LeastCover is how long a box's own demand is kept from other boxes that
-	// want to borrow. Zero stands for DefaultLeastCover.
+	// LeastCover is how much of its own demand, by time, a box keeps when it lends
+	// to others. Zero stands for DefaultLeastCover.
 	LeastCover time.Duration
 	// Share, from 0 to 1, bounds Cover near the end of a budget: a holding lasts
 	// for at most this part of the time for which the budget lasts at the
--- a/partner/budget/states.go
+++ b/partner/budget/states.go
@@ -33,7 +33,8 @@
 	pages  map[Shard]map[granitehoist.Region]*Page
 }
 
-// ReadStates reads all records from the store.
+// ReadStates reads all records from the store. Pages of shards beyond the count,
+// which an earlier and larger count of shards may have left, are not counted.
 func ReadStates(ctx context.Context, s granitehoist.Store, shards int, now time.Time) (*States, error) {
 	states := &States{shards: shards, now: now, roots: map[Shard]*Root{}, pages: map[Shard]map[granitehoist.Region]*Page{}}
 	for shard := range Shard(shards) {
@@ -65,13 +66,14 @@
 	return states, nil
 }
 
-// Of returns the overviews of budgets. prepaid tells what was prepaid on a
+// Of returns the overviews of budgets. prepaid returns what was prepaid on a
 // budget that no root has yet.
 func (s *States) Of(ids []granitehoist.BudgetID, prepaid func(granitehoist.BudgetID) (granitehoist.Tokens, granitehoist.Serial, bool)) []Overview {
 	overviews := make([]Overview, len(ids))
 	for i, k := range ids {
 		overviews[i] = s.overview(k)
 		if s.roots[ShardOf(k, s.shards)].Accounts[k] == nil {
+			// A budget that no document has counts as zero.
 			tokens, _, _ := prepaid(k)
 			overviews[i].Prepaid, overviews[i].Unallocated = tokens, tokens
 		}
--- a/partner/budget/stop.go
+++ b/partner/budget/stop.go
@@ -27,6 +27,7 @@
 	var err error
 	for range closeTries {
 		now := a.settings.Clock()
+		// All messages of a stop are urgent.
 		asks, _ := a.settings.Purse.Asks(now)
 		if err = a.send(ctx, asks, SyncParams{Closing: true, Urgent: true}, now); err == nil {
 			return nil
--- a/partner/budget/wait.go
+++ b/partner/budget/wait.go
@@ -26,7 +26,7 @@
 	close(w.Done)
 }
 
-// Outcome tells how a wait ended.
+// Outcome is how a wait ended.
 type Outcome int
 
 // The outcomes of a wait.
@@ -87,8 +87,8 @@
 	return a.reply.unservedOutcome(p.split(k).Wait, now)
 }
 
-// unservedOutcome decides what a request is told that waited for as long as
-// allowed and got nothing. If the Keeper replied during that time, in which it
+// unservedOutcome decides how the wait of a request ended that got no tokens in
+// time. If the Keeper replied during that time, in which it
 // granted too little, the budget is exhausted; otherwise nobody could be asked.
 func (r lastReply) unservedOutcome(wait time.Duration, now time.Time) Outcome {
 	if r.received && now.Sub(r.at) < wait {
--- a/partner/upstream/engine.go
+++ b/partner/upstream/engine.go
@@ -61,7 +61,7 @@
 	return usage
 }
 
-// engineAnswer is what is read of a whole answer or of one event of a stream.
+// engineAnswer is what is read of an answer, or of one event of a stream.
 type engineAnswer struct {
 	ID      string `json:"id"`
 	Choices []struct {
