--- a/partner/budget/wait.go
+++ b/partner/budget/wait.go
@@ -4,6 +4,7 @@
 package budget
 
 import (
+	"slices"
 	"time"
 
 	"granitehoist.example/granitehoist"
@@ -99,42 +100,32 @@
 
 // remove takes a request out of those that wait.
 func (a *account) remove(w *Waiter) {
-	for i, other := range a.demand.waiters {
-		if other == w {
-			a.demand.waiters = append(a.demand.waiters[:i], a.demand.waiters[i+1:]...)
-			return
-		}
-	}
+	a.demand.waiters = slices.DeleteFunc(a.demand.waiters, func(other *Waiter) bool { return other == w })
 }
 
 // wake reserves for each waiting request that fits, in the order of arrival.
 func (a *account) wake() {
-	waiters := a.demand.waiters
-	remaining := waiters[:0]
-	for _, w := range waiters {
-		if a.reserve(w.bound) {
+	if len(a.demand.waiters) == 0 {
+		return
+	}
+	a.demand.waiters = slices.DeleteFunc(a.demand.waiters, func(w *Waiter) bool {
+		reserved := a.reserve(w.bound)
+		if reserved {
 			w.end(true)
-			continue
 		}
-		remaining = append(remaining, w)
-	}
-	clear(waiters[len(remaining):])
-	a.demand.waiters = remaining
+		return reserved
+	})
 }
 
 // refuse ends the waits that the whole budget can't serve.
 func (a *account) refuse() {
-	waiters := a.demand.waiters
-	remaining := waiters[:0]
-	for _, w := range waiters {
-		if w.bound > a.reply.remaining {
+	a.demand.waiters = slices.DeleteFunc(a.demand.waiters, func(w *Waiter) bool {
+		tooLarge := w.bound > a.reply.remaining
+		if tooLarge {
 			w.end(false)
-			continue
 		}
-		remaining = append(remaining, w)
-	}
-	clear(waiters[len(remaining):])
-	a.demand.waiters = remaining
+		return tooLarge
+	})
 }
 
 // waiting returns the sum of the bounds that requests wait for.
