--- a/partner/upstream/transport.go
+++ b/partner/upstream/transport.go
@@ -31,8 +31,8 @@
 	Connect time.Duration
 	// Stop bounds a call of Stop or List; zero stands for one second.
 	Stop time.Duration
-	// MaxAnswer bounds the size in bytes of an answer that is no stream; zero stands for
-	// 32 MiB.
+	// MaxAnswer bounds the size in bytes of an answer that is no stream; zero
+	// stands for 32 MiB.
 	MaxAnswer int64
 }
 
