--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -30,6 +30,7 @@
 	return Faults{{File: file, Key: wholeFile, Reason: err.Error(), Remedy: "write it as TOML"}}
 }
 
+// unknownKeys returns a fault for each key that the target lacks.
 func unknownKeys(file string, e *toml.StrictMissingError) Faults {
 	var faults Faults
 	for i := range e.Errors {
@@ -45,6 +46,7 @@
 	return faults
 }
 
+// wrongValue returns the fault of text that is not TOML or has the wrong type.
 func wrongValue(file string, e *toml.DecodeError) Fault {
 	line, _ := e.Position()
 	key := strings.Join(e.Key(), ".")
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -6,6 +6,8 @@
 import (
 	"testing"
 
+	. "github.com/onsi/gomega"
+
 	"granitehoist.example/granitehoist/internal/tomlfile"
 )
 
@@ -37,9 +39,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := tomlfile.NewChecker("f", []byte(text))
 			c.Add(test.key, "wrong", "mend it")
-			if got := c.Faults().Error(); got != test.want {
-				t.Errorf("%s, want %s", got, test.want)
-			}
+			NewWithT(t).Expect(c.Faults().Error()).To(Equal(test.want))
 		})
 	}
 }
--- a/partner/budget/rules_test.go
+++ b/partner/budget/rules_test.go
@@ -7,6 +7,8 @@
 	"testing"
 	"time"
 
+	. "github.com/onsi/gomega"
+
 	"granitehoist.example/granitehoist"
 )
 
@@ -15,9 +17,7 @@
 // check fails a test whose rule decided otherwise.
 func check[T comparable](t *testing.T, got, want T) {
 	t.Helper()
-	if got != want {
-		t.Errorf("got %v, want %v", got, want)
-	}
+	NewWithT(t).Expect(got).To(Equal(want))
 }
 
 // ruleAccount returns an account that holds and waits for tokens. A negative
