--- a/partner/router/router_test.go
+++ b/partner/router/router_test.go
@@ -119,8 +119,19 @@
 		}
 	}
 
+	// enrolled waits until so many routers have entered themselves: a document is
+	// accepted without those that have not.
+	enrolled := func(routers int) {
+		GinkgoHelper()
+		Eventually(func() ([]granitehoist.Entry, error) {
+			entries, _, err := store.List(context.Background(), "serving/")
+			return entries, err
+		}).Should(HaveLen(routers))
+	}
+
 	It("says accepted when every router has the document in force", func() {
 		a, b := start("a", store), start("b", store)
+		enrolled(2)
 		status, _ := apply(a, signed(1, ""))
 		Expect(status).To(BeElementOf(http.StatusOK, http.StatusAccepted))
 		Eventually(accepted(a)).Should(BeTrue())
@@ -130,6 +141,7 @@
 	It("is pending while a router that lost its lease may serve", func() {
 		cut := make(chan struct{})
 		a, b := start("a", store), start("b", cutStore{store, cut})
+		enrolled(2)
 		apply(a, signed(1, ""))
 		Eventually(accepted(a)).Should(BeTrue())
 		close(cut)
