--- a/standin/engine.go
+++ b/standin/engine.go
@@ -67,7 +67,6 @@
 	mu       sync.Mutex
 	faults   EngineFaults
 	requests int
-	refused  int
 	books    map[granitehoist.AttemptID]*Execution
 }
 
@@ -102,13 +101,6 @@
 	mux.HandleFunc("POST "+upstream.PathCancel, e.serveCancel)
 	mux.HandleFunc("GET "+upstream.PathAttempts, e.serveAttempts)
 	mux.HandleFunc("GET "+upstream.PathResume, e.serveResume)
-	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
-		var faults EngineFaults
-		if read(w, r, &faults) {
-			e.Fail(faults)
-			reply(w, faults, nil)
-		}
-	})
 	return mux
 }
 
@@ -215,7 +207,6 @@
 	x, ok := e.books[attempt]
 	if p.refuse || (ok && x.Ended) {
 		p.refuse = true
-		e.refused++
 		return nil, p
 	}
 	if !ok {
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -67,8 +67,6 @@
 	Silent bool
 	// Before is sent before the answer, After behind it.
 	Before, After string
-	// AfterDelay is the pause before After.
-	AfterDelay time.Duration
 	// Unframed gives no length, and ends the connection with the answer.
 	Unframed bool
 	// Early answers before the body has been read.
@@ -225,7 +223,6 @@
 	if a.After == "" {
 		return true
 	}
-	time.Sleep(a.AfterDelay)
 	_, err := io.WriteString(conn, a.After)
 	return err == nil
 }
