--- a/measure/loads.go
+++ b/measure/loads.go
@@ -3,12 +3,16 @@
 
 package measure
 
+import (
+	"granitehoist.example/granitehoist/fleet"
+	"granitehoist.example/granitehoist/partner/bill"
+)
+
 // FleetSize is the size of a fleet for which loads are worked out.
 type FleetSize struct {
 	Name     string
 	Nodes    float64
 	Regions  float64
-	Places   float64
 	Requests float64
 	// Budgets are drawn on by requests, and Upstreams served by.
 	Budgets   float64
@@ -19,19 +23,18 @@
 	Shards float64
 	// Changes is configuration changes a second.
 	Changes float64
-	// Restarts is starts of routers a second.
-	Restarts float64
 	// Gathered says that reports nobody waits for are kept for pageInterval, so
 	// that a page is written once in that time and not once a box.
 	Gathered bool
 }
 
+// secondsPerDay turns changes a day into changes a second.
 const secondsPerDay = 86400
 
 // Sizes are those of docs/CAPACITY.md.
 var Sizes = []FleetSize{
-	{Name: "full", Nodes: 1100, Regions: 6, Places: 19, Requests: 63000, Budgets: 14000, Upstreams: 10000, Keys: 2000, Shards: 64, Changes: 15000.0 / secondsPerDay, Restarts: 2000.0 / secondsPerDay, Gathered: true},
-	{Name: "small", Nodes: 6, Regions: 1, Places: 3, Requests: 60, Budgets: 20, Upstreams: 25, Keys: 80, Shards: 8, Changes: 20.0 / secondsPerDay, Restarts: 6.0 / secondsPerDay},
+	{Name: "full", Nodes: 1100, Regions: 6, Requests: 63000, Budgets: 14000, Upstreams: 10000, Keys: 2000, Shards: 64, Changes: 15000.0 / secondsPerDay, Gathered: true},
+	{Name: "small", Nodes: 6, Regions: 1, Requests: 60, Budgets: 20, Upstreams: 25, Keys: 80, Shards: 8, Changes: 20.0 / secondsPerDay},
 }
 
 // Load is what a role costs each node that has it. Writes and Reads are of the
@@ -43,13 +46,25 @@
 	Cores, Memory, Bytes, Writes, Reads float64
 }
 
-// Times of the fleet's messages, as the code has them.
+// Times of the fleet's messages in seconds, as the code has them.
 const (
-	boxReport    = 10.0
+	// boxReport is the time after which a box reports a budget that it spent
+	// on: refreshAfter in partner/budget/report.go.
+	boxReport = 10.0
+	// pageInterval is the time that reports are gathered for at the full size:
+	// the setting budget.gather, "10s".
 	pageInterval = 10.0
-	rootContact  = 20.0
-	billInterval = 1.0
-	leaseTTL     = 15.0
+	// rootContact is the time after which a region reports to a root:
+	// rootInterval in partner/budget/keeper.go.
+	rootContact = 20.0
+	// chargesHeld is the time that charges are kept while no segment can be
+	// written: the half an hour of bill.DefaultMost.
+	chargesHeld = 1800.0
+	// watchTime is how long one watch of the documents waits at the store.
+	watchTime = 20.0
+	// segmentCharges is the most charges of one segment: maxSegment in
+	// partner/bill/collector.go.
+	segmentCharges = 5000.0
 )
 
 // Loads works the loads of each role out from the slopes. Every figure is an
@@ -74,6 +89,7 @@
 		pageWrites = f.Nodes * messages / boxReport
 	}
 	const nano = 1e-9
+	leaseTTL := fleet.DefaultTTL.Seconds()
 	return []Load{
 		{
 			Role:   "spend",
@@ -91,19 +107,19 @@
 		},
 		{
 			Role:   "bill",
-			Memory: by["charge-memory"].At(perNode * 1800),
+			Memory: by["charge-memory"].At(perNode * chargesHeld),
 			Bytes:  perNode * by["batch-bytes"].Step * 4 / 3,
 		},
 		{
 			Role:   "collect-bills",
 			Bytes:  2 * f.Requests / f.Regions * by["segment-bytes"].Step / max(1, boxesPerRegion),
-			Writes: max(f.Requests/5000, f.Regions/billInterval),
+			Writes: max(f.Requests/segmentCharges, f.Regions/bill.DefaultInterval.Seconds()),
 		},
 		{
 			Role:   "follow-documents",
 			Memory: by["view-memory"].At(f.Budgets),
 			Bytes:  f.Changes * by["document-bytes"].At(f.Budgets/2),
-			Reads:  f.Nodes / 20,
+			Reads:  f.Nodes / watchTime,
 		},
 		{
 			Role:   "membership",
--- /dev/null
+++ b/measure/slopes.go
@@ -0,0 +1,97 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package measure
+
+import (
+	"runtime"
+	"time"
+
+	"granitehoist.example/granitehoist/partner/config"
+)
+
+// Slope is a cost that grows by a step with each more of a thing, measured at
+// two sizes.
+type Slope struct {
+	// Name is what grows, such as "purse-memory".
+	Name string
+	// Unit is the unit of the cost, such as "B" or "ns", and Per the thing.
+	Unit, Per string
+	// Small and Large are the sizes at which it was measured.
+	Small, Large int
+	// Step is the cost of one more and Base the cost of none.
+	Step, Base float64
+}
+
+// At returns the cost at a size.
+func (s Slope) At(size float64) float64 { return s.Base + s.Step*size }
+
+// measured returns the slope with its step and base, from the cost at both
+// sizes.
+func (s Slope) measured(cost func(n int) float64) Slope {
+	atSmall, atLarge := cost(s.Small), cost(s.Large)
+	s.Step = (atLarge - atSmall) / float64(s.Large-s.Small)
+	s.Base = atSmall - s.Step*float64(s.Small)
+	return s
+}
+
+// heapOf returns the heap bytes that what build returns takes. It collects
+// garbage twice, since finalizers of the first run free more.
+func heapOf(build func() any) float64 {
+	var before, after runtime.MemStats
+	runtime.GC()
+	runtime.GC()
+	runtime.ReadMemStats(&before)
+	built := build()
+	runtime.GC()
+	runtime.GC()
+	runtime.ReadMemStats(&after)
+	runtime.KeepAlive(built)
+	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
+}
+
+// leastTime is how long a duration is measured for. Chosen, not measured.
+const leastTime = 100 * time.Millisecond
+
+// nanoseconds returns the mean time of do.
+func nanoseconds(do func()) float64 {
+	do()
+	begin := time.Now()
+	runs := 0
+	for time.Since(begin) < leastTime {
+		do()
+		runs++
+	}
+	return float64(time.Since(begin).Nanoseconds()) / float64(runs)
+}
+
+// Slopes measures all costs that docs/CAPACITY.md is worked out from.
+func Slopes() []Slope {
+	return []Slope{
+		Slope{Name: "purse-memory", Unit: "B", Per: "budget", Small: 1000, Large: 14000}.measured(func(n int) float64 {
+			return heapOf(func() any { return capacityPurse(n) })
+		}),
+		Slope{Name: "purse-round", Unit: "ns", Per: "budget", Small: 1000, Large: 14000}.measured(func(n int) float64 {
+			p := capacityPurse(n)
+			return nanoseconds(func() { p.Asks(capacityStart) })
+		}),
+		Slope{Name: "ask-bytes", Unit: "B", Per: "ask", Small: 9, Large: 90}.measured(func(n int) float64 { return messageBytes(capacityAsks(n)) }),
+		Slope{Name: "reply-bytes", Unit: "B", Per: "reply", Small: 9, Large: 90}.measured(func(n int) float64 { return messageBytes(capacityReplies(n)) }),
+		Slope{Name: "page-bytes", Unit: "B", Per: "row", Small: 200, Large: 2000}.measured(func(n int) float64 { return packedBytes(capacityPage(n)) }),
+		Slope{Name: "page-write", Unit: "ns", Per: "row", Small: 200, Large: 2000}.measured(pageWriteTime),
+		Slope{Name: "charge-memory", Unit: "B", Per: "charge", Small: 10000, Large: 100000}.measured(func(n int) float64 {
+			return heapOf(func() any { return capacityLedger(n) })
+		}),
+		Slope{Name: "batch-bytes", Unit: "B", Per: "charge", Small: 50, Large: 500}.measured(batchBytes),
+		Slope{Name: "segment-bytes", Unit: "B", Per: "charge", Small: 500, Large: 5000}.measured(batchBytes),
+		Slope{Name: "view-memory", Unit: "B", Per: "budget", Small: 1000, Large: 14000}.measured(func(n int) float64 {
+			d := capacityDocument(n)
+			return heapOf(func() any { return config.NewView().With(d, 1) })
+		}),
+		Slope{Name: "document-bytes", Unit: "B", Per: "budget", Small: 100, Large: 1000}.measured(documentBytes),
+		Slope{Name: "burn-memory", Unit: "B", Per: "key", Small: 100, Large: 1000}.measured(burnMemory),
+		Slope{Name: "member-bytes", Unit: "B", Per: "member", Small: 100, Large: 1100}.measured(memberBytes),
+		Slope{Name: "choice-time", Unit: "ns", Per: "upstream", Small: 200, Large: 10000}.measured(choiceTime),
+		Slope{Name: "choice-memory", Unit: "B", Per: "upstream", Small: 200, Large: 10000}.measured(choiceMemory),
+	}
+}
