--- a/standin/plain.go
+++ b/standin/plain.go
@@ -5,6 +5,7 @@
 
 import (
 	"io"
+	"maps"
 	"net/http"
 	"sync"
 	"time"
@@ -50,22 +51,14 @@
 func (p *Plain) Runs() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	runs := make(map[string]int, len(p.runs))
-	for what, count := range p.runs {
-		runs[what] = count
-	}
-	return runs
+	return maps.Clone(p.runs)
 }
 
 // Attempts returns how often each attempt was executed.
 func (p *Plain) Attempts() map[granitehoist.AttemptID]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	attempts := make(map[granitehoist.AttemptID]int, len(p.attempts))
-	for id, count := range p.attempts {
-		attempts[id] = count
-	}
-	return attempts
+	return maps.Clone(p.attempts)
 }
 
 // PlainAnswer is the body of an answer.
--- a/trial/call.go
+++ b/trial/call.go
@@ -85,13 +85,15 @@
 		}
 		return base.Post("/v1/chat/completions").BodyJSON(body).Request()
 	}
+	method := http.MethodGet
 	if c.shape.once {
+		method = http.MethodPost
 		base = base.Set(gate.HeaderOnce, "true")
 	}
 	path := "/services/" + string(c.shape.service) + plainPath
 	request, err := base.Post(path).Body(strings.NewReader(c.prompt)).Request()
 	if err == nil {
-		request.Method = c.shape.method
+		request.Method = method
 	}
 	return request, err
 }
--- a/trial/judge.go
+++ b/trial/judge.go
@@ -5,6 +5,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/partner/bill"
@@ -118,12 +120,7 @@
 }
 
 func allNotRun(fates []granitehoist.Fate) bool {
-	for _, f := range fates {
-		if f != granitehoist.NotRun {
-			return false
-		}
-	}
-	return true
+	return !slices.ContainsFunc(fates, func(f granitehoist.Fate) bool { return f != granitehoist.NotRun })
 }
 
 func (v *Verdict) judgeCharge(x Execution, charges []bill.Charge) {
@@ -146,17 +143,9 @@
 	}
 }
 
-// balances returns a copy of what was prepaid, for a counter to deduct from.
-func (e Evidence) balances() map[granitehoist.BudgetID]granitehoist.Tokens {
-	balances := map[granitehoist.BudgetID]granitehoist.Tokens{}
-	for budget, tokens := range e.Prepaid {
-		balances[budget] = tokens
-	}
-	return balances
-}
-
+// overspend deducts what the stand-ins counted from what was prepaid.
 func (e Evidence) overspend() granitehoist.Tokens {
-	balances := e.balances()
+	balances := maps.Clone(e.Prepaid)
 	for _, o := range e.Outcomes {
 		balances[o.Budget] -= e.Books[o.ID].Tokens
 	}
@@ -169,7 +158,7 @@
 
 // falseRefusals feeds the requests to a naive counter for each budget.
 func (e Evidence) falseRefusals() int {
-	balances := e.balances()
+	balances := maps.Clone(e.Prepaid)
 	count := 0
 	for _, o := range e.Outcomes {
 		if o.Code == granitehoist.PolicyDenied || o.Cost > balances[o.Budget] {
--- a/trial/load.go
+++ b/trial/load.go
@@ -7,10 +7,12 @@
 	"context"
 	"math/rand/v2"
 	"net/http"
+	"slices"
 	"sync"
 	"time"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/partner/router"
 )
 
 // shape is a kind of request in the mix.
@@ -20,8 +22,9 @@
 	model     granitehoist.Model
 	service   granitehoist.Service
 	stream    bool
-	once      bool
-	method    string
+	// once marks a POST that must not be repeated; other requests to plain
+	// services are GETs.
+	once bool
 	// weight is the shape's share of the mix, as a part of all weights.
 	weight int
 }
@@ -30,11 +33,11 @@
 var mix = []shape{
 	{workspace: "lock-kiosks", partner: Tuul, model: TuulModel, stream: true, weight: 5},
 	{workspace: "lock-kiosks", partner: Tuul, model: LimaModel, weight: 1},
-	{workspace: "booking-clerks", partner: Tuul, service: "booking-desk", method: http.MethodGet, weight: 3},
-	{workspace: "booking-clerks", partner: Tuul, service: "booking-desk", method: http.MethodPost, once: true, weight: 2},
+	{workspace: "booking-clerks", partner: Tuul, service: "booking-desk", weight: 3},
+	{workspace: "booking-clerks", partner: Tuul, service: "booking-desk", once: true, weight: 2},
 	{workspace: "boat-club", partner: Tuul, model: TuulModel, weight: 3},
 	{workspace: "archive", partner: Tuul, model: TuulModel, weight: 1},
-	{workspace: "drivers", partner: Lima, service: "estacion-api", method: http.MethodPost, once: true, weight: 2},
+	{workspace: "drivers", partner: Lima, service: "estacion-api", once: true, weight: 2},
 	{workspace: "dispatch", partner: Lima, model: LimaModel, weight: 3},
 	{workspace: "accountants", partner: Lima, model: LimaModel, stream: true, weight: 2},
 }
@@ -47,7 +50,7 @@
 	defer client.CloseIdleConnections()
 	shapes := mix
 	if settings.Kill {
-		shapes = enginesOnly(mix)
+		shapes = slices.DeleteFunc(slices.Clone(mix), func(s shape) bool { return s.model == "" })
 	}
 	calls := make([]*call, settings.Requests)
 	var group sync.WaitGroup
@@ -100,24 +103,10 @@
 }
 
 func (s *Site) isDead(address string) bool {
-	for _, r := range s.dead {
-		if r.CallersAddress() == address {
-			return true
-		}
-	}
-	return false
-}
-
-func enginesOnly(shapes []shape) []shape {
-	var engines []shape
-	for _, s := range shapes {
-		if s.model != "" {
-			engines = append(engines, s)
-		}
-	}
-	return engines
+	return slices.ContainsFunc(s.dead, func(r *router.Router) bool { return r.CallersAddress() == address })
 }
 
+// choose returns a shape by its weight.
 func choose(random *rand.Rand, shapes []shape) shape {
 	total := 0
 	for _, s := range shapes {
--- a/trial/stops.go
+++ b/trial/stops.go
@@ -5,6 +5,7 @@
 
 import (
 	"context"
+	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -13,7 +14,6 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/partner/router"
 )
 
 // stops counts the planned stops during the load.
@@ -59,7 +59,7 @@
 func (s *Site) killOne(i int) {
 	s.mu.Lock()
 	r := s.Routers[i]
-	s.Routers = append(append([]*router.Router(nil), s.Routers[:i]...), s.Routers[i+1:]...)
+	s.Routers = slices.Delete(slices.Clone(s.Routers), i, i+1)
 	s.mu.Unlock()
 	s.dead = append(s.dead, r)
 	r.Kill()
