--- a/standin/answering.go
+++ b/standin/answering.go
@@ -62,31 +62,6 @@
 	return &upstream.EngineUsage{PromptTokens: x.Prompt, CompletionTokens: x.Output, TotalTokens: x.Prompt + x.Output}
 }
 
-// Choice is the one choice of a Completion: text, a message, or the next piece
-// of a streamed message.
-type Choice struct {
-	Index        int      `json:"index"`
-	Text         string   `json:"text,omitempty"`
-	Message      *Message `json:"message,omitempty"`
-	Delta        *Message `json:"delta,omitempty"`
-	FinishReason *string  `json:"finish_reason"`
-}
-
-// Message is a message of an engine, or a piece of one.
-type Message struct {
-	Role    string `json:"role,omitempty"`
-	Content string `json:"content"`
-}
-
-// Completion is an engine's answer, or one event of a streamed answer.
-type Completion struct {
-	ID      string                `json:"id"`
-	Object  string                `json:"object"`
-	Model   string                `json:"model"`
-	Choices []Choice              `json:"choices"`
-	Usage   *upstream.EngineUsage `json:"usage,omitempty"`
-}
-
 var finishStop = "stop"
 
 func (a *answering) whole(w http.ResponseWriter, r *http.Request) {
