--- a/cmd/granitehoist/operator.go
+++ b/cmd/granitehoist/operator.go
@@ -39,6 +39,7 @@
 	return operator{clause.Flag("router", "Admin address of any router.").Default(defaultAdmin).String()}
 }
 
+// operatorTimeout bounds a call of a router. Chosen, not measured.
 const operatorTimeout = 30 * time.Second
 
 // call sends a request and decodes the answer into result. It returns the
@@ -108,6 +109,8 @@
 	return waitAccepted(ctx, o, out, path, signed.Serial, state, wait)
 }
 
+// acceptancePause is the time between two questions whether a document is in
+// force. Chosen, not measured.
 const acceptancePause = 200 * time.Millisecond
 
 // waitAccepted asks until the document is accepted. What it prints is "pending"
@@ -154,6 +157,7 @@
 	}}
 }
 
+// tablePadding is the blanks between two columns.
 const tablePadding = 2
 
 func newTable(out io.Writer, columns ...string) *tabwriter.Writer {
--- a/cmd/granitehoist/standin.go
+++ b/cmd/granitehoist/standin.go
@@ -53,6 +53,7 @@
 // serve serves a handler until ctx ends.
 func serve(ctx context.Context, listen string, h http.Handler) error {
 	server := &http.Server{Addr: listen, Handler: h, ReadHeaderTimeout: 10 * time.Second}
+	// The process ends after Close, so its error changes nothing.
 	stopped := context.AfterFunc(ctx, func() { _ = server.Close() })
 	defer stopped()
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
--- a/standin/answering.go
+++ b/standin/answering.go
@@ -14,7 +14,8 @@
 	"granitehoist.example/granitehoist/partner/upstream"
 )
 
-// answering is one answer in progress.
+// answering is one answer in progress. Its fields do not change but for plan,
+// which a resumption clears; engine.mu guards the execution.
 type answering struct {
 	engine    *Engine
 	execution *Execution
@@ -26,7 +27,7 @@
 }
 
 // next waits for the next word's time and counts it. It returns false when the
-// attempt has been ended or its reader has gone.
+// attempt has been ended or its reader has closed the connection.
 func (a *answering) next(i int, r *http.Request) bool {
 	delay := a.engine.settings.TokenDelay
 	if i == 0 {
@@ -64,7 +65,8 @@
 
 var finishStop = "stop"
 
-func (a *answering) whole(w http.ResponseWriter, r *http.Request) {
+// complete sends the answer as one body.
+func (a *answering) complete(w http.ResponseWriter, r *http.Request) {
 	for i := range a.words {
 		if !a.next(i, r) {
 			panic(http.ErrAbortHandler)
@@ -76,13 +78,15 @@
 	c := Choice{FinishReason: &finishStop}
 	text := strings.Join(a.words, " ")
 	if a.chat {
-		c.Message = &Message{Role: "assistant", Content: text}
+		c.Message = &ChatMessage{Role: "assistant", Content: ChatContent(text)}
 	} else {
 		c.Text = text
 	}
 	reply(w, Completion{ID: a.id, Object: "completion", Model: a.request.Model, Choices: []Choice{c}, Usage: a.usage()}, nil)
 }
 
+// stream sends the events of the answer from a word on, at the engine's pace for
+// words that were not produced before.
 func (a *answering) stream(w http.ResponseWriter, r *http.Request, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i, word := range a.words {
@@ -101,7 +105,7 @@
 		}
 		c := Choice{}
 		if a.chat {
-			c.Delta = &Message{Content: word}
+			c.Delta = &ChatMessage{Content: ChatContent(word)}
 		} else {
 			c.Text = word
 		}
@@ -116,6 +120,7 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
+// send writes one event.
 func (a *answering) send(w http.ResponseWriter, c Completion) {
 	raw, err := json.Marshal(c)
 	if err != nil {
--- a/standin/completion.go
+++ b/standin/completion.go
@@ -25,9 +25,10 @@
 	} `json:"stream_options"`
 }
 
-// ChatMessage is one message of a chat.
+// ChatMessage is one message of a chat, of the caller or of the engine, or a
+// piece of one in a stream, which has no role.
 type ChatMessage struct {
-	Role    string      `json:"role"`
+	Role    string      `json:"role,omitempty"`
 	Content ChatContent `json:"content"`
 }
 
@@ -58,10 +59,16 @@
 	return nil
 }
 
-// Tokens of a chat message beyond its text, and bytes of text a token.
+// What the engine's stand-in counts. Chosen, not measured.
 const (
+	// messageTokens is what a chat message costs beyond its text.
 	messageTokens = 4
+	// bytesPerToken is the bytes of text that make a token.
 	bytesPerToken = 4
+	// leastWords and moreWords make answers of 4 to 31 words.
+	leastWords = 4
+	// moreWords is the number of different lengths.
+	moreWords = 28
 )
 
 // prompt returns the text that the answer depends on, and its tokens.
@@ -87,7 +94,7 @@
 // at most limit. It depends on nothing else, so a caller can check it.
 func Answer(prompt string, limit int) []string {
 	seed := xxhash.Sum64String(prompt)
-	count := min(limit, 4+int(seed%28))
+	count := min(limit, leastWords+int(seed%moreWords))
 	words := make([]string, count)
 	for i := range words {
 		words[i] = fmt.Sprintf("w%04x", (seed>>(i%48))&0xffff)
@@ -98,17 +105,11 @@
 // Choice is the one choice of a Completion: text, a message, or the next piece
 // of a streamed message.
 type Choice struct {
-	Index        int      `json:"index"`
-	Text         string   `json:"text,omitempty"`
-	Message      *Message `json:"message,omitempty"`
-	Delta        *Message `json:"delta,omitempty"`
-	FinishReason *string  `json:"finish_reason"`
-}
-
-// Message is a message of an engine, or a piece of one.
-type Message struct {
-	Role    string `json:"role,omitempty"`
-	Content string `json:"content"`
+	Index        int          `json:"index"`
+	Text         string       `json:"text,omitempty"`
+	Message      *ChatMessage `json:"message,omitempty"`
+	Delta        *ChatMessage `json:"delta,omitempty"`
+	FinishReason *string      `json:"finish_reason"`
 }
 
 // Completion is an engine's answer, or one event of a streamed answer.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -105,9 +105,12 @@
 	cut, cross, noUsage, refuse bool
 }
 
-// textKept bounds the part of a prompt that the books keep.
-const textKept = 128
+// bookedText bounds the part of a prompt that the books keep, in bytes. Chosen,
+// not measured; a trial's request id stands in the first twelve.
+const bookedText = 128
 
+// begin enters an attempt in the books, unless the engine refuses it or the
+// attempt was ended before, and decides which failures it shows.
 func (e *Engine) begin(attempt granitehoist.AttemptID, text string, prompt granitehoist.Tokens) (*Execution, plan) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -124,7 +127,7 @@
 		return nil, p
 	}
 	if !ok {
-		x = &Execution{Attempt: attempt, Text: text[:min(len(text), textKept)]}
+		x = &Execution{Attempt: attempt, Text: text[:min(len(text), bookedText)]}
 		e.books[attempt] = x
 	}
 	x.Runs++
@@ -143,12 +146,14 @@
 	return true
 }
 
+// end marks an attempt as producing no more.
 func (e *Engine) end(x *Execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x.Ended = true
 }
 
+// endUnlessHeld does the same unless the attempt waits for a resumption.
 func (e *Engine) endUnlessHeld(x *Execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -215,7 +220,7 @@
 	if request.Stream {
 		a.stream(w, r, 0)
 	} else {
-		a.whole(w, r)
+		a.complete(w, r)
 	}
 }
 
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -23,6 +23,7 @@
 	answer   func(Arrival) WorkerAnswer
 	listener net.Listener
 
+	// mu guards the fields below it.
 	mu       sync.Mutex
 	arrivals []Arrival
 	conns    map[net.Conn]struct{}
@@ -112,15 +113,18 @@
 
 // Close ends the worker and its connections.
 func (w *Worker) Close() {
+	// accept ends with the listener; one that was closed before is no failure.
 	_ = w.listener.Close()
 	w.mu.Lock()
 	for c := range w.conns {
+		// Its goroutine may have closed it already.
 		_ = c.Close()
 	}
 	w.mu.Unlock()
 	w.done.Wait()
 }
 
+// accept serves each connection on a goroutine of its own, until Close.
 func (w *Worker) accept() {
 	for {
 		conn, err := w.listener.Accept()
@@ -136,8 +140,10 @@
 	}
 }
 
+// serve answers the requests of a connection one after the other.
 func (w *Worker) serve(conn net.Conn, number int) {
 	defer func() {
+		// The connection is thrown away; Close may have closed it already.
 		_ = conn.Close()
 		w.mu.Lock()
 		delete(w.conns, conn)
@@ -149,10 +155,7 @@
 		if err != nil {
 			return
 		}
-		arrival, err := w.read(request, number)
-		if err != nil {
-			return
-		}
+		arrival := w.arrivalOf(request, number)
 		answer := w.answer(arrival)
 		if !answer.Early {
 			if arrival.Body, err = io.ReadAll(request.Body); err != nil {
@@ -166,12 +169,16 @@
 			return
 		}
 		if answer.Early {
+			// A body that breaks off shows at the next request of the connection.
 			_, _ = io.Copy(io.Discard, request.Body)
 		}
 	}
 }
 
-func (w *Worker) read(r *http.Request, conn int) (Arrival, error) {
+// arrivalOf returns a request as it arrived, without its body.
+func (w *Worker) arrivalOf(r *http.Request, conn int) Arrival {
+	// A request without the header, or with one that is no number, is not
+	// resumed: its stream begins at the first event.
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	w.mu.Lock()
 	number := len(w.arrivals) + 1
@@ -179,13 +186,15 @@
 	return Arrival{
 		Number: number, Conn: conn, ID: r.Header.Get("Attempt-Id"), Method: r.Method, Target: r.RequestURI,
 		Host: r.Host, Header: r.Header, After: after,
-	}, nil
+	}
 }
 
 // write gives an answer and reports whether the connection goes on.
 func (w *Worker) write(conn net.Conn, arrival Arrival, a WorkerAnswer) bool {
 	time.Sleep(a.Delay)
 	if a.Silent {
+		// The worker waits for the router to end the connection, by close or
+		// by reset.
 		_, _ = io.Copy(io.Discard, conn)
 		return false
 	}
@@ -230,10 +239,13 @@
 // reset makes the closing of a connection a reset.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
+		// If this fails the connection ends with a FIN, and the test that asked
+		// for a reset sees that.
 		_ = tcp.SetLinger(0)
 	}
 }
 
+// head returns the status line and header of an answer.
 func (w *Worker) head(arrival Arrival, a WorkerAnswer, framing string) string {
 	status := a.Status
 	if status == 0 {
@@ -251,6 +263,7 @@
 	if a.NotRun {
 		head.WriteString("Not-Executed: 1\r\n")
 	}
+	// A bytes.Buffer takes every write.
 	_ = a.Header.Write(&head)
 	head.WriteString("\r\n")
 	return head.String()
@@ -259,6 +272,8 @@
 // StreamEvent returns the n-th event of a request's stream.
 func StreamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", n, id, n) }
 
+// writeStream gives the events of a stream and reports whether the connection
+// goes on.
 func (w *Worker) writeStream(conn net.Conn, arrival Arrival, a WorkerAnswer) bool {
 	framing := "Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n"
 	if a.Unframed {
@@ -272,6 +287,8 @@
 		event := StreamEvent(arrival.ID, n)
 		if a.Cut && n > a.CutAfter {
 			if a.Within {
+				// The connection is cut next, whether this reached the router or
+				// not.
 				_ = w.piece(conn, a, event[:len(event)/2])
 			}
 			return w.end(conn, a)
@@ -289,6 +306,7 @@
 	return w.end(conn, a)
 }
 
+// piece sends text as one chunk, or as it is if the answer is unframed.
 func (w *Worker) piece(conn net.Conn, a WorkerAnswer, text string) error {
 	if !a.Unframed {
 		text = fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
--- a/trial/call.go
+++ b/trial/call.go
@@ -184,7 +184,7 @@
 	if err := json.NewDecoder(body).Decode(&completion); err != nil || len(completion.Choices) != 1 || completion.Choices[0].Message == nil {
 		return answer{}
 	}
-	return answer{text: completion.Choices[0].Message.Content, ended: true}
+	return answer{text: string(completion.Choices[0].Message.Content), ended: true}
 }
 
 // readStream reads the events of a stream up to its end mark, or to the error
@@ -208,7 +208,7 @@
 		if err := json.Unmarshal([]byte(data), &event); err != nil || len(event.Choices) != 1 || event.Choices[0].Delta == nil {
 			break
 		}
-		text.WriteString(event.Choices[0].Delta.Content)
+		text.WriteString(string(event.Choices[0].Delta.Content))
 	}
 	return answer{text: text.String()}
 }
--- a/trial/documents.go
+++ b/trial/documents.go
@@ -25,9 +25,10 @@
 const (
 	// budgetName is the name of each workspace's one budget.
 	budgetName = "season"
-	// smallBudget is what the workspace that runs out has, and largeBudget what
-	// the others have, in tokens. Chosen, not measured.
+	// smallBudget is what the workspace that runs out has, in tokens. Chosen,
+	// not measured.
 	smallBudget = 2500
+	// largeBudget is what the others have, in tokens. Chosen, not measured.
 	largeBudget = 50_000_000
 	// plainPrice is what a request to a plain service costs, in tokens. Chosen,
 	// not measured.
--- a/trial/run.go
+++ b/trial/run.go
@@ -51,13 +51,14 @@
 	// defaultInterval lets a trial of DefaultRequests last two seconds. Chosen,
 	// not measured.
 	defaultInterval = 4 * time.Millisecond
-	// startLimit bounds the time until the documents are in force, and
-	// stopLimit the time for settling and stopping. Chosen, not measured.
-	startLimit = 30 * time.Second
-	stopLimit  = time.Minute
-	// firstDelay and tokenDelay are the pace of the engines. Chosen, not
+	// startLimit bounds the time until the documents are in force. Chosen, not
 	// measured.
+	startLimit = 30 * time.Second
+	// stopLimit bounds the time for settling and stopping. Chosen, not measured.
+	stopLimit = time.Minute
+	// firstDelay is an engine's time to the first token. Chosen, not measured.
 	firstDelay = 2 * time.Millisecond
+	// tokenDelay is its time for each further token. Chosen, not measured.
 	tokenDelay = 200 * time.Microsecond
 )
 
