--- a/partner/budget/history_test.go
+++ b/partner/budget/history_test.go
@@ -24,8 +24,9 @@
 	store   *standin.Store
 	keepers [2]*budget.Keeper
 	cut     [2]bool
-	depth   int
-	boxes   []*historyBox
+	// depth counts the routers that act within another one's read and write.
+	depth int
+	boxes []*historyBox
 	// ended holds the boxes that died or stopped.
 	ended []*historyBox
 	lives int
@@ -33,7 +34,11 @@
 	most    granitehoist.Tokens
 	prepaid granitehoist.Tokens
 	serial  granitehoist.Serial
+	saved   savedMessages
+}
 
+// savedMessages are the last messages, which may arrive late or once more.
+type savedMessages struct {
 	syncs   []savedSync
 	replies []savedReply
 	loans   []savedLoan
--- a/partner/budget/historycheck_test.go
+++ b/partner/budget/historycheck_test.go
@@ -78,7 +78,7 @@
 	h.store.Fail(standin.StoreFaults{})
 	h.cut = [2]bool{}
 	h.depth = deepest
-	for _, l := range h.loans {
+	for _, l := range h.saved.loans {
 		l.borrower.purse.Borrow(historyBudget, l.lender.purse.Lend(budget.BorrowParams{Incarnation: l.borrower.purse.Incarnation(), Budget: historyBudget}, h.now))
 	}
 	closing := append([]*historyBox(nil), h.boxes...)
--- a/partner/budget/historysteps_test.go
+++ b/partner/budget/historysteps_test.go
@@ -46,20 +46,22 @@
 	b.waiters = nil
 }
 
-// saved bounds the messages that are kept for later.
-const saved = 20
+// mostSaved bounds the messages of each kind that are saved. Chosen, not
+// measured.
+const mostSaved = 20
 
-func keep[T any](list []T, item T) []T {
+// save adds an item to the last ones.
+func save[T any](list []T, item T) []T {
 	list = append(list, item)
-	return list[max(0, len(list)-saved):]
+	return list[max(0, len(list)-mostSaved):]
 }
 
-// sync sends a box's message, which arrives or is kept for later, and so is
-// the reply.
+// sync sends a box's message, which arrives or is only saved, and so is the
+// reply.
 func (h *history) sync(b *historyBox, arrives, answered bool) {
 	asks, urgent := b.purse.Asks(h.now)
 	params := budget.SyncParams{Box: "box", Incarnation: b.purse.Incarnation(), Asks: asks, Urgent: urgent}
-	h.syncs = keep(h.syncs, savedSync{b, params})
+	h.saved.syncs = save(h.saved.syncs, savedSync{b, params})
 	if arrives {
 		h.serve(b, params, answered)
 	}
@@ -70,7 +72,7 @@
 	if err != nil {
 		return
 	}
-	h.replies = keep(h.replies, savedReply{b, params.Asks, results[0].Replies})
+	h.saved.replies = save(h.saved.replies, savedReply{b, params.Asks, results[0].Replies})
 	if answered {
 		b.purse.Apply(params.Asks, results[0].Replies, h.now)
 	}
@@ -78,15 +80,15 @@
 
 // deliver brings an old message, perhaps once more.
 func (h *history) deliver() {
-	if len(h.syncs) > 0 {
-		m := h.syncs[h.choose(len(h.syncs))]
+	if len(h.saved.syncs) > 0 {
+		m := h.saved.syncs[h.choose(len(h.saved.syncs))]
 		h.serve(m.box, m.params, h.choose(2) == 0)
 	}
 }
 
 func (h *history) apply() {
-	if len(h.replies) > 0 {
-		r := h.replies[h.choose(len(h.replies))]
+	if len(h.saved.replies) > 0 {
+		r := h.saved.replies[h.choose(len(h.saved.replies))]
 		r.box.purse.Apply(r.asks, r.replies, h.now)
 	}
 }
@@ -97,24 +99,24 @@
 	if !short || borrower == lender {
 		return
 	}
-	h.loans = keep(h.loans, savedLoan{lender, borrower, params})
+	h.saved.loans = save(h.saved.loans, savedLoan{lender, borrower, params})
 	result := lender.purse.Lend(params, h.now)
-	h.results = keep(h.results, savedResult{borrower, result})
+	h.saved.results = save(h.saved.results, savedResult{borrower, result})
 	if h.choose(2) == 0 {
 		borrower.purse.Borrow(historyBudget, result)
 	}
 }
 
 func (h *history) lendAgain() {
-	if len(h.loans) > 0 {
-		l := h.loans[h.choose(len(h.loans))]
-		h.results = keep(h.results, savedResult{l.borrower, l.lender.purse.Lend(l.params, h.now)})
+	if len(h.saved.loans) > 0 {
+		l := h.saved.loans[h.choose(len(h.saved.loans))]
+		h.saved.results = save(h.saved.results, savedResult{l.borrower, l.lender.purse.Lend(l.params, h.now)})
 	}
 }
 
 func (h *history) takeAgain() {
-	if len(h.results) > 0 {
-		r := h.results[h.choose(len(h.results))]
+	if len(h.saved.results) > 0 {
+		r := h.saved.results[h.choose(len(h.saved.results))]
 		r.borrower.purse.Borrow(historyBudget, r.result)
 	}
 }
@@ -147,7 +149,7 @@
 func (h *history) sendClosing(b *historyBox) {
 	asks, _ := b.purse.Asks(h.now)
 	params := budget.SyncParams{Box: "box", Incarnation: b.purse.Incarnation(), Asks: asks, Closing: true}
-	h.syncs = keep(h.syncs, savedSync{b, params})
+	h.saved.syncs = save(h.saved.syncs, savedSync{b, params})
 	if h.choose(2) == 0 {
 		h.serve(b, params, true)
 	}
