--- a/cmd/granitehoist/keys.go
+++ b/cmd/granitehoist/keys.go
@@ -21,7 +21,6 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// secretFileMode lets only its owner read a secret key.
 const secretFileMode = 0o600
 
 func newKeysPartner(app *kingpin.Application, out io.Writer) command {
--- a/cmd/granitehoist/operator.go
+++ b/cmd/granitehoist/operator.go
@@ -39,7 +39,6 @@
 	return operator{clause.Flag("router", "Admin address of any router.").Default(defaultAdmin).String()}
 }
 
-// operatorTimeout bounds a call of a router. Chosen, not measured.
 const operatorTimeout = 30 * time.Second
 
 // call sends a request and decodes the answer into result. It returns the
@@ -73,22 +72,11 @@
 	wait := clause.Flag("wait", "How long to wait until every router has it in force.").Default("10s").Duration()
 	file := clause.Arg("file", "The document.").Required().String()
 	return command{clause, func(ctx context.Context) error {
-		a := applier{operator: o, out: out, wait: *wait}
-		return a.apply(ctx, *file, *keyFile)
+		return apply(ctx, o, out, *file, *keyFile, *wait)
 	}}
 }
 
-// applier puts a partner's document in force.
-type applier struct {
-	operator
-	out io.Writer
-	// wait bounds the wait until every router has the document in force.
-	wait time.Duration
-}
-
-// apply signs a document as the successor of the one in the store, writes it
-// and waits until it is in force.
-func (a applier) apply(ctx context.Context, file, keyFile string) error {
+func apply(ctx context.Context, o operator, out io.Writer, file, keyFile string, wait time.Duration) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -103,7 +91,7 @@
 	}
 	path := router.PathDocuments + string(document.Partner)
 	var state router.DocumentState
-	if _, err := a.call(ctx, a.base().Get(path), &state); err != nil {
+	if _, err := o.call(ctx, o.base().Get(path), &state); err != nil {
 		return err
 	}
 	signed := config.Signed{
@@ -114,34 +102,32 @@
 		Previous: state.Current.Signed.ChangeID,
 	}
 	signed.Sign(key)
-	if _, err := a.call(ctx, a.base().Put(path).BodyJSON(signed), &state); err != nil {
+	if _, err := o.call(ctx, o.base().Put(path).BodyJSON(signed), &state); err != nil {
 		return err
 	}
-	return a.waitAccepted(ctx, path, signed.Serial, state)
+	return waitAccepted(ctx, o, out, path, signed.Serial, state, wait)
 }
 
-// acceptancePause is the time between two questions whether a document is in
-// force. Chosen, not measured.
 const acceptancePause = 200 * time.Millisecond
 
 // waitAccepted asks until the document is accepted. What it prints is "pending"
 // unless every router of the view has the document in force.
-func (a applier) waitAccepted(ctx context.Context, path string, serial granitehoist.Serial, state router.DocumentState) error {
-	limit := time.After(a.wait)
+func waitAccepted(ctx context.Context, o operator, out io.Writer, path string, serial granitehoist.Serial, state router.DocumentState, wait time.Duration) error {
+	limit := time.After(wait)
 	for !state.Accepted {
 		select {
 		case <-limit:
-			fmt.Fprintf(a.out, "serial=%d state=pending in_force=%d waiting=%s\n", serial, len(state.InForce), joinBoxes(state.Waiting))
+			fmt.Fprintf(out, "serial=%d state=pending in_force=%d waiting=%s\n", serial, len(state.InForce), joinBoxes(state.Waiting))
 			return failed{}
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(acceptancePause):
 		}
-		if _, err := a.call(ctx, a.base().Get(path), &state); err != nil {
+		if _, err := o.call(ctx, o.base().Get(path), &state); err != nil {
 			return err
 		}
 	}
-	fmt.Fprintf(a.out, "serial=%d state=accepted in_force=%d\n", serial, len(state.InForce))
+	fmt.Fprintf(out, "serial=%d state=accepted in_force=%d\n", serial, len(state.InForce))
 	return nil
 }
 
@@ -168,7 +154,6 @@
 	}}
 }
 
-// tablePadding is the blanks between two columns.
 const tablePadding = 2
 
 func newTable(out io.Writer, columns ...string) *tabwriter.Writer {
--- a/doc.go
+++ b/doc.go
@@ -17,6 +17,5 @@
 // (the operators' documents), fleet (membership and calls between routers),
 // gate (the callers' surface), store (the platform's key-value service),
 // settings (the TOML file of a box), router (the daemon made of these),
-// standin (small stand-ins of the outside systems) and measure (what the parts
-// of a router cost).
+// standin (small stand-ins of the outside systems) and measure (experiments).
 package granitehoist
