--- a/standin/engine.go
+++ b/standin/engine.go
@@ -4,16 +4,12 @@
 package standin
 
 import (
-	"encoding/json"
-	"fmt"
 	"net/http"
 	"strconv"
 	"strings"
 	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/partner/upstream"
 )
@@ -67,7 +63,6 @@
 	mu       sync.Mutex
 	faults   EngineFaults
 	requests int
-	refused  int
 	books    map[granitehoist.AttemptID]*Execution
 }
 
@@ -102,106 +97,20 @@
 	mux.HandleFunc("POST "+upstream.PathCancel, e.serveCancel)
 	mux.HandleFunc("GET "+upstream.PathAttempts, e.serveAttempts)
 	mux.HandleFunc("GET "+upstream.PathResume, e.serveResume)
-	mux.HandleFunc("PUT /faults", func(w http.ResponseWriter, r *http.Request) {
-		var faults EngineFaults
-		if read(w, r, &faults) {
-			e.Fail(faults)
-			reply(w, faults, nil)
-		}
-	})
 	return mux
 }
 
-// CompletionRequest is what an engine reads of a request.
-type CompletionRequest struct {
-	Model         string        `json:"model"`
-	Prompt        string        `json:"prompt"`
-	Messages      []ChatMessage `json:"messages"`
-	MaxTokens     int           `json:"max_tokens"`
-	Stream        bool          `json:"stream"`
-	StreamOptions struct {
-		IncludeUsage bool `json:"include_usage"`
-	} `json:"stream_options"`
-}
-
-// ChatMessage is one message of a chat.
-type ChatMessage struct {
-	Role    string      `json:"role"`
-	Content ChatContent `json:"content"`
-}
-
-// ChatContent is the text of a message. Callers send it as text or as a list of
-// parts, of which those of type "text" count.
-type ChatContent string
-
-// UnmarshalJSON implements json.Unmarshaler.
-func (c *ChatContent) UnmarshalJSON(raw []byte) error {
-	var text string
-	if json.Unmarshal(raw, &text) == nil {
-		*c = ChatContent(text)
-		return nil
-	}
-	var parts []struct {
-		Type string `json:"type"`
-		Text string `json:"text"`
-	}
-	if err := json.Unmarshal(raw, &parts); err != nil {
-		return err
-	}
-	for _, part := range parts {
-		if part.Type == "text" {
-			text += part.Text
-		}
-	}
-	*c = ChatContent(text)
-	return nil
-}
-
-// Tokens of a chat message beyond its text, and bytes of text a token.
-const (
-	messageTokens = 4
-	bytesPerToken = 4
-)
-
-// prompt returns the text that the answer depends on, and its tokens.
-func (c *CompletionRequest) prompt() (string, granitehoist.Tokens) {
-	text := c.Prompt
-	tokens := 0
-	for _, m := range c.Messages {
-		text += string(m.Content)
-		tokens += messageTokens
-	}
-	tokens += (len(text) + bytesPerToken - 1) / bytesPerToken
-	return text, granitehoist.Tokens(max(1, tokens))
-}
-
-// Cost returns what an engine counts for a prompt of one chat message.
-func Cost(prompt string, limit int) granitehoist.Tokens {
-	request := CompletionRequest{Messages: []ChatMessage{{Content: ChatContent(prompt)}}}
-	_, tokens := request.prompt()
-	return tokens + granitehoist.Tokens(len(Answer(prompt, limit)))
-}
-
-// Answer returns the words that an engine answers to a prompt: one token each,
-// at most limit. It depends on nothing else, so a caller can check it.
-func Answer(prompt string, limit int) []string {
-	seed := xxhash.Sum64String(prompt)
-	count := min(limit, 4+int(seed%28))
-	words := make([]string, count)
-	for i := range words {
-		words[i] = fmt.Sprintf("w%04x", (seed>>(i%48))&0xffff)
-	}
-	return words
-}
-
 // plan is how the engine will serve one request.
 type plan struct {
 	cut, cross, noUsage, refuse bool
 }
 
-// textKept bounds the part of a prompt that the books keep.
-const textKept = 128
+// bookedText bounds the part of a prompt that the books keep, in bytes. Chosen,
+// not measured; a trial's request id stands in the first twelve.
+const bookedText = 128
 
+// begin enters an attempt in the books, unless the engine refuses it or the
+// attempt was ended before, and decides which failures it shows.
 func (e *Engine) begin(attempt granitehoist.AttemptID, text string, prompt granitehoist.Tokens) (*Execution, plan) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -215,11 +124,10 @@
 	x, ok := e.books[attempt]
 	if p.refuse || (ok && x.Ended) {
 		p.refuse = true
-		e.refused++
 		return nil, p
 	}
 	if !ok {
-		x = &Execution{Attempt: attempt, Text: text[:min(len(text), textKept)]}
+		x = &Execution{Attempt: attempt, Text: text[:min(len(text), bookedText)]}
 		e.books[attempt] = x
 	}
 	x.Runs++
@@ -238,12 +146,14 @@
 	return true
 }
 
+// end marks an attempt as producing no more.
 func (e *Engine) end(x *Execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x.Ended = true
 }
 
+// endUnlessHeld does the same unless the attempt waits for a resumption.
 func (e *Engine) endUnlessHeld(x *Execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -310,7 +220,7 @@
 	if request.Stream {
 		a.stream(w, r, 0)
 	} else {
-		a.whole(w, r)
+		a.complete(w, r)
 	}
 }
 
