--- a/explain/doc.go
+++ b/explain/doc.go
@@ -9,9 +9,10 @@
 // writes the lines. The package keeps no state between stories, and a Story is used
 // by one goroutine at a time. It relies on the names of events (internal/event), on
 // the keys of their lines as package forward and others write them, and on the
-// root package's result codes: a key that is renamed there is no longer found here.
+// root package's result codes and package escrow's outcomes: a key that is renamed
+// there is no longer found here.
 //
 // Read collects: boxState keeps what each box logged of its dependencies up to the
-// line at hand, sentences.go turns the lines of the request into facts. Begin
-// reading at Read.
+// line at hand, sentences.go turns the lines of the request into facts, and cause.go
+// decides what the lines around them say of its cause. Begin reading at Read.
 package explain
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -51,10 +51,11 @@
 		}
 		box, ok := boxes[line.Box]
 		if !ok {
-			box = &boxState{upstreams: map[string]*Line{}}
+			box = newBoxState()
 			boxes[line.Box] = box
 		}
 		box.note(&line)
+		story.addLateFailure(&line, box)
 		if line.Get("request") == string(request) {
 			story.addLine(&line, box)
 		}
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -42,6 +42,67 @@
 		Expect(text).To(ContainSubstring("upstream_cut"))
 	})
 
+	It("names the call that failed after a refusal whose router had not noticed the silence yet", func() {
+		text := tell(`  6.0 edge-1 ts=2026-01-01T00:00:06Z level=info event=request request=r-1 code=3003 fate="not run" workspace=kiosk attempts=0 events=0 took=0.145 bound=9993 budget=unreachable free=1200 rest=240000 rest_age=0.745 silent=0
+  6.2 edge-2 ts=2026-01-01T00:00:06Z level=warn event=budget_sync_failed error="of another box"
+  6.3 edge-1 ts=2026-01-01T00:00:06Z level=warn event=budget_sync_failed error="store: version conflict"
+  6.7 edge-1 ts=2026-01-01T00:00:06Z level=warn event=budget_sync_failed error="store: outcome unknown"
+  6.9 edge-1 ts=2026-01-01T00:00:06Z level=warn event=store_lost prefix=op/ at=9 error="a later one"
+`, "unnoticed")
+		Expect(text).To(ContainSubstring("no call for the budgets had failed yet"))
+		Expect(text).To(ContainSubstring("0.700 s later the router logged budget_sync_failed: store: outcome unknown"))
+		Expect(text).NotTo(ContainSubstring("of another box"))
+		Expect(text).NotTo(ContainSubstring("a later one"))
+	})
+
+	It("does not blame a call that failed long after the refusal, or after an answer", func() {
+		refused := `  6.0 edge-1 ts=2026-01-01T00:00:06Z level=info event=request request=r-1 code=3003 took=0.145 bound=9993 budget=unreachable free=1200 rest=240000 rest_age=0.745 silent=0
+`
+		failed := `event=budget_sync_failed error="store: outcome unknown"
+`
+		Expect(tell(refused+"  8.0 edge-1 ts=2026-01-01T00:00:08Z level=warn "+failed, "late")).NotTo(ContainSubstring("later the router logged"))
+		answer := "  6.1 edge-1 ts=2026-01-01T00:00:06Z level=info event=budget_grant workspace=kiosk\n"
+		Expect(tell(refused+answer+"  6.4 edge-1 ts=2026-01-01T00:00:06Z level=warn "+failed, "answered")).NotTo(ContainSubstring("later the router logged"))
+	})
+
+	It("does not blame a failure after which the record was read", func() {
+		text := tell(`  5.0 edge-1 ts=2026-01-01T00:00:05Z level=warn event=budget_sync_failed error="store: outcome unknown"
+  9.0 edge-1 ts=2026-01-01T00:00:09Z level=info event=request request=r-1 code=3003 took=0.1 bound=9993 budget=withheld free=12 rest=24 rest_age=0.2 silent=0
+`, "read since")
+		Expect(text).NotTo(ContainSubstring("the last sync of the budgets failed"))
+		Expect(text).To(ContainSubstring("withheld means that"))
+	})
+
+	It("keeps the silence of each prefix apart", func() {
+		text := tell(`  5.0 edge-1 ts=2026-01-01T00:00:05Z level=warn event=store_lost prefix=op/ at=9 error="store: outcome unknown"
+  5.5 edge-1 ts=2026-01-01T00:00:05Z level=warn event=store_lost prefix=servers/ at=9 error="store: outcome unknown"
+  6.0 edge-1 ts=2026-01-01T00:00:06Z level=info event=store_regained prefix=servers/ at=9
+  7.5 edge-1 ts=2026-01-01T00:00:07Z level=info event=request request=r-1 code=3003 took=0.1 bound=9993 budget=unreachable free=12 rest=24 rest_age=4 silent=2
+`, "prefixes")
+		Expect(text).To(ContainSubstring("the store had not answered for 2.500 s: store: outcome unknown"))
+	})
+
+	It("forgets what a process logged that ended", func() {
+		text := tell(`  5.0 edge-1 ts=2026-01-01T00:00:05Z level=warn event=store_lost prefix=op/ at=9 error="store: outcome unknown"
+  5.1 edge-1 ts=2026-01-01T00:00:05Z level=info event=stop active=0
+  6.0 edge-1 ts=2026-01-01T00:00:06Z level=info event=start box=edge-1
+  7.5 edge-1 ts=2026-01-01T00:00:07Z level=info event=request request=r-1 code=3003 took=0.1 bound=9993 budget=scarce free=12 rest=24 rest_age=1
+`, "new process")
+		Expect(text).NotTo(ContainSubstring("the store had not answered"))
+		Expect(text).NotTo(ContainSubstring("told to stop"))
+	})
+
+	It("says which connections the router closed itself, and why", func() {
+		closed := `the connection broke: read tcp 10.2.0.6:32774->10.2.64.25:8741: use of closed network connection"
+`
+		attempt := "  3.0 edge-1 ts=2026-01-01T00:00:08Z level=info event=attempt request=r-1 attempt=1 upstream=i-1 entry=4 status=0 after=0 took=0.4 error=\"5002 upstream_lost: "
+		Expect(tell(attempt+closed, "time over")).To(ContainSubstring("the router closed this connection itself: the request's time was over, or the caller had left"))
+		stalled := tell(attempt+"no progress: "+closed, "stalled")
+		Expect(stalled).To(ContainSubstring("the router closed this connection itself: the upstream made no progress"))
+		Expect(stalled).NotTo(ContainSubstring("the request's time was over"))
+		Expect(tell(attempt+"connection reset by peer\"\n", "reset")).NotTo(ContainSubstring("closed this connection itself"))
+	})
+
 	It("says so if the log knows nothing of it", func() {
 		_, err := explain.Read(strings.NewReader("nothing\n"), "r-1")
 		Expect(err).To(MatchError(explain.ErrNoRequest))
--- a/explain/sentences.go
+++ b/explain/sentences.go
@@ -8,6 +8,7 @@
 	"strconv"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/escrow"
 	"granitehoist.example/granitehoist/internal/event"
 )
 
@@ -34,6 +35,9 @@
 	if up, ok := box.upstreams[l.Get("upstream")]; ok && up.Event == event.UpstreamGone {
 		s.add(l, "  the upstream's entry had gone %s before", secondsBetween(up, l))
 	}
+	if closer := closedByRouter(l.Get("error")); closer != "" {
+		s.add(l, "  the router closed this connection itself: %s", closer)
+	}
 	if after := l.Number("after"); after > 0 {
 		s.add(l, "  the caller had events up to %.0f by then", after)
 	}
@@ -74,15 +78,23 @@
 // addBudgetCause tells why the request got no tokens: what the router owned, how
 // old its reading of the store was, and whether the store answered.
 func (s *Story) addBudgetCause(l *Line, box *boxState) {
+	if meaning := outcomeMeaning(l.Get("budget")); meaning != "" {
+		s.add(l, "  %s means that %s", l.Get("budget"), meaning)
+	}
 	s.add(l, "  the router owned %s free tokens; the store had %s left, as read %s before", l.Get("free"), l.Get("rest"), seconds(l.Number("rest_age")))
-	if silent := l.Number("silent"); silent > 0 {
+	silent := l.Number("silent")
+	if silent > 0 {
 		s.add(l, "  the store had not answered calls for the budgets for %s", seconds(silent))
 	}
-	if box.sync != nil {
+	if silent <= 0 && l.Get("budget") == escrow.Unreachable.String() {
+		s.add(l, "  no call for the budgets had failed yet, but none was answered in time either")
+		box.unreachable = l
+	}
+	if box.sync != nil && !readSince(box.sync, l) {
 		s.add(l, "  the last sync of the budgets failed %s before: %s", secondsBetween(box.sync, l), box.sync.Get("error"))
 	}
-	if box.store != nil && box.store.Event == event.StoreLost {
-		s.add(l, "  the store had not answered for %s: %s", secondsBetween(box.store, l), box.store.Get("error"))
+	if lost := box.longestLost(); lost != nil {
+		s.add(l, "  the store had not answered for %s: %s", secondsBetween(lost, l), lost.Get("error"))
 	}
 }
 
