--- a/explain/cause.go
+++ b/explain/cause.go
@@ -5,6 +5,7 @@
 
 import (
 	"net"
+	"strconv"
 	"strings"
 	"time"
 
@@ -43,6 +44,14 @@
 	return age > 0 && age < request.At-failure.At
 }
 
+// isLargerThanTotal decides whether a request was refused because it can cost more
+// than the whole prepaid total. Its budget was not asked then, and the line has
+// the outcome that stands for no question.
+func isLargerThanTotal(request *Line) bool {
+	exhausted := strconv.Itoa(int(granitehoist.BudgetExhausted))
+	return request.Get("code") == exhausted && request.Get("budget") == escrow.Granted.String()
+}
+
 // outcomeMeaning returns what an outcome of the budget says of its cause, empty
 // for one that this version does not know.
 func outcomeMeaning(outcome string) string {
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -73,6 +73,13 @@
 		Expect(text).To(ContainSubstring("withheld means that"))
 	})
 
+	It("does not call a request granted that is larger than the prepaid total", func() {
+		text := tell(`  9.0 edge-1 ts=2026-01-01T00:00:09Z level=info event=request request=r-1 code=3001 took=0.1 bound=9993 used=0 budget=granted free=0 rest=0 rest_age=0 silent=0
+`, "too large")
+		Expect(text).To(ContainSubstring("more than the whole prepaid total, so the budget was not asked"))
+		Expect(text).NotTo(ContainSubstring("the budget said granted"))
+	})
+
 	It("keeps the silence of each prefix apart", func() {
 		text := tell(`  5.0 edge-1 ts=2026-01-01T00:00:05Z level=warn event=store_lost prefix=op/ at=9 error="store: outcome unknown"
   5.5 edge-1 ts=2026-01-01T00:00:05Z level=warn event=store_lost prefix=servers/ at=9 error="store: outcome unknown"
--- a/explain/sentences.go
+++ b/explain/sentences.go
@@ -57,8 +57,12 @@
 	if box.config != nil && box.config.Get("version") != l.Get("config") {
 		s.add(l, "  configuration %s has come into force since", box.config.Get("version"))
 	}
-	if bound := l.Get("bound"); bound != "" {
-		s.add(l, "  it needed at most %s tokens; the budget said %s", bound, l.Get("budget"))
+	switch {
+	case l.Get("bound") == "":
+	case isLargerThanTotal(l):
+		s.add(l, "  it needed at most %s tokens, more than the whole prepaid total, so the budget was not asked", l.Get("bound"))
+	default:
+		s.add(l, "  it needed at most %s tokens; the budget said %s", l.Get("bound"), l.Get("budget"))
 	}
 	if used := l.Get("used"); used != "" {
 		s.add(l, "  it was charged %s tokens", used)
