--- a/ids.go
+++ b/ids.go
@@ -110,7 +110,7 @@
 // the budget, the request. Incarnations, numbers and hashes have no dots.
 const (
 	attemptSeparator = "."
-	attemptParts     = 4
+	attemptPartCount = 4
 	numberBase       = 36
 )
 
@@ -126,14 +126,28 @@
 	return strconv.FormatUint(xxhash.Sum64String(string(b)), numberBase)
 }
 
-// Parts returns the incarnation, the hash of the budget and the request of an
-// attempt, and false if the id is not of the form that NewAttemptID makes.
-func (a AttemptID) Parts() (i Incarnation, budgetHash string, r RequestID, ok bool) {
-	parts := strings.SplitN(string(a), attemptSeparator, attemptParts)
-	if len(parts) < attemptParts {
-		return "", "", "", false
+// AttemptParts is what an AttemptID says of its attempt.
+type AttemptParts struct {
+	// Incarnation made the attempt.
+	Incarnation Incarnation
+	// BudgetHash is the BudgetHash of the budget that pays for it.
+	BudgetHash string
+	// Request is the request that it serves.
+	Request RequestID
+}
+
+// Parts returns the parts of an attempt's id, and false if the id is not of the
+// form that NewAttemptID makes.
+func (a AttemptID) Parts() (AttemptParts, bool) {
+	parts := strings.SplitN(string(a), attemptSeparator, attemptPartCount)
+	if len(parts) < attemptPartCount {
+		return AttemptParts{}, false
 	}
-	return Incarnation(parts[0]), parts[2], RequestID(parts[3]), true
+	return AttemptParts{
+		Incarnation: Incarnation(parts[0]),
+		BudgetHash:  parts[2],
+		Request:     RequestID(parts[3]),
+	}, true
 }
 
 // AttemptPrefix is what the ids of all attempts of an incarnation begin with.
--- a/partner/orphan/charge.go
+++ b/partner/orphan/charge.go
@@ -42,15 +42,15 @@
 // names no budget in force: the id carries a hash only, so that nobody can be
 // charged once the documents have dropped the budget.
 func newCharge(a granitehoist.KnownAttempt, e engine, names budgetNames, now time.Time) (bill.Charge, bool) {
-	incarnation, hash, request, ok := a.ID.Parts()
-	if !ok || names[hash] == "" {
+	parts, ok := a.ID.Parts()
+	if !ok || names[parts.BudgetHash] == "" {
 		return bill.Charge{}, false
 	}
 	return bill.Charge{
-		Incarnation: incarnation,
-		Request:     request,
+		Incarnation: parts.Incarnation,
+		Request:     parts.Request,
 		Attempts:    []granitehoist.AttemptID{a.ID},
-		Budget:      names[hash],
+		Budget:      names[parts.BudgetHash],
 		Owner:       e.owner,
 		Service:     e.service,
 		Upstream:    e.Name,
