--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -5,10 +5,10 @@
 //
 // A Server owns its listener and the connections that it accepted. It keeps no
 // other state, relies on net/http alone, and is safe for concurrent use. It is
-// run by granitehoist-edge (package node). How a program drains at a stop is not
-// part of it, since the two programs differ there: node keeps its listeners open
-// and refuses what arrives until its requests have ended, partner/router closes
-// its listeners first.
+// run by both routers (packages node and partner/router) and by the stand-ins of
+// command granitehoist. The two routers drain differently: node keeps its
+// listeners open and refuses what arrives until its requests have ended, then
+// calls Close; partner/router calls Shutdown, which closes the listener first.
 //
 // Begin reading at New.
 package httpserver
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -4,6 +4,7 @@
 package httpserver
 
 import (
+	"context"
 	"errors"
 	"net"
 	"net/http"
@@ -18,7 +19,7 @@
 	// HeaderTimeout bounds the reading of a request's header; zero sets no bound.
 	HeaderTimeout time.Duration
 	// IdleTimeout bounds how long a connection stays open without a request;
-	// zero stands for HeaderTimeout.
+	// zero sets no bound.
 	IdleTimeout time.Duration
 	// HeaderBytes bounds a request's header in bytes; zero stands for the
 	// bound of net/http.
@@ -50,8 +51,8 @@
 	return &Server{http: server, listener: listener}
 }
 
-// Serve accepts connections until Close. It returns nil after Close, and the
-// listener's error if it fails before.
+// Serve accepts connections until Close or Shutdown. It returns nil after either,
+// and the listener's error if it fails before.
 func (s *Server) Serve() error {
 	err := s.http.Serve(s.listener)
 	if errors.Is(err, http.ErrServerClosed) || errors.Is(err, net.ErrClosed) {
@@ -60,6 +61,17 @@
 	return err
 }
 
+// Shutdown closes the listener and waits until the requests in progress have
+// ended. If ctx ends first it closes their connections and returns the context's
+// error.
+func (s *Server) Shutdown(ctx context.Context) error {
+	err := s.http.Shutdown(ctx)
+	// Connections that are still open belong to requests that ran out of time; if
+	// there are none, this only closes the listener of a server that never served.
+	s.Close()
+	return err
+}
+
 // Close closes the listener and all connections at once, requests in progress
 // included. A server that was closed before Serve accepts nothing.
 func (s *Server) Close() {
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -4,6 +4,8 @@
 package httpserver_test
 
 import (
+	"context"
+	"errors"
 	"net"
 	"net/http"
 	"testing"
@@ -39,7 +41,7 @@
 			t.Fatalf("Serve returned %v", err)
 		}
 	case <-time.After(patience):
-		t.Fatal("Serve goes on after Close")
+		t.Fatal("Serve goes on after its end")
 	}
 }
 
@@ -75,3 +77,92 @@
 		}
 	})
 }
+
+// request is a request in progress: its handler runs until release is closed.
+type request struct {
+	server  *httpserver.Server
+	served  <-chan error
+	address string
+	release chan struct{}
+	// answered gets nil if the answer arrived.
+	answered chan error
+}
+
+// begin starts a server and returns a request whose handler runs.
+func begin(t *testing.T) request {
+	t.Helper()
+	listener := listen(t)
+	r := request{address: listener.Addr().String(), release: make(chan struct{}), answered: make(chan error, 1)}
+	entered := make(chan struct{})
+	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
+		close(entered)
+		<-r.release
+	})
+	r.server = httpserver.New(httpserver.Settings{Handler: handler, Quiet: true}, listener)
+	r.served = serve(r.server)
+	go func() {
+		response, err := http.Get("http://" + r.address)
+		if err == nil {
+			err = response.Body.Close()
+		}
+		r.answered <- err
+	}()
+	select {
+	case <-entered:
+	case <-time.After(patience):
+		t.Fatal("the request did not reach its handler")
+	}
+	return r
+}
+
+// awaitClosed waits until an address takes no connection.
+func awaitClosed(t *testing.T, address string) {
+	t.Helper()
+	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		c, err := net.Dial("tcp", address)
+		if err != nil {
+			return
+		}
+		_ = c.Close() // only that it opened matters
+	}
+	t.Fatal("the address is still open")
+}
+
+// TestShutdown checks that a drain refuses connections, waits for requests and
+// cuts those that outlast its context.
+func TestShutdown(t *testing.T) {
+	t.Run("waits for requests with its listener closed", func(t *testing.T) {
+		r := begin(t)
+		drained := make(chan error, 1)
+		go func() { drained <- r.server.Shutdown(context.Background()) }()
+		awaitClosed(t, r.address)
+		close(r.release)
+		if err := <-r.answered; err != nil {
+			t.Fatalf("the request in progress ended with %v", err)
+		}
+		expectNil(t, drained)
+		expectNil(t, r.served)
+	})
+	t.Run("cuts requests when its context ends", func(t *testing.T) {
+		r := begin(t)
+		defer close(r.release)
+		ctx, cancel := context.WithCancel(context.Background())
+		cancel()
+		if err := r.server.Shutdown(ctx); !errors.Is(err, context.Canceled) {
+			t.Fatalf("Shutdown returned %v", err)
+		}
+		if err := <-r.answered; err == nil {
+			t.Fatal("the request in progress was answered")
+		}
+		expectNil(t, r.served)
+	})
+	t.Run("before Serve", func(t *testing.T) {
+		listener := listen(t)
+		server := httpserver.New(httpserver.Settings{}, listener)
+		if err := server.Shutdown(context.Background()); err != nil {
+			t.Fatal(err)
+		}
+		expectNil(t, serve(server))
+		awaitClosed(t, listener.Addr().String())
+	})
+}
--- a/partner/router/servers.go
+++ b/partner/router/servers.go
@@ -4,22 +4,20 @@
 package router
 
 import (
-	"errors"
-	"io"
 	"net"
 	"net/http"
 	"time"
 
 	"github.com/rotisserie/eris"
-	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist/fleet"
+	"granitehoist.example/granitehoist/internal/httpserver"
 	"granitehoist.example/granitehoist/partner/settings"
 )
 
 // servers answer callers, operators and other routers, each at its own address.
 type servers struct {
-	callers, admin *http.Server
+	callers, admin *httpserver.Server
 	peers          *fleet.Server
 
 	callersListener, adminListener, peersListener net.Listener
@@ -53,30 +51,28 @@
 
 // build makes the HTTP servers. readTimeout bounds the reading of headers.
 func (s *servers) build(callers, admin http.Handler, readTimeout time.Duration) {
-	s.callers = &http.Server{
-		Handler:           callers,
-		MaxHeaderBytes:    hardHeaderBytes,
-		ReadHeaderTimeout: readTimeout,
-		IdleTimeout:       callersIdleTimeout,
-		// What it would log are faults of single connections.
-		ErrorLog: zap.NewStdLog(zap.NewNop()),
-	}
-	s.admin = &http.Server{Handler: admin, ReadHeaderTimeout: readTimeout}
+	s.callers = httpserver.New(httpserver.Settings{
+		Handler:       callers,
+		HeaderBytes:   hardHeaderBytes,
+		HeaderTimeout: readTimeout,
+		IdleTimeout:   callersIdleTimeout,
+		Quiet:         true,
+	}, s.callersListener)
+	s.admin = httpserver.New(httpserver.Settings{Handler: admin, HeaderTimeout: readTimeout}, s.adminListener)
 }
 
-// close gives up the addresses of callers and operators, whether or not Start
-// has handed them to their servers, and ends all connections but the callers'.
-func (s *servers) close() {
-	discard(s.admin, s.callersListener, s.adminListener)
+// closeInternal ends what operators and other routers use. The callers' server
+// was closed before it.
+func (s *servers) closeInternal() {
+	s.admin.Close()
 	s.peers.Close()
 }
 
-// discard closes what is being given up.
-func discard(closers ...io.Closer) {
-	for _, c := range closers {
-		// The connections and listeners are not used any more, so that an error
-		// can't matter.
-		_ = c.Close()
+// discard closes listeners that took no connection.
+func discard(listeners ...net.Listener) {
+	for _, l := range listeners {
+		// Nothing is lost if this fails.
+		_ = l.Close()
 	}
 }
 
@@ -87,15 +83,15 @@
 }
 
 func (r *Router) serveCallers() {
-	r.serve("callers", r.servers.callers, r.servers.callersListener)
+	r.serve("callers", r.servers.callers)
 }
 
 func (r *Router) serveAdmin() {
-	r.serve("admin", r.servers.admin, r.servers.adminListener)
+	r.serve("admin", r.servers.admin)
 }
 
-func (r *Router) serve(event string, server *http.Server, listener net.Listener) {
-	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+func (r *Router) serve(event string, server *httpserver.Server) {
+	if err := server.Serve(); err != nil {
 		r.logFailure(event, err)
 	}
 }
--- a/partner/router/stop.go
+++ b/partner/router/stop.go
@@ -62,11 +62,7 @@
 // finishRequests waits for the requests in progress. If ctx ends first the
 // remaining ones are cut.
 func (r *Router) finishRequests(ctx context.Context) error {
-	err := r.servers.callers.Shutdown(ctx)
-	if err != nil {
-		discard(r.servers.callers)
-	}
-	return err
+	return r.servers.callers.Shutdown(ctx)
 }
 
 // Kill ends the router at once, as a crash would: nothing is given back and no
@@ -75,13 +71,14 @@
 	if r.cancel != nil {
 		r.cancel()
 	}
-	discard(r.servers.callers)
+	r.servers.callers.Close()
 	r.close()
 }
 
-// close ends what is left of the servers and waits for the loops.
+// close ends the other servers and waits for the loops. The callers' server is
+// closed by then.
 func (r *Router) close() {
-	r.servers.close()
+	r.servers.closeInternal()
 	r.parts.client.Close()
 	r.loops.Wait()
 }
