--- a/cmd/granitehoist/standin.go
+++ b/cmd/granitehoist/standin.go
@@ -5,12 +5,13 @@
 
 import (
 	"context"
-	"errors"
+	"net"
 	"net/http"
 	"time"
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"granitehoist.example/granitehoist/internal/httpserver"
 	"granitehoist.example/granitehoist/standin"
 )
 
@@ -50,13 +51,18 @@
 	return app.Command(name, "Run a stand-in of an outside system.")
 }
 
+// standinHeaderTimeout bounds the reading of a request's header at a stand-in.
+// Chosen, not measured.
+const standinHeaderTimeout = 10 * time.Second
+
 // serve serves a handler until ctx ends.
 func serve(ctx context.Context, listen string, h http.Handler) error {
-	server := &http.Server{Addr: listen, Handler: h, ReadHeaderTimeout: 10 * time.Second}
-	stopped := context.AfterFunc(ctx, func() { _ = server.Close() })
-	defer stopped()
-	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
+	listener, err := net.Listen("tcp", listen)
+	if err != nil {
 		return err
 	}
-	return nil
+	server := httpserver.New(httpserver.Settings{Handler: h, HeaderTimeout: standinHeaderTimeout}, listener)
+	stop := context.AfterFunc(ctx, server.Close)
+	defer stop()
+	return server.Serve()
 }
