--- a/partner/budget/stop.go
+++ b/partner/budget/stop.go
@@ -6,6 +6,8 @@
 import (
 	"context"
 	"time"
+
+	"granitehoist.example/granitehoist/internal/pause"
 )
 
 const (
@@ -31,9 +33,8 @@
 		if err = a.send(ctx, asks, SyncParams{Closing: true, Urgent: true}, now); err == nil {
 			return nil
 		}
-		select {
-		case <-time.After(closePause):
-		case <-ctx.Done():
+		pause.For(ctx, closePause)
+		if ctx.Err() != nil {
 			return err
 		}
 	}
--- a/partner/router/start.go
+++ b/partner/router/start.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"granitehoist.example/granitehoist/internal/pause"
 )
 
 // Start begins to serve callers and operators, and to follow the store.
@@ -46,9 +48,8 @@
 			return
 		}
 		r.logFailure("fleet_failed", err)
-		select {
-		case <-time.After(enrollPause):
-		case <-ctx.Done():
+		pause.For(ctx, enrollPause)
+		if ctx.Err() != nil {
 			return
 		}
 	}
--- a/partner/router/stop.go
+++ b/partner/router/stop.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"granitehoist.example/granitehoist/internal/pause"
 )
 
 // Stop ends the router without cutting a request. It makes the router unready
@@ -53,10 +55,7 @@
 
 // waitUnready gives balancers time to see that the router is not ready.
 func (r *Router) waitUnready(ctx context.Context) {
-	select {
-	case <-time.After(time.Duration(r.settings.Router.Limits.Unready)):
-	case <-ctx.Done():
-	}
+	pause.For(ctx, time.Duration(r.settings.Router.Limits.Unready))
 }
 
 // finishRequests waits for the requests in progress. If ctx ends first the
