--- a/standin/answering.go
+++ b/standin/answering.go
@@ -8,9 +8,9 @@
 	"fmt"
 	"net/http"
 	"strings"
-	"time"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/pause"
 	"granitehoist.example/granitehoist/partner/upstream"
 )
 
@@ -33,11 +33,7 @@
 		delay = a.engine.settings.FirstDelay
 	}
 	if delay > 0 {
-		select {
-		case <-time.After(delay):
-		case <-r.Context().Done():
-			return false
-		}
+		pause.For(r.Context(), delay)
 	}
 	return r.Context().Err() == nil && a.engine.produce(a.execution)
 }
--- a/standin/platformstore.go
+++ b/standin/platformstore.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/pause"
 )
 
 // PlatformStore serves the protocol of the users' store from a Store. Several
@@ -176,10 +177,7 @@
 		return
 	}
 	if faults.Deaf {
-		select {
-		case <-time.After(time.Duration(wait) * time.Millisecond):
-		case <-r.Context().Done():
-		}
+		pause.For(r.Context(), time.Duration(wait)*time.Millisecond)
 		panic(http.ErrAbortHandler)
 	}
 	entries, at, err := p.Store.Watch(r.Context(), query.Get("pathPrefix"), granitehoist.Version(since), time.Duration(wait)*time.Millisecond)
--- a/standin/storefaults.go
+++ b/standin/storefaults.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/pause"
 )
 
 // StoreFaults are the failures that a Store shows when a test or PUT /faults sets
@@ -61,11 +62,7 @@
 	s.mu.Lock()
 	if delay := s.faults.Delay; delay > 0 {
 		s.mu.Unlock()
-		select {
-		case <-time.After(delay):
-		case <-ctx.Done():
-			return granitehoist.ErrUnknown
-		}
+		pause.For(ctx, delay)
 		s.mu.Lock()
 	}
 	switch {
--- a/trial/run.go
+++ b/trial/run.go
@@ -13,6 +13,7 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist/internal/defaults"
+	"granitehoist.example/granitehoist/internal/pause"
 	"granitehoist.example/granitehoist/partner/bill"
 	"granitehoist.example/granitehoist/standin"
 )
@@ -104,8 +105,5 @@
 	key := Key("lock-kiosks")
 	fmt.Fprintf(s.Out, "address=http://%s key=%s model=%s service=booking-desk admin=http://%s\n", address, key, TuulModel, site.Routers[0].AdminAddress())
 	fmt.Fprintf(s.Out, "curl -sN http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' -d '{\"model\":\"%s\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}'\n", address, key, TuulModel)
-	select {
-	case <-ctx.Done():
-	case <-time.After(s.Hold):
-	}
+	pause.For(ctx, s.Hold)
 }
--- a/trial/site.go
+++ b/trial/site.go
@@ -20,6 +20,8 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/httpserver"
+	"granitehoist.example/granitehoist/internal/pause"
 	"granitehoist.example/granitehoist/partner/boxlist"
 	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/partner/router"
@@ -61,7 +63,7 @@
 	stops     stops
 	engines   []*standin.Engine
 	plain     []*standin.Plain
-	servers   []*http.Server
+	servers   []*httpserver.Server
 	documents map[granitehoist.Partner]*config.Document
 	keys      map[granitehoist.Partner]ed25519.PrivateKey
 	trust     []settings.Trust
@@ -107,16 +109,22 @@
 	return s, s.waitInForce(ctx, s.Routers...)
 }
 
+// standinHeaderTimeout bounds the reading of a request's header at a stand-in.
+// Chosen, not measured.
+const standinHeaderTimeout = time.Minute
+
 // serve starts a handler on a free loopback port and returns its URL.
 func (s *Site) serve(h http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", eris.Wrap(err, "trial: stand-in")
 	}
-	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute, ErrorLog: zap.NewStdLog(zap.NewNop())}
+	server := httpserver.New(httpserver.Settings{Handler: h, HeaderTimeout: standinHeaderTimeout, Quiet: true}, listener)
 	s.servers = append(s.servers, server)
-	// Serve ends with the listener, which Close closes.
-	go func() { _ = server.Serve(listener) }()
+	// Serve ends with the listener, which Close closes. If it fails before, the
+	// routers see a stand-in that refuses connections, and the trial's judge sees
+	// what became of the requests.
+	go func() { _ = server.Serve() }()
 	return "http://" + listener.Addr().String(), nil
 }
 
@@ -254,10 +262,9 @@
 func (s *Site) waitInForce(ctx context.Context, routers ...*router.Router) error {
 	for _, r := range routers {
 		for len(r.View().Serials()) < len(s.documents) {
-			select {
-			case <-ctx.Done():
+			pause.For(ctx, inForcePause)
+			if ctx.Err() != nil {
 				return eris.New("trial: the documents did not come into force")
-			case <-time.After(inForcePause):
 			}
 		}
 	}
@@ -281,8 +288,6 @@
 		r.Kill()
 	}
 	for _, server := range s.servers {
-		// The process or the test ends next; a listener that does not close
-		// changes no result.
-		_ = server.Close()
+		server.Close()
 	}
 }
