--- a/partner/config/config_test.go
+++ b/partner/config/config_test.go
@@ -256,6 +256,19 @@
 			Entry("down", standin.StoreFaults{Down: true}, granitehoist.StoreDown),
 		)
 
+		DescribeTable("reads back a write whose answer was lost",
+			func(faults readFaults, code granitehoist.Code, reads int) {
+				faults.Store = store
+				_, err := config.Apply(ctx, &faults, trust, tuul.sign(sound, 1, "c1", ""))
+				Expect(granitehoist.CodeOf(err)).To(Equal(code))
+				Expect(faults.reads).To(Equal(reads))
+			},
+			Entry("once if the read succeeds", readFaults{}, granitehoist.Served, 1),
+			Entry("once if the read shows that nothing was written", readFaults{dropWrite: true}, granitehoist.DocumentUnsettled, 1),
+			Entry("again if the read failed", readFaults{fails: 4}, granitehoist.Served, 5),
+			Entry("no more than five times", readFaults{fails: 5}, granitehoist.DocumentUnsettled, 5),
+		)
+
 		It("lets exactly one of many racing operators win each serial", func() {
 			results := make(chan error, 20)
 			for i := range cap(results) {
--- a/partner/config/follower.go
+++ b/partner/config/follower.go
@@ -7,6 +7,7 @@
 	"context"
 	"encoding/json"
 	"errors"
+	"fmt"
 	"sync/atomic"
 	"time"
 
@@ -123,8 +124,9 @@
 	return c, nil
 }
 
-// applyTries bounds how often a write whose answer was lost is looked for.
-const applyTries = 5
+// readBackTries bounds the reads after a write whose answer was lost, until one
+// succeeds. Chosen, not measured.
+const readBackTries = 5
 
 // Apply writes a signed document over the one that it names as previous. Its
 // errors are *Error: NotAuthorised, DocumentBad, DocumentConflict if another
@@ -160,20 +162,37 @@
 }
 
 // settle finds out whether a write that got no answer, or a conflict, took
-// effect.
+// effect. If the store still has the document before ours, that is not known: the
+// write may take effect seconds later (granitehoist.ErrUnknown), so that reading
+// it again at once would tell nothing more.
 func settle(ctx context.Context, s granitehoist.Store, ours Signed) error {
-	for range applyTries {
-		current, err := ReadCurrent(ctx, s, ours.Partner)
-		if err != nil {
-			continue
-		}
-		switch {
-		case current.Signed.ChangeID == ours.ChangeID, current.Signed.Previous == ours.ChangeID:
-			return nil
-		case current.Signed.Serial >= ours.Serial:
-			return conflict(current.Signed, ours)
+	current, err := readBack(ctx, s, ours.Partner)
+	switch {
+	case err != nil:
+		return unsettled(ours, err)
+	case current.Signed.ChangeID == ours.ChangeID, current.Signed.Previous == ours.ChangeID:
+		return nil
+	case current.Signed.Serial >= ours.Serial:
+		return conflict(current.Signed, ours)
+	}
+	return unsettled(ours, nil)
+}
+
+// readBack returns the result of the first read that succeeds, or the error of the
+// last of readBackTries.
+func readBack(ctx context.Context, s granitehoist.Store, p granitehoist.Partner) (Current, error) {
+	var current Current
+	var err error
+	for range readBackTries {
+		if current, err = ReadCurrent(ctx, s, p); err == nil {
+			return current, nil
 		}
-		break
 	}
-	return granitehoist.Errorf(granitehoist.DocumentUnsettled, "serial %d of partner %s", ours.Serial, ours.Partner)
+	return Current{}, err
+}
+
+// unsettled returns a DocumentUnsettled. cause is why the document could not be
+// read back, or nil.
+func unsettled(ours Signed, cause error) error {
+	return granitehoist.Wrap(granitehoist.DocumentUnsettled, cause, fmt.Sprintf("serial %d of partner %s", ours.Serial, ours.Partner))
 }
