--- a/codes.go
+++ b/codes.go
@@ -16,7 +16,8 @@
 // fleet itself, 70xx operators' documents. docs/CODES.md lists them.
 type Code int
 
-// The result codes.
+// The result codes. For the fate, HTTP status, advice and message of each see
+// codeTable, which docs/CODES.md repeats.
 const (
 	Served Code = 1
 
@@ -66,37 +67,55 @@
 // Fate says what is known about the execution of a request.
 type Fate string
 
-// The fates. NotRun is said only when no byte of the request can have
-// reached an upstream, or the upstream said that it did not run it.
 const (
-	NotRun     Fate = "not run"
-	Ran        Fate = "ran"
+	// NotRun is said only if no byte of the request can have reached an upstream,
+	// or the upstream said that it did not run it.
+	NotRun Fate = "not run"
+	// Ran says that an upstream ran the request.
+	Ran Fate = "ran"
+	// MayHaveRun says that the router can't know.
 	MayHaveRun Fate = "may have run"
 )
 
 // Advice tells the caller what to do next.
 type Advice string
 
-// The advice values.
 const (
-	AdviceNone   Advice = "none"
-	AdviceFix    Advice = "change the request"
-	AdviceLater  Advice = "retry later"
-	AdviceNow    Advice = "retry at once"
+	// AdviceNone says that nothing remains to be done.
+	AdviceNone Advice = "none"
+	// AdviceFix is for requests that would be refused again as they are.
+	AdviceFix Advice = "change the request"
+	// AdviceLater is for requests that did not run and may be served later.
+	AdviceLater Advice = "retry later"
+	// AdviceNow is for requests that did not run and that another router, or this
+	// one, may serve now.
+	AdviceNow Advice = "retry at once"
+	// AdviceSameID is for changes that are stored and not yet in force.
 	AdviceSameID Advice = "ask again with the same request id"
-	AdviceCheck  Advice = "check what happened before a retry"
+	// AdviceCheck is for requests that may have run: a retry may run them twice.
+	AdviceCheck Advice = "check what happened before a retry"
 )
 
 // CodeInfo describes a Code.
 type CodeInfo struct {
-	Code    Code
-	Name    string
-	Fate    Fate
-	Status  int
-	Advice  Advice
+	Code Code
+	// Name is the code's name in answers, logs and metrics.
+	Name string
+	// Fate is what the code says of the request's execution.
+	Fate Fate
+	// Status is the HTTP status of the answer.
+	Status int
+	// Advice is what the caller should do next.
+	Advice Advice
+	// Message is a sentence for callers, to which an Error adds its detail.
 	Message string
 }
 
+// statusCallerGone is customary for a client that closed its connection; net/http
+// has no name for it. It stands in logs only, as nobody is left to read it.
+const statusCallerGone = 499
+
+// codeTable is what callers are told of each code, by number. It does not change.
 var codeTable = []CodeInfo{
 	{Served, "served", Ran, http.StatusOK, AdviceNone, "the whole answer was given"},
 	{BadRequest, "bad_request", NotRun, http.StatusBadRequest, AdviceFix, "the request body can't be read"},
@@ -109,7 +128,7 @@
 	{BadHeader, "bad_header", NotRun, http.StatusBadRequest, AdviceFix, "a header has a wrong value"},
 	{NotFound, "not_found", NotRun, http.StatusNotFound, AdviceFix, "nothing is served under this path"},
 	{MethodNotAllowed, "method_not_allowed", NotRun, http.StatusMethodNotAllowed, AdviceFix, "this path does not take this method"},
-	{CallerGone, "caller_gone", MayHaveRun, 499, AdviceCheck, "the caller left before the answer was whole"},
+	{CallerGone, "caller_gone", MayHaveRun, statusCallerGone, AdviceCheck, "the caller left before the answer was whole"},
 	{DeadlineTooNear, "deadline", NotRun, http.StatusGatewayTimeout, AdviceLater, "the deadline passed before the request could start"},
 	{HeaderTooLarge, "header_too_large", NotRun, http.StatusRequestHeaderFieldsTooLarge, AdviceFix, "the headers are larger than the limit"},
 	{MissingKey, "missing_key", NotRun, http.StatusUnauthorized, AdviceFix, "no key was given"},
@@ -142,6 +161,7 @@
 	{DocumentUnsettled, "document_unsettled", MayHaveRun, http.StatusAccepted, AdviceCheck, "the store's answer was lost and could not be read back"},
 }
 
+// codeIndex is codeTable by code. It does not change.
 var codeIndex = func() map[Code]CodeInfo {
 	index := make(map[Code]CodeInfo, len(codeTable))
 	for _, info := range codeTable {
@@ -150,7 +170,8 @@
 	return index
 }()
 
-// Codes returns the table of all result codes, by number.
+// Codes returns the descriptions of all result codes, by number. The caller may
+// change the result.
 func Codes() []CodeInfo {
 	return append([]CodeInfo(nil), codeTable...)
 }
@@ -174,9 +195,10 @@
 	Code Code
 	// Detail says in plain words what was wrong in this case.
 	Detail string
-	// RetryAfter, if set, tells when a retry may succeed.
+	// RetryAfter, if above zero, is the time after which a retry may succeed.
 	RetryAfter time.Duration
-	// Cause is the error below, which is logged and never told to callers.
+	// Cause, if any, is the error that led to this one. It may be logged and is
+	// never told to callers.
 	Cause error
 }
 
@@ -185,8 +207,8 @@
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error with the given cause. The cause is not told to
-// callers.
+// Wrap returns an Error with a cause, which may be nil and is not told to callers.
+// detail may be empty.
 func Wrap(code Code, cause error, detail string) *Error {
 	return &Error{Code: code, Detail: detail, Cause: cause}
 }
--- a/ids.go
+++ b/ids.go
@@ -58,20 +58,32 @@
 // served first.
 type Priority int
 
-// The range of a Priority and the value given where nobody chose one.
+// The range of a Priority. The priority classes of the users' platform are 0 to 9
+// as well, but 0 is their most urgent; package platform turns them round.
 const (
-	MinPriority     Priority = 0
+	// MinPriority is served last.
+	MinPriority Priority = 0
+	// DefaultPriority is that of a request for which nobody chose one. Chosen, not
+	// measured.
 	DefaultPriority Priority = 5
-	MaxPriority     Priority = 9
+	// MaxPriority is served first.
+	MaxPriority Priority = 9
 )
 
 // BudgetID names a prepaid budget across the fleet, as
 // "partner/workspace/name".
 type BudgetID string
 
-const idSeparator = "/"
+const (
+	// idSeparator stands between the parts of a BudgetID. Partners and workspaces
+	// have none in their names.
+	idSeparator = "/"
+	// budgetPartCount is the number of parts of a BudgetID.
+	budgetPartCount = 3
+)
 
-// NewBudgetID returns the fleet-wide name of a workspace's budget.
+// NewBudgetID returns the fleet-wide name of a workspace's budget. name is unique
+// within the workspace.
 func NewBudgetID(p Partner, w Workspace, name string) BudgetID {
 	return BudgetID(string(p) + idSeparator + string(w) + idSeparator + name)
 }
@@ -89,8 +101,8 @@
 // Workspace returns the workspace that owns the budget, or "" if the id is
 // not of the form that NewBudgetID makes.
 func (b BudgetID) Workspace() Workspace {
-	parts := strings.SplitN(string(b), idSeparator, 3)
-	if len(parts) < 3 {
+	parts := strings.SplitN(string(b), idSeparator, budgetPartCount)
+	if len(parts) < budgetPartCount {
 		return ""
 	}
 	return Workspace(parts[1])
@@ -99,8 +111,8 @@
 // Name returns the budget's name within its workspace, or "" if the id is not
 // of the form that NewBudgetID makes.
 func (b BudgetID) Name() string {
-	parts := strings.SplitN(string(b), idSeparator, 3)
-	if len(parts) < 3 {
+	parts := strings.SplitN(string(b), idSeparator, budgetPartCount)
+	if len(parts) < budgetPartCount {
 		return ""
 	}
 	return parts[2]
@@ -110,18 +122,23 @@
 // the budget, the request. Incarnations, numbers and hashes have no dots.
 const (
 	attemptSeparator = "."
+	// attemptPartCount is the number of parts.
 	attemptPartCount = 4
-	numberBase       = 36
+	// numberBase writes numbers and hashes with digits and lower-case letters, the
+	// shortest form that strconv offers.
+	numberBase = 36
 )
 
-// NewAttemptID names the n-th attempt of an incarnation, so that an upstream's
-// record of it tells whom to charge even if the incarnation is gone.
+// NewAttemptID names the n-th attempt of an incarnation. An upstream's record of
+// the attempt therefore tells whom to charge, even after the incarnation has
+// ended. n must not repeat within an incarnation.
 func NewAttemptID(i Incarnation, n uint64, b BudgetID, r RequestID) AttemptID {
 	parts := []string{string(i), strconv.FormatUint(n, numberBase), BudgetHash(b), string(r)}
 	return AttemptID(strings.Join(parts, attemptSeparator))
 }
 
-// BudgetHash is the short name of a budget in an AttemptID.
+// BudgetHash returns the short name of a budget in an AttemptID: a hash of 64
+// bits, from which the budget can't be read back.
 func BudgetHash(b BudgetID) string {
 	return strconv.FormatUint(xxhash.Sum64String(string(b)), numberBase)
 }
@@ -150,13 +167,16 @@
 	}, true
 }
 
-// AttemptPrefix is what the ids of all attempts of an incarnation begin with.
+// AttemptPrefix returns what the ids of all attempts of an incarnation begin with.
 func AttemptPrefix(i Incarnation) string { return string(i) + attemptSeparator }
 
+// randomIDBytes is the random part of an identifier, 96 bits: two of them are not
+// expected to be equal in the life of a fleet. Chosen, not measured.
 const randomIDBytes = 12
 
-// NewID returns a random identifier with the given prefix, drawn from random.
-// It panics if random fails, since no safe identifier can be made then.
+// NewID returns a random identifier with the given prefix: randomIDBytes of random
+// as hexadecimal digits. It panics if random fails, since no safe identifier can be
+// made then. It is safe for concurrent use if random is, as crypto/rand.Reader is.
 func NewID(prefix string, random io.Reader) string {
 	var raw [randomIDBytes]byte
 	if _, err := io.ReadFull(random, raw[:]); err != nil {
--- a/store.go
+++ b/store.go
@@ -19,8 +19,10 @@
 
 // Entry is the state of one key.
 type Entry struct {
-	Key     string  `json:"key"`
-	Value   []byte  `json:"value,omitempty"`
+	Key string `json:"key"`
+	// Value has up to MaxValueSize bytes; nil if the key does not exist.
+	Value []byte `json:"value,omitempty"`
+	// Version is that of the key's last write; zero if the key does not exist.
 	Version Version `json:"version"`
 	// Deleted says that the key was deleted, with Version as the version of the
 	// deletion. Only Watch returns such entries.
@@ -29,7 +31,8 @@
 
 // Change is one conditional write.
 type Change struct {
-	Key   string `json:"key"`
+	Key string `json:"key"`
+	// Value is what the key gets, up to MaxValueSize bytes.
 	Value []byte `json:"value,omitempty"`
 	// Expect is the version that the key must have; zero says that it must not
 	// exist.
@@ -62,6 +65,7 @@
 // Conflict is an ErrConflict with the state that the key has instead, if the store
 // returned it.
 type Conflict struct {
+	// Current is the key's state when the write was refused.
 	Current Entry
 }
 
@@ -71,7 +75,7 @@
 // Unwrap returns ErrConflict.
 func (c *Conflict) Unwrap() error { return ErrConflict }
 
-// MaxValueSize is the largest value, in bytes, that the store keeps: the users'
+// MaxValueSize is the largest value that the store holds, in bytes: the users'
 // brief says up to a megabyte.
 const MaxValueSize = 1 << 20
 
@@ -105,9 +109,11 @@
 	RenewLease(ctx context.Context, id LeaseID) error
 }
 
-// Platform is the platform's list of boxes. It may be seconds old.
+// Platform is the platform's list of boxes. It may be seconds old. Implementations
+// are safe for concurrent use.
 type Platform interface {
 	// Boxes returns the listed boxes; the value is true for a box that is leaving.
+	// After an error nothing is known of any box.
 	Boxes(ctx context.Context) (map[Box]bool, error)
 }
 
@@ -119,10 +125,11 @@
 }
 
 // Caller sends one message to another router and waits for its reply.
+// Implementations are safe for concurrent use.
 type Caller interface {
-	// Call sends params as method and decodes the reply into result. Another
-	// incarnation that listens at the address refuses the call. After other errors
-	// the receiver may have acted.
+	// Call sends params as method and decodes the reply into result, a pointer.
+	// Another incarnation that listens at the address refuses the call, and has not
+	// acted then. After other errors the receiver may have acted.
 	Call(ctx context.Context, to Peer, method string, params, result any) error
 }
 
