--- a/ids.go
+++ b/ids.go
@@ -119,11 +119,12 @@
 }
 
 // Parts of an AttemptID, in their order: the incarnation, a number, the hash of
-// the budget, the request. Incarnations, numbers and hashes have no dots.
+// the budget, the request. Numbers and hashes have no dots; incarnations and
+// requests may.
 const (
 	attemptSeparator = "."
-	// attemptPartCount is the number of parts.
-	attemptPartCount = 4
+	// partsAfterIncarnation is the number of parts after the first.
+	partsAfterIncarnation = 3
 	// numberBase writes numbers and hashes with digits and lower-case letters, the
 	// shortest form that strconv offers.
 	numberBase = 36
@@ -145,26 +146,21 @@
 
 // AttemptParts is what an AttemptID says of its attempt.
 type AttemptParts struct {
-	// Incarnation made the attempt.
-	Incarnation Incarnation
 	// BudgetHash is the BudgetHash of the budget that pays for it.
 	BudgetHash string
 	// Request is the request that it serves.
 	Request RequestID
 }
 
-// Parts returns the parts of an attempt's id, and false if the id is not of the
-// form that NewAttemptID makes.
-func (a AttemptID) Parts() (AttemptParts, bool) {
-	parts := strings.SplitN(string(a), attemptSeparator, attemptPartCount)
-	if len(parts) < attemptPartCount {
+// Parts returns the parts of the id of an attempt of i, and false if the id is not
+// one that NewAttemptID makes for i.
+func (a AttemptID) Parts(i Incarnation) (AttemptParts, bool) {
+	remaining, ok := strings.CutPrefix(string(a), AttemptPrefix(i))
+	parts := strings.SplitN(remaining, attemptSeparator, partsAfterIncarnation)
+	if !ok || len(parts) < partsAfterIncarnation {
 		return AttemptParts{}, false
 	}
-	return AttemptParts{
-		Incarnation: Incarnation(parts[0]),
-		BudgetHash:  parts[2],
-		Request:     RequestID(parts[3]),
-	}, true
+	return AttemptParts{BudgetHash: parts[1], Request: RequestID(parts[2])}, true
 }
 
 // AttemptPrefix returns what the ids of all attempts of an incarnation begin with.
--- a/partner/orphan/charge.go
+++ b/partner/orphan/charge.go
@@ -4,8 +4,6 @@
 package orphan
 
 import (
-	"time"
-
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/partner/bill"
 )
@@ -38,24 +36,26 @@
 	return toCharge
 }
 
-// newCharge makes the charge of an attempt. It returns false if the attempt's id
-// names no budget in force: the id carries a hash only, so that nobody can be
-// charged once the documents have dropped the budget.
-func newCharge(a granitehoist.KnownAttempt, e engine, names budgetNames, now time.Time) (bill.Charge, bool) {
-	parts, ok := a.ID.Parts()
-	if !ok || names[parts.BudgetHash] == "" {
+// newCharge makes the charge of an attempt of the dead router. It returns false if
+// the attempt's id names no budget in force: the id carries a hash only, so that
+// nobody can be charged once the documents have dropped the budget.
+func (j *settlement) newCharge(a granitehoist.KnownAttempt, e engine) (bill.Charge, bool) {
+	dead := j.result.Incarnation
+	parts, ok := a.ID.Parts(dead)
+	budget := j.names[parts.BudgetHash]
+	if !ok || budget == "" {
 		return bill.Charge{}, false
 	}
 	return bill.Charge{
-		Incarnation: parts.Incarnation,
+		Incarnation: dead,
 		Request:     parts.Request,
 		Attempts:    []granitehoist.AttemptID{a.ID},
-		Budget:      names[parts.BudgetHash],
+		Budget:      budget,
 		Owner:       e.owner,
 		Service:     e.service,
 		Upstream:    e.Name,
 		Tokens:      a.Usage.Total(),
 		Orphan:      true,
-		At:          now,
+		At:          j.now,
 	}, true
 }
--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -113,7 +113,7 @@
 	case stillRunning:
 		job.result.Running++
 	case toCharge:
-		if c, ok := newCharge(a, e, job.names, job.now); ok {
+		if c, ok := job.newCharge(a, e); ok {
 			job.charges = append(job.charges, c)
 		}
 	case alreadyCharged, neverArrived:
--- a/partner/orphan/orphan_test.go
+++ b/partner/orphan/orphan_test.go
@@ -100,6 +100,19 @@
 		Expect(c.Owner).To(Equal(granitehoist.Partner("tuul")))
 	})
 
+	It("charges for a dead router whose box has dots in its name", func() {
+		const dotted = granitehoist.Incarnation("box-1.miraflores.example-1f")
+		cost := serve(granitehoist.NewAttemptID(dotted, 1, k, "request.1"))
+		result, err := settler.Settle(ctx, dotted, false, now)
+		Expect(err).NotTo(HaveOccurred())
+		Expect(result.Charged).To(Equal(1))
+		c := charges()[0]
+		Expect(c.Incarnation).To(Equal(dotted))
+		Expect(c.Budget).To(Equal(k))
+		Expect(c.Request).To(Equal(granitehoist.RequestID("request.1")))
+		Expect(c.Tokens).To(Equal(cost))
+	})
+
 	It("charges nothing for an attempt that was stopped before it arrived", func() {
 		_, ok := protocol.Stop(ctx, address, attempt(1))
 		Expect(ok).To(BeTrue())
