--- a/balance/balance.go
+++ b/balance/balance.go
@@ -9,7 +9,6 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/internal/defaults"
 )
 
 // Instance is one run of an upstream as it announced itself.
@@ -33,9 +32,6 @@
 type Settings struct {
 	// Zone is this router's own; of equal instances it prefers one there.
 	Zone granitehoist.AvailabilityZone
-	// Ejection is the duration of the first ejection of an instance that fails
-	// repeatedly; zero stands for DefaultEjection.
-	Ejection time.Duration
 	// Seed seeds the random choice among equals.
 	Seed uint64
 }
@@ -74,7 +70,6 @@
 
 // New returns an empty table.
 func New(s Settings) *Table {
-	defaults.Set(&s.Ejection, DefaultEjection)
 	return &Table{
 		settings:  s,
 		random:    rand.New(rand.NewPCG(s.Seed, 1)),
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -6,19 +6,19 @@
 import "time"
 
 const (
-	// DefaultEjection is the duration of an instance's first ejection. Chosen,
-	// not measured.
-	DefaultEjection = 400 * time.Millisecond
+	// firstEjection is the duration of an instance's first ejection. Chosen, not
+	// measured.
+	firstEjection = 400 * time.Millisecond
 	// maxEjection bounds an ejection. Chosen, not measured.
 	maxEjection = 4 * time.Second
 	// maxEjectionDoublings bounds the doublings, so that they can't overflow.
-	// The default reaches maxEjection with fewer. Chosen, not measured.
+	// firstEjection reaches maxEjection with fewer. Chosen, not measured.
 	maxEjectionDoublings = 5
 	// ejectAfterFailures is the number of broken attempts in a row from which on
 	// an instance is ejected: one can be chance. Chosen, not measured.
 	ejectAfterFailures = 2
 	// refusedDivisor makes the ejection after a refusal this part of the first
-	// ejection, 100 ms by default: a full instance soon has room again. Chosen,
+	// ejection, 100 ms: a full instance soon has room again. Chosen,
 	// not measured.
 	refusedDivisor = 4
 	// failureWeight is the weight of the newest attempt in the mean of failures:
--- a/balance/status.go
+++ b/balance/status.go
@@ -11,10 +11,6 @@
 // Status is the state of an instance in the table, for logs and metrics.
 type Status struct {
 	Instance
-	// InFlight is the number of this router's attempts in progress there.
-	InFlight int
-	// FailureRate is the mean of failures of its attempts, from 0 to 1.
-	FailureRate float64
 	// Ejected says that it is left out for failures or has lost its
 	// announcement.
 	Ejected bool
@@ -27,10 +23,8 @@
 	statuses := make([]Status, 0, len(t.instances))
 	for _, s := range t.instances {
 		statuses = append(statuses, Status{
-			Instance:    s.Instance,
-			InFlight:    s.inFlight,
-			FailureRate: s.failureRate,
-			Ejected:     s.ejected(now) || !s.removedAt.IsZero(),
+			Instance: s.Instance,
+			Ejected:  s.ejected(now) || !s.removedAt.IsZero(),
 		})
 	}
 	sort.Slice(statuses, func(i, j int) bool { return statuses[i].ID < statuses[j].ID })
