--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -36,8 +36,6 @@
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is that of the body in bytes, or -1 if the header does not tell it.
-	Length int64
 	// Framed is false if the body ends with the connection.
 	Framed   bool
 	body     io.Reader
@@ -84,7 +82,6 @@
 	return &Response{
 		Status: answer.StatusCode,
 		Header: answer.Header,
-		Length: answer.ContentLength,
 		Framed: framed,
 		body:   answer.Body,
 		end: func(complete bool) {
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -11,24 +11,11 @@
 	"syscall"
 	"time"
 
-	"granitehoist.example/granitehoist/internal/defaults"
 	"granitehoist.example/granitehoist/internal/linkmeter"
 )
 
 // Settings configure a Pool. The zero value works.
 type Settings struct {
-	// ConnectTimeout bounds the making of a connection; zero stands for
-	// DefaultConnectTimeout.
-	ConnectTimeout time.Duration
-	// SilenceTimeout is how long sent bytes may stay unacknowledged by the peer
-	// before its connection is given up; zero stands for DefaultSilenceTimeout.
-	SilenceTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept at most, and how long
-	// where the upstream does not report it; zero stands for DefaultIdleTimeout.
-	IdleTimeout time.Duration
-	// MaxIdlePerUpstream bounds the idle connections to one address; zero stands
-	// for DefaultMaxIdlePerUpstream.
-	MaxIdlePerUpstream int
 	// Meter, if set, counts the bytes of the connections.
 	Meter *linkmeter.Meter
 	// Opened, if set, is called for each new connection, by the goroutine that
@@ -36,18 +23,20 @@
 	Opened func()
 }
 
-// Defaults of Settings.
 const (
-	// DefaultConnectTimeout is chosen, not measured: an attempt that can't
-	// connect leaves time for another.
-	DefaultConnectTimeout = 400 * time.Millisecond
-	// DefaultSilenceTimeout is chosen, not measured.
-	DefaultSilenceTimeout = 1500 * time.Millisecond
-	// DefaultIdleTimeout is chosen, not measured.
-	DefaultIdleTimeout = 4 * time.Second
-	// DefaultMaxIdlePerUpstream is chosen, not measured. Upstreams bound the
-	// connections that they accept from all callers together.
-	DefaultMaxIdlePerUpstream = 16
+	// connectTimeout bounds the making of a connection. Chosen, not measured: an
+	// attempt that can't connect leaves time for another.
+	connectTimeout = 400 * time.Millisecond
+	// silenceTimeout is how long sent bytes may stay unacknowledged by the peer
+	// before its connection is given up. Chosen, not measured.
+	silenceTimeout = 1500 * time.Millisecond
+	// idleTimeout is how long an idle connection is kept at most, and how long
+	// where the upstream does not report it. Chosen, not measured.
+	idleTimeout = 4 * time.Second
+	// maxIdlePerUpstream bounds the idle connections to one address. Chosen, not
+	// measured. Upstreams bound the connections that they accept from all callers
+	// together.
+	maxIdlePerUpstream = 16
 )
 
 // Pool sends requests and keeps idle connections to upstreams. It is safe for
@@ -78,13 +67,9 @@
 
 // NewPool returns an empty pool.
 func NewPool(s Settings) *Pool {
-	defaults.Set(&s.ConnectTimeout, DefaultConnectTimeout)
-	defaults.Set(&s.SilenceTimeout, DefaultSilenceTimeout)
-	defaults.Set(&s.IdleTimeout, DefaultIdleTimeout)
-	defaults.Set(&s.MaxIdlePerUpstream, DefaultMaxIdlePerUpstream)
 	p := &Pool{settings: s, idle: map[string][]*conn{}}
 	p.dialer = net.Dialer{
-		Timeout: s.ConnectTimeout,
+		Timeout: connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
 			Idle:     probeInterval,
@@ -95,7 +80,7 @@
 			return raw.Control(func(fd uintptr) {
 				// Without the option a silent peer is only noticed later, by the
 				// keep-alive probes or the attempt's own deadline.
-				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(s.SilenceTimeout.Milliseconds()))
+				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silenceTimeout.Milliseconds()))
 			})
 		},
 	}
@@ -154,8 +139,8 @@
 func (p *Pool) put(c *conn, keepAlive time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.idle = newIdlePeriod(keepAlive, p.settings.IdleTimeout, now)
-	if len(p.idle[c.address]) >= p.settings.MaxIdlePerUpstream {
+	c.idle = newIdlePeriod(keepAlive, idleTimeout, now)
+	if len(p.idle[c.address]) >= maxIdlePerUpstream {
 		discard(c)
 		return
 	}
