--- a/catalog/document.go
+++ b/catalog/document.go
@@ -73,14 +73,10 @@
 
 // Service is a group of upstreams that offer the same thing.
 type Service struct {
-	Name       granitehoist.Service
-	HealthPath string
+	Name granitehoist.Service
 	// TokensPerEvent is the most tokens that one event of a stream holds; zero
 	// where events are not counted.
 	TokensPerEvent granitehoist.Tokens
-	// Capacity is the number of requests that an upstream runs at once; zero
-	// where the configuration says nothing.
-	Capacity int
 }
 
 // Workspace is a customer and its rights.
@@ -98,16 +94,12 @@
 }
 
 // Limits bound what callers send, as the configuration says; zero where it does
-// not. Only BodyBytes is in force: the servers of package node are made before a
-// configuration is known and have constants for the others.
+// not. Its limits of headers and idle connections are not here: the servers of
+// package node are made before a configuration is known and have constants for
+// them.
 type Limits struct {
-	// HeaderBytes bounds the header of a request, BodyBytes its body.
-	HeaderBytes int
-	BodyBytes   int64
-	// HeaderTimeout bounds the reading of a header.
-	HeaderTimeout time.Duration
-	// Idle is how long a caller's connection may be idle.
-	Idle time.Duration
+	// BodyBytes bounds the body of a request.
+	BodyBytes int64
 }
 
 // Document is a configuration as operators wrote it, decoded. Build checks it.
--- a/node/servers.go
+++ b/node/servers.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// headerTimeout bounds how long a client may take for a request's header
-	// while no configuration sets a shorter time (catalog limits). Chosen, not
-	// measured.
+	// headerTimeout bounds how long a client may take for a request's header. The
+	// configurations' own limit is not applied, since the servers are made before
+	// one is known. Chosen, not measured.
 	headerTimeout = 5 * time.Second
 	// idleTimeout is how long a connection may be idle. Callers use connections
 	// that were idle for up to four fifths of the configuration's limit (15 s on
