--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -12,7 +12,6 @@
 	"github.com/rotisserie/eris"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/internal/defaults"
 	"granitehoist.example/granitehoist/store"
 )
 
@@ -28,14 +27,11 @@
 type RegistrySettings struct {
 	Self  Member
 	Store granitehoist.Store
-	// TTL is how long an entry outlives its router; zero stands for
-	// DefaultTTL. It is renewed three times as often.
-	TTL time.Duration
 }
 
-// DefaultTTL bounds how long a dead router stays in the views of others. Chosen,
-// not measured: a shorter one costs more writes for renewals, a longer one leaves
-// roles with a dead router for longer.
+// DefaultTTL is how long an entry outlives its router, and so how long a dead
+// router stays in the views of others. Chosen, not measured: a shorter one costs
+// more writes for renewals, a longer one leaves roles with a dead router for longer.
 const DefaultTTL = 15 * time.Second
 
 // renewalsPerTTL is how often an entry is renewed within its TTL, so that two
@@ -68,7 +64,6 @@
 	if s.Store == nil || s.Self.Incarnation == "" {
 		panic("fleet: registry without store or incarnation")
 	}
-	defaults.Set(&s.TTL, DefaultTTL)
 	return &Registry{
 		settings:   s,
 		refreshing: make(chan struct{}, 1),
@@ -85,7 +80,7 @@
 }
 
 // Interval returns how often Refresh is to be called.
-func (r *Registry) Interval() time.Duration { return r.settings.TTL / renewalsPerTTL }
+func (r *Registry) Interval() time.Duration { return DefaultTTL / renewalsPerTTL }
 
 // Refresh renews the router's entry and reads the others'. A router is in the
 // view from its first entry until its lease ends or it removes the entry. The
@@ -129,7 +124,7 @@
 		return nil
 	}
 	if verdict == needsLease {
-		granted, err := r.settings.Store.GrantLease(ctx, r.settings.TTL)
+		granted, err := r.settings.Store.GrantLease(ctx, DefaultTTL)
 		if err != nil {
 			return err
 		}
--- a/partner/bill/sender.go
+++ b/partner/bill/sender.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/internal/defaults"
 	"granitehoist.example/granitehoist/internal/pack"
 )
 
@@ -20,13 +19,12 @@
 	// Holder returns the region's collector, and false if it is this router or
 	// none is known.
 	Holder func() (granitehoist.Peer, bool)
-	// Interval is the time between batches; zero stands for DefaultInterval.
-	Interval time.Duration
 	// Failed is told of errors; nil ignores them.
 	Failed func(error)
 }
 
-// DefaultInterval is the time between a box's batches.
+// DefaultInterval is the time between a box's batches. What a router that is
+// killed leaves unconfirmed is about as old. Chosen, not measured.
 const DefaultInterval = time.Second
 
 // Sender brings the charges of a Ledger into the store.
@@ -39,7 +37,6 @@
 	if s.Ledger == nil || s.Collector == nil || s.Caller == nil || s.Holder == nil {
 		panic("bill: sender lacks a setting")
 	}
-	defaults.Set(&s.Interval, DefaultInterval)
 	if s.Failed == nil {
 		s.Failed = func(error) {}
 	}
@@ -48,7 +45,7 @@
 
 // Run sends batches until ctx ends.
 func (s *Sender) Run(ctx context.Context) {
-	ticker := time.NewTicker(s.settings.Interval)
+	ticker := time.NewTicker(DefaultInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -14,6 +14,11 @@
 // not measured.
 const lendParts = 2
 
+// leastCover is how long a box's own demand is kept from other boxes that want to
+// borrow: three DefaultIntervals, since the lender goes on while a loan is under
+// way. Chosen, not measured.
+const leastCover = 3 * time.Second
+
 // Lend gives part of what is free to another box and returns the total ever
 // lent to it. A doubled message lends nothing more.
 func (p *Purse) Lend(b BorrowParams, now time.Time) BorrowResult {
@@ -21,7 +26,7 @@
 	defer p.mu.Unlock()
 	a := p.account(b.Budget)
 	total := a.lent[b.Incarnation]
-	more := min(b.Want-max(total, b.Known), a.lendable(p.split(b.Budget).LeastCover, now))
+	more := min(b.Want-max(total, b.Known), a.lendable(leastCover, now))
 	if more > 0 && b.Known >= total && b.Incarnation != p.incarnation && !p.closing {
 		if a.lent == nil {
 			a.lent = map[granitehoist.Incarnation]granitehoist.Tokens{}
--- a/partner/budget/split.go
+++ b/partner/budget/split.go
@@ -17,9 +17,6 @@
 	// Cover is how long a box's holding should last at its forecast. Zero
 	// stands for DefaultCover.
 	Cover time.Duration
-	// LeastCover is how long a box's own demand is kept from other boxes that
-	// want to borrow. Zero stands for DefaultLeastCover.
-	LeastCover time.Duration
 	// Share, from 0 to 1, bounds Cover near the end of a budget: a holding lasts
 	// for at most this part of the time for which the budget lasts at the
 	// forecast of all holders. Zero stands for DefaultShare.
@@ -33,9 +30,6 @@
 const (
 	// DefaultCover is for budgets without a weighting. Chosen, not measured.
 	DefaultCover = 30 * time.Minute
-	// DefaultLeastCover is three DefaultIntervals: while a loan is under way the
-	// lender goes on. Chosen, not measured.
-	DefaultLeastCover = 3 * time.Second
 	// DefaultShare is for budgets without a weighting. Chosen, not measured.
 	DefaultShare = 0.8
 	// DefaultWait leaves time for a few messages to the keeper. Chosen, not
@@ -85,7 +79,6 @@
 // withDefaults returns the split with its unset values filled in.
 func (s Split) withDefaults() Split {
 	defaults.Set(&s.Cover, DefaultCover)
-	defaults.Set(&s.LeastCover, DefaultLeastCover)
 	defaults.Set(&s.Share, DefaultShare)
 	defaults.Set(&s.Wait, DefaultWait)
 	return s
