--- a/partner/orphan/orphan_test.go
+++ b/partner/orphan/orphan_test.go
@@ -44,7 +44,7 @@
 	var engine *standin.Engine
 	var address string
 	var settler *orphan.Settler
-	protocol := upstream.NewEngine(upstream.Settings{})
+	protocol := upstream.NewEngine()
 	BeforeEach(func() {
 		keys = standin.NewStore(standin.StoreSettings{})
 		engine = standin.NewEngine(standin.EngineSettings{})
--- a/partner/router/build.go
+++ b/partner/router/build.go
@@ -24,7 +24,7 @@
 // build makes the parts, in the order in which they need each other, and
 // connects them.
 func (r *Router) build() {
-	engines := upstream.NewEngine(upstream.Settings{})
+	engines := upstream.NewEngine()
 	r.parts.client = fleet.NewClient(fleet.ClientSettings{})
 	r.buildStoreView()
 	r.buildBudget()
@@ -114,7 +114,7 @@
 		Table:       r.parts.table,
 		Protocols: map[config.Kind]granitehoist.Protocol{
 			config.KindEngine: engines,
-			config.KindPlain:  upstream.NewPlain(upstream.Settings{}),
+			config.KindPlain:  upstream.NewPlain(),
 		},
 		Clock:   s.Clock,
 		Random:  s.Random,
--- a/partner/upstream/engine.go
+++ b/partner/upstream/engine.go
@@ -31,7 +31,7 @@
 }
 
 // NewEngine returns the protocol.
-func NewEngine(s Settings) *Engine { return &Engine{sender: newSender(s)} }
+func NewEngine() *Engine { return &Engine{sender: newSender()} }
 
 // EngineUsage is the usage object of the protocol: the tokens of one request.
 type EngineUsage struct {
@@ -108,17 +108,17 @@
 	return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d", r.StatusCode)
 }
 
-// errTooLarge is the cause of an error for an answer above Settings.MaxAnswer.
+// errTooLarge is the cause of an error for an answer above maxAnswer.
 var errTooLarge = errors.New("upstream: the answer is too large")
 
 // passWhole checks an answer that is not a stream and passes it on. It passes on
 // nothing unless the answer is complete and belongs to the attempt.
 func (e *Engine) passWhole(r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, e.sender.settings.MaxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer+1))
 	if err != nil {
 		return granitehoist.Usage{}, granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
 	}
-	if int64(len(body)) > e.sender.settings.MaxAnswer {
+	if len(body) > maxAnswer {
 		return granitehoist.Usage{}, granitehoist.Wrap(granitehoist.UpstreamBadAnswer, errTooLarge, "")
 	}
 	var answer engineAnswer
--- a/partner/upstream/engineattempts.go
+++ b/partner/upstream/engineattempts.go
@@ -27,10 +27,10 @@
 }
 
 // Stop implements granitehoist.Protocol. It reports false if the engine does not
-// say within Settings.Stop what the attempt cost. The error of the call says no
+// say within lookupTimeout what the attempt cost. The error of the call says no
 // more to its caller, which then charges the bound of the request as an estimate.
 func (e *Engine) Stop(ctx context.Context, address string, attempt granitehoist.AttemptID) (granitehoist.Usage, bool) {
-	ctx, cancel := context.WithTimeout(ctx, e.sender.settings.Stop)
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	request, err := sling.New().Base(address).Post(PathCancel).BodyJSON(CancelRequest{ID: attempt}).Request()
 	if err != nil {
@@ -59,9 +59,9 @@
 }
 
 // List implements granitehoist.Protocol. The engine must answer within
-// Settings.Stop.
+// lookupTimeout.
 func (e *Engine) List(ctx context.Context, address, prefix string) ([]granitehoist.KnownAttempt, error) {
-	ctx, cancel := context.WithTimeout(ctx, e.sender.settings.Stop)
+	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	request, err := sling.New().Base(address).Get(PathAttempts).QueryStruct(AttemptQuery{Prefix: prefix}).Request()
 	if err != nil {
--- a/partner/upstream/plain.go
+++ b/partner/upstream/plain.go
@@ -23,7 +23,7 @@
 }
 
 // NewPlain returns the protocol.
-func NewPlain(s Settings) *Plain { return &Plain{sender: newSender(s)} }
+func NewPlain() *Plain { return &Plain{sender: newSender()} }
 
 // Do implements granitehoist.Protocol. Any status that the service answers is
 // the answer. Its errors are *granitehoist.Error with code UpstreamRefused, if the
@@ -35,11 +35,11 @@
 		return granitehoist.Usage{}, err
 	}
 	defer end()
-	body, err := io.ReadAll(io.LimitReader(response.Body, p.sender.settings.MaxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer+1))
 	if err != nil {
 		return granitehoist.Usage{}, granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
 	}
-	if int64(len(body)) > p.sender.settings.MaxAnswer {
+	if len(body) > maxAnswer {
 		return granitehoist.Usage{}, granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "the answer is too large")
 	}
 	header := CopyHeader(response.Header, HeaderAttempt)
--- a/partner/upstream/transport.go
+++ b/partner/upstream/transport.go
@@ -19,31 +19,21 @@
 
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/exchange"
-	"granitehoist.example/granitehoist/internal/defaults"
 )
 
 // HeaderAttempt carries the attempt id to an upstream and back.
 const HeaderAttempt = "X-Request-Id"
 
-// Settings configure a protocol. The zero value works.
-type Settings struct {
-	// Connect bounds the making of a connection; zero stands for one second.
-	Connect time.Duration
-	// Stop bounds a call of Stop or List; zero stands for one second.
-	Stop time.Duration
-	// MaxAnswer bounds the size of a whole answer in bytes; zero stands for
-	// 32 MiB.
-	MaxAnswer int64
-}
-
 const (
-	// defaultConnect is for a connection within a region. Chosen, not measured.
-	defaultConnect = time.Second
-	// defaultStop bounds calls that only look up an attempt. Chosen, not measured.
-	defaultStop = time.Second
-	// defaultMaxAnswer bounds what one request keeps in memory. Chosen, not
+	// connectTimeout bounds the making of a connection within a region. Chosen, not
 	// measured.
-	defaultMaxAnswer = 32 << 20
+	connectTimeout = time.Second
+	// lookupTimeout bounds a call of Stop or List, which only looks up attempts.
+	// Chosen, not measured.
+	lookupTimeout = time.Second
+	// maxAnswer bounds the size of a whole answer in bytes, and so what one request
+	// keeps in memory. Chosen, not measured.
+	maxAnswer = 32 << 20
 	// idlePerUpstream is twice config.DefaultConcurrency, so that a burst finds
 	// its connections made. Chosen, not measured.
 	idlePerUpstream = 64
@@ -52,27 +42,17 @@
 	idleTimeout = time.Minute
 )
 
-// withDefaults returns the settings with the unset ones filled in.
-func (s Settings) withDefaults() Settings {
-	defaults.Set(&s.Connect, defaultConnect)
-	defaults.Set(&s.Stop, defaultStop)
-	defaults.Set(&s.MaxAnswer, defaultMaxAnswer)
-	return s
-}
-
 // sender makes HTTP calls and tells whether a byte may have left the box. It is
 // safe for concurrent use.
 type sender struct {
-	settings Settings
 	// reusing reuses connections; fresh makes one for each call, since the
 	// standard library may send a call again on a reused connection.
 	reusing, fresh *http.Client
 }
 
 // newSender returns a sender that follows no redirect and asks for no encoding.
-func newSender(s Settings) *sender {
-	s = s.withDefaults()
-	dialer := &net.Dialer{Timeout: s.Connect}
+func newSender() *sender {
+	dialer := &net.Dialer{Timeout: connectTimeout}
 	client := func(alone bool) *http.Client {
 		return &http.Client{
 			Transport: &http.Transport{
@@ -85,7 +65,7 @@
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}
 	}
-	return &sender{settings: s, reusing: client(false), fresh: client(true)}
+	return &sender{reusing: client(false), fresh: client(true)}
 }
 
 // send sends a call once and returns the upstream's response. Its errors have
--- a/partner/upstream/upstream_test.go
+++ b/partner/upstream/upstream_test.go
@@ -77,7 +77,7 @@
 const finished = `data: {"id":"c-box-1.1","choices":[{"index":0,"delta":{"content":"x"},"finish_reason":"stop"}]}` + "\n\n"
 
 var _ = Describe("Engine", func() {
-	engine := upstream.NewEngine(upstream.Settings{})
+	engine := upstream.NewEngine()
 
 	for _, stream := range []bool{false, true} {
 		Context(fmt.Sprintf("with stream %t", stream), func() {
@@ -218,7 +218,7 @@
 })
 
 var _ = Describe("Plain", func() {
-	plain := upstream.NewPlain(upstream.Settings{})
+	plain := upstream.NewPlain()
 	once := func(address string) granitehoist.Call {
 		return granitehoist.Call{Attempt: "box-1.1", Address: address, Method: http.MethodPost, Path: "/permits?x=1", Header: http.Header{}, Body: []byte("b"), Once: true}
 	}
