--- a/cmd/granitehoist/main.go
+++ b/cmd/granitehoist/main.go
@@ -34,6 +34,8 @@
 // Error implements error.
 func (failed) Error() string { return "failed" }
 
+// main runs the chosen command until it ends or the process is told to stop by
+// SIGTERM or SIGINT. The exit status is 1 if the command returns an error.
 func main() {
 	app, commands := newApp(os.Stdout)
 	chosen, err := app.Parse(os.Args[1:])
--- a/cmd/granitehoist/router.go
+++ b/cmd/granitehoist/router.go
@@ -16,12 +16,15 @@
 	"granitehoist.example/granitehoist/platform"
 )
 
+// newRouter returns the command that runs a router.
 func newRouter(app *kingpin.Application) command {
 	clause := app.Command("router", "Run a router until it is told to stop by SIGTERM or SIGINT.")
 	file := clause.Flag("settings", "The router's settings file.").Required().String()
 	return command{clause, func(ctx context.Context) error { return runRouter(ctx, *file) }}
 }
 
+// runRouter starts a router, waits until ctx ends and stops it within the drain
+// limit of its settings.
 func runRouter(ctx context.Context, file string) error {
 	parsed, faults, err := settings.Load(file)
 	if err != nil {
@@ -69,10 +72,13 @@
 	storeIdleTime = time.Minute
 )
 
+// newStoreClient returns the connections that the store and the list of boxes
+// share.
 func newStoreClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: storeIdleConns, IdleConnTimeout: storeIdleTime}}
 }
 
+// newStore returns a client of the platform's store.
 func newStore(address string, client *http.Client) *platform.Store {
 	return platform.NewStore(platform.StoreSettings{
 		Address:    address,
--- a/cmd/granitehoist/standin.go
+++ b/cmd/granitehoist/standin.go
@@ -23,6 +23,7 @@
 	}}
 }
 
+// newStandinEngine returns the command that serves an engine with a pace of its own.
 func newStandinEngine(app *kingpin.Application) command {
 	clause := standinCommand(app).Command("engine", "Serve the stand-in of a model engine.")
 	listen := clause.Flag("listen", "Address.").Default("127.0.0.1:9001").String()
