--- a/cmd/granitehoist/standin.go
+++ b/cmd/granitehoist/standin.go
@@ -5,12 +5,13 @@
 
 import (
 	"context"
-	"errors"
+	"net"
 	"net/http"
 	"time"
 
 	"github.com/alecthomas/kingpin/v2"
 
+	"granitehoist.example/granitehoist/internal/httpserver"
 	"granitehoist.example/granitehoist/standin"
 )
 
@@ -22,6 +23,7 @@
 	}}
 }
 
+// newStandinEngine returns the command that serves an engine with a pace of its own.
 func newStandinEngine(app *kingpin.Application) command {
 	clause := standinCommand(app).Command("engine", "Serve the stand-in of a model engine.")
 	listen := clause.Flag("listen", "Address.").Default("127.0.0.1:9001").String()
@@ -50,14 +52,18 @@
 	return app.Command(name, "Run a stand-in of an outside system.")
 }
 
+// standinHeaderTimeout bounds the reading of a request's header at a stand-in.
+// Chosen, not measured.
+const standinHeaderTimeout = 10 * time.Second
+
 // serve serves a handler until ctx ends.
 func serve(ctx context.Context, listen string, h http.Handler) error {
-	server := &http.Server{Addr: listen, Handler: h, ReadHeaderTimeout: 10 * time.Second}
-	// The process ends after Close, so its error changes nothing.
-	stopped := context.AfterFunc(ctx, func() { _ = server.Close() })
-	defer stopped()
-	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
+	listener, err := net.Listen("tcp", listen)
+	if err != nil {
 		return err
 	}
-	return nil
+	server := httpserver.New(httpserver.Settings{Handler: h, HeaderTimeout: standinHeaderTimeout}, listener)
+	stop := context.AfterFunc(ctx, server.Close)
+	defer stop()
+	return server.Serve()
 }
--- a/partner/bill/sender.go
+++ b/partner/bill/sender.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/internal/defaults"
 	"granitehoist.example/granitehoist/internal/pack"
 )
 
@@ -20,8 +19,6 @@
 	// Holder returns the region's collector, and false if it is this router or
 	// there is none.
 	Holder func() (granitehoist.Peer, bool)
-	// Interval is the time between batches; zero stands for DefaultInterval.
-	Interval time.Duration
 	// Failed is called with each error; nil ignores them. The charges stay in the
 	// ledger and are sent again.
 	Failed func(error)
@@ -42,7 +39,6 @@
 	if s.Ledger == nil || s.Collector == nil || s.Caller == nil || s.Holder == nil {
 		panic("bill: sender lacks a setting")
 	}
-	defaults.Set(&s.Interval, DefaultInterval)
 	if s.Failed == nil {
 		s.Failed = func(error) {}
 	}
@@ -51,7 +47,7 @@
 
 // Run sends batches until ctx ends.
 func (s *Sender) Run(ctx context.Context) {
-	ticker := time.NewTicker(s.settings.Interval)
+	ticker := time.NewTicker(DefaultInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/partner/router/stop.go
+++ b/partner/router/stop.go
@@ -9,6 +9,8 @@
 	"time"
 
 	"go.uber.org/zap"
+
+	"granitehoist.example/granitehoist/internal/pause"
 )
 
 // Stop ends the router without cutting a request. It makes the router unready
@@ -53,20 +55,13 @@
 
 // waitUnready gives balancers time to see that the router is not ready.
 func (r *Router) waitUnready(ctx context.Context) {
-	select {
-	case <-time.After(time.Duration(r.settings.Router.Limits.Unready)):
-	case <-ctx.Done():
-	}
+	pause.For(ctx, time.Duration(r.settings.Router.Limits.Unready))
 }
 
 // finishRequests waits for the requests in progress. If ctx ends first the
 // remaining ones are cut.
 func (r *Router) finishRequests(ctx context.Context) error {
-	err := r.servers.callers.Shutdown(ctx)
-	if err != nil {
-		discard(r.servers.callers)
-	}
-	return err
+	return r.servers.callers.Shutdown(ctx)
 }
 
 // Kill ends the router at once, as a crash would: nothing is given back and no
@@ -75,13 +70,14 @@
 	if r.cancel != nil {
 		r.cancel()
 	}
-	discard(r.servers.callers)
+	r.servers.callers.Close()
 	r.close()
 }
 
-// close ends what is left of the servers and waits for the loops.
+// close ends the other servers and waits for the loops. The callers' server is
+// closed by then.
 func (r *Router) close() {
-	r.servers.close()
+	r.servers.closeInternal()
 	r.parts.client.Close()
 	r.loops.Wait()
 }
