--- /dev/null
+++ b/escrow/lenders.go
@@ -0,0 +1,42 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package escrow
+
+import (
+	"time"
+
+	"granitehoist.example/granitehoist"
+)
+
+// avoidTime is how long a neighbour that did not answer is left out.
+const avoidTime = 1500 * time.Millisecond
+
+// avoid leaves a neighbour out for a while.
+func (s *Syncer) avoid(lender granitehoist.Peer) {
+	s.avoiding.Lock()
+	defer s.avoiding.Unlock()
+	s.avoided[lender.Address] = s.settings.Clock().Add(avoidTime)
+}
+
+// lenders returns the neighbours that may lend, without those that did not
+// answer a short while ago unless all did not.
+func (s *Syncer) lenders() []granitehoist.Peer {
+	if s.settings.Lenders == nil {
+		return nil
+	}
+	all := s.settings.Lenders()
+	now := s.settings.Clock()
+	s.avoiding.Lock()
+	defer s.avoiding.Unlock()
+	var answering []granitehoist.Peer
+	for _, lender := range all {
+		if now.After(s.avoided[lender.Address]) {
+			answering = append(answering, lender)
+		}
+	}
+	if len(answering) == 0 {
+		return all
+	}
+	return answering
+}
--- a/escrow/repay.go
+++ b/escrow/repay.go
@@ -12,28 +12,8 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// MethodRepay gives tokens to a neighbour that did not ask for them.
-const MethodRepay = "escrow.repay"
-
-// RepayParams tells the sum of all that the giver has lent or given to the
-// receiver.
-type RepayParams struct {
-	Giver     granitehoist.Incarnation `json:"giver"`
-	Workspace granitehoist.Workspace   `json:"workspace"`
-	Total     granitehoist.Tokens      `json:"total"`
-}
-
-// repay takes tokens off what this ledger owns and tells what to say to the
-// receiver.
-func (l *Ledger) repay(to granitehoist.Incarnation, s surplus) RepayParams {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.account(s.workspace)
-	if give := min(s.tokens, a.owned.free()); give > 0 {
-		a.owned.lend(to, give)
-	}
-	return RepayParams{Giver: l.settings.Incarnation, Workspace: s.workspace, Total: a.owned.lent[to]}
-}
+// maxHandOverTries bounds the neighbours that are offered one workspace's tokens.
+const maxHandOverTries = 3
 
 // ServeRepay answers a neighbour's call of MethodRepay.
 func (s *Syncer) ServeRepay(_ context.Context, p RepayParams) (LendResult, error) {
@@ -73,9 +53,6 @@
 	}
 }
 
-// maxHandOverTries bounds the neighbours that are offered one workspace's tokens.
-const maxHandOverTries = 3
-
 // repayTo gives tokens back to a relay that is in touch with the store, and
 // reports whether it was one.
 func (s *Syncer) repayTo(ctx context.Context, to granitehoist.Peer, extra surplus) bool {
