--- a/escrow/borrow.go
+++ b/escrow/borrow.go
@@ -16,19 +16,15 @@
 )
 
 const (
-	// borrowAfter is how long a sync may take before neighbours are asked as well.
-	// Chosen, not measured (f7eef06).
-	borrowAfter = 20 * time.Millisecond
 	// maxLenders bounds the neighbours that are asked for one shortage. Chosen, not
 	// measured (e36d45a).
 	maxLenders = 12
-)
-
-// Bounds of asking relays.
-const (
+	// relaysAsked bounds the relays that are asked for one shortage or offered a
+	// repayment. Chosen, not measured (c1de361).
 	relaysAsked = 3
-	// relayWait is how long a relay waits for the store on behalf of a
-	// neighbour.
+	// relayWait is how long a relay waits for the store on behalf of a neighbour;
+	// it leaves most of the neighbour's lendTimeout to the network and to another
+	// relay. Chosen, not measured (c1de361).
 	relayWait = 45 * time.Millisecond
 )
 
@@ -38,11 +34,11 @@
 		return
 	}
 	for i, lender := range s.lenders() {
-		short := s.settings.Ledger.waitersLacks(s.settings.Clock())
-		if len(short) == 0 || i >= maxLenders || ctx.Err() != nil {
+		lacks := s.settings.Ledger.waitersLacks(s.settings.Clock())
+		if len(lacks) == 0 || i >= maxLenders || ctx.Err() != nil {
 			return
 		}
-		for _, missing := range short {
+		for _, missing := range lacks {
 			s.borrowFrom(ctx, lender, missing)
 		}
 	}
@@ -53,9 +49,14 @@
 func (s *Syncer) borrowFrom(ctx context.Context, lender granitehoist.Peer, missing shortage) bool {
 	ctx, cancel := context.WithTimeout(ctx, missing.timeout())
 	defer cancel()
-	params := LendParams{Borrower: s.settings.Ledger.settings.Incarnation, Workspace: missing.workspace, Need: missing.need, Want: missing.want, Rate: missing.rate, Idle: missing.idle}
+	params := LendParams{
+		Borrower: s.settings.Ledger.settings.Incarnation, Workspace: missing.workspace,
+		Need: missing.need, Want: missing.want, Rate: missing.rate, Idle: missing.idle,
+	}
 	var result LendResult
 	if err := s.settings.Caller.Call(ctx, lender, MethodLend, params, &result); err != nil {
+		// Nothing is lost: a loan whose reply was lost is in the next total. The
+		// lender is left out for a while and another one asked.
 		s.avoid(lender)
 		return false
 	}
@@ -63,21 +64,23 @@
 		s.settings.Ledger.noteRelayAnswer(s.settings.Clock())
 	}
 	if s.settings.Ledger.Borrowed(missing.workspace, lender.Incarnation, result, s.settings.Clock()) {
-		s.settings.Log.Info(event.BudgetLoan, zap.String("workspace", string(missing.workspace)), zap.String("lender", string(lender.Incarnation)), zap.Int64("total", int64(result.Total)))
+		s.settings.Log.Info(event.BudgetLoan,
+			zap.String("workspace", string(missing.workspace)), zap.String("lender", string(lender.Incarnation)),
+			zap.Int64("total", int64(result.Total)))
 	}
 	return result.InTouch
 }
 
-// replenish fills the holdings from relays, and reports whether they have done
-// what can be done: the record can't help either where a relay that knows it
-// does not.
-func (s *Syncer) replenish(ctx context.Context) bool {
-	low := s.settings.Ledger.lacks(s.settings.Routers(), s.settings.Clock())
+// askRelays fills the holdings from relays, for all workspaces at once, and says
+// whether they have done what can be done: where a relay that knows the record
+// does not help, the record can't either.
+func (s *Syncer) askRelays(ctx context.Context) relayAnswer {
+	lacks := s.settings.Ledger.lacks(s.settings.Routers(), s.settings.Clock())
 	lenders := s.lenders()
 	lenders = lenders[:min(len(lenders), relaysAsked)]
 	var unhelped atomic.Int32
 	var asking sync.WaitGroup
-	for _, missing := range low {
+	for _, missing := range lacks {
 		asking.Go(func() {
 			if !s.borrowFromAny(ctx, lenders, missing) {
 				unhelped.Add(1)
@@ -89,7 +92,10 @@
 	if !inTouch {
 		s.settings.Ledger.noteStoreFailure(s.settings.Clock())
 	}
-	return s.settings.Ledger.replenished(inTouch)
+	if s.settings.Ledger.replenished(inTouch) {
+		return relaysHelped
+	}
+	return relaysFailed
 }
 
 // borrowFromAny asks one lender after the other until nothing is missing or one
@@ -107,8 +113,10 @@
 	return false
 }
 
-// ServeLend answers a neighbour's call of MethodLend. A relay that owns too
-// little asks the store.
+// ServeLend answers a neighbour's call of MethodLend. A relay reserves what the
+// borrower wants as a request does, and so asks the store if it owns too little;
+// if that does not work out in relayWait, it lends what it has. A want below the
+// need counts as the need. The error is always nil.
 func (s *Syncer) ServeLend(ctx context.Context, p LendParams) (LendResult, error) {
 	p.Want = max(p.Want, p.Need)
 	if p.Need <= 0 || !s.settings.Serves() {
--- a/escrow/doc.go
+++ b/escrow/doc.go
@@ -2,18 +2,58 @@
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
 // Package escrow keeps prepaid tokens from being spent twice by routers that
-// share nothing but the platform's store.
+// share nothing but the platform's store. The edge router (granitehoist-edge) runs
+// it, one Ledger and one Syncer a process.
+//
+// # How it is safe
 //
 // A Record in the store holds, for each workspace and incarnation of a router,
 // the tokens that were ever granted to it and that it ever returned. A router
 // owns what its row grants, less what it returned and spent, and spends nothing
 // else. A request reserves the most that it can cost before an upstream hears
-// of it and is settled to what it got.
+// of it and is settled to its use.
 //
 // Rows only grow and each has one writer, so a write whose answer is lost needs
 // no repair: the next read shows whether it took effect, and a write that the
 // store performs later still has the version as its condition. What a router
 // owned when it died is never granted again: how much it had spent can't be
 // known. Grants are therefore a few seconds of the demand, and shrink with what
-// is left of the budget.
+// is left of the budget. Loans between routers are totals that only grow, so that
+// messages may be lost, doubled or late.
+//
+// # State
+//
+// Ledger.mu guards all that is owned and known of budgets: one account a
+// workspace, and the contact with the store. An account consists of
+//
+//   - owned, the only part that decides what may be spent; it states the
+//     conservation rule;
+//   - fleetView, what the record and lenders last said, with the time;
+//   - demand, the rates and sizes of requests;
+//   - ration, what may be spent of the last part of the budget.
+//
+// No call is made while Ledger.mu is held. Syncer.mu is held during a sync, calls
+// included; it guards the record last seen. A sync takes Ledger.mu within it, never
+// the other way around.
+//
+// # What it relies on
+//
+// The store's compare-and-swap on one key (granitehoist.Store), a clock that
+// passes at about the rate of time, and a Caller that reaches neighbours. A wrong
+// clock makes holdings too large or too small but never overspends. Prepaid
+// totals come from the configuration by Ledger.SetLimit, and the number of routers
+// and the neighbours from the fleet.
+//
+// # Where to begin reading
+//
+// Read owned.go, then ledger.go (reserve and settle), plan.go (what a sync grants
+// and returns), sync.go (how it is written), run.go and next.go (when). The rules
+// are functions of their inputs and the time, each in a file of its own with the
+// reasons for its numbers:
+//
+//   - what is admitted: admit.go, urgent.go, taper.go, wait.go;
+//   - where tokens are placed: target.go, exposure.go, refill.go, giveback.go,
+//     lend.go, surplus.go, shortage.go, due.go;
+//   - what is believed: contact.go, remaining.go;
+//   - what the syncer does: next.go, calltimeout.go.
 package escrow
--- a/escrow/export_test.go
+++ b/escrow/export_test.go
@@ -18,7 +18,7 @@
 }
 
 // Replenish and GiveBack do one step of a syncer that does not write the record.
-func Replenish(s *Syncer) { s.replenish(context.Background()) }
+func Replenish(s *Syncer) { s.askRelays(context.Background()) }
 
 // GiveBack gives back what the syncer's ledger holds beyond its needs.
 func GiveBack(s *Syncer) { s.returnSurplus(context.Background()) }
--- a/escrow/lenders.go
+++ b/escrow/lenders.go
@@ -9,7 +9,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// avoidTime is how long a neighbour that did not answer is left out.
+// avoidTime is how long a neighbour that did not answer is left out. Chosen, not
+// measured (c814f3e).
 const avoidTime = 1500 * time.Millisecond
 
 // avoid leaves a neighbour out for a while.
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -76,3 +76,10 @@
 	}
 	return RepayParams{Giver: l.settings.Incarnation, Workspace: s.workspace, Total: a.owned.lent[to]}
 }
+
+// report returns what a neighbour is told of its loans and of what is known here.
+func (l *Ledger) report(w granitehoist.Workspace, neighbour granitehoist.Incarnation, now time.Time) LendResult {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.lendResult(l.account(w), neighbour, now)
+}
--- a/escrow/repay.go
+++ b/escrow/repay.go
@@ -12,10 +12,13 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// maxHandOverTries bounds the neighbours that are offered one workspace's tokens.
+// maxHandOverTries bounds the neighbours that are offered one workspace's tokens at
+// a stop. Chosen, not measured (ed11c68).
 const maxHandOverTries = 3
 
-// ServeRepay answers a neighbour's call of MethodRepay.
+// ServeRepay answers a neighbour's call of MethodRepay. A total of zero only asks
+// whether this router would take tokens; ErrUnavailable says that it stops and
+// would not.
 func (s *Syncer) ServeRepay(_ context.Context, p RepayParams) (LendResult, error) {
 	now := s.settings.Clock()
 	if p.Total == 0 && s.settings.Ledger.isClosing() {
@@ -23,9 +26,7 @@
 		return LendResult{}, granitehoist.ErrUnavailable
 	}
 	s.settings.Ledger.Borrowed(p.Workspace, p.Giver, LendResult{Total: p.Total}, now)
-	s.settings.Ledger.mu.Lock()
-	defer s.settings.Ledger.mu.Unlock()
-	return s.settings.Ledger.lendResult(s.settings.Ledger.account(p.Workspace), p.Giver, now), nil
+	return s.settings.Ledger.report(p.Workspace, p.Giver, now), nil
 }
 
 // returnSurplus repays what is held beyond need to the first relay that takes it.
@@ -67,7 +68,8 @@
 func (s *Syncer) offer(ctx context.Context, to granitehoist.Peer, extra surplus, fits func(LendResult) bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, replenishTimeout)
 	defer cancel()
-	// A neighbour that can't be reached must not be given anything.
+	// A neighbour that can't be reached must not be given anything. Its error needs
+	// no handling: nothing has been given, and the next neighbour is asked.
 	ask := RepayParams{Giver: s.settings.Ledger.settings.Incarnation, Workspace: extra.workspace}
 	var result LendResult
 	if err := s.settings.Caller.Call(ctx, to, MethodRepay, ask, &result); err != nil || !fits(result) {
@@ -75,9 +77,13 @@
 	}
 	repayment := s.settings.Ledger.repay(to.Incarnation, extra)
 	if err := s.settings.Caller.Call(ctx, to, MethodRepay, repayment, &result); err != nil {
+		// The tokens may have arrived, so they are not taken back. The next message
+		// to this neighbour has a total that includes them.
 		s.settings.Log.Warn(event.BudgetSyncFailed, zap.Error(err))
 		return true
 	}
-	s.settings.Log.Info(event.BudgetRepaid, zap.String("workspace", string(extra.workspace)), zap.String("to", string(to.Incarnation)), zap.Int64("total", int64(repayment.Total)))
+	s.settings.Log.Info(event.BudgetRepaid,
+		zap.String("workspace", string(extra.workspace)), zap.String("to", string(to.Incarnation)),
+		zap.Int64("total", int64(repayment.Total)))
 	return true
 }
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -12,13 +12,21 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// Run syncs when requests wait or holdings are off, until ctx ends.
+const (
+	// gatherTime lets requests that arrive together share a sync. Chosen, not
+	// measured (a5ccbbc).
+	gatherTime = 3 * time.Millisecond
+	// borrowAfter is how long a sync may take before neighbours are asked as well.
+	// Chosen, not measured (f7eef06).
+	borrowAfter = 20 * time.Millisecond
+)
+
+// Run syncs when requests wait or holdings are off, until ctx ends. It is to be
+// called once.
 func (s *Syncer) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.settings.Interval)
 	defer ticker.Stop()
-	var retryAt time.Time
-	wait := failurePause
-	relayFailures := 0
+	memory := loopMemory{pause: failurePause}
 	for {
 		select {
 		case <-ctx.Done():
@@ -27,27 +35,59 @@
 			pause(ctx, gatherTime)
 		case <-ticker.C:
 		}
-		now := s.settings.Clock()
-		switch {
-		case !s.settings.Ledger.urgent() && !s.isDue(now):
-			if !s.settings.Writes() {
-				s.returnSurplus(ctx)
-			}
-		case !s.settings.Writes() && s.replenish(ctx):
-			relayFailures = 0
-			// What is left may be idle at others.
-			s.borrow(ctx)
-		case !s.settings.Writes() && relayFailures < relayFailureLimit:
-			relayFailures++
-		case now.Before(retryAt):
-			s.borrow(ctx)
-		case s.syncOrBorrow(ctx):
-			wait = failurePause
-		default:
-			retryAt = s.settings.Clock().Add(wait)
-			wait = min(2*wait, maxFailurePause)
-		}
+		s.runRound(ctx, &memory)
+	}
+}
+
+// loopMemory is what Run remembers from one round to the next.
+type loopMemory struct {
+	// retryAt is when a store that failed may be called again, and pause how long
+	// it will be left alone after its next failure.
+	retryAt time.Time
+	pause   time.Duration
+	// relayFailures counts the rounds in which relays failed since they last
+	// helped.
+	relayFailures int
+}
+
+// runRound gathers what a round decides from, and does what it decides.
+func (s *Syncer) runRound(ctx context.Context, m *loopMemory) {
+	now := s.settings.Clock()
+	r := round{
+		needed:        s.settings.Ledger.urgent() || s.isDue(now),
+		writes:        s.settings.Writes(),
+		relayFailures: m.relayFailures,
+		pausing:       now.Before(m.retryAt),
+	}
+	next := r.next()
+	if next == stepAskRelays {
+		r.relays = s.askRelays(ctx)
+		next = r.next()
+	}
+	if r.relays == relaysHelped {
+		m.relayFailures = 0
+	}
+	switch next {
+	case stepReturn:
+		s.returnSurplus(ctx)
+	case stepCountFailure:
+		m.relayFailures++
+	case stepBorrow:
+		s.borrow(ctx)
+	case stepSync:
+		m.synced(s.syncOrBorrow(ctx), s.settings.Clock())
+	case stepNothing, stepAskRelays:
+	}
+}
+
+// synced takes in whether a sync succeeded.
+func (m *loopMemory) synced(ok bool, now time.Time) {
+	if ok {
+		m.pause = failurePause
+		return
 	}
+	m.retryAt = now.Add(m.pause)
+	m.pause = longerPause(m.pause)
 }
 
 // isDue reports whether holdings are off enough to be worth a call.
@@ -58,8 +98,8 @@
 	return s.settings.Ledger.due(s.settings.Routers(), now)
 }
 
-// syncOrBorrow syncs, asks neighbours as well if that takes long, and reports
-// whether the store answered.
+// syncOrBorrow syncs, asks neighbours as well if that takes long or fails, and
+// reports whether the store answered.
 func (s *Syncer) syncOrBorrow(ctx context.Context) bool {
 	borrower := time.AfterFunc(borrowAfter, func() { s.borrow(ctx) })
 	err := s.Sync(ctx)
@@ -67,12 +107,14 @@
 		borrower.Stop()
 		return true
 	}
+	// A router that stops has ended the call itself: that is no fault of the store.
 	if ctx.Err() == nil {
 		s.settings.Log.Warn(event.BudgetSyncFailed, zap.Error(err))
 	}
 	return false
 }
 
+// pause waits for a time, or until ctx ends.
 func pause(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/escrow/sync.go
+++ b/escrow/sync.go
@@ -14,35 +14,28 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// Bounds of a sync's tries.
 const (
+	// conflictTries bounds the writes of one sync that lose to those of others.
+	// Chosen, not measured (a5ccbbc).
 	conflictTries = 8
-	failurePause  = 150 * time.Millisecond
-	// relayFailureLimit is how often in a row relays may fail to help before a router
-	// that is none goes to the record itself.
-	relayFailureLimit = 3
-	// maxFailurePause bounds the pause while the store fails for long.
-	maxFailurePause = 300 * time.Millisecond
-	// probeTimeout bounds the calls to a store that is silent, so that its return
-	// is soon seen: a call that was sent before would wait for its whole timeout.
-	probeTimeout = 400 * time.Millisecond
-	// fullTimeoutEvery is how often such a call gets its whole timeout all the same:
-	// the store may be slow.
-	fullTimeoutEvery = 4
-	// gatherTime lets requests that arrive together share a sync.
-	gatherTime = 3 * time.Millisecond
+	// conflictPause is by how much the pause before each further try is longer.
+	// Chosen, not measured (a5ccbbc).
+	conflictPause = time.Millisecond
 )
 
-// Sync enters what the ledger wishes into the record. It begins with the record
+// Sync enters what the ledger wants into the record. It begins with the record
 // as it was last seen: if that is no longer the newest, the store refuses the
-// write and tells the newest. An error leaves the ledger with what it is known
-// to own.
+// write and answers with the newest. An error leaves the ledger with what it is
+// known to own; after one whose outcome is unknown, the next sync reads whether
+// the write took effect. Errors are those of the store, ErrConflict after
+// conflictTries, or that the record can't be read or is too large. Calls of Sync
+// wait for each other.
 func (s *Syncer) Sync(ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	err := granitehoist.ErrConflict
 	for try := 0; try < conflictTries && errors.Is(err, granitehoist.ErrConflict); try++ {
-		pause(ctx, time.Duration(try)*time.Millisecond)
+		pause(ctx, time.Duration(try)*conflictPause)
 		err = s.try(ctx)
 	}
 	s.failures++
@@ -53,8 +46,10 @@
 	return err
 }
 
+// try makes one attempt of a sync with the record last seen, or the newest if none
+// was seen or it leaves nothing to write.
 func (s *Syncer) try(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, s.timeout())
+	ctx, cancel := context.WithTimeout(ctx, callTimeout(s.failures, s.lastEntry.Version != 0, s.settings.Timeout))
 	defer cancel()
 	fresh := !s.lastEntryValid
 	if fresh {
@@ -85,15 +80,6 @@
 	return nil
 }
 
-// timeout returns the time that the next calls have.
-func (s *Syncer) timeout() time.Duration {
-	first := s.failures == 0 && s.lastEntry.Version == 0
-	if s.failures%fullTimeoutEvery == 0 && !first {
-		return s.settings.Timeout
-	}
-	return min(probeTimeout, s.settings.Timeout)
-}
-
 // read reads the record from the store.
 func (s *Syncer) read(ctx context.Context) error {
 	entry, err := s.settings.Store.Get(ctx, RecordKey)
@@ -106,7 +92,7 @@
 	return nil
 }
 
-// plan enters the ledger's wishes into a copy of the record last seen.
+// plan enters what the ledger wants into a copy of the record last seen.
 func (s *Syncer) plan() (*Record, plan, error) {
 	record, err := DecodeRecord(s.lastEntry)
 	if err != nil {
@@ -135,6 +121,7 @@
 		s.lastEntry = conflict.Current
 		return err
 	case errors.Is(err, granitehoist.ErrConflict):
+		// The store answered without the newest record: it is read again.
 	default:
 		s.settings.Ledger.noteStoreFailure(s.settings.Clock())
 	}
--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -60,11 +60,10 @@
 	Synced func(error)
 }
 
-// Defaults of SyncerSettings.
-const (
-	DefaultInterval = 700 * time.Millisecond
-	DefaultTimeout  = 1500 * time.Millisecond
-)
+// DefaultInterval is how often the holdings are looked at. Measured (332eb91): with
+// 0.7 s the fleet makes fewer calls and earns as much, Tuul 0.938 and 0.969, Lima
+// 0.979.
+const DefaultInterval = 700 * time.Millisecond
 
 // NewSyncer returns a syncer. It panics if the settings lack the box, the
 // ledger or the store.
@@ -130,6 +129,7 @@
 }
 
 // handOverTimeout bounds what a closing router does after the store failed it.
+// Chosen, not measured (ed11c68).
 const handOverTimeout = 300 * time.Millisecond
 
 // Close returns what is free to the store, and to neighbours if the store does
