--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -22,8 +22,8 @@
 	return c
 }
 
-// urgent reports whether requests wait or a limit has changed.
-func (l *Ledger) urgent() bool {
+// mustSync reports whether requests wait or a limit has changed.
+func (l *Ledger) mustSync() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.accounts {
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -54,7 +54,7 @@
 func (s *Syncer) runRound(ctx context.Context, m *loopMemory) {
 	now := s.settings.Clock()
 	r := round{
-		needed:        s.settings.Ledger.urgent() || s.isDue(now),
+		needed:        s.settings.Ledger.mustSync() || s.isDue(now),
 		writes:        s.settings.Writes(),
 		relayFailures: m.relayFailures,
 		pausing:       now.Before(m.retryAt),
--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -101,11 +101,11 @@
 	return s.settings.Ledger.answer(w, outcome, s.settings.Clock())
 }
 
-func (s *Syncer) reserve(ctx context.Context, w granitehoist.Workspace, d claim) Outcome {
-	if s.settings.Ledger.reserve(w, d, s.settings.Clock()) {
+func (s *Syncer) reserve(ctx context.Context, w granitehoist.Workspace, c claim) Outcome {
+	if s.settings.Ledger.reserve(w, c, s.settings.Clock()) {
 		return Granted
 	}
-	entered := s.settings.Ledger.wait(w, d, s.settings.Clock())
+	entered := s.settings.Ledger.wait(w, c, s.settings.Clock())
 	s.Kick()
 	select {
 	case outcome := <-entered.outcome:
