--- a/escrow/account.go
+++ b/escrow/account.go
@@ -42,8 +42,8 @@
 // waiter is a request that waits for tokens.
 type waiter struct {
 	claim
-	// outcome gets the one outcome of the wait. It has room for it, so that
-	// whoever sends holds no lock for long.
+	// outcome gets the one outcome of the wait. It has room for it, so that the
+	// sender, who holds Ledger.mu, never blocks.
 	outcome chan Outcome
 }
 
--- a/escrow/demand.go
+++ b/escrow/demand.go
@@ -38,7 +38,7 @@
 }
 
 // meanWeight is the weight of the newest request in the mean of the bounds, which
-// so covers the last 20 requests or so. Chosen, not measured (7965447).
+// so covers the last 20 requests or so. Chosen, not measured (ae8d6e8).
 const meanWeight = 0.05
 
 // measure takes a request's bound and priority into what is known of requests.
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -16,23 +16,26 @@
 type Ledger struct {
 	settings LedgerSettings
 
+	// mu guards what follows. No call is made while it is held.
 	mu       sync.Mutex
 	accounts map[granitehoist.Workspace]*account
-	closing  bool
-	// began is when the first request came.
+	// closing says that everything free is to be returned.
+	closing bool
+	// began is when the first request of any workspace came, zero before.
 	began   time.Time
 	contact contact
 }
 
 // LedgerSettings configure a Ledger.
 type LedgerSettings struct {
+	// Incarnation names this run of the router. No other run may ever have it.
 	Incarnation granitehoist.Incarnation
 	// Cover is the time of spending at the present rate that a router holds
 	// tokens for; zero stands for DefaultCover.
 	Cover time.Duration
 }
 
-// Outcome tells how a reservation ended.
+// Outcome is how a reservation ended.
 type Outcome int
 
 // The outcomes.
@@ -55,12 +58,13 @@
 	return [...]string{"granted", "exhausted", "scarce", "withheld", "unreachable"}[o]
 }
 
-// Answer is what a request for tokens was told, and what was known then.
+// Answer is the outcome of a request for tokens, with what the router knew then.
 type Answer struct {
 	Outcome Outcome
-	// Free is what the router still owns, Rest what the store had left when it
-	// was last read, Age ago.
-	Free           granitehoist.Tokens
+	// Free is what a request could still reserve here.
+	Free granitehoist.Tokens
+	// StoreRemaining is what the store had left when the record was last read, Age
+	// ago; both are zero if it never was.
 	StoreRemaining granitehoist.Tokens
 	Age            time.Duration
 	// Silent is how long the store has not answered, zero if it does.
@@ -77,6 +81,8 @@
 	return &Ledger{settings: s, accounts: map[granitehoist.Workspace]*account{}}
 }
 
+// account returns the account of a workspace, making it if need be. The caller
+// holds mu.
 func (l *Ledger) account(w granitehoist.Workspace) *account {
 	a, ok := l.accounts[w]
 	if !ok {
@@ -86,8 +92,8 @@
 	return a
 }
 
-// SetLimit sets the prepaid total of a workspace. After a reduction nothing is
-// reserved until the record has been read under the new total.
+// SetLimit sets the prepaid total of a workspace, in tokens. After a reduction
+// nothing is reserved until the record has been read under the new total.
 func (l *Ledger) SetLimit(w granitehoist.Workspace, limit granitehoist.Tokens) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,9 +105,8 @@
 }
 
 // Reserve sets bound tokens aside, and reports whether the router owns that
-// many. While the store is silent, a part of what is left is reserved for
-// requests of a higher priority. Each success is to be followed by one Settle. It
-// panics if bound is negative.
+// many and the rules of admission allow it. Each success is to be followed by one
+// Settle. It panics if bound is negative.
 func (l *Ledger) Reserve(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) bool {
 	return l.reserve(w, claim{bound: bound, priority: priority}, now)
 }
@@ -124,7 +129,7 @@
 	return l.take(a, c, now)
 }
 
-// take reserves for a claim if admit allows it. The most that a request can cost
+// take reserves for a claim if admit allows it; the caller holds mu. The most that a request can cost
 // counts as demand until its use is known.
 func (l *Ledger) take(a *account, c claim, now time.Time) bool {
 	forUrgent := reservedForUrgent(c.priority, a.demand.highestPriority, a.lastTarget, outageLeft(l.contact.silentSince, now))
@@ -159,13 +164,14 @@
 	l.closing = true
 }
 
+// isClosing reports whether Close was called.
 func (l *Ledger) isClosing() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closing
 }
 
-// answer returns what is known of a workspace beside an outcome.
+// answer returns an outcome with what the router knows of the workspace.
 func (l *Ledger) answer(w granitehoist.Workspace, o Outcome, now time.Time) Answer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -183,10 +189,11 @@
 	Granted, Returned, Spent, Reserved granitehoist.Tokens
 	// Free is what a request may reserve.
 	Free granitehoist.Tokens
-	// StoreRemaining is what the store was last known to have left.
+	// StoreRemaining is what the store had left when the record was last read.
 	StoreRemaining granitehoist.Tokens
-	// ReadAt is when Rest was read.
-	ReadAt  time.Time
+	// ReadAt is when that was, zero if never.
+	ReadAt time.Time
+	// Waiting is the number of requests that wait for tokens.
 	Waiting int
 }
 
@@ -246,6 +253,8 @@
 	l.contact.noteNeighbourSilence(silence, now)
 }
 
+// mustNotBeNegative panics if an amount is negative: the caller is at fault, and
+// going on could create tokens.
 func mustNotBeNegative(t granitehoist.Tokens) {
 	if t < 0 {
 		panic("escrow: negative amount")
--- a/escrow/lend_test.go
+++ b/escrow/lend_test.go
@@ -4,6 +4,8 @@
 package escrow
 
 import (
+	"time"
+
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
@@ -65,3 +67,18 @@
 		Expect(shortage{}.timeout()).To(Equal(replenishTimeout))
 	})
 })
+
+var _ = Describe("The neighbours that are asked", func() {
+	near, far := granitehoist.Peer{Address: "near"}, granitehoist.Peer{Address: "far"}
+	all := []granitehoist.Peer{near, far}
+
+	It("are all that did answer of late, in their order", func() {
+		Expect(answering(all, nil, at)).To(Equal(all))
+		Expect(answering(all, map[string]time.Time{"near": at}, at)).To(Equal([]granitehoist.Peer{far}))
+		Expect(answering(all, map[string]time.Time{"near": ago(1)}, at)).To(Equal(all))
+	})
+
+	It("are all if none answered of late", func() {
+		Expect(answering(all, map[string]time.Time{"near": at, "far": at}, at)).To(Equal(all))
+	})
+})
--- a/escrow/lenders.go
+++ b/escrow/lenders.go
@@ -20,8 +20,8 @@
 	s.avoided[lender.Address] = s.settings.Clock().Add(avoidTime)
 }
 
-// lenders returns the neighbours that may lend, without those that did not
-// answer a short while ago unless all did not.
+// lenders returns the neighbours that may lend, the likeliest first, without those
+// that did not answer of late.
 func (s *Syncer) lenders() []granitehoist.Peer {
 	if s.settings.Lenders == nil {
 		return nil
@@ -30,9 +30,16 @@
 	now := s.settings.Clock()
 	s.avoiding.Lock()
 	defer s.avoiding.Unlock()
+	return answering(all, s.avoided, now)
+}
+
+// answering decides which neighbours are asked: those that are not left out, or
+// all if none would remain. avoided holds until when neighbours are left out, by
+// address.
+func answering(all []granitehoist.Peer, avoided map[string]time.Time, now time.Time) []granitehoist.Peer {
 	var answering []granitehoist.Peer
 	for _, lender := range all {
-		if now.After(s.avoided[lender.Address]) {
+		if now.After(avoided[lender.Address]) {
 			answering = append(answering, lender)
 		}
 	}
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -9,7 +9,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Lend serves a neighbour: it takes tokens off what this ledger owns.
+// Lend serves a borrower from what this ledger owns. A borrower that calls twice
+// gets two loans.
 func (l *Ledger) Lend(p LendParams, now time.Time) LendResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -22,7 +23,9 @@
 	return l.lendResult(a, p.Borrower, now)
 }
 
-// lendResult tells a borrower of its loans and of what is known here.
+// lendResult returns the reply to a borrower: the total of its loans and, if this
+// router is in touch with the store, what it knows of the budget. The caller holds
+// mu.
 func (l *Ledger) lendResult(a *account, borrower granitehoist.Incarnation, now time.Time) LendResult {
 	result := LendResult{Total: a.owned.lent[borrower]}
 	if !a.fleet.record.valid || !l.contact.isInTouch(now) {
@@ -45,7 +48,8 @@
 	return l.lendResult(a, p.Borrower, now)
 }
 
-// Borrowed takes in a lender's reply, and reports whether it brought tokens.
+// Borrowed takes in a lender's reply, and reports whether it brought tokens. A
+// reply that is late or doubled brings none.
 func (l *Ledger) Borrowed(w granitehoist.Workspace, lender granitehoist.Incarnation, r LendResult, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,8 +69,8 @@
 	return brought
 }
 
-// repay takes tokens off what this ledger owns and tells what to say to the
-// receiver.
+// repay deducts tokens from what this ledger owns and returns the message that
+// gives them to the receiver.
 func (l *Ledger) repay(to granitehoist.Incarnation, s surplus) RepayParams {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,7 +81,7 @@
 	return RepayParams{Giver: l.settings.Incarnation, Workspace: s.workspace, Total: a.owned.lent[to]}
 }
 
-// report returns what a neighbour is told of its loans and of what is known here.
+// report returns a reply to a neighbour without a new loan.
 func (l *Ledger) report(w granitehoist.Workspace, neighbour granitehoist.Incarnation, now time.Time) LendResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/messages.go
+++ b/escrow/messages.go
@@ -14,7 +14,7 @@
 type LendParams struct {
 	Borrower  granitehoist.Incarnation `json:"borrower"`
 	Workspace granitehoist.Workspace   `json:"workspace"`
-	// Need is what one request lacks, Want what would serve for a while.
+	// Need is what one request lacks, Want what would serve for a while, in tokens.
 	Need granitehoist.Tokens `json:"need"`
 	Want granitehoist.Tokens `json:"want"`
 	// Rate is what the borrower spends in tokens a second.
@@ -23,26 +23,32 @@
 	Idle granitehoist.Tokens `json:"idle,omitempty"`
 }
 
-// LendResult tells the sum of all loans of the lender to the borrower. It only
-// grows, so that a reply which is lost is made good by the next one.
+// LendResult is a lender's reply.
 type LendResult struct {
+	// Total is the sum of all loans of the lender to the borrower. It only grows,
+	// so that the next reply makes up for one that was lost.
 	Total granitehoist.Tokens `json:"total"`
-	// InTouch says that the store answered the lender a short while ago.
-	// The others then tell what it knows: what is left in the store, what is
-	// left there and idle anywhere, and what the fleet spends a second.
-	InTouch        bool                `json:"in_touch,omitempty"`
+	// InTouch says that the store answered the lender within inTouchTime. The
+	// fields below are zero without it.
+	InTouch bool `json:"in_touch,omitempty"`
+	// StoreRemaining is what the store had left when the lender last read the
+	// record.
 	StoreRemaining granitehoist.Tokens `json:"rest,omitempty"`
-	LeftAnywhere   granitehoist.Tokens `json:"left,omitempty"`
-	FleetRate      granitehoist.Tokens `json:"rate,omitempty"`
+	// LeftAnywhere is the same and what is idle at all routers but the borrower.
+	LeftAnywhere granitehoist.Tokens `json:"left,omitempty"`
+	// FleetRate is what the lender and its borrowers spend in tokens a second.
+	FleetRate granitehoist.Tokens `json:"rate,omitempty"`
 }
 
 // MethodRepay gives tokens to a neighbour that did not ask for them.
 const MethodRepay = "escrow.repay"
 
-// RepayParams tells the sum of all that the giver has lent or given to the
-// receiver.
+// RepayParams gives tokens to the receiver.
 type RepayParams struct {
 	Giver     granitehoist.Incarnation `json:"giver"`
 	Workspace granitehoist.Workspace   `json:"workspace"`
-	Total     granitehoist.Tokens      `json:"total"`
+	// Total is the sum of all that the giver has lent or given to the receiver. It
+	// only grows. Zero gives nothing and only asks whether the receiver would take
+	// tokens.
+	Total granitehoist.Tokens `json:"total"`
 }
--- a/escrow/rate.go
+++ b/escrow/rate.go
@@ -10,22 +10,30 @@
 	"granitehoist.example/granitehoist"
 )
 
-// rate estimates tokens a second by an exponentially weighted mean.
+// rate estimates tokens a second by an exponentially weighted mean over steps. The
+// zero value has seen nothing. Ledger.mu guards it.
 type rate struct {
+	// perSecond is the mean at the end of the last step.
 	perSecond float64
-	sum       float64
-	began     time.Time
+	// sum counts the tokens of the present step, which began at began.
+	sum   float64
+	began time.Time
 	// covered is the time that the mean covers, up to rateTime.
 	covered time.Duration
 }
 
-// Times of the estimate.
 const (
+	// rateStep is the least time that a step of the mean covers. Chosen, not
+	// measured (a5ccbbc).
 	rateStep = 500 * time.Millisecond
+	// rateTime is the time over which the mean forgets, and after which a router
+	// trusts its own view of the demand. Chosen, not measured (f7eef06).
 	rateTime = 5 * time.Second
 )
 
-// add counts tokens. watched is since when the absence of demand has been seen.
+// add counts tokens; what was reserved and not used is taken off by a negative
+// amount. watched is since when the router has seen requests of any workspace:
+// their absence in this one counts from then on. It may be zero.
 func (r *rate) add(t granitehoist.Tokens, watched, now time.Time) {
 	if r.began.IsZero() {
 		r.began = now
@@ -37,7 +45,7 @@
 	r.sum += float64(t)
 }
 
-// roll closes the steps that have passed since the first tokens were spent.
+// roll ends the present step if it has lasted for rateStep.
 func (r *rate) roll(now time.Time) {
 	if r.began.IsZero() {
 		return
@@ -46,8 +54,8 @@
 	if elapsed < rateStep {
 		return
 	}
-	// The first steps weigh as much as they are of what has been seen, so that
-	// the mean does not begin at zero.
+	// The first steps weigh as much as their part of the time covered so far, so
+	// that the mean does not begin at zero.
 	r.covered = min(rateTime, r.covered+elapsed)
 	weight := max(1-math.Exp(-elapsed.Seconds()/rateTime.Seconds()), min(1, elapsed.Seconds()/r.covered.Seconds()))
 	r.perSecond += (r.sum/elapsed.Seconds() - r.perSecond) * weight
@@ -55,6 +63,7 @@
 	r.began = now
 }
 
+// value returns the mean in tokens a second.
 func (r *rate) value(now time.Time) float64 {
 	r.roll(now)
 	return r.perSecond
--- a/escrow/record.go
+++ b/escrow/record.go
@@ -22,12 +22,12 @@
 	// Granted and Returned only grow.
 	Granted  granitehoist.Tokens `json:"g"`
 	Returned granitehoist.Tokens `json:"r,omitempty"`
-	// Spent and Idle are as the incarnation last told. They decide nothing but
-	// what callers are told and how grants are sized.
+	// Spent and Idle are as the incarnation last reported. They only decide what
+	// callers are answered and how large grants are, never what may be spent.
 	Spent granitehoist.Tokens `json:"s,omitempty"`
 	Idle  granitehoist.Tokens `json:"i,omitempty"`
-	// Rate is what the incarnation and its borrowers spend in tokens a second,
-	// as it last told.
+	// Rate is what the incarnation and its borrowers spend in tokens a second, as
+	// it last reported.
 	Rate granitehoist.Tokens `json:"v,omitempty"`
 }
 
@@ -36,7 +36,7 @@
 
 // Account is the record of one workspace.
 type Account struct {
-	// Folded is the sum of the rows of incarnations that are gone.
+	// Folded is the sum of the rows of incarnations that have ended.
 	Folded granitehoist.Tokens              `json:"f,omitempty"`
 	Rows   map[granitehoist.Incarnation]Row `json:"rows,omitempty"`
 }
@@ -50,7 +50,7 @@
 	return taken
 }
 
-// IdleElsewhere returns what other incarnations last told to be idle.
+// IdleElsewhere returns what other incarnations last reported to be idle.
 func (a *Account) IdleElsewhere(self granitehoist.Incarnation) granitehoist.Tokens {
 	var idle granitehoist.Tokens
 	for incarnation, row := range a.Rows {
@@ -61,7 +61,8 @@
 	return idle
 }
 
-// rateElsewhere returns what other incarnations last told to spend.
+// rateElsewhere returns what other incarnations last reported to spend, in tokens
+// a second.
 func (a *Account) rateElsewhere(self granitehoist.Incarnation) granitehoist.Tokens {
 	var sum granitehoist.Tokens
 	for incarnation, row := range a.Rows {
@@ -81,7 +82,7 @@
 }
 
 // DecodeRecord reads a stored record. A key that does not exist is an empty
-// record.
+// record. The error says that the value is not a record or has another format.
 func DecodeRecord(e granitehoist.Entry) (*Record, error) {
 	r := &Record{Format: recordFormat}
 	if e.Version != 0 {
@@ -101,7 +102,8 @@
 	return r, nil
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form. The error says that it is larger than
+// granitehoist.MaxValueSize.
 func (r *Record) Encode() ([]byte, error) {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -114,14 +116,14 @@
 }
 
 // Enter makes an incarnation the present one of its box. The rows of the one
-// before it are folded: a box runs one router at a time, so that one is gone.
+// before it are folded: a box runs one router at a time, so that one has ended.
 func (r *Record) Enter(box granitehoist.Box, incarnation granitehoist.Incarnation) {
-	before, known := r.Boxes[box]
-	if known && before == incarnation {
+	before, found := r.Boxes[box]
+	if found && before == incarnation {
 		return
 	}
 	r.Boxes[box] = incarnation
-	if !known {
+	if !found {
 		return
 	}
 	for _, account := range r.Accounts {
--- a/escrow/remaining.go
+++ b/escrow/remaining.go
@@ -41,8 +41,8 @@
 	valid bool
 }
 
-// remainingFresh is how long what is known to remain of a budget is good enough
-// to refuse a request by it at once. Chosen, not measured (a5ccbbc); it is a
+// remainingFresh is how long what a source says to remain is good enough
+// to refuse a request by it at once. Chosen, not measured (7965447); it is a
 // little more than DefaultInterval, the time between two looks at the holdings.
 const remainingFresh = 800 * time.Millisecond
 
--- a/escrow/repay.go
+++ b/escrow/repay.go
@@ -42,7 +42,7 @@
 }
 
 // handOver gives what is free to neighbours when the router stops and the store
-// does not take it back. They may spend it, and return it later.
+// does not take it back. They may spend it, and return it when the store answers.
 func (s *Syncer) handOver(ctx context.Context) {
 	lenders := s.lenders()
 	for i, free := range s.settings.Ledger.surpluses(s.settings.Routers(), s.settings.Clock()) {
@@ -60,11 +60,14 @@
 	return s.offer(ctx, to, extra, func(r LendResult) bool { return r.InTouch })
 }
 
-// giveTo gives tokens to any neighbour that answers, and reports whether it did.
+// giveTo gives tokens to any neighbour that answers, and reports whether it
+// answered.
 func (s *Syncer) giveTo(ctx context.Context, to granitehoist.Peer, extra surplus) bool {
 	return s.offer(ctx, to, extra, func(LendResult) bool { return true })
 }
 
+// offer gives tokens to a neighbour in two calls: the first asks for a reply that
+// fits, the second gives. It reports whether the tokens have been deducted here.
 func (s *Syncer) offer(ctx context.Context, to granitehoist.Peer, extra surplus, fits func(LendResult) bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, replenishTimeout)
 	defer cancel()
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -53,9 +53,10 @@
 // runRound gathers what a round decides from, and does what it decides.
 func (s *Syncer) runRound(ctx context.Context, m *loopMemory) {
 	now := s.settings.Clock()
+	writes := s.settings.Writes()
 	r := round{
-		needed:        s.settings.Ledger.mustSync() || s.isDue(now),
-		writes:        s.settings.Writes(),
+		needed:        s.settings.Ledger.mustSync() || s.isDue(writes, now),
+		writes:        writes,
 		relayFailures: m.relayFailures,
 		pausing:       now.Before(m.retryAt),
 	}
@@ -90,12 +91,13 @@
 	m.pause = longerPause(m.pause)
 }
 
-// isDue reports whether holdings are off enough to be worth a call.
-func (s *Syncer) isDue(now time.Time) bool {
-	if !s.settings.Writes() {
-		return len(s.settings.Ledger.lacks(s.settings.Routers(), now)) > 0
+// isDue reports whether holdings are off enough to be worth a call to the store,
+// or to relays if this router does not write the record.
+func (s *Syncer) isDue(writes bool, now time.Time) bool {
+	if writes {
+		return s.settings.Ledger.due(s.settings.Routers(), now)
 	}
-	return s.settings.Ledger.due(s.settings.Routers(), now)
+	return len(s.settings.Ledger.lacks(s.settings.Routers(), now)) > 0
 }
 
 // syncOrBorrow syncs, asks neighbours as well if that takes long or fails, and
--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -19,15 +19,17 @@
 	settings SyncerSettings
 	kick     chan struct{}
 
-	// mu is held during a sync. seen is the record as it last was in the store
-	// if seenKnown is set. failures counts the syncs that failed in a row.
-	mu             sync.Mutex
+	// mu is held during a sync, its calls included, and guards what follows.
+	mu sync.Mutex
+	// lastEntry is the record as it last was in the store, if lastEntryValid is
+	// set: after a write of unknown outcome it has to be read again.
 	lastEntry      granitehoist.Entry
 	lastEntryValid bool
-	failures       int
+	// failures counts the syncs that the store failed in a row.
+	failures int
 
-	// avoided holds until when neighbours that did not answer are left out, by
-	// address.
+	// avoiding guards avoided: until when neighbours that did not answer are left
+	// out, by address.
 	avoiding sync.Mutex
 	avoided  map[string]time.Time
 }
@@ -56,7 +58,8 @@
 	Timeout time.Duration
 	Clock   granitehoist.Clock
 	Log     *zap.Logger
-	// Synced, if set, is told the result of each sync.
+	// Synced, if set, is called with the result of each sync. It must not call the
+	// syncer.
 	Synced func(error)
 }
 
@@ -94,13 +97,14 @@
 	return &Syncer{settings: s, kick: make(chan struct{}, 1), avoided: map[string]time.Time{}}
 }
 
-// Reserve sets bound tokens of a workspace aside, waiting for a sync until ctx
-// ends if the router owns too few.
+// Reserve sets bound tokens of a workspace aside. If the router owns too few it
+// waits for a sync or a loan, until ctx ends.
 func (s *Syncer) Reserve(ctx context.Context, w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority) Answer {
 	outcome := s.reserve(ctx, w, claim{bound: bound, priority: priority})
 	return s.settings.Ledger.answer(w, outcome, s.settings.Clock())
 }
 
+// reserve is Reserve for a claim of any kind.
 func (s *Syncer) reserve(ctx context.Context, w granitehoist.Workspace, c claim) Outcome {
 	if s.settings.Ledger.reserve(w, c, s.settings.Clock()) {
 		return Granted
@@ -132,8 +136,12 @@
 // Chosen, not measured (ed11c68).
 const handOverTimeout = 300 * time.Millisecond
 
-// Close returns what is free to the store, and to neighbours if the store does
-// not take it. Nothing can be reserved afterwards but what comes free.
+// Close returns what is free to the store, or hands it over to neighbours if the
+// store does not take it: at once while the store is silent, as there is little
+// time. After a write of unknown outcome the tokens are already deducted, and
+// nothing is left to hand over. Only tokens that come free afterwards can still
+// be reserved. The error is that of the store; tokens that were handed over are
+// not lost though there is one.
 func (s *Syncer) Close(ctx context.Context) error {
 	s.settings.Ledger.Close()
 	err := error(granitehoist.ErrUnavailable)
--- a/escrow/taper.go
+++ b/escrow/taper.go
@@ -14,8 +14,8 @@
 // hunt-3e01-71, where large requests took what was left).
 const (
 	// taperBelow is the part of the prepaid total under which large requests are
-	// withheld. Measured: 0.02 earned no more and broke the rule
-	// (docs/PERFORMANCE.md); 0.08 was the first value (7965447).
+	// withheld. Measured: 0.02 earned about the same in trials and was not kept, for
+	// that rule (docs/PERFORMANCE.md); 0.08 was the first value (7965447).
 	taperBelow = 0.06
 	// taperShare is the part of what is left that one request may take. Measured:
 	// an eighth left 5 % of a small budget unspent (7965447).
--- a/escrow/wait.go
+++ b/escrow/wait.go
@@ -48,10 +48,10 @@
 	return waitVerdict{ends: true, outcome: Scarce}
 }
 
-// judgeTimeout decides what a request is told whose wait nothing ended in time.
-// lastAnswer is when the store, or a lender in touch with it, last answered: if it
-// has answered of late, the tokens are scarce; otherwise nobody could ask for
-// them.
+// judgeTimeout decides the outcome of a wait that nothing ended in time. lastAnswer
+// is when the store, or a lender in touch with it, last answered: if that was
+// within unreachableAfter the tokens are scarce, otherwise they could not be asked
+// for.
 func judgeTimeout(lastAnswer, now time.Time) Outcome {
 	if now.Sub(lastAnswer) > unreachableAfter {
 		return Unreachable
--- a/escrow/waiters.go
+++ b/escrow/waiters.go
@@ -9,8 +9,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// wait enters a request that waits for tokens. If the budget is known of late to
-// have too few, the wait ends at once.
+// wait enters a request that waits for tokens. If a fresh source says that waiting
+// can't help, the wait ends at once.
 func (l *Ledger) wait(w granitehoist.Workspace, c claim, now time.Time) *waiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
