--- a/escrow/refill_test.go
+++ b/escrow/refill_test.go
@@ -33,5 +33,6 @@
 	Entry("is their sum less what is owned", []granitehoist.Tokens{30, 50}, granitehoist.Tokens(100), granitehoist.Tokens(20), granitehoist.Tokens(60)),
 	Entry("is nothing if enough is owned", []granitehoist.Tokens{30, 50}, granitehoist.Tokens(100), granitehoist.Tokens(80), granitehoist.Tokens(0)),
 	Entry("leaves out the largest that can't be paid", []granitehoist.Tokens{90, 30, 20}, granitehoist.Tokens(60), granitehoist.Tokens(0), granitehoist.Tokens(50)),
+	Entry("counts what is owned toward what can be paid", []granitehoist.Tokens{30, 50}, granitehoist.Tokens(60), granitehoist.Tokens(20), granitehoist.Tokens(60)),
 	Entry("does not add what is owed", []granitehoist.Tokens{30}, granitehoist.Tokens(100), granitehoist.Tokens(-10), granitehoist.Tokens(30)),
 )
