--- a/escrow/next_test.go
+++ b/escrow/next_test.go
@@ -39,13 +39,11 @@
 )
 
 var _ = Describe("The pause after failed syncs", func() {
-	It("doubles up to its bound, and starts again after a success", func() {
+	It("doubles up to its bound", func() {
 		m := loopMemory{pause: failurePause}
-		m.synced(false, at)
+		m.syncFailed(at)
 		Expect(m).To(Equal(loopMemory{retryAt: at.Add(150 * time.Millisecond), pause: 300 * time.Millisecond}))
-		m.synced(false, at)
+		m.syncFailed(at)
 		Expect(m).To(Equal(loopMemory{retryAt: at.Add(300 * time.Millisecond), pause: 300 * time.Millisecond}))
-		m.synced(true, at)
-		Expect(m.pause).To(Equal(failurePause))
 	})
 })
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -76,17 +76,17 @@
 	case stepBorrow:
 		s.borrow(ctx)
 	case stepSync:
-		m.synced(s.syncOrBorrow(ctx), s.settings.Clock())
+		if s.syncOrBorrow(ctx) {
+			m.pause = failurePause
+			return
+		}
+		m.syncFailed(s.settings.Clock())
 	case stepNothing, stepAskRelays:
 	}
 }
 
-// synced takes in whether a sync succeeded.
-func (m *loopMemory) synced(ok bool, now time.Time) {
-	if ok {
-		m.pause = failurePause
-		return
-	}
+// syncFailed leaves the store alone for a pause, and makes the next one longer.
+func (m *loopMemory) syncFailed(now time.Time) {
 	m.retryAt = now.Add(m.pause)
 	m.pause = longerPause(m.pause)
 }
