--- /dev/null
+++ b/escrow/waiters_test.go
@@ -0,0 +1,28 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package escrow
+
+import (
+	. "github.com/onsi/ginkgo/v2"
+	. "github.com/onsi/gomega"
+
+	"granitehoist.example/granitehoist"
+)
+
+var _ = Describe("A request that waits for what is reserved for urgent ones", func() {
+	It("is granted it when a lender says that the store answers", func() {
+		const kiosk = granitehoist.Workspace("kiosk")
+		l := NewLedger(LedgerSettings{Incarnation: "a1"})
+		l.SetLimit(kiosk, 10_000)
+		a := l.account(kiosk)
+		a.owned.confirmGranted(1000)
+		a.lastTarget = 1000
+		l.noteStoreFailure(at)
+		Expect(l.Reserve(kiosk, 10, granitehoist.MaxPriority, at)).To(BeTrue())
+		waits := l.wait(kiosk, claim{bound: 800, priority: granitehoist.MaxPriority - 2}, at)
+		Expect(waits.outcome).NotTo(Receive())
+		l.Borrowed(kiosk, "k1", LendResult{InTouch: true, StoreRemaining: 5000, LeftAnywhere: 5000}, at)
+		Expect(waits.outcome).To(Receive(Equal(Granted)))
+	})
+})
