--- a/escrow/taper.go
+++ b/escrow/taper.go
@@ -25,7 +25,8 @@
 	// of 5 runs; without the returns 3 of 5 runs broke it.
 	rationBelow = 0.01
 	// rationTime is about how long the last part lasts, if rationedPart of the
-	// routers get requests. Chosen, not measured (0b8d3d0).
+	// routers get requests. Chosen, not measured (0b8d3d0), so that small requests
+	// find something until a standard day of the users ends.
 	rationTime = 20 * time.Second
 	// rationedPart is the part of the routers that are taken to spend the last
 	// part. Chosen, not measured (0b8d3d0).
