--- a/escrow/run.go
+++ b/escrow/run.go
@@ -10,6 +10,7 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist/internal/event"
+	"granitehoist.example/granitehoist/internal/pause"
 )
 
 const (
@@ -32,7 +33,7 @@
 		case <-ctx.Done():
 			return
 		case <-s.kick:
-			pause(ctx, gatherTime)
+			pause.For(ctx, gatherTime)
 		case <-ticker.C:
 		}
 		s.runRound(ctx, &memory)
@@ -115,13 +116,3 @@
 	}
 	return false
 }
-
-// pause waits for a time, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
-	timer := time.NewTimer(d)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/escrow/sync.go
+++ b/escrow/sync.go
@@ -12,6 +12,7 @@
 
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/internal/event"
+	"granitehoist.example/granitehoist/internal/pause"
 )
 
 const (
@@ -35,7 +36,7 @@
 	defer s.mu.Unlock()
 	err := granitehoist.ErrConflict
 	for try := 0; try < conflictTries && errors.Is(err, granitehoist.ErrConflict); try++ {
-		pause(ctx, time.Duration(try)*conflictPause)
+		pause.For(ctx, time.Duration(try)*conflictPause)
 		err = s.try(ctx)
 	}
 	s.failures++
