--- a/internal/linkmeter/linkmeter.go
+++ b/internal/linkmeter/linkmeter.go
@@ -6,7 +6,7 @@
 // retransmissions are not counted.
 //
 // The edge router granitehoist-edge runs it: package node wraps its listeners,
-// package exchange its connections, and node/overload.go reads the rates. A Meter
+// package exchange its connections, and node/shedding.go reads the rates. A Meter
 // owns two counters that need no lock. Begin reading at Meter.Conn.
 package linkmeter
 
--- a/node/doc.go
+++ b/node/doc.go
@@ -26,13 +26,14 @@
 // without calls and locks, with its constants and their reasons:
 //
 //   - readiness.go: may the balancer send callers here;
-//   - overload.go: does this box shed callers, because its link is nearly full;
-//   - stopplan.go: what a stop does until when;
-//   - relays.go, writer.go, lenders.go: which nodes read from the store for the
-//     others, which writes the record of the budgets, which are asked for loans;
-//   - neighbours.go, listfreshness.go, listschedule.go: which neighbours count,
-//     whose list is relied on, when it is read again;
-//   - instancerules.go: when an instance is taken to be removed.
+//   - shedding.go: does this box shed callers, because its link is nearly full;
+//   - stop.go: what a stop does until when;
+//   - relays.go: which nodes read from the store for the others;
+//   - budgetroles.go: which node writes the record of the budgets, and which are
+//     asked for loans;
+//   - nodelist.go: whose list of nodes is relied on, and when it is read again;
+//   - neighbours.go: which neighbours count, and by which entry;
+//   - instancecopy.go: when an instance is taken to be removed.
 //
 // It relies on forward, balance, escrow, exchange, catalog and follow for what
 // they do, on fleet for calls between nodes, and on internal/httpserver.
--- a/node/membership.go
+++ b/node/nodelist.go
@@ -6,6 +6,7 @@
 import (
 	"context"
 	"encoding/json"
+	"time"
 
 	"go.uber.org/zap"
 
@@ -14,6 +15,82 @@
 	"granitehoist.example/granitehoist/internal/pause"
 )
 
+const (
+	// listInterval is the time from one list of nodes to the next. Chosen, not
+	// measured on its own: commit f7eef06 doubled it from 4 s to make fewer calls
+	// to the store. New nodes greet their neighbours, so that the list is not the
+	// only way to learn of them.
+	listInterval = 8 * time.Second
+	// listRetryPause is the time to the next attempt after a list failed.
+	// Chosen, not measured.
+	listRetryPause = 300 * time.Millisecond
+	// firstListPause is the time in which all nodes of a fleet enter themselves
+	// at its first start. Chosen, not measured on its own; commit 0c0db10
+	// measured that carga-andina-grown quiet-1 earned 0.04 without the wait for a
+	// second list and 0.27 with it.
+	firstListPause = 1500 * time.Millisecond
+	// listsAtFirstStart and listsAtStart are how many lists a node reads before it
+	// takes its view of the fleet to be complete. At the first start of a whole
+	// fleet the first list lacks those that start at the same time.
+	listsAtFirstStart = 2
+	// listsAtStart is one: all other nodes are in the first list that is read.
+	listsAtStart = 1
+)
+
+// listsNeeded returns how many lists a node has to read from the store before
+// its view of the fleet counts as complete; first says that the whole fleet
+// starts for the first time.
+func listsNeeded(first bool) int {
+	if first {
+		return listsAtFirstStart
+	}
+	return listsAtStart
+}
+
+// listAttempt is what one attempt to learn the list of nodes came to.
+type listAttempt struct {
+	// failed says that neither a relay nor the store gave the list.
+	failed bool
+	// complete says that enough lists were read by now.
+	complete bool
+}
+
+// pause returns the time until the list is read again: soon after a failure,
+// after firstListPause while the fleet is still filling, else at the usual
+// interval.
+func (a listAttempt) pause() time.Duration {
+	switch {
+	case a.failed:
+		return listRetryPause
+	case !a.complete:
+		return firstListPause
+	default:
+		return listInterval
+	}
+}
+
+// shouldGreet decides whether neighbours are greeted after the attempt: until
+// that was done once beside a list that could be read, since the store reports
+// a new incarnation to them late, and for as long as the list can't be read,
+// since the store then reports nothing at all.
+func (a listAttempt) shouldGreet(greetedBefore bool) bool { return a.failed || !greetedBefore }
+
+// listFreshFor is the age up to which a relay passes its list of nodes on as
+// that of the store. Two intervals: a relay that reads the list each
+// listInterval still vouches for it after one read that failed. Chosen, not
+// measured.
+const listFreshFor = 2 * listInterval
+
+// vouchesForList decides whether a node may tell others that its entries are
+// as the store had them a short while ago, so that they needn't read the store
+// themselves. It may if it is a relay, which reads the list from the store each
+// listInterval, and if its last list is not older than listFreshFor. Nodes
+// behind relays don't vouch: their list is a relay's and would grow older with
+// each step.
+func vouchesForList(isRelay bool, listedAt, now time.Time) bool {
+	return isRelay && now.Sub(listedAt) <= listFreshFor
+}
+
 // peersPrefix is where nodes enter their addresses in the store.
 const peersPrefix = "boxes/"
 
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -16,7 +16,7 @@
 	isReady readiness = iota
 	// isLeaving: the process was ordered to stop.
 	isLeaving
-	// isShedding: the box's link is nearly full (overload.go).
+	// isShedding: the box's link is nearly full (shedding.go).
 	isShedding
 	// lacksConfig: no configuration was read yet.
 	lacksConfig
--- a/node/shedding.go
+++ b/node/shedding.go
@@ -10,8 +10,79 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist/internal/event"
+	"granitehoist.example/granitehoist/internal/linkmeter"
 )
 
+// This file decides whether a box sheds its callers. The balancer gives each box
+// a share of the callers by a hash, so that one box may get many times the share
+// of another, and more than its link carries. Such a box reports that it is not
+// ready and asks its callers to connect anew, so that they reach other boxes.
+//
+// The input are readings of the bytes that passed over the callers' and the
+// upstreams' connections, one each linkInterval, and the link's rate from the
+// settings. Refusing requests early instead would not help: their bodies arrive
+// all the same.
+//
+// Measured on tuul-hire-grown quiet-1: a box received 1.17 of 1.25 MB/s for ten
+// seconds and served none of its requests; shedding at these bounds raised the
+// day from 0.598 to 0.666 (docs/design/platform.md, "Full links"). The bounds
+// themselves were not varied.
+const (
+	// shedAboveLoad is the load, as a share of the link's rate, above which a box
+	// begins to shed. Chosen, not measured: below a full link, so that loans and
+	// calls to the store still pass.
+	shedAboveLoad = 0.82
+	// stopSheddingBelowLoad is the load, as a share of the link's rate, below
+	// which a box stops shedding. Chosen, not measured: far enough below
+	// shedAboveLoad that the callers who return don't fill the link at once.
+	stopSheddingBelowLoad = 0.5
+	// minSheddingTime is the least time of shedding. The balancer asks once a
+	// second and takes a box out after two answers without a 200, so that a
+	// shorter time would not reach it.
+	minSheddingTime = 3 * time.Second
+	// minSheddingPause is the least time from one shedding to the next: the
+	// balancer's two questions, one second apart. Chosen, not measured.
+	minSheddingPause = 2 * time.Second
+	// linkInterval is the time between two readings of the link. Chosen, not
+	// measured.
+	linkInterval = 500 * time.Millisecond
+	// linkWindow is the number of intervals over which the load is taken: one
+	// second, so that a burst of a single interval does not shed.
+	linkWindow = 2
+)
+
+// linkWatch decides whether a box sheds callers. Its zero value never sheds. It
+// is not safe for concurrent use.
+type linkWatch struct {
+	// capacity is the link's rate in bytes a second; zero, for a rate that is not
+	// known, never sheds.
+	capacity float64
+	// readings holds the last linkWindow readings.
+	readings []linkmeter.Reading
+	shedding bool
+	// changedAt is when shedding last changed.
+	changedAt time.Time
+}
+
+// observe takes a reading in, and reports whether the box should shed callers
+// from the reading's time on.
+func (w *linkWatch) observe(r linkmeter.Reading) bool {
+	w.readings = append(w.readings, r)
+	if len(w.readings) <= linkWindow || w.capacity <= 0 {
+		return w.shedding
+	}
+	load := r.Rate(w.readings[0]) / w.capacity
+	w.readings = w.readings[1:]
+	sinceChange := r.At.Sub(w.changedAt)
+	switch {
+	case !w.shedding && load > shedAboveLoad && sinceChange >= minSheddingPause:
+		w.shedding, w.changedAt = true, r.At
+	case w.shedding && load < stopSheddingBelowLoad && sinceChange >= minSheddingTime:
+		w.shedding, w.changedAt = false, r.At
+	}
+	return w.shedding
+}
+
 const (
 	// bitsPerByte and bitsPerMbit turn the link's rate from Mbit/s into bytes a
 	// second.
