--- a/cmd/granitehoist/documents.go
+++ b/cmd/granitehoist/documents.go
@@ -23,8 +23,8 @@
 // accepted. Chosen, not measured.
 const acceptancePause = 200 * time.Millisecond
 
-// application is one run of the command apply.
-type application struct {
+// applyRun is one run of the command apply.
+type applyRun struct {
 	operator operator
 	out      io.Writer
 	// file is the document and keyFile the partner's secret key.
@@ -41,14 +41,14 @@
 	wait := clause.Flag("wait", "How long to wait until every router has it in force.").Default("10s").Duration()
 	file := clause.Arg("file", "The document.").Required().String()
 	return command{clause, func(ctx context.Context) error {
-		a := application{operator: o, out: out, file: *file, keyFile: *keyFile, wait: *wait}
+		a := applyRun{operator: o, out: out, file: *file, keyFile: *keyFile, wait: *wait}
 		return a.run(ctx)
 	}}
 }
 
 // run signs the document as the one that follows the present one, hands it to a
 // router and waits until it is accepted.
-func (a application) run(ctx context.Context) error {
+func (a applyRun) run(ctx context.Context) error {
 	text, err := os.ReadFile(a.file)
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 
 // waitAccepted asks until the document is accepted: until every router that may
 // serve has it in force. It prints "pending", and fails, if that takes too long.
-func (a application) waitAccepted(ctx context.Context, signed config.Signed, state router.DocumentState) error {
+func (a applyRun) waitAccepted(ctx context.Context, signed config.Signed, state router.DocumentState) error {
 	limit := time.After(a.wait)
 	for !state.Accepted {
 		select {
--- a/cmd/granitehoist/log.go
+++ b/cmd/granitehoist/log.go
@@ -16,9 +16,9 @@
 // newLog returns a log that writes one line of key=value pairs an event to
 // standard error.
 func newLog(level string) (*zap.Logger, error) {
-	var least zapcore.Level
-	if err := least.UnmarshalText([]byte(level)); err != nil {
+	var minLevel zapcore.Level
+	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 		return nil, eris.Wrap(err, "log level")
 	}
-	return logsink.NewLogger(zapcore.Lock(os.Stderr), least), nil
+	return logsink.NewLogger(zapcore.Lock(os.Stderr), minLevel), nil
 }
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -51,7 +51,7 @@
 			defer close(done)
 			_ = server.Serve(listener)
 		}()
-		client = fleet.NewClient(fleet.ClientSettings{Timeout: patience})
+		client = fleet.NewClient(fleet.ClientSettings{Timeout: stepTimeout})
 		DeferCleanup(func() {
 			client.Close()
 			server.Close()
@@ -88,8 +88,8 @@
 
 	It("is refused by a router that took over the address", func() {
 		var got echo
-		gone := granitehoist.Peer{Incarnation: "before-me", Address: me.Address}
-		err := client.Call(ctx, gone, "echo", echo{"x"}, &got)
+		earlier := granitehoist.Peer{Incarnation: "before-me", Address: me.Address}
+		err := client.Call(ctx, earlier, "echo", echo{"x"}, &got)
 		Expect(err).To(MatchError(ContainSubstring("not before-me")))
 		Expect(err).To(MatchError(fleet.ErrOtherIncarnation))
 		Expect(got.Text).To(BeEmpty())
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -125,7 +125,7 @@
 			return err
 		}
 	}
-	if verdict == entryStands {
+	if verdict == entryUnchanged {
 		return nil
 	}
 	if verdict == needsLease {
--- a/fleet/renewal.go
+++ b/fleet/renewal.go
@@ -14,8 +14,8 @@
 
 // The verdicts on an entry.
 const (
-	// entryStands: the lease was renewed, and the entry says what it should.
-	entryStands renewal = iota
+	// entryUnchanged: the lease was renewed, and the entry says what it should.
+	entryUnchanged renewal = iota
 	// needsWrite: the lease was renewed, but the entry has changed.
 	needsWrite
 	// needsLease: there is no lease, or it has ended and the store deleted the
@@ -38,6 +38,6 @@
 	case changed:
 		return needsWrite
 	default:
-		return entryStands
+		return entryUnchanged
 	}
 }
--- a/fleet/renewal_test.go
+++ b/fleet/renewal_test.go
@@ -26,7 +26,7 @@
 		changed bool
 		want    renewal
 	}{
-		{"renewed", nil, false, entryStands},
+		{"renewed", nil, false, entryUnchanged},
 		{"renewed, and the router leaves", nil, true, needsWrite},
 		{"the lease has ended", eris.Wrap(granitehoist.ErrNoLease, "store"), false, needsLease},
 		{"the lease has ended, and the router leaves", granitehoist.ErrNoLease, true, needsLease},
--- a/forward/fakes_test.go
+++ b/forward/fakes_test.go
@@ -135,7 +135,7 @@
 func patientRoute() catalog.Route {
 	r := route("patient", "/patient/", catalog.Safe, desk, 2, false)
 	r.Target = 0
-	r.Timeout = patience
+	r.Timeout = stepTimeout
 	return r
 }
 
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -24,8 +24,8 @@
 	// of the batch gets its error. It is never called twice at a time, and its
 	// context outlives that of the callers.
 	Commit func(ctx context.Context, items []In) ([]Out, error)
-	// Most bounds the items of one batch; zero stands for no bound.
-	Most int
+	// MaxItems bounds the items of one batch; zero stands for no bound.
+	MaxItems int
 	// Linger is how long an item waits for others; zero does not wait.
 	Linger time.Duration
 	// Urgent, if set, reports whether an item ends the wait of its batch.
@@ -124,7 +124,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	calls := g.waiting
-	if most := g.settings.Most; most > 0 && len(calls) > most {
+	if most := g.settings.MaxItems; most > 0 && len(calls) > most {
 		calls = calls[:most]
 	}
 	g.waiting = g.waiting[len(calls):]
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -28,7 +28,7 @@
 				doubled[i] = 2 * item
 			}
 			return doubled, nil
-		}, Most: 6})
+		}, MaxItems: 6})
 		var group sync.WaitGroup
 		do := func(i int) {
 			group.Go(func() {
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -12,8 +12,8 @@
 	"granitehoist.example/granitehoist/internal/httpserver"
 )
 
-// patience is how long a step may take on a busy machine.
-const patience = 20 * time.Second
+// stepTimeout is how long a step may take on a busy machine.
+const stepTimeout = 20 * time.Second
 
 func listen(t *testing.T) net.Listener {
 	t.Helper()
@@ -38,7 +38,7 @@
 		if err != nil {
 			t.Fatalf("Serve returned %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(stepTimeout):
 		t.Fatal("Serve goes on after Close")
 	}
 }
@@ -49,7 +49,7 @@
 	t.Run("answers until Close", func(t *testing.T) {
 		listener := listen(t)
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
-		server := httpserver.New(httpserver.Settings{Handler: handler, HeaderTimeout: patience, Quiet: true}, listener)
+		server := httpserver.New(httpserver.Settings{Handler: handler, HeaderTimeout: stepTimeout, Quiet: true}, listener)
 		result := serve(server)
 		response, err := http.Get("http://" + listener.Addr().String())
 		if err != nil {
--- a/internal/logsink/logger.go
+++ b/internal/logsink/logger.go
@@ -15,10 +15,10 @@
 // one line of key=value pairs. The name of a logger appears as the key "box", the
 // message as the key "event". It calls w from all goroutines that log, so w must be
 // safe for concurrent use.
-func NewLogger(w io.Writer, least zapcore.LevelEnabler) *zap.Logger {
+func NewLogger(w io.Writer, minLevel zapcore.LevelEnabler) *zap.Logger {
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.MessageKey = "event"
 	encoding.NameKey = "box"
 	encoding.EncodeTime = zapcore.RFC3339NanoTimeEncoder
-	return zap.New(zapcore.NewCore(zaplogfmt.NewEncoder(encoding), zapcore.AddSync(w), least))
+	return zap.New(zapcore.NewCore(zaplogfmt.NewEncoder(encoding), zapcore.AddSync(w), minLevel))
 }
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -28,7 +28,7 @@
 }
 
 // TestStoppedReader checks that a reader which has stopped holds nobody up, and
-// that what was dropped is told when it reads again.
+// that what was dropped is reported when it reads again.
 func TestStoppedReader(t *testing.T) {
 	writer := &stopped{release: make(chan struct{})}
 	sink := logsink.New(writer, 4)
@@ -46,14 +46,14 @@
 	}
 	close(writer.release)
 	sink.Close(20 * time.Second)
-	told := int64(0)
+	reported := int64(0)
 	for line := range strings.Lines(writer.text.String()) {
 		var lines int64
 		if n, _ := fmt.Sscanf(line, "event=log_dropped lines=%d", &lines); n == 1 {
-			told += lines
+			reported += lines
 		}
 	}
-	if told != sink.Dropped() {
-		t.Fatalf("%d lines were dropped and %d told: %q", sink.Dropped(), told, writer.text.String())
+	if reported != sink.Dropped() {
+		t.Fatalf("%d lines were dropped and %d told: %q", sink.Dropped(), reported, writer.text.String())
 	}
 }
--- a/internal/pack/pack_test.go
+++ b/internal/pack/pack_test.go
@@ -15,12 +15,12 @@
 	"granitehoist.example/granitehoist/internal/pack"
 )
 
-// patience is how long an eventual thing may take on a busy machine.
-const patience = 20 * time.Second
+// stepTimeout is how long an eventual thing may take on a busy machine.
+const stepTimeout = 20 * time.Second
 
 func TestPack(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(patience)
+	SetDefaultEventuallyTimeout(stepTimeout)
 	RunSpecs(t, "pack")
 }
 
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -10,8 +10,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// wholeFile stands for the key of a fault that no key has.
-const wholeFile = "(file)"
+// noKey stands for the key of a fault that no key has.
+const noKey = "(file)"
 
 // Decode reads TOML strictly into target, a pointer. It returns a fault for each
 // key that target does not have, or one for text that is not TOML or has a value
@@ -27,7 +27,7 @@
 	case *toml.DecodeError:
 		return Faults{wrongValue(file, e)}
 	}
-	return Faults{{File: file, Key: wholeFile, Reason: err.Error(), Remedy: "write it as TOML"}}
+	return Faults{{File: file, Key: noKey, Reason: err.Error(), Remedy: "write it as TOML"}}
 }
 
 // unknownKeys returns a fault for each key that the target lacks.
@@ -51,7 +51,7 @@
 	line, _ := e.Position()
 	key := strings.Join(e.Key(), ".")
 	if key == "" {
-		key = wholeFile
+		key = noKey
 	}
 	return Fault{File: file, Line: line, Key: key, Reason: e.Error(), Remedy: "write it as TOML of the right type"}
 }
--- a/node/explain_test.go
+++ b/node/explain_test.go
@@ -24,10 +24,10 @@
 	story := func(m *member, id string) string {
 		GinkgoHelper()
 		Eventually(m.text.String).Should(ContainSubstring("event=request request=" + id))
-		told, err := explain.Read(strings.NewReader(m.text.String()), granitehoist.RequestID(id))
+		story, err := explain.Read(strings.NewReader(m.text.String()), granitehoist.RequestID(id))
 		Expect(err).NotTo(HaveOccurred())
 		var words strings.Builder
-		Expect(told.Write(&words)).To(Succeed())
+		Expect(story.Write(&words)).To(Succeed())
 		return words.String()
 	}
 
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -65,9 +65,9 @@
 	workers int
 }
 
-// firstIP numbers the loopback addresses of the nodes of all tests, so that no
+// lastIP numbers the loopback addresses of the nodes of all tests, so that no
 // two use the same.
-var firstIP atomic.Int32
+var lastIP atomic.Int32
 
 // nextIP returns a loopback address that neither another test uses nor one of
 // another run of the tests beside this one: the ports are fixed by the settings
@@ -75,7 +75,7 @@
 func nextIP() string {
 	const ownNetworks, octet = 64, 256
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", ownNetworks+pid/octet%ownNetworks, pid%octet, firstIP.Add(1))
+	return fmt.Sprintf("127.%d.%d.%d", ownNetworks+pid/octet%ownNetworks, pid%octet, lastIP.Add(1))
 }
 
 func newSite(nodes int) *site {
@@ -91,7 +91,7 @@
 	front := &standin.PlatformStore{Store: s.store}
 	listener, err := net.Listen("tcp", ip+":8223")
 	Expect(err).NotTo(HaveOccurred())
-	server := &http.Server{Handler: front, ReadHeaderTimeout: patience}
+	server := &http.Server{Handler: front, ReadHeaderTimeout: stepTimeout}
 	go func() { _ = server.Serve(listener) }()
 	DeferCleanup(server.Close)
 	settings := fmt.Sprintf(`{"nodeName":"edge-%s","ipAddress":%q,"zone":"hall","listenAddrs":{"frontend":"%s:8227","ready":"%s:8220"},
@@ -184,15 +184,15 @@
 	}
 }
 
-// knowsGone reports whether the node has taken in that a worker's entry has gone.
-func (m *member) knowsGone(w *standin.Worker) func() bool {
+// knowsRemoved reports whether the node has taken in that a worker's entry has gone.
+func (m *member) knowsRemoved(w *standin.Worker) func() bool {
 	return func() bool {
 		return m.logs.FilterMessage(event.UpstreamGone).FilterField(zap.String("upstream", w.Instance())).Len() > 0
 	}
 }
 
-// oneByOne is how many requests expectOnly sends.
-const oneByOne = 20
+// sequentialRequests is how many requests expectOnly sends.
+const sequentialRequests = 20
 
 // expectOnly sends requests that all have to get the given body, none of them
 // through the idle workers.
@@ -202,7 +202,7 @@
 	for _, w := range idle {
 		before[w.Instance()] = len(w.Arrivals())
 	}
-	for i := range oneByOne {
+	for i := range sequentialRequests {
 		got, err := m.ask("/a/x", fmt.Sprintf("r-%d", i))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.body).To(Equal(body))
@@ -232,7 +232,7 @@
 	for i := 0; i+1 < len(header); i += 2 {
 		request.Header.Set(header[i], header[i+1])
 	}
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: stepTimeout}
 	response, err := client.Do(request)
 	if err != nil {
 		return answer{}, err
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -28,11 +28,11 @@
 func TestWithNeighbour(t *testing.T) {
 	a1, a2, b1 := entryOf("a", "a-1"), entryOf("a", "a-2"), entryOf("b", "b-1")
 	cases := []struct {
-		name  string
-		known []peerEntry
-		entry peerEntry
-		from  source
-		want  []peerEntry
+		name   string
+		others []peerEntry
+		entry  peerEntry
+		from   source
+		want   []peerEntry
 	}{
 		{"a new box by itself", []peerEntry{a1}, b1, fromItself, []peerEntry{a1, b1}},
 		{"a new box by another", []peerEntry{a1}, b1, fromOther, []peerEntry{a1, b1}},
@@ -44,9 +44,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			before := slices.Clone(c.known)
-			expectEntries(t, withNeighbour(c.known, "self", c.entry, c.from), c.want)
-			expectEntries(t, c.known, before)
+			before := slices.Clone(c.others)
+			expectEntries(t, withNeighbour(c.others, "self", c.entry, c.from), c.want)
+			expectEntries(t, c.others, before)
 		})
 	}
 }
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -72,10 +72,10 @@
 		m.expectOnly("second", first)
 		third := s.worker(standin.WorkerAnswer{Body: "third"})
 		s.withdraw(second)
-		Eventually(m.knowsGone(second)).Should(BeTrue())
+		Eventually(m.knowsRemoved(second)).Should(BeTrue())
 		m.expectOnly("third", first, second)
-		Expect(len(second.Arrivals())).To(BeNumerically(">=", oneByOne))
-		Expect(len(third.Arrivals())).To(BeNumerically(">=", oneByOne))
+		Expect(len(second.Arrivals())).To(BeNumerically(">=", sequentialRequests))
+		Expect(len(third.Arrivals())).To(BeNumerically(">=", sequentialRequests))
 	})
 
 	It("follows the configuration through a neighbour while the store turns it away", func() {
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -12,20 +12,20 @@
 
 // The verdicts on readiness.
 const (
-	// isReady: new connections are welcome.
-	isReady readiness = iota
-	// isLeaving: the process was ordered to stop.
-	isLeaving
-	// isShedding: the box's link is nearly full (shedding.go).
-	isShedding
-	// lacksConfig: no configuration was read yet.
-	lacksConfig
-	// lacksInstances: the list of instances was not read yet.
-	lacksInstances
+	// readyForCallers: new connections are welcome.
+	readyForCallers readiness = iota
+	// notReadyLeaving: the process was ordered to stop.
+	notReadyLeaving
+	// notReadyShedding: the box's link is nearly full (shedding.go).
+	notReadyShedding
+	// notReadyNoConfig: no configuration was read yet.
+	notReadyNoConfig
+	// notReadyNoInstances: the list of instances was not read yet.
+	notReadyNoInstances
 )
 
-// serving is what readiness depends on.
-type serving struct {
+// readinessInputs is what readiness depends on.
+type readinessInputs struct {
 	leaving  bool
 	shedding bool
 	// hasConfig says that a configuration is in force, however old. A node that
@@ -39,18 +39,18 @@
 // readiness decides whether a node is ready. The age of its copies plays no
 // part: a node that has lost the store serves on with its last copies and the
 // tokens that it owns (docs/design/platform.md, "Start, stop, loss").
-func (s serving) readiness() readiness {
+func (s readinessInputs) readiness() readiness {
 	switch {
 	case s.leaving:
-		return isLeaving
+		return notReadyLeaving
 	case s.shedding:
-		return isShedding
+		return notReadyShedding
 	case !s.hasConfig:
-		return lacksConfig
+		return notReadyNoConfig
 	case !s.hasInstances:
-		return lacksInstances
+		return notReadyNoInstances
 	default:
-		return isReady
+		return readyForCallers
 	}
 }
 
@@ -58,11 +58,11 @@
 // so that they reach another node: while this one stops or its link is nearly
 // full. A node that lacks a copy of the store does not ask it; its callers come
 // to it only if no other node is ready.
-func (s serving) turnsCallersAway() bool { return s.leaving || s.shedding }
+func (s readinessInputs) turnsCallersAway() bool { return s.leaving || s.shedding }
 
-// serving gathers what readiness depends on.
-func (n *Node) serving() serving {
-	return serving{
+// readinessInputs gathers what readiness depends on.
+func (n *Node) readinessInputs() readinessInputs {
+	return readinessInputs{
 		leaving:      n.leaving.Load(),
 		shedding:     n.shedding.Load(),
 		hasConfig:    n.configs.catalog.Get() != nil,
@@ -71,12 +71,12 @@
 }
 
 // Ready reports whether the node can serve callers.
-func (n *Node) Ready() bool { return n.serving().readiness() == isReady }
+func (n *Node) Ready() bool { return n.readinessInputs().readiness() == readyForCallers }
 
 // turnsCallersAway reports whether answers ask their callers to connect anew.
 // It runs on the path of every request, so it reads no more than it needs.
 func (n *Node) turnsCallersAway() bool {
-	return serving{leaving: n.leaving.Load(), shedding: n.shedding.Load()}.turnsCallersAway()
+	return readinessInputs{leaving: n.leaving.Load(), shedding: n.shedding.Load()}.turnsCallersAway()
 }
 
 // serveReady answers the platform's health checks.
--- a/node/readiness_test.go
+++ b/node/readiness_test.go
@@ -5,14 +5,14 @@
 
 import "testing"
 
-func expectReadiness(t *testing.T, s serving, want readiness) {
+func expectReadiness(t *testing.T, s readinessInputs, want readiness) {
 	t.Helper()
 	if got := s.readiness(); got != want {
 		t.Fatalf("%+v: readiness %d, not %d", s, got, want)
 	}
 }
 
-func expectTurnsAway(t *testing.T, s serving, want bool) {
+func expectTurnsAway(t *testing.T, s readinessInputs, want bool) {
 	t.Helper()
 	if got := s.turnsCallersAway(); got != want {
 		t.Fatalf("%+v: turns callers away %v, not %v", s, got, want)
@@ -24,17 +24,17 @@
 func TestReadiness(t *testing.T) {
 	cases := []struct {
 		name      string
-		state     serving
+		state     readinessInputs
 		want      readiness
 		turnsAway bool
 	}{
-		{"with both copies", serving{hasConfig: true, hasInstances: true}, isReady, false},
-		{"at the start", serving{}, lacksConfig, false},
-		{"without a configuration", serving{hasInstances: true}, lacksConfig, false},
-		{"without instances", serving{hasConfig: true}, lacksInstances, false},
-		{"with a full link", serving{shedding: true, hasConfig: true, hasInstances: true}, isShedding, true},
-		{"at a stop", serving{leaving: true, hasConfig: true, hasInstances: true}, isLeaving, true},
-		{"at a stop with a full link", serving{leaving: true, shedding: true}, isLeaving, true},
+		{"with both copies", readinessInputs{hasConfig: true, hasInstances: true}, readyForCallers, false},
+		{"at the start", readinessInputs{}, notReadyNoConfig, false},
+		{"without a configuration", readinessInputs{hasInstances: true}, notReadyNoConfig, false},
+		{"without instances", readinessInputs{hasConfig: true}, notReadyNoInstances, false},
+		{"with a full link", readinessInputs{shedding: true, hasConfig: true, hasInstances: true}, notReadyShedding, true},
+		{"at a stop", readinessInputs{leaving: true, hasConfig: true, hasInstances: true}, notReadyLeaving, true},
+		{"at a stop with a full link", readinessInputs{leaving: true, shedding: true}, notReadyLeaving, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/node/storecalls.go
+++ b/node/storecalls.go
@@ -17,9 +17,9 @@
 	count func(call, result string)
 }
 
-// note counts a call by what its error says of it. An error that is none of the
+// countResult counts a call by what its error says of it. An error that is none of the
 // store's own counts as unknown, as it leaves open what the store did.
-func (s *countedStore) note(call string, err error) {
+func (s *countedStore) countResult(call string, err error) {
 	result := "ok"
 	switch {
 	case err == nil:
@@ -38,41 +38,41 @@
 // Get implements granitehoist.Store.
 func (s *countedStore) Get(ctx context.Context, key string) (granitehoist.Entry, error) {
 	entry, err := s.Store.Get(ctx, key)
-	s.note("get", err)
+	s.countResult("get", err)
 	return entry, err
 }
 
 // List implements granitehoist.Store.
 func (s *countedStore) List(ctx context.Context, prefix string) ([]granitehoist.Entry, granitehoist.Version, error) {
 	entries, at, err := s.Store.List(ctx, prefix)
-	s.note("list", err)
+	s.countResult("list", err)
 	return entries, at, err
 }
 
 // CompareAndSwap implements granitehoist.Store.
 func (s *countedStore) CompareAndSwap(ctx context.Context, change granitehoist.Change) (granitehoist.Version, error) {
 	version, err := s.Store.CompareAndSwap(ctx, change)
-	s.note("write", err)
+	s.countResult("write", err)
 	return version, err
 }
 
 // Watch implements granitehoist.Store.
 func (s *countedStore) Watch(ctx context.Context, prefix string, after granitehoist.Version, wait time.Duration) ([]granitehoist.Entry, granitehoist.Version, error) {
 	entries, at, err := s.Store.Watch(ctx, prefix, after, wait)
-	s.note("watch", err)
+	s.countResult("watch", err)
 	return entries, at, err
 }
 
 // GrantLease implements granitehoist.Store.
 func (s *countedStore) GrantLease(ctx context.Context, ttl time.Duration) (granitehoist.LeaseID, error) {
 	id, err := s.Store.GrantLease(ctx, ttl)
-	s.note("lease", err)
+	s.countResult("lease", err)
 	return id, err
 }
 
 // RenewLease implements granitehoist.Store.
 func (s *countedStore) RenewLease(ctx context.Context, id granitehoist.LeaseID) error {
 	err := s.Store.RenewLease(ctx, id)
-	s.note("renew", err)
+	s.countResult("renew", err)
 	return err
 }
--- a/partner/bill/collector.go
+++ b/partner/bill/collector.go
@@ -45,7 +45,7 @@
 		panic("bill: collector lacks a setting")
 	}
 	c := &Collector{settings: s}
-	c.group = batch.New(batch.Settings[Batch, CollectResult]{Commit: c.commit, Most: maxSegment})
+	c.group = batch.New(batch.Settings[Batch, CollectResult]{Commit: c.commit, MaxItems: maxSegment})
 	return c
 }
 
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -33,13 +33,13 @@
 	graceS   = 3
 )
 
-// books are what the workers saw: how often each request ran.
-type books struct {
+// runCounts are what the workers saw: how often each request ran.
+type runCounts struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-func (b *books) answer(a standin.Arrival) standin.WorkerAnswer {
+func (b *runCounts) answer(a standin.Arrival) standin.WorkerAnswer {
 	b.mu.Lock()
 	b.runs[a.ID]++
 	b.mu.Unlock()
@@ -64,7 +64,7 @@
 type fleet struct {
 	t         *testing.T
 	binary    string
-	books     *books
+	runCounts *runCounts
 	store     *standin.Store
 	processes []*process
 	workers   []*proxy
@@ -79,7 +79,7 @@
 
 func newFleet(t *testing.T, binary string, block int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, binary: binary, books: &books{runs: map[string]int{}}, store: standin.NewStore(standin.StoreSettings{})}
+	f := &fleet{t: t, binary: binary, runCounts: &runCounts{runs: map[string]int{}}, store: standin.NewStore(standin.StoreSettings{})}
 	front, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.200:0", ownNetwork(), block))
 	f.must(err)
 	server := &http.Server{Handler: &standin.PlatformStore{Store: f.store}, ReadHeaderTimeout: time.Minute}
@@ -115,7 +115,7 @@
 }
 
 func (f *fleet) addWorker(id, address string) {
-	w, err := standin.NewWorker(id, f.books.answer)
+	w, err := standin.NewWorker(id, f.runCounts.answer)
 	f.must(err)
 	f.t.Cleanup(w.Close)
 	p, err := newProxy(address, w.Address())
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -55,14 +55,14 @@
 func play(t *testing.T, binary string, seed int) {
 	f := newFleet(t, binary, firstBlock+seed%100)
 	f.awaitReady(recoveryTime)
-	results := &ledger{answers: map[string]int{}}
+	results := &outcomes{answers: map[string]int{}}
 	stop := make(chan struct{})
 	var calling, failing sync.WaitGroup
 	for i := range callers {
-		calling.Go(func() { f.call(i, rand.New(rand.NewPCG(uint64(seed), uint64(i))), results, stop) })
+		calling.Go(func() { f.sendRequests(i, rand.New(rand.NewPCG(uint64(seed), uint64(i))), results, stop) })
 	}
 	for i := range series {
-		failing.Go(func() { f.fail(rand.New(rand.NewPCG(uint64(seed), uint64(100+i))), time.Now().Add(faultTime)) })
+		failing.Go(func() { f.playFaults(rand.New(rand.NewPCG(uint64(seed), uint64(100+i))), time.Now().Add(faultTime)) })
 	}
 	failing.Wait()
 	f.awaitReady(recoveryTime)
@@ -76,8 +76,8 @@
 	}
 }
 
-// fail plays one fault after the other.
-func (f *fleet) fail(random *rand.Rand, until time.Time) {
+// playFaults plays one fault after the other.
+func (f *fleet) playFaults(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
 		lasting := time.Duration(200+random.IntN(900)) * time.Millisecond
 		p := f.processes[random.IntN(len(f.processes))]
@@ -103,9 +103,9 @@
 	}
 }
 
-func (f *fleet) awaitReady(most time.Duration) {
+func (f *fleet) awaitReady(limit time.Duration) {
 	f.t.Helper()
-	for end := time.Now().Add(most); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(limit); ; time.Sleep(50 * time.Millisecond) {
 		missing := ""
 		for _, p := range f.processes {
 			if !p.ready() {
@@ -116,14 +116,14 @@
 			return
 		}
 		if time.Now().After(end) {
-			f.t.Errorf("%s is not ready after %v", missing, most)
+			f.t.Errorf("%s is not ready after %v", missing, limit)
 			return
 		}
 	}
 }
 
-// ledger is what the callers got.
-type ledger struct {
+// outcomes is what the callers got.
+type outcomes struct {
 	mu sync.Mutex
 	// answers holds the last status of each request, 0 for none.
 	answers  map[string]int
@@ -132,8 +132,8 @@
 	mismatch []string
 }
 
-// call sends requests over connections that stay open until the process is gone.
-func (f *fleet) call(caller int, random *rand.Rand, results *ledger, stop <-chan struct{}) {
+// sendRequests sends requests over connections that stay open until the process is gone.
+func (f *fleet) sendRequests(caller int, random *rand.Rand, results *outcomes, stop <-chan struct{}) {
 	client := &http.Client{Timeout: deadline + time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	at := caller
@@ -155,7 +155,7 @@
 
 // ask sends one request and returns the status of its answer, 0 if it was not
 // whole.
-func (f *fleet) ask(client *http.Client, p *process, kind, id string, results *ledger) int {
+func (f *fleet) ask(client *http.Client, p *process, kind, id string, results *outcomes) int {
 	request, err := http.NewRequest(http.MethodPost, "http://"+p.ip+":8227/"+kind+"/x", strings.NewReader("question"))
 	if err != nil {
 		return 0
@@ -182,19 +182,19 @@
 		status = 0
 	}
 	wrong := ""
-	whole := "run of " + id
+	wantBody := "run of " + id
 	switch {
 	case status != http.StatusOK:
 	case kind == "stream" && got != events:
 		wrong = fmt.Sprintf("%s has %d events", id, got)
-	case kind != "stream" && string(body) != whole:
+	case kind != "stream" && string(body) != wantBody:
 		wrong = fmt.Sprintf("%s got %q", id, body)
 	}
 	results.note(id, status, got, wrong)
 	return status
 }
 
-func (l *ledger) note(id string, status, got int, wrong string) {
+func (l *outcomes) note(id string, status, got int, wrong string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answers[id] = status
@@ -210,9 +210,9 @@
 }
 
 // judge holds what the callers got against what the workers ran.
-func (f *fleet) judge(results *ledger) {
-	f.books.mu.Lock()
-	defer f.books.mu.Unlock()
+func (f *fleet) judge(results *outcomes) {
+	f.runCounts.mu.Lock()
+	defer f.runCounts.mu.Unlock()
 	results.mu.Lock()
 	defer results.mu.Unlock()
 	if results.served == 0 {
@@ -225,7 +225,7 @@
 		f.t.Error(wrong)
 	}
 	for id, status := range results.answers {
-		runs := f.books.runs[id]
+		runs := f.runCounts.runs[id]
 		once := strings.HasPrefix(id, "once")
 		if once && runs > 1 {
 			f.t.Errorf("%s ran %d times", id, runs)
