--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -7,8 +7,8 @@
 // other state, relies on net/http alone, and is safe for concurrent use. It is
 // run by granitehoist-edge (package node). How a program drains at a stop is not
 // part of it, since the two programs differ there: node keeps its listeners open
-// and refuses what arrives until its requests have ended, partner/router closes
-// its listeners first.
+// and refuses new requests until those in progress have ended, partner/router
+// closes its listeners first.
 //
 // Begin reading at New.
 package httpserver
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -4,12 +4,12 @@
 package httpserver
 
 import (
+	"bytes"
 	"errors"
+	"log"
 	"net"
 	"net/http"
 	"time"
-
-	"go.uber.org/zap"
 )
 
 // Settings configure a Server.
@@ -23,12 +23,19 @@
 	// HeaderBytes bounds a request's header in bytes; zero stands for the
 	// bound of net/http.
 	HeaderBytes int
-	// Quiet discards what net/http logs by itself, which is not in the form of
-	// the program's log: errors of single connections and panics of Handler. The
-	// zero value writes it to the standard error.
-	Quiet bool
+	// Failed is called with each line that net/http logs by itself: a panic of
+	// Handler with its stack, a connection that can't be accepted, a response
+	// whose header Handler wrote twice. A panic with http.ErrAbortHandler cuts the
+	// connection on purpose and is not among them. Failed is called from several
+	// goroutines. Nil writes the lines to the standard error.
+	Failed func(error)
 }
 
+// maxFailureBytes bounds a line that Failed gets; the rest of it is cut off.
+// Chosen, not measured: net/http writes up to 64 KB of a panic's stack, of which
+// the beginning holds the frames next to the panic.
+const maxFailureBytes = 4 << 10
+
 // Server is an HTTP server with its listener.
 type Server struct {
 	http     *http.Server
@@ -44,12 +51,25 @@
 		IdleTimeout:       s.IdleTimeout,
 		MaxHeaderBytes:    s.HeaderBytes,
 	}
-	if s.Quiet {
-		server.ErrorLog = zap.NewStdLog(zap.NewNop())
+	if s.Failed != nil {
+		server.ErrorLog = log.New(failureWriter(s.Failed), "", 0)
 	}
 	return &Server{http: server, listener: listener}
 }
 
+// failureWriter passes the lines of a log.Logger on as errors.
+type failureWriter func(error)
+
+// Write implements io.Writer. A log.Logger calls it once for each line.
+func (f failureWriter) Write(line []byte) (int, error) {
+	message := bytes.TrimSuffix(line, []byte("\n"))
+	if len(message) > maxFailureBytes {
+		message = message[:maxFailureBytes]
+	}
+	f(errors.New(string(message)))
+	return len(line), nil
+}
+
 // Serve accepts connections until Close. It returns nil after Close, and the
 // listener's error if it fails before.
 func (s *Server) Serve() error {
--- a/node/node.go
+++ b/node/node.go
@@ -111,23 +111,32 @@
 	go n.watchLink(ctx)
 	go n.parts.syncer.Run(ctx)
 	go n.serveCalls()
-	go n.serve("ready", n.servers.ready)
-	go n.serve("callers", n.servers.callers)
+	go n.serve(readyServer, n.servers.ready)
+	go n.serve(callersServer, n.servers.callers)
 	if n.servers.metrics != nil {
-		go n.serve("metrics", n.servers.metrics)
+		go n.serve(metricsServer, n.servers.metrics)
 	}
 }
 
 // serveCalls answers neighbours until Stop.
 func (n *Node) serveCalls() {
 	if err := n.servers.calls.Serve(n.servers.peers); err != nil {
-		n.log.Warn(event.ServeFailed, zap.Error(err))
+		n.serveFailed(neighboursServer)(err)
 	}
 }
 
 // serve runs one of the HTTP servers until Stop.
-func (n *Node) serve(name string, server *httpserver.Server) {
+func (n *Node) serve(name serverName, server *httpserver.Server) {
 	if err := server.Serve(); err != nil {
-		n.log.Warn(event.ServeFailed, zap.String("server", name), zap.Error(err))
+		n.serveFailed(name)(err)
+	}
+}
+
+// serveFailed returns the function that logs the failures of a server: that it
+// can't accept connections, or that a handler panicked. A panic is one line a
+// request; net/http waits longer after each failure to accept, up to 1 s.
+func (n *Node) serveFailed(name serverName) func(error) {
+	return func(err error) {
+		n.log.Warn(event.ServeFailed, zap.String("server", string(name)), zap.Error(err))
 	}
 }
--- a/node/servers.go
+++ b/node/servers.go
@@ -82,6 +82,17 @@
 	}
 }
 
+// serverName names a server in the log.
+type serverName string
+
+// The servers of a node.
+const (
+	callersServer    serverName = "callers"
+	readyServer      serverName = "ready"
+	metricsServer    serverName = "metrics"
+	neighboursServer serverName = "neighbours"
+)
+
 // servers holds what answers from outside: callers, health checks, neighbours
 // and readers of the metrics.
 type servers struct {
@@ -102,17 +113,18 @@
 		HeaderTimeout: headerTimeout,
 		IdleTimeout:   idleTimeout,
 		HeaderBytes:   headerBytes,
-		Quiet:         true,
+		Failed:        n.serveFailed(callersServer),
 	}, n.parts.meter.Listener(l.callers))
 	s.ready = httpserver.New(httpserver.Settings{
 		Handler:       http.HandlerFunc(n.serveReady),
 		HeaderTimeout: headerTimeout,
-		Quiet:         true,
+		Failed:        n.serveFailed(readyServer),
 	}, l.ready)
 	if l.metrics != nil {
 		s.metrics = httpserver.New(httpserver.Settings{
 			Handler:       http.HandlerFunc(n.serveMetrics),
 			HeaderTimeout: headerTimeout,
+			Failed:        n.serveFailed(metricsServer),
 		}, l.metrics)
 	}
 	return s
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -5,7 +5,18 @@
 
 import (
 	"net"
+	"net/http"
+	"strings"
 	"testing"
+	"time"
+
+	"go.uber.org/zap/zapcore"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/catalog"
+	"granitehoist.example/granitehoist/forward"
+	"granitehoist.example/granitehoist/internal/logsink"
+	"granitehoist.example/granitehoist/standin"
 )
 
 // freeAddress returns a loopback address that was free a moment ago.
@@ -55,3 +66,67 @@
 		})
 	}
 }
+
+// frontendThatPanics is an Adapter.Frontend with a fault.
+func frontendThatPanics(*forward.Path, *catalog.Current, granitehoist.Clock, func() bool) http.Handler {
+	return http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("no such route") })
+}
+
+// TestServeFailed checks that a panic of the callers' handler is one line of the
+// log that names the server and the panic.
+func TestServeFailed(t *testing.T) {
+	port := addressPort(t, freeAddress(t))
+	config := &Config{
+		Box:      "edge-1",
+		IP:       "127.0.0.1",
+		PeerPort: port,
+		Callers:  freeAddress(t),
+		Ready:    freeAddress(t),
+		Store:    freeAddress(t),
+		Grace:    time.Second,
+	}
+	var lines strings.Builder
+	sink := logsink.New(&lines, 16)
+	adapter := Adapter{
+		Store:           standin.NewStore(standin.StoreSettings{}),
+		ConfigPrefix:    "config/",
+		InstancesPrefix: "instances/",
+		Codec:           struct{ forward.Codec }{},
+		Frontend:        frontendThatPanics,
+	}
+	n, err := New(config, adapter, logsink.NewLogger(sink, zapcore.WarnLevel))
+	if err != nil {
+		t.Fatal(err)
+	}
+	served := make(chan struct{})
+	go func() {
+		n.serve(callersServer, n.servers.callers)
+		close(served)
+	}()
+	if response, err := http.Get("http://" + config.Callers); err == nil {
+		_ = response.Body.Close()
+		t.Fatalf("got status %d of a handler that panicked", response.StatusCode)
+	}
+	n.servers.closeHTTP()
+	<-served
+	_ = n.servers.peers.Close()
+	sink.Close(time.Minute)
+	text := lines.String()
+	if strings.Count(text, "\n") != 1 {
+		t.Fatalf("not one line: %q", text)
+	}
+	for _, part := range []string{"level=warn", "event=serve_failed", "server=callers", "no such route"} {
+		if !strings.Contains(text, part) {
+			t.Fatalf("%q is not in %q", part, text)
+		}
+	}
+}
+
+func addressPort(t *testing.T, address string) int {
+	t.Helper()
+	resolved, err := net.ResolveTCPAddr("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resolved.Port
+}
