--- a/node/adapter.go
+++ b/node/adapter.go
@@ -13,7 +13,8 @@
 )
 
 // Adapter is what a node needs of a platform: its store, the form of its
-// entries, and the form of its requests. All of it is safe for concurrent use.
+// entries, and the form of its requests. The store and the functions are safe
+// for concurrent use.
 type Adapter struct {
 	Store granitehoist.Store
 	// ConfigPrefix and InstancesPrefix are the store's prefixes of the operators'
--- a/node/budgetroles.go
+++ b/node/budgetroles.go
@@ -9,12 +9,13 @@
 	"granitehoist.example/granitehoist"
 )
 
-// This file decides who writes the record of the budgets. In a small fleet every
-// node does. In a large one the relay whose box has the lowest hash does for
-// all, so that writers don't fail on each other's writes; the others borrow from
-// it (lenders). While it can't write, the next relay does: a node that gets no
-// loan from the relays goes to the store itself (escrow.Syncer), so that a
-// wrong answer here costs conflicts and time, never tokens.
+// This file decides which nodes write the record of the budgets, and which ones a
+// node asks for a loan of tokens. In a small fleet every node writes. In a large
+// one the relay whose box has the lowest hash writes for all, so that writers
+// don't conflict with each other; the others borrow from it (lenders). While it
+// can't write, the next relay does: a node that gets no loan from the relays goes
+// to the store itself (escrow.Syncer). So a wrong answer here costs conflicts and
+// time, never tokens.
 //
 // Measured on tuul-hire-grown quiet-1 (87 boxes): 1,368 of 1,798 writes
 // conflicted with six writers, 8 of 374 with one (commit c1de361,
@@ -40,9 +41,9 @@
 	return v.isSmall() || v.writer() == v.self.Box
 }
 
-// sharers returns the number of nodes with which this one shares what the
-// record has left, itself included. The writer of a large fleet takes for all
-// and lends, so that it shares with no other node.
+// sharers returns the number of nodes among which this one shares the tokens that
+// the record has left, itself included. The writer of a large fleet takes for all
+// and lends to them, so that it shares with no other node.
 func (v fleetView) sharers() int {
 	if !v.isSmall() && v.writer() == v.self.Box {
 		return 1
--- a/node/config.go
+++ b/node/config.go
@@ -14,8 +14,7 @@
 )
 
 // Config holds the settings of a node, as the platform's settings file and the
-// command line give them at its start. It is one set of settings, so that it has
-// more fields than other structs. A node does not change it.
+// command line give them at its start. A node does not change it.
 type Config struct {
 	Box  granitehoist.Box
 	Zone granitehoist.AvailabilityZone
@@ -40,10 +39,11 @@
 	// zero is no bound.
 	Memory int64
 	Retry  forward.RetrySettings
-	// First says that the whole fleet starts for the first time.
+	// First says that all routers of the fleet start for the first time, so that
+	// the list of nodes in the store is empty or still filling.
 	First bool
-	// LogDropped returns the number of log lines that were dropped so far; nil
-	// where none are.
+	// LogDropped returns the number of log lines that were dropped so far. Nil
+	// leaves the metric out.
 	LogDropped func() int64
 }
 
--- a/node/configcopy.go
+++ b/node/configcopy.go
@@ -15,7 +15,7 @@
 
 // configCopy is the node's copy of the operators' configuration. Only its
 // follower's goroutine puts a configuration in force; reading catalog needs no
-// lock. A configuration that can't be read leaves the last good one in force.
+// lock. If a configuration can't be read, the last good one stays in force.
 type configCopy struct {
 	adapter *Adapter
 	// catalog holds the configuration in force, nothing before the first.
@@ -33,7 +33,7 @@
 	return c
 }
 
-// changed takes in changed entries. Only that of ConfigKey matters; if it is
+// changed applies changed entries. Only that of ConfigKey matters; if it is
 // deleted, the last configuration stays in force.
 func (c *configCopy) changed(entries []granitehoist.Entry, _ granitehoist.Version) {
 	for _, e := range entries {
@@ -57,8 +57,8 @@
 	return catalog.Build(document, e.Version)
 }
 
-// putInForce puts a configuration in force unless the present one is as new
-// (catalog.Current.Offer), and gives the ledger its budgets.
+// putInForce puts a configuration in force and gives the ledger its budgets. It
+// does nothing if the present one is as new (catalog.Current.Offer).
 func (c *configCopy) putInForce(snapshot *catalog.Snapshot) {
 	if !c.catalog.Offer(snapshot) {
 		return
--- a/node/doc.go
+++ b/node/doc.go
@@ -22,21 +22,22 @@
 // The tokens are escrow.Ledger's, the connections exchange.Pool's, the requests
 // in progress forward.Path's; each guards its own state.
 //
-// Rules. Each decision stands in a file of its own, as a function or small type
-// without calls and locks, with its constants and their reasons:
+// Rules. Each decision is a function or small type without calls and locks. It
+// stands with its constants and their reasons in the file of its subject:
 //
-//   - readiness.go: may the balancer send callers here;
-//   - shedding.go: does this box shed callers, because its link is nearly full;
-//   - stop.go: what a stop does until when;
+//   - readiness.go: whether the balancer may send callers here;
+//   - shedding.go: whether this box sheds callers, since its link is nearly full;
+//   - stop.go: the phases of a stop and when each ends;
 //   - relays.go: which nodes read from the store for the others;
 //   - budgetroles.go: which node writes the record of the budgets, and which are
 //     asked for loans;
 //   - nodelist.go: whose list of nodes is relied on, and when it is read again;
 //   - neighbours.go: which neighbours count, and by which entry;
-//   - instancecopy.go: when an instance is taken to be removed.
+//   - instancecopy.go: when an instance counts as removed.
 //
 // It relies on forward, balance, escrow, exchange, catalog and follow for what
 // they do, on fleet for calls between nodes, and on internal/httpserver.
 //
-// Begin reading at New and Start in node.go; then Stop in stop.go.
+// Begin reading at New and Start in node.go; then Stop in stop.go. For a line
+// of the log, look up its event in internal/event and search for that constant.
 package node
--- a/node/greeting.go
+++ b/node/greeting.go
@@ -5,12 +5,10 @@
 
 import (
 	"context"
-	"errors"
 	"sync"
 	"time"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/fleet"
 )
 
 // methodGreet is the method by which a node introduces itself to a neighbour
@@ -22,13 +20,13 @@
 	// measured: neighbours of one site answer in milliseconds.
 	greetTimeout = 200 * time.Millisecond
 	// maxGreeted bounds the neighbours that are greeted at one time. Chosen, not
-	// measured: more than the 6 to 9 routers of the small sites, so that all of
-	// them learn of a new incarnation at once.
+	// measured: above the 6 to 9 routers of the small sites, so that all of them
+	// learn of a new incarnation at once.
 	maxGreeted = 12
 )
 
 // greeting is what nodes send each other: the sender's own entry, and in the
-// reply those that it knows.
+// reply the sender's neighbours.
 type greeting struct {
 	Self   peerEntry   `json:"self"`
 	Others []peerEntry `json:"others,omitempty"`
@@ -53,8 +51,8 @@
 	calls.Wait()
 }
 
-// greetAddress greets the node at an address, whichever incarnation it is: the
-// one that is known may have ended, and the reply names the present one.
+// greetAddress greets the node at an address without naming an incarnation: the
+// one in this node's list may have ended, and the reply names the present one.
 func (p *peers) greetAddress(ctx context.Context, address string) (greeting, error) {
 	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
@@ -66,12 +64,8 @@
 	return reply, err
 }
 
-// isOtherIncarnation reports whether a call failed because another incarnation
-// than the one called has the address.
-func isOtherIncarnation(err error) bool { return errors.Is(err, fleet.ErrOtherIncarnation) }
-
-// noteGreeting takes in the entry of a greeting's sender, and those that it
-// passed on.
+// noteGreeting updates the neighbours by a greeting: the sender's entry, and
+// those that it passed on.
 func (p *peers) noteGreeting(g greeting) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,8 +76,8 @@
 	}
 }
 
-// serveGreet answers a neighbour's greeting. Only the sender's own entry is
-// taken in, since a caller sends no others.
+// serveGreet answers a neighbour's greeting. It uses only the sender's own entry,
+// since a caller sends no others.
 func (p *peers) serveGreet(_ context.Context, g greeting) (greeting, error) {
 	p.noteGreeting(greeting{Self: g.Self})
 	p.mu.Lock()
--- a/node/instancecopy.go
+++ b/node/instancecopy.go
@@ -13,28 +13,28 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// This file decides what an entry of the instances' prefix says. The entries
-// come from the store or from a neighbour's copy of it, in the order of their
-// versions: package follow lets nothing older replace something newer.
+// The three rules on the entries of the instances. The entries come from the store
+// or from a neighbour's copy of it, in the order of their versions: package follow
+// never replaces an entry by an older one.
 
-// entryRemovesInstance decides whether an instance is taken to be removed: when
-// its entry was deleted, or is missing in a newer list, which follow reports as a
-// deletion. An instance that does not answer is not removed for it; it is left
-// out for a while by balance.Table. An entry that can't be read removes nothing
-// either: the last announcement that could be read stays.
+// entryRemovesInstance decides whether an instance counts as removed: when its
+// entry was deleted, or is missing in a newer list, which follow reports as a
+// deletion. An instance that does not answer is not removed; balance.Table sends
+// it no requests for a while. An entry that can't be read removes nothing either:
+// the last announcement that could be read stays.
 func entryRemovesInstance(e granitehoist.Entry) bool { return e.Deleted }
 
-// repeatsAnnouncement decides whether an announcement says what the one before
-// said, so that it needs not be passed on. Instances write their entries again as
-// a heartbeat: on tuul-hire-grown quiet-1 11,761 of 17,106 calls to the store
-// were watches that heartbeats woke (commit c1de361).
+// repeatsAnnouncement decides whether an announcement equals the one before in all
+// but its version, so that it need not be passed on. Instances write their
+// entries again as a heartbeat: on tuul-hire-grown quiet-1 11,761 of 17,106 calls
+// to the store were watches that heartbeats woke (commit c1de361).
 func repeatsAnnouncement(before, after balance.Instance) bool {
 	before.Version = after.Version
 	return before == after
 }
 
-// isNewsOfInstance decides whether an announcement of a known instance is
-// logged: if it moved or began or ended to drain. Its load changes often and is
+// isNewsOfInstance decides whether an announcement is logged, of an instance that
+// the table has already: if its address changed, or it began or stopped draining. Its load changes often and is
 // not logged.
 func isNewsOfInstance(before, after balance.Instance) bool {
 	return before.Draining != after.Draining || before.Address != after.Address
@@ -57,8 +57,8 @@
 	return c
 }
 
-// same reports whether an instance announced itself again as before. Entries
-// that can't be read are never the same.
+// same reports whether an entry only repeats the announcement before it. Entries
+// that can't be read never count as the same.
 func (c *instanceCopy) same(before, after granitehoist.Entry) bool {
 	old, err := c.adapter.DecodeInstance(before)
 	if err != nil {
@@ -68,8 +68,8 @@
 	return err == nil && repeatsAnnouncement(old, now)
 }
 
-// changed takes in changed announcements; at is the store's version that they
-// bring the copy to.
+// changed applies changed announcements; at is the store's version of the copy
+// after them.
 func (c *instanceCopy) changed(entries []granitehoist.Entry, at granitehoist.Version) {
 	for _, e := range entries {
 		if entryRemovesInstance(e) {
@@ -101,7 +101,7 @@
 }
 
 // remove takes an instance out of the table and closes the idle connections to
-// its address. One that was never announced, or is removed already, is no news.
+// its address. It does nothing if the table does not have the instance.
 func (c *instanceCopy) remove(key string, at granitehoist.Version) {
 	instance, known := c.table.Remove(c.adapter.InstanceID(key), c.clock())
 	if !known {
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -78,8 +78,7 @@
 	registered := c.registry.GetOrRegister(labelled, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleBias))
 	})
-	// The names of histograms are no names of counters, so that this is always a
-	// histogram.
+	// No counter has the name of a histogram, so that this is always a histogram.
 	if histogram, ok := registered.(metrics.Histogram); ok {
 		histogram.Update(int64(d))
 	}
@@ -113,7 +112,7 @@
 	lines := append(n.stateLines(n.clock()), n.counters.lines()...)
 	sort.Strings(lines)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	// A reader that closed its connection does not want the rest.
+	// This fails if the reader has closed its connection; nobody misses the answer.
 	_, _ = w.Write([]byte(strings.Join(lines, "\n") + "\n"))
 }
 
@@ -142,7 +141,7 @@
 	return lines
 }
 
-// stateLines returns the metrics that are read off the node's state at now.
+// stateLines returns the metrics that show the node's state at now.
 func (n *Node) stateLines(now time.Time) []string {
 	lines := []string{
 		fmt.Sprintf("%s %d", metricActive, n.parts.path.Active()),
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -15,8 +15,7 @@
 type peerEntry struct {
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
 	Box         granitehoist.Box         `json:"box"`
-	// Zone is called place in the store, where entries of earlier versions
-	// have it.
+	// Zone is stored as "place", the name that earlier versions wrote.
 	Zone granitehoist.AvailabilityZone `json:"place"`
 	// Address is where the node takes calls of its neighbours, as IP:PORT.
 	Address string `json:"address"`
@@ -31,17 +30,17 @@
 
 // This file decides which neighbours a node counts, and by which entry.
 //
-// A neighbour is taken to be there from the first list or greeting that names
-// its box. It is taken to be removed only when a later list lacks its box: a
-// list read from the store by this node, or one that a relay read from the store
-// a short while ago (vouchesForList). A neighbour that does not answer is never
-// removed for it, since it may be this node that is cut off; calls to it fail
-// within their timeout. An entry has no lease: a box that dies stays listed
-// until a router starts there again and writes its own entry.
+// A neighbour counts from the first list or greeting that names its box. It
+// counts as removed only when a list lacks its box: a list that this node read
+// from the store, or one that a relay read from the store a short while ago
+// (vouchesForList). A neighbour that does not answer stays, since it may be this
+// node that is cut off; calls to it end with their timeout. An entry has no
+// lease: a box that dies stays listed until a router starts there again and
+// writes its own entry.
 //
-// Of two entries for one box, the one that the box itself sent replaces the
-// other. What a third node says of a box only adds one that was not known,
-// since it may be older than what is known.
+// An entry that a box sent of itself replaces the one that this node has of it.
+// An entry that a third node passed on only adds a box that is missing: it may be
+// older than the one that this node has.
 
 // source says who sent an entry.
 type source int
@@ -54,8 +53,8 @@
 	fromOther
 )
 
-// withNeighbour returns others with an entry taken in. It returns others itself
-// if nothing changes, else a new slice.
+// withNeighbour returns others with an entry added or replaced. It returns others
+// itself if nothing changes, else a new slice.
 func withNeighbour(others []peerEntry, self granitehoist.Box, entry peerEntry, from source) []peerEntry {
 	if entry.Box == "" || entry.Box == self {
 		return others
--- a/node/node.go
+++ b/node/node.go
@@ -69,11 +69,11 @@
 	return n, nil
 }
 
-// gatherChanges is how long changes of a prefix are gathered for one watch of the
-// store. It is a quarter of the 2 s within which the users' pages want a
-// configuration and an upstream's leaving acted upon. Commit c1de361 introduced
-// it together with relays (16,656 to 2,626 calls); the value was chosen, not
-// measured on its own.
+// gatherChanges is the least time from one watch of the store to the next, so that
+// changes within it cost one call. It is a quarter of the 2 s in which the users'
+// pages want the routers to act on a configuration and on an upstream that leaves.
+// Commit c1de361 introduced it together with relays (16,656 to 2,626 calls); the
+// value was chosen, not measured on its own.
 const gatherChanges = 500 * time.Millisecond
 
 // newFollower returns a follower of a prefix. The settings hold the prefix and
@@ -90,7 +90,7 @@
 	return follow.New(s)
 }
 
-// Routers returns the number of nodes that this one knows of, itself included.
+// Routers returns the number of nodes in this one's list, itself included.
 func (n *Node) Routers() int { return n.parts.peers.routers() }
 
 // Incarnation returns the id of this run.
--- a/node/nodelist.go
+++ b/node/nodelist.go
@@ -21,25 +21,24 @@
 	// to the store. New nodes greet their neighbours, so that the list is not the
 	// only way to learn of them.
 	listInterval = 8 * time.Second
-	// listRetryPause is the time to the next attempt after a list failed.
-	// Chosen, not measured.
+	// listRetryPause is the time to the next attempt after a list could not be
+	// read. Chosen, not measured.
 	listRetryPause = 300 * time.Millisecond
 	// firstListPause is the time in which all nodes of a fleet enter themselves
 	// at its first start. Chosen, not measured on its own; commit 0c0db10
 	// measured that carga-andina-grown quiet-1 earned 0.04 without the wait for a
 	// second list and 0.27 with it.
 	firstListPause = 1500 * time.Millisecond
-	// listsAtFirstStart and listsAtStart are how many lists a node reads before it
-	// takes its view of the fleet to be complete. At the first start of a whole
-	// fleet the first list lacks those that start at the same time.
+	// listsAtFirstStart and listsAtStart are how many lists a node reads before its
+	// view of the fleet counts as complete. At the first start of a fleet the first
+	// list lacks the nodes that start at the same time.
 	listsAtFirstStart = 2
-	// listsAtStart is one: all other nodes are in the first list that is read.
+	// listsAtStart is one: the first list that is read has all other nodes.
 	listsAtStart = 1
 )
 
 // listsNeeded returns how many lists a node has to read from the store before
-// its view of the fleet counts as complete; first says that the whole fleet
-// starts for the first time.
+// its view of the fleet counts as complete; first is Config.First.
 func listsNeeded(first bool) int {
 	if first {
 		return listsAtFirstStart
@@ -47,11 +46,11 @@
 	return listsAtStart
 }
 
-// listAttempt is what one attempt to learn the list of nodes came to.
+// listAttempt is the result of one attempt to read the list of nodes.
 type listAttempt struct {
 	// failed says that neither a relay nor the store gave the list.
 	failed bool
-	// complete says that enough lists were read by now.
+	// complete says that enough lists were read so far (listsNeeded).
 	complete bool
 }
 
@@ -69,24 +68,23 @@
 	}
 }
 
-// shouldGreet decides whether neighbours are greeted after the attempt: until
-// that was done once beside a list that could be read, since the store reports
-// a new incarnation to them late, and for as long as the list can't be read,
-// since the store then reports nothing at all.
+// shouldGreet decides whether neighbours are greeted after the attempt. They are
+// greeted once after the first list that could be read, since they learn of a
+// new incarnation from the store up to listInterval late. They are also greeted
+// after every attempt that failed, since the store then reports nothing.
 func (a listAttempt) shouldGreet(greetedBefore bool) bool { return a.failed || !greetedBefore }
 
-// listFreshFor is the age up to which a relay passes its list of nodes on as
-// that of the store. Two intervals: a relay that reads the list each
-// listInterval still vouches for it after one read that failed. Chosen, not
-// measured.
+// listFreshFor is the age up to which a relay vouches for its list of nodes. It
+// is two intervals, so that a relay still vouches after one read that failed.
+// Chosen, not measured.
 const listFreshFor = 2 * listInterval
 
 // vouchesForList decides whether a node may tell others that its entries are
 // as the store had them a short while ago, so that they needn't read the store
 // themselves. It may if it is a relay, which reads the list from the store each
 // listInterval, and if its last list is not older than listFreshFor. Nodes
-// behind relays don't vouch: their list is a relay's and would grow older with
-// each step.
+// behind relays don't vouch: they have their list from a relay, and it would be
+// older with each node that passes it on.
 func vouchesForList(isRelay bool, listedAt, now time.Time) bool {
 	return isRelay && now.Sub(listedAt) <= listFreshFor
 }
@@ -114,7 +112,7 @@
 	}
 }
 
-// refreshList learns the present entries, from a relay if this node is not one
+// refreshList gets the present entries, from a relay if this node is not one
 // itself, else from the store. Its error is that of the store.
 func (p *peers) refreshList(ctx context.Context) error {
 	for _, relay := range p.relaysToAsk() {
@@ -130,8 +128,8 @@
 	return p.readList(ctx)
 }
 
-// adoptRelayList takes the list that a relay sent in place of one from the
-// store, and reports whether it did.
+// adoptRelayList replaces the neighbours by the list that a relay sent, and
+// reports whether it did (listedByRelay).
 func (p *peers) adoptRelayList(reply greeting) bool {
 	others, ok := listedByRelay(reply, p.settings.self)
 	if !ok {
--- a/node/parts.go
+++ b/node/parts.go
@@ -18,7 +18,7 @@
 type parts struct {
 	// meter counts the bytes of the callers' and the upstreams' connections.
 	meter *linkmeter.Meter
-	// table knows the instances and chooses among them.
+	// table holds the instances and chooses among them.
 	table *balance.Table
 	// pool holds the connections to instances.
 	pool *exchange.Pool
@@ -28,12 +28,12 @@
 	syncer *escrow.Syncer
 	// path serves requests.
 	path *forward.Path
-	// peers knows and calls the neighbours.
+	// peers holds and calls the neighbours.
 	peers *peers
 }
 
-// newParts builds the parts of a node that serves by the configuration in
-// current and has the entry self.
+// newParts builds the parts of a node. current holds the configuration that they
+// serve by, self is the node's own entry.
 func newParts(n *Node, self peerEntry, current *catalog.Current) *parts {
 	p := &parts{meter: &linkmeter.Meter{}}
 	p.table = balance.New(balance.Settings{Zone: n.config.Zone, Seed: uint64(n.clock().UnixNano())})
@@ -62,9 +62,9 @@
 	return p
 }
 
-// newSyncer connects the ledger to the store and to the neighbours. What this
-// node does for others (write the record, lend) follows from peers at each
-// call, since it changes with the fleet.
+// newSyncer connects the ledger to the store and to the neighbours. The syncer
+// asks peers at each call whether this node writes the record and whom it borrows
+// from, since both change with the fleet.
 func newSyncer(n *Node, ledger *escrow.Ledger, peers *peers) *escrow.Syncer {
 	return escrow.NewSyncer(escrow.SyncerSettings{
 		Box:     n.config.Box,
--- a/node/peers.go
+++ b/node/peers.go
@@ -5,6 +5,7 @@
 
 import (
 	"context"
+	"errors"
 	"sync"
 	"time"
 
@@ -22,14 +23,13 @@
 	// clock tells the present time; nil stands for time.Now.
 	clock granitehoist.Clock
 	log   *zap.Logger
-	// first says that the whole fleet starts for the first time, so that the
-	// list of nodes in the store is still filling.
+	// first is Config.First.
 	first bool
 }
 
-// peers holds what a node knows of its neighbours and calls them. What it knows
-// are the entries of the last list, from the store or from a relay, corrected by
-// what neighbours said of themselves since. It survives no restart: a new
+// peers holds the entries of a node's neighbours and calls them. The entries are
+// those of the last list, from the store or from a relay, corrected by the
+// greetings that neighbours sent since. Nothing is kept over a restart: a new
 // process reads the list again.
 //
 // The rules that follow from the entries are methods of fleetView; peers only
@@ -58,7 +58,7 @@
 	return &peers{settings: s, client: fleet.NewClient(fleet.ClientSettings{})}
 }
 
-// view returns what is known at present.
+// view returns the present view of the fleet.
 func (p *peers) view() fleetView {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -103,7 +103,7 @@
 	return lenders
 }
 
-// neighboursToAsk returns at most maxAsked neighbours, others at each call.
+// neighboursToAsk returns up to maxAsked neighbours, in turn from call to call.
 func (p *peers) neighboursToAsk() []granitehoist.Peer {
 	var chosen []granitehoist.Peer
 	for _, other := range p.nextNeighbours(maxAsked) {
@@ -112,8 +112,8 @@
 	return chosen
 }
 
-// nextNeighbours returns at most limit neighbours, others at each call until
-// all have had their turn.
+// nextNeighbours returns up to limit neighbours, and begins at each call after
+// the last one of the call before.
 func (p *peers) nextNeighbours(limit int) []peerEntry {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,11 +126,11 @@
 }
 
 // Call implements granitehoist.Caller. If another incarnation has the address
-// by now, the call fails and the name of that incarnation is learnt for the
-// next one.
+// by now, the call fails, and a greeting learns that incarnation for the next
+// call.
 func (p *peers) Call(ctx context.Context, to granitehoist.Peer, method string, params, result any) error {
 	err := p.client.Call(ctx, to, method, params, result)
-	if isOtherIncarnation(err) {
+	if errors.Is(err, fleet.ErrOtherIncarnation) {
 		// The call has failed in any case. If this greeting fails too, the next
 		// call meets the same error and greets again.
 		_, _ = p.greetAddress(ctx, to.Address)
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -6,8 +6,8 @@
 import "net/http"
 
 // readiness is whether a node can serve callers, or the first reason why not.
-// The platform's balancer asks for it once a second and gives a node that
-// answered twice without a 200 no new connections.
+// The platform's balancer asks for it once a second. After two answers without a
+// 200 it sends the node no new connections.
 type readiness int
 
 // The verdicts on readiness.
@@ -56,8 +56,8 @@
 
 // turnsCallersAway decides whether answers ask their callers to connect anew,
 // so that they reach another node: while this one stops or its link is nearly
-// full. A node that lacks a copy of the store does not ask it; its callers come
-// to it only if no other node is ready.
+// full. A node that lacks a configuration or the list of instances does not: the
+// balancer sends callers to such a node only if no other one is ready.
 func (s readinessInputs) turnsCallersAway() bool { return s.leaving || s.shedding }
 
 // readinessInputs gathers what readiness depends on.
--- a/node/relays.go
+++ b/node/relays.go
@@ -22,8 +22,8 @@
 //
 // The input is the node's view of the fleet, which is up to listInterval old,
 // or older while the store does not answer. Two nodes whose views differ may
-// choose different relays; that costs calls to the store and nothing else, since
-// nothing depends on a node being the only relay.
+// choose different relays. That only costs calls to the store, since nothing
+// depends on a node being the only relay.
 //
 // Measured on tuul-hire-grown quiet-1 (87 boxes): 16,656 calls to the store
 // before and 2,626 with relays (commit c1de361, docs/design/platform.md).
@@ -38,14 +38,15 @@
 	relaysPerZone = 2
 )
 
-// fleetView is what a node knows of the fleet at one moment. It is not changed
-// after it was made. Its methods are the rules by which a node takes its part.
+// fleetView is the fleet as one node sees it at one moment. It does not change.
+// Its methods are the rules that give a node its roles: here and in
+// budgetroles.go.
 type fleetView struct {
 	self peerEntry
 	// others holds the neighbours, one entry a box.
 	others []peerEntry
 	// complete says that enough lists were read from the store for others to
-	// hold the whole fleet (listsNeeded).
+	// hold all neighbours (listsNeeded).
 	complete bool
 }
 
@@ -78,8 +79,8 @@
 }
 
 // isRelay reports whether this node reads from the store itself. A node whose
-// view is not complete yet does not take itself for a relay: in a fleet that is
-// still filling, every node would.
+// view is not complete yet is no relay: in a fleet that is still filling, every
+// node would be one.
 func (v fleetView) isRelay() bool { return v.complete && v.relays()[v.self.Box] }
 
 // relaysToAsk returns the relays that this node asks in place of the store, those
--- a/node/shedding.go
+++ b/node/shedding.go
@@ -18,10 +18,10 @@
 // of another, and more than its link carries. Such a box reports that it is not
 // ready and asks its callers to connect anew, so that they reach other boxes.
 //
-// The input are readings of the bytes that passed over the callers' and the
+// The inputs are readings of the bytes that passed over the callers' and the
 // upstreams' connections, one each linkInterval, and the link's rate from the
-// settings. Refusing requests early instead would not help: their bodies arrive
-// all the same.
+// settings. Refusing requests early instead was not tried: their bodies would
+// still arrive.
 //
 // Measured on tuul-hire-grown quiet-1: a box received 1.17 of 1.25 MB/s for ten
 // seconds and served none of its requests; shedding at these bounds raised the
@@ -34,7 +34,7 @@
 	shedAboveLoad = 0.82
 	// stopSheddingBelowLoad is the load, as a share of the link's rate, below
 	// which a box stops shedding. Chosen, not measured: far enough below
-	// shedAboveLoad that the callers who return don't fill the link at once.
+	// shedAboveLoad that the callers who return don't fill the link again at once.
 	stopSheddingBelowLoad = 0.5
 	// minSheddingTime is the least time of shedding. The balancer asks once a
 	// second and takes a box out after two answers without a 200, so that a
@@ -46,16 +46,17 @@
 	// linkInterval is the time between two readings of the link. Chosen, not
 	// measured.
 	linkInterval = 500 * time.Millisecond
-	// linkWindow is the number of intervals over which the load is taken: one
-	// second, so that a burst of a single interval does not shed.
+	// linkWindow is the number of intervals over which the load is averaged. Two
+	// are one second, so that a burst of a single interval does not shed. Chosen,
+	// not measured.
 	linkWindow = 2
 )
 
-// linkWatch decides whether a box sheds callers. Its zero value never sheds. It
-// is not safe for concurrent use.
+// linkWatch decides whether a box sheds callers. The zero value never sheds,
+// since it has no capacity. It is not safe for concurrent use.
 type linkWatch struct {
-	// capacity is the link's rate in bytes a second; zero, for a rate that is not
-	// known, never sheds.
+	// capacity is the link's rate in bytes a second; zero if the settings don't
+	// give it: the box then never sheds.
 	capacity float64
 	// readings holds the last linkWindow readings.
 	readings []linkmeter.Reading
@@ -64,8 +65,8 @@
 	changedAt time.Time
 }
 
-// observe takes a reading in, and reports whether the box should shed callers
-// from the reading's time on.
+// observe adds a reading and reports whether the box should shed callers from the
+// reading's time on.
 func (w *linkWatch) observe(r linkmeter.Reading) bool {
 	w.readings = append(w.readings, r)
 	if len(w.readings) <= linkWindow || w.capacity <= 0 {
@@ -91,8 +92,8 @@
 	bitsPerMbit = 1e6
 )
 
-// watchLink reads the link's load and keeps the decision whether this box sheds
-// callers, until ctx ends.
+// watchLink reads the meter each linkInterval and stores in n.shedding whether
+// this box sheds callers, until ctx ends.
 func (n *Node) watchLink(ctx context.Context) {
 	watch := linkWatch{capacity: n.config.LinkMbps * bitsPerMbit / bitsPerByte}
 	ticker := time.NewTicker(linkInterval)
--- a/node/stop.go
+++ b/node/stop.go
@@ -16,7 +16,7 @@
 // SIGTERM and SIGKILL (8 s on today's sites).
 const (
 	// serveShare is how long new requests are still served, since the balancer
-	// and the callers notice late that the node leaves: 2.56 s of 8 s, above the
+	// and the callers notice late that the node stops: 2.56 s of 8 s, above the
 	// 2 s that the balancer takes for two questions without a 200. It was 0.40
 	// until commit ed6e543: stops took 7.5 s of 8 s and cut one to three streams,
 	// since new requests were taken for 3.2 s.
@@ -28,19 +28,19 @@
 	// returnShare is when the return of tokens is given up, 240 ms of 8 s before
 	// the platform kills the process. Chosen, not measured.
 	returnShare = 0.97
-	// minReturnTime is what the return of tokens gets even if requests ran until
-	// finishShare. Commit ed11c68: it was all that a return got before, and
-	// failed against a store that took 0.3 s a call; it is the least since.
+	// minReturnTime is the least time for the return of tokens, also if requests
+	// ran until finishShare. Chosen, not measured. Before commit ed11c68 it was the
+	// only time, and too short for a store that took 0.3 s a call.
 	minReturnTime = 300 * time.Millisecond
-	// maxReturnTime bounds the return where more of the grace is left: five
-	// calls of such a store. Chosen with commit ed11c68, not measured on its own.
+	// maxReturnTime bounds the return if more of the grace remains: five calls of
+	// such a store. Chosen with commit ed11c68, not measured on its own.
 	maxReturnTime = 1500 * time.Millisecond
-	// stopPollInterval is how often a stop looks whether requests are still in
-	// progress. Chosen, not measured: short beside the grace.
+	// stopPollInterval is how often a stop checks whether requests are still in
+	// progress. Chosen, not measured: short compared with the grace.
 	stopPollInterval = 20 * time.Millisecond
 )
 
-// stopPhase is what a node that stops does at a moment.
+// stopPhase is a phase of a stop.
 type stopPhase int
 
 // The phases of a stop, in their order.
@@ -51,7 +51,7 @@
 	// phaseFinish: new requests are refused as not run, those in progress go on.
 	phaseFinish
 	// phaseReturn: nothing is in progress, or its time is over; tokens are
-	// returned and the node takes its entry off the list.
+	// returned and the node removes its entry from the list.
 	phaseReturn
 )
 
@@ -87,18 +87,18 @@
 }
 
 // returnTime returns how long the return of tokens that begins at now may take.
-// It may go beyond returnUntil by up to minReturnTime: the process may be killed
-// then, but without the attempt the tokens are lost for certain.
+// It may end up to minReturnTime after returnUntil: the process may be killed by
+// then, but without the attempt the tokens would be lost in any case.
 func (p stopPlan) returnTime(now time.Time) time.Duration {
 	return max(minReturnTime, min(p.returnUntil.Sub(now), maxReturnTime))
 }
 
-// Stop stops a node that was started: it is no longer ready, serves on while the
-// balancer may still send callers, finishes what is in progress, returns its
-// tokens and takes its entry off the list of nodes. The times are those of
-// stopPlan. Stop returns when that is done; calls while it runs wait for it. It
-// does not wait for the node's goroutines, since the process ends after it and
-// one that hangs must not hold it up.
+// Stop stops a node that was started. The node is no longer ready, goes on serving
+// while the balancer may still send callers, finishes the requests in progress,
+// returns its tokens and removes its entry from the list of nodes, at the times of
+// stopPlan. Stop returns when that is done; a second call waits for the first. It
+// does not wait for the node's goroutines: the process ends after it, and one that
+// hangs must not delay that.
 func (n *Node) Stop() { n.stopping.Do(n.stop) }
 
 // stop goes through the phases of a stop. Requests still in progress at its end
@@ -128,8 +128,8 @@
 }
 
 // returnTokens returns the tokens that are free and removes the node's entry, in
-// the time that the plan leaves. What fails is logged: the tokens are then lost
-// to the budget, and the entry stays until a router starts on this box again.
+// the time that the plan gives it. Failures are logged: the budget then loses the
+// tokens, or the entry stays until a router starts on this box again.
 func (n *Node) returnTokens(plan stopPlan) {
 	ctx, cancel := context.WithTimeout(context.Background(), plan.returnTime(n.clock()))
 	defer cancel()
--- a/node/storecalls.go
+++ b/node/storecalls.go
@@ -17,8 +17,8 @@
 	count func(call, result string)
 }
 
-// countResult counts a call by what its error says of it. An error that is none of the
-// store's own counts as unknown, as it leaves open what the store did.
+// countResult counts a call by its error. An error that is none of the store's own
+// counts as unknown: the store may have run the call or not.
 func (s *countedStore) countResult(call string, err error) {
 	result := "ok"
 	switch {
--- a/node/updates.go
+++ b/node/updates.go
@@ -15,8 +15,8 @@
 const methodUpdates = "follow.updates"
 
 const (
-	// updatesTimeout bounds a call of methodUpdates beyond the wait that it asks
-	// for. Chosen, not measured; a configuration of 1,640 routes took half of it
+	// updatesTimeout bounds a call of methodUpdates, in addition to the wait that
+	// it asks for. Chosen, not measured; a configuration of 1,640 routes took half of it
 	// on a link of 10 Mbit/s until replies were compressed
 	// (docs/design/platform.md).
 	updatesTimeout = 400 * time.Millisecond
@@ -35,7 +35,7 @@
 	After  granitehoist.Version `json:"after"`
 	// Wait is in nanoseconds; a receiver grants at most maxUpdatesWait.
 	Wait time.Duration `json:"wait,omitempty"`
-	// Cut is how long the store has not answered the asking router, in
+	// Cut is how long the store has not answered the router that asks, in
 	// nanoseconds.
 	Cut time.Duration `json:"cut,omitempty"`
 }
