--- a/fleet/call.go
+++ b/fleet/call.go
@@ -15,17 +15,17 @@
 	"granitehoist.example/granitehoist"
 )
 
-// envelope is what a call carries: the incarnation that it is for, and the
-// method's own parameters. An address may have passed to another router since the
-// caller learnt it, even to one of another fleet (docs/design/fleet.md has the
+// envelope is the parameters of a call: the incarnation that it is for, and the
+// method's own parameters. Another router, even one of another fleet, may have got
+// the address since the caller learnt it (docs/design/fleet.md has the
 // measurement).
 type envelope struct {
 	To     granitehoist.Incarnation `json:"to"`
 	Params json.RawMessage          `json:"params"`
 }
 
-// ErrOtherIncarnation says that another router than the one called answers at
-// its address. The call was not run.
+// ErrOtherIncarnation says that the address belongs to another router than the one
+// called. The call was not run.
 var ErrOtherIncarnation = errors.New("fleet: another incarnation has the address")
 
 // codeOtherIncarnation is the JSON-RPC error code of ErrOtherIncarnation. It
@@ -33,8 +33,8 @@
 // -32099).
 const codeOtherIncarnation = -32001
 
-// discardLog keeps the library from writing lines of its own to the standard
-// error: what fails is returned to the caller.
+// discardLog drops the lines that the library would write to the standard error:
+// the caller of a call gets its error anyway.
 var discardLog = log.New(io.Discard, "", 0)
 
 // newStream frames the messages of a connection: each is preceded by its length.
@@ -44,7 +44,7 @@
 
 // discard closes a connection or listener that is not used any more.
 func discard(c io.Closer) {
-	// What was in progress on it has failed already or is given up, so that an
-	// error in closing it changes nothing.
+	// The calls in progress on it have failed or are given up, so that an error in
+	// closing it changes nothing.
 	_ = c.Close()
 }
--- a/fleet/client.go
+++ b/fleet/client.go
@@ -123,8 +123,8 @@
 // Handle implements jsonrpc2.Handler.
 func (refuseAll) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	if !r.Notif {
-		// A receiver of calls that calls back is at fault; if it does not get this
-		// answer its call times out.
+		// A server never calls its client. If one does and does not get this answer,
+		// its call times out.
 		_ = c.ReplyWithError(ctx, r.ID, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this side serves no calls"})
 	}
 }
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -20,29 +20,27 @@
 //
 //   - Leases cost writes that grow with the fleet: 220 a second at 1,100
 //     routers (docs/CAPACITY.md). An entry without one costs one write a start.
-//   - Registry's roles must not stay with a dead router, so that its entry has to
-//     end by itself. A node needs no such role: a neighbour that does not answer
-//     is passed over, and its entry is replaced when its box starts again.
+//   - Registry's roles must not stay with a dead router, so its entry has to end
+//     by itself. A node has no such roles: it skips a neighbour that does not
+//     answer, and the neighbour's entry is replaced when its box starts again.
 //   - In large fleets only relays read node's list, and neighbours correct it by
 //     greetings while the store does not answer. Registry knows the store's list
 //     only.
 //
-// What both do with the store is a list, a conditional write and a conditional
-// delete, and they differ in what they do with errors: Registry fails on an
-// entry that can't be read, node logs it and goes on. So they share the calls and
-// no more. Both write under "boxes/", in different forms: the two programs must
+// Both read a list from the store, write on a condition and delete on a condition,
+// but they handle errors differently: Registry fails on an entry that can't be
+// read, node logs it and goes on. So they share only the calls between routers. Both write under "boxes/", in different forms: the two programs must
 // not share a store.
 //
 // # State
 //
 // Registry holds the router's own entry, its lease and the last view under its
-// own lock; in the store only this router writes its two entries, but for
-// Withdraw. Client and Server hold their connections, each under its own lock.
+// own lock. In the store only this router writes its two entries, except that
+// Withdraw may delete the entry of another one. Client and Server hold their connections, each under its own lock.
 // All three are safe for concurrent use. A View is a value that does not change.
 //
-// The package relies on granitehoist.Store and package store for the list, and
-// keeps no time itself: the caller calls Refresh each Interval, and the store
-// ends leases.
+// The package relies on granitehoist.Store and package store for the list. It has
+// no timers: the caller calls Refresh each Interval, and the store ends leases.
 //
 // Begin reading at Client.Call and Server.handle, then at Registry.Refresh.
 package fleet
--- a/fleet/entries.go
+++ b/fleet/entries.go
@@ -12,8 +12,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// readMembers reads the members under a prefix. An entry that can't be read fails
-// the whole: acting without a router that may serve would be unsafe.
+// readMembers reads the members under a prefix. It returns an error if one entry
+// can't be read: acting without a router that may serve would be unsafe.
 func readMembers(ctx context.Context, s granitehoist.Store, prefix string) ([]Member, error) {
 	entries, _, err := s.List(ctx, prefix)
 	if err != nil {
@@ -34,7 +34,8 @@
 // its write was lost, or after another write came between. Chosen, not measured.
 const maxDeleteTries = 3
 
-// deleteKey deletes a key, whatever it holds. One that does not exist is no error.
+// deleteKey deletes a key, whatever its value. A key that does not exist is no
+// error.
 func deleteKey(ctx context.Context, s granitehoist.Store, key string) error {
 	var err error
 	for range maxDeleteTries {
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -28,8 +28,8 @@
 type RegistrySettings struct {
 	Self  Member
 	Store granitehoist.Store
-	// TTL is how long an entry outlives its router; zero stands for
-	// DefaultTTL. It is renewed three times as often.
+	// TTL is how long an entry outlives its router; zero stands for DefaultTTL.
+	// The entry is renewed renewalsPerTTL times within it.
 	TTL time.Duration
 }
 
@@ -43,18 +43,19 @@
 const renewalsPerTTL = 3
 
 // Registry keeps a router's own entry in the store and its view of the others.
-// While the store does not answer the last view stands. It is safe for concurrent
-// use.
+// While the store does not answer, the last view stays in use. It is safe for
+// concurrent use.
 type Registry struct {
 	settings RegistrySettings
-	// refreshing holds a value while a Refresh runs: two beside each other would
-	// each grant a lease, and the entry could stand under the one that is not
+	// refreshing holds a value while a Refresh runs: two at the same time would
+	// each grant a lease, and the entry could be under the one that is not
 	// renewed.
 	refreshing chan struct{}
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// self is what the entry is to say, written what it says under lease.
+	// self is what the entry should say, written what was last written under
+	// lease.
 	self    Member
 	written Member
 	lease   granitehoist.LeaseID
@@ -90,8 +91,8 @@
 // Refresh renews the router's entry and reads the others'. A router is in the
 // view from its first entry until its lease ends or it removes the entry. The
 // error is that of the store, or names an entry that can't be read; the view
-// then stays as it was. A Refresh beside another one waits for it, and returns
-// the context's error if that ends first.
+// then stays as it was. If another Refresh runs, this one waits for it, and
+// returns the context's error if that ends first.
 func (r *Registry) Refresh(ctx context.Context) error {
 	select {
 	case r.refreshing <- struct{}{}:
@@ -112,28 +113,23 @@
 	return nil
 }
 
-// renewEntry renews the lease, and writes the entry if it is new or has changed.
+// renewEntry renews the lease, and writes the entry if its lease is new or it has
+// changed.
 func (r *Registry) renewEntry(ctx context.Context) error {
 	r.mu.Lock()
 	lease, self, changed := r.lease, r.self, r.self != r.written
 	r.mu.Unlock()
-	verdict := needsLease
-	if lease != "" {
-		err := r.settings.Store.RenewLease(ctx, lease)
-		verdict = decideRenewal(err, changed)
-		if verdict == renewalFailed {
-			return err
-		}
-	}
-	if verdict == entryUnchanged {
+	verdict, err := r.renewLease(ctx, lease, changed)
+	switch verdict {
+	case renewalFailed:
+		return err
+	case entryUnchanged:
 		return nil
-	}
-	if verdict == needsLease {
-		granted, err := r.settings.Store.GrantLease(ctx, r.settings.TTL)
+	case needsLease:
+		lease, err = r.settings.Store.GrantLease(ctx, r.settings.TTL)
 		if err != nil {
 			return err
 		}
-		lease = granted
 	}
 	if err := r.writeEntry(ctx, lease, self); err != nil {
 		return err
@@ -144,6 +140,16 @@
 	return nil
 }
 
+// renewLease renews a lease if there is one. It returns what has to be done about
+// the entry, and the store's error.
+func (r *Registry) renewLease(ctx context.Context, lease granitehoist.LeaseID, changed bool) (renewal, error) {
+	if lease == "" {
+		return needsLease, nil
+	}
+	err := r.settings.Store.RenewLease(ctx, lease)
+	return decideRenewal(err, changed), err
+}
+
 func (r *Registry) key() string { return KeyPrefix + memberKey(r.settings.Self) }
 
 // memberKey is the part of a member's keys after their prefix.
@@ -165,7 +171,7 @@
 	return err
 }
 
-// Leave marks the router as stopping, for the next Refresh.
+// Leave marks the router as stopping. The next Refresh writes that to the store.
 func (r *Registry) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/fleet/renewal.go
+++ b/fleet/renewal.go
@@ -14,21 +14,20 @@
 
 // The verdicts on an entry.
 const (
-	// entryUnchanged: the lease was renewed, and the entry says what it should.
+	// entryUnchanged: the lease was renewed, and the entry is as last written.
 	entryUnchanged renewal = iota
 	// needsWrite: the lease was renewed, but the entry has changed.
 	needsWrite
 	// needsLease: there is no lease, or it has ended and the store deleted the
 	// entry with it. A new lease is granted and the entry written under it.
 	needsLease
-	// renewalFailed: the store did not answer, or refused. The lease may go on, so
-	// that no other is granted; the next refresh renews it again.
+	// renewalFailed: the store did not answer, or refused. The lease may still
+	// exist, so that no other is granted; the next refresh renews it again.
 	renewalFailed
 )
 
 // decideRenewal decides what follows from an attempt to renew the lease: err is
-// its error, changed says that the entry is to say something else than when it
-// was last written.
+// its error, changed says that the entry differs from what was last written.
 func decideRenewal(err error, changed bool) renewal {
 	switch {
 	case errors.Is(err, granitehoist.ErrNoLease):
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -50,9 +50,9 @@
 	Self granitehoist.Incarnation
 	// Methods holds the handlers by method name.
 	Methods map[string]HandlerFunc
-	// Greetings holds those of methods that a caller may use before it knows
-	// the incarnation at an address; their replies must name it. A name is in
-	// one of the two maps.
+	// Greetings holds the handlers of methods that a caller may use before it
+	// knows the incarnation at an address; their replies must name it. A name must
+	// not be in both maps.
 	Greetings map[string]HandlerFunc
 }
 
@@ -66,8 +66,8 @@
 }
 
 // Serve accepts connections from a listener until Close, and returns nil then. It
-// returns the listener's error if that fails before. If Close came first it closes
-// the listener and returns.
+// returns the listener's error if that fails before. If Close was called already,
+// it closes the listener and returns.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	s.listener = listener
@@ -95,7 +95,7 @@
 }
 
 // startConn serves the calls of a connection, each on a goroutine of its own,
-// until it ends. A connection accepted beside Close is closed at once.
+// until it ends. A connection that was accepted while Close ran is closed at once.
 func (s *Server) startConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +115,7 @@
 }
 
 // handle runs one call. Methods are refused to callers that name another
-// incarnation; greetings are not, since they serve to learn the incarnation.
+// incarnation; greetings are not, since by them a caller learns the incarnation.
 func (s *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 	serve, ok := s.methods[r.Method]
 	greeting := false
--- a/fleet/serving.go
+++ b/fleet/serving.go
@@ -13,12 +13,11 @@
 	"granitehoist.example/granitehoist/store"
 )
 
-// Enroll enters the router among those that may serve, without a lease: a router
-// that is cut off from the store may serve all the same. Its error is that of the
-// store; the entry may have been written all the same, and Enroll can be called
-// again. It must succeed before
-// the router serves its first request, and before it reads the documents by
-// which it does.
+// Enroll enters the router among those that may serve. It must succeed before the
+// router reads the documents by which it serves, and before its first request.
+// The entry has no lease, since a router that is cut off from the store goes on
+// serving. The error is that of the store; the entry may have been written in
+// spite of it, and Enroll can be called again.
 func (r *Registry) Enroll(ctx context.Context) error {
 	raw, err := json.Marshal(r.settings.Self)
 	if err != nil {
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -29,8 +29,7 @@
 	return granitehoist.Peer{Incarnation: m.Incarnation, Address: m.Peers}
 }
 
-// View is the routers that one router knows of. It is not changed after it
-// was made.
+// View is the list of routers as one router last read it. It does not change.
 type View struct {
 	members []Member
 }
@@ -58,7 +57,7 @@
 
 // Holder returns the member of a region that acts in a role, by rendezvous
 // hashing (D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase
-// Hit Rates", 1998). It returns false if the region has no member that stays.
+// Hit Rates", 1998). It returns false if all members of the region leave.
 func (v View) Holder(r granitehoist.Region, role string) (Member, bool) {
 	var best Member
 	var bestWeight uint64
