--- a/cmd/granitehoist-edge/main.go
+++ b/cmd/granitehoist-edge/main.go
@@ -40,13 +40,13 @@
 	logLines = 2048
 	// logFlush bounds the writing of the lines that still wait when the process
 	// ends. Chosen, not measured: it has to fit between the end of a stop, at 97 %
-	// of the grace, and the platform's SIGKILL.
+	// of the grace (node/stop.go, returnShare), and the platform's SIGKILL.
 	logFlush = 100 * time.Millisecond
-	// memoryShare is the share of the process's bound (limits.memoryMb in the
-	// settings file; above it the platform kills the process) from which on the
-	// garbage collector works harder. The platform counts bytes that have arrived
-	// and are not read yet as well, so that some room is left. Chosen, not
-	// measured.
+	// memoryShare is the share of the process's memory limit (limits.memoryMb in
+	// the settings file; above it the platform kills the process) that Go's memory
+	// limit gets, above which the garbage collector runs more often. The remainder
+	// is for bytes that have arrived and are not read yet: the platform counts them
+	// as well. Chosen, not measured.
 	memoryShare = 0.6
 	// signalQueue is the number of signals that wait while one is handled. Chosen,
 	// not measured: a signal beyond it is lost, and a stop needs one only.
@@ -101,8 +101,8 @@
 }
 
 // reload reads the settings file again after SIGHUP and logs whether it can be
-// read. No setting of the running process changes by it: those that matter are
-// fixed at the start (addresses, box, grace), and a restart takes in the others.
+// read. It changes no setting of the running process: a restart is needed for
+// that.
 func reload(file string, log *zap.Logger) {
 	if _, err := platform.ReadSettings(file); err != nil {
 		log.Error(event.ReloadFailed, zap.Error(err))
--- a/cmd/granitehoist/documents.go
+++ b/cmd/granitehoist/documents.go
@@ -19,8 +19,7 @@
 	"granitehoist.example/granitehoist/partner/router"
 )
 
-// acceptancePause is the time between two questions whether a document is
-// accepted. Chosen, not measured.
+// acceptancePause is the time between two checks whether a document is accepted. Chosen, not measured.
 const acceptancePause = 200 * time.Millisecond
 
 // applyRun is one run of the command apply.
@@ -80,8 +79,9 @@
 	return a.waitAccepted(ctx, signed, state)
 }
 
-// waitAccepted asks until the document is accepted: until every router that may
-// serve has it in force. It prints "pending", and fails, if that takes too long.
+// waitAccepted asks the router until the document is accepted, that is, in force on
+// every router that may serve. If that takes longer than a.wait, it prints
+// "pending" and fails.
 func (a applyRun) waitAccepted(ctx context.Context, signed config.Signed, state router.DocumentState) error {
 	limit := time.After(a.wait)
 	for !state.Accepted {
--- a/cmd/granitehoist/explain.go
+++ b/cmd/granitehoist/explain.go
@@ -14,6 +14,7 @@
 	"granitehoist.example/granitehoist/explain"
 )
 
+// newExplain returns the command that explains a request.
 func newExplain(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("explain", "Tell the story of one request from the nodes' log lines on standard input.")
 	id := clause.Arg("request", "The request's id.").Required().String()
--- a/cmd/granitehoist/main.go
+++ b/cmd/granitehoist/main.go
@@ -28,12 +28,14 @@
 	run    func(ctx context.Context) error
 }
 
-// failed ends the program with status 1 when what was wrong has been told.
+// failed ends the program with status 1 after a command has printed what is wrong.
 type failed struct{}
 
 // Error implements error.
 func (failed) Error() string { return "failed" }
 
+// main parses the command line and runs the chosen command until it ends or a
+// signal arrives. It exits with 1 if the command fails.
 func main() {
 	app, commands := newApp(os.Stdout)
 	chosen, err := app.Parse(os.Args[1:])
@@ -77,6 +79,7 @@
 	return app, commands
 }
 
+// newVersion returns the command that prints the version.
 func newVersion(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("version", "Print the version.")
 	return command{clause, func(context.Context) error {
--- a/cmd/granitehoist/measure.go
+++ b/cmd/granitehoist/measure.go
@@ -12,6 +12,7 @@
 	"granitehoist.example/granitehoist/measure"
 )
 
+// newMeasureCapacity returns the command that measures the costs of the roles.
 func newMeasureCapacity(app *kingpin.Application, out io.Writer) command {
 	parent := app.Command("measure", "Measure what the parts of a router cost.")
 	clause := parent.Command("capacity", "Slopes of the costs of each role, and the loads at full and at small size.")
--- a/cmd/granitehoist/router.go
+++ b/cmd/granitehoist/router.go
@@ -16,12 +16,15 @@
 	"granitehoist.example/granitehoist/platform"
 )
 
+// newRouter returns the command that runs a router.
 func newRouter(app *kingpin.Application) command {
 	clause := app.Command("router", "Run a router until it is told to stop by SIGTERM or SIGINT.")
 	file := clause.Flag("settings", "The router's settings file.").Required().String()
 	return command{clause, func(ctx context.Context) error { return runRouter(ctx, *file) }}
 }
 
+// runRouter runs a router with the settings in file until ctx ends. It returns the
+// faults of the settings, if there are any.
 func runRouter(ctx context.Context, file string) error {
 	parsed, faults, err := settings.Load(file)
 	if err != nil {
@@ -51,28 +54,30 @@
 	return r.Stop(stopping)
 }
 
-// Figures of the calls to the platform's store. They are longer than those of
+// The limits of the calls to the platform's store. They are longer than those of
 // granitehoist-edge, the defaults of platform.StoreSettings. All are chosen, not
 // measured.
 const (
 	// storeTimeout bounds a call.
 	storeTimeout = 2 * time.Second
-	// storeWatch is the longest wait of a watch: it sets the number of calls of a
-	// router to which nothing happens.
+	// storeWatch is the longest wait of a watch: a router whose prefixes don't
+	// change makes one call each storeWatch for each prefix.
 	storeWatch = 20 * time.Second
-	// storeWatchGrace is added to it for the way there and back.
+	// storeWatchGrace is added to storeWatch for the round trip.
 	storeWatchGrace = 5 * time.Second
-	// storeIdleConns serves requests that are to run once, each of which makes a
-	// write.
+	// storeIdleConns is the number of idle connections: requests that must run only
+	// once make one write each, several at a time.
 	storeIdleConns = 8
 	// storeIdleTime is longer than the interval of every regular call.
 	storeIdleTime = time.Minute
 )
 
+// newStoreClient returns the HTTP client of the store and of the list of boxes.
 func newStoreClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: storeIdleConns, IdleConnTimeout: storeIdleTime}}
 }
 
+// newStore returns the platform's store at an address.
 func newStore(address string, client *http.Client) *platform.Store {
 	return platform.NewStore(platform.StoreSettings{
 		Address:    address,
--- a/cmd/granitehoist/try.go
+++ b/cmd/granitehoist/try.go
@@ -13,6 +13,7 @@
 	"granitehoist.example/granitehoist/trial"
 )
 
+// newTry returns the command that tries the system on one computer.
 func newTry(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("try", "Run the whole system on loopback with stand-ins, send a mixed load and judge it. Exits with 1 if a promise was broken.")
 	requests := clause.Flag("requests", "Number of requests.").Default("500").Int()
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -36,8 +36,8 @@
 	text string
 }
 
-// Read reads a log and collects the story of one request. Lines without an event
-// are passed over. It returns ErrNoRequest if no line names the request, and an
+// Read reads a log and collects the story of one request. It skips lines without
+// an event. It returns ErrNoRequest if no line names the request, and an
 // error if log can't be read or has a line above maxLineBytes.
 func Read(log io.Reader, request granitehoist.RequestID) (*Story, error) {
 	story := &Story{Request: request}
--- a/explain/line.go
+++ b/explain/line.go
@@ -13,9 +13,9 @@
 type Line struct {
 	// Box is the node that wrote the line, empty if the log does not say.
 	Box string
-	// At orders the lines of all boxes: the time of the log's reader if it
-	// gives one, else the box's own clock, since 1970. It is zero for a line that
-	// has neither.
+	// At orders the lines of all boxes. It is the time that the reader of the log
+	// put before the line if there is one, else the box's own clock, since 1970. It
+	// is zero for a line that has neither.
 	At time.Duration
 	// Event is the name of the event.
 	Event  string
@@ -50,7 +50,7 @@
 		return Line{}, false
 	}
 	if len(prefix) >= 2 {
-		// A prefix that does not begin with a time is of another reader; the box's
+		// A prefix that does not begin with a time is not of that form; the box's
 		// own clock is used then.
 		if seconds, err := strconv.ParseFloat(prefix[0], 64); err == nil {
 			l.Box = prefix[1]
--- a/explain/sentences.go
+++ b/explain/sentences.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// addAttempt tells one attempt, and whether its upstream's entry was deleted by
+// addAttempt adds one attempt, and whether its upstream's entry was deleted by
 // then.
 func (s *Story) addAttempt(l *Line, box *boxState) {
 	s.add(l, "attempt %s was sent to upstream %s (entry of version %s, %s of this router's requests there, home %s): %s after %s",
@@ -46,8 +46,8 @@
 	return "status " + l.Get("status")
 }
 
-// addOutcome tells how the request ended, and what the box knew when it decided:
-// the configuration, the budget, and an order to stop.
+// addOutcome adds how the request ended, and what the box had when it decided: the
+// configuration, the budget, and an order to stop.
 func (s *Story) addOutcome(l *Line, box *boxState) {
 	s.add(l, "the request on route %s of workspace %q, service %s, was decided under configuration %s", l.Get("route"), l.Get("workspace"), l.Get("service"), l.Get("config"))
 	if box.config != nil && box.config.Get("version") != l.Get("config") {
@@ -86,8 +86,8 @@
 	}
 }
 
-// codeText returns a result code with its message. A code that this version does
-// not know, or that is no number, stands alone.
+// codeText returns a result code with its message, or the code alone if this version
+// does not have it or it is no number.
 func codeText(number string) string {
 	n, err := strconv.Atoi(number)
 	if err != nil {
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -20,9 +20,9 @@
 // Settings configure a Group.
 type Settings[In, Out any] struct {
 	// Commit does the operation for all items of a batch and returns one result
-	// an item, in order; fewer results without an error are a panic. Every caller
-	// of the batch gets its error. It is never called twice at a time, and its
-	// context outlives that of the callers.
+	// for each item, in order; fewer results without an error cause a panic. Every
+	// caller of the batch gets its error. Only one Commit runs at a time, and its
+	// context does not end with those of the callers.
 	Commit func(ctx context.Context, items []In) ([]Out, error)
 	// MaxItems bounds the items of one batch; zero stands for no bound.
 	MaxItems int
@@ -119,7 +119,8 @@
 }
 
 // take removes the items of the next batch from those that wait, the oldest first.
-// If there are none the goroutine that called it must end.
+// If there are none, the goroutine that called it must end: the next Do starts
+// another.
 func (g *Group[In, Out]) take() []*call[In, Out] {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/batch/suite_test.go
+++ b/internal/batch/suite_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// stepTimeout is how long an eventual thing may take on a busy machine.
+// stepTimeout bounds a step of a test, also while the computer is busy.
 const stepTimeout = 20 * time.Second
 
 func TestBatch(t *testing.T) {
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -36,8 +36,8 @@
 	// Raw holds its bytes, the closing empty line included. It is valid until the
 	// next call of the Splitter.
 	Raw []byte
-	// ID is the event's id if HasID is set. Ids that are not whole numbers count
-	// as none; of several the last counts.
+	// ID is the event's id if HasID is set. An id that is not an integer is
+	// ignored; of several the last counts.
 	ID    int64
 	HasID bool
 }
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -13,7 +13,7 @@
 	"granitehoist.example/granitehoist/internal/httpserver"
 )
 
-// stepTimeout is how long a step may take on a busy machine.
+// stepTimeout bounds a step of a test, also while the computer is busy.
 const stepTimeout = 20 * time.Second
 
 func listen(t *testing.T) net.Listener {
--- a/internal/linkmeter/linkmeter.go
+++ b/internal/linkmeter/linkmeter.go
@@ -95,7 +95,7 @@
 }
 
 // SyscallConn implements syscall.Conn. It returns EINVAL if the counted connection
-// does not. Bytes read through it are not counted.
+// has no SyscallConn. Bytes read through it are not counted.
 func (c *conn) SyscallConn() (syscall.RawConn, error) {
 	inner, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -24,8 +24,9 @@
 // use, but for Close.
 type Sink struct {
 	lines chan []byte
-	// dropped counts all lines dropped, reported those of which the log has a line.
-	// Only run uses reported. written is closed when all lines are written.
+	// dropped counts all lines dropped, reported those of them that a log_dropped
+	// line has counted. Only run uses reported. written is closed when all lines are
+	// written.
 	dropped  atomic.Int64
 	reported int64
 	written  chan struct{}
@@ -38,17 +39,17 @@
 	return s
 }
 
-// run writes the lines until the sink is closed. Errors of w are dropped: w is where
-// errors are logged, and the next line may be written again.
+// run writes the lines until the sink is closed. An error of w loses a line; the
+// next one is tried again.
 func (s *Sink) run(w io.Writer) {
 	defer close(s.written)
 	for line := range s.lines {
 		if n := s.dropped.Load() - s.reported; n > 0 {
 			s.reported += n
-			// No other place is left to report an error of w.
+			// An error of w can't be reported: w is the log.
 			_, _ = fmt.Fprintf(w, "event=%s lines=%d\n", event.LogDropped, n)
 		}
-		// As above.
+		// An error of w can't be reported, as above.
 		_, _ = w.Write(line)
 	}
 }
@@ -67,8 +68,8 @@
 // Dropped returns the number of lines dropped so far.
 func (s *Sink) Dropped() int64 { return s.dropped.Load() }
 
-// Close waits until the queued lines are written, at most for the given time; what
-// is left then may be lost. Neither Write nor Close may be called after it.
+// Close waits until the queued lines are written, but no longer than timeout; lines
+// that still wait then may be lost. Neither Write nor Close may be called after it.
 func (s *Sink) Close(timeout time.Duration) {
 	close(s.lines)
 	select {
--- a/internal/pack/pack.go
+++ b/internal/pack/pack.go
@@ -60,8 +60,9 @@
 	return encoder.EncodeAll(raw, nil), nil
 }
 
-// Unpack decodes what Pack returned into value, a pointer. Anything else is an error,
-// also more than maxUnpacked bytes of JSON; value may hold a part of it then.
+// Unpack decodes what Pack returned into value, a pointer. It returns an error for
+// anything else and for more than maxUnpacked bytes of JSON; value may then hold a
+// part of it.
 func Unpack(packed []byte, value any) error {
 	raw, err := decoder.DecodeAll(packed, nil)
 	if err != nil {
--- a/internal/pack/pack_test.go
+++ b/internal/pack/pack_test.go
@@ -15,7 +15,7 @@
 	"granitehoist.example/granitehoist/internal/pack"
 )
 
-// stepTimeout is how long an eventual thing may take on a busy machine.
+// stepTimeout bounds a step of a test, also while the computer is busy.
 const stepTimeout = 20 * time.Second
 
 func TestPack(t *testing.T) {
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -10,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// noKey stands for the key of a fault that no key has.
+// noKey is the Key of a fault that concerns the file and no single key.
 const noKey = "(file)"
 
 // Decode reads TOML strictly into target, a pointer. It returns a fault for each
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -65,19 +65,20 @@
 	workers int
 }
 
-// lastIP numbers the loopback addresses of the nodes of all tests, so that no
-// two use the same.
+// lastIP is the number of the last loopback address that a node of any test got,
+// so that no two use the same.
 var lastIP atomic.Int32
 
-// nextIP returns a loopback address that neither another test uses nor one of
-// another run of the tests beside this one: the ports are fixed by the settings
-// file, so two processes need networks of their own.
+// nextIP returns a loopback address that no other test uses, in this process or in
+// another run of the tests at the same time: the settings file fixes the ports, so
+// two processes need networks of their own.
 func nextIP() string {
 	const ownNetworks, octet = 64, 256
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", ownNetworks+pid/octet%ownNetworks, pid%octet, lastIP.Add(1))
 }
 
+// newSite starts a site with nodes that have no configuration yet.
 func newSite(nodes int) *site {
 	s := &site{store: standin.NewStore(standin.StoreSettings{})}
 	for range nodes {
@@ -86,6 +87,7 @@
 	return s
 }
 
+// start starts a node with a store front of its own.
 func (s *site) start() *member {
 	ip := nextIP()
 	front := &standin.PlatformStore{Store: s.store}
@@ -111,7 +113,7 @@
 	return m
 }
 
-// put writes a key whatever it held before.
+// put writes a key, whatever its value was.
 func (s *site) put(key string, value any) {
 	raw, isRaw := value.([]byte)
 	if !isRaw {
@@ -176,7 +178,7 @@
 	Expect(err).NotTo(HaveOccurred())
 }
 
-// knowsDraining reports whether the node has taken in that a worker drains.
+// knowsDraining reports whether the node has logged that a worker drains.
 func (m *member) knowsDraining(w *standin.Worker) func() bool {
 	return func() bool {
 		lines := m.logs.FilterMessage(event.Upstream).FilterField(zap.String("upstream", w.Instance()))
@@ -184,7 +186,7 @@
 	}
 }
 
-// knowsRemoved reports whether the node has taken in that a worker's entry has gone.
+// knowsRemoved reports whether the node has logged that a worker was removed.
 func (m *member) knowsRemoved(w *standin.Worker) func() bool {
 	return func() bool {
 		return m.logs.FilterMessage(event.UpstreamGone).FilterField(zap.String("upstream", w.Instance())).Len() > 0
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -25,15 +25,18 @@
 const (
 	nodeCount   = 4
 	workerCount = 3
-	// reserved is less than what the callers ask for, so that the budget ends.
+	// reserved is the prepaid tokens: less than the callers ask for, so that the
+	// budget runs out.
 	reserved = 60_000
+	// A request has prompt tokens, a stream events of perEvent tokens each.
 	prompt   = 100
 	perEvent = 5
 	events   = 4
-	graceS   = 3
+	// graceS is the time in seconds from SIGTERM to SIGKILL in the settings.
+	graceS = 3
 )
 
-// runCounts are what the workers saw: how often each request ran.
+// runCounts counts how often the workers ran each request.
 type runCounts struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -60,7 +63,7 @@
 	log      bytes.Buffer
 }
 
-// fleet is the whole site of one seed.
+// fleet is the site of one seed: the store, the workers and the routers.
 type fleet struct {
 	t         *testing.T
 	binary    string
@@ -71,12 +74,14 @@
 }
 
 // ownNetwork returns the second octet of this run's loopback addresses, so that
-// two runs of the tests beside each other don't take each other's ports.
+// two runs of the tests at the same time don't take each other's ports.
 func ownNetwork() int {
 	const first, networks = 128, 96
 	return first + os.Getpid()%networks
 }
 
+// newFleet starts the site of one seed. block is the third octet of its loopback
+// addresses.
 func newFleet(t *testing.T, binary string, block int) *fleet {
 	t.Helper()
 	f := &fleet{t: t, binary: binary, runCounts: &runCounts{runs: map[string]int{}}, store: standin.NewStore(standin.StoreSettings{})}
@@ -114,6 +119,7 @@
 	f.must(err)
 }
 
+// addWorker starts a worker behind a proxy at address and announces the proxy.
 func (f *fleet) addWorker(id, address string) {
 	w, err := standin.NewWorker(id, f.runCounts.answer)
 	f.must(err)
@@ -125,6 +131,7 @@
 	f.put(platform.WorkersPrefix+id, fmt.Sprintf(`{"backend":"pool","address":%q,"zone":"hall","capacity":64,"phase":"ready"}`, p.address()))
 }
 
+// addProcess starts a router at ip, with a proxy before the store.
 func (f *fleet) addProcess(ip, store string) {
 	line, err := newProxy(ip+":8223", store)
 	f.must(err)
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -13,16 +13,20 @@
 type proxyMode int
 
 const (
+	// pass: bytes go through at once.
 	pass proxyMode = iota
+	// delay: each piece waits for delayTime.
 	delay
+	// silence: no byte goes through, and no connection ends.
 	silence
+	// reset: all connections are reset, new ones as well.
 	reset
 )
 
 // delayTime is how long a delaying proxy holds each piece.
 const delayTime = 120 * time.Millisecond
 
-// proxy passes connections on to an address and shows the faults of its mode.
+// proxy passes connections on to an address with the fault of its mode.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -105,7 +109,8 @@
 	_ = server.Close()
 }
 
-// copy passes bytes on in one direction. Silence holds them until it is over.
+// copy passes bytes on in one direction. In the mode silence it waits until the
+// mode changes.
 func (p *proxy) copy(to, from net.Conn) {
 	buffer := make([]byte, 16<<10)
 	for {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -22,11 +22,14 @@
 	// seedsVariable names the seeds to play, as FROM-TO.
 	seedsVariable = "SOAK_SEEDS"
 	callers       = 6
-	faultTime     = 5 * time.Second
-	// series is the number of faults that are played beside each other.
-	series       = 3
+	// faultTime is how long faults are played.
+	faultTime = 5 * time.Second
+	// series is the number of faults that are played at the same time.
+	series = 3
+	// recoveryTime bounds the time until all routers are ready.
 	recoveryTime = 12 * time.Second
-	deadline     = 2 * time.Second
+	// deadline is the time that a request has.
+	deadline = 2 * time.Second
 )
 
 // TestSoak plays the seeds.
@@ -52,6 +55,7 @@
 // firstBlock numbers the loopback addresses of the first seed.
 const firstBlock = 80
 
+// play runs callers and faults against the site of one seed and judges the answers.
 func play(t *testing.T, binary string, seed int) {
 	f := newFleet(t, binary, firstBlock+seed%100)
 	f.awaitReady(recoveryTime)
@@ -122,17 +126,21 @@
 	}
 }
 
-// outcomes is what the callers got.
+// outcomes holds what the callers got.
 type outcomes struct {
 	mu sync.Mutex
 	// answers holds the last status of each request, 0 for none.
-	answers  map[string]int
-	tokens   int
-	served   int
+	answers map[string]int
+	// tokens is the sum of what the answers cost, served the number of answers
+	// with status 200.
+	tokens int
+	served int
+	// mismatch describes the answers with a wrong body.
 	mismatch []string
 }
 
-// sendRequests sends requests over connections that stay open until the process is gone.
+// sendRequests sends requests until stop is closed. It stays with one process and
+// its connections until a request gets no answer, then goes on to the next process.
 func (f *fleet) sendRequests(caller int, random *rand.Rand, results *outcomes, stop <-chan struct{}) {
 	client := &http.Client{Timeout: deadline + time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -153,8 +161,8 @@
 	}
 }
 
-// ask sends one request and returns the status of its answer, 0 if it was not
-// whole.
+// ask sends one request and returns the status of its answer, 0 if the answer is
+// missing or incomplete.
 func (f *fleet) ask(client *http.Client, p *process, kind, id string, results *outcomes) int {
 	request, err := http.NewRequest(http.MethodPost, "http://"+p.ip+":8227/"+kind+"/x", strings.NewReader("question"))
 	if err != nil {
@@ -209,7 +217,7 @@
 	}
 }
 
-// judge holds what the callers got against what the workers ran.
+// judge compares what the callers got with what the workers ran.
 func (f *fleet) judge(results *outcomes) {
 	f.runCounts.mu.Lock()
 	defer f.runCounts.mu.Unlock()
