--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -68,13 +68,13 @@
 		Expect(client.Call(ctx, to, "echo", echo{"hello"}, &got)).NotTo(Succeed())
 	})
 
-	It("brings a call and its reply", func() {
+	It("passes on a call and its reply", func() {
 		var got echo
 		Expect(client.Call(ctx, me, "echo", echo{"x"}, &got)).To(Succeed())
 		Expect(got.Text).To(Equal("x"))
 	})
 
-	It("tells errors, unknown methods and time-outs, and goes on", func() {
+	It("returns errors, unknown methods and timeouts, and goes on", func() {
 		var got echo
 		Expect(client.Call(ctx, me, "fail", echo{}, &got)).To(MatchError(ContainSubstring("no")))
 		Expect(client.Call(ctx, me, "none", echo{}, &got)).To(MatchError(ContainSubstring("no such method")))
@@ -95,7 +95,7 @@
 		Expect(got.Text).To(BeEmpty())
 	})
 
-	It("connects anew after the other side went away", func() {
+	It("connects again after the other side has closed", func() {
 		var got echo
 		Expect(client.Call(ctx, me, "echo", echo{"x"}, &got)).To(Succeed())
 		server.Close()
@@ -127,7 +127,7 @@
 }
 
 var _ = Describe("View", func() {
-	It("gives the same holder in whatever order members are known", func() {
+	It("gives the same holder for any order of the members", func() {
 		a, b := members(9), members(9)
 		b[0], b[8] = b[8], b[0]
 		for role := range 100 {
@@ -138,7 +138,7 @@
 		}
 	})
 
-	It("spreads roles and gives none to who leaves or is elsewhere", func() {
+	It("spreads roles and gives none to members that leave or are in another region", func() {
 		all := members(5)
 		all[0].Leaving = true
 		all[1].Region = "lima"
@@ -177,7 +177,7 @@
 		return fleet.NewRegistry(fleet.RegistrySettings{Self: fleet.Member{Incarnation: id, Region: "tuul", Box: granitehoist.Box(id)}, Store: store})
 	}
 
-	It("knows the others, and forgets who died", func() {
+	It("sees the others, until their leases end", func() {
 		a, b := newRegistry("a"), newRegistry("b")
 		Expect(a.Refresh(ctx)).To(Succeed())
 		Expect(b.Refresh(ctx)).To(Succeed())
@@ -198,7 +198,7 @@
 		Expect(b.View().Members()).To(HaveLen(2))
 	})
 
-	It("grants itself one lease though two refresh at once", func() {
+	It("gets one lease although two refreshes run at once", func() {
 		slow := &slowLeases{Store: store}
 		r := fleet.NewRegistry(fleet.RegistrySettings{Self: fleet.Member{Incarnation: "a", Region: "tuul", Box: "a"}, Store: slow})
 		var refreshes sync.WaitGroup
@@ -212,7 +212,7 @@
 		Expect(slow.grants.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("gives up a refresh that waits for another when its time is over", func() {
+	It("ends a refresh that waits for another when its context ends", func() {
 		slow := &slowLeases{Store: store}
 		r := fleet.NewRegistry(fleet.RegistrySettings{Self: fleet.Member{Incarnation: "a", Region: "tuul", Box: "a"}, Store: slow})
 		var refreshes sync.WaitGroup
@@ -227,7 +227,7 @@
 		refreshes.Wait()
 	})
 
-	It("says that it leaves, and goes, though answers are lost", func() {
+	It("marks itself as leaving and removes its entries although answers are lost", func() {
 		store.Fail(standin.StoreFaults{LoseEvery: 2})
 		a, b := newRegistry("a"), newRegistry("b")
 		Eventually(func() error { return a.Refresh(ctx) }).Should(Succeed())
--- a/node/docs_test.go
+++ b/node/docs_test.go
@@ -29,7 +29,7 @@
 }
 
 var _ = Describe("The pages", func() {
-	It("explain each figure and no other", func() {
+	It("explain each metric and no other", func() {
 		Expect(rows("METRICS.md", "# Metrics")).To(ConsistOf(node.Metrics()))
 	})
 
--- a/node/large_test.go
+++ b/node/large_test.go
@@ -61,7 +61,7 @@
 		return granted
 	}
 
-	It("speaks with the store through relays, and serves on without it", func() {
+	It("reads the store through relays, and goes on serving without it", func() {
 		served(s.members)
 
 		By("letting few ask and one write")
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -108,7 +108,7 @@
 		expectOwn(t, l, 6, true)
 		expectEntries(t, l.others, nil)
 	})
-	t.Run("an entry that does not decode is told and not counted", func(t *testing.T) {
+	t.Run("an entry that does not decode is reported and not counted", func(t *testing.T) {
 		l := newListing([]granitehoist.Entry{storeEntry("b", 7, "{"), neighbour}, self)
 		expectEntries(t, l.others, []peerEntry{{Box: "a", Incarnation: "a-1"}})
 		if len(l.unreadable) != 1 || l.unreadable[0].key != "boxes/b" || l.unreadable[0].err == nil {
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -23,7 +23,7 @@
 )
 
 var _ = Describe("A node", func() {
-	It("is not ready and promises that nothing ran before it has a configuration", func() {
+	It("is not ready, and answers that nothing ran, before it has a configuration", func() {
 		s := newSite(1)
 		m := s.members[0]
 		Eventually(func() bool { return reachable(m.config.Callers) }).Should(BeTrue())
@@ -197,7 +197,7 @@
 		Expect(repaid[0].ContextMap()["total"]).To(BeNumerically(">", 1000))
 	})
 
-	It("tells its figures", func() {
+	It("serves its metrics", func() {
 		s := newSite(1)
 		s.configure(1, 100_000, "/a/")
 		s.worker(standin.WorkerAnswer{Body: "answer"})
