--- a/explain/line.go
+++ b/explain/line.go
@@ -26,7 +26,7 @@
 func (l *Line) Get(key string) string { return l.fields[key] }
 
 // Number returns the value of a key as a number. It returns 0 if the line has no
-// such key or the value is no number: keys that a line may lack stand for 0.
+// such key or the value is no number: a key that a line lacks counts as 0.
 func (l *Line) Number(key string) float64 {
 	value, err := strconv.ParseFloat(l.fields[key], 64)
 	if err != nil {
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -18,7 +18,7 @@
 
 // Where routers enter themselves in the store: under a lease in KeyPrefix, for
 // as long as they renew it, and in ServingPrefix for as long as they may serve.
-// A router that is cut off loses its lease and may serve all the same.
+// A router that is cut off loses its lease but may go on serving.
 const (
 	KeyPrefix     = "boxes/"
 	ServingPrefix = "serving/"
@@ -85,7 +85,7 @@
 	return r.view
 }
 
-// Interval returns how often Refresh is to be called.
+// Interval returns how often Refresh should be called.
 func (r *Registry) Interval() time.Duration { return r.settings.TTL / renewalsPerTTL }
 
 // Refresh renews the router's entry and reads the others'. A router is in the
--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -8,7 +8,7 @@
 // The partner router (granitehoist router) runs it, for the reports of budgets and
 // the charges of bills. A Group owns the items that wait, under its lock, and one
 // goroutine that commits while there are any. It relies on Commit to return: a
-// Commit that hangs holds up every later item. Begin reading at Group.Do.
+// Commit that hangs delays every later item. Begin reading at Group.Do.
 package batch
 
 import (
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -10,7 +10,8 @@
 // Name is the name of an event, the value of the key "event" of a log line.
 type Name = string
 
-// The events of a process.
+// The events of a process. Package node logs them, but for the two of a reload
+// (cmd/granitehoist-edge) and LogDropped (internal/logsink).
 const (
 	Start        Name = "start"
 	Stop         Name = "stop"
@@ -23,13 +24,16 @@
 	LogDropped   Name = "log_dropped"
 )
 
-// The events of a request.
+// The events of a request. Package forward logs them.
 const (
 	Request Name = "request"
 	Attempt Name = "attempt"
 )
 
-// The events of what a router knows of the fleet, the store and the budgets.
+// The events of the copies of the store, of the fleet and of the budgets. Package
+// node logs those of the configuration, the upstreams, the link and the peers,
+// package follow those from StoreLost to RelayLost, and package escrow those of the
+// budgets.
 const (
 	ConfigInForce     Name = "config_in_force"
 	ConfigBad         Name = "config_bad"
--- a/internal/retrybudget/doc.go
+++ b/internal/retrybudget/doc.go
@@ -8,7 +8,7 @@
 // time window, and spends one on each retry. Both the edge router (package
 // forward, one Budget for each service) and the partner router (package
 // partner/gate, one Budget for all requests) use it; they differ only in their
-// Settings, which stand where each router makes its budget.
+// Settings, which each router sets where it makes its budget.
 //
 // A Budget owns its count and guards it with its own lock. It relies on nothing
 // but the Settings and the times that callers pass. Begin reading at Budget.Take.
--- a/internal/tomlfile/checker.go
+++ b/internal/tomlfile/checker.go
@@ -12,7 +12,7 @@
 // AnyTable as the Index of a Key stands for all tables of its name.
 const AnyTable = -1
 
-// Key is where a value stands in a file.
+// Key is the position of a value in a file.
 type Key struct {
 	// Table is the name of the table, empty for the keys before the first.
 	Table string
--- a/node/adapter.go
+++ b/node/adapter.go
@@ -31,6 +31,6 @@
 	InstanceID func(key string) granitehoist.Upstream
 	Codec      forward.Codec
 	// Frontend returns the handler of callers' requests. The last argument
-	// reports whether an answer should ask its caller to connect anew.
+	// reports whether an answer should ask its caller to reconnect.
 	Frontend func(*forward.Path, *catalog.Current, granitehoist.Clock, func() bool) http.Handler
 }
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// turnsCallersAway decides whether answers ask their callers to connect anew,
+// turnsCallersAway decides whether answers ask their callers to reconnect,
 // so that they reach another node: while this one stops or its link is nearly
 // full. A node that lacks a configuration or the list of instances does not: the
 // balancer sends callers to such a node only if no other one is ready.
@@ -73,7 +73,7 @@
 // Ready reports whether the node can serve callers.
 func (n *Node) Ready() bool { return n.readinessInputs().readiness() == readyForCallers }
 
-// turnsCallersAway reports whether answers ask their callers to connect anew.
+// turnsCallersAway reports whether answers ask their callers to reconnect.
 // It runs on the path of every request, so it reads no more than it needs.
 func (n *Node) turnsCallersAway() bool {
 	return readinessInputs{leaving: n.leaving.Load(), shedding: n.shedding.Load()}.turnsCallersAway()
--- a/node/shedding.go
+++ b/node/shedding.go
@@ -16,7 +16,7 @@
 // This file decides whether a box sheds its callers. The balancer gives each box
 // a share of the callers by a hash, so that one box may get many times the share
 // of another, and more than its link carries. Such a box reports that it is not
-// ready and asks its callers to connect anew, so that they reach other boxes.
+// ready and asks its callers to reconnect, so that they reach other boxes.
 //
 // The inputs are readings of the bytes that passed over the callers' and the
 // upstreams' connections, one each linkInterval, and the link's rate from the
--- a/node/stop.go
+++ b/node/stop.go
@@ -46,7 +46,7 @@
 // The phases of a stop, in their order.
 const (
 	// phaseServe: new requests are still served; the node is not ready, and
-	// answers ask the callers to connect anew.
+	// answers ask the callers to reconnect.
 	phaseServe stopPhase = iota
 	// phaseFinish: new requests are refused as not run, those in progress go on.
 	phaseFinish
