--- a/explain/line.go
+++ b/explain/line.go
@@ -43,29 +43,34 @@
 	if start < 0 {
 		return Line{}, false
 	}
-	prefix := strings.Fields(text[:start])
 	parsePairs(text[start:], l.fields)
 	l.Event = l.fields["event"]
 	if l.Event == "" {
 		return Line{}, false
 	}
-	if len(prefix) >= 2 {
-		// A prefix that does not begin with a time is not of that form; the box's
-		// own clock is used then.
-		if seconds, err := strconv.ParseFloat(prefix[0], 64); err == nil {
-			l.Box = prefix[1]
+	l.readOrigin(strings.Fields(text[:start]))
+	return l, true
+}
+
+// readOrigin sets Box and At from the words before the pairs: a time in seconds
+// and the name of the box, or the name alone, followed by a colon.
+func (l *Line) readOrigin(words []string) {
+	if len(words) >= 2 {
+		// Words that don't begin with a time are not of that form; the box's own
+		// clock is used then.
+		if seconds, err := strconv.ParseFloat(words[0], 64); err == nil {
+			l.Box = words[1]
 			l.At = time.Duration(seconds * float64(time.Second))
-			return l, true
+			return
 		}
 	}
 	// Without a time that can be read the line comes first in its story.
 	if at, err := time.Parse(time.RFC3339Nano, l.fields["ts"]); err == nil {
 		l.At = time.Duration(at.UnixNano())
 	}
-	if len(prefix) == 1 {
-		l.Box = strings.TrimSuffix(prefix[0], ":")
+	if len(words) == 1 {
+		l.Box = strings.TrimSuffix(words[0], ":")
 	}
-	return l, true
 }
 
 // parsePairs reads key=value pairs; values may be quoted.
