--- a/explain/boxstate.go
+++ b/explain/boxstate.go
@@ -5,7 +5,7 @@
 
 import "granitehoist.example/granitehoist/internal/event"
 
-// boxState holds the latest lines of a box that can explain a request, as of the
+// boxState holds the latest lines of a box that bear on its requests, as of the
 // lines read so far. A field is nil until there was such a line.
 type boxState struct {
 	// config is the line of the configuration in force.
@@ -21,7 +21,7 @@
 	upstreams map[string]*Line
 }
 
-// note stores a line that can explain the requests after it.
+// note keeps a line that later requests may depend on.
 func (b *boxState) note(l *Line) {
 	switch l.Event {
 	case event.ConfigInForce:
--- a/explain/doc.go
+++ b/explain/doc.go
@@ -11,7 +11,7 @@
 // the keys of their lines as package forward and others write them, and on the
 // root package's result codes: a key that is renamed there is no longer found here.
 //
-// Read goes through the log: boxState holds what each box logged of its
-// dependencies so far, and sentences.go turns the lines of the request into facts.
-// Begin reading at Read.
+// Read collects: boxState keeps what each box logged of its dependencies up to the
+// line at hand, sentences.go turns the lines of the request into facts. Begin
+// reading at Read.
 package explain
--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -34,7 +34,7 @@
 		Expect(text).NotTo(ContainSubstring("r-0"))
 	})
 
-	It("orders the lines of boxes whose clocks differ", func() {
+	It("orders the lines of machines whose clocks are apart", func() {
 		text := tell(`  9.0 edge-2 ts=2026-01-01T00:00:01Z level=info event=request request=r-1 code=1 fate=ran attempts=1 took=0.1
   3.0 edge-1 ts=2026-01-01T00:00:08Z level=info event=attempt request=r-1 attempt=1 upstream=i-1 entry=4 status=200 after=57 took=2.4 error="5003 upstream_cut: the answer of the upstream ended early"
 `, "ordered")
@@ -42,7 +42,7 @@
 		Expect(text).To(ContainSubstring("upstream_cut"))
 	})
 
-	It("returns an error if no line names the request", func() {
+	It("says so if the log knows nothing of it", func() {
 		_, err := explain.Read(strings.NewReader("nothing\n"), "r-1")
 		Expect(err).To(MatchError(explain.ErrNoRequest))
 	})
