--- a/forward/active.go
+++ b/forward/active.go
@@ -14,14 +14,14 @@
 	"granitehoist.example/granitehoist/escrow"
 )
 
-// activeRequest is one request while a Path serves it. Only the goroutine that
-// called Path.Serve uses it.
+// activeRequest is one request while a Forwarder serves it. Only the goroutine that
+// called Forwarder.Serve uses it.
 type activeRequest struct {
-	path     *Path
-	sink     granitehoist.Sink
-	asked    *Request
-	decided  decided
-	progress progress
+	forwarder *Forwarder
+	sink      granitehoist.Sink
+	asked     *Request
+	decided   decided
+	progress  progress
 }
 
 // decided is what was decided about a request before its first attempt. Fields
@@ -67,9 +67,9 @@
 
 // run takes the request through its steps. The error is a *granitehoist.Error.
 func (a *activeRequest) run(ctx context.Context) error {
-	settings := &a.path.settings
+	settings := &a.forwarder.settings
 	var refused refusal
-	a.decided, refused = identify(settings.Catalog.Get(), a.asked, a.path.stopped.Load(), rand.Float64())
+	a.decided, refused = identify(settings.Catalog.Get(), a.asked, a.forwarder.stopped.Load(), rand.Float64())
 	if refused != noRefusal {
 		return refused.error(a.timeLeft())
 	}
@@ -95,7 +95,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, plan.wait)
 	defer cancel()
-	a.progress.budget = a.path.settings.Funds.Reserve(ctx, a.decided.workspace.Name, plan.bound, a.decided.priority)
+	a.progress.budget = a.forwarder.settings.Funds.Reserve(ctx, a.decided.workspace.Name, plan.bound, a.decided.priority)
 	if refused := budgetRefusal(a.progress.budget.Outcome); refused != noRefusal {
 		return refused.error(a.timeLeft())
 	}
@@ -105,7 +105,7 @@
 
 // timeLeft returns the time until the request's timeout.
 func (a *activeRequest) timeLeft() time.Duration {
-	return a.decided.deadline.Sub(a.path.settings.Clock())
+	return a.decided.deadline.Sub(a.forwarder.settings.Clock())
 }
 
 // settle ends the reservation.
@@ -120,13 +120,13 @@
 		runs:           a.progress.runs,
 		complete:       err == nil,
 	}.charge()
-	a.path.settings.Funds.Settle(a.decided.workspace.Name, a.decided.reserve, a.progress.charged)
+	a.forwarder.settings.Funds.Settle(a.decided.workspace.Name, a.decided.reserve, a.progress.charged)
 }
 
 // forward makes attempts until one ends the request or no other may follow.
 func (a *activeRequest) forward(ctx context.Context) error {
-	settings := &a.path.settings
-	a.path.retryBudgets.of(a.decided.service.Name).Earn(settings.Clock())
+	settings := &a.forwarder.settings
+	a.forwarder.retryBudgets.of(a.decided.service.Name).Earn(settings.Clock())
 	afterEvent := a.asked.LastEventID
 	// failure is what the caller is told if no attempt follows.
 	var failure error
@@ -168,7 +168,7 @@
 	if fate != granitehoist.NotRun {
 		a.progress.runs++
 	}
-	now := a.path.settings.Clock()
+	now := a.forwarder.settings.Clock()
 	verdict := decideRetry(retryInput{
 		route:       a.decided.route,
 		fate:        fate,
@@ -181,7 +181,7 @@
 		timeLeft:    a.decided.deadline.Sub(now),
 	})
 	if verdict.allowed && verdict.paid {
-		verdict.allowed = a.path.retryBudgets.of(a.decided.service.Name).Take(now)
+		verdict.allowed = a.forwarder.retryBudgets.of(a.decided.service.Name).Take(now)
 	}
 	if result.failure != nil && !verdict.allowed {
 		result.err = a.pass(*result.failure)
@@ -205,7 +205,7 @@
 
 // end logs and reports a request.
 func (a *activeRequest) end(err error) {
-	now := a.path.settings.Clock()
+	now := a.forwarder.settings.Clock()
 	report := Report{Code: granitehoist.CodeOf(err), Attempts: a.progress.attempts, Budget: a.progress.budget.Outcome, Took: now.Sub(a.asked.Arrived)}
 	if a.decided.service != nil {
 		report.Service = a.decided.service.Name
@@ -216,6 +216,6 @@
 	if !a.progress.firstByteAt.IsZero() {
 		report.First = a.progress.firstByteAt.Sub(a.asked.Arrived)
 	}
-	a.path.settings.Ended(report)
+	a.forwarder.settings.Ended(report)
 	a.logEnd(report, err)
 }
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -66,7 +66,7 @@
 		return nil
 	}
 	a.progress.started = true
-	a.progress.firstByteAt = a.path.settings.Clock()
+	a.progress.firstByteAt = a.forwarder.settings.Clock()
 	if err := a.sink.Start(status, exchange.PassedOn(header)); err != nil {
 		return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 	}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -61,8 +61,8 @@
 	defer cancel(nil)
 	timer := newStallTimer(a.progressLimits(), cancel)
 	defer timer.stop()
-	now := a.path.settings.Clock()
-	response, err := a.path.settings.Pool.Do(ctx, a.message(lease, afterEvent, now), now)
+	now := a.forwarder.settings.Clock()
+	response, err := a.forwarder.settings.Pool.Do(ctx, a.message(lease, afterEvent, now), now)
 	if err != nil {
 		return attemptResult{
 			err:    timer.explain(ctx, err),
@@ -70,7 +70,7 @@
 		}
 	}
 	defer response.Close()
-	verdict := a.path.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
+	verdict := a.forwarder.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
 	result := attemptResult{status: response.Status, reply: judgeHead(verdict, response.Status, a.progress.started)}
 	result.err = result.reply.error(response.Status, verdict.RetryAfter)
 	switch result.reply {
@@ -108,7 +108,7 @@
 
 // message returns what is sent.
 func (a *activeRequest) message(lease *balance.Lease, afterEvent int64, now time.Time) exchange.Request {
-	asked, codec := a.asked, a.path.settings.Codec
+	asked, codec := a.asked, a.forwarder.settings.Codec
 	header := codec.Header(&Attempt{
 		Request:     asked,
 		Route:       a.decided.route,
--- a/forward/bench_test.go
+++ b/forward/bench_test.go
@@ -24,7 +24,7 @@
 	s.table.Announce(balance.Instance{ID: "i-1", Service: service, Address: w.Address(), Version: 1})
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := s.path.Serve(context.Background(), request(path), &fakeSink{}); err != nil {
+		if _, err := s.forwarder.Serve(context.Background(), request(path), &fakeSink{}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/forward/doc.go
+++ b/forward/doc.go
@@ -36,10 +36,10 @@
 //
 // # State
 //
-// A Path owns the number of requests in progress and whether it was stopped
+// A Forwarder owns the number of requests in progress and whether it was stopped
 // (both atomic), and a retry budget for each service (behind a lock). Each
-// request has an activeRequest, which only the goroutine that called Path.Serve
-// uses. A Path relies on the configuration in force (catalog), the tokens of
+// request has an activeRequest, which only the goroutine that called Forwarder.Serve
+// uses. A Forwarder relies on the configuration in force (catalog), the tokens of
 // this box (Funds), the table of instances (balance) and the connections to
 // upstreams (exchange), each with locks of its own. It holds no lock while it
 // calls them.
--- a/forward/failures_test.go
+++ b/forward/failures_test.go
@@ -22,7 +22,7 @@
 	// serveSafe serves a safe request and returns its sink.
 	serveSafe := func() (*fakeSink, error) {
 		sink := &fakeSink{}
-		_, err := s.path.Serve(context.Background(), request("/safe/x"), sink)
+		_, err := s.forwarder.Serve(context.Background(), request("/safe/x"), sink)
 		return sink, err
 	}
 	failing := standin.WorkerAnswer{Status: http.StatusInternalServerError, Body: "failed"}
--- a/forward/fakes_test.go
+++ b/forward/fakes_test.go
@@ -91,11 +91,11 @@
 
 // site is a path before workers over real sockets.
 type site struct {
-	path    *forward.Path
-	table   *balance.Table
-	funds   *fakeFunds
-	current *catalog.Current
-	workers []*standin.Worker
+	forwarder *forward.Forwarder
+	table     *balance.Table
+	funds     *fakeFunds
+	current   *catalog.Current
+	workers   []*standin.Worker
 }
 
 func newSite() *site {
@@ -116,7 +116,7 @@
 	snapshot, err := catalog.Build(document, 7)
 	Expect(err).NotTo(HaveOccurred())
 	s.current.Offer(snapshot)
-	s.path = forward.New(forward.Settings{
+	s.forwarder = forward.New(forward.Settings{
 		Catalog: s.current, Funds: s.funds, Table: s.table, Codec: platform.Codec{},
 		Pool:  exchange.NewPool(exchange.Settings{}),
 		Retry: forward.RetrySettings{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -27,7 +27,7 @@
 	Settle(w granitehoist.Workspace, bound, used granitehoist.Tokens)
 }
 
-// Settings configure a Path. Catalog, Funds, Table, Pool and Codec are needed.
+// Settings configure a Forwarder. Catalog, Funds, Table, Pool and Codec are needed.
 type Settings struct {
 	// Catalog holds the configuration in force.
 	Catalog *catalog.Current
@@ -71,16 +71,16 @@
 	First time.Duration
 }
 
-// Path serves requests. It is safe for concurrent use.
-type Path struct {
+// Forwarder serves requests. It is safe for concurrent use.
+type Forwarder struct {
 	settings     Settings
 	retryBudgets *retryBudgets
 	active       atomic.Int64
 	stopped      atomic.Bool
 }
 
-// New returns a path. It panics if a needed setting is missing.
-func New(s Settings) *Path {
+// New returns a Forwarder. It panics if a needed setting is missing.
+func New(s Settings) *Forwarder {
 	if s.Catalog == nil || s.Funds == nil || s.Table == nil || s.Pool == nil || s.Codec == nil {
 		panic("forward: a setting is missing")
 	}
@@ -96,24 +96,24 @@
 	if s.Ended == nil {
 		s.Ended = func(Report) {}
 	}
-	return &Path{settings: s, retryBudgets: newRetryBudgets(s.Retry, s.Routers)}
+	return &Forwarder{settings: s, retryBudgets: newRetryBudgets(s.Retry, s.Routers)}
 }
 
 // Active returns the number of requests in progress.
-func (p *Path) Active() int { return int(p.active.Load()) }
+func (f *Forwarder) Active() int { return int(f.active.Load()) }
 
-// Stop makes the path refuse new requests for good. Those in progress go on.
-func (p *Path) Stop() { p.stopped.Store(true) }
+// Stop makes the Forwarder refuse new requests for good. Those in progress go on.
+func (f *Forwarder) Stop() { f.stopped.Store(true) }
 
 // Serve serves a request until ctx, which stands for the caller's connection,
 // ends. A nil error means that the whole answer was passed to the sink.
 // Otherwise the error is a *granitehoist.Error, and started tells whether a part
 // of an answer was passed on, which then must not look complete. Serve uses the
 // sink only until it returns.
-func (p *Path) Serve(ctx context.Context, r *Request, sink granitehoist.Sink) (started bool, err error) {
-	p.active.Add(1)
-	defer p.active.Add(-1)
-	a := &activeRequest{path: p, sink: sink, asked: r}
+func (f *Forwarder) Serve(ctx context.Context, r *Request, sink granitehoist.Sink) (started bool, err error) {
+	f.active.Add(1)
+	defer f.active.Add(-1)
+	a := &activeRequest{forwarder: f, sink: sink, asked: r}
 	a.progress = progress{tried: map[granitehoist.Upstream]bool{}, lastEventID: r.LastEventID}
 	err = a.run(ctx)
 	if err != nil && ctx.Err() != nil {
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -21,7 +21,7 @@
 	var s *site
 	var sink *fakeSink
 	serve := func(path string) (bool, error) {
-		return s.path.Serve(context.Background(), request(path), sink)
+		return s.forwarder.Serve(context.Background(), request(path), sink)
 	}
 	BeforeEach(func() {
 		s = newSite()
@@ -34,10 +34,10 @@
 			Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.NotFound))
 			r := request("/safe/x")
 			r.Key = ""
-			_, err = s.path.Serve(context.Background(), r, sink)
+			_, err = s.forwarder.Serve(context.Background(), r, sink)
 			Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.MissingKey))
 			r.Key = "wrong"
-			_, err = s.path.Serve(context.Background(), r, sink)
+			_, err = s.forwarder.Serve(context.Background(), r, sink)
 			Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.WrongKey))
 		})
 
@@ -46,7 +46,7 @@
 			r := request("/unsafe/x")
 			r.Target = "/unsafe/x?berth=4"
 			r.Header = http.Header{"Attempt-Id": {"r-1"}, "Authorization": {"Token a-key"}, "Tenant": {"somebody"}, "X-Own": {"kept"}, "Connection": {"x-hop"}, "X-Hop": {"dropped"}}
-			_, err := s.path.Serve(context.Background(), r, sink)
+			_, err := s.forwarder.Serve(context.Background(), r, sink)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(sink.text()).To(Equal("berth 4"))
 			got := w.Arrivals()[0]
@@ -234,7 +234,7 @@
 			})
 			r := request("/patient/x")
 			r.Body = []byte(strings.Repeat("long", 8<<20))
-			_, err := s.path.Serve(context.Background(), r, sink)
+			_, err := s.forwarder.Serve(context.Background(), r, sink)
 			Expect(err).NotTo(HaveOccurred())
 			_, err = serve("/patient/x")
 			Expect(err).NotTo(HaveOccurred())
@@ -250,7 +250,7 @@
 			Eventually(w.Arrivals).Should(HaveLen(1))
 			leave()
 		}()
-		_, err := s.path.Serve(ctx, request("/resume/x"), sink)
+		_, err := s.forwarder.Serve(ctx, request("/resume/x"), sink)
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.CallerGone))
 		Eventually(w.Open).Should(BeZero())
 		Expect(w.Arrivals()).To(HaveLen(1))
@@ -261,7 +261,7 @@
 		r := request("/unsafe/x")
 		r.Timeout = 200 * time.Millisecond
 		began := time.Now()
-		_, err := s.path.Serve(context.Background(), r, sink)
+		_, err := s.forwarder.Serve(context.Background(), r, sink)
 		Expect(granitehoist.CodeOf(err).Info().Fate).To(Equal(granitehoist.MayHaveRun))
 		Expect(time.Since(began)).To(BeNumerically("<", 3*time.Second))
 	})
--- a/forward/log.go
+++ b/forward/log.go
@@ -38,7 +38,7 @@
 	if errors.As(err, &e) {
 		fields = append(fields, zap.String("detail", e.Error()))
 	}
-	a.path.settings.Log.Info(event.Request, fields...)
+	a.forwarder.settings.Log.Info(event.Request, fields...)
 }
 
 // budgetFields returns what was reserved and charged, and what this box knew of
@@ -84,5 +84,5 @@
 	if result.err != nil {
 		fields = append(fields, zap.Error(result.err))
 	}
-	a.path.settings.Log.Info(event.Attempt, fields...)
+	a.forwarder.settings.Log.Info(event.Attempt, fields...)
 }
--- a/forward/request.go
+++ b/forward/request.go
@@ -11,7 +11,7 @@
 	"granitehoist.example/granitehoist/catalog"
 )
 
-// Request is a caller's request, translated by a frontend. A Path does not
+// Request is a caller's request, translated by a frontend. A Forwarder does not
 // change it.
 type Request struct {
 	// ID is the caller's own id of the request.
--- a/node/adapter.go
+++ b/node/adapter.go
@@ -31,5 +31,5 @@
 	Codec      forward.Codec
 	// Frontend returns the handler of callers' requests. The last argument
 	// reports whether an answer should ask its caller to connect anew.
-	Frontend func(*forward.Path, *catalog.Current, granitehoist.Clock, func() bool) http.Handler
+	Frontend func(*forward.Forwarder, *catalog.Current, granitehoist.Clock, func() bool) http.Handler
 }
--- a/node/doc.go
+++ b/node/doc.go
@@ -20,7 +20,7 @@
 //     writes it; it has no lease.
 //
 // The tokens are escrow.Ledger's, the connections exchange.Pool's, the requests
-// in progress forward.Path's; each guards its own state.
+// in progress forward.Forwarder's; each guards its own state.
 //
 // Rules. Each decision stands in a file of its own, as a function or small type
 // without calls and locks, with its constants and their reasons:
--- a/node/metricstext.go
+++ b/node/metricstext.go
@@ -52,7 +52,7 @@
 // stateLines returns the metrics that are read off the node's state at now.
 func (n *Node) stateLines(now time.Time) []string {
 	lines := []string{
-		fmt.Sprintf("%s %d", metricActive, n.parts.path.Active()),
+		fmt.Sprintf("%s %d", metricActive, n.parts.forwarder.Active()),
 		fmt.Sprintf("%s %d", metricRouters, n.parts.peers.routers()),
 		fmt.Sprintf("%s %.3f", metricConfigAge, n.configs.follower.Age(now).Seconds()),
 		fmt.Sprintf("%s %.3f", metricInstancesAge, n.instances.follower.Age(now).Seconds()),
--- a/node/parts.go
+++ b/node/parts.go
@@ -26,8 +26,8 @@
 	// the record in the store and with neighbours.
 	ledger *escrow.Ledger
 	syncer *escrow.Syncer
-	// path serves requests.
-	path *forward.Path
+	// forwarder serves requests.
+	forwarder *forward.Forwarder
 	// peers knows and calls the neighbours.
 	peers *peers
 }
@@ -47,7 +47,7 @@
 	})
 	p.ledger = escrow.NewLedger(escrow.LedgerSettings{Incarnation: n.incarnation})
 	p.syncer = newSyncer(n, p.ledger, p.peers)
-	p.path = forward.New(forward.Settings{
+	p.forwarder = forward.New(forward.Settings{
 		Catalog: current,
 		Funds:   p.syncer,
 		Table:   p.table,
--- a/node/servers.go
+++ b/node/servers.go
@@ -98,7 +98,7 @@
 func newServers(n *Node, l listeners) *servers {
 	s := &servers{peers: l.peers, calls: newCallServer(n)}
 	s.callers = httpserver.New(httpserver.Settings{
-		Handler:       n.adapter.Frontend(n.parts.path, n.configs.catalog, n.clock, n.turnsCallersAway),
+		Handler:       n.adapter.Frontend(n.parts.forwarder, n.configs.catalog, n.clock, n.turnsCallersAway),
 		HeaderTimeout: headerTimeout,
 		IdleTimeout:   idleTimeout,
 		HeaderBytes:   headerBytes,
--- a/node/shedding.go
+++ b/node/shedding.go
@@ -38,6 +38,6 @@
 			continue
 		}
 		n.shedding.Store(after)
-		n.log.Warn(event.Shedding, zap.Bool("on", after), zap.Float64("link_mbps", n.config.LinkMbps), zap.Int("active", n.parts.path.Active()))
+		n.log.Warn(event.Shedding, zap.Bool("on", after), zap.Float64("link_mbps", n.config.LinkMbps), zap.Int("active", n.parts.forwarder.Active()))
 	}
 }
--- a/node/stop.go
+++ b/node/stop.go
@@ -25,19 +25,19 @@
 func (n *Node) stop() {
 	start := n.clock()
 	plan := newStopPlan(start, n.config.Grace)
-	path := n.parts.path
+	forwarder := n.parts.forwarder
 	n.leaving.Store(true)
-	n.log.Info(event.Stop, zap.Int("active", path.Active()), zap.Duration("grace", n.config.Grace))
+	n.log.Info(event.Stop, zap.Int("active", forwarder.Active()), zap.Duration("grace", n.config.Grace))
 	// phaseServe has one length, whatever happens in it.
 	time.Sleep(plan.serveUntil.Sub(n.clock()))
 	// The listener stays open, so that a caller that still arrives gets the
 	// answer that its request was not run.
-	path.Stop()
-	for plan.phase(n.clock(), path.Active()) != phaseReturn {
+	forwarder.Stop()
+	for plan.phase(n.clock(), forwarder.Active()) != phaseReturn {
 		time.Sleep(stopPollInterval)
 	}
 	n.returnTokens(plan)
-	n.log.Info(event.Stopped, zap.Int("active", path.Active()), zap.Duration("took", n.clock().Sub(start)))
+	n.log.Info(event.Stopped, zap.Int("active", forwarder.Active()), zap.Duration("took", n.clock().Sub(start)))
 	n.servers.closeHTTP()
 	n.cancel()
 	n.servers.calls.Close()
