--- a/forward/active.go
+++ b/forward/active.go
@@ -19,14 +19,14 @@
 type activeRequest struct {
 	forwarder *Forwarder
 	sink      granitehoist.Sink
-	asked     *Request
-	decided   decided
+	request   *Request
+	admission admission
 	progress  progress
 }
 
-// decided is what was decided about a request before its first attempt. Fields
+// admission is what was decided about a request before its first attempt. Fields
 // that a refused request did not come to are zero.
-type decided struct {
+type admission struct {
 	// version is that of the configuration by which the request is served.
 	version granitehoist.Version
 	// keyed says that keys identify callers.
@@ -38,9 +38,9 @@
 	priority  granitehoist.Priority
 	// deadline is when the request's timeout ends.
 	deadline time.Time
-	// reserve is the most tokens that the request can cost, zero if it costs no
+	// bound is the most tokens that the request can cost, zero if it costs no
 	// prepaid tokens.
-	reserve granitehoist.Tokens
+	bound granitehoist.Tokens
 }
 
 // progress is what has happened to a request so far.
@@ -69,13 +69,13 @@
 func (a *activeRequest) run(ctx context.Context) error {
 	settings := &a.forwarder.settings
 	var refused refusal
-	a.decided, refused = identify(settings.Catalog.Get(), a.asked, a.forwarder.stopped.Load(), rand.Float64())
+	a.admission, refused = identify(settings.Catalog.Get(), a.request, a.forwarder.stopped.Load(), rand.Float64())
 	if refused != noRefusal {
 		return refused.error(a.timeLeft())
 	}
-	ctx, cancel := context.WithDeadline(ctx, a.decided.deadline)
+	ctx, cancel := context.WithDeadline(ctx, a.admission.deadline)
 	defer cancel()
-	if err := a.pay(ctx); err != nil {
+	if err := a.reserve(ctx); err != nil {
 		return err
 	}
 	err := a.forward(ctx)
@@ -83,10 +83,10 @@
 	return err
 }
 
-// pay reserves the most that the request can cost.
-func (a *activeRequest) pay(ctx context.Context) error {
-	plan, refused := planReservation(a.decided.workspace, a.asked.Cost, a.decided.route.Target)
-	a.decided.reserve = plan.bound
+// reserve reserves the most that the request can cost.
+func (a *activeRequest) reserve(ctx context.Context) error {
+	plan, refused := planReservation(a.admission.workspace, a.request.Cost, a.admission.route.Target)
+	a.admission.bound = plan.bound
 	if refused != noRefusal {
 		return refused.error(a.timeLeft())
 	}
@@ -95,7 +95,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, plan.wait)
 	defer cancel()
-	a.progress.budget = a.forwarder.settings.Funds.Reserve(ctx, a.decided.workspace.Name, plan.bound, a.decided.priority)
+	a.progress.budget = a.forwarder.settings.Funds.Reserve(ctx, a.admission.workspace.Name, plan.bound, a.admission.priority)
 	if refused := budgetRefusal(a.progress.budget.Outcome); refused != noRefusal {
 		return refused.error(a.timeLeft())
 	}
@@ -105,7 +105,7 @@
 
 // timeLeft returns the time until the request's timeout.
 func (a *activeRequest) timeLeft() time.Duration {
-	return a.decided.deadline.Sub(a.forwarder.settings.Clock())
+	return a.admission.deadline.Sub(a.forwarder.settings.Clock())
 }
 
 // settle ends the reservation.
@@ -114,20 +114,20 @@
 		return
 	}
 	a.progress.charged = settlement{
-		cost:           *a.asked.Cost,
-		tokensPerEvent: a.decided.service.TokensPerEvent,
+		cost:           *a.request.Cost,
+		tokensPerEvent: a.admission.service.TokensPerEvent,
 		events:         a.progress.events,
 		runs:           a.progress.runs,
 		complete:       err == nil,
 	}.charge()
-	a.forwarder.settings.Funds.Settle(a.decided.workspace.Name, a.decided.reserve, a.progress.charged)
+	a.forwarder.settings.Funds.Settle(a.admission.workspace.Name, a.admission.bound, a.progress.charged)
 }
 
 // forward makes attempts until one ends the request or no other may follow.
 func (a *activeRequest) forward(ctx context.Context) error {
 	settings := &a.forwarder.settings
-	a.forwarder.retryBudgets.of(a.decided.service.Name).Earn(settings.Clock())
-	afterEvent := a.asked.LastEventID
+	a.forwarder.retryBudgets.of(a.admission.service.Name).Earn(settings.Clock())
+	afterEvent := a.request.LastEventID
 	// failure is what the caller is told if no attempt follows.
 	var failure error
 	for {
@@ -170,35 +170,35 @@
 	}
 	now := a.forwarder.settings.Clock()
 	verdict := decideRetry(retryInput{
-		route:       a.decided.route,
+		route:       a.admission.route,
 		fate:        fate,
 		unsent:      result.unsent,
-		over:        ctx.Err() != nil,
+		ended:       ctx.Err() != nil,
 		attempts:    a.progress.attempts,
 		runs:        a.progress.runs,
 		started:     a.progress.started,
 		lastEventID: a.progress.lastEventID,
-		timeLeft:    a.decided.deadline.Sub(now),
+		timeLeft:    a.admission.deadline.Sub(now),
 	})
-	if verdict.allowed && verdict.paid {
-		verdict.allowed = a.forwarder.retryBudgets.of(a.decided.service.Name).Take(now)
+	if verdict.allowed && verdict.usesRetryBudget {
+		verdict.allowed = a.forwarder.retryBudgets.of(a.admission.service.Name).Take(now)
 	}
 	if result.failure != nil && !verdict.allowed {
-		result.err = a.pass(*result.failure)
+		result.err = a.passComplete(*result.failure)
 	}
 	return verdict
 }
 
 // query returns what the next attempt asks of the table of instances.
 func (a *activeRequest) query() balance.Query {
-	query := balance.Query{Service: a.decided.service.Name, Tried: a.progress.tried}
-	if a.asked.Cost == nil {
+	query := balance.Query{Service: a.admission.service.Name, Tried: a.progress.tried}
+	if a.request.Cost == nil {
 		return query
 	}
-	query.PromptTokens = a.asked.Cost.Prompt
-	if a.decided.route.Affinity {
-		query.PrefixHash = balance.PrefixHash(a.asked.PrefixParts)
-		query.PrefixTokens = min(a.asked.PrefixTokens, query.PromptTokens)
+	query.PromptTokens = a.request.Cost.Prompt
+	if a.admission.route.Affinity {
+		query.PrefixHash = balance.PrefixHash(a.request.PrefixParts)
+		query.PrefixTokens = min(a.request.PrefixTokens, query.PromptTokens)
 	}
 	return query
 }
@@ -206,15 +206,15 @@
 // end logs and reports a request.
 func (a *activeRequest) end(err error) {
 	now := a.forwarder.settings.Clock()
-	report := Report{Code: granitehoist.CodeOf(err), Attempts: a.progress.attempts, Budget: a.progress.budget.Outcome, Took: now.Sub(a.asked.Arrived)}
-	if a.decided.service != nil {
-		report.Service = a.decided.service.Name
+	report := Report{Code: granitehoist.CodeOf(err), Attempts: a.progress.attempts, Budget: a.progress.budget.Outcome, Took: now.Sub(a.request.Arrived)}
+	if a.admission.service != nil {
+		report.Service = a.admission.service.Name
 	}
-	if a.decided.workspace != nil {
-		report.Workspace = a.decided.workspace.Name
+	if a.admission.workspace != nil {
+		report.Workspace = a.admission.workspace.Name
 	}
 	if !a.progress.firstByteAt.IsZero() {
-		report.First = a.progress.firstByteAt.Sub(a.asked.Arrived)
+		report.First = a.progress.firstByteAt.Sub(a.request.Arrived)
 	}
 	a.forwarder.settings.Ended(report)
 	a.logEnd(report, err)
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -17,51 +17,51 @@
 // complete, which bounds the memory for it. Chosen, not measured.
 const maxAnswerBytes = 8 << 20
 
-// wholeAnswer is an answer that has arrived completely.
-type wholeAnswer struct {
+// completeAnswer is an answer that has arrived completely.
+type completeAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// readWhole reads an answer to its end. It returns an error with code
+// readComplete reads an answer to its end. It returns an error with code
 // UpstreamCut if the answer broke off, and UpstreamBadAnswer if it is longer
 // than maxAnswerBytes.
-func readWhole(response *exchange.Response) (wholeAnswer, error) {
+func readComplete(response *exchange.Response) (completeAnswer, error) {
 	body, err := io.ReadAll(io.LimitReader(response, maxAnswerBytes+1))
 	switch {
 	case err != nil:
-		return wholeAnswer{}, granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
+		return completeAnswer{}, granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
 	case len(body) > maxAnswerBytes:
-		return wholeAnswer{}, granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "the answer is longer than %d bytes", maxAnswerBytes)
+		return completeAnswer{}, granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "the answer is longer than %d bytes", maxAnswerBytes)
 	}
-	return wholeAnswer{status: response.Status, header: response.Header, body: body}, nil
+	return completeAnswer{status: response.Status, header: response.Header, body: body}, nil
 }
 
 // passAnswer passes a usable answer on: a stream event by event, any other when
 // it has arrived completely.
 func (a *activeRequest) passAnswer(response *exchange.Response, lease *balance.Lease, timer *stallTimer) error {
-	if a.decided.route.Kind == catalog.Stream && response.Status < http.StatusMultipleChoices {
+	if a.admission.route.Kind == catalog.Stream && response.Status < http.StatusMultipleChoices {
 		return a.passStream(response, lease, timer)
 	}
-	answer, err := readWhole(response)
+	answer, err := readComplete(response)
 	if err != nil {
 		return err
 	}
-	return a.pass(answer)
+	return a.passComplete(answer)
 }
 
-// pass passes a whole answer on. Its error has code CallerGone.
-func (a *activeRequest) pass(answer wholeAnswer) error {
-	if err := a.start(answer.status, answer.header); err != nil {
+// passComplete passes a whole answer on. Its error has code CallerGone.
+func (a *activeRequest) passComplete(answer completeAnswer) error {
+	if err := a.passHead(answer.status, answer.header); err != nil {
 		return err
 	}
-	return a.write(answer.body)
+	return a.passPiece(answer.body)
 }
 
-// start passes the head of an answer on, unless the caller already has one. Its
+// passHead passes the head of an answer on, unless the caller already has one. Its
 // error has code CallerGone.
-func (a *activeRequest) start(status int, header http.Header) error {
+func (a *activeRequest) passHead(status int, header http.Header) error {
 	if a.progress.started {
 		return nil
 	}
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// write passes a piece of the body on. Its error has code CallerGone.
-func (a *activeRequest) write(piece []byte) error {
+// passPiece passes a piece of the body on. Its error has code CallerGone.
+func (a *activeRequest) passPiece(piece []byte) error {
 	if len(piece) == 0 {
 		return nil
 	}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -26,7 +26,7 @@
 	unsent bool
 	// failure is the instance's own failure, to be passed on if no other attempt
 	// follows; nil if the attempt ended otherwise. err is set then too.
-	failure *wholeAnswer
+	failure *completeAnswer
 }
 
 // An upstream may close an idle connection at the moment at which a request is
@@ -59,13 +59,13 @@
 func (a *activeRequest) attempt(ctx context.Context, lease *balance.Lease, afterEvent int64) attemptResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := newStallTimer(a.progressLimits(), cancel)
+	timer := newStallTimer(a.stallLimits(), cancel)
 	defer timer.stop()
 	now := a.forwarder.settings.Clock()
-	response, err := a.forwarder.settings.Pool.Do(ctx, a.message(lease, afterEvent, now), now)
+	response, err := a.forwarder.settings.Pool.Do(ctx, a.upstreamRequest(lease, afterEvent, now), now)
 	if err != nil {
 		return attemptResult{
-			err:    timer.explain(ctx, err),
+			err:    timer.attemptError(ctx, err),
 			unsent: granitehoist.CodeOf(err) == granitehoist.UpstreamRefused,
 		}
 	}
@@ -80,7 +80,7 @@
 	case replyFailed:
 		result.holdFailure(response)
 	case replyUsable:
-		result.err = timer.explain(ctx, a.passAnswer(response, lease, timer))
+		result.err = timer.attemptError(ctx, a.passAnswer(response, lease, timer))
 	case replyMissing, replyNoContinuation, replyUnusable:
 	}
 	return result
@@ -89,7 +89,7 @@
 // holdFailure keeps an instance's own failure until it is decided whether
 // another attempt follows.
 func (r *attemptResult) holdFailure(response *exchange.Response) {
-	answer, err := readWhole(response)
+	answer, err := readComplete(response)
 	if err != nil {
 		r.err = err
 		return
@@ -97,36 +97,36 @@
 	r.failure = &answer
 }
 
-// progressLimits returns the limits of the next attempt.
-func (a *activeRequest) progressLimits() progressLimits {
+// stallLimits returns the limits of the next attempt.
+func (a *activeRequest) stallLimits() stallLimits {
 	prompt := granitehoist.Tokens(0)
-	if a.asked.Cost != nil {
-		prompt = a.asked.Cost.Prompt
+	if a.request.Cost != nil {
+		prompt = a.request.Cost.Prompt
 	}
-	return limitProgress(a.decided.route, prompt, a.progress.runs)
+	return limitStalls(a.admission.route, prompt, a.progress.runs)
 }
 
-// message returns what is sent.
-func (a *activeRequest) message(lease *balance.Lease, afterEvent int64, now time.Time) exchange.Request {
-	asked, codec := a.asked, a.forwarder.settings.Codec
+// upstreamRequest returns what is sent.
+func (a *activeRequest) upstreamRequest(lease *balance.Lease, afterEvent int64, now time.Time) exchange.Request {
+	request, codec := a.request, a.forwarder.settings.Codec
 	header := codec.Header(&Attempt{
-		Request:     asked,
-		Route:       a.decided.route,
-		Workspace:   a.decided.workspace,
-		Priority:    a.decided.priority,
-		Keyed:       a.decided.keyed,
+		Request:     request,
+		Route:       a.admission.route,
+		Workspace:   a.admission.workspace,
+		Priority:    a.admission.priority,
+		Keyed:       a.admission.keyed,
 		Instance:    lease.ID,
-		Remaining:   a.decided.deadline.Sub(now),
+		Remaining:   a.admission.deadline.Sub(now),
 		LastEventID: afterEvent,
 	})
 	return exchange.Request{
 		Address: lease.Address,
-		Method:  asked.Method,
-		Target:  asked.Target,
-		Host:    asked.Host,
+		Method:  request.Method,
+		Target:  request.Target,
+		Host:    request.Host,
 		Header:  header,
-		Body:    asked.Body,
-		Matches: func(h http.Header) bool { return codec.Matches(asked, h) },
-		MaxIdle: idleLimit(a.decided.route),
+		Body:    request.Body,
+		Matches: func(h http.Header) bool { return codec.Matches(request, h) },
+		MaxIdle: idleLimit(a.admission.route),
 	}
 }
--- a/forward/doc.go
+++ b/forward/doc.go
@@ -24,7 +24,7 @@
 //   - identify.go: by which route, for whom and at which service it is served.
 //   - reserve.go: how many tokens it reserves, and how long it waits for them.
 //   - refusal.go: the code and the Retry-After of each refusal.
-//   - giveup.go: how long an attempt may make no progress.
+//   - stalllimits.go: how long an attempt may make no progress.
 //   - judge.go: what the head of an answer means.
 //   - retry.go: whether another attempt follows, what the caller is told, and
 //     what an attempt says of its instance.
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -113,7 +113,7 @@
 func (f *Forwarder) Serve(ctx context.Context, r *Request, sink granitehoist.Sink) (started bool, err error) {
 	f.active.Add(1)
 	defer f.active.Add(-1)
-	a := &activeRequest{forwarder: f, sink: sink, asked: r}
+	a := &activeRequest{forwarder: f, sink: sink, request: r}
 	a.progress = progress{tried: map[granitehoist.Upstream]bool{}, lastEventID: r.LastEventID}
 	err = a.run(ctx)
 	if err != nil && ctx.Err() != nil {
--- a/forward/identify.go
+++ b/forward/identify.go
@@ -17,32 +17,32 @@
 // would refuse the request for it too. The priority of a workspace takes precedence over that of
 // its route. For a refused request the fields are set that were decided before
 // the refusal.
-func identify(s *catalog.Snapshot, r *Request, stopping bool, draw float64) (decided, refusal) {
+func identify(s *catalog.Snapshot, r *Request, stopping bool, draw float64) (admission, refusal) {
 	if s == nil {
-		return decided{}, configurationMissing
+		return admission{}, configurationMissing
 	}
-	d := decided{version: s.Version, keyed: s.Keyed, route: s.Match(r.Host, r.Path)}
-	if d.route == nil {
-		return d, routeUnknown
+	a := admission{version: s.Version, keyed: s.Keyed, route: s.Match(r.Host, r.Path)}
+	if a.route == nil {
+		return a, routeUnknown
 	}
-	if s.Keyed && !d.route.Anonymous {
+	if s.Keyed && !a.route.Anonymous {
 		if r.Key == "" {
-			return d, keyMissing
+			return a, keyMissing
 		}
-		if d.workspace = s.ByKey(r.Key); d.workspace == nil {
-			return d, keyUnknown
+		if a.workspace = s.ByKey(r.Key); a.workspace == nil {
+			return a, keyUnknown
 		}
 	}
 	if stopping {
-		return d, routerStopping
+		return a, routerStopping
 	}
-	if d.service = s.Service(d.route.Pick(draw)); d.service == nil {
-		return d, serviceMissing
+	if a.service = s.Service(a.route.Pick(draw)); a.service == nil {
+		return a, serviceMissing
 	}
-	d.priority = d.route.Priority
-	if d.workspace != nil && d.workspace.HasPriority {
-		d.priority = d.workspace.Priority
+	a.priority = a.route.Priority
+	if a.workspace != nil && a.workspace.HasPriority {
+		a.priority = a.workspace.Priority
 	}
-	d.deadline = r.Arrived.Add(timeoutOf(d.route.Timeout, r.Timeout))
-	return d, noRefusal
+	a.deadline = r.Arrived.Add(timeoutOf(a.route.Timeout, r.Timeout))
+	return a, noRefusal
 }
--- a/forward/identify_test.go
+++ b/forward/identify_test.go
@@ -57,7 +57,7 @@
 
 	ginkgo.It("refuses everything without a configuration", func() {
 		got, refused := identify(nil, &Request{}, false, 0)
-		Expect(got).To(Equal(decided{}))
+		Expect(got).To(Equal(admission{}))
 		Expect(refused).To(Equal(configurationMissing))
 	})
 
--- a/forward/judge_test.go
+++ b/forward/judge_test.go
@@ -62,7 +62,7 @@
 	func(cause, err error, want granitehoist.Code) {
 		ctx, cancel := context.WithCancelCause(context.Background())
 		cancel(cause)
-		Expect(granitehoist.CodeOf((&stallTimer{}).explain(ctx, err))).To(Equal(want))
+		Expect(granitehoist.CodeOf((&stallTimer{}).attemptError(ctx, err))).To(Equal(want))
 	},
 	ginkgo.Entry("by its stall", errStalled, granitehoist.Errorf(granitehoist.UpstreamCut, ""), granitehoist.UpstreamLost),
 	ginkgo.Entry("as not run if it was never sent", errStalled, granitehoist.Errorf(granitehoist.UpstreamRefused, ""), granitehoist.UpstreamRefused),
--- a/forward/log.go
+++ b/forward/log.go
@@ -17,21 +17,21 @@
 // logEnd logs the end of a request.
 func (a *activeRequest) logEnd(report Report, err error) {
 	fields := []zap.Field{
-		zap.String("request", string(a.asked.ID)),
+		zap.String("request", string(a.request.ID)),
 		zap.Int("code", int(report.Code)),
 		zap.String("fate", string(requestFate(err, a.progress.runs))),
 		zap.String("service", string(report.Service)),
 		zap.String("workspace", string(report.Workspace)),
 		zap.Int("attempts", a.progress.attempts),
 		zap.Int64("events", a.progress.events),
-		zap.Uint64("config", uint64(a.decided.version)),
+		zap.Uint64("config", uint64(a.admission.version)),
 		zap.Duration("first", report.First),
 		zap.Duration("took", report.Took),
 	}
-	if a.decided.route != nil {
-		fields = append(fields, zap.String("route", string(a.decided.route.Name)))
+	if a.admission.route != nil {
+		fields = append(fields, zap.String("route", string(a.admission.route.Name)))
 	}
-	if a.decided.reserve > 0 {
+	if a.admission.bound > 0 {
 		fields = append(fields, a.budgetFields()...)
 	}
 	var e *granitehoist.Error
@@ -46,7 +46,7 @@
 func (a *activeRequest) budgetFields() []zap.Field {
 	budget := a.progress.budget
 	return []zap.Field{
-		zap.Int64("bound", int64(a.decided.reserve)),
+		zap.Int64("bound", int64(a.admission.bound)),
 		zap.Int64("used", int64(a.progress.charged)),
 		zap.String("budget", budget.Outcome.String()),
 		zap.Int64("free", int64(budget.Free)),
@@ -71,7 +71,7 @@
 // logAttempt logs an attempt, which took from its choice to its end.
 func (a *activeRequest) logAttempt(l *balance.Lease, result *attemptResult, took time.Duration) {
 	fields := []zap.Field{
-		zap.String("request", string(a.asked.ID)),
+		zap.String("request", string(a.request.ID)),
 		zap.Int("attempt", a.progress.attempts),
 		zap.String("upstream", string(l.ID)),
 		zap.Uint64("entry", uint64(l.Version)),
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -29,8 +29,8 @@
 	// of it left this router.
 	fate   granitehoist.Fate
 	unsent bool
-	// over says that the caller has left or the request's timeout has passed.
-	over bool
+	// ended says that the caller has left or the request's timeout has passed.
+	ended bool
 	// attempts counts all attempts so far, runs those that ran or may have run.
 	attempts, runs int
 	// started says that a part of an answer was passed on, up to the event
@@ -45,9 +45,9 @@
 type retryVerdict struct {
 	// allowed says that another attempt may follow.
 	allowed bool
-	// paid says that it must take one from the retry budget of the service, and
+	// usesRetryBudget says that it must take one from the retry budget of the service, and
 	// does not follow if there is none.
-	paid bool
+	usesRetryBudget bool
 	// afterEvent is the event after which its stream goes on.
 	afterEvent int64
 }
@@ -70,12 +70,12 @@
 // the choice in package balance.
 func decideRetry(in retryInput) retryVerdict {
 	switch {
-	case in.over, in.attempts >= maxAttempts, in.timeLeft < minRetryTime:
+	case in.ended, in.attempts >= maxAttempts, in.timeLeft < minRetryTime:
 		return retryVerdict{}
 	case in.fate != granitehoist.NotRun && !in.mayRunAgain():
 		return retryVerdict{}
 	}
-	return retryVerdict{allowed: true, paid: !in.unsent, afterEvent: in.lastEventID}
+	return retryVerdict{allowed: true, usesRetryBudget: !in.unsent, afterEvent: in.lastEventID}
 }
 
 // mayRunAgain reports whether a request that may have run may run once more.
@@ -102,9 +102,9 @@
 
 // instanceResult decides what an attempt says of the instance that it was sent
 // to, for the choice of later ones. An attempt that ended because the caller
-// left or the request's timeout passed (over) says nothing, unless the instance
+// left or the request's timeout passed (ended) says nothing, unless the instance
 // had already answered with a failure or that it is another one.
-func instanceResult(r *attemptResult, over bool) balance.Result {
+func instanceResult(r *attemptResult, ended bool) balance.Result {
 	switch {
 	case r.reply == replyMoved:
 		return balance.Moved
@@ -112,7 +112,7 @@
 		return balance.Failed
 	case r.err == nil:
 		return balance.Good
-	case over, granitehoist.CodeOf(r.err) == granitehoist.CallerGone:
+	case ended, granitehoist.CodeOf(r.err) == granitehoist.CallerGone:
 		return balance.Unclear
 	case r.reply == replyRefused:
 		return balance.Refused
--- a/forward/retry_test.go
+++ b/forward/retry_test.go
@@ -43,7 +43,7 @@
 	refused := afterFirst(unsafeRoute, granitehoist.NotRun)
 	lostSafe := afterFirst(safeRoute, granitehoist.MayHaveRun)
 	cutStream := with(afterFirst(resumeRoute, granitehoist.MayHaveRun), func(in *retryInput) { in.started, in.lastEventID = true, 57 })
-	no, paid := retryVerdict{}, retryVerdict{allowed: true, paid: true}
+	no, paid := retryVerdict{}, retryVerdict{allowed: true, usesRetryBudget: true}
 
 	ginkgo.DescribeTable("is decided",
 		func(in retryInput, want retryVerdict) { Expect(decideRetry(in)).To(Equal(want)) },
@@ -52,14 +52,14 @@
 		ginkgo.Entry("to follow one that may have run if the request is safe", lostSafe, paid),
 		ginkgo.Entry("not to follow one that may have run if the request is unsafe", afterFirst(unsafeRoute, granitehoist.MayHaveRun), no),
 		ginkgo.Entry("not to follow one that may have run if the stream can't be resumed", afterFirst(streamRoute, granitehoist.MayHaveRun), no),
-		ginkgo.Entry("to go on with a stream after the last event", cutStream, retryVerdict{allowed: true, paid: true, afterEvent: 57}),
+		ginkgo.Entry("to go on with a stream after the last event", cutStream, retryVerdict{allowed: true, usesRetryBudget: true, afterEvent: 57}),
 		ginkgo.Entry("not to go on with an answer that is no stream", with(lostSafe, func(in *retryInput) { in.started = true }), no),
 		ginkgo.Entry("not to run at more upstreams than the route allows", with(lostSafe, func(in *retryInput) { in.runs = 2 }), no),
 		ginkgo.Entry("not to run again where the route states no number", afterFirst(&catalog.Route{Kind: catalog.Safe}, granitehoist.MayHaveRun), no),
 		ginkgo.Entry("to follow one that did not run, also at the route's bound", with(refused, func(in *retryInput) { in.runs = 2 }), paid),
 		ginkgo.Entry("not to be the fifth", with(refused, func(in *retryInput) { in.attempts = 4 }), no),
 		ginkgo.Entry("to be the fourth", with(refused, func(in *retryInput) { in.attempts = 3 }), paid),
-		ginkgo.Entry("not to follow once the request is over", with(refused, func(in *retryInput) { in.over = true }), no),
+		ginkgo.Entry("not to follow once the request is over", with(refused, func(in *retryInput) { in.ended = true }), no),
 		ginkgo.Entry("not to follow with less than 20 ms left", with(refused, func(in *retryInput) { in.timeLeft = 20*time.Millisecond - 1 }), no),
 		ginkgo.Entry("to follow with 20 ms left", with(refused, func(in *retryInput) { in.timeLeft = 20 * time.Millisecond }), paid),
 	)
--- a/forward/giveup.go
+++ b/forward/stalllimits.go
@@ -18,21 +18,21 @@
 	// minFirstEventWait is the shortest wait for a first event, whatever the
 	// target. Chosen, not measured.
 	minFirstEventWait = 150 * time.Millisecond
-	// promptTokensPerMS is how many tokens of a prompt an upstream is taken to
+	// allowedPromptTokensPerMS is how many tokens of a prompt an upstream is taken to
 	// read in a millisecond before its first event. Chosen, not measured.
-	promptTokensPerMS granitehoist.Tokens = 12
+	allowedPromptTokensPerMS granitehoist.Tokens = 12
 	// maxEventGap is the longest pause between two events of a stream. It lies
 	// below the 2 s after which callers abandon a silent stream by the users'
 	// pages, so that another attempt can go on before. The value itself is
 	// chosen, not measured.
 	maxEventGap = 900 * time.Millisecond
-	// wholeAnswerPart is how many times the target an answer that is no stream
+	// completeAnswerTargets is how many times the target an answer that is no stream
 	// may take to be complete. Chosen, not measured.
-	wholeAnswerPart = 2.0
+	completeAnswerTargets = 2.0
 )
 
-// progressLimits are how long an attempt may go on without progress.
-type progressLimits struct {
+// stallLimits are how long an attempt may go on without progress.
+type stallLimits struct {
 	// first is the time from the start of an attempt to the first event of a
 	// stream, or to the end of another answer; zero sets no limit.
 	first time.Duration
@@ -41,7 +41,7 @@
 	gap time.Duration
 }
 
-// limitProgress decides how long an attempt may make no progress before this
+// limitStalls decides how long an attempt may make no progress before this
 // router gives it up for another. Only an attempt that another one may follow
 // is given up: otherwise waiting for the overall timeout is all that is left.
 // So there is no limit on routes whose requests run at most once, on the last
@@ -52,16 +52,16 @@
 // model reads before its first event (zero if unknown); and runs, the number of
 // earlier attempts that ran or may have run. Those that did not run don't count
 // as attempts by the route.
-func limitProgress(r *catalog.Route, prompt granitehoist.Tokens, runs int) progressLimits {
+func limitStalls(r *catalog.Route, prompt granitehoist.Tokens, runs int) stallLimits {
 	lastAllowed := runs+1 >= max(1, r.MaxAttempts)
 	if !r.Repeatable() || lastAllowed || r.Target <= 0 {
-		return progressLimits{}
+		return stallLimits{}
 	}
 	target := float64(r.Target)
 	if r.Kind != catalog.Stream {
-		return progressLimits{first: time.Duration(wholeAnswerPart * target)}
+		return stallLimits{first: time.Duration(completeAnswerTargets * target)}
 	}
 	first := max(minFirstEventWait, time.Duration(firstEventPart*target))
-	first += time.Duration(prompt/promptTokensPerMS) * time.Millisecond
-	return progressLimits{first: first, gap: maxEventGap}
+	first += time.Duration(prompt/allowedPromptTokensPerMS) * time.Millisecond
+	return stallLimits{first: first, gap: maxEventGap}
 }
--- a/forward/giveup_test.go
+++ b/forward/stalllimits_test.go
@@ -19,28 +19,28 @@
 }
 
 var _ = ginkgo.DescribeTable("An attempt without progress is given up",
-	func(r *catalog.Route, prompt granitehoist.Tokens, runs int, want progressLimits) {
-		Expect(limitProgress(r, prompt, runs)).To(Equal(want))
+	func(r *catalog.Route, prompt granitehoist.Tokens, runs int, want stallLimits) {
+		Expect(limitStalls(r, prompt, runs)).To(Equal(want))
 	},
 	ginkgo.Entry("never where a request runs at most once",
-		&catalog.Route{Kind: catalog.Unsafe, MaxAttempts: 2, Target: time.Second}, granitehoist.Tokens(0), 0, progressLimits{}),
+		&catalog.Route{Kind: catalog.Unsafe, MaxAttempts: 2, Target: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
 	ginkgo.Entry("never where a stream may not be resumed",
-		&catalog.Route{Kind: catalog.Stream, MaxAttempts: 2, Target: time.Second}, granitehoist.Tokens(0), 0, progressLimits{}),
+		&catalog.Route{Kind: catalog.Stream, MaxAttempts: 2, Target: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
 	ginkgo.Entry("never where the route states no number of attempts",
-		&catalog.Route{Kind: catalog.Safe, Target: time.Second}, granitehoist.Tokens(0), 0, progressLimits{}),
+		&catalog.Route{Kind: catalog.Safe, Target: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
 	ginkgo.Entry("never where the route has no target",
-		repeatable(catalog.Safe, 0), granitehoist.Tokens(0), 0, progressLimits{}),
+		repeatable(catalog.Safe, 0), granitehoist.Tokens(0), 0, stallLimits{}),
 	ginkgo.Entry("never in the last attempt that the route allows",
-		repeatable(catalog.Safe, time.Second), granitehoist.Tokens(0), 1, progressLimits{}),
+		repeatable(catalog.Safe, time.Second), granitehoist.Tokens(0), 1, stallLimits{}),
 	ginkgo.Entry("after twice the target where it is no stream",
-		repeatable(catalog.Safe, time.Second), granitehoist.Tokens(1200), 0, progressLimits{first: 2 * time.Second}),
+		repeatable(catalog.Safe, time.Second), granitehoist.Tokens(1200), 0, stallLimits{first: 2 * time.Second}),
 	ginkgo.Entry("after 55 % of the target where it is a stream, and after 0.9 s between events",
 		repeatable(catalog.Stream, time.Second), granitehoist.Tokens(0), 0,
-		progressLimits{first: 550 * time.Millisecond, gap: 900 * time.Millisecond}),
+		stallLimits{first: 550 * time.Millisecond, gap: 900 * time.Millisecond}),
 	ginkgo.Entry("after 150 ms where the target of a stream is short",
 		repeatable(catalog.Stream, 100*time.Millisecond), granitehoist.Tokens(0), 0,
-		progressLimits{first: 150 * time.Millisecond, gap: 900 * time.Millisecond}),
+		stallLimits{first: 150 * time.Millisecond, gap: 900 * time.Millisecond}),
 	ginkgo.Entry("a millisecond later for every 12 tokens of the prompt",
 		repeatable(catalog.Stream, time.Second), granitehoist.Tokens(1211), 0,
-		progressLimits{first: 650 * time.Millisecond, gap: 900 * time.Millisecond}),
+		stallLimits{first: 650 * time.Millisecond, gap: 900 * time.Millisecond}),
 )
--- a/forward/stalltimer.go
+++ b/forward/stalltimer.go
@@ -14,7 +14,7 @@
 // errStalled is the cause with which a stallTimer cancels an attempt.
 var errStalled = errors.New("no progress")
 
-// stallTimer cancels an attempt that exceeds its progressLimits. The zero value
+// stallTimer cancels an attempt that exceeds its stallLimits. The zero value
 // never does. It is used by the goroutine of the attempt only.
 type stallTimer struct {
 	// timer is nil if the attempt has no limit.
@@ -24,7 +24,7 @@
 
 // newStallTimer starts a timer that calls cancel, from a goroutine of its own,
 // when the attempt makes no progress for too long.
-func newStallTimer(limits progressLimits, cancel context.CancelCauseFunc) *stallTimer {
+func newStallTimer(limits stallLimits, cancel context.CancelCauseFunc) *stallTimer {
 	if limits.first <= 0 {
 		return &stallTimer{}
 	}
@@ -48,10 +48,10 @@
 	}
 }
 
-// explain returns the error of an attempt, with code UpstreamLost if a stall
+// attemptError returns the error of an attempt, with code UpstreamLost if a stall
 // ended it. An attempt that was never sent keeps its UpstreamRefused, since it
 // did not run.
-func (t *stallTimer) explain(ctx context.Context, err error) error {
+func (t *stallTimer) attemptError(ctx context.Context, err error) error {
 	if err == nil || !errors.Is(context.Cause(ctx), errStalled) || granitehoist.CodeOf(err) == granitehoist.UpstreamRefused {
 		return err
 	}
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -56,10 +56,10 @@
 		if event.HasID && event.ID != *last+1 {
 			return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "event %d follows %d", event.ID, *last)
 		}
-		if err := a.start(response.Status, response.Header); err != nil {
+		if err := a.passHead(response.Status, response.Header); err != nil {
 			return err
 		}
-		if err := a.write(event.Raw); err != nil {
+		if err := a.passPiece(event.Raw); err != nil {
 			return err
 		}
 		a.progress.events++
@@ -76,8 +76,8 @@
 	if !response.Framed && len(remaining) > 0 {
 		return granitehoist.Errorf(granitehoist.UpstreamCut, "the stream ended within an event")
 	}
-	if err := a.start(response.Status, response.Header); err != nil {
+	if err := a.passHead(response.Status, response.Header); err != nil {
 		return err
 	}
-	return a.write(remaining)
+	return a.passPiece(remaining)
 }
