--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -12,22 +12,6 @@
 	"syscall"
 )
 
-// write writes the whole request.
-func (c *conn) write(r Request, w *writing) error {
-	var head bytes.Buffer
-	head.Grow(headBytes + len(r.Body))
-	head.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	if err := r.Header.Write(&head); err != nil {
-		return err
-	}
-	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut {
-		head.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
-	}
-	head.WriteString("\r\n")
-	head.Write(r.Body)
-	return w.send(c, head.Bytes())
-}
-
 // conn is one connection. It serves one request at a time.
 type conn struct {
 	net.Conn
@@ -45,6 +29,22 @@
 // Chosen, not measured.
 const headBytes = 1024
 
+// write writes the whole request.
+func (c *conn) write(r Request, w *writing) error {
+	var head bytes.Buffer
+	head.Grow(headBytes + len(r.Body))
+	head.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
+	if err := r.Header.Write(&head); err != nil {
+		return err
+	}
+	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut {
+		head.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
+	}
+	head.WriteString("\r\n")
+	head.Write(r.Body)
+	return w.send(c, head.Bytes())
+}
+
 // quiet reports whether an idle connection is open and nothing has arrived on
 // it: bytes that have arrived belong to no request that is still to be sent. A
 // connection that can't be examined is not quiet.
--- a/forward/doc.go
+++ b/forward/doc.go
@@ -25,9 +25,9 @@
 //   - reserve.go: how many tokens it reserves, and how long it waits for them.
 //   - refusal.go: the code and the Retry-After of each refusal.
 //   - stalllimits.go: how long an attempt may make no progress.
-//   - judge.go: what the head of an answer means.
-//   - retry.go: whether another attempt follows, what the caller is told, and
-//     what an attempt says of its instance.
+//   - judge.go: what the head of an answer means, and what an attempt says of its
+//     instance.
+//   - retry.go: whether another attempt follows, and which error the caller gets.
 //   - settle.go: how many tokens a request is charged.
 //
 // Which instance gets an attempt is decided in package balance, whether the
--- a/forward/judge.go
+++ b/forward/judge.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/balance"
 )
 
 // reply is what the head of an answer means for its attempt.
@@ -64,3 +65,23 @@
 	}
 	return nil
 }
+
+// instanceResult decides what an attempt says of the instance that it was sent
+// to, for the choice of later ones. An attempt that ended because the caller
+// left or the request's timeout passed (ended) says nothing, unless the instance
+// had already answered with a failure or that it is another one.
+func instanceResult(r *attemptResult, ended bool) balance.Result {
+	switch {
+	case r.reply == replyMoved:
+		return balance.Moved
+	case r.reply == replyFailed:
+		return balance.Failed
+	case r.err == nil:
+		return balance.Good
+	case ended, granitehoist.CodeOf(r.err) == granitehoist.CallerGone:
+		return balance.Unclear
+	case r.reply == replyRefused:
+		return balance.Refused
+	}
+	return balance.Broken
+}
--- a/forward/log.go
+++ b/forward/log.go
@@ -56,18 +56,6 @@
 	}
 }
 
-// requestFate returns what is known of the execution of a whole request that
-// ended with err, of whose attempts so many ran or may have run.
-func requestFate(err error, runs int) granitehoist.Fate {
-	switch {
-	case err == nil:
-		return granitehoist.Ran
-	case runs == 0:
-		return granitehoist.NotRun
-	}
-	return granitehoist.MayHaveRun
-}
-
 // logAttempt logs an attempt, which took from its choice to its end.
 func (a *activeRequest) logAttempt(l *balance.Lease, result *attemptResult, took time.Duration) {
 	fields := []zap.Field{
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -7,7 +7,6 @@
 	"time"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/balance"
 	"granitehoist.example/granitehoist/catalog"
 )
 
@@ -100,22 +99,14 @@
 // fateOf returns what an error says of the execution of its attempt.
 func fateOf(err error) granitehoist.Fate { return granitehoist.CodeOf(err).Info().Fate }
 
-// instanceResult decides what an attempt says of the instance that it was sent
-// to, for the choice of later ones. An attempt that ended because the caller
-// left or the request's timeout passed (ended) says nothing, unless the instance
-// had already answered with a failure or that it is another one.
-func instanceResult(r *attemptResult, ended bool) balance.Result {
+// requestFate returns what is known of the execution of a whole request that
+// ended with err, of whose attempts so many ran or may have run.
+func requestFate(err error, runs int) granitehoist.Fate {
 	switch {
-	case r.reply == replyMoved:
-		return balance.Moved
-	case r.reply == replyFailed:
-		return balance.Failed
-	case r.err == nil:
-		return balance.Good
-	case ended, granitehoist.CodeOf(r.err) == granitehoist.CallerGone:
-		return balance.Unclear
-	case r.reply == replyRefused:
-		return balance.Refused
+	case err == nil:
+		return granitehoist.Ran
+	case runs == 0:
+		return granitehoist.NotRun
 	}
-	return balance.Broken
+	return granitehoist.MayHaveRun
 }
