--- a/balance/choice.go
+++ b/balance/choice.go
@@ -9,11 +9,7 @@
 	"granitehoist.example/granitehoist"
 )
 
-// noUpstreamRetry is after how long a caller should try again if no instance of
-// the service can be chosen. Chosen, not measured.
-const noUpstreamRetry = 500 * time.Millisecond
-
-// Query is what an attempt asks of the table.
+// Query describes the attempt for which Pick chooses an instance.
 type Query struct {
 	Service granitehoist.Service
 	// PrefixHash is the hash of the prefix that the prompt shares with others,
@@ -29,15 +25,14 @@
 
 // Pick chooses the instance with the least cost and counts the attempt as in
 // progress there until Done is called on the lease. It returns an error with
-// code NoUpstream if the service has no instance that may be chosen.
+// code NoUpstream, without a Retry-After, if the service has no instance that may
+// be chosen.
 func (t *Table) Pick(q Query, now time.Time) (*Lease, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	choices := candidates(t.services[q.Service], q.Tried, now)
 	if len(choices) == 0 {
-		e := granitehoist.Errorf(granitehoist.NoUpstream, "service %s", q.Service)
-		e.RetryAfter = noUpstreamRetry
-		return nil, e
+		return nil, granitehoist.Errorf(granitehoist.NoUpstream, "service %s", q.Service)
 	}
 	owner := ownerOf(choices, q.PrefixHash)
 	best := choices[0]
@@ -69,8 +64,8 @@
 	return l.cost()
 }
 
-// unreadTokensFor returns the tokens of a query's prompt that an instance would have to
-// read.
+// unreadTokensFor returns the tokens of a query's prompt that an instance would
+// have to read.
 func (s *instanceState) unreadTokensFor(q *Query, owner *instanceState, now time.Time) granitehoist.Tokens {
 	if s.cachesPrefix(q, owner, now) {
 		return q.PromptTokens - q.PrefixTokens
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -15,7 +15,7 @@
 // attempt has run then.
 type refusal int
 
-// The reasons, in the order in which a request meets them.
+// The reasons, in the order in which they are checked.
 const (
 	noRefusal refusal = iota
 	// configurationMissing: the router has no configuration yet.
@@ -36,7 +36,7 @@
 	budgetSpent
 	// budgetScarce: the store has no tokens left, but other boxes hold some.
 	budgetScarce
-	// budgetWithheld: what is left of the budget is for smaller requests.
+	// budgetWithheld: the remaining budget is kept for smaller requests.
 	budgetWithheld
 	// storeSilent: the box holds too few tokens and the store does not answer.
 	storeSilent
@@ -58,8 +58,8 @@
 	// Chosen, not measured.
 	noInstanceRetry = 500 * time.Millisecond
 	// scarceRetry is the time in which other boxes return tokens that they
-	// don't need. Raised from 700 ms in commit 7a995c8 because callers came back
-	// too soon; the new value itself is chosen, not measured.
+	// don't need. Commit 7a995c8 raised it from 700 ms and measured it only
+	// together with the two below; the value itself is chosen.
 	scarceRetry = 900 * time.Millisecond
 	// unreachableRetry is the time in which a silent store may answer again: its
 	// outages last for some seconds. Measured in commit 7a995c8 together with
@@ -157,8 +157,9 @@
 	return e
 }
 
-// withRetryAfter returns the error of a choice that found no instance, with the
-// Retry-After of noInstance if the error has none of its own.
+// withRetryAfter returns the error of balance.Table.Pick, which found no instance,
+// with the Retry-After of noInstance if the error has none of its own. The table
+// sets none.
 func withRetryAfter(err error) error {
 	var e *granitehoist.Error
 	if !errors.As(err, &e) || e.RetryAfter > 0 {
