--- a/forward/active.go
+++ b/forward/active.go
@@ -24,10 +24,10 @@
 	progress  progress
 }
 
-// admission is what was decided about a request before its first attempt. Fields
-// that a refused request did not come to are zero.
+// admission is what was decided about a request before its first attempt. If the
+// request was refused, the fields that were not decided by then are zero.
 type admission struct {
-	// version is that of the configuration by which the request is served.
+	// version is the version of the configuration that the decisions are based on.
 	version granitehoist.Version
 	// keyed says that keys identify callers.
 	keyed bool
@@ -45,8 +45,8 @@
 
 // progress is what has happened to a request so far.
 type progress struct {
-	// budget is the answer to the reservation; its zero value if none was
-	// asked for. reserved says that it was granted and is to be settled.
+	// budget is the answer to the reservation, zero if none was needed.
+	// reserved says that it was granted and must be settled.
 	budget   escrow.Answer
 	reserved bool
 	// charged is how many tokens the request was charged at its end.
@@ -59,8 +59,8 @@
 	// started says that the head of an answer was passed on, at firstByteAt.
 	started     bool
 	firstByteAt time.Time
-	// events counts the events passed on, lastEventID is the id of the last one
-	// that the caller has.
+	// events counts the events passed on. lastEventID is the id of the last event
+	// that the caller has, also from an earlier request.
 	events      int64
 	lastEventID int64
 }
@@ -108,7 +108,8 @@
 	return a.admission.deadline.Sub(a.forwarder.settings.Clock())
 }
 
-// settle ends the reservation.
+// settle charges the request and returns the other reserved tokens. err is the
+// request's result.
 func (a *activeRequest) settle(err error) {
 	if !a.progress.reserved {
 		return
@@ -128,7 +129,7 @@
 	settings := &a.forwarder.settings
 	a.forwarder.retryBudgets.of(a.admission.service.Name).Earn(settings.Clock())
 	afterEvent := a.request.LastEventID
-	// failure is what the caller is told if no attempt follows.
+	// failure is the error that the caller gets if no attempt follows.
 	var failure error
 	for {
 		lease, err := settings.Table.Pick(a.query(), settings.Clock())
@@ -138,18 +139,11 @@
 		if err != nil {
 			return withRetryAfter(err)
 		}
-		a.progress.tried[lease.ID] = true
-		a.progress.attempts++
-		sent := settings.Clock()
-		result := a.attempt(ctx, lease, afterEvent)
-		verdict := a.conclude(ctx, &result)
-		ended := settings.Clock()
-		lease.Done(instanceResult(&result, ctx.Err() != nil), ended)
-		a.logAttempt(lease, &result, ended.Sub(sent))
-		if result.err == nil {
+		verdict, err := a.attemptAt(ctx, lease, afterEvent)
+		if err == nil {
 			return nil
 		}
-		failure = errorForCaller(failure, result.err)
+		failure = errorForCaller(failure, err)
 		if !verdict.allowed {
 			return failure
 		}
@@ -157,21 +151,43 @@
 	}
 }
 
-// conclude counts an attempt that ran, decides whether another one follows, and
-// passes an instance's own failure on if none does.
-func (a *activeRequest) conclude(ctx context.Context, result *attemptResult) retryVerdict {
-	if result.err == nil {
-		a.progress.runs++
-		return retryVerdict{}
+// attemptAt makes one attempt at an instance and reports it to the table of
+// instances and the log. It returns the attempt's error, nil if the answer was
+// passed on completely, and whether another attempt may follow.
+func (a *activeRequest) attemptAt(ctx context.Context, lease *balance.Lease, afterEvent int64) (retryVerdict, error) {
+	settings := &a.forwarder.settings
+	a.progress.tried[lease.ID] = true
+	a.progress.attempts++
+	sent := settings.Clock()
+	result := a.attempt(ctx, lease, afterEvent)
+	a.countRun(result.err)
+	verdict := a.nextAttempt(ctx, &result)
+	if result.failure != nil && !verdict.allowed {
+		result.err = a.passComplete(*result.failure)
 	}
-	fate := fateOf(result.err)
-	if fate != granitehoist.NotRun {
+	ended := settings.Clock()
+	lease.Done(instanceResult(&result, ctx.Err() != nil), ended)
+	a.logAttempt(lease, &result, ended.Sub(sent))
+	return verdict, result.err
+}
+
+// countRun counts an attempt that ran or may have run. err is its result.
+func (a *activeRequest) countRun(err error) {
+	if fateOf(err) != granitehoist.NotRun {
 		a.progress.runs++
 	}
+}
+
+// nextAttempt decides whether another attempt follows one that ended, and takes it
+// from the service's retry budget if it must be paid from there.
+func (a *activeRequest) nextAttempt(ctx context.Context, result *attemptResult) retryVerdict {
+	if result.err == nil {
+		return retryVerdict{}
+	}
 	now := a.forwarder.settings.Clock()
 	verdict := decideRetry(retryInput{
 		route:       a.admission.route,
-		fate:        fate,
+		fate:        fateOf(result.err),
 		unsent:      result.unsent,
 		ended:       ctx.Err() != nil,
 		attempts:    a.progress.attempts,
@@ -183,13 +199,10 @@
 	if verdict.allowed && verdict.usesRetryBudget {
 		verdict.allowed = a.forwarder.retryBudgets.of(a.admission.service.Name).Take(now)
 	}
-	if result.failure != nil && !verdict.allowed {
-		result.err = a.passComplete(*result.failure)
-	}
 	return verdict
 }
 
-// query returns what the next attempt asks of the table of instances.
+// query returns the query for the instance of the next attempt.
 func (a *activeRequest) query() balance.Query {
 	query := balance.Query{Service: a.admission.service.Name, Tried: a.progress.tried}
 	if a.request.Cost == nil {
