--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -9,14 +9,15 @@
 	"granitehoist.example/granitehoist"
 )
 
-// eligibility is how far an instance comes into question for an attempt.
+// eligibility says whether an instance may get an attempt, and how preferably. A
+// higher one is preferred.
 type eligibility int
 
 const (
-	// excluded instances get no new request: they drain, this request tried
-	// them before, or they were removed too long ago.
+	// excluded instances get no attempt: they drain, this request has tried them,
+	// or their announcement was removed too long ago.
 	excluded eligibility = iota
-	// removed instances have lost their announcement a moment ago.
+	// removed instances have lost their announcement less than removedGrace ago.
 	removed
 	// ejected instances are left out because of failures.
 	ejected
@@ -24,9 +25,9 @@
 	live
 )
 
-// eligibility decides how far an instance comes into question for an attempt whose
-// request tried the instances in tried before. The announcement it reads is as
-// old as this router's copy of the store.
+// eligibility decides whether an instance may get an attempt of a request that has
+// tried the instances in tried. The announcement that it reads is as old as this
+// router's copy of the store.
 func (s *instanceState) eligibility(tried map[granitehoist.Upstream]bool, now time.Time) eligibility {
 	switch {
 	case tried[s.ID] || s.Draining:
@@ -43,9 +44,9 @@
 
 // candidates decides which instances an attempt chooses among. They are all that
 // are live; if there is none, the one ejected instance whose ejection ends first,
-// since a request that is refused has no chance at all; if there is none either,
-// those removed a moment ago. It returns none if all are excluded. The order is
-// that of instances, on which the random choice among equals depends.
+// since a try there may succeed and a refusal can't; if there is none either, those
+// that were removed lately. It returns none if all are excluded. The result has
+// the order of states, on which the random choice among equals depends.
 func candidates(states []*instanceState, tried map[granitehoist.Upstream]bool, now time.Time) []*instanceState {
 	liveStates := make([]*instanceState, 0, len(states))
 	var removedStates []*instanceState
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -5,11 +5,11 @@
 
 import "granitehoist.example/granitehoist"
 
-// milliseconds is a time that the choice expects a request to lose at an
-// instance. The order of the instances matters, not the exact value.
+// milliseconds is an estimate of the time that a request loses at an instance. It
+// only ranks instances; the exact value does not matter.
 type milliseconds float64
 
-// What each part of the cost is taken to be worth.
+// The weights of the parts of a cost.
 const (
 	// promptTokensPerMS is the prompt tokens that an instance reads in a
 	// millisecond. The users' pages give 56.6 and 56.9 for their two sites; the
@@ -23,7 +23,7 @@
 	// request weighs more, in proportion. Chosen, not measured.
 	smallCapacity = 16
 	// failureMS is what a request loses at an instance that fails every attempt:
-	// the failed attempt and the way to another. Chosen, not measured.
+	// the time of the failed attempt and of the retry. Chosen, not measured.
 	failureMS = 400.0
 	// otherZoneMS is what a request loses on the way to another availability
 	// zone. Chosen, not measured; the users' pages give 0.9 and 0.5 ms for one
@@ -35,10 +35,10 @@
 	cacheMissWeight = 0.5
 )
 
-// load is what the cost of an instance is computed from.
+// load is the input from which the cost of an instance is computed.
 type load struct {
 	// queuedTokens are those of prompts that this router sent to the instance
-	// and of which no event has arrived yet. Other routers' are not known.
+	// and of which no event has arrived yet. It lacks those of other routers.
 	queuedTokens granitehoist.Tokens
 	// unreadTokens are those of the request's own prompt that the instance is
 	// likely not to have in its cache.
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -14,19 +14,19 @@
 	// maxEjectionDoublings bounds the doublings, so that they can't overflow.
 	// The default reaches maxEjection with fewer. Chosen, not measured.
 	maxEjectionDoublings = 5
-	// ejectAfterFailures is the number of broken attempts in a row from which on
-	// an instance is ejected: one can be chance. Chosen, not measured.
+	// ejectAfterFailures is the number of broken attempts in a row that ejects an
+	// instance. A single one may be chance. Chosen, not measured.
 	ejectAfterFailures = 2
-	// refusedDivisor makes the ejection after a refusal this part of the first
-	// ejection, 100 ms by default: a full instance soon has room again. Chosen,
-	// not measured.
+	// refusedDivisor divides the duration of a first ejection to give that after a
+	// refusal, 100 ms by default: a full instance soon has room. Chosen, not
+	// measured.
 	refusedDivisor = 4
 	// failureWeight is the weight of the newest attempt in the mean of failures:
 	// about the last five attempts count. Chosen, not measured.
 	failureWeight = 0.2
 )
 
-// Result is how an attempt ended, as far as it tells something of the instance.
+// Result is what an attempt says about its instance.
 type Result int
 
 // The results of attempts.
@@ -35,11 +35,11 @@
 	Good Result = iota
 	// Failed says that it answered with a failure of its own.
 	Failed
-	// Refused says that it has no room.
+	// Refused says that it refused the request, for example because it is full.
 	Refused
 	// Broken says that no answer arrived, or one that can't be used.
 	Broken
-	// Unclear says nothing of the instance, for example if the caller left.
+	// Unclear says nothing about the instance, for example if the caller left.
 	Unclear
 	// Moved says that another instance has the address.
 	Moved
@@ -57,25 +57,24 @@
 	ejectedUntil time.Time
 }
 
-// ejected decides whether an instance is left out at a time. Nothing is asked of
-// an ejected instance: it is tried again by the first request that chooses it
-// after the ejection.
+// ejected decides whether an instance is ejected at a time. The table sends no
+// probes: the first request that picks the instance after the ejection tries it.
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// withResult decides what an attempt's result changes; ejection is the duration of a
-// first ejection.
+// withResult decides how an attempt's result changes the health of its instance.
+// ejection is the duration of a first ejection.
 //
-//   - A good attempt ends the row of failures and lowers the mean. It does not
-//     end an ejection: it may have begun before what caused that.
-//   - An instance's own failure raises the mean only. It is an answer, so the
-//     instance lives; the mean makes it more costly than others.
+//   - A good attempt resets failuresInRow and lowers the mean. It does not end an
+//     ejection, since it may have begun before the failures that caused that.
+//   - An instance's own failure raises the mean only. The instance answered, so it
+//     is not ejected, but the mean makes it more costly than others.
 //   - A refusal ejects for a short time and is no failure.
-//   - A broken attempt raises the mean; from the second in a row on it ejects,
-//     for a time that doubles with each up to maxEjection.
-//   - An address that another instance has ejects for the longest time: the
-//     removal of the announcement is on its way.
+//   - A broken attempt raises the mean. The second in a row ejects, and so does
+//     each further one, for twice as long up to maxEjection.
+//   - If another instance has the address, the instance is ejected for maxEjection:
+//     the removal of its announcement will arrive in that time.
 //
-// A new ejection replaces the one before, also if that would have lasted longer.
+// A new ejection replaces the previous one, even if that would have lasted longer.
 func (h health) withResult(r Result, ejection time.Duration, now time.Time) health {
 	switch r {
 	case Good:
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -13,7 +13,7 @@
 
 // Announce records an instance's announcement. It returns the announcement that
 // it replaces and whether there was one. An announcement older than the recorded
-// one changes nothing; one that is as new takes back a removal.
+// one changes nothing. Any other cancels an earlier removal.
 func (t *Table) Announce(i Instance) (before Instance, found bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,8 +54,8 @@
 	return s.Instance, true
 }
 
-// sweep forgets the removed instances that are of no more use. It runs at each
-// removal, so an instance stays in the table until a later one is removed.
+// sweep deletes the removed instances that are no longer needed. It runs at each
+// removal, so a removed instance stays in the table at least until the next one.
 func (t *Table) sweep(now time.Time) {
 	for id, s := range t.instances {
 		if !forgettable(s.removedAt, s.inFlight, now) {
--- a/balance/prefixcache.go
+++ b/balance/prefixcache.go
@@ -6,8 +6,8 @@
 import "time"
 
 const (
-	// prefixCacheTime is how long an upstream is taken to keep a prefix in its
-	// cache after it read it. Chosen, not measured.
+	// prefixCacheTime is how long an upstream is assumed to keep a prefix in its
+	// cache after reading it. Chosen, not measured.
 	prefixCacheTime = 20 * time.Second
 	// maxRememberedPrefixes bounds the prefixes that are remembered of one
 	// instance, 32 bytes each. Chosen, not measured.
@@ -17,7 +17,7 @@
 // prefixCached decides whether an instance is likely to have a prefix in its
 // cache: it owns the prefix, so all routers send it there, or this router sent
 // it there at sentAt, less than prefixCacheTime ago. A zero sentAt stands for
-// never. The caches themselves can't be asked.
+// never. It is an estimate, since upstreams don't report what their caches hold.
 func prefixCached(owner bool, sentAt, now time.Time) bool {
 	return owner || (!sentAt.IsZero() && now.Sub(sentAt) < prefixCacheTime)
 }
@@ -28,7 +28,7 @@
 }
 
 // rememberPrefix records that a prefix was sent to an instance that does not own
-// it. A full memory starts anew.
+// it. At maxRememberedPrefixes it drops all earlier records.
 func (s *instanceState) rememberPrefix(prefixHash uint64, now time.Time) {
 	if s.prefixSentAt == nil || len(s.prefixSentAt) >= maxRememberedPrefixes {
 		s.prefixSentAt = map[uint64]time.Time{}
--- a/catalog/current.go
+++ b/catalog/current.go
@@ -31,10 +31,9 @@
 }
 
 // supersedes decides whether a snapshot replaces the one in force, which is nil
-// before the first. The store's version orders configurations: it grows with each
-// write and comes from the store also where a neighbour passed the configuration
-// on, so an old copy never takes back a newer one. The operators' revision plays no
-// part, nor does the time of arrival.
+// before the first. Only the store's version counts: it grows with each write, and a
+// configuration from a neighbour carries it too, so an old copy never replaces a
+// newer one. The operators' revision and the time of arrival do not matter.
 func (s *Snapshot) supersedes(old *Snapshot) bool {
 	return old == nil || s.Version > old.Version
 }
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -11,9 +11,9 @@
 //
 // A Snapshot is built once and never changes, so that a request which holds one
 // sees the same configuration to its end. A Current owns the pointer to the newest;
-// it needs no lock and never goes back to an older version. Nothing is stored: a
-// router that starts has no configuration until the store or a neighbour sends one.
-// The package relies on the store's versions for the order.
+// it needs no lock and never returns to an older version. Nothing is stored on disk:
+// a router that starts has no configuration until the store or a neighbour sends
+// one. The package relies on the store's versions for the order.
 //
 // Begin reading at Snapshot.Match and Current.Offer.
 package catalog
--- a/catalog/document.go
+++ b/catalog/document.go
@@ -12,7 +12,7 @@
 // RouteName names a route within a configuration.
 type RouteName string
 
-// Kind tells how often a request of a route may run and how it is answered.
+// Kind says how often a request of a route may run and how it is answered.
 type Kind int
 
 // The kinds of routes.
@@ -51,11 +51,13 @@
 	Kind   Kind
 	// Timeout is the longest that a request may be held; zero sets no bound.
 	Timeout time.Duration
-	// Target is the latency up to which an answer has its full worth.
+	// Target is the latency that the operators want for an answer; a later one is
+	// worth less to them. Zero if they state none.
 	Target   time.Duration
 	Priority granitehoist.Priority
 	Split    []Share
-	// MaxAttempts bounds the upstreams that may run one request.
+	// MaxAttempts bounds the upstreams that may run one request, the first
+	// included; 0 counts as 1.
 	MaxAttempts int
 	// Anonymous routes need no key.
 	Anonymous bool
@@ -92,7 +94,7 @@
 	// Priority replaces that of the route if HasPriority is set.
 	Priority    granitehoist.Priority
 	HasPriority bool
-	// Prepaid is what the workspace may spend in all if Limited is set.
+	// Prepaid is the total that the workspace may ever spend, if Limited is set.
 	Prepaid granitehoist.Tokens
 	Limited bool
 }
@@ -101,7 +103,7 @@
 // not. Only BodyBytes is in force: the servers of package node are made before a
 // configuration is known and have constants for the others.
 type Limits struct {
-	// HeaderBytes bounds the header of a request, BodyBytes its body.
+	// HeaderBytes and BodyBytes bound the header and the body of a request.
 	HeaderBytes int
 	BodyBytes   int64
 	// HeaderTimeout bounds the reading of a header.
@@ -122,9 +124,9 @@
 	Limits Limits
 }
 
-// PickService decides which service of a route's split serves a request. point, from 0 up
-// to 1, is drawn by the caller; each service owns a part of that range in
-// proportion to its weight, in the order of the split. If all weights are zero it
+// PickService decides which service of a route's split serves a request. point is a
+// random number from 0 up to 1; each service has a part of that range in proportion
+// to its weight, in the order of the split. If all weights are zero it
 // is the last service. It panics if the split is empty, which Build refuses.
 func (r *Route) PickService(point float64) granitehoist.Service {
 	var total float64
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -32,7 +32,7 @@
 // Build prepares a configuration. It returns an error that names the route or
 // workspace that can't be served: a prefix without slashes at its ends, a route
 // without services or with a negative weight, a workspace without a name, a key of
-// two workspaces. Of services or workspaces with the same name the last counts. The
+// two workspaces. The last of several services or workspaces of the same name wins. The
 // snapshot keeps parts of d, which must not change afterwards.
 func Build(d *Document, version granitehoist.Version) (*Snapshot, error) {
 	s := &Snapshot{
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// canonicalHost returns a host without its port, in small letters. An IPv6 address
-// must stand in brackets.
+// canonicalHost returns a host without its port, in lower case. An IPv6 address must
+// be in brackets.
 func canonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -107,8 +107,8 @@
 }
 
 // Match decides which route serves a request: that of its host with the longest
-// prefix of its path. It returns nil if there is none. Of equal prefixes the first
-// in the configuration counts.
+// prefix of its path. It returns nil if there is none. Among equal prefixes the first
+// in the configuration wins.
 func (s *Snapshot) Match(host, path string) *Route {
 	for _, r := range s.hosts[canonicalHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
--- a/codes.go
+++ b/codes.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Code is the numbered result of a request, told to the caller. The numbers
+// Code is the numbered result of a request that the caller gets. The numbers
 // are stable: 1 is success, 10xx what the caller sent, 20xx permission, 30xx
 // budgets, 40xx overload and choice of upstream, 50xx upstreams, 60xx the
 // fleet itself, 70xx operators' documents. docs/CODES.md lists them.
@@ -63,11 +63,11 @@
 	DocumentUnsettled Code = 7006
 )
 
-// Fate says what is known about the execution of a request.
+// Fate says whether a request was executed.
 type Fate string
 
-// The fates. NotRun is said only when no byte of the request can have
-// reached an upstream, or the upstream said that it did not run it.
+// The fates. A request is NotRun only if no byte of it can have reached an
+// upstream, or if the upstream said that it did not run it.
 const (
 	NotRun     Fate = "not run"
 	Ran        Fate = "ran"
@@ -174,9 +174,9 @@
 	Code Code
 	// Detail says in plain words what was wrong in this case.
 	Detail string
-	// RetryAfter, if set, tells when a retry may succeed.
+	// RetryAfter, if set, is the time after which a retry may succeed.
 	RetryAfter time.Duration
-	// Cause is the error below, which is logged and never told to callers.
+	// Cause is the underlying error. It is logged and never sent to callers.
 	Cause error
 }
 
@@ -185,8 +185,7 @@
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error with the given cause. The cause is not told to
-// callers.
+// Wrap returns an Error with the given cause, which is not sent to callers.
 func Wrap(code Code, cause error, detail string) *Error {
 	return &Error{Code: code, Detail: detail, Cause: cause}
 }
@@ -200,7 +199,7 @@
 	return text
 }
 
-// Message returns what callers are told: the table's sentence and the detail.
+// Message returns the text for callers: the table's sentence and the detail.
 func (e *Error) Message() string {
 	if e.Detail == "" {
 		return e.Code.Info().Message
--- a/doc.go
+++ b/doc.go
@@ -3,11 +3,11 @@
 
 // Package granitehoist holds the names that every part of the router fleet
 // shares: the identifiers, the units, the numbered result codes and the
-// interfaces behind which implementations differ.
+// interfaces that several packages implement.
 //
 // A box is a machine that runs one router, a region is a set of availability
 // zones, a workspace is a customer of one of the partners and an upstream is a
-// back end: a model engine or a plain service. Every other term is the usual
+// server that runs requests: a model engine or a plain service. Every other term is the usual
 // one of the field; docs/GLOSSARY.md lists the project's own.
 //
 // Two programs are built from this module.
--- a/exchange/answer.go
+++ b/exchange/answer.go
@@ -13,7 +13,7 @@
 
 const (
 	// maxAnswersRead bounds the answers read for one request: interim ones and
-	// those of earlier requests come before its own. Chosen, not measured.
+	// those to earlier requests may precede its own. Chosen, not measured.
 	maxAnswersRead = 8
 	// maxDrainBytes bounds the body of an earlier request's answer that is read
 	// to reach the next. Chosen, not measured.
@@ -44,8 +44,8 @@
 	return foreign
 }
 
-// readAnswer reads answers until one belongs to the request. It passes foreign
-// ones over if they can be read to their end.
+// readAnswer reads answers until one belongs to the request. It skips foreign
+// ones, as long as they can be read to their end.
 func (c *conn) readAnswer(r Request) (*http.Response, error) {
 	crossed := false
 	for range maxAnswersRead {
@@ -68,20 +68,20 @@
 	return nil, granitehoist.Errorf(granitehoist.AnswerCrossed, "")
 }
 
-// drained reads the body of an answer that is passed over, and reports whether
-// it reached its end.
+// drained reads the body of a skipped answer, and reports whether it reached the
+// end.
 func drained(answer *http.Response) bool {
 	n, err := io.Copy(io.Discard, io.LimitReader(answer.Body, maxDrainBytes))
 	return err == nil && n < maxDrainBytes
 }
 
 // readError decides what a failure to read an answer says of the request, which
-// may have run in each case. After a foreign answer its own can't be told from
-// others' any more (AnswerCrossed). If the connection ended, broke or was closed
-// because the context ended, there is no answer (UpstreamLost). Otherwise the
-// bytes that arrived are no answer (UpstreamBadAnswer).
+// may have run in each case. If a foreign answer arrived first, the code is
+// AnswerCrossed. If the connection ended, broke or was closed because the context
+// ended, there is no answer (UpstreamLost). Otherwise the bytes that arrived are no
+// HTTP answer (UpstreamBadAnswer).
 func readError(err error, crossed bool) error {
-	// The errors of connections, those of a closed one too, have this method.
+	// All errors of connections have this method, also that of a closed one.
 	var network interface{ Timeout() bool }
 	switch {
 	case crossed:
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -12,24 +12,24 @@
 	"syscall"
 )
 
-// conn is one connection. It serves one request at a time.
+// conn is a connection to an upstream. It serves one request at a time.
 type conn struct {
 	net.Conn
 	reader  *bufio.Reader
 	address string
-	// idlePeriod is when it may be used again. The lock of the pool guards it.
+	// idlePeriod says until when it may be reused. The lock of the pool guards it.
 	idlePeriod idlePeriod
 }
 
-// readBufferBytes is the size of a connection's buffer for reading, which each open
-// connection has. Chosen, not measured.
+// readBufferBytes is the size of the read buffer that each open connection has.
+// Chosen, not measured.
 const readBufferBytes = 2048
 
-// headBytes is the room reserved for the head of a request before its body.
+// headBytes is the size allocated for the head of a request, which grows if needed.
 // Chosen, not measured.
 const headBytes = 1024
 
-// write writes the whole request.
+// write writes the request, head and body.
 func (c *conn) write(r Request, w *writing) error {
 	var head bytes.Buffer
 	head.Grow(headBytes + len(r.Body))
@@ -45,9 +45,9 @@
 	return w.send(c, head.Bytes())
 }
 
-// quiet reports whether an idle connection is open and nothing has arrived on
-// it: bytes that have arrived belong to no request that is still to be sent. A
-// connection that can't be examined is not quiet.
+// quiet reports whether an idle connection is open and has no unread bytes, which
+// the next request would take for its answer. It returns false if the connection
+// can't be examined.
 func (c *conn) quiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/exchange/discard.go
+++ b/exchange/discard.go
@@ -5,7 +5,6 @@
 
 import "io"
 
-// discard closes a connection that nothing uses any more. The error of closing
-// is dropped: the connection is unusable whatever it says, and what it carried
-// has been judged before.
+// discard closes a connection that is no longer used. It drops the error of
+// closing, which changes nothing: the result of the exchange has been decided.
 func discard(connection io.Closer) { _ = connection.Close() }
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -1,15 +1,15 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package exchange sends requests to upstreams over HTTP/1.1 and reports of each
+// Package exchange sends requests to upstreams over HTTP/1.1 and reports for each
 // whether the upstream may have run it.
 //
-// net/http writes and reads the messages; the connections are this package's
-// own. The standard library's client may send a request a second time when a
-// reused connection breaks, closes connections at answers that it did not ask
-// for, and reads an answer that belongs to an earlier request as if it were the
-// one that is due. Here a request is written at most once, an answer is matched
-// with its request, and a connection in doubt is closed.
+// net/http writes and reads the messages, but this package manages the connections
+// itself. The standard library's client may send a request a second time when a
+// reused connection breaks, closes a connection on which an unexpected answer
+// arrives, and takes a late answer to an earlier request for the answer to the
+// current one. This package writes a request at most once, checks that an answer
+// belongs to its request, and closes a connection in doubt.
 //
 // The edge router granitehoist-edge runs it: package node makes one Pool, package
 // forward sends each attempt through it. PassedOn is also used by the partner
--- a/exchange/doubt.go
+++ b/exchange/doubt.go
@@ -9,9 +9,9 @@
 	complete bool
 	// cancelled says that the context ended, which closes the connection.
 	cancelled bool
-	// written says that the whole request was written, as writing.complete reports.
+	// written says that the request was written to its end (writing.complete).
 	written bool
-	// framed says that the answer told where it ends.
+	// framed says that the answer states where it ends.
 	framed bool
 	// closing says that the upstream announced to close the connection.
 	closing bool
@@ -34,10 +34,10 @@
 )
 
 // doubt decides whether the connection may serve another request, and returns
-// why not. The next answer must belong to the next request, so no byte of this
-// exchange may be outstanding in either direction: an upstream that answered
-// before it had the whole request may take what follows for the rest of it, and
-// what is unread after an answer would be read as the next one.
+// why not. No byte of this exchange may be outstanding in either direction: an
+// upstream that answered before it had read the complete request may take the next
+// request for the remainder of this one, and unread bytes after an answer would be
+// read as the answer to the next request.
 func (o outcome) doubt() doubt {
 	switch {
 	case !o.complete:
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -36,7 +36,8 @@
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is that of the body in bytes, or -1 if the header does not tell it.
+	// Length is the length of the body in bytes, or -1 if the header does not state
+	// it.
 	Length int64
 	// Framed is false if the body ends with the connection.
 	Framed   bool
@@ -45,8 +46,8 @@
 	end      func(complete bool)
 }
 
-// Read reads the body. io.EOF says that it was read to its end; any other error
-// that it was cut off or malformed.
+// Read reads the body. It returns io.EOF at the end of the body, and any other
+// error if the body is cut off or malformed.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -74,8 +75,8 @@
 	go func() { writing.ended <- c.write(r, writing) }()
 	answer, err := c.readAnswer(r)
 	if err != nil {
-		// An error of the writing is not asked for: the request may have run
-		// either way, and a broken connection fails the reading too.
+		// The result of the writing does not matter: the request may have run
+		// either way, and on a broken connection reading fails too.
 		stop()
 		discard(c)
 		return nil, err
@@ -109,7 +110,7 @@
 	p.put(c, keepAlive(header), time.Now())
 }
 
-// isFramed reports whether an answer tells where its body ends.
+// isFramed reports whether an answer states where its body ends.
 func isFramed(answer *http.Response) bool {
 	return answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
 }
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -23,8 +23,8 @@
 	// SilenceTimeout is how long sent bytes may stay unacknowledged by the peer
 	// before its connection is given up; zero stands for DefaultSilenceTimeout.
 	SilenceTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept at most, and how long
-	// where the upstream does not report it; zero stands for DefaultIdleTimeout.
+	// IdleTimeout bounds how long an idle connection is kept, also if the upstream
+	// reports a longer time; zero stands for DefaultIdleTimeout.
 	IdleTimeout time.Duration
 	// MaxIdlePerUpstream bounds the idle connections to one address; zero stands
 	// for DefaultMaxIdlePerUpstream.
@@ -68,8 +68,8 @@
 
 const (
 	// probeInterval is how long a connection is silent before the kernel probes
-	// the peer, and the time between probes. One second is the least that the
-	// socket option can say.
+	// the peer, and the time between probes. One second is the smallest value of
+	// the socket option.
 	probeInterval = time.Second
 	// maxProbes is the number of unanswered probes that end a connection.
 	// Chosen, not measured.
@@ -93,8 +93,8 @@
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// Without the option a silent peer is only noticed later, by the
-				// keep-alive probes or the attempt's own deadline.
+				// If it fails, a silent peer is noticed later, by the keep-alive
+				// probes or the attempt's deadline.
 				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(s.SilenceTimeout.Milliseconds()))
 			})
 		},
@@ -162,7 +162,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Forget closes the idle connections to an address, whose upstream has left.
+// Forget closes the idle connections to an address. It is called when its upstream
+// has ended.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	idle := p.idle[address]
@@ -173,8 +174,8 @@
 	}
 }
 
-// Close closes all idle connections. Connections in use are kept again when their
-// exchange ends.
+// Close closes all idle connections. Connections in use return to the pool when
+// their exchange ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
--- a/exchange/reuse.go
+++ b/exchange/reuse.go
@@ -11,11 +11,11 @@
 )
 
 // keepAliveMargin is subtracted from the time for which an upstream reports to
-// keep a connection, so that a request does not meet its closing. Chosen, not
-// measured. The report is in whole seconds, so at least 0.6 s remain.
+// keep a connection, so that no request is sent just as it closes. Chosen, not
+// measured. The report is at least 1 s, so at least 0.6 s remain.
 const keepAliveMargin = 400 * time.Millisecond
 
-// idlePeriod is for how long an idle connection can be expected to stay open.
+// idlePeriod says how long an idle connection is expected to stay open.
 type idlePeriod struct {
 	// since is when the connection became idle.
 	since time.Time
@@ -38,10 +38,10 @@
 }
 
 // reusable decides whether an idle connection may serve a request that allows
-// maxIdle. A connection that the upstream reported to keep may be used until
-// then, whatever maxIdle is. Of others nothing is known: a request that must not
-// run twice can't be sent again if it meets the closing, so its caller allows
-// less than that of a repeatable one.
+// maxIdle. If the upstream reported how long it keeps the connection, the request
+// may use it until then, whatever maxIdle is. Otherwise the upstream may close it at
+// any time, just as the request is sent. A request that must not run twice can't be
+// repeated then, so its maxIdle is shorter than that of a repeatable one.
 func (p idlePeriod) reusable(maxIdle time.Duration, now time.Time) bool {
 	if !now.Before(p.until) {
 		return false
@@ -51,7 +51,7 @@
 
 // keepAlive returns how long the upstream keeps the connection of an answer with
 // the given header, less keepAliveMargin. It returns zero if the header does not
-// say, or not in whole positive seconds.
+// state it, or not as a positive integer of seconds.
 func keepAlive(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/exchange/writing.go
+++ b/exchange/writing.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// writtenGrace is how long the end of an exchange waits for the report that the
-	// request has been written. The report of the writing goroutine can come after
-	// the answer: without a wait connections were not used again (commit 6d43b45,
-	// once in a run under the race detector). The length is chosen, not measured.
+	// writtenGrace is how long the end of an exchange waits for the result of the
+	// writing goroutine, which may arrive after the answer. Without a wait such a
+	// connection was closed instead of reused (commit 6d43b45, once in a run under
+	// the race detector). The length is chosen, not measured.
 	writtenGrace = 5 * time.Millisecond
 	// lastPieceBytes is the size of the last piece of a request, which is written
 	// by a call of its own. Most requests are smaller and written with one call.
@@ -21,8 +21,8 @@
 	lastPieceBytes = 64 << 10
 )
 
-// writing is how far the writing of a request has come. One goroutine writes,
-// another asks.
+// writing is the progress of writing a request. One goroutine writes, another
+// calls complete.
 type writing struct {
 	// lastBegun says that the writing of the last piece has begun.
 	lastBegun atomic.Bool
@@ -33,8 +33,9 @@
 // newWriting returns a writing that has not begun.
 func newWriting() *writing { return &writing{ended: make(chan error, 1)} }
 
-// send writes a message to a connection. If the peer does not read, the earlier part
-// fills the buffers on the way and the last piece is not begun.
+// send writes a message to a connection, the last piece separately. If the peer does
+// not read, the earlier part fills the socket buffers and the last piece is not
+// begun.
 func (w *writing) send(to io.Writer, message []byte) error {
 	if early := len(message) - lastPieceBytes; early > 0 {
 		if _, err := to.Write(message[:early]); err != nil {
@@ -47,9 +48,9 @@
 	return err
 }
 
-// complete reports, at the end of an exchange, whether the whole request was
-// written. If the last piece has not begun the upstream answered early. Otherwise
-// it waits up to writtenGrace for the report of the writing.
+// complete reports, at the end of an exchange, whether the request was written to
+// its end. If the last piece has not begun, the upstream answered early. Otherwise
+// it waits up to writtenGrace for the result of the writing.
 func (w *writing) complete() bool {
 	if !w.lastBegun.Load() {
 		return false
--- a/follow/copy.go
+++ b/follow/copy.go
@@ -24,9 +24,10 @@
 	mu      sync.Mutex
 	entries map[string]granitehoist.Entry
 	at      granitehoist.Version
-	// newestAt is when at was last known to be the store's newest version.
+	// newestAt is the last time at which at was confirmed as the store's newest
+	// version.
 	newestAt time.Time
-	// filled says that the store or another router has given a copy.
+	// filled says that a first update was applied, of the store or another router.
 	filled bool
 	// deletions are the newest ones, oldest first. Every deletion after
 	// deletionsFrom is among them.
@@ -43,8 +44,8 @@
 	return &prefixCopy{unchanged: unchanged, entries: map[string]granitehoist.Entry{}, changed: make(chan struct{})}
 }
 
-// apply takes an update in and returns the entries that it changed, deleted ones
-// included. Nothing older replaces something newer.
+// apply applies an update and returns the entries that it changed, deleted ones
+// included. An older entry never replaces a newer one.
 func (c *prefixCopy) apply(update Update, now time.Time) []granitehoist.Entry {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,7 +86,7 @@
 	}
 }
 
-// applyEntry takes one entry in, and reports whether it changed anything.
+// applyEntry applies one entry, and reports whether it changed the copy.
 func (c *prefixCopy) applyEntry(e granitehoist.Entry, complete bool) bool {
 	held, present := c.entries[e.Key]
 	switch judgeEntry(held, e, complete, c.at) {
--- a/follow/doc.go
+++ b/follow/doc.go
@@ -5,10 +5,10 @@
 //
 // A Follower lists the keys once and then waits for changes. It asks again after
 // a bounded time even if the store reports nothing, since a connection can fall
-// silent without an error, and lists again when the store has lost the history.
+// silent without an error, and lists again if the store no longer has the history.
 // In a large fleet it asks relays, other routers that follow the store, instead.
-// While the store fails it asks its neighbours for a newer copy. Every key and the
-// copy carry the store's version, and nothing older replaces something newer.
+// While the store fails it asks its neighbours for a newer copy. Each key and the
+// copy carry the store's version, and an older version never replaces a newer one.
 //
 // State: a Follower owns its copy, which any goroutine may read and only the one
 // that runs Run changes, under the lock of prefixCopy. The choice of a relay and
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -74,7 +74,7 @@
 
 func (f *Follower) versionField() zap.Field { return zap.Uint64("at", uint64(f.At())) }
 
-// step takes in the next changes, from a relay or else from the store.
+// step applies the next changes, from a relay or else from the store.
 func (f *Follower) step(ctx context.Context) error {
 	if f.askRelays(ctx) {
 		return nil
@@ -85,8 +85,8 @@
 	return f.watch(ctx)
 }
 
-// askRelays asks relays in turn, and reports whether one of them stands for the
-// store. It leaves the others out for a while.
+// askRelays asks up to relayTries relays, and reports whether one of them gave an
+// answer that can stand for the store's. It avoids the others for a while.
 func (f *Follower) askRelays(ctx context.Context) bool {
 	for range relayTries {
 		relay, ok := f.relays.next(f.settings.Relays(), f.settings.Clock())
@@ -106,8 +106,8 @@
 	return false
 }
 
-// askRelay takes in a relay's answer, and reports whether it stands for one of
-// the store.
+// askRelay applies a relay's answer, and reports whether it can stand for the
+// store's.
 func (f *Follower) askRelay(ctx context.Context, relay granitehoist.Peer) (bool, error) {
 	update, err := f.settings.Updates(ctx, relay, f.settings.Prefix, f.At(), relayWait)
 	verdict := judgeRelay(update, err, f.settings.Prefix)
@@ -154,7 +154,7 @@
 	return nil
 }
 
-// askNeighbours asks all neighbours at once and takes in what is newer.
+// askNeighbours asks all neighbours at once and applies the answers that are newer.
 func (f *Follower) askNeighbours(ctx context.Context) {
 	neighbours := f.settings.Neighbours()
 	updates := make(chan Update, len(neighbours))
@@ -163,8 +163,8 @@
 		go func() {
 			update, err := f.settings.Updates(ctx, to, f.settings.Prefix, after, 0)
 			if err != nil {
-				// A neighbour without an answer is one without a copy: the next
-				// step asks the store and the neighbours again.
+				// Treat it as a neighbour without a copy: if the next step fails,
+				// it asks the neighbours again.
 				update = Update{}
 			}
 			updates <- update
@@ -180,7 +180,7 @@
 	}
 }
 
-// apply takes an update in and passes on what it changed.
+// apply applies an update and calls Changed with the entries that it changed.
 func (f *Follower) apply(update Update) {
 	first := !f.HasCopy()
 	changed := f.copy.apply(update, f.settings.Clock())
@@ -190,8 +190,8 @@
 }
 
 // Updates returns what changed after a version. If nothing did, it waits for a
-// change for up to wait. It answers other routers, and makes this one a relay for
-// a while.
+// change for up to wait. Calls of other routers end here, and make this one a relay
+// for relayFor.
 func (f *Follower) Updates(ctx context.Context, after granitehoist.Version, wait time.Duration) Update {
 	f.lastAsked.set(f.settings.Clock())
 	update, changed := f.copy.changesAfter(after, f.settings.Clock())
@@ -212,11 +212,11 @@
 // At returns the store's version of the copy, zero before there is one.
 func (f *Follower) At() granitehoist.Version { return f.copy.version() }
 
-// HasCopy reports whether the store or another router has given a copy.
+// HasCopy reports whether the store or another router has sent a copy.
 func (f *Follower) HasCopy() bool { return f.copy.hasCopy() }
 
-// Age returns the time since the copy was last known to be the newest. It is
-// meaningless before HasCopy.
+// Age returns the time since the copy was last confirmed as the store's newest
+// version. It is meaningless before HasCopy.
 func (f *Follower) Age(now time.Time) time.Duration { return f.copy.age(now) }
 
 // Prefix returns the prefix that is followed.
--- a/follow/lasttime.go
+++ b/follow/lasttime.go
@@ -14,7 +14,7 @@
 
 func (l *lastTime) set(now time.Time) { l.at.Store(&now) }
 
-// isRecent reports whether it happened in the time limit before now.
+// isRecent reports whether it happened at most limit before now.
 func (l *lastTime) isRecent(limit time.Duration, now time.Time) bool {
 	at := l.at.Load()
 	return at != nil && now.Sub(*at) <= limit
--- a/follow/newer.go
+++ b/follow/newer.go
@@ -40,8 +40,7 @@
 	return storeEntry
 }
 
-// isOutdated decides whether a copy refuses an update as a whole. A complete
-// update that is older than the copy says nothing about keys that were written or
+// isOutdated decides whether a copy refuses an update entirely. A complete update that is older than the copy says nothing about keys that were written or
 // deleted since, so no part of it can be taken. filled says whether the copy has
 // been read at all, and at is its version.
 func isOutdated(update Update, filled bool, at granitehoist.Version) bool {
--- a/follow/packed.go
+++ b/follow/packed.go
@@ -8,8 +8,10 @@
 	"granitehoist.example/granitehoist/internal/pack"
 )
 
-// packAbove is the size of values in bytes from which compression pays: a
-// configuration of many routes takes half a second of a slow link without it.
+// packAbove is the total size of the values, in bytes, from which an update is
+// compressed. Commit 127e016 measured that compression pays for a configuration of
+// 1,640 routes: under a tenth of a second on a 10 Mbit/s link, over a fifth
+// without. The limit itself is chosen, not measured.
 const packAbove = 8 << 10
 
 // PackedUpdate is an Update as routers send it to each other. Entries that are
--- a/follow/relayrules.go
+++ b/follow/relayrules.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// relayWait is how long a relay may hold a question to which it has no change.
-	// Chosen, not measured.
+	// relayWait is how long a relay may hold a call while it has no change to
+	// report. Chosen, not measured.
 	relayWait = 400 * time.Millisecond
 	// maxRelayAge is the age above which a relay's copy, or the router's own, no
 	// longer stands for the store. It is above relayWatchWait, so a relay that the
 	// store answers stays below it. Chosen, not measured.
 	maxRelayAge = 1500 * time.Millisecond
-	// relayTries is the number of relays that a step asks before it asks the store.
-	// Chosen, not measured.
+	// relayTries is the number of relays that a step asks before it asks the store
+	// itself. Chosen, not measured.
 	relayTries = 2
 	// avoidRelayFor is how long a relay is left out after it failed. Chosen, not
 	// measured.
@@ -31,22 +31,22 @@
 	relayFor = 5 * time.Second
 )
 
-// relayVerdict is what a relay's answer is good for.
+// relayVerdict says how far a relay's answer can be used.
 type relayVerdict int
 
 const (
 	// relayFailed says that there is no answer, or none about the prefix.
 	relayFailed relayVerdict = iota
-	// relayOld says that the changes may be taken in, but that the relay's copy is
+	// relayOld says that the changes can be applied, but that the relay's copy is
 	// too old to stand for the store.
 	relayOld
-	// relayFresh says that the answer stands for one of the store.
+	// relayFresh says that the answer can stand for one of the store.
 	relayFresh
 )
 
 // judgeRelay decides whether a relay's answer about a prefix can stand for the
-// store's. A relay that is cut off from the store answers as any other does, and
-// only the age of its copy shows the difference.
+// store's. A relay that can't reach the store still answers; only the age of its
+// copy shows that.
 func judgeRelay(update Update, err error, prefix string) relayVerdict {
 	switch {
 	case err != nil || !update.HasCopy || update.Prefix != prefix:
@@ -57,9 +57,9 @@
 	return relayFresh
 }
 
-// shouldHold decides whether a relay holds a question until something changes.
-// It answers at once if there is a change to report. It also does so if its copy
-// is missing or old, so that the router which asks can turn to another one.
+// shouldHold decides whether a relay holds a call until something changes. It
+// answers at once if there is a change to report. It also does so if its copy is
+// missing or old, so that the caller can ask another relay.
 func shouldHold(update Update, wait time.Duration) bool {
 	return wait > 0 && len(update.Entries) == 0 && update.HasCopy && update.Age <= maxRelayAge
 }
@@ -67,7 +67,7 @@
 // relayChoice chooses the relay that a router asks next. The zero value works.
 // It is not safe for concurrent use.
 type relayChoice struct {
-	// turn counts the relays that were looked at, so that each has its turn.
+	// turn counts the relays considered, so that each is asked in turn.
 	turn int
 	// avoidUntil has the time until which a relay is left out, by its address.
 	avoidUntil map[string]time.Time
@@ -86,7 +86,7 @@
 	return granitehoist.Peer{}, false
 }
 
-// avoid leaves a relay out for a while.
+// avoid keeps next from returning a relay for avoidRelayFor.
 func (c *relayChoice) avoid(relay granitehoist.Peer, now time.Time) {
 	if c.avoidUntil == nil {
 		c.avoidUntil = map[string]time.Time{}
--- a/follow/settings.go
+++ b/follow/settings.go
@@ -24,7 +24,7 @@
 	// fails; nil asks none.
 	Neighbours func() []granitehoist.Peer
 	// Updates asks a router what changed after a version. That router may hold the
-	// question for wait until something changes. It is needed with Relays or
+	// call for up to wait until something changes. It is needed with Relays or
 	// Neighbours.
 	Updates func(ctx context.Context, to granitehoist.Peer, prefix string, after granitehoist.Version, wait time.Duration) (Update, error)
 	// Changed is called with the entries that an update changed, deleted ones
@@ -32,16 +32,16 @@
 	// entries, when the copy is filled. It runs on the follower's own goroutine.
 	Changed func(changed []granitehoist.Entry, at granitehoist.Version)
 	// Unchanged reports whether an entry that was written again means the same as
-	// before, so that neither Changed nor other routers get it; nil says that none
-	// does.
+	// before, so that neither Changed nor other routers get it; nil treats each as
+	// changed.
 	Unchanged func(before, after granitehoist.Entry) bool
-	// MinWatchInterval is the least time from one watch of the store to the next, so that
-	// changes within it cost one call.
+	// MinWatchInterval is the least time from the start of one watch of the store to
+	// that of the next, so that all changes in it cost one call.
 	MinWatchInterval time.Duration
 	// Failed is called with each error of the store; nil ignores them. It runs
 	// on the follower's own goroutine.
 	Failed func(error)
-	// Pause is the time between tries while the store fails; zero stands for
+	// Pause is the time between tries when the store begins to fail; zero stands for
 	// DefaultPause.
 	Pause time.Duration
 	// MaxPause bounds the pause, which doubles while the store fails; zero stands
--- a/follow/storefailures.go
+++ b/follow/storefailures.go
@@ -6,24 +6,24 @@
 import "time"
 
 const (
-	// DefaultPause keeps the calls of a router whose store fails to a few a second.
+	// DefaultPause limits a router whose store fails to a few calls a second.
 	// Chosen, not measured.
 	DefaultPause = 250 * time.Millisecond
-	// defaultMaxPauseFactor is how many pauses the longest one has, unless it is set. Measured
-	// together with probeWait (commit 5f4c091): routers noticed the end of an outage
-	// 1.2 s late with 4 and whole waits, 0.3 s late with both.
+	// defaultMaxPauseFactor is the default of Settings.MaxPause in multiples of Pause.
+	// Commit 5f4c091 lowered it from 4 and added probeWait: in a trial routers
+	// noticed the end of an outage 1.2 s late before and 0.3 s late after.
 	defaultMaxPauseFactor = 2
-	// probeWait bounds the watches of a store that failed. One that is under way
-	// when the store returns gets no answer before its whole wait is over. For the
-	// measurement see maxPauses.
+	// probeWait bounds the watches of a store that failed: a watch that is in
+	// progress when the store returns gets no answer before its wait has passed. For
+	// the measurement see defaultMaxPauseFactor.
 	probeWait = 100 * time.Millisecond
-	// firstListTimeout bounds the first list. With the call's whole 1.5 s, routers
-	// that started during an outage refused 339 requests as not ready within 2 s
-	// (commit d92b98f). The score of three trials did not change with it beyond the
-	// noise.
+	// firstListTimeout bounds the first list. With the 1.5 s of other calls, routers
+	// that started during an outage refused 339 requests as not ready in 2 s (commit
+	// d92b98f). The trials there ran with 0.5 s and did not change the score beyond
+	// the noise; 0.8 s is chosen, not measured.
 	firstListTimeout = 800 * time.Millisecond
-	// fullTimeEvery is how often a call to a store that failed gets its whole time
-	// all the same, since the store may only be slow. Chosen, not measured.
+	// fullTimeEvery makes every so many-th call to a store that failed run with its
+	// full time, since the store may only be slow. Chosen, not measured.
 	fullTimeEvery = 4
 )
 
@@ -41,8 +41,8 @@
 )
 
 // storeFailures counts the steps in a row that failed. The store counts as
-// failing from the first one on, until a step succeeds, be it with an answer of
-// the store or of a relay. The zero value works. It is not safe for concurrent
+// failing from the first one on, until a step succeeds, with an answer of the store
+// or of a relay. The zero value works. It is not safe for concurrent
 // use.
 type storeFailures struct {
 	count int
@@ -77,7 +77,7 @@
 
 // watchWait returns how long the next watch may wait at the store; zero is as
 // long as the store's client allows. While the store fails, a watch probes it
-// with a short wait, except that every fullTimeEvery-th has its whole time. A
+// with a short wait, except that every fullTimeEvery-th has its full time. A
 // router that is a relay waits for less than maxRelayAge.
 func (f *storeFailures) watchWait(isRelay bool) time.Duration {
 	switch {
@@ -92,7 +92,7 @@
 // listTimeout returns the bound of the first list; zero is the bound of the
 // store's client. A router that starts does not know whether the store answers,
 // so the bound is short from the first list on, except that every
-// fullTimeEvery-th has its whole time.
+// fullTimeEvery-th has its full time.
 func (f *storeFailures) listTimeout() time.Duration {
 	if f.count%fullTimeEvery == fullTimeEvery-1 {
 		return 0
--- a/forward/answer.go
+++ b/forward/answer.go
@@ -13,8 +13,8 @@
 	"granitehoist.example/granitehoist/exchange"
 )
 
-// maxAnswerBytes bounds the body of an answer that is held until it is
-// complete, which bounds the memory for it. Chosen, not measured.
+// maxAnswerBytes bounds the memory for an answer that is read completely before
+// it is passed on. Chosen, not measured.
 const maxAnswerBytes = 8 << 20
 
 // completeAnswer is an answer that has arrived completely.
@@ -38,7 +38,7 @@
 	return completeAnswer{status: response.Status, header: response.Header, body: body}, nil
 }
 
-// passAnswer passes a usable answer on: a stream event by event, any other when
+// passAnswer passes a usable answer on: a stream event by event, any other once
 // it has arrived completely.
 func (a *activeRequest) passAnswer(response *exchange.Response, lease *balance.Lease, timer *stallTimer) error {
 	if a.admission.route.Kind == catalog.Stream && response.Status < http.StatusMultipleChoices {
@@ -51,7 +51,8 @@
 	return a.passComplete(answer)
 }
 
-// passComplete passes a whole answer on. Its error has code CallerGone.
+// passComplete passes on an answer that has arrived completely. Its error has code
+// CallerGone.
 func (a *activeRequest) passComplete(answer completeAnswer) error {
 	if err := a.passHead(answer.status, answer.header); err != nil {
 		return err
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -19,34 +19,35 @@
 type attemptResult struct {
 	// err is nil if the answer was passed on completely.
 	err error
-	// status is that of the answer, zero if there was none.
+	// status is the answer's status, zero if no answer arrived.
 	status int
 	reply  reply
 	// unsent says that no byte left this router.
 	unsent bool
-	// failure is the instance's own failure, to be passed on if no other attempt
-	// follows; nil if the attempt ended otherwise. err is set then too.
+	// failure is the instance's own failure, which is passed on if no other attempt
+	// follows; nil if the attempt ended in another way. err is set with it.
 	failure *completeAnswer
 }
 
-// An upstream may close an idle connection at the moment at which a request is
-// sent on it. A request that runs at most once is lost then, since nobody knows
-// whether it ran.
+// maxRefusalBytes is how much of a refusal's body is read so that its connection
+// can be reused. Chosen, not measured.
+const maxRefusalBytes = 64 << 10
+
+// An upstream may close an idle connection just as a request is sent on it. Then
+// it is unknown whether the request ran, so one that must run at most once fails.
 const (
-	// maxIdle is how long a connection may have been idle that is used for a
-	// request that may run more than once. Chosen, not measured; the pool's own
-	// bound is shorter today.
+	// maxIdle bounds the idle time of a connection that is reused for a request
+	// that may run more than once. Chosen, not measured. It has no effect while
+	// the pool closes idle connections earlier (exchange.DefaultIdleTimeout).
 	maxIdle = time.Minute
-	// maxIdleUnsafe is the same for a request that runs at most once. Chosen,
-	// not measured.
+	// maxIdleUnsafe bounds the idle time of a connection that is reused for a
+	// request that runs at most once. Chosen, not measured.
 	maxIdleUnsafe = 150 * time.Millisecond
-	// maxRefusalBytes is how much of a refusal's body is read to free its
-	// connection for other requests. Chosen, not measured.
-	maxRefusalBytes = 64 << 10
 )
 
 // idleLimit decides how long a connection may have been idle to be reused for a
-// request of a route, where the upstream does not state how long it keeps it.
+// request of a route. It applies where the upstream did not state how long it keeps
+// idle connections.
 func idleLimit(r *catalog.Route) time.Duration {
 	if r.Repeatable() {
 		return maxIdle
@@ -75,7 +76,7 @@
 	result.err = result.reply.error(response.Status, verdict.RetryAfter)
 	switch result.reply {
 	case replyRefused, replyMoved:
-		// After an error here Close ends the connection in place of keeping it.
+		// After an error Close closes the connection, so it need not be handled.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxRefusalBytes))
 	case replyFailed:
 		result.holdFailure(response)
@@ -86,7 +87,7 @@
 	return result
 }
 
-// holdFailure keeps an instance's own failure until it is decided whether
+// holdFailure reads an instance's own failure and keeps it for the decision whether
 // another attempt follows.
 func (r *attemptResult) holdFailure(response *exchange.Response) {
 	answer, err := readComplete(response)
@@ -97,7 +98,7 @@
 	r.failure = &answer
 }
 
-// stallLimits returns the limits of the next attempt.
+// stallLimits returns the stall limits of the next attempt.
 func (a *activeRequest) stallLimits() stallLimits {
 	prompt := granitehoist.Tokens(0)
 	if a.request.Cost != nil {
@@ -106,7 +107,7 @@
 	return limitStalls(a.admission.route, prompt, a.progress.runs)
 }
 
-// upstreamRequest returns what is sent.
+// upstreamRequest returns the request as it is sent to the lease's instance.
 func (a *activeRequest) upstreamRequest(lease *balance.Lease, afterEvent int64, now time.Time) exchange.Request {
 	request, codec := a.request, a.forwarder.settings.Codec
 	header := codec.Header(&Attempt{
--- a/forward/doc.go
+++ b/forward/doc.go
@@ -3,17 +3,16 @@
 
 // Package forward takes a request from its caller to an upstream and the answer
 // back. The edge router (granitehoist-edge) runs it. The partner router serves
-// another callers' interface, by its own request path in partner/gate.
+// a different interface to its callers, in package partner/gate.
 //
 // A request goes through these steps: identify (its route, workspace, service
-// and deadline), pay (reserve the most that it can cost), choose (an instance of
+// and deadline), reserve (the most tokens that it can cost), pick (an instance of
 // the service), attempt, answer. Frontends translate their callers' protocol
 // into a Request and a granitehoist.Sink; a Codec writes the header that
 // upstreams get and reads the heads of their answers. Neither decides anything.
 //
-// Of every attempt it is known whether it did not run, may have run, or ran. A
-// caller is told that its request did not run only if that holds for all
-// attempts.
+// Each attempt has a fate: it did not run, may have run, or ran. The caller gets an
+// error that says "not run" only if no attempt of its request ran or may have run.
 //
 // # Rules
 //
@@ -30,9 +29,9 @@
 //   - retry.go: whether another attempt follows, and which error the caller gets.
 //   - settle.go: how many tokens a request is charged.
 //
-// Which instance gets an attempt is decided in package balance, whether the
-// budget pays in package escrow, whether the router may retry at all in package
-// internal/retrybudget, with the figures in retrybudget.go here.
+// Package balance decides which instance gets an attempt, package escrow whether a
+// workspace's tokens are granted, and package internal/retrybudget whether the
+// router may retry at all; the constants for the latter are in retrybudget.go here.
 //
 // # State
 //
@@ -44,5 +43,7 @@
 // upstreams (exchange), each with locks of its own. It holds no lock while it
 // calls them.
 //
-// Begin reading at activeRequest.run in active.go, then activeRequest.forward.
+// Begin reading at activeRequest.run in active.go, then activeRequest.forward. To
+// find out why a caller got an error, look up its code in refusal.go if no attempt
+// was made, and otherwise read attempt.go and retry.go.
 package forward
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -20,7 +20,7 @@
 // Funds pays for requests from the prepaid tokens of their workspaces. It is
 // safe for concurrent use.
 type Funds interface {
-	// Reserve sets tokens of a workspace aside. It waits for them until ctx ends.
+	// Reserve reserves bound tokens of a workspace. It waits for them until ctx ends.
 	Reserve(ctx context.Context, w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority) escrow.Answer
 	// Settle ends a granted reservation of bound tokens, of which used were used.
 	// It is called once for each, with used from 0 up to bound.
@@ -52,15 +52,15 @@
 	Ended func(Report)
 }
 
-// Report is what became of a request, for metrics.
+// Report is the result of a request, for metrics.
 type Report struct {
 	// Service and Workspace are empty if the request was refused before they
 	// were known, Workspace also on routes that need no key.
 	Service   granitehoist.Service
 	Workspace granitehoist.Workspace
-	// Code is Served if the whole answer was passed on.
+	// Code is Served if the answer was passed on completely.
 	Code granitehoist.Code
-	// Attempts counts the sendings to upstreams, also those that did not run.
+	// Attempts counts the attempts at upstreams, also those that did not run.
 	Attempts int
 	// Budget is the outcome of the reservation; Granted where there was none.
 	Budget escrow.Outcome
@@ -106,10 +106,10 @@
 func (f *Forwarder) Stop() { f.stopped.Store(true) }
 
 // Serve serves a request until ctx, which stands for the caller's connection,
-// ends. A nil error means that the whole answer was passed to the sink.
+// ends. A nil error means that the answer was passed to the sink completely.
 // Otherwise the error is a *granitehoist.Error, and started tells whether a part
-// of an answer was passed on, which then must not look complete. Serve uses the
-// sink only until it returns.
+// of an answer was passed on. The frontend must not let that part look complete.
+// Serve uses the sink only until it returns.
 func (f *Forwarder) Serve(ctx context.Context, r *Request, sink granitehoist.Sink) (started bool, err error) {
 	f.active.Add(1)
 	defer f.active.Add(-1)
--- a/forward/identify.go
+++ b/forward/identify.go
@@ -14,9 +14,9 @@
 // up to 1 that chooses among the services of a split route.
 //
 // A stopping router still reports a wrong path or key, since every other box
-// would refuse the request for it too. The priority of a workspace takes precedence over that of
-// its route. For a refused request the fields are set that were decided before
-// the refusal.
+// would refuse the request for it too. The priority of a workspace takes
+// precedence over that of its route. For a refused request the fields are set that
+// were decided before the refusal.
 func identify(s *catalog.Snapshot, r *Request, stopping bool, draw float64) (admission, refusal) {
 	if s == nil {
 		return admission{}, configurationMissing
--- a/forward/judge.go
+++ b/forward/judge.go
@@ -18,17 +18,17 @@
 const (
 	// replyMissing: no answer to the attempt arrived.
 	replyMissing reply = iota
-	// replyRefused: the instance did not run the request, for want of room.
+	// replyRefused: the instance says that it did not run the request.
 	replyRefused
 	// replyMoved: another instance has this address, and did not run it.
 	replyMoved
 	// replyFailed: the instance's own failure, which may be passed on.
 	replyFailed
-	// replyNoContinuation: no stream, where the rest of a stream was due.
+	// replyNoContinuation: no stream, although the caller has the beginning of one.
 	replyNoContinuation
 	// replyUnusable: an answer that must not be passed on.
 	replyUnusable
-	// replyUsable: an answer that is to be passed on.
+	// replyUsable: an answer that is passed on.
 	replyUsable
 )
 
@@ -52,7 +52,7 @@
 }
 
 // error returns the error of an attempt that got the reply, nil for a usable
-// one. retryAfter is what the instance stated, zero if nothing.
+// one. retryAfter is what the instance stated, zero if it stated nothing.
 func (r reply) error(status int, retryAfter time.Duration) error {
 	switch r {
 	case replyRefused, replyMoved:
--- a/forward/log.go
+++ b/forward/log.go
@@ -41,8 +41,9 @@
 	a.forwarder.settings.Log.Info(event.Request, fields...)
 }
 
-// budgetFields returns what was reserved and charged, and what this box knew of
-// the budget when it was asked.
+// budgetFields returns what was reserved and charged, and the state of the budget
+// on this box when the tokens were reserved. "bound" and "used" are the reserved
+// and the charged tokens, "rest" what the store's record had left.
 func (a *activeRequest) budgetFields() []zap.Field {
 	budget := a.progress.budget
 	return []zap.Field{
@@ -56,7 +57,7 @@
 	}
 }
 
-// logAttempt logs an attempt, which took from its choice to its end.
+// logAttempt logs an attempt. took is the time from before it was sent to its end.
 func (a *activeRequest) logAttempt(l *balance.Lease, result *attemptResult, took time.Duration) {
 	fields := []zap.Field{
 		zap.String("request", string(a.request.ID)),
--- a/forward/request.go
+++ b/forward/request.go
@@ -23,7 +23,7 @@
 	// Target is the path and query as they are passed on.
 	Target string
 	Header http.Header
-	// Body is the whole body, already received.
+	// Body is the complete body.
 	Body []byte
 	// Key is the caller's key, empty if it gave none.
 	Key string
@@ -53,7 +53,7 @@
 // Bound returns the most that the request can cost.
 func (c *Cost) Bound() granitehoist.Tokens { return c.Prompt + c.Output }
 
-// Attempt is one sending of a request, as a Codec needs to know it.
+// Attempt is one attempt of a request, as a Codec needs it to write the header.
 type Attempt struct {
 	Request *Request
 	Route   *catalog.Route
@@ -66,7 +66,7 @@
 	Instance granitehoist.Upstream
 	// Remaining is the time until the request's timeout.
 	Remaining time.Duration
-	// LastEventID is the id of the event after which a stream is to begin; zero
+	// LastEventID is the id of the event after which the stream continues; zero
 	// for its start.
 	LastEventID int64
 }
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -35,12 +35,11 @@
 // of workspaces with a limit, reserve any. They reserve the most that they can
 // cost, since a workspace may never get more than it paid for.
 //
-// The wait is a small part of the route's target, the time within which an
-// answer has its full worth: a caller that is refused early can still be served
-// by another box within it.
+// The wait is a small part of the route's target latency, so that a caller which
+// is refused can still be served by another box in time.
 //
-// A request that costs more than the whole prepaid total can never be paid for
-// and is refused at once with largerThanBudget. The workspace, its total and
+// A request that costs more than the prepaid total can never be paid for and is
+// refused at once with largerThanBudget. The workspace, its total and
 // the target are as old as the configuration in force. A nil workspace or cost
 // reserves nothing.
 func planReservation(w *catalog.Workspace, c *Cost, target time.Duration) (reservation, refusal) {
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// minRetryTime is the time left below which another attempt is not made,
-	// since no instance answers in less. Chosen, not measured.
+	// minRetryTime is the time left below which no other attempt is made, since an
+	// answer can hardly arrive in less. Chosen, not measured.
 	minRetryTime = 20 * time.Millisecond
 	// maxAttempts bounds the attempts of one request, also those that did not
 	// run, which the route's own bound does not count. Chosen, not measured.
@@ -44,29 +44,28 @@
 type retryVerdict struct {
 	// allowed says that another attempt may follow.
 	allowed bool
-	// usesRetryBudget says that it must take one from the retry budget of the service, and
-	// does not follow if there is none.
+	// usesRetryBudget says that it must take one retry from the budget of the
+	// service, and does not follow if that is empty.
 	usesRetryBudget bool
-	// afterEvent is the event after which its stream goes on.
+	// afterEvent is the id of the event after which its stream continues.
 	afterEvent int64
 }
 
-// decideRetry decides whether another attempt may follow one that failed, who
-// pays for it, and from which event on.
+// decideRetry decides whether another attempt may follow one that failed, whether
+// it uses the retry budget, and from which event its stream continues.
 //
-//   - None follows if the request is over, too little time is left for an
-//     answer, or it was attempted maxAttempts times.
+//   - None follows if the request has ended, too little time is left for an
+//     answer, or maxAttempts were made.
 //   - An attempt that may have run is followed by another only if the request
 //     may run more than once, its route allows another upstream to run it, and,
 //     once the caller has a part of a stream, the stream may be resumed. One
 //     that did not run may always be followed.
-//   - The operators bound the requests that reach upstreams beyond the first of
-//     each caller's request. So every attempt is paid for from the retry budget
-//     unless the attempt before it never left this router.
-//   - A stream goes on after the last event that the caller has.
+//   - The operators bound the attempts that reach upstreams beyond the first of
+//     each request. So every attempt uses the retry budget, unless the attempt
+//     before it never left this router.
+//   - A stream continues after the last event that the caller has.
 //
-// The instances that were already tried are never chosen again; that is part of
-// the choice in package balance.
+// Package balance never picks an instance that the request has tried.
 func decideRetry(in retryInput) retryVerdict {
 	switch {
 	case in.ended, in.attempts >= maxAttempts, in.timeLeft < minRetryTime:
@@ -85,10 +84,10 @@
 	return !in.started || in.route.Resume
 }
 
-// errorForCaller decides what the caller is told if no further attempt follows:
-// the error of the last attempt, unless that one did not run and an earlier one
-// may have. Then it is the earlier error, since the request as a whole may have
-// run. earlier is the result for the attempts before, nil if there were none.
+// errorForCaller decides which error the caller gets if no further attempt follows:
+// that of the last attempt, unless that one did not run and an earlier one may
+// have. Then it is the earlier error, since the request may have run. earlier is
+// the result for the attempts before the last, nil if there were none.
 func errorForCaller(earlier, last error) error {
 	if earlier != nil && fateOf(earlier) != granitehoist.NotRun && fateOf(last) == granitehoist.NotRun {
 		return earlier
@@ -96,11 +95,12 @@
 	return last
 }
 
-// fateOf returns what an error says of the execution of its attempt.
+// fateOf returns what the result of an attempt says about its execution: Ran for
+// nil.
 func fateOf(err error) granitehoist.Fate { return granitehoist.CodeOf(err).Info().Fate }
 
-// requestFate returns what is known of the execution of a whole request that
-// ended with err, of whose attempts so many ran or may have run.
+// requestFate decides which fate the log states for a request that ended with err.
+// runs is the number of its attempts that ran or may have run.
 func requestFate(err error, runs int) granitehoist.Fate {
 	switch {
 	case err == nil:
--- a/forward/retrybudget.go
+++ b/forward/retrybudget.go
@@ -17,8 +17,8 @@
 type RetrySettings struct {
 	// Ratio is the number of retries allowed for each request of a service.
 	Ratio float64
-	// Slack is the number of retries that the fleet may make besides in a
-	// Window.
+	// Slack is the number of retries that the fleet may make in a Window beyond
+	// Ratio.
 	Slack float64
 	// Window is the time over which the operators count the retries of a
 	// service; zero stands for 10 seconds.
--- a/forward/settle.go
+++ b/forward/settle.go
@@ -16,7 +16,7 @@
 	events int64
 	// runs is the number of attempts that ran or may have run.
 	runs int
-	// complete says that the caller got the whole answer.
+	// complete says that the answer was passed on to its end.
 	complete bool
 }
 
@@ -26,10 +26,9 @@
 //
 //   - nothing if no attempt can have run;
 //   - else the prompt, once however many attempts ran;
-//   - and the output: the events passed on, at the most tokens that each can
-//     hold, and one event more for an answer that broke off, since that event
-//     may have been on its way. Where events are not counted it is the whole
-//     output that was reserved.
+//   - and the output: tokensPerEvent for each event passed on, and for one event
+//     more if the answer broke off, since that event may have been on its way.
+//     Where events are not counted it is all the output that was reserved.
 //
 // tokensPerEvent is as old as the configuration in force.
 func (s settlement) charge() granitehoist.Tokens {
--- a/forward/stalllimits.go
+++ b/forward/stalllimits.go
@@ -11,23 +11,25 @@
 )
 
 const (
-	// firstEventPart is the part of the target for which a stream waits for its
-	// first event, so that another attempt can still bring one within the
-	// target. Chosen, not measured.
+	// firstEventPart is the part of the target for which an attempt waits for the
+	// first event of a stream. The remainder is left for another attempt. Chosen,
+	// not measured.
 	firstEventPart = 0.55
 	// minFirstEventWait is the shortest wait for a first event, whatever the
 	// target. Chosen, not measured.
 	minFirstEventWait = 150 * time.Millisecond
-	// allowedPromptTokensPerMS is how many tokens of a prompt an upstream is taken to
-	// read in a millisecond before its first event. Chosen, not measured.
+	// allowedPromptTokensPerMS extends the wait for the first event: by one
+	// millisecond for each so many tokens of the prompt. It is about a fifth of the
+	// reading rate that the users' pages give (promptTokensPerMS in package
+	// balance). Chosen, not measured.
 	allowedPromptTokensPerMS granitehoist.Tokens = 12
-	// maxEventGap is the longest pause between two events of a stream. It lies
-	// below the 2 s after which callers abandon a silent stream by the users'
-	// pages, so that another attempt can go on before. The value itself is
-	// chosen, not measured.
+	// maxEventGap is the longest pause between two events of a stream. By the
+	// users' pages callers abandon a stream that is silent for 2 s; a shorter gap
+	// lets another attempt continue it before. The value itself is chosen, not
+	// measured.
 	maxEventGap = 900 * time.Millisecond
-	// completeAnswerTargets is how many times the target an answer that is no stream
-	// may take to be complete. Chosen, not measured.
+	// completeAnswerTargets is how long an answer that is no stream may take to
+	// arrive completely, in multiples of the target. Chosen, not measured.
 	completeAnswerTargets = 2.0
 )
 
@@ -42,10 +44,10 @@
 }
 
 // limitStalls decides how long an attempt may make no progress before this
-// router gives it up for another. Only an attempt that another one may follow
-// is given up: otherwise waiting for the overall timeout is all that is left.
-// So there is no limit on routes whose requests run at most once, on the last
-// attempt that the route allows, and on routes without a target.
+// router cancels it and makes another. It sets a limit only if another attempt may
+// follow; otherwise it is better to wait for the request's timeout. So there is no
+// limit on routes whose requests run at most once, on the last attempt that the
+// route allows, and on routes without a target.
 //
 // It reads the kind, the target and the largest number of attempts of the
 // route, as old as the configuration in force; the tokens of the prompt, which a
--- a/forward/stalltimer.go
+++ b/forward/stalltimer.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// restart notes that an event has come.
+// restart begins the wait for the next event. It is called for each event.
 func (t *stallTimer) restart() {
 	if t.timer != nil && t.gap > 0 {
 		t.timer.Reset(t.gap)
--- a/forward/timeout.go
+++ b/forward/timeout.go
@@ -12,10 +12,9 @@
 
 // timeoutOf decides how long a request may take in all, from its arrival to the
 // end of its answer: the shortest of what its route states, what its caller
-// states and maxTimeout. An answer that comes later than the operator's time
-// counts as late, and one that comes later than the caller's reaches nobody. A
-// time that is zero or negative was not stated. The route's time is as old as
-// the configuration in force.
+// states and maxTimeout. An answer after the route's timeout counts as late, and
+// after the caller's nobody waits for it. A time that is zero or negative was not
+// stated. The route's time is as old as the configuration in force.
 func timeoutOf(route, caller time.Duration) time.Duration {
 	timeout := maxTimeout
 	for _, stated := range [...]time.Duration{route, caller} {
--- a/store.go
+++ b/store.go
@@ -76,7 +76,7 @@
 const MaxValueSize = 1 << 20
 
 // Store is the platform's key-value store, the only durable state of the fleet.
-// The platform limits the rate of calls and prices each. Implementations are safe
+// The platform limits the rate of calls and charges for each. Implementations are safe
 // for concurrent use. An answer reflects every write that was acknowledged before
 // the call.
 type Store interface {
@@ -92,15 +92,15 @@
 	// version than change.Expect.
 	CompareAndSwap(ctx context.Context, change Change) (Version, error)
 	// Watch waits until an entry whose key begins with prefix has a version above
-	// after, and returns those entries and the version from which the next watch
-	// goes on. It returns no entries once wait is over, or the client's own limit
-	// if that is shorter or wait is zero. It returns ErrHistoryGone if the store has
+	// after, and returns those entries and the version after which the next watch
+	// continues. It returns no entries if nothing changed in wait, or in the client's
+	// own limit if that is shorter or wait is zero. It returns ErrHistoryGone if the store has
 	// lost changes since after. A caller without a version of List may therefore
 	// miss keys: it has to list first.
 	Watch(ctx context.Context, prefix string, after Version, wait time.Duration) ([]Entry, Version, error)
 	// GrantLease opens a lease that ends unless it is renewed within ttl.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// RenewLease lets a lease run for its whole ttl again. It returns ErrNoLease if
+	// RenewLease extends a lease to its full ttl from now. It returns ErrNoLease if
 	// the lease has ended.
 	RenewLease(ctx context.Context, id LeaseID) error
 }
--- a/store/readback.go
+++ b/store/readback.go
@@ -17,10 +17,10 @@
 	notYet readBack = iota
 	// tookEffect says that the key has the value of the write.
 	tookEffect
-	// otherWriter says that another write changed the key. This one can't take
-	// effect any more; that it did before and was overwritten can't be told, so
-	// others must not overwrite a key that Swap has written before its writer
-	// knows.
+	// otherWriter says that another write changed the key. This one can no longer
+	// take effect. It may have done so and been overwritten, which the key does not
+	// show. So others must not overwrite a key before the writer that called Swap
+	// has its result.
 	otherWriter
 )
 
--- a/store/swap.go
+++ b/store/swap.go
@@ -17,8 +17,8 @@
 // Create writes a key that must not exist and returns its version. If the answer
 // is lost it reads the key back and compares, so value must be unique to this
 // write. It returns ErrConflict if the key has another value, ErrUnavailable if
-// the store refused the first write, and ErrUnknown if it stays open whether the
-// write took effect.
+// the store refused the first write, and ErrUnknown if it can't find out whether
+// the write took effect.
 func Create(ctx context.Context, s granitehoist.Store, key string, value []byte) (granitehoist.Version, error) {
 	return Swap(ctx, s, granitehoist.Change{Key: key, Value: value})
 }
