--- a/balance/balance.go
+++ b/balance/balance.go
@@ -35,7 +35,7 @@
 	// cost it prefers those there.
 	Zone granitehoist.AvailabilityZone
 	// Ejection is the duration of the first ejection of an instance that fails
-	// repeatedly; zero stands for DefaultEjection.
+	// repeatedly; zero means DefaultEjection.
 	Ejection time.Duration
 	// Seed seeds the random choice among equals.
 	Seed uint64
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -13,10 +13,10 @@
 type Query struct {
 	Service granitehoist.Service
 	// PrefixHash is the hash of the prefix that the prompt shares with others,
-	// as PrefixHash returns it; zero stands for none.
+	// as PrefixHash returns it; zero means none.
 	PrefixHash uint64
-	// PrefixTokens is the length of that prefix, PromptTokens that of the whole
-	// prompt, which is at least as long.
+	// PrefixTokens is the length of that prefix, PromptTokens that of the
+	// complete prompt, which is at least as long.
 	PrefixTokens granitehoist.Tokens
 	PromptTokens granitehoist.Tokens
 	// Tried holds the instances that must not be chosen again.
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -29,8 +29,8 @@
 	// zone. Chosen, not measured; the users' pages give 0.9 and 0.5 ms for one
 	// way between zones. It decides only between almost equal instances.
 	otherZoneMS = 1.0
-	// cacheMissWeight is what reading a prefix away from its owner costs besides
-	// the reading, as a part of the reading time. Chosen, not measured by itself;
+	// cacheMissWeight is the extra cost of reading a prefix away from its owner, as
+	// a part of the reading time. Chosen, not measured by itself;
 	// it came with commit 7965447, whose scores cover several changes.
 	cacheMissWeight = 0.5
 )
--- a/balance/owner.go
+++ b/balance/owner.go
@@ -12,8 +12,8 @@
 // ownerOf decides which of the instances owns a prefix: the one with the highest
 // hash of its ID and the prefix (rendezvous hashing). All routers that see the
 // same instances choose the same owner without asking each other, and when one
-// leaves only its own prefixes change owner. It returns nil for the hash
-// zero, which stands for no prefix, and if there are no instances.
+// leaves only its own prefixes change owner. It returns nil for the hash zero (no
+// prefix) and if there are no instances.
 func ownerOf(states []*instanceState, prefixHash uint64) *instanceState {
 	if prefixHash == 0 {
 		return nil
--- a/balance/prefixcache.go
+++ b/balance/prefixcache.go
@@ -16,7 +16,7 @@
 
 // prefixCached decides whether an instance is likely to have a prefix in its
 // cache: it owns the prefix, so all routers send it there, or this router sent
-// it there at sentAt, less than prefixCacheTime ago. A zero sentAt stands for
+// it there at sentAt, less than prefixCacheTime ago. A zero sentAt means
 // never. It is an estimate, since upstreams don't report what their caches hold.
 func prefixCached(owner bool, sentAt, now time.Time) bool {
 	return owner || (!sentAt.IsZero() && now.Sub(sentAt) < prefixCacheTime)
--- a/exchange/answer.go
+++ b/exchange/answer.go
@@ -33,7 +33,7 @@
 )
 
 // kindOf decides how an answer relates to the request. matches reports whether a
-// header belongs to it and is asked of final answers only; nil matches all.
+// header belongs to it; it is called for final answers only, and nil matches all.
 func kindOf(status int, header http.Header, matches func(http.Header) bool) answerKind {
 	switch {
 	case status < http.StatusOK:
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -17,14 +17,14 @@
 
 // Settings configure a Pool. The zero value works.
 type Settings struct {
-	// ConnectTimeout bounds the making of a connection; zero stands for
+	// ConnectTimeout bounds the opening of a connection; zero means
 	// DefaultConnectTimeout.
 	ConnectTimeout time.Duration
 	// SilenceTimeout is how long sent bytes may stay unacknowledged by the peer
-	// before its connection is given up; zero stands for DefaultSilenceTimeout.
+	// before its connection is closed; zero means DefaultSilenceTimeout.
 	SilenceTimeout time.Duration
 	// IdleTimeout bounds how long an idle connection is kept, also if the upstream
-	// reports a longer time; zero stands for DefaultIdleTimeout.
+	// reports a longer time; zero means DefaultIdleTimeout.
 	IdleTimeout time.Duration
 	// MaxIdlePerUpstream bounds the idle connections to one address; zero stands
 	// for DefaultMaxIdlePerUpstream.
--- a/follow/lasttime.go
+++ b/follow/lasttime.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// lastTime is when something last happened. The zero value stands for never. It
+// lastTime is when something last happened. The zero value means never. It
 // is safe for concurrent use.
 type lastTime struct{ at atomic.Pointer[time.Time] }
 
--- a/follow/relayrules.go
+++ b/follow/relayrules.go
@@ -14,8 +14,8 @@
 	// report. Chosen, not measured.
 	relayWait = 400 * time.Millisecond
 	// maxRelayAge is the age above which a relay's copy, or the router's own, no
-	// longer stands for the store. It is above relayWatchWait, so a relay that the
-	// store answers stays below it. Chosen, not measured.
+	// longer counts as that of the store. It is above relayWatchWait, so a relay that
+	// reaches the store stays below it. Chosen, not measured.
 	maxRelayAge = 1500 * time.Millisecond
 	// relayTries is the number of relays that a step asks before it asks the store
 	// itself. Chosen, not measured.
@@ -26,7 +26,8 @@
 	// relayWatchWait bounds the watches of a router that is a relay itself, so that
 	// its copy stays below maxRelayAge. Chosen, not measured.
 	relayWatchWait = time.Second
-	// relayFor is how long a router counts as a relay after another has asked it.
+	// relayFor is how long a router counts as a relay after another router called
+	// Updates.
 	// Chosen, not measured.
 	relayFor = 5 * time.Second
 )
--- a/follow/settings.go
+++ b/follow/settings.go
@@ -41,20 +41,20 @@
 	// Failed is called with each error of the store; nil ignores them. It runs
 	// on the follower's own goroutine.
 	Failed func(error)
-	// Pause is the time between tries when the store begins to fail; zero stands for
+	// Pause is the time between tries when the store begins to fail; zero means
 	// DefaultPause.
 	Pause time.Duration
 	// MaxPause bounds the pause, which doubles while the store fails; zero stands
 	// for twice Pause.
 	MaxPause time.Duration
-	// Clock tells the time; nil stands for time.Now.
+	// Clock returns the present time; nil means time.Now.
 	Clock granitehoist.Clock
 	// Log takes the events; nil discards them.
 	Log *zap.Logger
 }
 
-// setDefaults fills in what the settings leave out, so that nothing else has to
-// ask whether a function is nil.
+// setDefaults sets what the settings leave out, so that no other code has to check
+// whether a function is nil.
 func (s *Settings) setDefaults() {
 	defaults.Set(&s.Pause, DefaultPause)
 	defaults.Set(&s.MaxPause, defaultMaxPauseFactor*s.Pause)
--- a/forward/fakes_test.go
+++ b/forward/fakes_test.go
@@ -89,7 +89,7 @@
 	return s.body.String()
 }
 
-// site is a path before workers over real sockets.
+// site is a Forwarder before workers over real sockets.
 type site struct {
 	forwarder *forward.Forwarder
 	table     *balance.Table
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -27,7 +27,8 @@
 	Settle(w granitehoist.Workspace, bound, used granitehoist.Tokens)
 }
 
-// Settings configure a Forwarder. Catalog, Funds, Table, Pool and Codec are needed.
+// Settings configure a Forwarder. Catalog, Funds, Table, Pool and Codec are
+// required.
 type Settings struct {
 	// Catalog holds the configuration in force.
 	Catalog *catalog.Current
@@ -43,7 +44,7 @@
 	// Routers returns the number of routers that share the retries; nil stands
 	// for a single router.
 	Routers func() int
-	// Clock tells the present time; nil stands for time.Now.
+	// Clock returns the present time; nil means time.Now.
 	Clock granitehoist.Clock
 	// Log receives a line for each attempt and each request; nil drops them.
 	Log *zap.Logger
@@ -105,8 +106,8 @@
 // Stop makes the Forwarder refuse new requests for good. Those in progress go on.
 func (f *Forwarder) Stop() { f.stopped.Store(true) }
 
-// Serve serves a request until ctx, which stands for the caller's connection,
-// ends. A nil error means that the answer was passed to the sink completely.
+// Serve serves a request until ctx ends, which is when the caller's connection
+// closes. A nil error means that the answer was passed to the sink completely.
 // Otherwise the error is a *granitehoist.Error, and started tells whether a part
 // of an answer was passed on. The frontend must not let that part look complete.
 // Serve uses the sink only until it returns.
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -32,17 +32,17 @@
 	serviceMissing
 	// largerThanBudget: the request can cost more than the prepaid total.
 	largerThanBudget
-	// budgetSpent: the whole budget is spent.
+	// budgetSpent: the budget is spent.
 	budgetSpent
 	// budgetScarce: the store has no tokens left, but other boxes hold some.
 	budgetScarce
 	// budgetWithheld: the remaining budget is kept for smaller requests.
 	budgetWithheld
-	// storeSilent: the box holds too few tokens and the store does not answer.
+	// storeSilent: the box has too few tokens and the store does not answer.
 	storeSilent
 	// noInstance: the service has no instance that takes requests.
 	noInstance
-	// refusedByInstance: the instances that were asked did not run the request.
+	// refusedByInstance: the instances that got an attempt did not run the request.
 	refusedByInstance
 )
 
@@ -61,7 +61,7 @@
 	// don't need. Commit 7a995c8 raised it from 700 ms and measured it only
 	// together with the two below; the value itself is chosen.
 	scarceRetry = 900 * time.Millisecond
-	// unreachableRetry is the time in which a silent store may answer again: its
+	// unreachableRetry is the time after which a silent store may answer: its
 	// outages last for some seconds. Measured in commit 7a995c8 together with
 	// exhaustedRetry: callers with a Retry-After of 700 ms were refused again and
 	// lost their one retry; score of a Tuul site 0.815 to 0.861, of a Lima site
--- a/forward/retrybudget.go
+++ b/forward/retrybudget.go
@@ -12,8 +12,8 @@
 	"granitehoist.example/granitehoist/internal/retrybudget"
 )
 
-// RetrySettings bound the attempts of the whole fleet beyond the first of each
-// request. Each router spends its own share.
+// RetrySettings bound the attempts of all routers together beyond the first of
+// each request. Each router uses its share.
 type RetrySettings struct {
 	// Ratio is the number of retries allowed for each request of a service.
 	Ratio float64
@@ -21,7 +21,7 @@
 	// Ratio.
 	Slack float64
 	// Window is the time over which the operators count the retries of a
-	// service; zero stands for 10 seconds.
+	// service; zero means 10 seconds.
 	Window time.Duration
 }
 
--- a/forward/settle.go
+++ b/forward/settle.go
@@ -25,7 +25,7 @@
 // since a workspace may never get more than it paid for:
 //
 //   - nothing if no attempt can have run;
-//   - else the prompt, once however many attempts ran;
+//   - otherwise the prompt, once, however many attempts ran;
 //   - and the output: tokensPerEvent for each event passed on, and for one event
 //     more if the answer broke off, since that event may have been on its way.
 //     Where events are not counted it is all the output that was reserved.
--- a/store.go
+++ b/store.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Version numbers the states of a key in the platform's store. Zero stands for
+// Version numbers the states of a key in the platform's store. Zero means
 // a key that does not exist. The versions of all keys come from one counter, so a
 // larger Version is a later write, also of another key.
 type Version uint64
 
-// LeaseID names a lease at the platform's store. Empty stands for no lease.
+// LeaseID names a lease at the platform's store. Empty means no lease.
 type LeaseID string
 
 // Entry is the state of one key.
--- a/upstream.go
+++ b/upstream.go
@@ -29,7 +29,7 @@
 // Usage is what an upstream reports of the cost of an attempt.
 type Usage struct {
 	Prompt, Output, Cached Tokens
-	// Reported is false where the upstream said nothing.
+	// Reported is false if the upstream did not report its usage.
 	Reported bool
 }
 
