--- a/catalog/document.go
+++ b/catalog/document.go
@@ -73,6 +73,13 @@
 	return r.Kind == Safe || (r.Kind == Stream && r.Resume)
 }
 
+// MayRunAgain decides whether a request of the route may run once more after runs
+// attempts that ran or may have run: only if it is repeatable, and MaxAttempts
+// allows another upstream.
+func (r *Route) MayRunAgain(runs int) bool {
+	return r.Repeatable() && runs < max(1, r.MaxAttempts)
+}
+
 // Service is a group of upstreams that offer the same thing.
 type Service struct {
 	Name       granitehoist.Service
--- a/catalog/rules_test.go
+++ b/catalog/rules_test.go
@@ -32,6 +32,19 @@
 		Entry("with the last service if all weights are zero", []Share{{"a", 0}, {"b", 0}}, 0.5, granitehoist.Service("b")),
 	)
 
+	DescribeTable("let a request run once more",
+		func(r Route, runs int, expected bool) {
+			Expect(r.MayRunAgain(runs)).To(Equal(expected))
+		},
+		Entry("below the route's attempts", Route{Kind: Safe, MaxAttempts: 2}, 1, true),
+		Entry("not at the route's attempts", Route{Kind: Safe, MaxAttempts: 2}, 2, false),
+		Entry("not without stated attempts", Route{Kind: Safe}, 1, false),
+		Entry("without stated attempts if it did not run", Route{Kind: Safe}, 0, true),
+		Entry("not if it runs at most once", Route{Kind: Unsafe, MaxAttempts: 2}, 1, false),
+		Entry("if it is a stream that may be resumed", Route{Kind: Stream, Resume: true, MaxAttempts: 2}, 1, true),
+		Entry("not if it is another stream", Route{Kind: Stream, MaxAttempts: 2}, 1, false),
+	)
+
 	DescribeTable("compare hosts",
 		func(host, expected string) {
 			Expect(canonicalHost(host)).To(Equal(expected))
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -78,10 +78,8 @@
 
 // mayRunAgain reports whether a request that may have run may run once more.
 func (in *retryInput) mayRunAgain() bool {
-	if !in.route.Repeatable() || in.runs >= max(1, in.route.MaxAttempts) {
-		return false
-	}
-	return !in.started || in.route.Resume
+	resumable := !in.started || in.route.Resume
+	return resumable && in.route.MayRunAgain(in.runs)
 }
 
 // errorForCaller decides which error the caller gets if no further attempt follows:
--- a/forward/stalllimits.go
+++ b/forward/stalllimits.go
@@ -55,8 +55,7 @@
 // earlier attempts that ran or may have run. Those that did not run don't count
 // as attempts by the route.
 func limitStalls(r *catalog.Route, prompt granitehoist.Tokens, runs int) stallLimits {
-	lastAllowed := runs+1 >= max(1, r.MaxAttempts)
-	if !r.Repeatable() || lastAllowed || r.Target <= 0 {
+	if !r.MayRunAgain(runs+1) || r.Target <= 0 {
 		return stallLimits{}
 	}
 	target := float64(r.Target)
