--- a/balance/balance.go
+++ b/balance/balance.go
@@ -31,11 +31,10 @@
 
 // Settings configure a Table. The zero value works.
 type Settings struct {
-	// Zone is this router's own availability zone. Among instances of almost equal
-	// cost it prefers those there.
+	// Zone is this router's own; of equal instances it prefers one there.
 	Zone granitehoist.AvailabilityZone
 	// Ejection is the duration of the first ejection of an instance that fails
-	// repeatedly; zero means DefaultEjection.
+	// repeatedly; zero stands for DefaultEjection.
 	Ejection time.Duration
 	// Seed seeds the random choice among equals.
 	Seed uint64
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -72,7 +72,7 @@
 		}
 	})
 
-	It("uses the removed for a moment if there is no other, and then finds none", func() {
+	It("uses the gone for a moment if there is no other, and then finds none", func() {
 		t := newTable(1)
 		t.Remove("i-0", now)
 		Expect(pick(t, balance.Query{}).ID).To(Equal(granitehoist.Upstream("i-0")))
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -14,12 +14,12 @@
 	// maxEjectionDoublings bounds the doublings, so that they can't overflow.
 	// The default reaches maxEjection with fewer. Chosen, not measured.
 	maxEjectionDoublings = 5
-	// ejectAfterFailures is the number of broken attempts in a row that ejects an
-	// instance. A single one may be chance. Chosen, not measured.
+	// ejectAfterFailures is the number of broken attempts in a row from which on
+	// an instance is ejected: one can be chance. Chosen, not measured.
 	ejectAfterFailures = 2
-	// refusedDivisor divides the duration of a first ejection to give that after a
-	// refusal, 100 ms by default: a full instance soon has room. Chosen, not
-	// measured.
+	// refusedDivisor makes the ejection after a refusal this part of the first
+	// ejection, 100 ms by default: a full instance soon has room again. Chosen,
+	// not measured.
 	refusedDivisor = 4
 	// failureWeight is the weight of the newest attempt in the mean of failures:
 	// about the last five attempts count. Chosen, not measured.
@@ -61,7 +61,7 @@
 // probes: the first request that picks the instance after the ejection tries it.
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// withResult decides how an attempt's result changes the health of its instance.
+// after decides how an attempt's result changes the health of its instance.
 // ejection is the duration of a first ejection.
 //
 //   - A good attempt resets failuresInRow and lowers the mean. It does not end an
@@ -75,7 +75,7 @@
 //     the removal of its announcement will arrive in that time.
 //
 // A new ejection replaces the previous one, even if that would have lasted longer.
-func (h health) withResult(r Result, ejection time.Duration, now time.Time) health {
+func (h health) after(r Result, ejection time.Duration, now time.Time) health {
 	switch r {
 	case Good:
 		h.failuresInRow = 0
--- a/balance/status.go
+++ b/balance/status.go
@@ -15,8 +15,8 @@
 	InFlight int
 	// FailureRate is the mean of failures of its attempts, from 0 to 1.
 	FailureRate float64
-	// Ejected says that it is ejected after failures or that its announcement was
-	// removed.
+	// Ejected says that it is left out for failures or has lost its
+	// announcement.
 	Ejected bool
 }
 
--- a/catalog/document.go
+++ b/catalog/document.go
@@ -110,7 +110,7 @@
 // not. Only BodyBytes is in force: the servers of package node are made before a
 // configuration is known and have constants for the others.
 type Limits struct {
-	// HeaderBytes and BodyBytes bound the header and the body of a request.
+	// HeaderBytes bounds the header of a request, BodyBytes its body.
 	HeaderBytes int
 	BodyBytes   int64
 	// HeaderTimeout bounds the reading of a header.
--- a/codes.go
+++ b/codes.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Code is the numbered result of a request that the caller gets. The numbers
+// Code is the numbered result of a request, told to the caller. The numbers
 // are stable: 1 is success, 10xx what the caller sent, 20xx permission, 30xx
 // budgets, 40xx overload and choice of upstream, 50xx upstreams, 60xx the
 // fleet itself, 70xx operators' documents. docs/CODES.md lists them.
@@ -63,11 +63,11 @@
 	DocumentUnsettled Code = 7006
 )
 
-// Fate says whether a request was executed.
+// Fate says what is known about the execution of a request.
 type Fate string
 
-// The fates. A request is NotRun only if no byte of it can have reached an
-// upstream, or if the upstream said that it did not run it.
+// The fates. NotRun is said only when no byte of the request can have
+// reached an upstream, or the upstream said that it did not run it.
 const (
 	NotRun     Fate = "not run"
 	Ran        Fate = "ran"
@@ -79,12 +79,12 @@
 
 // The advice values.
 const (
-	AdviceNone       Advice = "none"
-	AdviceFix        Advice = "change the request"
-	AdviceRetryLater Advice = "retry later"
-	AdviceRetryNow   Advice = "retry at once"
-	AdviceSameID     Advice = "ask again with the same request id"
-	AdviceCheck      Advice = "check what happened before a retry"
+	AdviceNone   Advice = "none"
+	AdviceFix    Advice = "change the request"
+	AdviceLater  Advice = "retry later"
+	AdviceNow    Advice = "retry at once"
+	AdviceSameID Advice = "ask again with the same request id"
+	AdviceCheck  Advice = "check what happened before a retry"
 )
 
 // CodeInfo describes a Code.
@@ -103,41 +103,41 @@
 	{UnknownModel, "unknown_model", NotRun, http.StatusNotFound, AdviceFix, "no service offers this model"},
 	{UnknownService, "unknown_service", NotRun, http.StatusNotFound, AdviceFix, "no such service"},
 	{BodyTooLarge, "body_too_large", NotRun, http.StatusRequestEntityTooLarge, AdviceFix, "the body is larger than the limit"},
-	{SlowCaller, "slow_caller", NotRun, http.StatusRequestTimeout, AdviceRetryNow, "the body did not arrive in time"},
+	{SlowCaller, "slow_caller", NotRun, http.StatusRequestTimeout, AdviceNow, "the body did not arrive in time"},
 	{BadTokenCount, "bad_token_count", NotRun, http.StatusBadRequest, AdviceFix, "a token count is out of range"},
 	{Unsupported, "unsupported", NotRun, http.StatusBadRequest, AdviceFix, "the request uses a feature whose cost has no upper bound"},
 	{BadHeader, "bad_header", NotRun, http.StatusBadRequest, AdviceFix, "a header has a wrong value"},
 	{NotFound, "not_found", NotRun, http.StatusNotFound, AdviceFix, "nothing is served under this path"},
 	{MethodNotAllowed, "method_not_allowed", NotRun, http.StatusMethodNotAllowed, AdviceFix, "this path does not take this method"},
 	{CallerGone, "caller_gone", MayHaveRun, 499, AdviceCheck, "the caller left before the answer was whole"},
-	{DeadlineTooNear, "deadline", NotRun, http.StatusGatewayTimeout, AdviceRetryLater, "the deadline passed before the request could start"},
+	{DeadlineTooNear, "deadline", NotRun, http.StatusGatewayTimeout, AdviceLater, "the deadline passed before the request could start"},
 	{HeaderTooLarge, "header_too_large", NotRun, http.StatusRequestHeaderFieldsTooLarge, AdviceFix, "the headers are larger than the limit"},
 	{MissingKey, "missing_key", NotRun, http.StatusUnauthorized, AdviceFix, "no key was given"},
 	{WrongKey, "wrong_key", NotRun, http.StatusUnauthorized, AdviceFix, "the key is not known"},
 	{PolicyDenied, "policy_denied", NotRun, http.StatusForbidden, AdviceFix, "a policy does not permit the request"},
 	{PolicyFailed, "policy_failed", NotRun, http.StatusForbidden, AdviceFix, "a policy could not be evaluated"},
-	{BudgetExhausted, "budget_exhausted", NotRun, http.StatusPaymentRequired, AdviceRetryLater, "the budget can't pay for the request"},
+	{BudgetExhausted, "budget_exhausted", NotRun, http.StatusPaymentRequired, AdviceLater, "the budget can't pay for the request"},
 	{BudgetUnknown, "budget_unknown", NotRun, http.StatusPaymentRequired, AdviceFix, "the workspace has no such budget"},
-	{BudgetUnreachable, "budget_unreachable", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "no tokens of the budget can be had here now"},
-	{BillsFull, "bills_full", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "unconfirmed charges have reached their limit"},
-	{NoUpstream, "no_upstream", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "no upstream of the service takes requests"},
-	{Overloaded, "overloaded", NotRun, http.StatusTooManyRequests, AdviceRetryLater, "the upstreams have no room before the deadline"},
-	{Draining, "draining", NotRun, http.StatusServiceUnavailable, AdviceRetryNow, "this router is stopping"},
-	{UpstreamRefused, "upstream_refused", NotRun, http.StatusBadGateway, AdviceRetryLater, "the upstreams refused the request"},
+	{BudgetUnreachable, "budget_unreachable", NotRun, http.StatusServiceUnavailable, AdviceLater, "no tokens of the budget can be had here now"},
+	{BillsFull, "bills_full", NotRun, http.StatusServiceUnavailable, AdviceLater, "unconfirmed charges have reached their limit"},
+	{NoUpstream, "no_upstream", NotRun, http.StatusServiceUnavailable, AdviceLater, "no upstream of the service takes requests"},
+	{Overloaded, "overloaded", NotRun, http.StatusTooManyRequests, AdviceLater, "the upstreams have no room before the deadline"},
+	{Draining, "draining", NotRun, http.StatusServiceUnavailable, AdviceNow, "this router is stopping"},
+	{UpstreamRefused, "upstream_refused", NotRun, http.StatusBadGateway, AdviceLater, "the upstreams refused the request"},
 	{UpstreamLost, "upstream_lost", MayHaveRun, http.StatusBadGateway, AdviceCheck, "the upstream gave no answer"},
 	{UpstreamCut, "upstream_cut", MayHaveRun, http.StatusBadGateway, AdviceCheck, "the answer of the upstream ended early"},
 	{AnswerCrossed, "answer_crossed", MayHaveRun, http.StatusBadGateway, AdviceCheck, "the upstream gave the answer of another request"},
 	{UpstreamBadAnswer, "upstream_bad_answer", MayHaveRun, http.StatusBadGateway, AdviceCheck, "the answer of the upstream can't be read"},
 	{AlreadyRun, "already_run", Ran, http.StatusConflict, AdviceNone, "this request has already run"},
 	{OnceUnsure, "once_unsure", MayHaveRun, http.StatusConflict, AdviceCheck, "an earlier attempt of this request may have run"},
-	{OnceUnavailable, "once_unavailable", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "a request not to be repeated can't be bound now"},
+	{OnceUnavailable, "once_unavailable", NotRun, http.StatusServiceUnavailable, AdviceLater, "a request not to be repeated can't be bound now"},
 	{Internal, "internal", MayHaveRun, http.StatusInternalServerError, AdviceCheck, "the router failed"},
-	{NotReady, "not_ready", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "the router has not read its documents yet"},
-	{RouterLive, "router_live", NotRun, http.StatusConflict, AdviceRetryLater, "the router is in the list of live routers"},
+	{NotReady, "not_ready", NotRun, http.StatusServiceUnavailable, AdviceLater, "the router has not read its documents yet"},
+	{RouterLive, "router_live", NotRun, http.StatusConflict, AdviceLater, "the router is in the list of live routers"},
 	{NotAuthorised, "not_authorised", NotRun, http.StatusForbidden, AdviceFix, "the document is not signed by its partner"},
 	{DocumentBad, "document_bad", NotRun, http.StatusUnprocessableEntity, AdviceFix, "the document has faults"},
 	{DocumentConflict, "document_conflict", NotRun, http.StatusConflict, AdviceFix, "the document was changed meanwhile"},
-	{StoreDown, "store_down", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "the platform's store does not answer"},
+	{StoreDown, "store_down", NotRun, http.StatusServiceUnavailable, AdviceLater, "the platform's store does not answer"},
 	{DocumentPending, "document_pending", Ran, http.StatusAccepted, AdviceSameID, "the document is stored and not yet in force everywhere"},
 	{DocumentUnsettled, "document_unsettled", MayHaveRun, http.StatusAccepted, AdviceCheck, "the store's answer was lost and could not be read back"},
 }
@@ -174,9 +174,9 @@
 	Code Code
 	// Detail says in plain words what was wrong in this case.
 	Detail string
-	// RetryAfter, if set, is the time after which a retry may succeed.
+	// RetryAfter, if set, tells when a retry may succeed.
 	RetryAfter time.Duration
-	// Cause is the underlying error. It is logged and never sent to callers.
+	// Cause is the error below, which is logged and never told to callers.
 	Cause error
 }
 
@@ -185,7 +185,8 @@
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error with the given cause, which is not sent to callers.
+// Wrap returns an Error with the given cause. The cause is not told to
+// callers.
 func Wrap(code Code, cause error, detail string) *Error {
 	return &Error{Code: code, Detail: detail, Cause: cause}
 }
@@ -199,7 +200,7 @@
 	return text
 }
 
-// Message returns the text for callers: the table's sentence and the detail.
+// Message returns what callers are told: the table's sentence and the detail.
 func (e *Error) Message() string {
 	if e.Detail == "" {
 		return e.Code.Info().Message
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -36,8 +36,7 @@
 type Response struct {
 	Status int
 	Header http.Header
-	// Length is the length of the body in bytes, or -1 if the header does not state
-	// it.
+	// Length is that of the body in bytes, or -1 if the header does not tell it.
 	Length int64
 	// Framed is false if the body ends with the connection.
 	Framed   bool
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -17,14 +17,14 @@
 
 // Settings configure a Pool. The zero value works.
 type Settings struct {
-	// ConnectTimeout bounds the opening of a connection; zero means
+	// ConnectTimeout bounds the making of a connection; zero stands for
 	// DefaultConnectTimeout.
 	ConnectTimeout time.Duration
 	// SilenceTimeout is how long sent bytes may stay unacknowledged by the peer
-	// before its connection is closed; zero means DefaultSilenceTimeout.
+	// before its connection is given up; zero stands for DefaultSilenceTimeout.
 	SilenceTimeout time.Duration
-	// IdleTimeout bounds how long an idle connection is kept, also if the upstream
-	// reports a longer time; zero means DefaultIdleTimeout.
+	// IdleTimeout is how long an idle connection is kept at most, and how long
+	// where the upstream does not report it; zero stands for DefaultIdleTimeout.
 	IdleTimeout time.Duration
 	// MaxIdlePerUpstream bounds the idle connections to one address; zero stands
 	// for DefaultMaxIdlePerUpstream.
@@ -93,8 +93,8 @@
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// If it fails, a silent peer is noticed later, by the keep-alive
-				// probes or the attempt's deadline.
+				// Without the option a silent peer is only noticed later, by the
+				// keep-alive probes or the attempt's own deadline.
 				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(s.SilenceTimeout.Milliseconds()))
 			})
 		},
@@ -127,7 +127,7 @@
 		c := idle[len(idle)-1]
 		idle = idle[:len(idle)-1]
 		p.idle[address] = idle
-		if c.idlePeriod.reusable(maxIdle, now) {
+		if c.idle.reusable(maxIdle, now) {
 			return c
 		}
 		discard(c)
@@ -154,7 +154,7 @@
 func (p *Pool) put(c *conn, keepAlive time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.idlePeriod = newIdlePeriod(keepAlive, p.settings.IdleTimeout, now)
+	c.idle = newIdlePeriod(keepAlive, p.settings.IdleTimeout, now)
 	if len(p.idle[c.address]) >= p.settings.MaxIdlePerUpstream {
 		discard(c)
 		return
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -38,7 +38,7 @@
 const (
 	// maxIdle bounds the idle time of a connection that is reused for a request
 	// that may run more than once. Chosen, not measured. It has no effect while
-	// the pool closes idle connections earlier (exchange.DefaultIdleTimeout).
+	// the pool closes idle connections earlier, as package exchange does.
 	maxIdle = time.Minute
 	// maxIdleUnsafe bounds the idle time of a connection that is reused for a
 	// request that runs at most once. Chosen, not measured.
--- a/ids.go
+++ b/ids.go
@@ -15,7 +15,7 @@
 // Partner names one of the organisations that share the fleet.
 type Partner string
 
-// Region names a set of availability zones that are reachable, or cut off, together.
+// Region names a set of availability zones that is cut off, or reachable, as a whole.
 type Region string
 
 // AvailabilityZone names an availability zone.
@@ -38,13 +38,13 @@
 // Model names a language model as callers write it.
 type Model string
 
-// Upstream names one of the servers that offer a service.
+// Upstream names one back end of a service.
 type Upstream string
 
-// RequestID names a request of a caller. All attempts of a request have the same.
+// RequestID names a request of a caller. All attempts of one request share it.
 type RequestID string
 
-// AttemptID names one attempt of a request at one upstream.
+// AttemptID names one sending of a request to one upstream.
 type AttemptID string
 
 // Serial numbers the documents of one partner, from 1. A later document has a
@@ -115,7 +115,7 @@
 )
 
 // NewAttemptID names the n-th attempt of an incarnation, so that an upstream's
-// record of it shows whom to charge even if the incarnation has ended.
+// record of it tells whom to charge even if the incarnation is gone.
 func NewAttemptID(i Incarnation, n uint64, b BudgetID, r RequestID) AttemptID {
 	parts := []string{string(i), strconv.FormatUint(n, numberBase), BudgetHash(b), string(r)}
 	return AttemptID(strings.Join(parts, attemptSeparator))
