--- a/balance/choice.go
+++ b/balance/choice.go
@@ -9,18 +9,14 @@
 	"granitehoist.example/granitehoist"
 )
 
-// noUpstreamRetry is after how long a caller should try again if no instance of
-// the service can be chosen. Chosen, not measured.
-const noUpstreamRetry = 500 * time.Millisecond
-
-// Query is what an attempt asks of the table.
+// Query describes the attempt for which Pick chooses an instance.
 type Query struct {
 	Service granitehoist.Service
 	// PrefixHash is the hash of the prefix that the prompt shares with others,
-	// as PrefixHash returns it; zero stands for none.
+	// as PrefixHash returns it; zero means none.
 	PrefixHash uint64
-	// PrefixTokens is the length of that prefix, PromptTokens that of the whole
-	// prompt, which is at least as long.
+	// PrefixTokens is the length of that prefix, PromptTokens that of the
+	// complete prompt, which is at least as long.
 	PrefixTokens granitehoist.Tokens
 	PromptTokens granitehoist.Tokens
 	// Tried holds the instances that must not be chosen again.
@@ -29,15 +25,14 @@
 
 // Pick chooses the instance with the least cost and counts the attempt as in
 // progress there until Done is called on the lease. It returns an error with
-// code NoUpstream if the service has no instance that may be chosen.
+// code NoUpstream, without a Retry-After, if the service has no instance that may
+// be chosen.
 func (t *Table) Pick(q Query, now time.Time) (*Lease, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	choices := candidates(t.services[q.Service], q.Tried, now)
 	if len(choices) == 0 {
-		e := granitehoist.Errorf(granitehoist.NoUpstream, "service %s", q.Service)
-		e.RetryAfter = noUpstreamRetry
-		return nil, e
+		return nil, granitehoist.Errorf(granitehoist.NoUpstream, "service %s", q.Service)
 	}
 	owner := ownerOf(choices, q.PrefixHash)
 	best := choices[0]
@@ -57,9 +52,9 @@
 	// which made BenchmarkPick with 140 instances a fifth slower.
 	var l load
 	l.queuedTokens = s.unreadTokens
-	l.unreadTokens = s.unreadOf(q, owner, now)
+	l.unreadTokens = s.unreadTokensFor(q, owner, now)
 	if s != owner {
-		l.strayTokens = q.PrefixTokens
+		l.unownedPrefixTokens = q.PrefixTokens
 	}
 	l.inFlight = s.inFlight
 	l.capacity = s.Capacity
@@ -69,10 +64,10 @@
 	return l.cost()
 }
 
-// unreadOf returns the tokens of a query's prompt that an instance would have to
-// read.
-func (s *instanceState) unreadOf(q *Query, owner *instanceState, now time.Time) granitehoist.Tokens {
-	if s.prefixCached(q, owner, now) {
+// unreadTokensFor returns the tokens of a query's prompt that an instance would
+// have to read.
+func (s *instanceState) unreadTokensFor(q *Query, owner *instanceState, now time.Time) granitehoist.Tokens {
+	if s.cachesPrefix(q, owner, now) {
 		return q.PromptTokens - q.PrefixTokens
 	}
 	return q.PromptTokens
@@ -80,7 +75,7 @@
 
 // take counts an attempt as in progress at an instance and returns its lease.
 func (t *Table) take(s *instanceState, q *Query, owner *instanceState, now time.Time) *Lease {
-	unread := s.unreadOf(q, owner, now)
+	unread := s.unreadTokensFor(q, owner, now)
 	if q.PrefixHash != 0 && s != owner {
 		s.rememberPrefix(q.PrefixHash, now)
 	}
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -13,28 +13,28 @@
 
 // Announce records an instance's announcement. It returns the announcement that
 // it replaces and whether there was one. An announcement older than the recorded
-// one changes nothing; one that is as new takes back a removal.
-func (t *Table) Announce(i Instance) (before Instance, known bool) {
+// one changes nothing. Any other cancels an earlier removal.
+func (t *Table) Announce(i Instance) (before Instance, found bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, known := t.instances[i.ID]
-	if !known {
+	s, found := t.instances[i.ID]
+	if !found {
 		s = &instanceState{idHash: xxhash.Sum64String(string(i.ID))}
 		t.instances[i.ID] = s
 	}
 	before = s.Instance
-	if known && i.Version < before.Version {
+	if found && i.Version < before.Version {
 		return before, true
 	}
-	if known && before.Service != i.Service {
+	if found && before.Service != i.Service {
 		t.unlist(s)
 	}
 	s.Instance = i
 	s.removedAt = time.Time{}
-	if !known || before.Service != i.Service {
+	if !found || before.Service != i.Service {
 		t.services[i.Service] = append(t.services[i.Service], s)
 	}
-	return before, known
+	return before, found
 }
 
 // Remove records that an instance's announcement was removed from the store. It
@@ -43,8 +43,8 @@
 func (t *Table) Remove(id granitehoist.Upstream, now time.Time) (Instance, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, known := t.instances[id]
-	if !known {
+	s, found := t.instances[id]
+	if !found {
 		return Instance{}, false
 	}
 	if s.removedAt.IsZero() {
@@ -54,8 +54,8 @@
 	return s.Instance, true
 }
 
-// sweep forgets the removed instances that are of no more use. It runs at each
-// removal, so an instance stays in the table until a later one is removed.
+// sweep deletes the removed instances that are no longer needed. It runs at each
+// removal, so a removed instance stays in the table at least until the next one.
 func (t *Table) sweep(now time.Time) {
 	for id, s := range t.instances {
 		if !forgettable(s.removedAt, s.inFlight, now) {
--- a/catalog/document.go
+++ b/catalog/document.go
@@ -12,7 +12,7 @@
 // RouteName names a route within a configuration.
 type RouteName string
 
-// Kind tells how often a request of a route may run and how it is answered.
+// Kind says how often a request of a route may run and how it is answered.
 type Kind int
 
 // The kinds of routes.
@@ -51,11 +51,13 @@
 	Kind   Kind
 	// Timeout is the longest that a request may be held; zero sets no bound.
 	Timeout time.Duration
-	// Target is the latency up to which an answer has its full worth.
+	// Target is the latency that the operators want for an answer; a later one is
+	// worth less to them. Zero if they state none.
 	Target   time.Duration
 	Priority granitehoist.Priority
 	Split    []Share
-	// MaxAttempts bounds the upstreams that may run one request.
+	// MaxAttempts bounds the upstreams that may run one request, the first
+	// included; 0 counts as 1.
 	MaxAttempts int
 	// Anonymous routes need no key.
 	Anonymous bool
@@ -71,6 +73,13 @@
 	return r.Kind == Safe || (r.Kind == Stream && r.Resume)
 }
 
+// MayRunAgain decides whether a request of the route may run once more after runs
+// attempts that ran or may have run: only if it is repeatable, and MaxAttempts
+// allows another upstream.
+func (r *Route) MayRunAgain(runs int) bool {
+	return r.Repeatable() && runs < max(1, r.MaxAttempts)
+}
+
 // Service is a group of upstreams that offer the same thing.
 type Service struct {
 	Name granitehoist.Service
@@ -88,7 +97,7 @@
 	// Priority replaces that of the route if HasPriority is set.
 	Priority    granitehoist.Priority
 	HasPriority bool
-	// Prepaid is what the workspace may spend in all if Limited is set.
+	// Prepaid is the total that the workspace may ever spend, if Limited is set.
 	Prepaid granitehoist.Tokens
 	Limited bool
 }
@@ -114,11 +123,11 @@
 	Limits Limits
 }
 
-// Pick decides which service of a route's split serves a request. point, from 0 up
-// to 1, is drawn by the caller; each service owns a part of that range in
-// proportion to its weight, in the order of the split. If all weights are zero it
+// PickService decides which service of a route's split serves a request. point is a
+// random number from 0 up to 1; each service has a part of that range in proportion
+// to its weight, in the order of the split. If all weights are zero it
 // is the last service. It panics if the split is empty, which Build refuses.
-func (r *Route) Pick(point float64) granitehoist.Service {
+func (r *Route) PickService(point float64) granitehoist.Service {
 	var total float64
 	for _, share := range r.Split {
 		total += share.Weight
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -43,8 +43,8 @@
 	end      func(complete bool)
 }
 
-// Read reads the body. io.EOF says that it was read to its end; any other error
-// that it was cut off or malformed.
+// Read reads the body. It returns io.EOF at the end of the body, and any other
+// error if the body is cut off or malformed.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -72,8 +72,8 @@
 	go func() { writing.ended <- c.write(r, writing) }()
 	answer, err := c.readAnswer(r)
 	if err != nil {
-		// An error of the writing is not asked for: the request may have run
-		// either way, and a broken connection fails the reading too.
+		// The result of the writing does not matter: the request may have run
+		// either way, and on a broken connection reading fails too.
 		stop()
 		discard(c)
 		return nil, err
@@ -106,7 +106,7 @@
 	p.put(c, keepAlive(header), time.Now())
 }
 
-// isFramed reports whether an answer tells where its body ends.
+// isFramed reports whether an answer states where its body ends.
 func isFramed(answer *http.Response) bool {
 	return answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
 }
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -57,8 +57,8 @@
 
 const (
 	// probeInterval is how long a connection is silent before the kernel probes
-	// the peer, and the time between probes. One second is the least that the
-	// socket option can say.
+	// the peer, and the time between probes. One second is the smallest value of
+	// the socket option.
 	probeInterval = time.Second
 	// maxProbes is the number of unanswered probes that end a connection.
 	// Chosen, not measured.
@@ -147,7 +147,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Forget closes the idle connections to an address, whose upstream has left.
+// Forget closes the idle connections to an address. It is called when its upstream
+// has ended.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	idle := p.idle[address]
@@ -158,8 +159,8 @@
 	}
 }
 
-// Close closes all idle connections. Connections in use are kept again when their
-// exchange ends.
+// Close closes all idle connections. Connections in use return to the pool when
+// their exchange ends.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
--- a/follow/lasttime.go
+++ b/follow/lasttime.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// lastTime is when something last happened. The zero value stands for never. It
+// lastTime is when something last happened. The zero value means never. It
 // is safe for concurrent use.
 type lastTime struct{ at atomic.Pointer[time.Time] }
 
 func (l *lastTime) set(now time.Time) { l.at.Store(&now) }
 
-// isRecent reports whether it happened in the time limit before now.
+// isRecent reports whether it happened at most limit before now.
 func (l *lastTime) isRecent(limit time.Duration, now time.Time) bool {
 	at := l.at.Load()
 	return at != nil && now.Sub(*at) <= limit
--- a/forward/active.go
+++ b/forward/active.go
@@ -14,20 +14,20 @@
 	"granitehoist.example/granitehoist/escrow"
 )
 
-// activeRequest is one request while a Path serves it. Only the goroutine that
-// called Path.Serve uses it.
+// activeRequest is one request while a Forwarder serves it. Only the goroutine that
+// called Forwarder.Serve uses it.
 type activeRequest struct {
-	path     *Path
-	sink     granitehoist.Sink
-	asked    *Request
-	decided  decided
-	progress progress
+	forwarder *Forwarder
+	sink      granitehoist.Sink
+	request   *Request
+	admission admission
+	progress  progress
 }
 
-// decided is what was decided about a request before its first attempt. Fields
-// that a refused request did not come to are zero.
-type decided struct {
-	// version is that of the configuration by which the request is served.
+// admission is what was decided about a request before its first attempt. If the
+// request was refused, the fields that were not decided by then are zero.
+type admission struct {
+	// version is the version of the configuration that the decisions are based on.
 	version granitehoist.Version
 	// keyed says that keys identify callers.
 	keyed bool
@@ -38,15 +38,15 @@
 	priority  granitehoist.Priority
 	// deadline is when the request's timeout ends.
 	deadline time.Time
-	// reserve is the most tokens that the request can cost, zero if it costs no
+	// bound is the most tokens that the request can cost, zero if it costs no
 	// prepaid tokens.
-	reserve granitehoist.Tokens
+	bound granitehoist.Tokens
 }
 
 // progress is what has happened to a request so far.
 type progress struct {
-	// budget is the answer to the reservation; its zero value if none was
-	// asked for. reserved says that it was granted and is to be settled.
+	// budget is the answer to the reservation, zero if none was needed.
+	// reserved says that it was granted and must be settled.
 	budget   escrow.Answer
 	reserved bool
 	// charged is how many tokens the request was charged at its end.
@@ -59,23 +59,23 @@
 	// started says that the head of an answer was passed on, at firstByteAt.
 	started     bool
 	firstByteAt time.Time
-	// events counts the events passed on, lastEventID is the id of the last one
-	// that the caller has.
+	// events counts the events passed on. lastEventID is the id of the last event
+	// that the caller has, also from an earlier request.
 	events      int64
 	lastEventID int64
 }
 
 // run takes the request through its steps. The error is a *granitehoist.Error.
 func (a *activeRequest) run(ctx context.Context) error {
-	settings := &a.path.settings
+	settings := &a.forwarder.settings
 	var refused refusal
-	a.decided, refused = identify(settings.Catalog.Get(), a.asked, a.path.stopped.Load(), rand.Float64())
+	a.admission, refused = identify(settings.Catalog.Get(), a.request, a.forwarder.stopped.Load(), rand.Float64())
 	if refused != noRefusal {
 		return refused.error(a.timeLeft())
 	}
-	ctx, cancel := context.WithDeadline(ctx, a.decided.deadline)
+	ctx, cancel := context.WithDeadline(ctx, a.admission.deadline)
 	defer cancel()
-	if err := a.pay(ctx); err != nil {
+	if err := a.reserve(ctx); err != nil {
 		return err
 	}
 	err := a.forward(ctx)
@@ -83,10 +83,10 @@
 	return err
 }
 
-// pay reserves the most that the request can cost.
-func (a *activeRequest) pay(ctx context.Context) error {
-	plan, refused := planReservation(a.decided.workspace, a.asked.Cost, a.decided.route.Target)
-	a.decided.reserve = plan.bound
+// reserve reserves the most that the request can cost.
+func (a *activeRequest) reserve(ctx context.Context) error {
+	plan, refused := planReservation(a.admission.workspace, a.request.Cost, a.admission.route.Target)
+	a.admission.bound = plan.bound
 	if refused != noRefusal {
 		return refused.error(a.timeLeft())
 	}
@@ -95,7 +95,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, plan.wait)
 	defer cancel()
-	a.progress.budget = a.path.settings.Funds.Reserve(ctx, a.decided.workspace.Name, plan.bound, a.decided.priority)
+	a.progress.budget = a.forwarder.settings.Funds.Reserve(ctx, a.admission.workspace.Name, plan.bound, a.admission.priority)
 	if refused := budgetRefusal(a.progress.budget.Outcome); refused != noRefusal {
 		return refused.error(a.timeLeft())
 	}
@@ -105,30 +105,31 @@
 
 // timeLeft returns the time until the request's timeout.
 func (a *activeRequest) timeLeft() time.Duration {
-	return a.decided.deadline.Sub(a.path.settings.Clock())
+	return a.admission.deadline.Sub(a.forwarder.settings.Clock())
 }
 
-// settle ends the reservation.
+// settle charges the request and returns the other reserved tokens. err is the
+// request's result.
 func (a *activeRequest) settle(err error) {
 	if !a.progress.reserved {
 		return
 	}
 	a.progress.charged = settlement{
-		cost:           *a.asked.Cost,
-		tokensPerEvent: a.decided.service.TokensPerEvent,
+		cost:           *a.request.Cost,
+		tokensPerEvent: a.admission.service.TokensPerEvent,
 		events:         a.progress.events,
 		runs:           a.progress.runs,
 		complete:       err == nil,
 	}.charge()
-	a.path.settings.Funds.Settle(a.decided.workspace.Name, a.decided.reserve, a.progress.charged)
+	a.forwarder.settings.Funds.Settle(a.admission.workspace.Name, a.admission.bound, a.progress.charged)
 }
 
 // forward makes attempts until one ends the request or no other may follow.
 func (a *activeRequest) forward(ctx context.Context) error {
-	settings := &a.path.settings
-	a.path.retryBudgets.of(a.decided.service.Name).Earn(settings.Clock())
-	afterEvent := a.asked.LastEventID
-	// failure is what the caller is told if no attempt follows.
+	settings := &a.forwarder.settings
+	a.forwarder.retryBudgets.of(a.admission.service.Name).Earn(settings.Clock())
+	afterEvent := a.request.LastEventID
+	// failure is the error that the caller gets if no attempt follows.
 	var failure error
 	for {
 		lease, err := settings.Table.Pick(a.query(), settings.Clock())
@@ -138,18 +139,11 @@
 		if err != nil {
 			return withRetryAfter(err)
 		}
-		a.progress.tried[lease.ID] = true
-		a.progress.attempts++
-		sent := settings.Clock()
-		result := a.attempt(ctx, lease, afterEvent)
-		verdict := a.conclude(ctx, &result)
-		ended := settings.Clock()
-		lease.Done(instanceResult(&result, ctx.Err() != nil), ended)
-		a.logAttempt(lease, &result, ended.Sub(sent))
-		if result.err == nil {
+		verdict, err := a.attemptAt(ctx, lease, afterEvent)
+		if err == nil {
 			return nil
 		}
-		failure = errorForCaller(failure, result.err)
+		failure = errorForCaller(failure, err)
 		if !verdict.allowed {
 			return failure
 		}
@@ -157,65 +151,84 @@
 	}
 }
 
-// conclude counts an attempt that ran, decides whether another one follows, and
-// passes an instance's own failure on if none does.
-func (a *activeRequest) conclude(ctx context.Context, result *attemptResult) retryVerdict {
-	if result.err == nil {
-		a.progress.runs++
-		return retryVerdict{}
+// attemptAt makes one attempt at an instance and reports it to the table of
+// instances and the log. It returns the attempt's error, nil if the answer was
+// passed on completely, and whether another attempt may follow.
+func (a *activeRequest) attemptAt(ctx context.Context, lease *balance.Lease, afterEvent int64) (retryVerdict, error) {
+	settings := &a.forwarder.settings
+	a.progress.tried[lease.ID] = true
+	a.progress.attempts++
+	sent := settings.Clock()
+	result := a.attempt(ctx, lease, afterEvent)
+	a.countRun(result.err)
+	verdict := a.nextAttempt(ctx, &result)
+	if result.failure != nil && !verdict.allowed {
+		result.err = a.passComplete(*result.failure)
 	}
-	fate := fateOf(result.err)
-	if fate != granitehoist.NotRun {
+	ended := settings.Clock()
+	lease.Done(instanceResult(&result, ctx.Err() != nil), ended)
+	a.logAttempt(lease, &result, ended.Sub(sent))
+	return verdict, result.err
+}
+
+// countRun counts an attempt that ran or may have run. err is its result.
+func (a *activeRequest) countRun(err error) {
+	if fateOf(err) != granitehoist.NotRun {
 		a.progress.runs++
 	}
-	now := a.path.settings.Clock()
+}
+
+// nextAttempt decides whether another attempt follows one that ended, and takes it
+// from the service's retry budget if it must be paid from there.
+func (a *activeRequest) nextAttempt(ctx context.Context, result *attemptResult) retryVerdict {
+	if result.err == nil {
+		return retryVerdict{}
+	}
+	now := a.forwarder.settings.Clock()
 	verdict := decideRetry(retryInput{
-		route:       a.decided.route,
-		fate:        fate,
+		route:       a.admission.route,
+		fate:        fateOf(result.err),
 		unsent:      result.unsent,
-		over:        ctx.Err() != nil,
+		ended:       ctx.Err() != nil,
 		attempts:    a.progress.attempts,
 		runs:        a.progress.runs,
 		started:     a.progress.started,
 		lastEventID: a.progress.lastEventID,
-		timeLeft:    a.decided.deadline.Sub(now),
+		timeLeft:    a.admission.deadline.Sub(now),
 	})
-	if verdict.allowed && verdict.paid {
-		verdict.allowed = a.path.retryBudgets.of(a.decided.service.Name).Take(now)
-	}
-	if result.failure != nil && !verdict.allowed {
-		result.err = a.pass(*result.failure)
+	if verdict.allowed && verdict.usesRetryBudget {
+		verdict.allowed = a.forwarder.retryBudgets.of(a.admission.service.Name).Take(now)
 	}
 	return verdict
 }
 
-// query returns what the next attempt asks of the table of instances.
+// query returns the query for the instance of the next attempt.
 func (a *activeRequest) query() balance.Query {
-	query := balance.Query{Service: a.decided.service.Name, Tried: a.progress.tried}
-	if a.asked.Cost == nil {
+	query := balance.Query{Service: a.admission.service.Name, Tried: a.progress.tried}
+	if a.request.Cost == nil {
 		return query
 	}
-	query.PromptTokens = a.asked.Cost.Prompt
-	if a.decided.route.Affinity {
-		query.PrefixHash = balance.PrefixHash(a.asked.PrefixParts)
-		query.PrefixTokens = min(a.asked.PrefixTokens, query.PromptTokens)
+	query.PromptTokens = a.request.Cost.Prompt
+	if a.admission.route.Affinity {
+		query.PrefixHash = balance.PrefixHash(a.request.PrefixParts)
+		query.PrefixTokens = min(a.request.PrefixTokens, query.PromptTokens)
 	}
 	return query
 }
 
 // end logs and reports a request.
 func (a *activeRequest) end(err error) {
-	now := a.path.settings.Clock()
-	report := Report{Code: granitehoist.CodeOf(err), Attempts: a.progress.attempts, Budget: a.progress.budget.Outcome, Took: now.Sub(a.asked.Arrived)}
-	if a.decided.service != nil {
-		report.Service = a.decided.service.Name
+	now := a.forwarder.settings.Clock()
+	report := Report{Code: granitehoist.CodeOf(err), Attempts: a.progress.attempts, Budget: a.progress.budget.Outcome, Took: now.Sub(a.request.Arrived)}
+	if a.admission.service != nil {
+		report.Service = a.admission.service.Name
 	}
-	if a.decided.workspace != nil {
-		report.Workspace = a.decided.workspace.Name
+	if a.admission.workspace != nil {
+		report.Workspace = a.admission.workspace.Name
 	}
 	if !a.progress.firstByteAt.IsZero() {
-		report.First = a.progress.firstByteAt.Sub(a.asked.Arrived)
+		report.First = a.progress.firstByteAt.Sub(a.request.Arrived)
 	}
-	a.path.settings.Ended(report)
+	a.forwarder.settings.Ended(report)
 	a.logEnd(report, err)
 }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -19,34 +19,35 @@
 type attemptResult struct {
 	// err is nil if the answer was passed on completely.
 	err error
-	// status is that of the answer, zero if there was none.
+	// status is the answer's status, zero if no answer arrived.
 	status int
 	reply  reply
 	// unsent says that no byte left this router.
 	unsent bool
-	// failure is the instance's own failure, to be passed on if no other attempt
-	// follows; nil if the attempt ended otherwise. err is set then too.
-	failure *wholeAnswer
+	// failure is the instance's own failure, which is passed on if no other attempt
+	// follows; nil if the attempt ended in another way. err is set with it.
+	failure *completeAnswer
 }
 
-// An upstream may close an idle connection at the moment at which a request is
-// sent on it. A request that runs at most once is lost then, since nobody knows
-// whether it ran.
+// maxRefusalBytes is how much of a refusal's body is read so that its connection
+// can be reused. Chosen, not measured.
+const maxRefusalBytes = 64 << 10
+
+// An upstream may close an idle connection just as a request is sent on it. Then
+// it is unknown whether the request ran, so one that must run at most once fails.
 const (
-	// maxIdle is how long a connection may have been idle that is used for a
-	// request that may run more than once. Chosen, not measured; the pool's own
-	// bound is shorter today.
+	// maxIdle bounds the idle time of a connection that is reused for a request
+	// that may run more than once. Chosen, not measured. It has no effect while
+	// the pool closes idle connections earlier, as package exchange does.
 	maxIdle = time.Minute
-	// maxIdleUnsafe is the same for a request that runs at most once. Chosen,
-	// not measured.
+	// maxIdleUnsafe bounds the idle time of a connection that is reused for a
+	// request that runs at most once. Chosen, not measured.
 	maxIdleUnsafe = 150 * time.Millisecond
-	// maxRefusalBytes is how much of a refusal's body is read to free its
-	// connection for other requests. Chosen, not measured.
-	maxRefusalBytes = 64 << 10
 )
 
 // idleLimit decides how long a connection may have been idle to be reused for a
-// request of a route, where the upstream does not state how long it keeps it.
+// request of a route. It applies where the upstream did not state how long it keeps
+// idle connections.
 func idleLimit(r *catalog.Route) time.Duration {
 	if r.Repeatable() {
 		return maxIdle
@@ -59,37 +60,37 @@
 func (a *activeRequest) attempt(ctx context.Context, lease *balance.Lease, afterEvent int64) attemptResult {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := newStallTimer(a.progressLimits(), cancel)
+	timer := newStallTimer(a.stallLimits(), cancel)
 	defer timer.stop()
-	now := a.path.settings.Clock()
-	response, err := a.path.settings.Pool.Do(ctx, a.message(lease, afterEvent, now), now)
+	now := a.forwarder.settings.Clock()
+	response, err := a.forwarder.settings.Pool.Do(ctx, a.upstreamRequest(lease, afterEvent, now), now)
 	if err != nil {
 		return attemptResult{
-			err:    timer.explain(ctx, err),
+			err:    timer.attemptError(ctx, err),
 			unsent: granitehoist.CodeOf(err) == granitehoist.UpstreamRefused,
 		}
 	}
 	defer response.Close()
-	verdict := a.path.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
+	verdict := a.forwarder.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
 	result := attemptResult{status: response.Status, reply: judgeHead(verdict, response.Status, a.progress.started)}
 	result.err = result.reply.error(response.Status, verdict.RetryAfter)
 	switch result.reply {
 	case replyRefused, replyMoved:
-		// After an error here Close ends the connection in place of keeping it.
+		// After an error Close closes the connection, so it need not be handled.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxRefusalBytes))
 	case replyFailed:
 		result.holdFailure(response)
 	case replyUsable:
-		result.err = timer.explain(ctx, a.passAnswer(response, lease, timer))
+		result.err = timer.attemptError(ctx, a.passAnswer(response, lease, timer))
 	case replyMissing, replyNoContinuation, replyUnusable:
 	}
 	return result
 }
 
-// holdFailure keeps an instance's own failure until it is decided whether
+// holdFailure reads an instance's own failure and keeps it for the decision whether
 // another attempt follows.
 func (r *attemptResult) holdFailure(response *exchange.Response) {
-	answer, err := readWhole(response)
+	answer, err := readComplete(response)
 	if err != nil {
 		r.err = err
 		return
@@ -97,36 +98,36 @@
 	r.failure = &answer
 }
 
-// progressLimits returns the limits of the next attempt.
-func (a *activeRequest) progressLimits() progressLimits {
+// stallLimits returns the stall limits of the next attempt.
+func (a *activeRequest) stallLimits() stallLimits {
 	prompt := granitehoist.Tokens(0)
-	if a.asked.Cost != nil {
-		prompt = a.asked.Cost.Prompt
+	if a.request.Cost != nil {
+		prompt = a.request.Cost.Prompt
 	}
-	return limitProgress(a.decided.route, prompt, a.progress.runs)
+	return limitStalls(a.admission.route, prompt, a.progress.runs)
 }
 
-// message returns what is sent.
-func (a *activeRequest) message(lease *balance.Lease, afterEvent int64, now time.Time) exchange.Request {
-	asked, codec := a.asked, a.path.settings.Codec
+// upstreamRequest returns the request as it is sent to the lease's instance.
+func (a *activeRequest) upstreamRequest(lease *balance.Lease, afterEvent int64, now time.Time) exchange.Request {
+	request, codec := a.request, a.forwarder.settings.Codec
 	header := codec.Header(&Attempt{
-		Request:     asked,
-		Route:       a.decided.route,
-		Workspace:   a.decided.workspace,
-		Priority:    a.decided.priority,
-		Keyed:       a.decided.keyed,
+		Request:     request,
+		Route:       a.admission.route,
+		Workspace:   a.admission.workspace,
+		Priority:    a.admission.priority,
+		Keyed:       a.admission.keyed,
 		Instance:    lease.ID,
-		Remaining:   a.decided.deadline.Sub(now),
+		Remaining:   a.admission.deadline.Sub(now),
 		LastEventID: afterEvent,
 	})
 	return exchange.Request{
 		Address: lease.Address,
-		Method:  asked.Method,
-		Target:  asked.Target,
-		Host:    asked.Host,
+		Method:  request.Method,
+		Target:  request.Target,
+		Host:    request.Host,
 		Header:  header,
-		Body:    asked.Body,
-		Matches: func(h http.Header) bool { return codec.Matches(asked, h) },
-		MaxIdle: idleLimit(a.decided.route),
+		Body:    request.Body,
+		Matches: func(h http.Header) bool { return codec.Matches(request, h) },
+		MaxIdle: idleLimit(a.admission.route),
 	}
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -20,14 +20,15 @@
 // Funds pays for requests from the prepaid tokens of their workspaces. It is
 // safe for concurrent use.
 type Funds interface {
-	// Reserve sets tokens of a workspace aside. It waits for them until ctx ends.
+	// Reserve reserves bound tokens of a workspace. It waits for them until ctx ends.
 	Reserve(ctx context.Context, w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority) escrow.Answer
 	// Settle ends a granted reservation of bound tokens, of which used were used.
 	// It is called once for each, with used from 0 up to bound.
 	Settle(w granitehoist.Workspace, bound, used granitehoist.Tokens)
 }
 
-// Settings configure a Path. Catalog, Funds, Table, Pool and Codec are needed.
+// Settings configure a Forwarder. Catalog, Funds, Table, Pool and Codec are
+// required.
 type Settings struct {
 	// Catalog holds the configuration in force.
 	Catalog *catalog.Current
@@ -43,7 +44,7 @@
 	// Routers returns the number of routers that share the retries; nil stands
 	// for a single router.
 	Routers func() int
-	// Clock tells the present time; nil stands for time.Now.
+	// Clock returns the present time; nil means time.Now.
 	Clock granitehoist.Clock
 	// Log receives a line for each attempt and each request; nil drops them.
 	Log *zap.Logger
@@ -52,15 +53,15 @@
 	Ended func(Report)
 }
 
-// Report is what became of a request, for metrics.
+// Report is the result of a request, for metrics.
 type Report struct {
 	// Service and Workspace are empty if the request was refused before they
 	// were known, Workspace also on routes that need no key.
 	Service   granitehoist.Service
 	Workspace granitehoist.Workspace
-	// Code is Served if the whole answer was passed on.
+	// Code is Served if the answer was passed on completely.
 	Code granitehoist.Code
-	// Attempts counts the sendings to upstreams, also those that did not run.
+	// Attempts counts the attempts at upstreams, also those that did not run.
 	Attempts int
 	// Budget is the outcome of the reservation; Granted where there was none.
 	Budget escrow.Outcome
@@ -71,16 +72,16 @@
 	First time.Duration
 }
 
-// Path serves requests. It is safe for concurrent use.
-type Path struct {
+// Forwarder serves requests. It is safe for concurrent use.
+type Forwarder struct {
 	settings     Settings
 	retryBudgets *retryBudgets
 	active       atomic.Int64
 	stopped      atomic.Bool
 }
 
-// New returns a path. It panics if a needed setting is missing.
-func New(s Settings) *Path {
+// New returns a Forwarder. It panics if a needed setting is missing.
+func New(s Settings) *Forwarder {
 	if s.Catalog == nil || s.Funds == nil || s.Table == nil || s.Pool == nil || s.Codec == nil {
 		panic("forward: a setting is missing")
 	}
@@ -96,24 +97,24 @@
 	if s.Ended == nil {
 		s.Ended = func(Report) {}
 	}
-	return &Path{settings: s, retryBudgets: newRetryBudgets(s.Retry, s.Routers)}
+	return &Forwarder{settings: s, retryBudgets: newRetryBudgets(s.Retry, s.Routers)}
 }
 
 // Active returns the number of requests in progress.
-func (p *Path) Active() int { return int(p.active.Load()) }
+func (f *Forwarder) Active() int { return int(f.active.Load()) }
 
-// Stop makes the path refuse new requests for good. Those in progress go on.
-func (p *Path) Stop() { p.stopped.Store(true) }
+// Stop makes the Forwarder refuse new requests for good. Those in progress go on.
+func (f *Forwarder) Stop() { f.stopped.Store(true) }
 
-// Serve serves a request until ctx, which stands for the caller's connection,
-// ends. A nil error means that the whole answer was passed to the sink.
+// Serve serves a request until ctx ends, which is when the caller's connection
+// closes. A nil error means that the answer was passed to the sink completely.
 // Otherwise the error is a *granitehoist.Error, and started tells whether a part
-// of an answer was passed on, which then must not look complete. Serve uses the
-// sink only until it returns.
-func (p *Path) Serve(ctx context.Context, r *Request, sink granitehoist.Sink) (started bool, err error) {
-	p.active.Add(1)
-	defer p.active.Add(-1)
-	a := &activeRequest{path: p, sink: sink, asked: r}
+// of an answer was passed on. The frontend must not let that part look complete.
+// Serve uses the sink only until it returns.
+func (f *Forwarder) Serve(ctx context.Context, r *Request, sink granitehoist.Sink) (started bool, err error) {
+	f.active.Add(1)
+	defer f.active.Add(-1)
+	a := &activeRequest{forwarder: f, sink: sink, request: r}
 	a.progress = progress{tried: map[granitehoist.Upstream]bool{}, lastEventID: r.LastEventID}
 	err = a.run(ctx)
 	if err != nil && ctx.Err() != nil {
--- a/forward/log.go
+++ b/forward/log.go
@@ -17,36 +17,37 @@
 // logEnd logs the end of a request.
 func (a *activeRequest) logEnd(report Report, err error) {
 	fields := []zap.Field{
-		zap.String("request", string(a.asked.ID)),
+		zap.String("request", string(a.request.ID)),
 		zap.Int("code", int(report.Code)),
 		zap.String("fate", string(requestFate(err, a.progress.runs))),
 		zap.String("service", string(report.Service)),
 		zap.String("workspace", string(report.Workspace)),
 		zap.Int("attempts", a.progress.attempts),
 		zap.Int64("events", a.progress.events),
-		zap.Uint64("config", uint64(a.decided.version)),
+		zap.Uint64("config", uint64(a.admission.version)),
 		zap.Duration("first", report.First),
 		zap.Duration("took", report.Took),
 	}
-	if a.decided.route != nil {
-		fields = append(fields, zap.String("route", string(a.decided.route.Name)))
+	if a.admission.route != nil {
+		fields = append(fields, zap.String("route", string(a.admission.route.Name)))
 	}
-	if a.decided.reserve > 0 {
+	if a.admission.bound > 0 {
 		fields = append(fields, a.budgetFields()...)
 	}
 	var e *granitehoist.Error
 	if errors.As(err, &e) {
 		fields = append(fields, zap.String("detail", e.Error()))
 	}
-	a.path.settings.Log.Info(event.Request, fields...)
+	a.forwarder.settings.Log.Info(event.Request, fields...)
 }
 
-// budgetFields returns what was reserved and charged, and what this box knew of
-// the budget when it was asked.
+// budgetFields returns what was reserved and charged, and the state of the budget
+// on this box when the tokens were reserved. "bound" and "used" are the reserved
+// and the charged tokens, "rest" what the store's record had left.
 func (a *activeRequest) budgetFields() []zap.Field {
 	budget := a.progress.budget
 	return []zap.Field{
-		zap.Int64("bound", int64(a.decided.reserve)),
+		zap.Int64("bound", int64(a.admission.bound)),
 		zap.Int64("used", int64(a.progress.charged)),
 		zap.String("budget", budget.Outcome.String()),
 		zap.Int64("free", int64(budget.Free)),
@@ -56,22 +57,10 @@
 	}
 }
 
-// requestFate returns what is known of the execution of a whole request that
-// ended with err, of whose attempts so many ran or may have run.
-func requestFate(err error, runs int) granitehoist.Fate {
-	switch {
-	case err == nil:
-		return granitehoist.Ran
-	case runs == 0:
-		return granitehoist.NotRun
-	}
-	return granitehoist.MayHaveRun
-}
-
-// logAttempt logs an attempt, which took from its choice to its end.
+// logAttempt logs an attempt. took is the time from before it was sent to its end.
 func (a *activeRequest) logAttempt(l *balance.Lease, result *attemptResult, took time.Duration) {
 	fields := []zap.Field{
-		zap.String("request", string(a.asked.ID)),
+		zap.String("request", string(a.request.ID)),
 		zap.Int("attempt", a.progress.attempts),
 		zap.String("upstream", string(l.ID)),
 		zap.Uint64("entry", uint64(l.Version)),
@@ -84,5 +73,5 @@
 	if result.err != nil {
 		fields = append(fields, zap.Error(result.err))
 	}
-	a.path.settings.Log.Info(event.Attempt, fields...)
+	a.forwarder.settings.Log.Info(event.Attempt, fields...)
 }
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -68,7 +68,7 @@
 }
 
 // frontendThatPanics is an Adapter.Frontend with a fault.
-func frontendThatPanics(*forward.Path, *catalog.Current, granitehoist.Clock, func() bool) http.Handler {
+func frontendThatPanics(*forward.Forwarder, *catalog.Current, granitehoist.Clock, func() bool) http.Handler {
 	return http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("no such route") })
 }
 
