--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -61,7 +61,7 @@
 // probes: the first request that picks the instance after the ejection tries it.
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// after decides how an attempt's result changes the health of its instance.
+// withResult decides how an attempt's result changes the health of its instance.
 // ejection is the duration of a first ejection.
 //
 //   - A good attempt resets failuresInRow and lowers the mean. It does not end an
@@ -75,7 +75,7 @@
 //     the removal of its announcement will arrive in that time.
 //
 // A new ejection replaces the previous one, even if that would have lasted longer.
-func (h health) after(r Result, ejection time.Duration, now time.Time) health {
+func (h health) withResult(r Result, ejection time.Duration, now time.Time) health {
 	switch r {
 	case Good:
 		h.failuresInRow = 0
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -16,7 +16,7 @@
 
 	DescribeTable("after a result",
 		func(before health, r Result, failuresInRow int, failureRate float64, ejectedUntil time.Time) {
-			after := before.after(r, ejection, noon)
+			after := before.withResult(r, ejection, noon)
 			Expect(after.failuresInRow).To(Equal(failuresInRow))
 			Expect(after.failureRate).To(BeNumerically("~", failureRate, 1e-12))
 			Expect(after.ejectedUntil).To(Equal(ejectedUntil))
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -38,5 +38,5 @@
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
 	l.state.inFlight--
-	l.state.health = l.state.after(r, firstEjection, now)
+	l.state.health = l.state.withResult(r, firstEjection, now)
 }
--- a/codes.go
+++ b/codes.go
@@ -85,11 +85,11 @@
 	AdviceNone Advice = "none"
 	// AdviceFix is for requests that would be refused again as they are.
 	AdviceFix Advice = "change the request"
-	// AdviceLater is for requests that did not run and may be served later.
-	AdviceLater Advice = "retry later"
-	// AdviceNow is for requests that did not run and that another router, or this
+	// AdviceRetryLater is for requests that did not run and may be served later.
+	AdviceRetryLater Advice = "retry later"
+	// AdviceRetryNow is for requests that did not run and that another router, or this
 	// one, may serve now.
-	AdviceNow Advice = "retry at once"
+	AdviceRetryNow Advice = "retry at once"
 	// AdviceSameID is for changes that are stored and not yet in force.
 	AdviceSameID Advice = "ask again with the same request id"
 	// AdviceCheck is for requests that may have run: a retry may run them twice.
@@ -122,41 +122,41 @@
 	{UnknownModel, "unknown_model", NotRun, http.StatusNotFound, AdviceFix, "no service offers this model"},
 	{UnknownService, "unknown_service", NotRun, http.StatusNotFound, AdviceFix, "no such service"},
 	{BodyTooLarge, "body_too_large", NotRun, http.StatusRequestEntityTooLarge, AdviceFix, "the body is larger than the limit"},
-	{SlowCaller, "slow_caller", NotRun, http.StatusRequestTimeout, AdviceNow, "the body did not arrive in time"},
+	{SlowCaller, "slow_caller", NotRun, http.StatusRequestTimeout, AdviceRetryNow, "the body did not arrive in time"},
 	{BadTokenCount, "bad_token_count", NotRun, http.StatusBadRequest, AdviceFix, "a token count is out of range"},
 	{Unsupported, "unsupported", NotRun, http.StatusBadRequest, AdviceFix, "the request uses a feature whose cost has no upper bound"},
 	{BadHeader, "bad_header", NotRun, http.StatusBadRequest, AdviceFix, "a header has a wrong value"},
 	{NotFound, "not_found", NotRun, http.StatusNotFound, AdviceFix, "nothing is served under this path"},
 	{MethodNotAllowed, "method_not_allowed", NotRun, http.StatusMethodNotAllowed, AdviceFix, "this path does not take this method"},
 	{CallerGone, "caller_gone", MayHaveRun, statusCallerGone, AdviceCheck, "the caller left before the answer was whole"},
-	{DeadlineTooNear, "deadline", NotRun, http.StatusGatewayTimeout, AdviceLater, "the deadline passed before the request could start"},
+	{DeadlineTooNear, "deadline", NotRun, http.StatusGatewayTimeout, AdviceRetryLater, "the deadline passed before the request could start"},
 	{HeaderTooLarge, "header_too_large", NotRun, http.StatusRequestHeaderFieldsTooLarge, AdviceFix, "the headers are larger than the limit"},
 	{MissingKey, "missing_key", NotRun, http.StatusUnauthorized, AdviceFix, "no key was given"},
 	{WrongKey, "wrong_key", NotRun, http.StatusUnauthorized, AdviceFix, "the key is not known"},
 	{PolicyDenied, "policy_denied", NotRun, http.StatusForbidden, AdviceFix, "a policy does not permit the request"},
 	{PolicyFailed, "policy_failed", NotRun, http.StatusForbidden, AdviceFix, "a policy could not be evaluated"},
-	{BudgetExhausted, "budget_exhausted", NotRun, http.StatusPaymentRequired, AdviceLater, "the budget can't pay for the request"},
+	{BudgetExhausted, "budget_exhausted", NotRun, http.StatusPaymentRequired, AdviceRetryLater, "the budget can't pay for the request"},
 	{BudgetUnknown, "budget_unknown", NotRun, http.StatusPaymentRequired, AdviceFix, "the workspace has no such budget"},
-	{BudgetUnreachable, "budget_unreachable", NotRun, http.StatusServiceUnavailable, AdviceLater, "no tokens of the budget can be had here now"},
-	{BillsFull, "bills_full", NotRun, http.StatusServiceUnavailable, AdviceLater, "unconfirmed charges have reached their limit"},
-	{NoUpstream, "no_upstream", NotRun, http.StatusServiceUnavailable, AdviceLater, "no upstream of the service takes requests"},
-	{Overloaded, "overloaded", NotRun, http.StatusTooManyRequests, AdviceLater, "the upstreams have no room before the deadline"},
-	{Draining, "draining", NotRun, http.StatusServiceUnavailable, AdviceNow, "this router is stopping"},
-	{UpstreamRefused, "upstream_refused", NotRun, http.StatusBadGateway, AdviceLater, "the upstreams refused the request"},
+	{BudgetUnreachable, "budget_unreachable", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "no tokens of the budget can be had here now"},
+	{BillsFull, "bills_full", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "unconfirmed charges have reached their limit"},
+	{NoUpstream, "no_upstream", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "no upstream of the service takes requests"},
+	{Overloaded, "overloaded", NotRun, http.StatusTooManyRequests, AdviceRetryLater, "the upstreams have no room before the deadline"},
+	{Draining, "draining", NotRun, http.StatusServiceUnavailable, AdviceRetryNow, "this router is stopping"},
+	{UpstreamRefused, "upstream_refused", NotRun, http.StatusBadGateway, AdviceRetryLater, "the upstreams refused the request"},
 	{UpstreamLost, "upstream_lost", MayHaveRun, http.StatusBadGateway, AdviceCheck, "the upstream gave no answer"},
 	{UpstreamCut, "upstream_cut", MayHaveRun, http.StatusBadGateway, AdviceCheck, "the answer of the upstream ended early"},
 	{AnswerCrossed, "answer_crossed", MayHaveRun, http.StatusBadGateway, AdviceCheck, "the upstream gave the answer of another request"},
 	{UpstreamBadAnswer, "upstream_bad_answer", MayHaveRun, http.StatusBadGateway, AdviceCheck, "the answer of the upstream can't be read"},
 	{AlreadyRun, "already_run", Ran, http.StatusConflict, AdviceNone, "this request has already run"},
 	{OnceUnsure, "once_unsure", MayHaveRun, http.StatusConflict, AdviceCheck, "an earlier attempt of this request may have run"},
-	{OnceUnavailable, "once_unavailable", NotRun, http.StatusServiceUnavailable, AdviceLater, "a request not to be repeated can't be bound now"},
+	{OnceUnavailable, "once_unavailable", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "a request not to be repeated can't be bound now"},
 	{Internal, "internal", MayHaveRun, http.StatusInternalServerError, AdviceCheck, "the router failed"},
-	{NotReady, "not_ready", NotRun, http.StatusServiceUnavailable, AdviceLater, "the router has not read its documents yet"},
-	{RouterLive, "router_live", NotRun, http.StatusConflict, AdviceLater, "the router is in the list of live routers"},
+	{NotReady, "not_ready", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "the router has not read its documents yet"},
+	{RouterLive, "router_live", NotRun, http.StatusConflict, AdviceRetryLater, "the router is in the list of live routers"},
 	{NotAuthorised, "not_authorised", NotRun, http.StatusForbidden, AdviceFix, "the document is not signed by its partner"},
 	{DocumentBad, "document_bad", NotRun, http.StatusUnprocessableEntity, AdviceFix, "the document has faults"},
 	{DocumentConflict, "document_conflict", NotRun, http.StatusConflict, AdviceFix, "the document was changed meanwhile"},
-	{StoreDown, "store_down", NotRun, http.StatusServiceUnavailable, AdviceLater, "the platform's store does not answer"},
+	{StoreDown, "store_down", NotRun, http.StatusServiceUnavailable, AdviceRetryLater, "the platform's store does not answer"},
 	{DocumentPending, "document_pending", Ran, http.StatusAccepted, AdviceSameID, "the document is stored and not yet in force everywhere"},
 	{DocumentUnsettled, "document_unsettled", MayHaveRun, http.StatusAccepted, AdviceCheck, "the store's answer was lost and could not be read back"},
 }
--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -17,8 +17,8 @@
 	net.Conn
 	reader  *bufio.Reader
 	address string
-	// idle says until when it may be reused. The lock of the pool guards it.
-	idle idlePeriod
+	// idlePeriod says until when it may be reused. The lock of the pool guards it.
+	idlePeriod idlePeriod
 }
 
 // readBufferBytes is the size of the read buffer that each open connection has.
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -112,7 +112,7 @@
 		c := idle[len(idle)-1]
 		idle = idle[:len(idle)-1]
 		p.idle[address] = idle
-		if c.idle.reusable(maxIdle, now) {
+		if c.idlePeriod.reusable(maxIdle, now) {
 			return c
 		}
 		discard(c)
@@ -139,7 +139,7 @@
 func (p *Pool) put(c *conn, keepAlive time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.idle = newIdlePeriod(keepAlive, idleTimeout, now)
+	c.idlePeriod = newIdlePeriod(keepAlive, idleTimeout, now)
 	if len(p.idle[c.address]) >= maxIdlePerUpstream {
 		discard(c)
 		return
