--- a/measure/loads.go
+++ b/measure/loads.go
@@ -58,7 +58,7 @@
 	// rootInterval in partner/budget/keeper.go.
 	rootContact = 20.0
 	// chargesHeld is the time that charges are kept while no segment can be
-	// written: the half an hour of bill.DefaultMost.
+	// written: the half an hour of bill.DefaultMaxPending.
 	chargesHeld = 1800.0
 	// watchTime is how long one watch of the documents waits at the store.
 	watchTime = 20.0
--- a/measure/subjects.go
+++ b/measure/subjects.go
@@ -162,7 +162,7 @@
 }
 
 func capacityLedger(n int) *bill.Ledger {
-	l := bill.NewLedger(bill.LedgerSettings{Incarnation: "box", Most: n})
+	l := bill.NewLedger(bill.LedgerSettings{Incarnation: "box", MaxPending: n})
 	for i := range n {
 		l.Open()
 		l.Charge(capacityCharge(i), capacityStart)
--- a/partner/bill/bill_test.go
+++ b/partner/bill/bill_test.go
@@ -61,7 +61,7 @@
 
 var _ = Describe("Ledger", func() {
 	It("opens no more than it can hold", func() {
-		l := bill.NewLedger(bill.LedgerSettings{Incarnation: "b", Most: 2})
+		l := bill.NewLedger(bill.LedgerSettings{Incarnation: "b", MaxPending: 2})
 		Expect(l.Open()).To(BeTrue())
 		Expect(l.Open()).To(BeTrue())
 		Expect(l.Open()).To(BeFalse())
@@ -96,10 +96,10 @@
 		ledger = bill.NewLedger(bill.LedgerSettings{Incarnation: "box-1"})
 		caller = &fakeCaller{collector: newCollector(store, "box-2")}
 		sender = bill.NewSender(bill.SenderSettings{
-			Ledger:    ledger,
-			Collector: newCollector(store, "box-1"),
-			Caller:    caller,
-			Holder:    func() (granitehoist.Peer, bool) { return granitehoist.Peer{Incarnation: "box-2"}, true },
+			Ledger:          ledger,
+			Collector:       newCollector(store, "box-1"),
+			Caller:          caller,
+			RemoteCollector: func() (granitehoist.Peer, bool) { return granitehoist.Peer{Incarnation: "box-2"}, true },
 		})
 	})
 
--- a/partner/bill/ledger.go
+++ b/partner/bill/ledger.go
@@ -29,14 +29,14 @@
 // LedgerSettings configure a Ledger.
 type LedgerSettings struct {
 	Incarnation granitehoist.Incarnation
-	// Most bounds the unconfirmed charges, those that open requests will make
-	// included; zero stands for DefaultMost.
-	Most int
+	// MaxPending bounds the unconfirmed charges, those that open requests will make
+	// included; zero stands for DefaultMaxPending.
+	MaxPending int
 }
 
-// DefaultMost holds about half an hour of charges at 57 requests a second, the
+// DefaultMaxPending holds about half an hour of charges at 57 requests a second, the
 // rate of the busiest box in docs/CAPACITY.md, in some 40 MB.
-const DefaultMost = 100_000
+const DefaultMaxPending = 100_000
 
 // NewLedger returns an empty ledger. It panics if the settings have no
 // incarnation.
@@ -44,7 +44,7 @@
 	if s.Incarnation == "" {
 		panic("bill: ledger without incarnation")
 	}
-	defaults.Set(&s.Most, DefaultMost)
+	defaults.Set(&s.MaxPending, DefaultMaxPending)
 	return &Ledger{settings: s}
 }
 
@@ -54,7 +54,7 @@
 func (l *Ledger) Open() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open+len(l.pending) >= l.settings.Most {
+	if l.open+len(l.pending) >= l.settings.MaxPending {
 		return false
 	}
 	l.open++
--- a/partner/bill/sender.go
+++ b/partner/bill/sender.go
@@ -16,9 +16,9 @@
 	Ledger    *Ledger
 	Collector *Collector
 	Caller    granitehoist.Caller
-	// Holder returns the region's collector, and false if it is this router or
+	// RemoteCollector returns the region's collector, and false if it is this router or
 	// there is none.
-	Holder func() (granitehoist.Peer, bool)
+	RemoteCollector func() (granitehoist.Peer, bool)
 	// Failed is called with each error; nil ignores them. The charges stay in the
 	// ledger and are sent again.
 	Failed func(error)
@@ -36,7 +36,7 @@
 
 // NewSender returns a sender. It panics if a needed setting is missing.
 func NewSender(s SenderSettings) *Sender {
-	if s.Ledger == nil || s.Collector == nil || s.Caller == nil || s.Holder == nil {
+	if s.Ledger == nil || s.Collector == nil || s.Caller == nil || s.RemoteCollector == nil {
 		panic("bill: sender lacks a setting")
 	}
 	if s.Failed == nil {
@@ -81,7 +81,7 @@
 // succeeds, and its error says more if it does not. A batch may then be in two
 // segments; readers count it once.
 func (s *Sender) send(ctx context.Context, b Batch) error {
-	if peer, ok := s.settings.Holder(); ok {
+	if peer, ok := s.settings.RemoteCollector(); ok {
 		params, err := pack.NewMessage(b)
 		if err != nil {
 			return err
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -22,9 +22,9 @@
 	Keeper *Keeper
 	// Caller reaches other routers.
 	Caller granitehoist.Caller
-	// Holder returns the router that keeps a shard for this region, and false
+	// RemoteKeeper returns the router that keeps a shard for this region, and false
 	// if that is this router or there is none.
-	Holder func(Shard) (granitehoist.Peer, bool)
+	RemoteKeeper func(Shard) (granitehoist.Peer, bool)
 	// Peers returns the other routers of the region.
 	Peers func() []granitehoist.Peer
 	Clock granitehoist.Clock
@@ -63,7 +63,7 @@
 
 // NewAgent returns an agent. It panics if a needed setting is missing.
 func NewAgent(s AgentSettings) *Agent {
-	if s.Purse == nil || s.Keeper == nil || s.Caller == nil || s.Holder == nil || s.Peers == nil || s.Clock == nil {
+	if s.Purse == nil || s.Keeper == nil || s.Caller == nil || s.RemoteKeeper == nil || s.Peers == nil || s.Clock == nil {
 		panic("budget: agent lacks a setting")
 	}
 	defaults.Set(&s.Interval, DefaultInterval)
@@ -156,7 +156,7 @@
 // The error of the call is not reported: any router may act as keeper, and the
 // error of the own try says what is wrong with the store.
 func (a *Agent) sync(ctx context.Context, s Shard, params SyncParams, now time.Time) (SyncResult, error) {
-	if peer, ok := a.settings.Holder(s); ok {
+	if peer, ok := a.settings.RemoteKeeper(s); ok {
 		result, err := a.call(ctx, peer, ShardSync{Shard: s, Params: params})
 		if err == nil && !result.Unknown {
 			return result, nil
--- a/partner/budget/borrow.go
+++ b/partner/budget/borrow.go
@@ -26,7 +26,7 @@
 			if !unreachable && !slices.Contains(named, peer.Incarnation) {
 				continue
 			}
-			params, short := a.settings.Purse.Borrowing(k, peer.Incarnation)
+			params, short := a.settings.Purse.LoanRequest(k, peer.Incarnation)
 			if !short {
 				break
 			}
@@ -46,7 +46,7 @@
 		}
 		return
 	}
-	a.settings.Purse.Borrow(params.Budget, result)
+	a.settings.Purse.TakeLoan(params.Budget, result)
 }
 
 // maxUnanswered bounds the loans that are asked for again, so that their list
--- a/partner/budget/budget_test.go
+++ b/partner/budget/budget_test.go
@@ -91,7 +91,7 @@
 		w := p.Wait(k, 300, b.now)
 		Expect(b.sync(keeper, p)).To(Succeed())
 		Expect(w.Done).To(BeClosed())
-		Expect(p.Abandon(k, w, b.now)).To(Equal(budget.Granted))
+		Expect(p.EndWait(k, w, b.now)).To(Equal(budget.Granted))
 		p.Settle(k, 300, 120, b.now)
 		Expect(b.sync(keeper, p)).To(Succeed())
 		Expect(b.overview().Charged).To(Equal(granitehoist.Tokens(120)))
@@ -100,21 +100,21 @@
 	It("refuses at once what the whole budget can't pay", func() {
 		w := p.Wait(k, 1001, b.now)
 		Expect(b.sync(keeper, p)).To(Succeed())
-		Expect(p.Abandon(k, w, b.now)).To(Equal(budget.Exhausted))
+		Expect(p.EndWait(k, w, b.now)).To(Equal(budget.Exhausted))
 	})
 
 	It("does not know of a budget while no keeper answers", func() {
 		b.store.Fail(standin.StoreFaults{Down: true})
 		w := p.Wait(k, 10, b.now)
 		Expect(b.sync(keeper, p)).To(MatchError(granitehoist.ErrUnavailable))
-		Expect(p.Abandon(k, w, b.now)).To(Equal(budget.Unreachable))
+		Expect(p.EndWait(k, w, b.now)).To(Equal(budget.Unreachable))
 	})
 
 	It("goes on from what it holds while the store is down", func() {
-		Expect(p.Abandon(k, p.Wait(k, 0, b.now), b.now)).To(Equal(budget.Granted))
+		Expect(p.EndWait(k, p.Wait(k, 0, b.now), b.now)).To(Equal(budget.Granted))
 		w := p.Wait(k, 300, b.now)
 		Expect(b.sync(keeper, p)).To(Succeed())
-		Expect(p.Abandon(k, w, b.now)).To(Equal(budget.Granted))
+		Expect(p.EndWait(k, w, b.now)).To(Equal(budget.Granted))
 		b.store.Fail(standin.StoreFaults{Down: true})
 		p.Settle(k, 300, 100, b.now)
 		Expect(p.Reserve(k, 200)).To(BeTrue())
@@ -125,7 +125,7 @@
 		b.prepaid = 2_000_000
 		w := p.Wait(k, 300, b.now)
 		Expect(b.sync(keeper, p)).To(Succeed())
-		Expect(p.Abandon(k, w, b.now)).To(Equal(budget.Granted))
+		Expect(p.EndWait(k, w, b.now)).To(Equal(budget.Granted))
 		p.Settle(k, 300, 10, b.now)
 		b.store.Fail(standin.StoreFaults{Down: true})
 		for range 10 {
@@ -136,7 +136,7 @@
 	It("charges a use beyond the bound and owes it", func() {
 		w := p.Wait(k, 100, b.now)
 		Expect(b.sync(keeper, p)).To(Succeed())
-		Expect(p.Abandon(k, w, b.now)).To(Equal(budget.Granted))
+		Expect(p.EndWait(k, w, b.now)).To(Equal(budget.Granted))
 		p.Settle(k, 100, 400, b.now)
 		state := p.State(k, b.now)
 		Expect(state.Totals.Spent).To(Equal(granitehoist.Tokens(400)))
@@ -146,19 +146,19 @@
 	It("lends half of what it can spare, once for a doubled message", func() {
 		w := p.Wait(k, 400, b.now)
 		Expect(b.sync(keeper, p)).To(Succeed())
-		Expect(p.Abandon(k, w, b.now)).To(Equal(budget.Granted))
+		Expect(p.EndWait(k, w, b.now)).To(Equal(budget.Granted))
 		p.Settle(k, 400, 0, b.now)
 		free := p.State(k, b.now).Free
 		other := newPurse("box-2")
 		waiter := other.Wait(k, free/2, b.now)
-		ask, short := other.Borrowing(k, p.Incarnation())
+		ask, short := other.LoanRequest(k, p.Incarnation())
 		Expect(short).To(BeTrue())
 		first, second := p.Lend(ask, b.now), p.Lend(ask, b.now)
 		Expect(second).To(Equal(first))
 		Expect(first.Total).To(Equal(free / 2))
-		other.Borrow(k, first)
-		other.Borrow(k, second)
-		Expect(other.Abandon(k, waiter, b.now)).To(Equal(budget.Granted))
+		other.TakeLoan(k, first)
+		other.TakeLoan(k, second)
+		Expect(other.EndWait(k, waiter, b.now)).To(Equal(budget.Granted))
 		Expect(other.State(k, b.now).Totals.Held()).To(Equal(free / 2))
 	})
 
@@ -183,7 +183,7 @@
 		GinkgoHelper()
 		w := p.Wait(k, bound, b.now)
 		Expect(b.sync(keeper, p)).To(Succeed())
-		return p.Abandon(k, w, b.now)
+		return p.EndWait(k, w, b.now)
 	}
 
 	It("lets the last token be spent, wherever it lay", func() {
@@ -197,7 +197,7 @@
 			Expect(b.sync(tuul, p)).To(Succeed())
 		}
 		Expect(b.sync(lima, other)).To(Succeed())
-		Expect(other.Abandon(k, w, b.now)).To(Equal(budget.Granted))
+		Expect(other.EndWait(k, w, b.now)).To(Equal(budget.Granted))
 	})
 
 	It("grants once though the answer of the store is lost", func() {
@@ -266,7 +266,7 @@
 		other := newPurse("box-2")
 		w := other.Wait(k, 10, b.now)
 		Expect(b.sync(lima, other)).NotTo(Succeed())
-		Expect(other.Abandon(k, w, b.now)).To(Equal(budget.Unreachable))
+		Expect(other.EndWait(k, w, b.now)).To(Equal(budget.Unreachable))
 		after, _ := b.store.Get(ctx, key)
 		Expect(string(after.Value)).To(Equal("{}"))
 	})
--- a/partner/budget/differential_test.go
+++ b/partner/budget/differential_test.go
@@ -163,7 +163,7 @@
 			r.box.purse.Settle(k, r.bound, r.cost, c.now)
 		case c.now.Before(r.until) && !isDone(r.waiter):
 			open = append(open, r)
-		case r.box.purse.Abandon(k, r.waiter, c.now) == budget.Granted:
+		case r.box.purse.EndWait(k, r.waiter, c.now) == budget.Granted:
 			c.admit(r)
 			open = append(open, r)
 		case r.payable:
--- a/partner/budget/example_test.go
+++ b/partner/budget/example_test.go
@@ -36,7 +36,7 @@
 		return
 	}
 	purse.Apply(asks, result.Replies, now)
-	fmt.Println("granted:", purse.Abandon(id, waiter, now) == budget.Granted)
+	fmt.Println("granted:", purse.EndWait(id, waiter, now) == budget.Granted)
 	purse.Settle(id, 300, 120, now)
 	fmt.Println("spent:", purse.State(id, now).Totals.Spent)
 	// Output:
--- a/partner/budget/historycheck_test.go
+++ b/partner/budget/historycheck_test.go
@@ -79,7 +79,7 @@
 	h.cut = [2]bool{}
 	h.depth = deepest
 	for _, l := range h.saved.loans {
-		l.borrower.purse.Borrow(historyBudget, l.lender.purse.Lend(budget.BorrowParams{Incarnation: l.borrower.purse.Incarnation(), Budget: historyBudget}, h.now))
+		l.borrower.purse.TakeLoan(historyBudget, l.lender.purse.Lend(budget.BorrowParams{Incarnation: l.borrower.purse.Incarnation(), Budget: historyBudget}, h.now))
 	}
 	closing := append([]*historyBox(nil), h.boxes...)
 	for _, b := range h.ended {
--- a/partner/budget/historysteps_test.go
+++ b/partner/budget/historysteps_test.go
@@ -39,7 +39,7 @@
 
 func (h *history) endWaits(b *historyBox) {
 	for _, w := range b.waiters {
-		if b.purse.Abandon(historyBudget, w.waiter, h.now) == budget.Granted {
+		if b.purse.EndWait(historyBudget, w.waiter, h.now) == budget.Granted {
 			b.open = append(b.open, w.bound)
 		}
 	}
@@ -95,7 +95,7 @@
 
 func (h *history) borrow() {
 	borrower, lender := h.box(), h.box()
-	params, short := borrower.purse.Borrowing(historyBudget, lender.purse.Incarnation())
+	params, short := borrower.purse.LoanRequest(historyBudget, lender.purse.Incarnation())
 	if !short || borrower == lender {
 		return
 	}
@@ -103,7 +103,7 @@
 	result := lender.purse.Lend(params, h.now)
 	h.saved.results = save(h.saved.results, savedResult{borrower, result})
 	if h.choose(2) == 0 {
-		borrower.purse.Borrow(historyBudget, result)
+		borrower.purse.TakeLoan(historyBudget, result)
 	}
 }
 
@@ -117,7 +117,7 @@
 func (h *history) takeAgain() {
 	if len(h.saved.results) > 0 {
 		r := h.saved.results[h.choose(len(h.saved.results))]
-		r.borrower.purse.Borrow(historyBudget, r.result)
+		r.borrower.purse.TakeLoan(historyBudget, r.result)
 	}
 }
 
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -47,9 +47,9 @@
 	return (a.free() - keep) / lendParts
 }
 
-// Borrowing returns the message that asks a lender for what requests of a
+// LoanRequest returns the message that asks a lender for what requests of a
 // budget wait for, and false if none wait.
-func (p *Purse) Borrowing(k granitehoist.BudgetID, lender granitehoist.Incarnation) (BorrowParams, bool) {
+func (p *Purse) LoanRequest(k granitehoist.BudgetID, lender granitehoist.Incarnation) (BorrowParams, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a, ok := p.accounts[k]
@@ -64,10 +64,10 @@
 	return BorrowParams{Incarnation: p.incarnation, Budget: k, Known: known, Want: known + missing + a.demand.largest}, true
 }
 
-// Borrow takes in a lender's answer. An old or doubled answer changes nothing,
+// TakeLoan takes in a lender's answer. An old or doubled answer changes nothing,
 // and neither does one that comes after Close: the page may have closed the
 // incarnation's rows by then, so that it could not give the tokens back.
-func (p *Purse) Borrow(k granitehoist.BudgetID, r BorrowResult) {
+func (p *Purse) TakeLoan(k granitehoist.BudgetID, r BorrowResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.account(k)
--- a/partner/budget/page.go
+++ b/partner/budget/page.go
@@ -221,10 +221,10 @@
 	Least, Need, Want granitehoist.Tokens
 }
 
-// Ask returns what the region has of a budget and asks of the root. It deducts the
+// prepareAsk returns what the region has of a budget and asks of the root. It deducts the
 // stock beyond the root's limit after it has made the report: that may be reported
 // only once the page is written.
-func (p *Page) Ask(k granitehoist.BudgetID, split Split, now time.Time) RegionAsk {
+func (p *Page) prepareAsk(k granitehoist.BudgetID, split Split, now time.Time) RegionAsk {
 	a := p.account(k)
 	live, rate := p.live(a, now)
 	ask := RegionAsk{Budget: k, Spent: a.Spent(), Rate: rate}
--- a/partner/budget/refill.go
+++ b/partner/budget/refill.go
@@ -17,7 +17,7 @@
 	var regionAsks []RegionAsk
 	shouldAsk := false
 	for _, budget := range sorted(asks) {
-		regionAsk := page.Ask(budget, k.settings.Split(budget), now)
+		regionAsk := page.prepareAsk(budget, k.settings.Split(budget), now)
 		shouldAsk = shouldAsk || page.Accounts[budget].shouldAskRoot(regionAsk, now)
 		regionAsks = append(regionAsks, regionAsk)
 	}
@@ -75,7 +75,7 @@
 	replies := make([]RegionReply, 0, len(asks))
 	for _, ask := range asks {
 		if prepaid, at, ok := k.settings.Prepaid(ask.Budget); ok {
-			root.Prepay(ask.Budget, prepaid, at)
+			root.setPrepaid(ask.Budget, prepaid, at)
 		}
 		replies = append(replies, root.Serve(k.settings.Region, ask, k.settings.Split(ask.Budget), now))
 	}
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -22,10 +22,10 @@
 	Elsewhere granitehoist.Tokens
 }
 
-// Prepay sets the prepaid total of a budget as the document of a serial has
+// setPrepaid sets the prepaid total of a budget as the document of a serial has
 // it. An older document changes nothing. A total below what regions hold comes
 // into force as they return tokens.
-func (r *Root) Prepay(k granitehoist.BudgetID, prepaid granitehoist.Tokens, at granitehoist.Serial) {
+func (r *Root) setPrepaid(k granitehoist.BudgetID, prepaid granitehoist.Tokens, at granitehoist.Serial) {
 	a := r.account(k)
 	if at <= a.PrepaidAt {
 		return
--- a/partner/budget/spend.go
+++ b/partner/budget/spend.go
@@ -28,7 +28,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	outcome := purse.Abandon(k, waiter, a.settings.Clock())
+	outcome := purse.EndWait(k, waiter, a.settings.Clock())
 	if purse.Busy() {
 		a.Kick()
 	}
--- a/partner/budget/wait.go
+++ b/partner/budget/wait.go
@@ -46,7 +46,7 @@
 
 // Wait reserves as Reserve does, or returns a Waiter that ends when tokens
 // arrive or when the budget is found to have too few. The caller must end the
-// wait with Abandon. It panics if bound is negative.
+// wait with EndWait. It panics if bound is negative.
 func (p *Purse) Wait(k granitehoist.BudgetID, bound granitehoist.Tokens, now time.Time) *Waiter {
 	mustNotBeNegative(bound)
 	p.mu.Lock()
@@ -73,8 +73,8 @@
 	return r.received && bound > r.remaining && now.Sub(r.at) < remainingFresh
 }
 
-// Abandon ends a wait and returns its outcome.
-func (p *Purse) Abandon(k granitehoist.BudgetID, w *Waiter, now time.Time) Outcome {
+// EndWait ends a wait and returns its outcome.
+func (p *Purse) EndWait(k granitehoist.BudgetID, w *Waiter, now time.Time) Outcome {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.account(k)
--- a/partner/gate/read.go
+++ b/partner/gate/read.go
@@ -21,7 +21,7 @@
 	if err == nil {
 		err = g.readCompletion(w, r, req)
 	}
-	g.run(w, r, req, err)
+	g.answer(w, r, req, err)
 }
 
 func (g *Gate) servePlain(w http.ResponseWriter, r *http.Request) {
@@ -29,7 +29,7 @@
 	if err == nil {
 		err = g.readPlain(w, r, req)
 	}
-	g.run(w, r, req, err)
+	g.answer(w, r, req, err)
 }
 
 // begin reads what all requests have: the id, the key, the headers and the
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -19,15 +19,15 @@
 // still be written; chosen, not measured.
 const writeGrace = 5 * time.Second
 
-// run takes a request that was read, or failed to be read with err, from policy
+// answer takes a request that was read, or failed to be read with err, from policy
 // to charge, and answers it.
-func (g *Gate) run(w http.ResponseWriter, r *http.Request, req *request, err error) {
+func (g *Gate) answer(w http.ResponseWriter, r *http.Request, req *request, err error) {
 	if err == nil {
 		timeout := req.asked.options.timeout
 		ctx, cancel := context.WithTimeout(r.Context(), timeout)
 		defer cancel()
 		setWriteDeadline(w, req.asked.began.Add(timeout+writeGrace))
-		err = g.admit(ctx, req)
+		err = g.process(ctx, req)
 	}
 	err = finalError(err, r.Context().Err() != nil)
 	g.logResult(req, err)
@@ -43,8 +43,8 @@
 	}
 }
 
-// admit asks the policies and makes room for the charge and the tokens.
-func (g *Gate) admit(ctx context.Context, req *request) error {
+// process asks the policies and makes room for the charge and the tokens.
+func (g *Gate) process(ctx context.Context, req *request) error {
 	if req.decided.once && !req.asked.hasID {
 		return granitehoist.Errorf(granitehoist.BadHeader, "a request not to be repeated needs a %s of the caller's", HeaderRequest)
 	}
--- a/partner/orphan/charge.go
+++ b/partner/orphan/charge.go
@@ -22,9 +22,9 @@
 	toCharge
 )
 
-// verdictOf says what becomes of an attempt, from what its engine says now and
+// decideVerdict says what becomes of an attempt, from what its engine says now and
 // from whether a segment that was read before holds it.
-func verdictOf(a granitehoist.KnownAttempt, charged bool) verdict {
+func decideVerdict(a granitehoist.KnownAttempt, charged bool) verdict {
 	switch {
 	case charged:
 		return alreadyCharged
--- a/partner/orphan/doc.go
+++ b/partner/orphan/doc.go
@@ -22,7 +22,7 @@
 // budget and bill for their forms, on config for the engines, and on the
 // engines' protocol.
 //
-// Begin with Settler.Settle; the rules are lastSeen.isSilent and decide.
+// Begin with Settler.Settle; the rules are lastSeen.isSilent and decideVerdict.
 //
 // granitehoist-edge makes no charges and so has nothing to settle; what a dead box
 // held counts as spent there (package escrow).
--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -109,7 +109,7 @@
 	if job.stop && !charged && !a.Ended {
 		a.Usage, a.Ended = s.settings.Engines.Stop(ctx, e.Address, a.ID)
 	}
-	switch verdictOf(a, charged) {
+	switch decideVerdict(a, charged) {
 	case stillRunning:
 		job.result.Running++
 	case toCharge:
--- a/partner/orphan/rules_test.go
+++ b/partner/orphan/rules_test.go
@@ -31,7 +31,7 @@
 
 	DescribeTable("decides what becomes of an attempt",
 		func(a granitehoist.KnownAttempt, charged bool, want verdict) {
-			Expect(verdictOf(a, charged)).To(Equal(want))
+			Expect(decideVerdict(a, charged)).To(Equal(want))
 		},
 		Entry("ended", granitehoist.KnownAttempt{Ended: true, Usage: cost}, false, toCharge),
 		Entry("ended and in a segment", granitehoist.KnownAttempt{Ended: true, Usage: cost}, true, alreadyCharged),
--- a/partner/router/build.go
+++ b/partner/router/build.go
@@ -61,16 +61,16 @@
 		Gather:  time.Duration(s.Router.Budget.Gather),
 	})
 	r.parts.agent = budget.NewAgent(budget.AgentSettings{
-		Box:      r.self.Box,
-		Purse:    budget.NewPurse(budget.PurseSettings{Incarnation: r.self.Incarnation, Split: s.Router.SplitOf}),
-		Keeper:   keeper,
-		Caller:   r.parts.client,
-		Holder:   r.budgetHolder,
-		Peers:    r.budgetPeers,
-		Clock:    s.Clock,
-		Interval: time.Duration(s.Router.Budget.Interval),
-		Shards:   s.Router.Budget.Shards,
-		Failed:   r.failureLogger("budget_failed"),
+		Box:          r.self.Box,
+		Purse:        budget.NewPurse(budget.PurseSettings{Incarnation: r.self.Incarnation, Split: s.Router.SplitOf}),
+		Keeper:       keeper,
+		Caller:       r.parts.client,
+		RemoteKeeper: r.remoteKeeper,
+		Peers:        r.budgetPeers,
+		Clock:        s.Clock,
+		Interval:     time.Duration(s.Router.Budget.Interval),
+		Shards:       s.Router.Budget.Shards,
+		Failed:       r.failureLogger("budget_failed"),
 	})
 }
 
@@ -78,13 +78,13 @@
 // any router may be.
 func (r *Router) buildBills() {
 	s := r.settings
-	r.parts.ledger = bill.NewLedger(bill.LedgerSettings{Incarnation: r.self.Incarnation, Most: s.Router.Limits.Bills})
+	r.parts.ledger = bill.NewLedger(bill.LedgerSettings{Incarnation: r.self.Incarnation, MaxPending: s.Router.Limits.Bills})
 	r.parts.sender = bill.NewSender(bill.SenderSettings{
-		Ledger:    r.parts.ledger,
-		Collector: bill.NewCollector(bill.CollectorSettings{Region: r.self.Region, Incarnation: r.self.Incarnation, Store: s.Store}),
-		Caller:    r.parts.client,
-		Holder:    r.billHolder,
-		Failed:    r.failureLogger("bill_failed"),
+		Ledger:          r.parts.ledger,
+		Collector:       bill.NewCollector(bill.CollectorSettings{Region: r.self.Region, Incarnation: r.self.Incarnation, Store: s.Store}),
+		Caller:          r.parts.client,
+		RemoteCollector: r.remoteCollector,
+		Failed:          r.failureLogger("bill_failed"),
 	})
 }
 
--- a/partner/router/roles.go
+++ b/partner/router/roles.go
@@ -16,17 +16,17 @@
 	orphanRole    = "orphan/settler"
 )
 
-// budgetHolder returns the other router that keeps a shard's page.
-func (r *Router) budgetHolder(s budget.Shard) (granitehoist.Peer, bool) {
-	return r.holder(budget.PageKey(r.self.Region, s))
+// remoteKeeper returns the other router that keeps a shard's page.
+func (r *Router) remoteKeeper(s budget.Shard) (granitehoist.Peer, bool) {
+	return r.otherWithRole(budget.PageKey(r.self.Region, s))
 }
 
-// billHolder returns the other router that collects bills.
-func (r *Router) billHolder() (granitehoist.Peer, bool) { return r.holder(collectorRole) }
+// remoteCollector returns the other router that collects bills.
+func (r *Router) remoteCollector() (granitehoist.Peer, bool) { return r.otherWithRole(collectorRole) }
 
-// holder returns the other router of the region that has a role, and false if
+// otherWithRole returns the other router of the region that has a role, and false if
 // it is this one or the view has none.
-func (r *Router) holder(role string) (granitehoist.Peer, bool) {
+func (r *Router) otherWithRole(role string) (granitehoist.Peer, bool) {
 	m, ok := r.store.members.View().Holder(r.self.Region, role)
 	return m.Peer(), ok && m.Incarnation != r.self.Incarnation
 }
--- a/partner/router/rules_test.go
+++ b/partner/router/rules_test.go
@@ -17,12 +17,12 @@
 	live := map[granitehoist.Incarnation]bool{"a-1": true}
 
 	DescribeTable("decides whether a router may still serve",
-		func(e evidence, want bool) { Expect(e.mayServe(member)).To(Equal(want)) },
-		Entry("its lease stands and its box is not listed", evidence{live: live, boxes: map[granitehoist.Box]bool{"b": false}}, true),
-		Entry("its lease has ended and its box is listed", evidence{boxes: map[granitehoist.Box]bool{"a": false}}, true),
-		Entry("its lease has ended and its box is leaving", evidence{boxes: map[granitehoist.Box]bool{"a": true}}, true),
-		Entry("its lease has ended and there is no list", evidence{}, true),
-		Entry("its lease has ended and the list has other boxes only", evidence{boxes: map[granitehoist.Box]bool{"b": false}}, false),
+		func(e servingEvidence, want bool) { Expect(e.mayServe(member)).To(Equal(want)) },
+		Entry("its lease stands and its box is not listed", servingEvidence{live: live, boxes: map[granitehoist.Box]bool{"b": false}}, true),
+		Entry("its lease has ended and its box is listed", servingEvidence{boxes: map[granitehoist.Box]bool{"a": false}}, true),
+		Entry("its lease has ended and its box is leaving", servingEvidence{boxes: map[granitehoist.Box]bool{"a": true}}, true),
+		Entry("its lease has ended and there is no list", servingEvidence{}, true),
+		Entry("its lease has ended and the list has other boxes only", servingEvidence{boxes: map[granitehoist.Box]bool{"b": false}}, false),
 	)
 })
 
--- a/partner/router/serving.go
+++ b/partner/router/serving.go
@@ -10,9 +10,9 @@
 	"granitehoist.example/granitehoist/fleet"
 )
 
-// evidence is the input of the rule whether a router that entered itself may
+// servingEvidence is the input of the rule whether a router that entered itself may
 // still serve.
-type evidence struct {
+type servingEvidence struct {
 	// live holds the routers whose lease stood when the view was read.
 	live map[granitehoist.Incarnation]bool
 	// boxes is the platform's list; empty if there is none.
@@ -23,7 +23,7 @@
 // that has ended proves nothing: the router may be cut off from the store and
 // serve all the same. Only a box that the platform has stopped listing can't
 // serve any more; an empty list is taken for none.
-func (e evidence) mayServe(m fleet.Member) bool {
+func (e servingEvidence) mayServe(m fleet.Member) bool {
 	_, listed := e.boxes[m.Box]
 	return e.live[m.Incarnation] || listed || len(e.boxes) == 0
 }
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	seen := evidence{live: map[granitehoist.Incarnation]bool{}, boxes: boxes}
+	seen := servingEvidence{live: map[granitehoist.Incarnation]bool{}, boxes: boxes}
 	for _, m := range r.store.members.View().Members() {
 		seen.live[m.Incarnation] = true
 	}
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -93,7 +93,7 @@
 	// said that it is not ready, so that a balancer can leave it first.
 	Unready Duration `toml:"unready"`
 	// Bills bounds the number of unconfirmed charges; zero stands for
-	// bill.DefaultMost.
+	// bill.DefaultMaxPending.
 	Bills int `toml:"bills"`
 }
 
