--- a/partner/bill/segment.go
+++ b/partner/bill/segment.go
@@ -23,18 +23,18 @@
 	Charges []Charge `json:"charges"`
 }
 
-// KeyPrefix begins the store's keys of segments.
-const KeyPrefix = "bills/"
+// keyPrefix begins the store's keys of segments.
+const keyPrefix = "bills/"
 
 // SegmentKey returns the store's key of a collector's n-th segment.
 func SegmentKey(r granitehoist.Region, collector granitehoist.Incarnation, n uint64) string {
-	return fmt.Sprintf("%s%s/%s/%08d", KeyPrefix, r, collector, n)
+	return fmt.Sprintf("%s%s/%s/%08d", keyPrefix, r, collector, n)
 }
 
 // OrphanKey returns the store's key of the n-th segment of a dead incarnation's
 // orphans.
 func OrphanKey(dead granitehoist.Incarnation, n int) string {
-	return fmt.Sprintf("%sorphans/%s/%04d", KeyPrefix, dead, n)
+	return fmt.Sprintf("%sorphans/%s/%04d", keyPrefix, dead, n)
 }
 
 // EncodeSegment returns the stored form of charges. It panics if there are
--- a/partner/bill/sum.go
+++ b/partner/bill/sum.go
@@ -145,7 +145,7 @@
 // Read returns all charges in the store, each once. It reads every segment there
 // is; one that can't be read is an error.
 func Read(ctx context.Context, s granitehoist.Store) ([]Charge, error) {
-	entries, _, err := s.List(ctx, KeyPrefix)
+	entries, _, err := s.List(ctx, keyPrefix)
 	if err != nil {
 		return nil, err
 	}
--- a/partner/boxlist/boxlist.go
+++ b/partner/boxlist/boxlist.go
@@ -24,9 +24,9 @@
 	Boxes map[granitehoist.Box]bool `json:"boxes"`
 }
 
-// DefaultTimeout bounds a call. It is the interval at which package
+// defaultTimeout bounds a call. It is the interval at which package
 // partner/router reads the list. Chosen, not measured.
-const DefaultTimeout = 2 * time.Second
+const defaultTimeout = 2 * time.Second
 
 // idleTime closes connections that no call has used. Chosen, not measured.
 const idleTime = time.Minute
@@ -35,7 +35,7 @@
 type Settings struct {
 	// Address is the base URL of the platform's service.
 	Address string
-	// Timeout bounds each call; zero stands for DefaultTimeout.
+	// Timeout bounds each call; zero stands for defaultTimeout.
 	Timeout time.Duration
 	// Client makes the calls; nil stands for a client of its own.
 	Client *http.Client
@@ -51,7 +51,7 @@
 	if s.Address == "" {
 		panic("boxlist: no address")
 	}
-	defaults.Set(&s.Timeout, DefaultTimeout)
+	defaults.Set(&s.Timeout, defaultTimeout)
 	if s.Client == nil {
 		s.Client = &http.Client{Transport: &http.Transport{IdleConnTimeout: idleTime}}
 	}
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -127,7 +127,7 @@
 	params.Box, params.Incarnation = a.settings.Box, a.settings.Purse.Incarnation()
 	byShard := map[Shard][]Ask{}
 	for _, ask := range asks {
-		s := ShardOf(ask.Budget, a.settings.Shards)
+		s := shardOf(ask.Budget, a.settings.Shards)
 		byShard[s] = append(byShard[s], ask)
 	}
 	var group errgroup.Group
--- a/partner/budget/keeper.go
+++ b/partner/budget/keeper.go
@@ -164,7 +164,7 @@
 	results := make([]SyncResult, len(items))
 	asks := asksByBudget{}
 	for i, item := range items {
-		if !page.TakeReport(item.params, now) {
+		if !page.takeReport(item.params, now) {
 			results[i].Unknown = true
 			continue
 		}
@@ -222,7 +222,7 @@
 func (k *Keeper) grantAll(page *Page, asks asksByBudget, now time.Time) map[granitehoist.Incarnation][]Reply {
 	replies := map[granitehoist.Incarnation][]Reply{}
 	for _, budget := range sorted(asks) {
-		for id, reply := range page.Grant(budget, asks[budget], k.settings.Split(budget), now) {
+		for id, reply := range page.grant(budget, asks[budget], k.settings.Split(budget), now) {
 			replies[id] = append(replies[id], reply)
 		}
 	}
--- a/partner/budget/page.go
+++ b/partner/budget/page.go
@@ -12,13 +12,13 @@
 
 // seenStep is how much older, in seconds, a member's Seen may be than its last
 // report. Without it each report would change the page. It equals reportInterval
-// and lies well below DoubtAfter. Chosen, not measured.
+// and lies well below doubtAfter. Chosen, not measured.
 const seenStep = 10
 
-// TakeReport takes the reports of a message into the page. It reports false if the
+// takeReport takes the reports of a message into the page. It reports false if the
 // message is of an incarnation that has closed or that the page can't know:
 // one that speaks of grants this page never made.
-func (p *Page) TakeReport(s SyncParams, now time.Time) bool {
+func (p *Page) takeReport(s SyncParams, now time.Time) bool {
 	if p.Members[s.Incarnation].Closed {
 		// The answer to the first closing message was lost.
 		return s.Closing
@@ -124,10 +124,10 @@
 	}
 }
 
-// Grant divides the stock of one budget among the asks about it and raises the
-// grants of their rows. TakeReport must have taken in the asks before. A grant is
+// grant divides the stock of one budget among the asks about it and raises the
+// grants of their rows. takeReport must have taken in the asks before. A grant is
 // given only once the page is written.
-func (p *Page) Grant(k granitehoist.BudgetID, asks map[granitehoist.Incarnation]Ask, split Split, now time.Time) map[granitehoist.Incarnation]Reply {
+func (p *Page) grant(k granitehoist.BudgetID, asks map[granitehoist.Incarnation]Ask, split Split, now time.Time) map[granitehoist.Incarnation]Reply {
 	a := p.account(k)
 	ids := sorted(asks)
 	claims := make([]*claim, len(ids))
@@ -194,7 +194,7 @@
 	total := a.Stock()
 	var rate float64
 	for _, id := range sorted(a.Rows) {
-		if now.Sub(time.Unix(p.Members[id].Seen, 0)) > DoubtAfter {
+		if now.Sub(time.Unix(p.Members[id].Seen, 0)) > doubtAfter {
 			continue
 		}
 		total += a.Rows[id].Totals.Held()
@@ -262,8 +262,8 @@
 	return false
 }
 
-// TakeReply takes the root's answer into the page.
-func (p *Page) TakeReply(r RegionReply, now time.Time) {
+// takeReply takes the root's answer into the page.
+func (p *Page) takeReply(r regionReply, now time.Time) {
 	a := p.account(r.Budget)
 	a.ReportedAt = now.Unix()
 	a.Confirmed = max(a.Confirmed, r.Returned)
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -105,8 +105,8 @@
 	return &Page{Format: recordFormat, Members: map[granitehoist.Incarnation]Member{}, Accounts: map[granitehoist.BudgetID]*PageAccount{}}
 }
 
-// NewRoot returns a root without accounts.
-func NewRoot() *Root {
+// newRoot returns a root without accounts.
+func newRoot() *Root {
 	return &Root{Format: recordFormat, Accounts: map[granitehoist.BudgetID]*RootAccount{}}
 }
 
@@ -136,7 +136,7 @@
 
 // DecodeRoot reads a stored root, as DecodePage does a page.
 func DecodeRoot(e granitehoist.Entry) (*Root, error) {
-	root := NewRoot()
+	root := newRoot()
 	if e.Version == 0 {
 		return root, nil
 	}
@@ -183,8 +183,8 @@
 // Shard numbers a group of budgets that share their records.
 type Shard int
 
-// ShardOf returns the shard of a budget. All routers must use the same count.
-func ShardOf(k granitehoist.BudgetID, count int) Shard {
+// shardOf returns the shard of a budget. All routers must use the same count.
+func shardOf(k granitehoist.BudgetID, count int) Shard {
 	return Shard(xxhash.Sum64String(string(k)) % uint64(count))
 }
 
@@ -230,13 +230,13 @@
 	return held
 }
 
-// DoubtAfter is how long an incarnation may be silent before what it holds counts
+// doubtAfter is how long an incarnation may be silent before what it holds counts
 // as in doubt: it is shown so, and left out when tokens are divided. Nobody else
 // gets those tokens. It is three times reportInterval. Chosen, not measured.
-const DoubtAfter = 30 * time.Second
+const doubtAfter = 30 * time.Second
 
 // InDoubt returns what is held by incarnations that have been silent for
-// DoubtAfter.
+// doubtAfter.
 func (p *Page) InDoubt(k granitehoist.BudgetID, now time.Time) granitehoist.Tokens {
 	a, ok := p.Accounts[k]
 	if !ok {
@@ -245,7 +245,7 @@
 	var doubt granitehoist.Tokens
 	for incarnation, row := range a.Rows {
 		seen := time.Unix(p.Members[incarnation].Seen, 0)
-		if now.Sub(seen) > DoubtAfter {
+		if now.Sub(seen) > doubtAfter {
 			doubt += row.Totals.Held()
 		}
 	}
--- a/partner/budget/refill.go
+++ b/partner/budget/refill.go
@@ -33,7 +33,7 @@
 			return err
 		}
 		for _, r := range replies {
-			page.TakeReply(r, now)
+			page.takeReply(r, now)
 		}
 		return nil
 	}
@@ -63,7 +63,7 @@
 }
 
 // askRoot reports to the root and returns its replies once they are written.
-func (k *Keeper) askRoot(ctx context.Context, s Shard, asks []RegionAsk, now time.Time) ([]RegionReply, error) {
+func (k *Keeper) askRoot(ctx context.Context, s Shard, asks []RegionAsk, now time.Time) ([]regionReply, error) {
 	entry, err := k.settings.Store.Get(ctx, RootKey(s))
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, err
 	}
-	replies := make([]RegionReply, 0, len(asks))
+	replies := make([]regionReply, 0, len(asks))
 	for _, ask := range asks {
 		if prepaid, at, ok := k.settings.Prepaid(ask.Budget); ok {
 			root.setPrepaid(ask.Budget, prepaid, at)
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -9,8 +9,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// RegionReply is the root's answer about one budget.
-type RegionReply struct {
+// regionReply is the root's answer about one budget.
+type regionReply struct {
 	Budget granitehoist.BudgetID
 	// Given is the total that the root has given to the region.
 	Given granitehoist.Tokens
@@ -54,7 +54,7 @@
 
 // Serve takes in a region's report and gives it what the budget allows. The
 // region gets it only once the root is written.
-func (r *Root) Serve(region granitehoist.Region, ask RegionAsk, split Split, now time.Time) RegionReply {
+func (r *Root) Serve(region granitehoist.Region, ask RegionAsk, split Split, now time.Time) regionReply {
 	a := r.account(ask.Budget)
 	row := a.Regions[region]
 	row.Back = max(row.Back, ask.Returned)
@@ -89,7 +89,7 @@
 	if a.Unallocated() < 0 {
 		limit = 0
 	}
-	return RegionReply{
+	return regionReply{
 		Budget:    ask.Budget,
 		Given:     row.Given,
 		Returned:  row.Back,
--- a/partner/budget/states.go
+++ b/partner/budget/states.go
@@ -72,7 +72,7 @@
 	overviews := make([]Overview, len(ids))
 	for i, k := range ids {
 		overviews[i] = s.overview(k)
-		if s.roots[ShardOf(k, s.shards)].Accounts[k] == nil {
+		if s.roots[shardOf(k, s.shards)].Accounts[k] == nil {
 			// A budget that no document has counts as zero.
 			tokens, _, _ := prepaid(k)
 			overviews[i].Prepaid, overviews[i].Unallocated = tokens, tokens
@@ -85,7 +85,7 @@
 // sums may be off by what moved meanwhile.
 func (s *States) overview(k granitehoist.BudgetID) Overview {
 	o := Overview{Budget: k, Stock: map[granitehoist.Region]granitehoist.Tokens{}, Held: map[granitehoist.Region]granitehoist.Tokens{}}
-	shard := ShardOf(k, s.shards)
+	shard := shardOf(k, s.shards)
 	root := s.roots[shard].Accounts[k]
 	if root != nil {
 		o.Prepaid, o.Unallocated = root.Prepaid, root.Unallocated()
--- a/partner/config/check.go
+++ b/partner/config/check.go
@@ -31,9 +31,9 @@
 	nameRemedy = "use 1 to 63 of a-z, 0-9, dot, dash and underscore, a letter or digit first"
 )
 
-// MaxTokens bounds the amounts that a document may name, so that the sum of
+// maxTokens bounds the amounts that a document may name, so that the sum of
 // thousands of them fits into 64 bits. Chosen, not measured.
-const MaxTokens granitehoist.Tokens = 1 << 50
+const maxTokens granitehoist.Tokens = 1 << 50
 
 // name adds a fault if a value is no name.
 func (c checker) name(table string, index int, key, value string) {
@@ -50,9 +50,9 @@
 	seen[value] = true
 }
 
-// tokens adds a fault if an amount is below least or above MaxTokens.
+// tokens adds a fault if an amount is below least or above maxTokens.
 func (c checker) tokens(table string, index int, key string, value, least granitehoist.Tokens) {
-	if value < least || value > MaxTokens {
-		c.add(table, index, key, fmt.Sprintf("%d is out of range", value), fmt.Sprintf("use %d to %d", least, MaxTokens))
+	if value < least || value > maxTokens {
+		c.add(table, index, key, fmt.Sprintf("%d is out of range", value), fmt.Sprintf("use %d to %d", least, maxTokens))
 	}
 }
--- a/partner/config/follower.go
+++ b/partner/config/follower.go
@@ -61,7 +61,7 @@
 	f.view.Store(NewView())
 	f.keys = follow.New(follow.Settings{
 		Store:    s.Store,
-		Prefix:   KeyPrefix,
+		Prefix:   keyPrefix,
 		Changed:  func(changed []granitehoist.Entry, _ granitehoist.Version) { f.take(changed) },
 		Failed:   s.Failed,
 		Pause:    s.Pause,
@@ -86,7 +86,7 @@
 			continue
 		}
 		signed, document, err := f.settings.Trust.Verify(e.Value)
-		if err == nil && StoreKey(signed.Partner) != e.Key {
+		if err == nil && storeKey(signed.Partner) != e.Key {
 			err = granitehoist.Errorf(granitehoist.NotAuthorised, "key %s holds a document of partner %q", e.Key, signed.Partner)
 		}
 		if err != nil {
@@ -110,7 +110,7 @@
 // ReadCurrent returns a partner's document from the store; its version is zero
 // if there is none.
 func ReadCurrent(ctx context.Context, s granitehoist.Store, p granitehoist.Partner) (Current, error) {
-	e, err := s.Get(ctx, StoreKey(p))
+	e, err := s.Get(ctx, storeKey(p))
 	if err != nil {
 		return Current{}, granitehoist.Wrap(granitehoist.StoreDown, err, "")
 	}
@@ -147,7 +147,7 @@
 	if signed.Previous != current.Signed.ChangeID || signed.Serial != current.Signed.Serial+1 {
 		return signed, conflict(current.Signed, signed)
 	}
-	_, err = s.CompareAndSwap(ctx, granitehoist.Change{Key: StoreKey(signed.Partner), Value: raw, Expect: current.Version})
+	_, err = s.CompareAndSwap(ctx, granitehoist.Change{Key: storeKey(signed.Partner), Value: raw, Expect: current.Version})
 	switch {
 	case err == nil:
 		return signed, nil
--- a/partner/config/signed.go
+++ b/partner/config/signed.go
@@ -10,11 +10,11 @@
 	"granitehoist.example/granitehoist"
 )
 
-// KeyPrefix begins the store's keys of documents. Each partner has one.
-const KeyPrefix = "config/"
+// keyPrefix begins the store's keys of documents. Each partner has one.
+const keyPrefix = "config/"
 
-// StoreKey returns the store's key of a partner's document.
-func StoreKey(p granitehoist.Partner) string { return KeyPrefix + string(p) }
+// storeKey returns the store's key of a partner's document.
+func storeKey(p granitehoist.Partner) string { return keyPrefix + string(p) }
 
 // Signed is a document as the store has it.
 type Signed struct {
@@ -30,7 +30,7 @@
 	// it is recognised even after another write followed.
 	ChangeID string `json:"change_id"`
 	Previous string `json:"previous,omitempty"`
-	// Signature is by the partner's key over SignedBytes.
+	// Signature is by the partner's key over signedBytes.
 	Signature []byte `json:"signature"`
 }
 
@@ -38,8 +38,8 @@
 // can pass for one over a document.
 const signatureDomain = "granitehoist document v1\n"
 
-// SignedBytes returns what the signature covers: all fields but the signature.
-func (s Signed) SignedBytes() []byte {
+// signedBytes returns what the signature covers: all fields but the signature.
+func (s Signed) signedBytes() []byte {
 	s.Signature = nil
 	raw, err := json.Marshal(s)
 	if err != nil {
@@ -50,7 +50,7 @@
 
 // Sign sets the signature. It panics if the key has a wrong length.
 func (s *Signed) Sign(key ed25519.PrivateKey) {
-	s.Signature = ed25519.Sign(key, s.SignedBytes())
+	s.Signature = ed25519.Sign(key, s.signedBytes())
 }
 
 // Trust holds the public keys of each partner.
@@ -66,7 +66,7 @@
 	if !t.signedBy(s) {
 		return s, nil, granitehoist.Errorf(granitehoist.NotAuthorised, "no trusted key of partner %q made the signature", s.Partner)
 	}
-	d, err := Parse(StoreKey(s.Partner), []byte(s.Text))
+	d, err := Parse(storeKey(s.Partner), []byte(s.Text))
 	if err != nil {
 		return s, nil, granitehoist.Errorf(granitehoist.DocumentBad, "%v", err)
 	}
@@ -78,7 +78,7 @@
 
 // signedBy reports whether a trusted key of the document's partner signed it.
 func (t Trust) signedBy(s Signed) bool {
-	message := s.SignedBytes()
+	message := s.signedBytes()
 	for _, key := range t[s.Partner] {
 		if ed25519.Verify(key, message, s.Signature) {
 			return true
--- a/partner/gate/options.go
+++ b/partner/gate/options.go
@@ -23,8 +23,8 @@
 	budget string
 }
 
-// MaxDeadline bounds the deadline that a caller may name; chosen, not measured.
-const MaxDeadline = 24 * time.Hour
+// maxDeadline bounds the deadline that a caller may name; chosen, not measured.
+const maxDeadline = 24 * time.Hour
 
 // parseOptions reads a request's headers. defaultTimeout is the time of a
 // request that names no deadline. Its errors are *Error with code BadHeader.
@@ -58,14 +58,14 @@
 	return nil
 }
 
-// parseDeadline takes milliseconds up to MaxDeadline.
+// parseDeadline takes milliseconds up to maxDeadline.
 func (o *options) parseDeadline(text string) error {
 	if text == "" {
 		return nil
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || n <= 0 || n > MaxDeadline.Milliseconds() {
-		return granitehoist.Errorf(granitehoist.BadHeader, "%s is a number of milliseconds from 1 to %d", HeaderDeadline, MaxDeadline.Milliseconds())
+	if err != nil || n <= 0 || n > maxDeadline.Milliseconds() {
+		return granitehoist.Errorf(granitehoist.BadHeader, "%s is a number of milliseconds from 1 to %d", HeaderDeadline, maxDeadline.Milliseconds())
 	}
 	o.timeout = time.Duration(n) * time.Millisecond
 	return nil
--- a/partner/policy/doc.go
+++ b/partner/policy/doc.go
@@ -6,7 +6,7 @@
 //
 // A policy has two programs over the same named, typed inputs: permit, a
 // boolean, and priority, an integer. The inputs are listed at Request. A
-// program that costs more than CostLimit steps, or that fails, denies.
+// program that costs more than costLimit steps, or that fails, denies.
 //
 // It runs in 'granitehoist router', where config.View asks the policies of the
 // documents in force, and in 'granitehoist check'. granitehoist-edge has no
--- a/partner/policy/policy.go
+++ b/partner/policy/policy.go
@@ -11,9 +11,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-// CostLimit bounds the cost of one program in CEL's own cost units, about one
+// costLimit bounds the cost of one program in CEL's own cost units, about one
 // for each operation; chosen, not measured.
-const CostLimit = 10_000
+const costLimit = 10_000
 
 // MaxProgramSize bounds the length of one program in bytes; chosen, not
 // measured.
@@ -97,7 +97,7 @@
 	if !ast.OutputType().IsExactType(want) {
 		return nil, fault("yields %v and must yield %v", ast.OutputType(), want)
 	}
-	compiled, err := environment.Program(ast, cel.CostLimit(CostLimit), cel.EvalOptions(cel.OptOptimize))
+	compiled, err := environment.Program(ast, cel.CostLimit(costLimit), cel.EvalOptions(cel.OptOptimize))
 	if err != nil {
 		return nil, fault("can't be prepared: %v", err)
 	}
--- a/partner/report/counts.go
+++ b/partner/report/counts.go
@@ -12,11 +12,11 @@
 // The service levels: the users ask that 95 in 100 answers keep to each, as
 // docs/DEVELOPERS.md quotes from their first letter.
 const (
-	// FirstTokenLevel bounds the time from a request's arrival to the first piece
+	// firstTokenLevel bounds the time from a request's arrival to the first piece
 	// of its answer.
-	FirstTokenLevel = 1100 * time.Millisecond
-	// BetweenLevel bounds the time between two pieces of a stream.
-	BetweenLevel = 61 * time.Millisecond
+	firstTokenLevel = 1100 * time.Millisecond
+	// betweenLevel bounds the time between two pieces of a stream.
+	betweenLevel = 61 * time.Millisecond
 	// slowAllowance is the part of the answers that may be slower: 5 in 100.
 	slowAllowance = 0.05
 )
@@ -54,7 +54,7 @@
 // CountFirst enters an answer whose first token took a time.
 func (c *Counts) CountFirst(took time.Duration) {
 	c.First++
-	if took > FirstTokenLevel {
+	if took > firstTokenLevel {
 		c.SlowFirst++
 	}
 }
@@ -62,7 +62,7 @@
 // CountBetween enters a gap between two tokens.
 func (c *Counts) CountBetween(gap time.Duration) {
 	c.Between++
-	if gap > BetweenLevel {
+	if gap > betweenLevel {
 		c.SlowBetween++
 	}
 }
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -38,19 +38,19 @@
 // Settings configure a Table. The zero value works.
 type Settings struct {
 	// QueueLimit bounds the requests of a service that wait; zero stands for
-	// DefaultQueueLimit.
+	// defaultQueueLimit.
 	QueueLimit int
 	// Seed chooses among equals.
 	Seed uint64
 }
 
-// DefaultQueueLimit is in requests of one service at one router; chosen, not
+// defaultQueueLimit is in requests of one service at one router; chosen, not
 // measured.
-const DefaultQueueLimit = 1000
+const defaultQueueLimit = 1000
 
 // NewTable returns an empty table.
 func NewTable(s Settings) *Table {
-	defaults.Set(&s.QueueLimit, DefaultQueueLimit)
+	defaults.Set(&s.QueueLimit, defaultQueueLimit)
 	return &Table{
 		settings: s,
 		random:   rand.New(rand.NewPCG(s.Seed, 0)),
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -125,14 +125,14 @@
 	DefaultReadTimeout = Duration(10 * time.Second)
 	// DefaultRequest is chosen, not measured.
 	DefaultRequest = Duration(5 * time.Minute)
-	// DefaultDrain is twice DefaultRequest, so that a stop waits for every request
+	// defaultDrain is twice DefaultRequest, so that a stop waits for every request
 	// that names no deadline. Chosen, not measured.
-	DefaultDrain = Duration(10 * time.Minute)
-	// DefaultUnready is meant to be more than a balancer takes to see that a
+	defaultDrain = Duration(10 * time.Minute)
+	// defaultUnready is meant to be more than a balancer takes to see that a
 	// router is not ready. Chosen, not measured.
-	DefaultUnready = Duration(3 * time.Second)
-	// DefaultLevel leaves out what only debugging needs.
-	DefaultLevel = "info"
+	defaultUnready = Duration(3 * time.Second)
+	// defaultLevel leaves out what only debugging needs.
+	defaultLevel = "info"
 )
 
 // Load reads a settings file and the files of keys that it names. It returns
@@ -190,11 +190,11 @@
 	defaults.Set(&r.Limits.HeaderBytes, DefaultHeaderBytes)
 	defaults.Set(&r.Limits.ReadTimeout, DefaultReadTimeout)
 	defaults.Set(&r.Limits.Request, DefaultRequest)
-	defaults.Set(&r.Limits.Drain, DefaultDrain)
-	defaults.Set(&r.Limits.Unready, DefaultUnready)
+	defaults.Set(&r.Limits.Drain, defaultDrain)
+	defaults.Set(&r.Limits.Unready, defaultUnready)
 	defaults.Set(&r.Budget.Shards, budget.DefaultShards)
 	defaults.Set(&r.Budget.Interval, Duration(budget.DefaultInterval))
-	defaults.Set(&r.Log.Level, DefaultLevel)
+	defaults.Set(&r.Log.Level, defaultLevel)
 }
 
 // TrustedKeys returns the public keys of each partner, or an error that names
--- a/partner/upstream/engineattempts.go
+++ b/partner/upstream/engineattempts.go
@@ -53,8 +53,8 @@
 	Attempts []AttemptRecord `json:"attempts"`
 }
 
-// AttemptQuery is the query of PathAttempts. Prefix begins the ids asked for.
-type AttemptQuery struct {
+// attemptQuery is the query of PathAttempts. Prefix begins the ids asked for.
+type attemptQuery struct {
 	Prefix string `url:"prefix"`
 }
 
@@ -63,7 +63,7 @@
 func (e *Engine) List(ctx context.Context, address, prefix string) ([]granitehoist.KnownAttempt, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	request, err := sling.New().Base(address).Get(PathAttempts).QueryStruct(AttemptQuery{Prefix: prefix}).Request()
+	request, err := sling.New().Base(address).Get(PathAttempts).QueryStruct(attemptQuery{Prefix: prefix}).Request()
 	if err != nil {
 		return nil, eris.Wrap(err, "upstream: request can't be made")
 	}
