--- a/partner/gate/completion.go
+++ b/partner/gate/completion.go
@@ -159,3 +159,9 @@
 	}
 	return json.Marshal(fields)
 }
+
+// enginePriority returns the priority that an engine is sent. Engines serve a
+// smaller number first, callers and policies count the other way.
+func enginePriority(p granitehoist.Priority) granitehoist.Priority {
+	return granitehoist.MaxPriority - p
+}
--- a/partner/gate/doc.go
+++ b/partner/gate/doc.go
@@ -27,8 +27,8 @@
 // Begin with run.go, which takes a request from policy to charge, and read.go
 // before it. The rules are functions without calls or locks: availability.go
 // (are requests taken), refusals.go (Retry-After), bound.go (what a request can
-// cost), retryrule.go (may another attempt follow), result.go (which result
-// stands after several), charge.go (what is paid), priority.go.
+// cost), retry.go (may another attempt follow), result.go (which result
+// stands after several), charge.go (what is paid).
 //
 // Package forward has the same duty in granitehoist-edge. There the keys and the
 // upstreams are the platform's, no policy is asked and no bill is written, and the
--- a/partner/gate/retry.go
+++ b/partner/gate/retry.go
@@ -3,7 +3,62 @@
 
 package gate
 
-import "granitehoist.example/granitehoist/internal/retrybudget"
+import (
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/retrybudget"
+)
+
+// maxAttempts bounds the attempts of one request, the first included; chosen,
+// not measured.
+const maxAttempts = 3
+
+// attemptState is what decides whether another attempt may follow one that
+// failed.
+type attemptState struct {
+	// made is the number of attempts so far.
+	made int
+	// code is the result of all attempts so far, as overallError returns it.
+	code granitehoist.Code
+	// repeatable says that the request may run twice.
+	repeatable bool
+	// answerStarted says that the caller has a part of an answer.
+	answerStarted bool
+	// ended says that the deadline has passed or the caller has left.
+	ended bool
+}
+
+// retryVerdict says whether another attempt may follow, and if not, why.
+type retryVerdict int
+
+const (
+	retryAllowed retryVerdict = iota
+	stopTooMany
+	stopAnswerStarted
+	stopEnded
+	stopCallersFault
+	stopMayHaveRun
+)
+
+// decideRetry decides whether a request may be sent to another upstream. It may
+// as long as the caller waits, has no part of an answer and is not at fault;
+// after an attempt that may have run, only if the request may run twice.
+// The router's budget of retries and the reservation of a further attempt are
+// asked only after this rule, since asking takes from them.
+func decideRetry(s attemptState) retryVerdict {
+	switch {
+	case s.made >= maxAttempts:
+		return stopTooMany
+	case s.answerStarted:
+		return stopAnswerStarted
+	case s.ended:
+		return stopEnded
+	case s.code == granitehoist.BadRequest:
+		return stopCallersFault
+	case s.code.Info().Fate != granitehoist.NotRun && !s.repeatable:
+		return stopMayHaveRun
+	}
+	return retryAllowed
+}
 
 const (
 	// retriesPerRequest bounds retries to a tenth of the requests of all
