--- a/measure/loads.go
+++ b/measure/loads.go
@@ -55,7 +55,7 @@
 	// the setting budget.gather, "10s".
 	pageInterval = 10.0
 	// rootContact is the time after which a region reports to a root:
-	// rootInterval in partner/budget/keeper.go.
+	// rootInterval in partner/budget/refill.go.
 	rootContact = 20.0
 	// chargesHeld is the time that charges are kept while no segment can be
 	// written: the half an hour of bill.DefaultMaxPending.
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -45,7 +45,7 @@
 	// waitingInterval is that time while requests wait: a twentieth of
 	// DefaultWait, so that a waiting request is asked for several times. Chosen,
 	// not measured.
-	waitingInterval = 100 * time.Millisecond
+	waitingInterval = DefaultWait / 20
 )
 
 // Agent keeps a Purse filled: it sends its messages to the keepers of the
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -20,7 +20,7 @@
 // leastCover is how long a box's own demand is kept from other boxes that want to
 // borrow: three DefaultIntervals, since the lender goes on while a loan is under
 // way. Chosen, not measured.
-const leastCover = 3 * time.Second
+const leastCover = 3 * DefaultInterval
 
 // Lend gives part of what is free to another box and returns the total ever
 // lent to it. A doubled message lends nothing more.
--- a/partner/budget/page.go
+++ b/partner/budget/page.go
@@ -11,9 +11,9 @@
 )
 
 // seenStep is how much older, in seconds, a member's Seen may be than its last
-// report. Without it each report would change the page. It equals reportInterval
-// and lies well below doubtAfter. Chosen, not measured.
-const seenStep = 10
+// report. Without it each report would change the page. It is reportInterval, a
+// third of doubtAfter.
+const seenStep = int64(reportInterval / time.Second)
 
 // takeReport takes the reports of a message into the page. It reports false if the
 // message is of an incarnation that has closed or that the page can't know:
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -233,7 +233,7 @@
 // doubtAfter is how long an incarnation may be silent before what it holds counts
 // as in doubt: it is shown so, and left out when tokens are divided. Nobody else
 // gets those tokens. It is three times reportInterval. Chosen, not measured.
-const doubtAfter = 30 * time.Second
+const doubtAfter = 3 * reportInterval
 
 // InDoubt returns what is held by incarnations that have been silent for
 // doubtAfter.
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -50,7 +50,7 @@
 // regionSilentAfter is how long a region may be silent before its forecast is
 // left out when tokens are divided. It is 30 times rootInterval, so that a region
 // that is cut off for a while keeps its part. Chosen, not measured.
-const regionSilentAfter = 10 * time.Minute
+const regionSilentAfter = 30 * rootInterval
 
 // Serve takes in a region's report and gives it what the budget allows. The
 // region gets it only once the root is written.
--- a/partner/gate/settings.go
+++ b/partner/gate/settings.go
@@ -18,6 +18,7 @@
 	"granitehoist.example/granitehoist/partner/once"
 	"granitehoist.example/granitehoist/partner/report"
 	"granitehoist.example/granitehoist/partner/route"
+	"granitehoist.example/granitehoist/partner/settings"
 )
 
 // Funds pays for requests; budget.Agent implements it.
@@ -59,33 +60,22 @@
 	Limits Limits
 }
 
-// Limits bound what one request may use. Zero fields take the defaults.
+// Limits bound what one request may use. Zero fields take the defaults of package
+// settings.
 type Limits struct {
-	// BodyBytes bounds a request's body; zero stands for 4 MiB.
+	// BodyBytes bounds a request's body; zero stands for settings.DefaultBodyBytes.
 	BodyBytes int64
-	// HeaderBytes bounds a request's line and headers; zero stands for 32 KiB.
+	// HeaderBytes bounds a request's line and headers; zero stands for
+	// settings.DefaultHeaderBytes.
 	HeaderBytes int
 	// ReadTimeout bounds the time from the end of the headers to the end of the
-	// body; zero stands for 10 seconds.
+	// body; zero stands for settings.DefaultReadTimeout.
 	ReadTimeout time.Duration
 	// RequestTimeout bounds a request whose caller names no deadline; zero
-	// stands for 5 minutes.
+	// stands for settings.DefaultRequest.
 	RequestTimeout time.Duration
 }
 
-// Defaults of Limits. They equal those of package settings, which fills them
-// in for a router that is started from a file.
-const (
-	// defaultBodyBytes is in bytes; chosen, not measured.
-	defaultBodyBytes = 4 << 20
-	// defaultHeaderBytes is in bytes; chosen, not measured.
-	defaultHeaderBytes = 32 << 10
-	// defaultReadTimeout is chosen, not measured.
-	defaultReadTimeout = 10 * time.Second
-	// defaultRequestTimeout is chosen, not measured.
-	defaultRequestTimeout = 5 * time.Minute
-)
-
 // complete reports whether all required settings are there.
 func (s *Settings) complete() bool {
 	identified := s.Incarnation != ""
@@ -95,8 +85,8 @@
 }
 
 func (l *Limits) setDefaults() {
-	defaults.Set(&l.BodyBytes, defaultBodyBytes)
-	defaults.Set(&l.HeaderBytes, defaultHeaderBytes)
-	defaults.Set(&l.ReadTimeout, defaultReadTimeout)
-	defaults.Set(&l.RequestTimeout, defaultRequestTimeout)
+	defaults.Set(&l.BodyBytes, settings.DefaultBodyBytes)
+	defaults.Set(&l.HeaderBytes, settings.DefaultHeaderBytes)
+	defaults.Set(&l.ReadTimeout, time.Duration(settings.DefaultReadTimeout))
+	defaults.Set(&l.RequestTimeout, time.Duration(settings.DefaultRequest))
 }
--- a/partner/report/recorder.go
+++ b/partner/report/recorder.go
@@ -16,7 +16,7 @@
 	// buckets.
 	bucketLength = 5 * time.Minute
 	// bucketCount covers the longest of Windows, a day.
-	bucketCount = 288
+	bucketCount = int64(24 * time.Hour / bucketLength)
 	// bucketSeconds is bucketLength in seconds of Unix time.
 	bucketSeconds = int64(bucketLength / time.Second)
 	// maxRecordedKeys bounds a recorder's memory; chosen, not measured. A key takes
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -127,7 +127,7 @@
 	DefaultRequest = Duration(5 * time.Minute)
 	// defaultDrain is twice DefaultRequest, so that a stop waits for every request
 	// that names no deadline. Chosen, not measured.
-	defaultDrain = Duration(10 * time.Minute)
+	defaultDrain = 2 * DefaultRequest
 	// defaultUnready is meant to be more than a balancer takes to see that a
 	// router is not ready. Chosen, not measured.
 	defaultUnready = Duration(3 * time.Second)
