--- a/partner/budget/refill.go
+++ b/partner/budget/refill.go
@@ -77,7 +77,7 @@
 		if prepaid, at, ok := k.settings.Prepaid(ask.Budget); ok {
 			root.setPrepaid(ask.Budget, prepaid, at)
 		}
-		replies = append(replies, root.Serve(k.settings.Region, ask, k.settings.Split(ask.Budget), now))
+		replies = append(replies, root.serve(k.settings.Region, ask, k.settings.Split(ask.Budget), now))
 	}
 	return replies, k.write(ctx, entry, root)
 }
