--- a/partner/budget/purse.go
+++ b/partner/budget/purse.go
@@ -131,29 +131,6 @@
 	}
 }
 
-// State is what a purse has of one budget.
-type State struct {
-	Totals   Totals
-	Reserved granitehoist.Tokens
-	Free     granitehoist.Tokens
-	// Waiting is the number of requests that wait for tokens.
-	Waiting int
-	// Rate is the forecast in tokens a second.
-	Rate float64
-}
-
-// State returns the state of one budget, the zero State if the box has none of
-// it.
-func (p *Purse) State(k granitehoist.BudgetID, now time.Time) State {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a, ok := p.accounts[k]
-	if !ok {
-		return State{}
-	}
-	return State{Totals: a.totals, Reserved: a.reserved, Free: a.free(), Waiting: len(a.demand.waiters), Rate: a.demand.spending.rate(now)}
-}
-
 // mustNotBeNegative panics on an amount that only a fault of the program brings.
 func mustNotBeNegative(t granitehoist.Tokens) {
 	if t < 0 {
--- a/partner/router/burn.go
+++ b/partner/router/burn.go
@@ -15,14 +15,12 @@
 
 const methodBurn = "report.burn"
 
-type burnParams struct{}
-
 type burnResult struct {
 	Rows []report.Row `json:"rows"`
 }
 
 // serveBurnRows answers another router with the burn at this one.
-func (r *Router) serveBurnRows(context.Context, burnParams) (burnResult, error) {
+func (r *Router) serveBurnRows(context.Context, struct{}) (burnResult, error) {
 	return burnResult{Rows: r.parts.burn.Rows(r.settings.Clock())}, nil
 }
 
@@ -60,6 +58,6 @@
 		return memberBurn{r.parts.burn.Rows(r.settings.Clock()), true}
 	}
 	var result burnResult
-	err := r.parts.client.Call(ctx, m.Peer(), methodBurn, burnParams{}, &result)
+	err := r.parts.client.Call(ctx, m.Peer(), methodBurn, struct{}{}, &result)
 	return memberBurn{result.Rows, err == nil}
 }
--- a/partner/router/documents.go
+++ b/partner/router/documents.go
@@ -62,14 +62,12 @@
 
 const methodSerials = "config.serials"
 
-type serialsParams struct{}
-
 type serialsResult struct {
 	Serials map[granitehoist.Partner]granitehoist.Serial `json:"serials"`
 }
 
 // serveSerials answers another router with the serials in force at this one.
-func (r *Router) serveSerials(context.Context, serialsParams) (serialsResult, error) {
+func (r *Router) serveSerials(context.Context, struct{}) (serialsResult, error) {
 	return serialsResult{Serials: r.View().Serials()}, nil
 }
 
@@ -130,7 +128,7 @@
 		return r.View().Serial(p)
 	}
 	var result serialsResult
-	if err := r.parts.client.Call(ctx, m.Peer(), methodSerials, serialsParams{}, &result); err != nil {
+	if err := r.parts.client.Call(ctx, m.Peer(), methodSerials, struct{}{}, &result); err != nil {
 		return 0
 	}
 	return result.Serials[p]
--- a/partner/router/servers.go
+++ b/partner/router/servers.go
@@ -61,13 +61,6 @@
 	s.admin = httpserver.New(httpserver.Settings{Handler: admin, HeaderTimeout: readTimeout}, s.adminListener)
 }
 
-// closeInternal ends what operators and other routers use. The callers' server
-// was closed before it.
-func (s *servers) closeInternal() {
-	s.admin.Close()
-	s.peers.Close()
-}
-
 // discard closes listeners that took no connection.
 func discard(listeners ...net.Listener) {
 	for _, l := range listeners {
@@ -82,14 +75,6 @@
 	}
 }
 
-func (r *Router) serveCallers() {
-	r.serve("callers", r.servers.callers)
-}
-
-func (r *Router) serveAdmin() {
-	r.serve("admin", r.servers.admin)
-}
-
 func (r *Router) serve(event string, server *httpserver.Server) {
 	if err := server.Serve(); err != nil {
 		r.logFailure(event, err)
--- a/partner/router/start.go
+++ b/partner/router/start.go
@@ -22,8 +22,8 @@
 	r.loops.Go(func() { r.parts.sender.Run(ctx) })
 	r.loops.Go(func() { r.settleOrphans(ctx) })
 	r.loops.Go(func() { r.watchLeaving(ctx) })
-	r.loops.Go(r.serveCallers)
-	r.loops.Go(r.serveAdmin)
+	r.loops.Go(func() { r.serve("callers", r.servers.callers) })
+	r.loops.Go(func() { r.serve("admin", r.servers.admin) })
 	r.settings.Log.Info("started",
 		zap.String("incarnation", string(r.self.Incarnation)),
 		zap.String("callers", r.CallersAddress()),
--- a/partner/router/stop.go
+++ b/partner/router/stop.go
@@ -24,9 +24,11 @@
 	r.parts.gate.Unready()
 	r.store.members.Leave()
 	undone.add("leave", r.store.members.Refresh(ctx))
-	r.waitUnready(ctx)
+	// Balancers need time to see that the router is not ready.
+	pause.For(ctx, time.Duration(r.settings.Router.Limits.Unready))
 	r.parts.gate.Drain()
-	undone.add("requests", r.finishRequests(ctx))
+	// If ctx ends first the requests in progress are cut.
+	undone.add("requests", r.servers.callers.Shutdown(ctx))
 	r.parts.gate.Wait()
 	if r.cancel != nil {
 		r.cancel()
@@ -53,17 +55,6 @@
 	s.errs = append(s.errs, err)
 }
 
-// waitUnready gives balancers time to see that the router is not ready.
-func (r *Router) waitUnready(ctx context.Context) {
-	pause.For(ctx, time.Duration(r.settings.Router.Limits.Unready))
-}
-
-// finishRequests waits for the requests in progress. If ctx ends first the
-// remaining ones are cut.
-func (r *Router) finishRequests(ctx context.Context) error {
-	return r.servers.callers.Shutdown(ctx)
-}
-
 // Kill ends the router at once, as a crash would: nothing is given back and no
 // charge is sent. It may be called after Stop, and then does nothing.
 func (r *Router) Kill() {
@@ -77,7 +68,8 @@
 // close ends the other servers and waits for the loops. The callers' server is
 // closed by then.
 func (r *Router) close() {
-	r.servers.closeInternal()
+	r.servers.admin.Close()
+	r.servers.peers.Close()
 	r.parts.client.Close()
 	r.loops.Wait()
 }
