--- a/cmd/granitehoist/main.go
+++ b/cmd/granitehoist/main.go
@@ -14,6 +14,11 @@
 	"syscall"
 
 	"github.com/alecthomas/kingpin/v2"
+	"github.com/rotisserie/eris"
+	"go.uber.org/zap"
+	"go.uber.org/zap/zapcore"
+
+	"granitehoist.example/granitehoist/internal/logsink"
 )
 
 // version is set by the release build.
@@ -85,3 +90,13 @@
 		return nil
 	}}
 }
+
+// newLog returns a log that writes one line of key=value pairs an event to
+// standard error.
+func newLog(level string) (*zap.Logger, error) {
+	var least zapcore.Level
+	if err := least.UnmarshalText([]byte(level)); err != nil {
+		return nil, eris.Wrap(err, "log level")
+	}
+	return logsink.NewLogger(zapcore.Lock(os.Stderr), least), nil
+}
