--- a/partner/router/doc.go
+++ b/partner/router/doc.go
@@ -16,7 +16,7 @@
 // and granitehoist.Platform, and on the partner packages that build.go connects.
 //
 // Begin with New and Start, then build.go for what is connected to what, and
-// stop.go for the order of a planned stop. Rules: evidence.mayServe (which
+// stop.go for the order of a planned stop. Rules: servingEvidence.mayServe (which
 // routers may still serve), newDocumentState (is a document accepted) and
 // leavingUpstreams.
 //
