--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -54,9 +54,10 @@
 // other boxes while the store does not answer. It is safe for concurrent use.
 type Agent struct {
 	settings AgentSettings
-	kick     chan struct{}
-	// running is held during a Step and a Close, so that Close begins after the
-	// last Step. It guards unanswered.
+	// wakeups holds a value if kick was called since the last step began.
+	wakeups chan struct{}
+	// running is held during a step and a Close, so that Close begins after the
+	// last step. It guards unanswered.
 	running sync.Mutex
 	// unanswered are loans whose answers were lost.
 	unanswered []unansweredLoan
@@ -72,13 +73,13 @@
 	if s.Failed == nil {
 		s.Failed = func(error) {}
 	}
-	return &Agent{settings: s, kick: make(chan struct{}, 1)}
+	return &Agent{settings: s, wakeups: make(chan struct{}, 1)}
 }
 
-// Kick makes Run send the next messages at once.
-func (a *Agent) Kick() {
+// kick makes Run send the next messages at once.
+func (a *Agent) kick() {
 	select {
-	case a.kick <- struct{}{}:
+	case a.wakeups <- struct{}{}:
 	default:
 	}
 }
@@ -92,9 +93,9 @@
 		case <-ctx.Done():
 			return
 		case <-timer.C:
-		case <-a.kick:
+		case <-a.wakeups:
 		}
-		a.Step(ctx)
+		a.step(ctx)
 		timer.Reset(a.pause())
 	}
 }
@@ -107,8 +108,8 @@
 	return a.settings.Interval
 }
 
-// Step sends one round of messages and takes in the replies.
-func (a *Agent) Step(ctx context.Context) {
+// step sends one round of messages and takes in the replies.
+func (a *Agent) step(ctx context.Context) {
 	a.running.Lock()
 	defer a.running.Unlock()
 	a.retryUnanswered(ctx)
@@ -202,7 +203,7 @@
 )
 
 // Close returns all tokens to the pages. It must be called when no reservation
-// is left, and Step must not be called after it. An error means that some tokens
+// is left and the context of Run has ended. An error means that some tokens
 // are still recorded as held by this router; they stay in doubt.
 func (a *Agent) Close(ctx context.Context) error {
 	a.running.Lock()
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -87,8 +87,8 @@
 	a.wake()
 }
 
-// Lenders returns the boxes that the Keeper last named for a budget.
-func (p *Purse) Lenders(k granitehoist.BudgetID) []granitehoist.Incarnation {
+// lenders returns the boxes that the Keeper last named for a budget.
+func (p *Purse) lenders(k granitehoist.BudgetID) []granitehoist.Incarnation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a, ok := p.accounts[k]; ok {
@@ -106,8 +106,8 @@
 // borrow asks the boxes that the keepers named, or all of the region if no
 // keeper could be reached, for what requests still wait for.
 func (a *Agent) borrow(ctx context.Context, unreachable bool) {
-	for _, k := range a.settings.Purse.Waiting() {
-		named := a.settings.Purse.Lenders(k)
+	for _, k := range a.settings.Purse.budgetsAwaited() {
+		named := a.settings.Purse.lenders(k)
 		for _, peer := range a.settings.Peers() {
 			if !unreachable && !slices.Contains(named, peer.Incarnation) {
 				continue
--- a/partner/budget/purse.go
+++ b/partner/budget/purse.go
@@ -105,8 +105,8 @@
 	return false
 }
 
-// Waiting returns the budgets for which requests wait.
-func (p *Purse) Waiting() []granitehoist.BudgetID {
+// budgetsAwaited returns the budgets for which requests wait.
+func (p *Purse) budgetsAwaited() []granitehoist.BudgetID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var short []granitehoist.BudgetID
--- a/partner/budget/reserve.go
+++ b/partner/budget/reserve.go
@@ -20,7 +20,7 @@
 		return nil
 	}
 	waiter := purse.Wait(k, bound, a.settings.Clock())
-	a.Kick()
+	a.kick()
 	timer := time.NewTimer(purse.split(k).Wait)
 	defer timer.Stop()
 	select {
@@ -30,7 +30,7 @@
 	}
 	outcome := purse.EndWait(k, waiter, a.settings.Clock())
 	if purse.Busy() {
-		a.Kick()
+		a.kick()
 	}
 	return outcomeError(ctx, outcome, k)
 }
@@ -59,6 +59,6 @@
 // give back that others may wait for, it sends them at once.
 func (a *Agent) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens) {
 	if a.settings.Purse.Settle(k, bound, used, a.settings.Clock()) {
-		a.Kick()
+		a.kick()
 	}
 }
--- a/partner/config/follower.go
+++ b/partner/config/follower.go
@@ -84,7 +84,7 @@
 		if e.Deleted {
 			continue
 		}
-		signed, document, err := f.settings.Trust.Verify(e.Value)
+		signed, document, err := f.settings.Trust.verify(e.Value)
 		if err == nil && storeKey(signed.Partner) != e.Key {
 			err = granitehoist.Errorf(granitehoist.NotAuthorised, "key %s holds a document of partner %q", e.Key, signed.Partner)
 		}
@@ -132,7 +132,7 @@
 // document came between, StoreDown if nothing was written, and
 // DocumentUnsettled if it is not known whether it was.
 func Apply(ctx context.Context, s granitehoist.Store, t Trust, raw []byte) (Signed, error) {
-	signed, _, err := t.Verify(raw)
+	signed, _, err := t.verify(raw)
 	if err != nil {
 		return signed, err
 	}
--- a/partner/config/signed.go
+++ b/partner/config/signed.go
@@ -56,9 +56,9 @@
 // Trust holds the public keys of each partner.
 type Trust map[granitehoist.Partner][]ed25519.PublicKey
 
-// Verify checks a stored document's signature and reads it. It returns an
+// verify checks a stored document's signature and reads it. It returns an
 // error with code NotAuthorised or DocumentBad.
-func (t Trust) Verify(raw []byte) (Signed, *Document, error) {
+func (t Trust) verify(raw []byte) (Signed, *Document, error) {
 	var s Signed
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return s, nil, granitehoist.Wrap(granitehoist.DocumentBad, err, "the stored record can't be read")
