--- a/measure/subjects.go
+++ b/measure/subjects.go
@@ -164,7 +164,7 @@
 func capacityLedger(n int) *bill.Ledger {
 	l := bill.NewLedger(bill.LedgerSettings{Incarnation: "box", MaxPending: n})
 	for i := range n {
-		l.Open()
+		l.ReserveRoom()
 		l.Charge(capacityCharge(i), capacityStart)
 	}
 	return l
--- a/partner/bill/bill_test.go
+++ b/partner/bill/bill_test.go
@@ -51,7 +51,7 @@
 
 func charge(l *bill.Ledger, request string, tokens granitehoist.Tokens) {
 	GinkgoHelper()
-	Expect(l.Open()).To(BeTrue())
+	Expect(l.ReserveRoom()).To(BeTrue())
 	l.Charge(bill.Charge{Request: granitehoist.RequestID(request), Budget: "tuul/kiosk/season", Owner: "lima", Tokens: tokens}, now)
 }
 
@@ -62,15 +62,15 @@
 var _ = Describe("Ledger", func() {
 	It("opens no more than it can hold", func() {
 		l := bill.NewLedger(bill.LedgerSettings{Incarnation: "b", MaxPending: 2})
-		Expect(l.Open()).To(BeTrue())
-		Expect(l.Open()).To(BeTrue())
-		Expect(l.Open()).To(BeFalse())
-		l.Drop()
-		Expect(l.Open()).To(BeTrue())
+		Expect(l.ReserveRoom()).To(BeTrue())
+		Expect(l.ReserveRoom()).To(BeTrue())
+		Expect(l.ReserveRoom()).To(BeFalse())
+		l.ReleaseRoom()
+		Expect(l.ReserveRoom()).To(BeTrue())
 		l.Charge(bill.Charge{}, now)
-		Expect(l.Open()).To(BeFalse(), "an unconfirmed charge keeps its room")
+		Expect(l.ReserveRoom()).To(BeFalse(), "an unconfirmed charge keeps its room")
 		l.Confirm(l.Next(1))
-		Expect(l.Open()).To(BeTrue())
+		Expect(l.ReserveRoom()).To(BeTrue())
 	})
 
 	It("confirms a batch once, and only that", func() {
--- a/partner/bill/ledger.go
+++ b/partner/bill/ledger.go
@@ -48,10 +48,10 @@
 	return &Ledger{settings: s}
 }
 
-// Open makes room for the charge of one request. It returns false if
+// ReserveRoom makes room for the charge of one request. It returns false if
 // unconfirmed charges have reached the limit; the request must not run then. One
-// Charge or Drop must follow each successful Open.
-func (l *Ledger) Open() bool {
+// Charge or ReleaseRoom must follow each successful ReserveRoom.
+func (l *Ledger) ReserveRoom() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.open+len(l.pending) >= l.settings.MaxPending {
@@ -61,8 +61,8 @@
 	return true
 }
 
-// Drop gives up the room of a request that costs nothing.
-func (l *Ledger) Drop() {
+// ReleaseRoom gives up the room of a request that costs nothing.
+func (l *Ledger) ReleaseRoom() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.open--
--- a/partner/config/view.go
+++ b/partner/config/view.go
@@ -191,9 +191,9 @@
 	return ids
 }
 
-// OfferOf returns the service of a name: the caller's own partner's, or, if it
+// OfferOfService returns the service of a name: the caller's own partner's, or, if it
 // has none, the first by partner name that another partner has.
-func (v *View) OfferOf(caller granitehoist.Partner, s granitehoist.Service) (*Offer, bool) {
+func (v *View) OfferOfService(caller granitehoist.Partner, s granitehoist.Service) (*Offer, bool) {
 	for _, p := range v.partnersFrom(caller) {
 		if offer, ok := p.offers[s]; ok {
 			return offer, true
@@ -202,9 +202,9 @@
 	return nil, false
 }
 
-// OfferFor returns the engine service that offers a model, with the same
-// preference as OfferOf.
-func (v *View) OfferFor(caller granitehoist.Partner, m granitehoist.Model) (*Offer, bool) {
+// OfferOfModel returns the engine service that offers a model, with the same
+// preference as OfferOfService.
+func (v *View) OfferOfModel(caller granitehoist.Partner, m granitehoist.Model) (*Offer, bool) {
 	for _, p := range v.partnersFrom(caller) {
 		if offer, ok := p.models[m]; ok {
 			return offer, true
--- a/partner/gate/read.go
+++ b/partner/gate/read.go
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	offer, ok := g.settings.View().OfferFor(req.asked.identity.Partner, c.model)
+	offer, ok := g.settings.View().OfferOfModel(req.asked.identity.Partner, c.model)
 	if !ok {
 		return granitehoist.Errorf(granitehoist.UnknownModel, "model %q", c.model)
 	}
@@ -119,7 +119,7 @@
 // readPlain reads a request to a plain service.
 func (g *Gate) readPlain(w http.ResponseWriter, r *http.Request, req *request) error {
 	name := granitehoist.Service(r.PathValue("service"))
-	offer, ok := g.settings.View().OfferOf(req.asked.identity.Partner, name)
+	offer, ok := g.settings.View().OfferOfService(req.asked.identity.Partner, name)
 	if !ok || offer.Kind != config.KindPlain {
 		return granitehoist.Errorf(granitehoist.UnknownService, "service %q", name)
 	}
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -57,12 +57,12 @@
 	if req.decided.call.Body, err = req.asked.writeBody(priority); err != nil {
 		return granitehoist.Wrap(granitehoist.BadRequest, err, "")
 	}
-	if !g.settings.Ledger.Open() {
+	if !g.settings.Ledger.ReserveRoom() {
 		return granitehoist.Errorf(granitehoist.BillsFull, "")
 	}
 	s := &spend{gate: g, request: req}
 	if err := s.reserve(ctx); err != nil {
-		g.settings.Ledger.Drop()
+		g.settings.Ledger.ReleaseRoom()
 		return err
 	}
 	err = g.execute(ctx, req, s)
@@ -92,7 +92,7 @@
 func (g *Gate) execute(ctx context.Context, req *request, s *spend) error {
 	want := route.Want{
 		Service:  req.asked.offer.Name,
-		Targets:  g.targets.targets(g.settings.View(), req.asked.offer),
+		Targets:  g.targets.ofOffer(g.settings.View(), req.asked.offer),
 		Affinity: req.decided.affinity,
 		Priority: req.decided.priority,
 		Tried:    map[granitehoist.Upstream]bool{},
@@ -158,7 +158,7 @@
 		return u, nil
 	}
 	service := req.asked.offer.Name
-	if offer, ok := g.settings.View().OfferOf(req.asked.identity.Partner, service); ok {
+	if offer, ok := g.settings.View().OfferOfService(req.asked.identity.Partner, service); ok {
 		if u, ok := offer.Upstream(name); ok {
 			return u, nil
 		}
--- a/partner/gate/spend.go
+++ b/partner/gate/spend.go
@@ -124,7 +124,7 @@
 func (s *spend) enterCharge() {
 	cost := requestCost{mayHaveRun: s.mayHaveRun, plain: s.plain(), wasUnsettled: len(s.unsettled) > 0, tokens: s.charge.Tokens}
 	if !isCharged(cost) {
-		s.gate.settings.Ledger.Drop()
+		s.gate.settings.Ledger.ReleaseRoom()
 		return
 	}
 	c := s.charge
--- a/partner/gate/targets.go
+++ b/partner/gate/targets.go
@@ -18,9 +18,9 @@
 	byOffer map[*config.Offer][]route.Target
 }
 
-// targets returns an offer's upstreams: the same slice until the view changes, so
+// ofOffer returns an offer's upstreams: the same slice until the view changes, so
 // that route.Table compares no names.
-func (c *targetCache) targets(v *config.View, offer *config.Offer) []route.Target {
+func (c *targetCache) ofOffer(v *config.View, offer *config.Offer) []route.Target {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.view != v {
