--- a/partner/bill/segment.go
+++ b/partner/bill/segment.go
@@ -4,6 +4,7 @@
 package bill
 
 import (
+	"context"
 	"fmt"
 
 	"github.com/rotisserie/eris"
@@ -58,3 +59,21 @@
 	}
 	return s, nil
 }
+
+// Read returns all charges in the store, each once. It reads every segment there
+// is; one that can't be read is an error.
+func Read(ctx context.Context, s granitehoist.Store) ([]Charge, error) {
+	entries, _, err := s.List(ctx, keyPrefix)
+	if err != nil {
+		return nil, err
+	}
+	segments := make([]Segment, 0, len(entries))
+	for _, e := range entries {
+		segment, err := DecodeSegment(e)
+		if err != nil {
+			return nil, err
+		}
+		segments = append(segments, segment)
+	}
+	return Merge(segments), nil
+}
--- a/partner/bill/sum.go
+++ b/partner/bill/sum.go
@@ -4,7 +4,6 @@
 package bill
 
 import (
-	"context"
 	"sort"
 
 	"granitehoist.example/granitehoist"
@@ -141,21 +140,3 @@
 	sort.Slice(list, func(i, j int) bool { return list[i].Budget < list[j].Budget })
 	return list
 }
-
-// Read returns all charges in the store, each once. It reads every segment there
-// is; one that can't be read is an error.
-func Read(ctx context.Context, s granitehoist.Store) ([]Charge, error) {
-	entries, _, err := s.List(ctx, keyPrefix)
-	if err != nil {
-		return nil, err
-	}
-	segments := make([]Segment, 0, len(entries))
-	for _, e := range entries {
-		segment, err := DecodeSegment(e)
-		if err != nil {
-			return nil, err
-		}
-		segments = append(segments, segment)
-	}
-	return Merge(segments), nil
-}
--- a/partner/config/doc.go
+++ b/partner/config/doc.go
@@ -24,5 +24,5 @@
 // write one unsigned configuration for the whole fleet, so that there is neither
 // a serial nor a signature, and the store's version says what is newer.
 //
-// Begin reading at Document and Parse, then Trust.verify, Follower and View.
+// Begin reading at Document and Parse, then Trust.verify, Apply, Follower and View.
 package config
