--- a/doc.go
+++ b/doc.go
@@ -25,7 +25,7 @@
 // (CEL programs), budget (prepaid tokens), bill (charges), once (requests not
 // to be repeated), route (choice of an upstream), upstream (protocols of
 // engines and services), orphan (charges of dead routers), report (service
-// levels) and settings (the TOML file).
+// levels), settings (the TOML file) and boxlist (the platform's list of boxes).
 //
 // Both use fleet (membership and calls between routers), store (writes whose
 // answer may be lost) and the packages below internal. The packages standin,
--- a/partner/budget/allot.go
+++ b/partner/budget/allot.go
@@ -72,7 +72,7 @@
 //
 // Requests that wait go first: each holder gets what lets its smallest waiting
 // request run, smallest first, and never a part of it, since a part would serve
-// nobody. Then holders get what their other requests wait for, as far as the
+// no request. Then holders get what their other requests wait for, as far as the
 // stock goes, and only then a reserve for the time ahead, up to their limit. The sum of
 // the grants never exceeds the stock.
 //
--- a/partner/gate/read.go
+++ b/partner/gate/read.go
@@ -99,7 +99,7 @@
 }
 
 // decideCompletion decides how a completion is reserved, placed and sent. It may
-// be repeated unless its caller says otherwise: an answer that nobody got has cost
+// be repeated unless its caller says otherwise: an answer that did not arrive has cost
 // tokens, which the budget pays, and changed nothing.
 func (r *request) decideCompletion(c *completion, path string) {
 	r.decided.bound = c.bound(r.asked.offer.Service)
--- a/partner/route/ejection.go
+++ b/partner/route/ejection.go
@@ -18,8 +18,8 @@
 
 // ejection decides how long an upstream is left out after a number of failures
 // in a row, one or more: twice as long after each, so that one failure costs
-// little and an upstream that is down is seldom tried. If all upstreams of a
-// service are left out, the one that returns first is tried all the same.
+// little and an upstream that is down is rarely tried. If all upstreams of a service
+// are left out, the one whose time ends first is tried anyway.
 func ejection(failures int) time.Duration {
 	return min(maxEjection, firstEjection<<min(failures-1, maxEjectionDoublings))
 }
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -195,9 +195,9 @@
 
 // The results.
 const (
-	// Good stands for an upstream that did its part.
+	// Good says that the upstream served the attempt, or that the request was wrong.
 	Good Result = iota
-	// Bad stands for an upstream that refused or failed.
+	// Bad says that the upstream refused or failed.
 	Bad
 	// Unclear counts neither way: for example, the caller left.
 	Unclear
--- a/partner/router/mayserve.go
+++ b/partner/router/mayserve.go
@@ -21,7 +21,7 @@
 
 // mayServe decides whether a router that entered itself may still serve. A lease
 // that has ended proves nothing: the router may be cut off from the store and
-// serve all the same. Only a box that the platform has stopped listing can't
+// serve nevertheless. Only a box that the platform has stopped listing can't
 // serve any more. An empty list counts as no list.
 func (e servingEvidence) mayServe(m fleet.Member) bool {
 	_, listed := e.boxes[m.Box]
