--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -166,7 +166,7 @@
 		})
 
 		It("are never sent twice if they are unsafe and may have run", func() {
-			for _, a := range []standin.WorkerAnswer{{Body: "berth", Cut: true, CutAfter: 2}, {Crossed: true, Body: "x"}, {Body: "x", NoSeal: true}, {Before: "nonsense\r\n\r\n"}, {Status: 503, Body: "no promise"}} {
+			for _, a := range []standin.WorkerAnswer{{Body: "berth", Cut: true, CutAfter: 2}, {Crossed: true, Body: "x"}, {Body: "x", NoSeal: true}, {SurplusBefore: "nonsense\r\n\r\n"}, {Status: 503, Body: "no promise"}} {
 				s = newSite()
 				s.worker(desk, "i-1", always(a))
 				s.worker(desk, "i-2", always(a))
@@ -205,7 +205,7 @@
 			surplus := "HTTP/1.1 200 OK\r\nAttempt-Id: r-0\r\nResponse-Seal: x\r\nContent-Length: 5\r\n\r\nwrong"
 			w := s.worker(desk, "i-1", func(a standin.Arrival) standin.WorkerAnswer {
 				if a.Number == 2 {
-					return standin.WorkerAnswer{Before: surplus, Body: "right"}
+					return standin.WorkerAnswer{SurplusBefore: surplus, Body: "right"}
 				}
 				return standin.WorkerAnswer{Body: "first"}
 			})
@@ -219,7 +219,7 @@
 		})
 
 		It("do not use a connection on which something lies unread", func() {
-			w := s.worker(desk, "i-1", always(standin.WorkerAnswer{Body: "whole", After: "HTTP/1.1 200 OK\r\n"}))
+			w := s.worker(desk, "i-1", always(standin.WorkerAnswer{Body: "whole", SurplusAfter: "HTTP/1.1 200 OK\r\n"}))
 			for range 2 {
 				_, err := serve("/safe/x")
 				Expect(err).NotTo(HaveOccurred())
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -116,10 +116,10 @@
 	defer e.mu.Unlock()
 	e.requests++
 	p := plan{
-		refuse:  e.faults.Leaving || every(e.faults.RefuseEvery, e.requests),
-		cut:     every(e.faults.CutEvery, e.requests),
-		cross:   every(e.faults.CrossEvery, e.requests),
-		noUsage: every(e.faults.NoUsageEvery, e.requests),
+		refuse:  e.faults.Leaving || isEveryNth(e.faults.RefuseEvery, e.requests),
+		cut:     isEveryNth(e.faults.CutEvery, e.requests),
+		cross:   isEveryNth(e.faults.CrossEvery, e.requests),
+		noUsage: isEveryNth(e.faults.NoUsageEvery, e.requests),
 	}
 	x, ok := e.books[attempt]
 	if p.refuse || (ok && x.Ended) {
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -101,5 +101,5 @@
 	p.requests++
 	p.runs[what]++
 	p.attempts[attempt]++
-	return p.faults, every(p.faults.LoseEvery, p.requests), every(p.faults.CrossEvery, p.requests)
+	return p.faults, isEveryNth(p.faults.LoseEvery, p.requests), isEveryNth(p.faults.CrossEvery, p.requests)
 }
--- a/standin/store.go
+++ b/standin/store.go
@@ -148,11 +148,11 @@
 	}
 	defer s.mu.Unlock()
 	s.calls.Writes++
-	if every(s.faults.DropEvery, s.calls.Writes) {
+	if isEveryNth(s.faults.DropEvery, s.calls.Writes) {
 		return 0, granitehoist.ErrUnknown
 	}
 	version, err := s.change(c)
-	if err == nil && every(s.faults.LoseEvery, s.calls.Writes) {
+	if err == nil && isEveryNth(s.faults.LoseEvery, s.calls.Writes) {
 		return 0, granitehoist.ErrUnknown
 	}
 	return version, err
--- a/standin/storefaults.go
+++ b/standin/storefaults.go
@@ -80,4 +80,4 @@
 	return nil
 }
 
-func every(n, count int) bool { return n > 0 && count%n == 0 }
+func isEveryNth(n, count int) bool { return n > 0 && count%n == 0 }
--- a/standin/workeranswer.go
+++ b/standin/workeranswer.go
@@ -34,8 +34,8 @@
 	CloseClean bool
 	// Silent never answers.
 	Silent bool
-	// Before is sent before the answer, After behind it.
-	Before, After string
+	// SurplusBefore is sent before the answer, SurplusAfter behind it.
+	SurplusBefore, SurplusAfter string
 	// Unframed gives no length, and ends the connection with the answer.
 	Unframed bool
 	// Early answers before the body has been read.
@@ -60,7 +60,7 @@
 	if expected := arrival.Header.Get("Expect-Instance"); expected != "" && expected != w.instance {
 		a = WorkerAnswer{Status: http.StatusMisdirectedRequest, NoSeal: true}
 	}
-	if _, err := io.WriteString(conn, a.Before); err != nil {
+	if _, err := io.WriteString(conn, a.SurplusBefore); err != nil {
 		return false
 	}
 	if a.Events > 0 {
@@ -88,10 +88,10 @@
 	if a.Cut || a.Unframed {
 		return false
 	}
-	if a.After == "" {
+	if a.SurplusAfter == "" {
 		return true
 	}
-	_, err := io.WriteString(conn, a.After)
+	_, err := io.WriteString(conn, a.SurplusAfter)
 	return err == nil
 }
 
