--- a/standin/store.go
+++ b/standin/store.go
@@ -164,7 +164,6 @@
 		current = e.Version
 	}
 	if current != c.Expect {
-		s.calls.Conflicts++
 		return 0, granitehoist.ErrConflict
 	}
 	if len(c.Value) > granitehoist.MaxValueSize {
--- a/standin/storefaults.go
+++ b/standin/storefaults.go
@@ -11,8 +11,7 @@
 	"granitehoist.example/granitehoist/internal/pause"
 )
 
-// StoreFaults are the failures that a Store shows when a test or PUT /faults sets
-// them.
+// StoreFaults are the failures that a Store shows after Store.Fail.
 type StoreFaults struct {
 	// Down refuses every call.
 	Down bool
@@ -32,7 +31,7 @@
 // StoreCalls counts the calls of a Store. Lease calls count as writes. A watch
 // counts once more each time that a write wakes it.
 type StoreCalls struct {
-	Reads, Writes, Watches, Conflicts int
+	Reads, Writes, Watches int
 }
 
 // Fail replaces the failures from now on.
--- a/standin/storeserver.go
+++ b/standin/storeserver.go
@@ -14,12 +14,11 @@
 
 // Handler serves what 'granitehoist router' needs of the platform: the store's
 // protocol as PlatformStore speaks it, and the list of boxes at boxlist.Path.
-// PUT /faults sets StoreFaults and GET /calls answers StoreCalls.
+// GET /calls answers StoreCalls.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", &PlatformStore{Store: s, PageItems: platformPage})
 	mux.HandleFunc("GET "+boxlist.Path, s.serveBoxes)
-	mux.HandleFunc("PUT /faults", s.serveFaults)
 	mux.HandleFunc("GET /calls", func(w http.ResponseWriter, _ *http.Request) { reply(w, s.Calls(), nil) })
 	return mux
 }
@@ -29,15 +28,6 @@
 	reply(w, boxlist.List{Boxes: boxes}, err)
 }
 
-func (s *Store) serveFaults(w http.ResponseWriter, r *http.Request) {
-	var faults StoreFaults
-	if !read(w, r, &faults) {
-		return
-	}
-	s.Fail(faults)
-	reply(w, faults, nil)
-}
-
 // maxBody bounds what is read of a request, in bytes: a value of the largest
 // size is a third larger in base64.
 const maxBody = 2 * granitehoist.MaxValueSize
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -33,7 +33,6 @@
 	// connection.
 	Number, Conn int
 	ID           string
-	Method       string
 	Target       string
 	Host         string
 	Header       http.Header
@@ -146,7 +145,7 @@
 	number := len(w.arrivals) + 1
 	w.mu.Unlock()
 	return Arrival{
-		Number: number, Conn: conn, ID: r.Header.Get("Attempt-Id"), Method: r.Method, Target: r.RequestURI,
+		Number: number, Conn: conn, ID: r.Header.Get("Attempt-Id"), Target: r.RequestURI,
 		Host: r.Host, Header: r.Header, After: after,
 	}
 }
--- a/standin/workeranswer.go
+++ b/standin/workeranswer.go
@@ -19,7 +19,6 @@
 type WorkerAnswer struct {
 	// Status of the answer; zero stands for 200.
 	Status int
-	Header http.Header
 	Body   string
 	// Events makes the answer a stream of that many events.
 	Events int
@@ -122,8 +121,6 @@
 	if a.NotRun {
 		head.WriteString("Not-Executed: 1\r\n")
 	}
-	// A bytes.Buffer takes every write.
-	_ = a.Header.Write(&head)
 	head.WriteString("\r\n")
 	return head.String()
 }
--- a/trial/call.go
+++ b/trial/call.go
@@ -85,17 +85,12 @@
 		}
 		return base.Post("/v1/chat/completions").BodyJSON(body).Request()
 	}
-	method := http.MethodGet
-	if c.shape.once {
-		method = http.MethodPost
-		base = base.Set(gate.HeaderOnce, "true")
-	}
+	base = base.Body(strings.NewReader(c.prompt))
 	path := "/services/" + string(c.shape.service) + plainPath
-	request, err := base.Post(path).Body(strings.NewReader(c.prompt)).Request()
-	if err == nil {
-		request.Method = method
+	if c.shape.once {
+		return base.Set(gate.HeaderOnce, "true").Post(path).Request()
 	}
-	return request, err
+	return base.Get(path).Request()
 }
 
 // send makes the request and notes the answer in the outcome.
