--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -91,10 +91,10 @@
 	Describe("streams", func() {
 		It("go on at another worker without a gap or a repeat", func() {
 			s.worker(model, "i-1", func(a standin.Arrival) standin.WorkerAnswer {
-				return standin.WorkerAnswer{Events: 9, Cut: a.After == 0, CutAfter: 4, Within: true}
+				return standin.WorkerAnswer{Events: 9, Cut: standin.Cut{Set: a.After == 0, After: 4, Within: true}}
 			})
 			s.worker(model, "i-2", func(a standin.Arrival) standin.WorkerAnswer {
-				return standin.WorkerAnswer{Events: 9, Cut: a.After == 0, CutAfter: 4, Within: true}
+				return standin.WorkerAnswer{Events: 9, Cut: standin.Cut{Set: a.After == 0, After: 4, Within: true}}
 			})
 			_, err := serve("/resume/x")
 			Expect(err).NotTo(HaveOccurred())
@@ -107,7 +107,7 @@
 				if a.After > 0 {
 					return standin.WorkerAnswer{Status: 500, Body: "failed"}
 				}
-				return standin.WorkerAnswer{Events: 9, Cut: true, CutAfter: 4}
+				return standin.WorkerAnswer{Events: 9, Cut: standin.Cut{Set: true, After: 4}}
 			}
 			s.worker(model, "i-1", answer)
 			s.worker(model, "i-2", answer)
@@ -118,8 +118,8 @@
 		})
 
 		It("that may not be resumed are sent to one worker only", func() {
-			s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 9, Cut: true, CutAfter: 4}))
-			s.worker(model, "i-2", always(standin.WorkerAnswer{Events: 9, Cut: true, CutAfter: 4}))
+			s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 9, Cut: standin.Cut{Set: true, After: 4}}))
+			s.worker(model, "i-2", always(standin.WorkerAnswer{Events: 9, Cut: standin.Cut{Set: true, After: 4}}))
 			started, err := serve("/stream/x")
 			Expect(started).To(BeTrue())
 			Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.UpstreamCut))
@@ -127,7 +127,7 @@
 		})
 
 		It("without a length that end within an event are not whole", func() {
-			s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 9, Unframed: true, Cut: true, CutAfter: 4, Within: true, CloseClean: true}))
+			s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 9, Unframed: true, Cut: standin.Cut{Set: true, After: 4, Within: true, Clean: true}}))
 			started, err := serve("/stream/x")
 			Expect(started).To(BeTrue())
 			Expect(err).To(HaveOccurred())
@@ -166,7 +166,7 @@
 		})
 
 		It("are never sent twice if they are unsafe and may have run", func() {
-			for _, a := range []standin.WorkerAnswer{{Body: "berth", Cut: true, CutAfter: 2}, {Crossed: true, Body: "x"}, {Body: "x", NoSeal: true}, {SurplusBefore: "nonsense\r\n\r\n"}, {Status: 503, Body: "no promise"}} {
+			for _, a := range []standin.WorkerAnswer{{Body: "berth", Cut: standin.Cut{Set: true, After: 2}}, {Crossed: true, Body: "x"}, {Body: "x", NoSeal: true}, {SurplusBefore: "nonsense\r\n\r\n"}, {Status: 503, Body: "no promise"}} {
 				s = newSite()
 				s.worker(desk, "i-1", always(a))
 				s.worker(desk, "i-2", always(a))
--- a/node/explain_test.go
+++ b/node/explain_test.go
@@ -58,7 +58,7 @@
 		var breaks atomic.Int32
 		answers := func(a standin.Arrival) standin.WorkerAnswer {
 			cut := a.ID == "r-broken" && breaks.Add(1) == 1
-			return standin.WorkerAnswer{Events: 6, Cut: cut, CutAfter: 3}
+			return standin.WorkerAnswer{Events: 6, Cut: standin.Cut{Set: cut, After: 3}}
 		}
 		s.workerThat(answers)
 		s.workerThat(answers)
@@ -77,7 +77,7 @@
 	It("leads from a request that may have run to the upstream that gave no answer", func() {
 		s := newSite(1)
 		s.configure(1, 100_000, "/once/")
-		w := s.worker(standin.WorkerAnswer{Body: "answer", Cut: true})
+		w := s.worker(standin.WorkerAnswer{Body: "answer", Cut: standin.Cut{Set: true}})
 		m := s.members[0]
 		Eventually(m.status("/once/x")).Should(Equal(http.StatusBadGateway))
 		before := len(w.Arrivals())
--- a/standin/workeranswer.go
+++ b/standin/workeranswer.go
@@ -24,16 +24,12 @@
 	Events int
 	// Gap is the pause before each event, Delay that before the head.
 	Gap, Delay time.Duration
-	// CutAfter resets the connection after that many bytes or events, if Cut
-	// is set; within the next event if Within is set too.
-	Cut      bool
-	CutAfter int
-	Within   bool
-	// CloseClean ends a cut answer with a FIN in place of a reset.
-	CloseClean bool
+	// Cut breaks the answer off.
+	Cut Cut
 	// Silent never answers.
 	Silent bool
-	// SurplusBefore is sent before the answer, SurplusAfter behind it.
+	// SurplusBefore is sent before the answer, SurplusAfter behind it: bytes
+	// that belong to no answer.
 	SurplusBefore, SurplusAfter string
 	// Unframed gives no length, and ends the connection with the answer.
 	Unframed bool
@@ -47,6 +43,20 @@
 	NoSeal bool
 }
 
+// Cut says whether and where an answer breaks off. The zero value leaves the
+// answer complete.
+type Cut struct {
+	// Set breaks the answer off.
+	Set bool
+	// After is the bytes of a body, or the number of the last event of a stream,
+	// that are sent before.
+	After int
+	// Within sends half of the next event too.
+	Within bool
+	// Clean ends the connection with a FIN in place of a reset.
+	Clean bool
+}
+
 // write gives an answer and reports whether the connection goes on.
 func (w *Worker) write(conn net.Conn, arrival Arrival, a WorkerAnswer) bool {
 	time.Sleep(a.Delay)
@@ -66,8 +76,8 @@
 		return w.writeStream(conn, arrival, a)
 	}
 	body := a.Body
-	if a.Cut {
-		body = body[:min(a.CutAfter, len(body))]
+	if a.Cut.Set {
+		body = body[:min(a.Cut.After, len(body))]
 	}
 	framing := "Content-Length: " + strconv.Itoa(len(a.Body)) + "\r\n"
 	if a.Unframed {
@@ -81,10 +91,10 @@
 
 // end finishes an answer and reports whether the connection goes on.
 func (w *Worker) end(conn net.Conn, a WorkerAnswer) bool {
-	if a.Cut && !a.CloseClean {
+	if a.Cut.Set && !a.Cut.Clean {
 		reset(conn)
 	}
-	if a.Cut || a.Unframed {
+	if a.Cut.Set || a.Unframed {
 		return false
 	}
 	if a.SurplusAfter == "" {
@@ -141,8 +151,8 @@
 	for n := arrival.After + 1; n <= a.Events; n++ {
 		time.Sleep(a.Gap)
 		event := StreamEvent(arrival.ID, n)
-		if a.Cut && n > a.CutAfter {
-			if a.Within {
+		if a.Cut.Set && n > a.Cut.After {
+			if a.Cut.Within {
 				// The connection is cut next, whether this reached the router or
 				// not.
 				_ = w.piece(conn, a, event[:len(event)/2])
