--- a/measure/loads.go
+++ b/measure/loads.go
@@ -67,75 +67,152 @@
 	segmentCharges = 5000.0
 )
 
+// slopesByName are measured slopes by their names.
+type slopesByName map[string]Slope
+
+// traffic is what the routers of a fleet send of their own accord, worked out
+// from the size of the fleet. Rates are by the second.
+type traffic struct {
+	size FleetSize
+	// nodeRequests is the requests a second of one node.
+	nodeRequests float64
+	// active is the budgets that one box has had requests for within its report
+	// interval.
+	active float64
+	// messages is what a box sends in a report interval: one to each shard's
+	// keeper, with all asks about the shard.
+	messages float64
+	// pages is the pages of the whole fleet, and rowsPerPage the rows of each.
+	pages, rowsPerPage float64
+	// pageWrites is of the whole fleet.
+	pageWrites float64
+}
+
+func newTraffic(f FleetSize) traffic {
+	t := traffic{size: f, nodeRequests: f.Requests / f.Nodes}
+	t.active = min(f.Budgets, t.nodeRequests*boxReport)
+	t.messages = min(f.Shards, t.active)
+	t.pages = f.Shards * f.Regions
+	t.rowsPerPage = t.active * (f.Nodes / f.Regions) / f.Shards
+	t.pageWrites = t.pages / pageInterval
+	if !f.Gathered {
+		t.pageWrites = f.Nodes * t.messages / boxReport
+	}
+	return t
+}
+
+const (
+	// coresPerNano turns nanoseconds of processor time a second into cores.
+	coresPerNano = 1e-9
+	// base64Growth is what base64 makes of each byte.
+	base64Growth = 4.0 / 3
+	// pageCopies is a keeper's memory for a page, as a multiple of its packed
+	// size. Chosen, not measured.
+	pageCopies = 3
+	// renewalsPerTTL is how often a member renews its lease and lists the members
+	// within the time that the lease lasts, as fleet/registry.go has it.
+	renewalsPerTTL = 3
+)
+
 // Loads works the loads of each role out from the slopes. Every figure is an
 // upper bound for the traffic named: a box reports on no more budgets than it
 // has had requests since its last report.
 func Loads(slopes []Slope, f FleetSize) []Load {
-	by := map[string]Slope{}
+	by := slopesByName{}
 	for _, s := range slopes {
 		by[s.Name] = s
 	}
-	perNode := f.Requests / f.Nodes
-	boxesPerRegion := f.Nodes / f.Regions
-	// Budgets that one box has had requests for within its report interval.
-	active := min(f.Budgets, perNode*boxReport)
-	pages := f.Shards * f.Regions
-	pagesPerNode := pages / f.Nodes
-	rowsPerPage := active * boxesPerRegion / f.Shards
-	// A box sends each shard's keeper one message with all asks about it.
-	messages := min(f.Shards, active)
-	pageWrites := pages / pageInterval
-	if !f.Gathered {
-		pageWrites = f.Nodes * messages / boxReport
-	}
-	const nano = 1e-9
-	leaseTTL := fleet.DefaultTTL.Seconds()
+	t := newTraffic(f)
 	return []Load{
-		{
-			Role:   "spend",
-			Cores:  nano * by["purse-round"].Step * f.Budgets,
-			Memory: by["purse-memory"].At(f.Budgets),
-			Bytes:  messages / boxReport * (by["ask-bytes"].At(active/messages) + by["reply-bytes"].At(active/messages)),
-		},
-		{
-			Role:   "keep-budgets",
-			Cores:  nano * by["page-write"].At(rowsPerPage) * pageWrites / f.Nodes,
-			Memory: 3 * by["page-bytes"].At(rowsPerPage) * max(1, pagesPerNode),
-			Bytes:  pageWrites / f.Nodes * 2 * by["page-bytes"].At(rowsPerPage),
-			Writes: pageWrites + pages/rootContact,
-			Reads:  pageWrites + pages/rootContact,
-		},
-		{
-			Role:   "bill",
-			Memory: by["charge-memory"].At(perNode * chargesHeld),
-			Bytes:  perNode * by["batch-bytes"].Step * 4 / 3,
-		},
-		{
-			Role:   "collect-bills",
-			Bytes:  2 * f.Requests / f.Regions * by["segment-bytes"].Step / max(1, boxesPerRegion),
-			Writes: max(f.Requests/segmentCharges, f.Regions/bill.DefaultInterval.Seconds()),
-		},
-		{
-			Role:   "follow-documents",
-			Memory: by["view-memory"].At(f.Budgets),
-			Bytes:  f.Changes * by["document-bytes"].At(f.Budgets/2),
-			Reads:  f.Nodes / watchTime,
-		},
-		{
-			Role:   "membership",
-			Memory: by["member-bytes"].At(f.Nodes),
-			Bytes:  by["member-bytes"].At(f.Nodes) * 3 / leaseTTL,
-			Writes: f.Nodes * 3 / leaseTTL,
-			Reads:  f.Nodes * 3 / leaseTTL,
-		},
-		{
-			Role:   "choose-upstream",
-			Cores:  nano * perNode * by["choice-time"].At(f.Upstreams),
-			Memory: by["choice-memory"].At(f.Upstreams),
-		},
-		{
-			Role:   "report-burn",
-			Memory: by["burn-memory"].At(f.Keys),
-		},
+		t.spend(by),
+		t.keepBudgets(by),
+		t.bill(by),
+		t.collectBills(by),
+		t.followDocuments(by),
+		t.membership(by),
+		t.chooseUpstream(by),
+		{Role: "report-burn", Memory: by["burn-memory"].At(f.Keys)},
+	}
+}
+
+// spend is the purse of a box, which goes through its budgets each second and
+// exchanges asks and replies with the keepers.
+func (t traffic) spend(by slopesByName) Load {
+	asks := t.active / t.messages
+	return Load{
+		Role:   "spend",
+		Cores:  coresPerNano * by["purse-round"].Step * t.size.Budgets,
+		Memory: by["purse-memory"].At(t.size.Budgets),
+		Bytes:  t.messages / boxReport * (by["ask-bytes"].At(asks) + by["reply-bytes"].At(asks)),
+	}
+}
+
+// keepBudgets is the keeper, which reads and writes a page for each report or,
+// if they are gathered, each pageInterval, and reports to the root.
+func (t traffic) keepBudgets(by slopesByName) Load {
+	pageBytes := by["page-bytes"].At(t.rowsPerPage)
+	calls := t.pageWrites + t.pages/rootContact
+	return Load{
+		Role:   "keep-budgets",
+		Cores:  coresPerNano * by["page-write"].At(t.rowsPerPage) * t.pageWrites / t.size.Nodes,
+		Memory: pageCopies * pageBytes * max(1, t.pages/t.size.Nodes),
+		Bytes:  t.pageWrites / t.size.Nodes * 2 * pageBytes,
+		Writes: calls,
+		Reads:  calls,
+	}
+}
+
+// bill is a box's own charges: held while they can't be stored, and sent to a
+// collector in batches.
+func (t traffic) bill(by slopesByName) Load {
+	return Load{
+		Role:   "bill",
+		Memory: by["charge-memory"].At(t.nodeRequests * chargesHeld),
+		Bytes:  t.nodeRequests * by["batch-bytes"].Step * base64Growth,
+	}
+}
+
+// collectBills is the collectors, which receive the charges of a region and
+// write them in segments.
+func (t traffic) collectBills(by slopesByName) Load {
+	f := t.size
+	return Load{
+		Role:   "collect-bills",
+		Bytes:  2 * f.Requests / f.Regions * by["segment-bytes"].Step / max(1, f.Nodes/f.Regions),
+		Writes: max(f.Requests/segmentCharges, f.Regions/bill.DefaultInterval.Seconds()),
+	}
+}
+
+// followDocuments is the view of the documents in force. Each change sends one
+// of the two partners' documents, which has half of the budgets.
+func (t traffic) followDocuments(by slopesByName) Load {
+	f := t.size
+	return Load{
+		Role:   "follow-documents",
+		Memory: by["view-memory"].At(f.Budgets),
+		Bytes:  f.Changes * by["document-bytes"].At(f.Budgets/2),
+		Reads:  f.Nodes / watchTime,
+	}
+}
+
+// membership is the renewal of a member's lease and the list of all members.
+func (t traffic) membership(by slopesByName) Load {
+	list := by["member-bytes"].At(t.size.Nodes)
+	rate := renewalsPerTTL / fleet.DefaultTTL.Seconds()
+	return Load{
+		Role:   "membership",
+		Memory: list,
+		Bytes:  list * rate,
+		Writes: t.size.Nodes * rate,
+		Reads:  t.size.Nodes * rate,
+	}
+}
+
+// chooseUpstream is the choice among all upstreams, made for each request.
+func (t traffic) chooseUpstream(by slopesByName) Load {
+	return Load{
+		Role:   "choose-upstream",
+		Cores:  coresPerNano * t.nodeRequests * by["choice-time"].At(t.size.Upstreams),
+		Memory: by["choice-memory"].At(t.size.Upstreams),
 	}
 }
--- a/measure/subjects.go
+++ b/measure/subjects.go
@@ -68,6 +68,7 @@
 	return replies
 }
 
+// capacityAsks returns what a box sends to a keeper to ask about n budgets.
 func capacityAsks(n int) budget.SyncParams {
 	asks := make([]budget.Ask, n)
 	for i := range asks {
@@ -146,6 +147,8 @@
 	})
 }
 
+// capacityCharge returns the i-th charge of a router, with ids as long as real
+// ones.
 func capacityCharge(i int) bill.Charge {
 	return bill.Charge{
 		Incarnation: capacityIncarnation(0),
@@ -170,6 +173,7 @@
 	return l
 }
 
+// batchBytes is a batch of n charges as it is packed for a message or a segment.
 func batchBytes(n int) float64 {
 	var b bill.Batch
 	for i := range n {
@@ -178,6 +182,7 @@
 	return packedBytes(b)
 }
 
+// capacityDocument returns a document with n budgets and a key for each.
 func capacityDocument(n int) *config.Document {
 	d := &config.Document{Partner: "tuul"}
 	for i := range n {
@@ -189,6 +194,7 @@
 	return d
 }
 
+// documentBytes is the TOML text of a document with n budgets and keys.
 func documentBytes(n int) float64 {
 	total := 0
 	for _, b := range capacityDocument(n).Budgets {
@@ -210,6 +216,7 @@
 	})
 }
 
+// memberBytes is the list of n members in the store.
 func memberBytes(n int) float64 {
 	var members []fleet.Member
 	for i := range n {
@@ -218,6 +225,8 @@
 	return float64(len(mustJSON(members)))
 }
 
+// choiceTime is what one choice among n upstreams takes, for an affinity that
+// differs each time.
 func choiceTime(n int) float64 {
 	table := route.NewTable(route.Settings{})
 	want := route.Want{Service: "s", Targets: capacityTargets(n)}
@@ -232,6 +241,7 @@
 	})
 }
 
+// choiceMemory is what a router keeps of n upstreams after its first choice.
 func choiceMemory(n int) float64 {
 	targets := capacityTargets(n)
 	return heapOf(func() any {
