--- a/standin/answering.go
+++ b/standin/answering.go
@@ -55,10 +55,6 @@
 	return a.execution.usage()
 }
 
-func (x *Execution) usage() *upstream.EngineUsage {
-	return &upstream.EngineUsage{PromptTokens: x.Prompt, CompletionTokens: x.Output, TotalTokens: x.Prompt + x.Output}
-}
-
 var finishStop = "stop"
 
 // complete sends the answer as one body.
