--- a/standin/engine.go
+++ b/standin/engine.go
@@ -27,10 +27,11 @@
 type EngineFaults struct {
 	// RefuseEvery answers status 503 and does not run the request.
 	RefuseEvery int
-	// CutEvery ends the connection in the middle of an answer. A stream can be
-	// resumed then, unless Forget is set.
+	// CutEvery ends the connection in the middle of an answer. The stream can be
+	// resumed unless Forget is set.
 	CutEvery int
-	Forget   bool
+	// Forget ends the attempt of a cut stream, so that nothing can resume it.
+	Forget bool
 	// CrossEvery gives the answer the id of another attempt.
 	CrossEvery int
 	// NoUsageEvery leaves the usage out.
@@ -39,10 +40,12 @@
 	Leaving bool
 }
 
-// Engine is a stand-in of a model engine. Its answer to a prompt is Answer.
+// Engine is a stand-in of a model engine. Its answer to a prompt is Answer. See
+// NewEngine; it is safe for concurrent use.
 type Engine struct {
 	settings EngineSettings
 
+	// mu guards the fields below it and every Execution in books.
 	mu       sync.Mutex
 	faults   EngineFaults
 	requests int
@@ -72,21 +75,8 @@
 	return mux
 }
 
-// serveResume goes on with a broken stream after the events that the reader
-// has. Words that were counted are not counted again.
-func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
-	attempt := granitehoist.AttemptID(r.Header.Get(upstream.HeaderAttempt))
-	from, err := strconv.Atoi(r.URL.Query().Get("from"))
-	a := e.takeHeld(attempt)
-	if err != nil || a == nil {
-		http.Error(w, "no such stream", http.StatusNotFound)
-		return
-	}
-	defer e.end(a.execution)
-	w.Header().Set(upstream.HeaderAttempt, string(attempt))
-	a.stream(w, r, from)
-}
-
+// serveCompletion runs a request and answers it as one body or as a stream. The
+// attempt ends with the connection, unless its stream is held for a resumption.
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var request CompletionRequest
 	if !read(w, r, &request) {
@@ -105,7 +95,15 @@
 		shown = "of-another-request"
 	}
 	w.Header().Set(upstream.HeaderAttempt, string(attempt))
-	a := answering{engine: e, execution: x, plan: p, request: &request, id: "cmpl-" + shown, chat: strings.Contains(r.URL.Path, "chat"), words: Answer(prompt, request.MaxTokens)}
+	a := answering{
+		engine:    e,
+		execution: x,
+		plan:      p,
+		request:   &request,
+		id:        "cmpl-" + shown,
+		chat:      strings.Contains(r.URL.Path, "chat"),
+		words:     Answer(prompt, request.MaxTokens),
+	}
 	if request.Stream {
 		a.stream(w, r, 0)
 	} else {
@@ -113,6 +111,21 @@
 	}
 }
 
+// serveResume goes on with a broken stream after the events that the reader
+// has. Words that were counted are not counted again.
+func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
+	attempt := granitehoist.AttemptID(r.Header.Get(upstream.HeaderAttempt))
+	from, err := strconv.Atoi(r.URL.Query().Get("from"))
+	a := e.takeHeld(attempt)
+	if err != nil || a == nil {
+		http.Error(w, "no such stream", http.StatusNotFound)
+		return
+	}
+	defer e.end(a.execution)
+	w.Header().Set(upstream.HeaderAttempt, string(attempt))
+	a.stream(w, r, from)
+}
+
 // serveCancel ends an attempt and tells its cost. An attempt that it does not
 // know is entered as ended without cost, so that a request that is still on
 // its way does not run.
@@ -133,6 +146,8 @@
 	reply(w, record, nil)
 }
 
+// serveAttempts lists the attempts whose ids begin with a prefix, which names the
+// router that sent them.
 func (e *Engine) serveAttempts(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get("prefix")
 	var list upstream.AttemptList
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -26,11 +26,13 @@
 }
 
 // Plain is a stand-in of a plain service. It runs each request and answers
-// what it was sent.
+// what it was sent. See NewPlain; it is safe for concurrent use.
 type Plain struct {
+	// mu guards the fields below it.
 	mu       sync.Mutex
 	faults   PlainFaults
 	requests int
+	// runs counts the executions by path and body, attempts by attempt.
 	runs     map[string]int
 	attempts map[granitehoist.AttemptID]int
 }
@@ -73,6 +75,8 @@
 	return http.HandlerFunc(p.serve)
 }
 
+// serve runs a request and answers what it was sent, or fails as the faults say:
+// the request has run in each case.
 func (p *Plain) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, granitehoist.MaxValueSize))
 	if err != nil {
--- a/standin/platformstore.go
+++ b/standin/platformstore.go
@@ -102,6 +102,7 @@
 	}
 }
 
+// get answers one key; a key that does not exist is 404.
 func (p *PlatformStore) get(w http.ResponseWriter, r *http.Request) {
 	entry, err := p.Store.Get(r.Context(), r.URL.Query().Get("privateKey"))
 	switch {
@@ -126,6 +127,8 @@
 	platformPageBytes = 1 << 20
 )
 
+// list answers one page of the keys under a prefix. sinceRevision is the last key
+// of the page before.
 func (p *PlatformStore) list(w http.ResponseWriter, r *http.Request) {
 	entries, at, err := p.Store.List(r.Context(), r.URL.Query().Get("pathPrefix"))
 	if err != nil {
@@ -160,27 +163,27 @@
 	return page, false
 }
 
+// watch answers the changes under a prefix since a version, as soon as there are
+// some or with none after the wait.
 func (p *PlatformStore) watch(w http.ResponseWriter, r *http.Request, faults PlatformFaults) {
 	query := r.URL.Query()
-	since, err := strconv.ParseUint(query.Get("sinceRevision"), 10, 64)
-	if err != nil {
-		w.WriteHeader(http.StatusBadRequest)
-		return
-	}
-	wait, err := strconv.Atoi(query.Get("waitMs"))
-	if err != nil {
+	revision, revisionErr := strconv.ParseUint(query.Get("sinceRevision"), 10, 64)
+	milliseconds, waitErr := strconv.Atoi(query.Get("waitMs"))
+	if revisionErr != nil || waitErr != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if granitehoist.Version(since) < faults.HistoryFrom {
+	since := granitehoist.Version(revision)
+	wait := time.Duration(milliseconds) * time.Millisecond
+	if since < faults.HistoryFrom {
 		w.WriteHeader(http.StatusGone)
 		return
 	}
 	if faults.Deaf {
-		pause.For(r.Context(), time.Duration(wait)*time.Millisecond)
+		pause.For(r.Context(), wait)
 		panic(http.ErrAbortHandler)
 	}
-	entries, at, err := p.Store.Watch(r.Context(), query.Get("pathPrefix"), granitehoist.Version(since), time.Duration(wait)*time.Millisecond)
+	entries, at, err := p.Store.Watch(r.Context(), query.Get("pathPrefix"), since, wait)
 	if err != nil {
 		p.refuse(w, err)
 		return
@@ -221,6 +224,7 @@
 	reply(w, platformWritten{Entries: []platformItem{itemOf(current)}}, nil)
 }
 
+// grantLease answers the number of a new lease.
 func (p *PlatformStore) grantLease(w http.ResponseWriter, r *http.Request) {
 	var lease platformLease
 	if !read(w, r, &lease) {
--- a/standin/store.go
+++ b/standin/store.go
@@ -22,6 +22,7 @@
 	now   granitehoist.Clock
 	watch time.Duration
 
+	// mu guards the fields below it.
 	mu      sync.Mutex
 	version granitehoist.Version
 	// entries has deleted keys too, so that watches report them.
@@ -88,6 +89,8 @@
 	return boxes, nil
 }
 
+// put stores an entry under the next version and wakes the watches. The caller
+// holds the lock.
 func (s *Store) put(key string, e storedEntry) granitehoist.Version {
 	s.version++
 	e.Key = key
@@ -158,6 +161,8 @@
 	return version, err
 }
 
+// change makes a write, if the key has the expected version and the lease is there.
+// The caller holds the lock.
 func (s *Store) change(c granitehoist.Change) (granitehoist.Version, error) {
 	var current granitehoist.Version
 	if e, ok := s.entries[c.Key]; ok && !e.Deleted {
--- a/standin/storefaults.go
+++ b/standin/storefaults.go
@@ -79,4 +79,5 @@
 	return nil
 }
 
+// isEveryNth reports whether a count is a multiple of n; it never is if n is zero.
 func isEveryNth(n, count int) bool { return n > 0 && count%n == 0 }
--- a/standin/storeleases.go
+++ b/standin/storeleases.go
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// expire removes the leases that have ended, and deletes their keys.
+// expire removes the leases that have ended, and deletes their keys. The caller
+// holds the lock.
 func (s *Store) expire() {
 	now := s.now()
 	for id, lease := range s.leases {
--- a/standin/storeserver.go
+++ b/standin/storeserver.go
@@ -32,6 +32,7 @@
 // size is a third larger in base64.
 const maxBody = 2 * granitehoist.MaxValueSize
 
+// read decodes a JSON body, and answers 400 and returns false if it can't.
 func read(w http.ResponseWriter, r *http.Request, into any) bool {
 	body := http.MaxBytesReader(w, r.Body, maxBody)
 	if err := json.NewDecoder(body).Decode(into); err != nil {
@@ -41,6 +42,7 @@
 	return true
 }
 
+// reply answers a value as JSON, or an error of the store by its status.
 func reply(w http.ResponseWriter, value any, err error) {
 	switch {
 	case err == nil:
