--- a/trial/books.go
+++ b/trial/books.go
@@ -33,8 +33,8 @@
 
 // books returns what the stand-ins executed, by the request id that every
 // prompt and body begins with.
-func (s *Site) books() map[granitehoist.RequestID]Execution {
-	books := map[granitehoist.RequestID]Execution{}
+func (s *Site) books() map[granitehoist.RequestID]Executions {
+	books := map[granitehoist.RequestID]Executions{}
 	add := func(text string, runs int, tokens granitehoist.Tokens) {
 		id, _, _ := strings.Cut(text, " ")
 		x := books[granitehoist.RequestID(id)]
--- a/trial/judge.go
+++ b/trial/judge.go
@@ -52,9 +52,9 @@
 		v.Requests, v.Served, v.Refused, v.NotRun, v.Billed, v.Overspend, v.FalseRefusals, v.Crossed, v.Doubled, v.Lost, v.Untrue, v.Cut, v.Stops, v.StopsFailed)
 }
 
-// Execution is what the stand-ins executed of one request: how often, and the
+// Executions is what the stand-ins executed of one request: how often, and the
 // tokens that they counted for all executions together.
-type Execution struct {
+type Executions struct {
 	Runs   int
 	Tokens granitehoist.Tokens
 }
@@ -64,7 +64,7 @@
 	// Outcomes are in the order in which the requests were sent.
 	Outcomes []*Outcome
 	// Books has what the stand-ins executed, by request id.
-	Books map[granitehoist.RequestID]Execution
+	Books map[granitehoist.RequestID]Executions
 	// Charges are those in the store after all routers have stopped.
 	Charges []bill.Charge
 	// Prepaid is what each budget had at the beginning.
@@ -90,7 +90,7 @@
 	return v
 }
 
-func (v *Verdict) judgeAnswer(o *Outcome, x Execution) {
+func (v *Verdict) judgeAnswer(o *Outcome, x Executions) {
 	switch {
 	case o.Killed:
 		v.Cut++
@@ -123,7 +123,7 @@
 	return !slices.ContainsFunc(fates, func(f granitehoist.Fate) bool { return f != granitehoist.NotRun })
 }
 
-func (v *Verdict) judgeCharge(x Execution, charges []bill.Charge) {
+func (v *Verdict) judgeCharge(x Executions, charges []bill.Charge) {
 	var tokens granitehoist.Tokens
 	charged := map[granitehoist.AttemptID]bool{}
 	for _, c := range charges {
--- a/trial/judge_test.go
+++ b/trial/judge_test.go
@@ -28,7 +28,7 @@
 			Code: granitehoist.Served, Fates: []granitehoist.Fate{granitehoist.Ran},
 			Answered: true, Correct: true,
 		}},
-		Books:   map[granitehoist.RequestID]trial.Execution{judged: {Runs: 1, Tokens: 3}},
+		Books:   map[granitehoist.RequestID]trial.Executions{judged: {Runs: 1, Tokens: 3}},
 		Charges: []bill.Charge{{Request: judged, Tokens: 3, Attempts: []granitehoist.AttemptID{"box.1"}}},
 		Prepaid: map[granitehoist.BudgetID]granitehoist.Tokens{judgedBudget: 100},
 	}
@@ -50,7 +50,7 @@
 			Expect(found(v)).To(BeNumerically(">", 0), v.String())
 		},
 		Entry("a second execution of a request not to be repeated", func(e *trial.Evidence, _ *trial.Outcome) {
-			e.Books[judged] = trial.Execution{Runs: 2, Tokens: 6}
+			e.Books[judged] = trial.Executions{Runs: 2, Tokens: 6}
 		}, func(v trial.Verdict) int { return v.Doubled }),
 		Entry("an attempt that is charged twice", func(e *trial.Evidence, _ *trial.Outcome) {
 			e.Charges = append(e.Charges, e.Charges[0])
