--- a/measure/loads.go
+++ b/measure/loads.go
@@ -88,6 +88,8 @@
 	pageWrites float64
 }
 
+// newTraffic works the traffic out from the size. The active budgets are an upper
+// bound: each request is taken to be for another budget.
 func newTraffic(f FleetSize) traffic {
 	t := traffic{size: f, nodeRequests: f.Requests / f.Nodes}
 	t.active = min(f.Budgets, t.nodeRequests*boxReport)
--- a/measure/subjects.go
+++ b/measure/subjects.go
@@ -100,7 +100,7 @@
 func packedBytes(value any) float64 { return float64(len(mustPack(value))) }
 
 // messageBytes is the size of a packed message between routers, in base64.
-func messageBytes(value any) float64 { return packedBytes(value) * 4 / 3 }
+func messageBytes(value any) float64 { return packedBytes(value) * base64Growth }
 
 // rowsPerAccount is the boxes that draw on one budget in a capacity page.
 // Chosen, not measured.
--- a/standin/store.go
+++ b/standin/store.go
@@ -6,7 +6,8 @@
 import (
 	"context"
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -82,11 +83,7 @@
 		return nil, err
 	}
 	defer s.mu.Unlock()
-	boxes := make(map[granitehoist.Box]bool, len(s.boxes))
-	for b, leaving := range s.boxes {
-		boxes[b] = leaving
-	}
-	return boxes, nil
+	return maps.Clone(s.boxes), nil
 }
 
 // put stores an entry under the next version and wakes the watches. The caller
@@ -122,13 +119,7 @@
 	}
 	defer s.mu.Unlock()
 	s.calls.Reads++
-	found := s.newer(prefix, 0)
-	live := found[:0]
-	for _, e := range found {
-		if !e.Deleted {
-			live = append(live, e)
-		}
-	}
+	live := slices.DeleteFunc(s.newer(prefix, 0), func(e granitehoist.Entry) bool { return e.Deleted })
 	return live, s.version, nil
 }
 
@@ -140,7 +131,7 @@
 			found = append(found, e.Entry)
 		}
 	}
-	sort.Slice(found, func(i, j int) bool { return found[i].Key < found[j].Key })
+	slices.SortFunc(found, func(a, b granitehoist.Entry) int { return strings.Compare(a.Key, b.Key) })
 	return found
 }
 
--- a/trial/call.go
+++ b/trial/call.go
@@ -54,6 +54,8 @@
 	endedEarly bool
 }
 
+// newCall returns the i-th request of the load. Its prompt or body begins with its
+// id, by which it is found in the books of the stand-ins.
 func newCall(i int, s shape) *call {
 	id := fmt.Sprintf("trial-%06d", i)
 	budget := granitehoist.NewBudgetID(s.partner, s.workspace, budgetName)
@@ -72,6 +74,7 @@
 // plainPath is asked for at plain services, which answer it back.
 const plainPath = "/berths"
 
+// request builds the HTTP request to the router at an address.
 func (c *call) request(address string) (*http.Request, error) {
 	base := sling.New().Base("http://"+address).
 		Set("Authorization", "Bearer "+Key(c.shape.workspace)).
@@ -115,6 +118,7 @@
 	c.noteAnswer(response.Body)
 }
 
+// noteFailure notes the error that a router answered.
 func (c *call) noteFailure(body io.Reader) {
 	var failure gate.Failure
 	if err := json.NewDecoder(body).Decode(&failure); err != nil {
@@ -129,6 +133,8 @@
 	c.outcome.Code = granitehoist.Code(failure.Error.Code)
 }
 
+// noteAnswer notes a successful answer, and whether it is complete and the
+// request's own.
 func (c *call) noteAnswer(body io.Reader) {
 	a := c.read(body)
 	c.endedEarly = !a.ended
@@ -161,6 +167,8 @@
 	failure *gate.Failure
 }
 
+// read reads the body of a successful answer in the form that the request asked
+// for.
 func (c *call) read(body io.Reader) answer {
 	switch {
 	case c.shape.model == "":
--- a/trial/documents.go
+++ b/trial/documents.go
@@ -16,6 +16,9 @@
 	Lima = "lima"
 )
 
+// partners are those of the site.
+var partners = []granitehoist.Partner{Tuul, Lima}
+
 // Models offered by the partners.
 const (
 	TuulModel = "granite-8b"
@@ -48,6 +51,8 @@
 	d.Keys = append(d.Keys, config.Key{Workspace: w, Budget: budgetName, SHA256: hex.EncodeToString(hash[:])})
 }
 
+// tuulDocument returns the document of a partner whose workspaces cover a large
+// budget, one that runs out, and one that a policy denies.
 func tuulDocument() *config.Document {
 	d := &config.Document{
 		Partner: Tuul,
@@ -67,6 +72,8 @@
 	return d
 }
 
+// limaDocument returns the document of a partner whose plain service must not be
+// repeated.
 func limaDocument() *config.Document {
 	d := &config.Document{
 		Partner: Lima,
--- a/trial/judge.go
+++ b/trial/judge.go
@@ -90,6 +90,8 @@
 	return v
 }
 
+// judgeAnswer counts what one caller was told, and compares it with the executions
+// of the request. A caller who was cut off or got no answer was told nothing else.
 func (v *Verdict) judgeAnswer(o *Outcome, x Executions) {
 	switch {
 	case o.Killed:
@@ -123,6 +125,8 @@
 	return !slices.ContainsFunc(fates, func(f granitehoist.Fate) bool { return f != granitehoist.NotRun })
 }
 
+// judgeCharge compares the charges of one request with its executions: both or
+// neither must be there, with the same tokens, and no attempt charged twice.
 func (v *Verdict) judgeCharge(x Executions, charges []bill.Charge) {
 	var tokens granitehoist.Tokens
 	charged := map[granitehoist.AttemptID]bool{}
--- a/trial/load.go
+++ b/trial/load.go
@@ -48,17 +48,14 @@
 	random := rand.New(rand.NewPCG(settings.Seed, 1))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
-	shapes := mix
-	if settings.Kill {
-		shapes = slices.DeleteFunc(slices.Clone(mix), func(s shape) bool { return s.model == "" })
-	}
+	shapes := weighted(settings.Kill)
 	calls := make([]*call, settings.Requests)
 	var group sync.WaitGroup
 	for i := range calls {
 		if settings.stopsBefore(i, s.stops.begun) {
 			s.replaceOne(ctx, random.IntN(len(s.Routers)))
 		}
-		c := newCall(i, choose(random, shapes))
+		c := newCall(i, shapes[random.IntN(len(shapes))])
 		calls[i] = c
 		first, second := random.Int(), random.Int()
 		address := s.address(first)
@@ -106,18 +103,14 @@
 	return slices.ContainsFunc(s.dead, func(r *router.Router) bool { return r.CallersAddress() == address })
 }
 
-// choose returns a shape by its weight.
-func choose(random *rand.Rand, shapes []shape) shape {
-	total := 0
-	for _, s := range shapes {
-		total += s.weight
-	}
-	n := random.IntN(total)
-	for _, s := range shapes {
-		if n < s.weight {
-			return s
+// weighted lists each shape of the mix as often as its weight says, or only those
+// for engines.
+func weighted(enginesOnly bool) []shape {
+	var shapes []shape
+	for _, s := range mix {
+		if s.model != "" || !enginesOnly {
+			shapes = append(shapes, slices.Repeat([]shape{s}, s.weight)...)
 		}
-		n -= s.weight
 	}
-	panic("trial: weights do not add up")
+	return shapes
 }
--- a/trial/site.go
+++ b/trial/site.go
@@ -20,6 +20,7 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/defaults"
 	"granitehoist.example/granitehoist/internal/httpserver"
 	"granitehoist.example/granitehoist/internal/pause"
 	"granitehoist.example/granitehoist/partner/boxlist"
@@ -50,7 +51,8 @@
 	inForcePause = 5 * time.Millisecond
 )
 
-// Site is a whole system in one process.
+// Site is a whole system in one process: the stand-ins, the routers of both
+// partners and their documents. See NewSite.
 type Site struct {
 	Store *standin.Store
 	// Routers are those that callers may use. Only the load changes them, under
@@ -58,9 +60,13 @@
 	Routers []*router.Router
 	mu      sync.Mutex
 
-	// dead holds the routers that were killed.
-	dead      []*router.Router
-	stops     stops
+	// dead holds the routers that were killed, stops what became of planned
+	// stops. Both belong to the load until it has ended.
+	dead  []*router.Router
+	stops stops
+
+	// The fields from here on do not change after NewSite. servers are those of
+	// the stand-ins.
 	engines   []*standin.Engine
 	plain     []*standin.Plain
 	servers   []*httpserver.Server
@@ -95,13 +101,17 @@
 	if s.log == nil {
 		s.log = zap.NewNop()
 	}
+	defaults.Set(&ss.Listen, anyPort)
 	if err := s.startStandins(ss.Engines); err != nil {
 		return nil, err
 	}
+	if err := s.makeKeys(); err != nil {
+		return nil, err
+	}
 	if err := s.startRouters(ss.Listen); err != nil {
 		return nil, err
 	}
-	for _, partner := range []granitehoist.Partner{Tuul, Lima} {
+	for _, partner := range partners {
 		if err := s.apply(ctx, partner); err != nil {
 			return nil, err
 		}
@@ -128,6 +138,7 @@
 	return "http://" + listener.Addr().String(), nil
 }
 
+// startStandins starts the store and the upstreams of every service.
 func (s *Site) startStandins(engines standin.EngineSettings) error {
 	var err error
 	if s.storeURL, err = s.serve(s.Store.Handler()); err != nil {
@@ -168,6 +179,8 @@
 	return nil
 }
 
+// newUpstream returns a stand-in for a service and adds it to those whose books
+// are judged.
 func (s *Site) newUpstream(service config.Service, engines standin.EngineSettings) http.Handler {
 	if service.Kind == config.KindEngine {
 		engine := standin.NewEngine(engines)
@@ -179,8 +192,10 @@
 	return plain.Handler()
 }
 
-func (s *Site) startRouters(listen string) error {
-	for _, partner := range []granitehoist.Partner{Tuul, Lima} {
+// makeKeys makes each partner's key, which signs its document, and lets the
+// routers trust it.
+func (s *Site) makeKeys() error {
+	for _, partner := range partners {
 		public, private, err := ed25519.GenerateKey(rand.Reader)
 		if err != nil {
 			return eris.Wrap(err, "trial: keys")
@@ -188,7 +203,13 @@
 		s.keys[partner] = private
 		s.trust = append(s.trust, settings.Trust{Partner: partner, Keys: []string{base64.StdEncoding.EncodeToString(public)}})
 	}
-	for _, partner := range []granitehoist.Partner{Tuul, Lima} {
+	return nil
+}
+
+// startRouters starts all routers; the first one listens for callers on the given
+// address.
+func (s *Site) startRouters(listen string) error {
+	for _, partner := range partners {
 		for _, zone := range zones[granitehoist.Region(partner)] {
 			for i := range routersPerZone {
 				r, err := s.startRouter(partner, zone, i, listen)
@@ -196,30 +217,20 @@
 					return err
 				}
 				s.Routers = append(s.Routers, r)
-				listen = ""
+				listen = anyPort
 			}
 		}
 	}
 	return nil
 }
 
+// anyPort lets the system choose a free loopback port.
 const anyPort = "127.0.0.1:0"
 
+// startRouter starts the i-th router of an availability zone. Its settings go
+// through their file form, so that they get the defaults and checks of a file.
 func (s *Site) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) (*router.Router, error) {
-	if listen == "" {
-		listen = anyPort
-	}
-	file := settings.Router{
-		Partner: partner,
-		Region:  granitehoist.Region(partner),
-		Zone:    zone,
-		Box:     granitehoist.Box(fmt.Sprintf("%s-%d", zone, i+1)),
-		Store:   s.storeURL,
-		Listen:  settings.Listen{Callers: listen, Peers: anyPort, Admin: anyPort},
-		Trust:   s.trust,
-		Limits:  settings.Limits{Unready: settings.Duration(unready)},
-		Splits:  []settings.Split{{Partner: Tuul, Weigh: "refusals"}, {Partner: Lima, Weigh: "overspend"}},
-	}
+	file := s.routerSettings(partner, zone, i, listen)
 	text, err := toml.Marshal(file)
 	if err != nil {
 		return nil, eris.Wrap(err, "trial: settings")
@@ -241,6 +252,21 @@
 	return r, nil
 }
 
+// routerSettings returns what the settings file of a router would say.
+func (s *Site) routerSettings(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) settings.Router {
+	return settings.Router{
+		Partner: partner,
+		Region:  granitehoist.Region(partner),
+		Zone:    zone,
+		Box:     granitehoist.Box(fmt.Sprintf("%s-%d", zone, i+1)),
+		Store:   s.storeURL,
+		Listen:  settings.Listen{Callers: listen, Peers: anyPort, Admin: anyPort},
+		Trust:   s.trust,
+		Limits:  settings.Limits{Unready: settings.Duration(unready)},
+		Splits:  []settings.Split{{Partner: Tuul, Weigh: "refusals"}, {Partner: Lima, Weigh: "overspend"}},
+	}
+}
+
 // apply signs a partner's document and writes it through a router.
 func (s *Site) apply(ctx context.Context, partner granitehoist.Partner) error {
 	text, err := toml.Marshal(s.documents[partner])
--- a/trial/stops.go
+++ b/trial/stops.go
@@ -31,7 +31,7 @@
 func (s *Site) replaceOne(ctx context.Context, i int) {
 	old := s.Routers[i]
 	s.stops.begun++
-	fresh, err := s.startRouter(old.Partner(), old.Zone(), routersPerZone+s.stops.begun, "")
+	fresh, err := s.startRouter(old.Partner(), old.Zone(), routersPerZone+s.stops.begun, anyPort)
 	if err == nil {
 		err = s.waitInForce(ctx, fresh)
 	}
@@ -85,6 +85,8 @@
 	return nil
 }
 
+// settleOne lets the first router charge the orphans of a dead one, and tries again
+// while an engine can't be asked or an attempt still runs.
 func (s *Site) settleOne(ctx context.Context, dead granitehoist.Incarnation) error {
 	for range settleTries {
 		result, err := s.Routers[0].SettleOrphans(ctx, dead, true)
