--- /dev/null
+++ b/trial/routers.go
@@ -0,0 +1,104 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package trial
+
+import (
+	"context"
+	"fmt"
+
+	"github.com/pelletier/go-toml/v2"
+	"github.com/rotisserie/eris"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/pause"
+	"granitehoist.example/granitehoist/partner/boxlist"
+	"granitehoist.example/granitehoist/partner/router"
+	"granitehoist.example/granitehoist/partner/settings"
+	"granitehoist.example/granitehoist/platform"
+)
+
+// startRouters starts all routers; the first one listens for callers on the given
+// address.
+func (s *Site) startRouters(listen string) error {
+	for _, partner := range partners {
+		for _, zone := range zones[granitehoist.Region(partner)] {
+			for i := range routersPerZone {
+				r, err := s.startRouter(partner, zone, i, listen)
+				if err != nil {
+					return err
+				}
+				s.Routers = append(s.Routers, r)
+				listen = anyPort
+			}
+		}
+	}
+	return nil
+}
+
+// anyPort lets the system choose a free loopback port.
+const anyPort = "127.0.0.1:0"
+
+// startRouter starts the i-th router of an availability zone. Its settings go
+// through their file form, so that they get the defaults and checks of a file.
+func (s *Site) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) (*router.Router, error) {
+	file := s.routerSettings(partner, zone, i, listen)
+	text, err := toml.Marshal(file)
+	if err != nil {
+		return nil, eris.Wrap(err, "trial: settings")
+	}
+	parsed, faults := settings.Parse(string(file.Box), text)
+	if len(faults) > 0 {
+		return nil, faults
+	}
+	r, err := router.New(router.Settings{
+		Router:   parsed,
+		Store:    platform.NewStore(platform.StoreSettings{Address: s.storeURL}),
+		Platform: boxlist.New(boxlist.Settings{Address: s.storeURL}),
+		Log:      s.log.Named(string(file.Box)),
+	})
+	if err != nil {
+		return nil, err
+	}
+	r.Start()
+	return r, nil
+}
+
+// routerSettings returns what the settings file of a router would say.
+func (s *Site) routerSettings(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) settings.Router {
+	return settings.Router{
+		Partner: partner,
+		Region:  granitehoist.Region(partner),
+		Zone:    zone,
+		Box:     granitehoist.Box(fmt.Sprintf("%s-%d", zone, i+1)),
+		Store:   s.storeURL,
+		Listen:  settings.Listen{Callers: listen, Peers: anyPort, Admin: anyPort},
+		Trust:   s.trust,
+		Limits:  settings.Limits{Unready: settings.Duration(unready)},
+		Splits:  []settings.Split{{Partner: Tuul, Weigh: "refusals"}, {Partner: Lima, Weigh: "overspend"}},
+	}
+}
+
+// waitInForce waits until routers have the documents of both partners.
+func (s *Site) waitInForce(ctx context.Context, routers ...*router.Router) error {
+	for _, r := range routers {
+		for len(r.View().Serials()) < len(s.documents) {
+			pause.For(ctx, inForcePause)
+			if ctx.Err() != nil {
+				return eris.New("trial: the documents did not come into force")
+			}
+		}
+	}
+	return nil
+}
+
+// stopRouters stops all routers in good order.
+func (s *Site) stopRouters(ctx context.Context) error {
+	for _, r := range s.Routers {
+		if err := r.Stop(ctx); err != nil {
+			return err
+		}
+	}
+	s.Routers = nil
+	return nil
+}
--- a/trial/site.go
+++ b/trial/site.go
@@ -9,9 +9,6 @@
 	"crypto/rand"
 	"encoding/base64"
 	"encoding/json"
-	"fmt"
-	"net"
-	"net/http"
 	"sync"
 	"time"
 
@@ -22,12 +19,9 @@
 	"granitehoist.example/granitehoist"
 	"granitehoist.example/granitehoist/internal/defaults"
 	"granitehoist.example/granitehoist/internal/httpserver"
-	"granitehoist.example/granitehoist/internal/pause"
-	"granitehoist.example/granitehoist/partner/boxlist"
 	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/partner/router"
 	"granitehoist.example/granitehoist/partner/settings"
-	"granitehoist.example/granitehoist/platform"
 	"granitehoist.example/granitehoist/standin"
 )
 
@@ -119,79 +113,6 @@
 	return s, s.waitInForce(ctx, s.Routers...)
 }
 
-// standinHeaderTimeout bounds the reading of a request's header at a stand-in.
-// Chosen, not measured.
-const standinHeaderTimeout = time.Minute
-
-// serve starts a handler on a free loopback port and returns its URL.
-func (s *Site) serve(h http.Handler) (string, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", eris.Wrap(err, "trial: stand-in")
-	}
-	server := httpserver.New(httpserver.Settings{Handler: h, HeaderTimeout: standinHeaderTimeout, Quiet: true}, listener)
-	s.servers = append(s.servers, server)
-	// Serve ends with the listener, which Close closes. If it fails before, the
-	// routers see a stand-in that refuses connections, and the trial's judge sees
-	// what became of the requests.
-	go func() { _ = server.Serve() }()
-	return "http://" + listener.Addr().String(), nil
-}
-
-// startStandins starts the store and the upstreams of every service.
-func (s *Site) startStandins(engines standin.EngineSettings) error {
-	var err error
-	if s.storeURL, err = s.serve(s.Store.Handler()); err != nil {
-		return err
-	}
-	for partner, document := range s.documents {
-		for _, service := range document.Services {
-			if err := s.startService(partner, service, engines); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
-
-// startService starts the upstreams of a service and adds them to the
-// partner's document.
-func (s *Site) startService(partner granitehoist.Partner, service config.Service, engines standin.EngineSettings) error {
-	count := plainPerService
-	if service.Kind == config.KindEngine {
-		count = enginesPerPool
-	}
-	at := zones[granitehoist.Region(partner)]
-	d := s.documents[partner]
-	for i := range count {
-		address, err := s.serve(s.newUpstream(service, engines))
-		if err != nil {
-			return err
-		}
-		d.Upstreams = append(d.Upstreams, config.Upstream{
-			Name:    granitehoist.Upstream(fmt.Sprintf("%s-%d", service.Name, i+1)),
-			Service: service.Name,
-			Zone:    at[i%len(at)],
-			Address: address,
-			Box:     granitehoist.Box(fmt.Sprintf("%s-box-%d", service.Name, i+1)),
-		})
-	}
-	return nil
-}
-
-// newUpstream returns a stand-in for a service and adds it to those whose books
-// are judged.
-func (s *Site) newUpstream(service config.Service, engines standin.EngineSettings) http.Handler {
-	if service.Kind == config.KindEngine {
-		engine := standin.NewEngine(engines)
-		s.engines = append(s.engines, engine)
-		return engine.Handler()
-	}
-	plain := standin.NewPlain()
-	s.plain = append(s.plain, plain)
-	return plain.Handler()
-}
-
 // makeKeys makes each partner's key, which signs its document, and lets the
 // routers trust it.
 func (s *Site) makeKeys() error {
@@ -206,67 +127,6 @@
 	return nil
 }
 
-// startRouters starts all routers; the first one listens for callers on the given
-// address.
-func (s *Site) startRouters(listen string) error {
-	for _, partner := range partners {
-		for _, zone := range zones[granitehoist.Region(partner)] {
-			for i := range routersPerZone {
-				r, err := s.startRouter(partner, zone, i, listen)
-				if err != nil {
-					return err
-				}
-				s.Routers = append(s.Routers, r)
-				listen = anyPort
-			}
-		}
-	}
-	return nil
-}
-
-// anyPort lets the system choose a free loopback port.
-const anyPort = "127.0.0.1:0"
-
-// startRouter starts the i-th router of an availability zone. Its settings go
-// through their file form, so that they get the defaults and checks of a file.
-func (s *Site) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) (*router.Router, error) {
-	file := s.routerSettings(partner, zone, i, listen)
-	text, err := toml.Marshal(file)
-	if err != nil {
-		return nil, eris.Wrap(err, "trial: settings")
-	}
-	parsed, faults := settings.Parse(string(file.Box), text)
-	if len(faults) > 0 {
-		return nil, faults
-	}
-	r, err := router.New(router.Settings{
-		Router:   parsed,
-		Store:    platform.NewStore(platform.StoreSettings{Address: s.storeURL}),
-		Platform: boxlist.New(boxlist.Settings{Address: s.storeURL}),
-		Log:      s.log.Named(string(file.Box)),
-	})
-	if err != nil {
-		return nil, err
-	}
-	r.Start()
-	return r, nil
-}
-
-// routerSettings returns what the settings file of a router would say.
-func (s *Site) routerSettings(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) settings.Router {
-	return settings.Router{
-		Partner: partner,
-		Region:  granitehoist.Region(partner),
-		Zone:    zone,
-		Box:     granitehoist.Box(fmt.Sprintf("%s-%d", zone, i+1)),
-		Store:   s.storeURL,
-		Listen:  settings.Listen{Callers: listen, Peers: anyPort, Admin: anyPort},
-		Trust:   s.trust,
-		Limits:  settings.Limits{Unready: settings.Duration(unready)},
-		Splits:  []settings.Split{{Partner: Tuul, Weigh: "refusals"}, {Partner: Lima, Weigh: "overspend"}},
-	}
-}
-
 // apply signs a partner's document and writes it through a router.
 func (s *Site) apply(ctx context.Context, partner granitehoist.Partner) error {
 	text, err := toml.Marshal(s.documents[partner])
@@ -284,30 +144,6 @@
 	return err
 }
 
-// waitInForce waits until routers have the documents of both partners.
-func (s *Site) waitInForce(ctx context.Context, routers ...*router.Router) error {
-	for _, r := range routers {
-		for len(r.View().Serials()) < len(s.documents) {
-			pause.For(ctx, inForcePause)
-			if ctx.Err() != nil {
-				return eris.New("trial: the documents did not come into force")
-			}
-		}
-	}
-	return nil
-}
-
-// stopRouters stops all routers in good order.
-func (s *Site) stopRouters(ctx context.Context) error {
-	for _, r := range s.Routers {
-		if err := r.Stop(ctx); err != nil {
-			return err
-		}
-	}
-	s.Routers = nil
-	return nil
-}
-
 // Close ends what still runs.
 func (s *Site) Close() {
 	for _, r := range s.Routers {
--- /dev/null
+++ b/trial/upstreams.go
@@ -0,0 +1,91 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package trial
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"time"
+
+	"github.com/rotisserie/eris"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/httpserver"
+	"granitehoist.example/granitehoist/partner/config"
+	"granitehoist.example/granitehoist/standin"
+)
+
+// standinHeaderTimeout bounds the reading of a request's header at a stand-in.
+// Chosen, not measured.
+const standinHeaderTimeout = time.Minute
+
+// serve starts a handler on a free loopback port and returns its URL.
+func (s *Site) serve(h http.Handler) (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", eris.Wrap(err, "trial: stand-in")
+	}
+	server := httpserver.New(httpserver.Settings{Handler: h, HeaderTimeout: standinHeaderTimeout, Quiet: true}, listener)
+	s.servers = append(s.servers, server)
+	// Serve ends with the listener, which Close closes. If it fails before, the
+	// routers see a stand-in that refuses connections, and the trial's judge sees
+	// what became of the requests.
+	go func() { _ = server.Serve() }()
+	return "http://" + listener.Addr().String(), nil
+}
+
+// startStandins starts the store and the upstreams of every service.
+func (s *Site) startStandins(engines standin.EngineSettings) error {
+	var err error
+	if s.storeURL, err = s.serve(s.Store.Handler()); err != nil {
+		return err
+	}
+	for partner, document := range s.documents {
+		for _, service := range document.Services {
+			if err := s.startService(partner, service, engines); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// startService starts the upstreams of a service and adds them to the
+// partner's document.
+func (s *Site) startService(partner granitehoist.Partner, service config.Service, engines standin.EngineSettings) error {
+	count := plainPerService
+	if service.Kind == config.KindEngine {
+		count = enginesPerPool
+	}
+	at := zones[granitehoist.Region(partner)]
+	d := s.documents[partner]
+	for i := range count {
+		address, err := s.serve(s.newUpstream(service, engines))
+		if err != nil {
+			return err
+		}
+		d.Upstreams = append(d.Upstreams, config.Upstream{
+			Name:    granitehoist.Upstream(fmt.Sprintf("%s-%d", service.Name, i+1)),
+			Service: service.Name,
+			Zone:    at[i%len(at)],
+			Address: address,
+			Box:     granitehoist.Box(fmt.Sprintf("%s-box-%d", service.Name, i+1)),
+		})
+	}
+	return nil
+}
+
+// newUpstream returns a stand-in for a service and adds it to those whose books
+// are judged.
+func (s *Site) newUpstream(service config.Service, engines standin.EngineSettings) http.Handler {
+	if service.Kind == config.KindEngine {
+		engine := standin.NewEngine(engines)
+		s.engines = append(s.engines, engine)
+		return engine.Handler()
+	}
+	plain := standin.NewPlain()
+	s.plain = append(s.plain, plain)
+	return plain.Handler()
+}
