--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -22,15 +22,22 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
+// Sizes of a fleet and of its requests. Chosen, not measured.
 const (
+	// nodeCount is the router processes, and workerCount the upstreams, so few that
+	// a fault of one is felt by all callers.
 	nodeCount   = 4
 	workerCount = 3
-	// reserved is less than what the callers ask for, so that the budget ends.
+	// reserved is the budget in tokens, less than what the callers ask for, so that
+	// it ends.
 	reserved = 60_000
+	// prompt is the tokens of a request before its first event, perEvent those of
+	// each event, and events the events of a stream.
 	prompt   = 100
 	perEvent = 5
 	events   = 4
-	graceS   = 3
+	// graceS is the seconds that a process has to end after SIGTERM.
+	graceS = 3
 )
 
 // books are what the workers saw: how often each request ran.
@@ -60,7 +67,7 @@
 	log      bytes.Buffer
 }
 
-// fleet is the whole site of one seed.
+// fleet is the processes, stand-ins and proxies of one seed.
 type fleet struct {
 	t         *testing.T
 	binary    string
@@ -83,7 +90,9 @@
 	front, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.200:0", ownNetwork(), block))
 	f.must(err)
 	server := &http.Server{Handler: &standin.PlatformStore{Store: f.store}, ReadHeaderTimeout: time.Minute}
+	// A store that ends early refuses connections, which awaitReady reports.
 	go func() { _ = server.Serve(front) }()
+	// The store's connections are thrown away at the end of the test.
 	t.Cleanup(func() { _ = server.Close() })
 	f.put(platform.ConfigKey, fmt.Sprintf(`{"revision":1,"routes":[
 		{"name":"safe","hostname":"h.example","pathPrefix":"/safe/","type":"safe","timeoutMs":3000,"targetLatencyMs":500,"priorityClass":1,"backend":"pool","maxAttempts":2},
@@ -150,6 +159,8 @@
 	}
 	p.ended = make(chan struct{})
 	go func(c *exec.Cmd, ended chan struct{}) {
+		// A process that was killed ends with an error; judge and awaitReady see
+		// one that ended by itself.
 		_ = c.Wait()
 		close(ended)
 	}(p.command, p.ended)
@@ -158,6 +169,7 @@
 func (p *process) signal(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
+	// A process that has ended already takes no signal.
 	_ = p.command.Process.Signal(s)
 }
 
@@ -183,6 +195,7 @@
 	if err != nil {
 		return false
 	}
+	// The connection is thrown away.
 	_ = response.Body.Close()
 	return response.StatusCode == http.StatusOK
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -13,13 +13,17 @@
 type proxyMode int
 
 const (
+	// pass passes bytes on at once.
 	pass proxyMode = iota
+	// delay holds each piece for delayTime.
 	delay
+	// silence holds all bytes until the mode changes.
 	silence
+	// reset ends the connections by a reset, and each new one.
 	reset
 )
 
-// delayTime is how long a delaying proxy holds each piece.
+// delayTime is how long a delaying proxy holds each piece. Chosen, not measured.
 const delayTime = 120 * time.Millisecond
 
 // proxy passes connections on to an address and shows the faults of its mode.
@@ -27,6 +31,7 @@
 	listener net.Listener
 	target   string
 
+	// mu guards the fields below it.
 	mu    sync.Mutex
 	mode  proxyMode
 	conns map[net.Conn]struct{}
@@ -57,6 +62,7 @@
 	}
 }
 
+// abort resets a connection. An error means that it has ended already.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -80,6 +86,7 @@
 	}
 }
 
+// serve connects a client with the target until both directions have ended.
 func (p *proxy) serve(client net.Conn) {
 	if p.present() == reset {
 		abort(client)
@@ -101,6 +108,7 @@
 	delete(p.conns, client)
 	delete(p.conns, server)
 	p.mu.Unlock()
+	// Both directions have ended, so an error of Close changes nothing.
 	_ = client.Close()
 	_ = server.Close()
 }
@@ -123,6 +131,7 @@
 		}
 		if err != nil {
 			if tcp, ok := to.(*net.TCPConn); ok {
+				// An error means that the other direction has ended too.
 				_ = tcp.CloseWrite()
 			}
 			return
@@ -131,6 +140,7 @@
 }
 
 func (p *proxy) close() {
+	// The listener is thrown away; accept ends with it.
 	_ = p.listener.Close()
 	p.set(reset)
 }
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -11,8 +11,10 @@
 // Each stand-in owns its books and faults, guards them by its own lock and may
 // be called at any time by any goroutine; its faults hold for the requests that
 // begin after Fail. The package relies on partner/upstream for the engines'
-// messages. No router runs it.
+// messages and on partner/boxlist for the list of boxes. No router runs it:
+// 'granitehoist standin', packages trial and measure, and tests do.
 //
-// Begin reading at Engine for the partner router, and at Worker, whose
-// WorkerAnswer lists the failures that a test can script, for granitehoist-edge.
+// Begin reading at Store, which both routers use and PlatformStore serves; at
+// Engine and Plain for the partner router; and at Worker, whose WorkerAnswer lists
+// the failures that a test can script, for granitehoist-edge.
 package standin
