--- a/measure/subjects.go
+++ b/measure/subjects.go
@@ -29,12 +29,13 @@
 	return granitehoist.NewBudgetID("tuul", granitehoist.Workspace(fmt.Sprintf("workspace-%03d", i%540)), fmt.Sprintf("season-%05d", i))
 }
 
-func mustJSON(value any) []byte {
-	raw, err := json.Marshal(value)
+// must returns the value of a call that can't fail with what is measured here, and
+// panics if it does.
+func must[T any](value T, err error) T {
 	if err != nil {
 		panic("measure: " + err.Error())
 	}
-	return raw
+	return value
 }
 
 // newRandom returns a source of bytes and numbers that differ for each i and
@@ -89,15 +90,8 @@
 	return p
 }
 
-func mustPack(value any) []byte {
-	raw, err := pack.Pack(value)
-	if err != nil {
-		panic("measure: " + err.Error())
-	}
-	return raw
-}
-
-func packedBytes(value any) float64 { return float64(len(mustPack(value))) }
+// packedBytes is the size of a value as routers pack it for messages and the store.
+func packedBytes(value any) float64 { return float64(len(must(pack.Pack(value)))) }
 
 // messageBytes is the size of a packed message between routers, in base64.
 func messageBytes(value any) float64 { return packedBytes(value) * base64Growth }
@@ -129,10 +123,8 @@
 func pageWriteTime(n int) float64 {
 	store := standin.NewStore(standin.StoreSettings{})
 	key := budget.PageKey("tuul", 0)
-	_, err := store.CompareAndSwap(context.Background(), granitehoist.Change{Key: key, Value: mustPack(capacityPage(n))})
-	if err != nil {
-		panic("measure: " + err.Error())
-	}
+	page := must(pack.Pack(capacityPage(n)))
+	must(store.CompareAndSwap(context.Background(), granitehoist.Change{Key: key, Value: page}))
 	keeper := budget.NewKeeper(budget.KeeperSettings{Region: "tuul", Store: store, Prepaid: func(granitehoist.BudgetID) (granitehoist.Tokens, granitehoist.Serial, bool) {
 		return 1 << 40, 1, true
 	}})
@@ -141,9 +133,7 @@
 		totals.Spent++
 		ask := budget.Ask{Budget: capacityID(0), Totals: totals, Want: totals.Granted, Need: totals.Granted, Least: totals.Granted}
 		params := budget.SyncParams{Box: "zaisan-hall-0001", Incarnation: capacityIncarnation(0), Asks: []budget.Ask{ask}}
-		if _, err := keeper.SyncAll(context.Background(), 0, []budget.SyncParams{params}, capacityStart); err != nil {
-			panic("measure: " + err.Error())
-		}
+		must(keeper.SyncAll(context.Background(), 0, []budget.SyncParams{params}, capacityStart))
 	})
 }
 
@@ -222,7 +212,7 @@
 	for i := range n {
 		members = append(members, fleet.Member{Box: "zaisan-hall-0001", Incarnation: capacityIncarnation(i), Partner: "tuul", Region: "tuul", Zone: "zaisan-hall", Peers: "10.100.200.100:8081"})
 	}
-	return float64(len(mustJSON(members)))
+	return float64(len(must(json.Marshal(members))))
 }
 
 // choiceTime is what one choice among n upstreams takes, for an affinity that
@@ -233,10 +223,7 @@
 	source := newRandom(n)
 	return nanoseconds(func() {
 		want.Affinity = source.Uint64()
-		slot, err := table.Acquire(context.Background(), want, capacityStart)
-		if err != nil {
-			panic("measure: " + err.Error())
-		}
+		slot := must(table.Acquire(context.Background(), want, capacityStart))
 		slot.Done(route.Good, capacityStart)
 	})
 }
@@ -246,11 +233,8 @@
 	targets := capacityTargets(n)
 	return heapOf(func() any {
 		table := route.NewTable(route.Settings{})
-		slot, err := table.Acquire(context.Background(), route.Want{Service: "s", Targets: targets, Affinity: 1}, capacityStart)
-		if err != nil {
-			panic("measure: " + err.Error())
-		}
-		return slot
+		want := route.Want{Service: "s", Targets: targets, Affinity: 1}
+		return must(table.Acquire(context.Background(), want, capacityStart))
 	})
 }
 
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -85,11 +85,11 @@
 	attempt := granitehoist.AttemptID(r.Header.Get(upstream.HeaderAttempt))
 	prompt, tokens := request.prompt()
 	x, p := e.begin(attempt, prompt, tokens)
-	if p.refuse {
+	if x == nil {
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return
 	}
-	defer e.endUnlessHeld(x)
+	defer e.end(x)
 	shown := string(attempt)
 	if p.cross {
 		shown = "of-another-request"
--- a/standin/enginebooks.go
+++ b/standin/enginebooks.go
@@ -40,30 +40,29 @@
 	return books
 }
 
-// plan is how the engine will serve one request.
+// plan is the failures that the engine shows for one request that it runs.
 type plan struct {
-	cut, cross, noUsage, refuse bool
+	cut, cross, noUsage bool
 }
 
 // bookedText bounds the part of a prompt that the books keep, in bytes. Chosen,
 // not measured; a trial's request id stands in the first twelve.
 const bookedText = 128
 
-// begin enters an attempt in the books, unless the engine refuses it or the
-// attempt was ended before, and decides which failures it shows.
+// begin enters an attempt in the books and decides which failures it shows. It
+// returns nil if the engine refuses it or the attempt was ended before.
 func (e *Engine) begin(attempt granitehoist.AttemptID, text string, prompt granitehoist.Tokens) (*Execution, plan) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.requests++
+	refuse := e.faults.Leaving || isEveryNth(e.faults.RefuseEvery, e.requests)
 	p := plan{
-		refuse:  e.faults.Leaving || isEveryNth(e.faults.RefuseEvery, e.requests),
 		cut:     isEveryNth(e.faults.CutEvery, e.requests),
 		cross:   isEveryNth(e.faults.CrossEvery, e.requests),
 		noUsage: isEveryNth(e.faults.NoUsageEvery, e.requests),
 	}
 	x, ok := e.books[attempt]
-	if p.refuse || (ok && x.Ended) {
-		p.refuse = true
+	if refuse || (ok && x.Ended) {
 		return nil, p
 	}
 	if !ok {
@@ -86,15 +85,8 @@
 	return true
 }
 
-// end marks an attempt as producing no more.
+// end marks an attempt as producing no more, unless it waits for a resumption.
 func (e *Engine) end(x *Execution) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	x.Ended = true
-}
-
-// endUnlessHeld does the same unless the attempt waits for a resumption.
-func (e *Engine) endUnlessHeld(x *Execution) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x.Ended = x.Ended || !x.held
