--- a/standin/engine.go
+++ b/standin/engine.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// serveResume goes on with a broken stream after the events that the reader
-// has. Words that were counted are not counted again.
+// serveResume continues a cut stream after the events that the reader has. Words
+// that were counted are not counted again.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	attempt := granitehoist.AttemptID(r.Header.Get(upstream.HeaderAttempt))
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
--- a/standin/enginebooks.go
+++ b/standin/enginebooks.go
@@ -19,8 +19,8 @@
 	Ended bool
 	// Runs counts how often the attempt was executed.
 	Runs int
-	// answering is what a resumed stream goes on with; held says that a stream
-	// was broken off and may be resumed.
+	// held says that the attempt's stream was cut and may be resumed, and
+	// answering is that stream.
 	answering *answering
 	held      bool
 }
@@ -92,7 +92,7 @@
 	x.Ended = x.Ended || !x.held
 }
 
-// hold keeps a broken stream for a resumption.
+// hold keeps a cut stream for a resumption, unless the engine forgets it.
 func (e *Engine) hold(a *answering) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/trial/judge.go
+++ b/trial/judge.go
@@ -121,6 +121,8 @@
 	}
 }
 
+// allNotRun reports whether every answer said that the request did not run. There
+// is at least one.
 func allNotRun(fates []granitehoist.Fate) bool {
 	return !slices.ContainsFunc(fates, func(f granitehoist.Fate) bool { return f != granitehoist.NotRun })
 }
--- a/trial/load.go
+++ b/trial/load.go
@@ -29,7 +29,8 @@
 	weight int
 }
 
-// mix is the load: what the users' pages tell of.
+// mix is the load, after the kinds of requests that the users' pages describe. The
+// weights are chosen, not measured.
 var mix = []shape{
 	{workspace: "lock-kiosks", partner: Tuul, model: TuulModel, stream: true, weight: 5},
 	{workspace: "lock-kiosks", partner: Tuul, model: LimaModel, weight: 1},
--- a/trial/site.go
+++ b/trial/site.go
@@ -54,8 +54,8 @@
 	Routers []*router.Router
 	mu      sync.Mutex
 
-	// dead holds the routers that were killed, stops what became of planned
-	// stops. Both belong to the load until it has ended.
+	// dead holds the routers that were killed, and stops counts the planned stops.
+	// Only the load changes both, but for stops.failures.
 	dead  []*router.Router
 	stops stops
 
--- a/trial/stops.go
+++ b/trial/stops.go
@@ -25,9 +25,9 @@
 	failures atomic.Int64
 }
 
-// replaceOne starts a router in the place of another, which it stops in good
-// order in the background. As a balancer that asks for readiness does, callers
-// leave the old one first.
+// replaceOne starts a router in the place of another, which it stops in the
+// background. Callers use the new one before the old one stops, as with a balancer
+// that asks for readiness.
 func (s *Site) replaceOne(ctx context.Context, i int) {
 	old := s.Routers[i]
 	s.stops.begun++
