--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -22,22 +22,15 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// Sizes of a fleet and of its requests. Chosen, not measured.
 const (
-	// nodeCount is the router processes, and workerCount the upstreams, so few that
-	// a fault of one is felt by all callers.
 	nodeCount   = 4
 	workerCount = 3
-	// reserved is the budget in tokens, less than what the callers ask for, so that
-	// it ends.
+	// reserved is less than what the callers ask for, so that the budget ends.
 	reserved = 60_000
-	// prompt is the tokens of a request before its first event, perEvent those of
-	// each event, and events the events of a stream.
 	prompt   = 100
 	perEvent = 5
 	events   = 4
-	// graceS is the seconds that a process has to end after SIGTERM.
-	graceS = 3
+	graceS   = 3
 )
 
 // books are what the workers saw: how often each request ran.
@@ -67,7 +60,7 @@
 	log      bytes.Buffer
 }
 
-// fleet is the processes, stand-ins and proxies of one seed.
+// fleet is the whole site of one seed.
 type fleet struct {
 	t         *testing.T
 	binary    string
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -13,17 +13,13 @@
 type proxyMode int
 
 const (
-	// pass passes bytes on at once.
 	pass proxyMode = iota
-	// delay holds each piece for delayTime.
 	delay
-	// silence holds all bytes until the mode changes.
 	silence
-	// reset ends the connections by a reset, and each new one.
 	reset
 )
 
-// delayTime is how long a delaying proxy holds each piece. Chosen, not measured.
+// delayTime is how long a delaying proxy holds each piece.
 const delayTime = 120 * time.Millisecond
 
 // proxy passes connections on to an address and shows the faults of its mode.
@@ -31,7 +27,6 @@
 	listener net.Listener
 	target   string
 
-	// mu guards the fields below it.
 	mu    sync.Mutex
 	mode  proxyMode
 	conns map[net.Conn]struct{}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -21,19 +21,12 @@
 const (
 	// seedsVariable names the seeds to play, as FROM-TO.
 	seedsVariable = "SOAK_SEEDS"
-	// callers is the connections that send requests. Chosen, not measured.
-	callers = 6
-	// faultTime is how long faults are begun for. Chosen, not measured.
-	faultTime = 5 * time.Second
-	// series is the number of faults that are played beside each other. Chosen, not
-	// measured.
-	series = 3
-	// recoveryTime bounds the time in which every process must be ready, at first
-	// and after the last fault. Chosen, not measured.
+	callers       = 6
+	faultTime     = 5 * time.Second
+	// series is the number of faults that are played beside each other.
+	series       = 3
 	recoveryTime = 12 * time.Second
-	// deadline is what a caller gives the routers for a request. Chosen, not
-	// measured.
-	deadline = 2 * time.Second
+	deadline     = 2 * time.Second
 )
 
 // TestSoak plays the seeds.
@@ -59,9 +52,6 @@
 // firstBlock numbers the loopback addresses of the first seed.
 const firstBlock = 80
 
-// play starts a fleet, sends requests to it while faults are played, and judges it
-// after it has recovered. The seed sets the faults and the requests, but not how
-// they meet in time.
 func play(t *testing.T, binary string, seed int) {
 	f := newFleet(t, binary, firstBlock+seed%100)
 	f.awaitReady(recoveryTime)
@@ -113,7 +103,6 @@
 	}
 }
 
-// awaitReady waits until every process says that it serves.
 func (f *fleet) awaitReady(most time.Duration) {
 	f.t.Helper()
 	for end := time.Now().Add(most); ; time.Sleep(50 * time.Millisecond) {
@@ -135,19 +124,15 @@
 
 // ledger is what the callers got.
 type ledger struct {
-	// mu guards the fields below it.
 	mu sync.Mutex
 	// answers holds the last status of each request, 0 for none.
-	answers map[string]int
-	// tokens is what the answers that came are worth, also those that broke off.
-	tokens int
-	served int
-	// mismatch describes the answers that were not the request's own or complete.
+	answers  map[string]int
+	tokens   int
+	served   int
 	mismatch []string
 }
 
-// call sends requests over a connection that stays open until its process ends, and
-// goes to the next process if an answer did not come or broke off.
+// call sends requests over connections that stay open until the process is gone.
 func (f *fleet) call(caller int, random *rand.Rand, results *ledger, stop <-chan struct{}) {
 	client := &http.Client{Timeout: deadline + time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -168,8 +153,8 @@
 	}
 }
 
-// ask sends one request and returns the status of its answer, 0 if it did not come
-// or broke off.
+// ask sends one request and returns the status of its answer, 0 if it was not
+// whole.
 func (f *fleet) ask(client *http.Client, p *process, kind, id string, results *ledger) int {
 	request, err := http.NewRequest(http.MethodPost, "http://"+p.ip+":8227/"+kind+"/x", strings.NewReader("question"))
 	if err != nil {
@@ -198,20 +183,18 @@
 		status = 0
 	}
 	wrong := ""
-	expected := "run of " + id
+	whole := "run of " + id
 	switch {
 	case status != http.StatusOK:
 	case kind == "stream" && got != events:
 		wrong = fmt.Sprintf("%s has %d events", id, got)
-	case kind != "stream" && string(body) != expected:
+	case kind != "stream" && string(body) != whole:
 		wrong = fmt.Sprintf("%s got %q", id, body)
 	}
 	results.note(id, status, got, wrong)
 	return status
 }
 
-// note notes the answer to a request: its status, the events that came, and what is
-// wrong with it, if anything.
 func (l *ledger) note(id string, status, got int, wrong string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/trial/site.go
+++ b/trial/site.go
@@ -9,6 +9,8 @@
 	"crypto/rand"
 	"encoding/base64"
 	"encoding/json"
+	"net"
+	"net/http"
 	"sync"
 	"time"
 
@@ -113,6 +115,25 @@
 	return s, s.waitInForce(ctx, s.Routers...)
 }
 
+// standinHeaderTimeout bounds the reading of a request's header at a stand-in.
+// Chosen, not measured.
+const standinHeaderTimeout = time.Minute
+
+// serve starts a handler on a free loopback port and returns its URL.
+func (s *Site) serve(h http.Handler) (string, error) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return "", eris.Wrap(err, "trial: stand-in")
+	}
+	server := httpserver.New(httpserver.Settings{Handler: h, HeaderTimeout: standinHeaderTimeout, Quiet: true}, listener)
+	s.servers = append(s.servers, server)
+	// Serve ends with the listener, which Close closes. If it fails before, the
+	// routers see a stand-in that refuses connections, and the trial's judge sees
+	// what became of the requests.
+	go func() { _ = server.Serve() }()
+	return "http://" + listener.Addr().String(), nil
+}
+
 // makeKeys makes each partner's key, which signs its document, and lets the
 // routers trust it.
 func (s *Site) makeKeys() error {
--- a/trial/upstreams.go
+++ b/trial/upstreams.go
@@ -5,37 +5,13 @@
 
 import (
 	"fmt"
-	"net"
 	"net/http"
-	"time"
-
-	"github.com/rotisserie/eris"
 
 	"granitehoist.example/granitehoist"
-	"granitehoist.example/granitehoist/internal/httpserver"
 	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/standin"
 )
 
-// standinHeaderTimeout bounds the reading of a request's header at a stand-in.
-// Chosen, not measured.
-const standinHeaderTimeout = time.Minute
-
-// serve starts a handler on a free loopback port and returns its URL.
-func (s *Site) serve(h http.Handler) (string, error) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return "", eris.Wrap(err, "trial: stand-in")
-	}
-	server := httpserver.New(httpserver.Settings{Handler: h, HeaderTimeout: standinHeaderTimeout, Quiet: true}, listener)
-	s.servers = append(s.servers, server)
-	// Serve ends with the listener, which Close closes. If it fails before, the
-	// routers see a stand-in that refuses connections, and the trial's judge sees
-	// what became of the requests.
-	go func() { _ = server.Serve() }()
-	return "http://" + listener.Addr().String(), nil
-}
-
 // startStandins starts the store and the upstreams of every service.
 func (s *Site) startStandins(engines standin.EngineSettings) error {
 	var err error
