--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -88,7 +88,9 @@
 	front, err := net.Listen("tcp", fmt.Sprintf("127.%d.%d.200:0", ownNetwork(), block))
 	f.must(err)
 	server := &http.Server{Handler: &standin.PlatformStore{Store: f.store}, ReadHeaderTimeout: time.Minute}
+	// A store that ends early refuses connections, which awaitReady reports.
 	go func() { _ = server.Serve(front) }()
+	// The store's connections are thrown away at the end of the test.
 	t.Cleanup(func() { _ = server.Close() })
 	f.put(platform.ConfigKey, fmt.Sprintf(`{"revision":1,"routes":[
 		{"name":"safe","hostname":"h.example","pathPrefix":"/safe/","type":"safe","timeoutMs":3000,"targetLatencyMs":500,"priorityClass":1,"backend":"pool","maxAttempts":2},
@@ -157,6 +159,8 @@
 	}
 	p.ended = make(chan struct{})
 	go func(c *exec.Cmd, ended chan struct{}) {
+		// A process that was killed ends with an error; judge and awaitReady see
+		// one that ended by itself.
 		_ = c.Wait()
 		close(ended)
 	}(p.command, p.ended)
@@ -165,6 +169,7 @@
 func (p *process) signal(s os.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
+	// A process that has ended already takes no signal.
 	_ = p.command.Process.Signal(s)
 }
 
@@ -190,6 +195,7 @@
 	if err != nil {
 		return false
 	}
+	// The connection is thrown away.
 	_ = response.Body.Close()
 	return response.StatusCode == http.StatusOK
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -61,6 +61,7 @@
 	}
 }
 
+// abort resets a connection. An error means that it has ended already.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -84,6 +85,7 @@
 	}
 }
 
+// serve connects a client with the target until both directions have ended.
 func (p *proxy) serve(client net.Conn) {
 	if p.present() == reset {
 		abort(client)
@@ -105,6 +107,7 @@
 	delete(p.conns, client)
 	delete(p.conns, server)
 	p.mu.Unlock()
+	// Both directions have ended, so an error of Close changes nothing.
 	_ = client.Close()
 	_ = server.Close()
 }
@@ -128,6 +131,7 @@
 		}
 		if err != nil {
 			if tcp, ok := to.(*net.TCPConn); ok {
+				// An error means that the other direction has ended too.
 				_ = tcp.CloseWrite()
 			}
 			return
@@ -136,6 +140,7 @@
 }
 
 func (p *proxy) close() {
+	// The listener is thrown away; accept ends with it.
 	_ = p.listener.Close()
 	p.set(reset)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -182,6 +182,7 @@
 		results.note(id, 0, 0, "")
 		return 0
 	}
+	// A failure to close a body that has been read can't change it.
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	got := strings.Count(string(body), "id: ")
--- a/standin/store.go
+++ b/standin/store.go
@@ -6,7 +6,8 @@
 import (
 	"context"
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 	"strings"
 	"sync"
 	"time"
@@ -22,6 +23,7 @@
 	now   granitehoist.Clock
 	watch time.Duration
 
+	// mu guards the fields below it.
 	mu      sync.Mutex
 	version granitehoist.Version
 	// entries has deleted keys too, so that watches report them.
@@ -81,13 +83,11 @@
 		return nil, err
 	}
 	defer s.mu.Unlock()
-	boxes := make(map[granitehoist.Box]bool, len(s.boxes))
-	for b, leaving := range s.boxes {
-		boxes[b] = leaving
-	}
-	return boxes, nil
+	return maps.Clone(s.boxes), nil
 }
 
+// put stores an entry under the next version and wakes the watches. The caller
+// holds the lock.
 func (s *Store) put(key string, e storedEntry) granitehoist.Version {
 	s.version++
 	e.Key = key
@@ -119,13 +119,7 @@
 	}
 	defer s.mu.Unlock()
 	s.calls.Reads++
-	found := s.newer(prefix, 0)
-	live := found[:0]
-	for _, e := range found {
-		if !e.Deleted {
-			live = append(live, e)
-		}
-	}
+	live := slices.DeleteFunc(s.newer(prefix, 0), func(e granitehoist.Entry) bool { return e.Deleted })
 	return live, s.version, nil
 }
 
@@ -137,7 +131,7 @@
 			found = append(found, e.Entry)
 		}
 	}
-	sort.Slice(found, func(i, j int) bool { return found[i].Key < found[j].Key })
+	slices.SortFunc(found, func(a, b granitehoist.Entry) int { return strings.Compare(a.Key, b.Key) })
 	return found
 }
 
@@ -148,23 +142,24 @@
 	}
 	defer s.mu.Unlock()
 	s.calls.Writes++
-	if every(s.faults.DropEvery, s.calls.Writes) {
+	if isEveryNth(s.faults.DropEvery, s.calls.Writes) {
 		return 0, granitehoist.ErrUnknown
 	}
 	version, err := s.change(c)
-	if err == nil && every(s.faults.LoseEvery, s.calls.Writes) {
+	if err == nil && isEveryNth(s.faults.LoseEvery, s.calls.Writes) {
 		return 0, granitehoist.ErrUnknown
 	}
 	return version, err
 }
 
+// change makes a write, if the key has the expected version and the lease is there.
+// The caller holds the lock.
 func (s *Store) change(c granitehoist.Change) (granitehoist.Version, error) {
 	var current granitehoist.Version
 	if e, ok := s.entries[c.Key]; ok && !e.Deleted {
 		current = e.Version
 	}
 	if current != c.Expect {
-		s.calls.Conflicts++
 		return 0, granitehoist.ErrConflict
 	}
 	if len(c.Value) > granitehoist.MaxValueSize {
--- a/standin/workeranswer.go
+++ b/standin/workeranswer.go
@@ -19,23 +19,18 @@
 type WorkerAnswer struct {
 	// Status of the answer; zero stands for 200.
 	Status int
-	Header http.Header
 	Body   string
 	// Events makes the answer a stream of that many events.
 	Events int
 	// Gap is the pause before each event, Delay that before the head.
 	Gap, Delay time.Duration
-	// CutAfter resets the connection after that many bytes or events, if Cut
-	// is set; within the next event if Within is set too.
-	Cut      bool
-	CutAfter int
-	Within   bool
-	// CloseClean ends a cut answer with a FIN in place of a reset.
-	CloseClean bool
+	// Cut breaks the answer off.
+	Cut Cut
 	// Silent never answers.
 	Silent bool
-	// Before is sent before the answer, After behind it.
-	Before, After string
+	// SurplusBefore is sent before the answer, SurplusAfter behind it: bytes
+	// that belong to no answer.
+	SurplusBefore, SurplusAfter string
 	// Unframed gives no length, and ends the connection with the answer.
 	Unframed bool
 	// Early answers before the body has been read.
@@ -48,6 +43,20 @@
 	NoSeal bool
 }
 
+// Cut says whether and where an answer breaks off. The zero value leaves the
+// answer complete.
+type Cut struct {
+	// Set breaks the answer off.
+	Set bool
+	// After is the bytes of a body, or the number of the last event of a stream,
+	// that are sent before.
+	After int
+	// Within sends half of the next event too.
+	Within bool
+	// Clean ends the connection with a FIN in place of a reset.
+	Clean bool
+}
+
 // write gives an answer and reports whether the connection goes on.
 func (w *Worker) write(conn net.Conn, arrival Arrival, a WorkerAnswer) bool {
 	time.Sleep(a.Delay)
@@ -60,15 +69,15 @@
 	if expected := arrival.Header.Get("Expect-Instance"); expected != "" && expected != w.instance {
 		a = WorkerAnswer{Status: http.StatusMisdirectedRequest, NoSeal: true}
 	}
-	if _, err := io.WriteString(conn, a.Before); err != nil {
+	if _, err := io.WriteString(conn, a.SurplusBefore); err != nil {
 		return false
 	}
 	if a.Events > 0 {
 		return w.writeStream(conn, arrival, a)
 	}
 	body := a.Body
-	if a.Cut {
-		body = body[:min(a.CutAfter, len(body))]
+	if a.Cut.Set {
+		body = body[:min(a.Cut.After, len(body))]
 	}
 	framing := "Content-Length: " + strconv.Itoa(len(a.Body)) + "\r\n"
 	if a.Unframed {
@@ -82,16 +91,16 @@
 
 // end finishes an answer and reports whether the connection goes on.
 func (w *Worker) end(conn net.Conn, a WorkerAnswer) bool {
-	if a.Cut && !a.CloseClean {
+	if a.Cut.Set && !a.Cut.Clean {
 		reset(conn)
 	}
-	if a.Cut || a.Unframed {
+	if a.Cut.Set || a.Unframed {
 		return false
 	}
-	if a.After == "" {
+	if a.SurplusAfter == "" {
 		return true
 	}
-	_, err := io.WriteString(conn, a.After)
+	_, err := io.WriteString(conn, a.SurplusAfter)
 	return err == nil
 }
 
@@ -122,8 +131,6 @@
 	if a.NotRun {
 		head.WriteString("Not-Executed: 1\r\n")
 	}
-	// A bytes.Buffer takes every write.
-	_ = a.Header.Write(&head)
 	head.WriteString("\r\n")
 	return head.String()
 }
@@ -144,8 +151,8 @@
 	for n := arrival.After + 1; n <= a.Events; n++ {
 		time.Sleep(a.Gap)
 		event := StreamEvent(arrival.ID, n)
-		if a.Cut && n > a.CutAfter {
-			if a.Within {
+		if a.Cut.Set && n > a.Cut.After {
+			if a.Cut.Within {
 				// The connection is cut next, whether this reached the router or
 				// not.
 				_ = w.piece(conn, a, event[:len(event)/2])
--- a/trial/call.go
+++ b/trial/call.go
@@ -54,6 +54,8 @@
 	endedEarly bool
 }
 
+// newCall returns the i-th request of the load. Its prompt or body begins with its
+// id, by which it is found in the books of the stand-ins.
 func newCall(i int, s shape) *call {
 	id := fmt.Sprintf("trial-%06d", i)
 	budget := granitehoist.NewBudgetID(s.partner, s.workspace, budgetName)
@@ -72,6 +74,7 @@
 // plainPath is asked for at plain services, which answer it back.
 const plainPath = "/berths"
 
+// request builds the HTTP request to the router at an address.
 func (c *call) request(address string) (*http.Request, error) {
 	base := sling.New().Base("http://"+address).
 		Set("Authorization", "Bearer "+Key(c.shape.workspace)).
@@ -85,17 +88,12 @@
 		}
 		return base.Post("/v1/chat/completions").BodyJSON(body).Request()
 	}
-	method := http.MethodGet
-	if c.shape.once {
-		method = http.MethodPost
-		base = base.Set(gate.HeaderOnce, "true")
-	}
+	base = base.Body(strings.NewReader(c.prompt))
 	path := "/services/" + string(c.shape.service) + plainPath
-	request, err := base.Post(path).Body(strings.NewReader(c.prompt)).Request()
-	if err == nil {
-		request.Method = method
+	if c.shape.once {
+		return base.Set(gate.HeaderOnce, "true").Post(path).Request()
 	}
-	return request, err
+	return base.Get(path).Request()
 }
 
 // send makes the request and notes the answer in the outcome.
@@ -120,6 +118,7 @@
 	c.noteAnswer(response.Body)
 }
 
+// noteFailure notes the error that a router answered.
 func (c *call) noteFailure(body io.Reader) {
 	var failure gate.Failure
 	if err := json.NewDecoder(body).Decode(&failure); err != nil {
@@ -134,6 +133,8 @@
 	c.outcome.Code = granitehoist.Code(failure.Error.Code)
 }
 
+// noteAnswer notes a successful answer, and whether it is complete and the
+// request's own.
 func (c *call) noteAnswer(body io.Reader) {
 	a := c.read(body)
 	c.endedEarly = !a.ended
@@ -166,6 +167,8 @@
 	failure *gate.Failure
 }
 
+// read reads the body of a successful answer in the form that the request asked
+// for.
 func (c *call) read(body io.Reader) answer {
 	switch {
 	case c.shape.model == "":
--- a/trial/judge.go
+++ b/trial/judge.go
@@ -52,9 +52,9 @@
 		v.Requests, v.Served, v.Refused, v.NotRun, v.Billed, v.Overspend, v.FalseRefusals, v.Crossed, v.Doubled, v.Lost, v.Untrue, v.Cut, v.Stops, v.StopsFailed)
 }
 
-// Execution is what the stand-ins executed of one request: how often, and the
+// Executions is what the stand-ins executed of one request: how often, and the
 // tokens that they counted for all executions together.
-type Execution struct {
+type Executions struct {
 	Runs   int
 	Tokens granitehoist.Tokens
 }
@@ -64,7 +64,7 @@
 	// Outcomes are in the order in which the requests were sent.
 	Outcomes []*Outcome
 	// Books has what the stand-ins executed, by request id.
-	Books map[granitehoist.RequestID]Execution
+	Books map[granitehoist.RequestID]Executions
 	// Charges are those in the store after all routers have stopped.
 	Charges []bill.Charge
 	// Prepaid is what each budget had at the beginning.
@@ -90,7 +90,9 @@
 	return v
 }
 
-func (v *Verdict) judgeAnswer(o *Outcome, x Execution) {
+// judgeAnswer counts what one caller was told, and compares it with the executions
+// of the request. A caller who was cut off or got no answer was told nothing else.
+func (v *Verdict) judgeAnswer(o *Outcome, x Executions) {
 	switch {
 	case o.Killed:
 		v.Cut++
@@ -119,11 +121,15 @@
 	}
 }
 
+// allNotRun reports whether every answer said that the request did not run. There
+// is at least one.
 func allNotRun(fates []granitehoist.Fate) bool {
 	return !slices.ContainsFunc(fates, func(f granitehoist.Fate) bool { return f != granitehoist.NotRun })
 }
 
-func (v *Verdict) judgeCharge(x Execution, charges []bill.Charge) {
+// judgeCharge compares the charges of one request with its executions: both or
+// neither must be there, with the same tokens, and no attempt charged twice.
+func (v *Verdict) judgeCharge(x Executions, charges []bill.Charge) {
 	var tokens granitehoist.Tokens
 	charged := map[granitehoist.AttemptID]bool{}
 	for _, c := range charges {
--- a/trial/site.go
+++ b/trial/site.go
@@ -9,7 +9,6 @@
 	"crypto/rand"
 	"encoding/base64"
 	"encoding/json"
-	"fmt"
 	"net"
 	"net/http"
 	"sync"
@@ -20,13 +19,11 @@
 	"go.uber.org/zap"
 
 	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/internal/defaults"
 	"granitehoist.example/granitehoist/internal/httpserver"
-	"granitehoist.example/granitehoist/internal/pause"
-	"granitehoist.example/granitehoist/partner/boxlist"
 	"granitehoist.example/granitehoist/partner/config"
 	"granitehoist.example/granitehoist/partner/router"
 	"granitehoist.example/granitehoist/partner/settings"
-	"granitehoist.example/granitehoist/platform"
 	"granitehoist.example/granitehoist/standin"
 )
 
@@ -50,7 +47,8 @@
 	inForcePause = 5 * time.Millisecond
 )
 
-// Site is a whole system in one process.
+// Site is a whole system in one process: the stand-ins, the routers of both
+// partners and their documents. See NewSite.
 type Site struct {
 	Store *standin.Store
 	// Routers are those that callers may use. Only the load changes them, under
@@ -58,9 +56,13 @@
 	Routers []*router.Router
 	mu      sync.Mutex
 
-	// dead holds the routers that were killed.
-	dead      []*router.Router
-	stops     stops
+	// dead holds the routers that were killed, and stops counts the planned stops.
+	// Only the load changes both, but for stops.failures.
+	dead  []*router.Router
+	stops stops
+
+	// The fields from here on do not change after NewSite. servers are those of
+	// the stand-ins.
 	engines   []*standin.Engine
 	plain     []*standin.Plain
 	servers   []*httpserver.Server
@@ -95,13 +97,17 @@
 	if s.log == nil {
 		s.log = zap.NewNop()
 	}
+	defaults.Set(&ss.Listen, anyPort)
 	if err := s.startStandins(ss.Engines); err != nil {
 		return nil, err
 	}
+	if err := s.makeKeys(); err != nil {
+		return nil, err
+	}
 	if err := s.startRouters(ss.Listen); err != nil {
 		return nil, err
 	}
-	for _, partner := range []granitehoist.Partner{Tuul, Lima} {
+	for _, partner := range partners {
 		if err := s.apply(ctx, partner); err != nil {
 			return nil, err
 		}
@@ -133,59 +139,10 @@
 	return "http://" + listener.Addr().String(), nil
 }
 
-func (s *Site) startStandins(engines standin.EngineSettings) error {
-	var err error
-	if s.storeURL, err = s.serve(s.Store.Handler()); err != nil {
-		return err
-	}
-	for partner, document := range s.documents {
-		for _, service := range document.Services {
-			if err := s.startService(partner, service, engines); err != nil {
-				return err
-			}
-		}
-	}
-	return nil
-}
-
-// startService starts the upstreams of a service and adds them to the
-// partner's document.
-func (s *Site) startService(partner granitehoist.Partner, service config.Service, engines standin.EngineSettings) error {
-	count := plainPerService
-	if service.Kind == config.KindEngine {
-		count = enginesPerPool
-	}
-	at := zones[granitehoist.Region(partner)]
-	d := s.documents[partner]
-	for i := range count {
-		address, err := s.serve(s.newUpstream(service, engines))
-		if err != nil {
-			return err
-		}
-		d.Upstreams = append(d.Upstreams, config.Upstream{
-			Name:    granitehoist.Upstream(fmt.Sprintf("%s-%d", service.Name, i+1)),
-			Service: service.Name,
-			Zone:    at[i%len(at)],
-			Address: address,
-			Box:     granitehoist.Box(fmt.Sprintf("%s-box-%d", service.Name, i+1)),
-		})
-	}
-	return nil
-}
-
-func (s *Site) newUpstream(service config.Service, engines standin.EngineSettings) http.Handler {
-	if service.Kind == config.KindEngine {
-		engine := standin.NewEngine(engines)
-		s.engines = append(s.engines, engine)
-		return engine.Handler()
-	}
-	plain := standin.NewPlain()
-	s.plain = append(s.plain, plain)
-	return plain.Handler()
-}
-
-func (s *Site) startRouters(listen string) error {
-	for _, partner := range []granitehoist.Partner{Tuul, Lima} {
+// makeKeys makes each partner's key, which signs its document, and lets the
+// routers trust it.
+func (s *Site) makeKeys() error {
+	for _, partner := range partners {
 		public, private, err := ed25519.GenerateKey(rand.Reader)
 		if err != nil {
 			return eris.Wrap(err, "trial: keys")
@@ -193,59 +150,9 @@
 		s.keys[partner] = private
 		s.trust = append(s.trust, settings.Trust{Partner: partner, Keys: []string{base64.StdEncoding.EncodeToString(public)}})
 	}
-	for _, partner := range []granitehoist.Partner{Tuul, Lima} {
-		for _, zone := range zones[granitehoist.Region(partner)] {
-			for i := range routersPerZone {
-				r, err := s.startRouter(partner, zone, i, listen)
-				if err != nil {
-					return err
-				}
-				s.Routers = append(s.Routers, r)
-				listen = ""
-			}
-		}
-	}
 	return nil
 }
 
-const anyPort = "127.0.0.1:0"
-
-func (s *Site) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) (*router.Router, error) {
-	if listen == "" {
-		listen = anyPort
-	}
-	file := settings.Router{
-		Partner: partner,
-		Region:  granitehoist.Region(partner),
-		Zone:    zone,
-		Box:     granitehoist.Box(fmt.Sprintf("%s-%d", zone, i+1)),
-		Store:   s.storeURL,
-		Listen:  settings.Listen{Callers: listen, Peers: anyPort, Admin: anyPort},
-		Trust:   s.trust,
-		Limits:  settings.Limits{Unready: settings.Duration(unready)},
-		Splits:  []settings.Split{{Partner: Tuul, Weigh: "refusals"}, {Partner: Lima, Weigh: "overspend"}},
-	}
-	text, err := toml.Marshal(file)
-	if err != nil {
-		return nil, eris.Wrap(err, "trial: settings")
-	}
-	parsed, faults := settings.Parse(string(file.Box), text)
-	if len(faults) > 0 {
-		return nil, faults
-	}
-	r, err := router.New(router.Settings{
-		Router:   parsed,
-		Store:    platform.NewStore(platform.StoreSettings{Address: s.storeURL}),
-		Platform: boxlist.New(boxlist.Settings{Address: s.storeURL}),
-		Log:      s.log.Named(string(file.Box)),
-	})
-	if err != nil {
-		return nil, err
-	}
-	r.Start()
-	return r, nil
-}
-
 // apply signs a partner's document and writes it through a router.
 func (s *Site) apply(ctx context.Context, partner granitehoist.Partner) error {
 	text, err := toml.Marshal(s.documents[partner])
@@ -263,30 +170,6 @@
 	return err
 }
 
-// waitInForce waits until routers have the documents of both partners.
-func (s *Site) waitInForce(ctx context.Context, routers ...*router.Router) error {
-	for _, r := range routers {
-		for len(r.View().Serials()) < len(s.documents) {
-			pause.For(ctx, inForcePause)
-			if ctx.Err() != nil {
-				return eris.New("trial: the documents did not come into force")
-			}
-		}
-	}
-	return nil
-}
-
-// stopRouters stops all routers in good order.
-func (s *Site) stopRouters(ctx context.Context) error {
-	for _, r := range s.Routers {
-		if err := r.Stop(ctx); err != nil {
-			return err
-		}
-	}
-	s.Routers = nil
-	return nil
-}
-
 // Close ends what still runs.
 func (s *Site) Close() {
 	for _, r := range s.Routers {
