--- a/escrow/account.go
+++ b/escrow/account.go
@@ -80,10 +80,10 @@
 	return h.target(c)
 }
 
-// giveBack returns what the return of tokens depends on while the store has
+// storeReturn returns what the return of tokens depends on while the store has
 // remaining tokens.
-func (a *account) giveBack(remaining granitehoist.Tokens, c conditions) giveBack {
-	return giveBack{
+func (a *account) storeReturn(remaining granitehoist.Tokens, c conditions) storeReturn {
+	return storeReturn{
 		unreserved: a.owned.unreserved(), target: a.target(remaining, c),
 		remaining: remaining, limit: a.owned.limit, waiting: len(a.waiters) > 0,
 	}
--- a/escrow/due.go
+++ b/escrow/due.go
@@ -25,11 +25,11 @@
 // wanted. lastSync is when the store last answered this router itself.
 func isRecordOld(lastSync, now time.Time) bool { return now.Sub(lastSync) > maxRecordAge }
 
-// isOff decides whether a holding is worth a sync: it is low and the store has
+// needsSync decides whether a holding is worth a sync: it is low and the store has
 // tokens left, or others may miss what is held. What is known of the store is as
 // old as the last sync.
-func (g giveBack) isOff(c conditions) bool {
-	return (g.remaining > 0 && isLow(g.unreserved, g.target, refillBelow)) || g.tokens(c) > 0
+func (r storeReturn) needsSync(c conditions) bool {
+	return (r.remaining > 0 && isLow(r.unreserved, r.target, refillBelow)) || r.tokens(c) > 0
 }
 
 // isRowStale decides whether a row has to be written: tokens were granted or
--- a/escrow/export_test.go
+++ b/escrow/export_test.go
@@ -21,7 +21,7 @@
 func Replenish(s *Syncer) { s.askRelays(context.Background()) }
 
 // GiveBack gives back what the syncer's ledger holds beyond its needs.
-func GiveBack(s *Syncer) { s.returnSurplus(context.Background()) }
+func GiveBack(s *Syncer) { s.repaySurplus(context.Background()) }
 
 // Repay takes tokens off a ledger's own and returns what the receiver is told.
 func Repay(l *Ledger, to granitehoist.Incarnation, w granitehoist.Workspace, tokens granitehoist.Tokens) RepayParams {
--- a/escrow/giveback.go
+++ b/escrow/giveback.go
@@ -26,8 +26,8 @@
 	endPart = 0.02
 )
 
-// giveBack is what the return of tokens to the store depends on.
-type giveBack struct {
+// storeReturn is what the return of tokens to the store depends on.
+type storeReturn struct {
 	// unreserved is what is owned here, target what should be held.
 	unreserved, target granitehoist.Tokens
 	// remaining is what the store has left; it is negative if the limit was reduced
@@ -40,15 +40,15 @@
 // tokens decides how many tokens go back to the store: everything at a stop, what
 // is granted beyond a reduced limit, or what is held beyond the target if that is
 // so much that others may miss it and it is worth a write.
-func (g giveBack) tokens(c conditions) granitehoist.Tokens {
+func (r storeReturn) tokens(c conditions) granitehoist.Tokens {
 	switch {
-	case g.unreserved <= 0:
+	case r.unreserved <= 0:
 		return 0
 	case c.closing:
-		return g.unreserved
-	case g.remaining < 0:
-		return min(g.unreserved, -g.remaining)
-	case g.waiting:
+		return r.unreserved
+	case r.remaining < 0:
+		return min(r.unreserved, -r.remaining)
+	case r.waiting:
 		return 0
 	}
 	above := returnAboveTarget
@@ -56,11 +56,11 @@
 		above = returnAboveTargetAfterOutage
 	}
 	least := minReturnPart
-	if float64(g.remaining) < endPart*float64(g.limit) {
+	if float64(r.remaining) < endPart*float64(r.limit) {
 		least = minReturnPartAtEnd
 	}
-	extra := g.unreserved - g.target
-	if float64(g.unreserved) <= above*float64(g.target) || float64(extra) < least*float64(g.limit) {
+	extra := r.unreserved - r.target
+	if float64(r.unreserved) <= above*float64(r.target) || float64(extra) < least*float64(r.limit) {
 		return 0
 	}
 	return extra
--- a/escrow/giveback_test.go
+++ b/escrow/giveback_test.go
@@ -18,34 +18,34 @@
 }
 
 var _ = DescribeTable("What goes back to the store of a budget of 100,000 tokens",
-	func(c conditions, g giveBack, expected granitehoist.Tokens) {
+	func(c conditions, g storeReturn, expected granitehoist.Tokens) {
 		g.limit = 100_000
 		Expect(g.tokens(c)).To(Equal(expected))
 	},
-	Entry("is nothing up to twice the target", settled(), giveBack{unreserved: 2_000, target: 1_000, remaining: 50_000}, granitehoist.Tokens(0)),
-	Entry("is what is beyond the target above that", settled(), giveBack{unreserved: 2_001, target: 1_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
-	Entry("is nothing up to 1.2 times the target after an outage", afterOutage(), giveBack{unreserved: 6_000, target: 5_000, remaining: 50_000}, granitehoist.Tokens(0)),
-	Entry("is what is beyond the target above that, after an outage", afterOutage(), giveBack{unreserved: 6_001, target: 5_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
-	Entry("is nothing below 0.5 % of the total", settled(), giveBack{unreserved: 499, target: 0, remaining: 50_000}, granitehoist.Tokens(0)),
-	Entry("is as little as 0.5 % of the total", settled(), giveBack{unreserved: 500, target: 0, remaining: 50_000}, granitehoist.Tokens(500)),
-	Entry("is less at the end", settled(), giveBack{unreserved: 20, target: 0, remaining: 1_999}, granitehoist.Tokens(20)),
-	Entry("is nothing below 0.02 % there", settled(), giveBack{unreserved: 19, target: 0, remaining: 1_999}, granitehoist.Tokens(0)),
-	Entry("is nothing while requests wait", settled(), giveBack{unreserved: 9_000, target: 0, remaining: 50_000, waiting: true}, granitehoist.Tokens(0)),
-	Entry("is what a reduced limit does not cover, also while requests wait", settled(), giveBack{unreserved: 9_000, target: 9_000, remaining: -700, waiting: true}, granitehoist.Tokens(700)),
-	Entry("is no more than there is", settled(), giveBack{unreserved: 600, target: 600, remaining: -700}, granitehoist.Tokens(600)),
-	Entry("is everything at a stop", stopping(), giveBack{unreserved: 600, target: 600, remaining: 50_000, waiting: true}, granitehoist.Tokens(600)),
-	Entry("is nothing of what is owed", stopping(), giveBack{unreserved: -5, target: 600, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is nothing up to twice the target", settled(), storeReturn{unreserved: 2_000, target: 1_000, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is what is beyond the target above that", settled(), storeReturn{unreserved: 2_001, target: 1_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
+	Entry("is nothing up to 1.2 times the target after an outage", afterOutage(), storeReturn{unreserved: 6_000, target: 5_000, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is what is beyond the target above that, after an outage", afterOutage(), storeReturn{unreserved: 6_001, target: 5_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
+	Entry("is nothing below 0.5 % of the total", settled(), storeReturn{unreserved: 499, target: 0, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is as little as 0.5 % of the total", settled(), storeReturn{unreserved: 500, target: 0, remaining: 50_000}, granitehoist.Tokens(500)),
+	Entry("is less at the end", settled(), storeReturn{unreserved: 20, target: 0, remaining: 1_999}, granitehoist.Tokens(20)),
+	Entry("is nothing below 0.02 % there", settled(), storeReturn{unreserved: 19, target: 0, remaining: 1_999}, granitehoist.Tokens(0)),
+	Entry("is nothing while requests wait", settled(), storeReturn{unreserved: 9_000, target: 0, remaining: 50_000, waiting: true}, granitehoist.Tokens(0)),
+	Entry("is what a reduced limit does not cover, also while requests wait", settled(), storeReturn{unreserved: 9_000, target: 9_000, remaining: -700, waiting: true}, granitehoist.Tokens(700)),
+	Entry("is no more than there is", settled(), storeReturn{unreserved: 600, target: 600, remaining: -700}, granitehoist.Tokens(600)),
+	Entry("is everything at a stop", stopping(), storeReturn{unreserved: 600, target: 600, remaining: 50_000, waiting: true}, granitehoist.Tokens(600)),
+	Entry("is nothing of what is owed", stopping(), storeReturn{unreserved: -5, target: 600, remaining: 50_000}, granitehoist.Tokens(0)),
 )
 
 var _ = DescribeTable("A holding of a budget of 100,000 tokens is worth a sync",
-	func(g giveBack, expected bool) {
+	func(g storeReturn, expected bool) {
 		g.limit = 100_000
-		Expect(g.isOff(settled())).To(Equal(expected))
+		Expect(g.needsSync(settled())).To(Equal(expected))
 	},
-	Entry("if it is low", giveBack{unreserved: 749, target: 1_000, remaining: 50_000}, true),
-	Entry("not if the store has nothing for it", giveBack{unreserved: 749, target: 1_000, remaining: 0}, false),
-	Entry("not if it is near its target", giveBack{unreserved: 750, target: 1_000, remaining: 50_000}, false),
-	Entry("if much may be missed elsewhere", giveBack{unreserved: 2_001, target: 1_000, remaining: 50_000}, true),
+	Entry("if it is low", storeReturn{unreserved: 749, target: 1_000, remaining: 50_000}, true),
+	Entry("not if the store has nothing for it", storeReturn{unreserved: 749, target: 1_000, remaining: 0}, false),
+	Entry("not if it is near its target", storeReturn{unreserved: 750, target: 1_000, remaining: 50_000}, false),
+	Entry("if much may be missed elsewhere", storeReturn{unreserved: 2_001, target: 1_000, remaining: 50_000}, true),
 )
 
 var _ = DescribeTable("A row of a budget of 100,000 tokens is written",
--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -44,7 +44,7 @@
 	}
 	c := l.conditions(routers, now)
 	for _, a := range l.accounts {
-		if a.giveBack(a.fleet.record.remaining, c).isOff(c) {
+		if a.storeReturn(a.fleet.record.remaining, c).needsSync(c) {
 			return true
 		}
 	}
--- a/escrow/next.go
+++ b/escrow/next.go
@@ -43,8 +43,8 @@
 const (
 	// stepNothing ends a round in which nothing is needed.
 	stepNothing step = iota
-	// stepReturn gives relays back what is held beyond need.
-	stepReturn
+	// stepRepay gives relays back what is held beyond need.
+	stepRepay
 	// stepAskRelays asks relays to fill the holdings. The round goes on with what
 	// comes of it.
 	stepAskRelays
@@ -67,7 +67,7 @@
 	case !r.needed && r.writes:
 		return stepNothing
 	case !r.needed:
-		return stepReturn
+		return stepRepay
 	case !r.writes && r.relays == relaysNotAsked:
 		return stepAskRelays
 	case !r.writes && r.relays == relaysHelped:
--- a/escrow/owned.go
+++ b/escrow/owned.go
@@ -68,8 +68,8 @@
 	o.granted = max(o.granted, total)
 }
 
-// giveBack deducts tokens that are about to be returned to the store.
-func (o *owned) giveBack(tokens granitehoist.Tokens) { o.returned += tokens }
+// returnToStore deducts tokens that are about to be returned to the store.
+func (o *owned) returnToStore(tokens granitehoist.Tokens) { o.returned += tokens }
 
 // reserve sets tokens aside that the caller has found to be free.
 func (o *owned) reserve(bound granitehoist.Tokens) { o.reserved += bound }
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -69,7 +69,7 @@
 	next := row
 	next.Spent = a.owned.spent
 	next.Rate = granitehoist.Tokens(a.demand.rate.value(c.now) + a.demand.borrowersRate(c.now))
-	a.owned.giveBack(a.giveBack(remaining, c).tokens(c))
+	a.owned.returnToStore(a.storeReturn(remaining, c).tokens(c))
 	next.Returned = a.owned.returned
 	if !c.closing {
 		next.Granted += a.grant(remaining+next.Returned-row.Returned, c, below)
--- a/escrow/repay.go
+++ b/escrow/repay.go
@@ -29,8 +29,8 @@
 	return s.settings.Ledger.report(p.Workspace, p.Giver, now), nil
 }
 
-// returnSurplus repays what is held beyond need to the first relay that takes it.
-func (s *Syncer) returnSurplus(ctx context.Context) {
+// repaySurplus repays what is held beyond need to the first relay that takes it.
+func (s *Syncer) repaySurplus(ctx context.Context) {
 	for _, extra := range s.settings.Ledger.surpluses(s.settings.Routers(), s.settings.Clock()) {
 		lenders := s.lenders()
 		for _, to := range lenders[:min(len(lenders), relaysAsked)] {
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -70,8 +70,8 @@
 		m.relayFailures = 0
 	}
 	switch next {
-	case stepReturn:
-		s.returnSurplus(ctx)
+	case stepRepay:
+		s.repaySurplus(ctx)
 	case stepCountFailure:
 		m.relayFailures++
 	case stepBorrow:
