--- a/escrow/account.go
+++ b/escrow/account.go
@@ -116,9 +116,9 @@
 	return bounds
 }
 
-// shortfall returns what a shortage depends on.
-func (a *account) shortfall(c conditions) shortfall {
-	s := shortfall{
+// shortageInputs returns what a shortage depends on.
+func (a *account) shortageInputs(c conditions) shortageInputs {
+	s := shortageInputs{
 		unreserved: a.owned.unreserved(), target: a.target(a.fleet.remainingInStore(a.owned.limit), c),
 		rate: a.demand.rate.value(c.now), frozen: a.owned.frozen,
 	}
--- a/escrow/borrow.go
+++ b/escrow/borrow.go
@@ -34,11 +34,11 @@
 		return
 	}
 	for i, lender := range s.lenders() {
-		lacks := s.settings.Ledger.waitersLacks(s.settings.Clock())
-		if len(lacks) == 0 || i >= maxLenders || ctx.Err() != nil {
+		shortages := s.settings.Ledger.waiterShortages(s.settings.Clock())
+		if len(shortages) == 0 || i >= maxLenders || ctx.Err() != nil {
 			return
 		}
-		for _, missing := range lacks {
+		for _, missing := range shortages {
 			s.borrowFrom(ctx, lender, missing)
 		}
 	}
@@ -75,12 +75,12 @@
 // whether they have done what can be done: where a relay that knows the record
 // does not help, the record can't either.
 func (s *Syncer) askRelays(ctx context.Context) relayAnswer {
-	lacks := s.settings.Ledger.lacks(s.settings.Routers(), s.settings.Clock())
+	shortages := s.settings.Ledger.holdingShortages(s.settings.Routers(), s.settings.Clock())
 	lenders := s.lenders()
 	lenders = lenders[:min(len(lenders), relaysAsked)]
 	var unhelped atomic.Int32
 	var asking sync.WaitGroup
-	for _, missing := range lacks {
+	for _, missing := range shortages {
 		asking.Go(func() {
 			if !s.borrowFromAny(ctx, lenders, missing) {
 				unhelped.Add(1)
@@ -106,7 +106,7 @@
 		if s.borrowFrom(ctx, lender, missing) {
 			return true
 		}
-		if missing = s.settings.Ledger.lackOf(missing.workspace, s.settings.Routers(), s.settings.Clock()); missing.want == 0 {
+		if missing = s.settings.Ledger.holdingShortage(missing.workspace, s.settings.Routers(), s.settings.Clock()); missing.want == 0 {
 			return true
 		}
 	}
--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -62,47 +62,47 @@
 	return false
 }
 
-// waitersLacks returns what requests wait for, by workspace.
-func (l *Ledger) waitersLacks(now time.Time) []shortage {
+// waiterShortages returns what requests wait for, by workspace.
+func (l *Ledger) waiterShortages(now time.Time) []shortage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.conditions(0, now)
-	var lacks []shortage
+	var shortages []shortage
 	for w, a := range l.accounts {
 		if len(a.waiters) == 0 || a.owned.frozen {
 			continue
 		}
-		lack := a.shortfall(c).ofWaiters(c)
-		lack.workspace = w
-		lacks = append(lacks, lack)
+		short := a.shortageInputs(c).forWaiters(c)
+		short.workspace = w
+		shortages = append(shortages, short)
 	}
-	return lacks
+	return shortages
 }
 
-// lacks returns what a router behind relays asks them for, by workspace.
-func (l *Ledger) lacks(routers int, now time.Time) []shortage {
+// holdingShortages returns what a router behind relays asks them for, by workspace.
+func (l *Ledger) holdingShortages(routers int, now time.Time) []shortage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.conditions(routers, now).behindRelay()
-	var lacks []shortage
+	var shortages []shortage
 	for w, a := range l.accounts {
 		a.routers = routers
-		if lack := a.shortfall(c).ofHolding(); lack.want > 0 {
-			lack.workspace = w
-			lacks = append(lacks, lack)
+		if short := a.shortageInputs(c).forHolding(); short.want > 0 {
+			short.workspace = w
+			shortages = append(shortages, short)
 		}
 	}
-	return lacks
+	return shortages
 }
 
-// lackOf returns what a router behind relays asks them for in one workspace.
-func (l *Ledger) lackOf(w granitehoist.Workspace, routers int, now time.Time) shortage {
+// holdingShortage returns what a router behind relays asks them for in one workspace.
+func (l *Ledger) holdingShortage(w granitehoist.Workspace, routers int, now time.Time) shortage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.conditions(routers, now).behindRelay()
-	lack := l.account(w).shortfall(c).ofHolding()
-	lack.workspace = w
-	return lack
+	short := l.account(w).shortageInputs(c).forHolding()
+	short.workspace = w
+	return short
 }
 
 // surplus is what a router gives to a neighbour.
--- a/escrow/lend_test.go
+++ b/escrow/lend_test.go
@@ -40,25 +40,25 @@
 )
 
 var _ = DescribeTable("What a router behind relays asks for",
-	func(s shortfall, expected shortage) {
-		Expect(s.ofHolding()).To(Equal(expected))
+	func(s shortageInputs, expected shortage) {
+		Expect(s.forHolding()).To(Equal(expected))
 	},
-	Entry("is nothing if the holding is not low", shortfall{unreserved: 75, target: 100, rate: 7}, shortage{}),
-	Entry("fills a low holding", shortfall{unreserved: 74, target: 100, rate: 7}, shortage{need: 1, want: 26, rate: 7, idle: 74}),
-	Entry("serves requests and fills the holding", shortfall{unreserved: 90, target: 100, waiting: 50, rate: 7}, shortage{need: 50, want: 60, rate: 7, idle: 90, waiting: true}),
-	Entry("needs no more than it wants", shortfall{unreserved: 90, target: 50, waiting: 60}, shortage{need: 20, want: 20, idle: 90, waiting: true}),
-	Entry("wants one token at least for requests", shortfall{unreserved: 90, target: 0, waiting: 60}, shortage{need: 1, want: 1, idle: 90, waiting: true}),
-	Entry("counts tokens that are owed as none", shortfall{unreserved: -20, target: 100}, shortage{need: 1, want: 100}),
-	Entry("is nothing while the limit is not settled", shortfall{target: 100, waiting: 50, frozen: true}, shortage{}),
+	Entry("is nothing if the holding is not low", shortageInputs{unreserved: 75, target: 100, rate: 7}, shortage{}),
+	Entry("fills a low holding", shortageInputs{unreserved: 74, target: 100, rate: 7}, shortage{need: 1, want: 26, rate: 7, idle: 74}),
+	Entry("serves requests and fills the holding", shortageInputs{unreserved: 90, target: 100, waiting: 50, rate: 7}, shortage{need: 50, want: 60, rate: 7, idle: 90, waiting: true}),
+	Entry("needs no more than it wants", shortageInputs{unreserved: 90, target: 50, waiting: 60}, shortage{need: 20, want: 20, idle: 90, waiting: true}),
+	Entry("wants one token at least for requests", shortageInputs{unreserved: 90, target: 0, waiting: 60}, shortage{need: 1, want: 1, idle: 90, waiting: true}),
+	Entry("counts tokens that are owed as none", shortageInputs{unreserved: -20, target: 100}, shortage{need: 1, want: 100}),
+	Entry("is nothing while the limit is not settled", shortageInputs{target: 100, waiting: 50, frozen: true}, shortage{}),
 )
 
 var _ = DescribeTable("What a router asks for while requests wait and the store does not help",
-	func(c conditions, s shortfall, expected shortage) {
-		Expect(s.ofWaiters(c)).To(Equal(expected))
+	func(c conditions, s shortageInputs, expected shortage) {
+		Expect(s.forWaiters(c)).To(Equal(expected))
 	},
-	Entry("is what the smallest lacks, and all with 2 s of spending", settled(), shortfall{unreserved: 10, smallest: 30, waiting: 80, rate: 7}, shortage{need: 20, want: 84, rate: 7, idle: 10, waiting: true}),
-	Entry("is without the spending after an outage", afterOutage(), shortfall{unreserved: 10, smallest: 30, waiting: 80, rate: 7}, shortage{need: 20, want: 70, rate: 7, idle: 10, waiting: true}),
-	Entry("is one token at least", afterOutage(), shortfall{unreserved: 100, smallest: 30, waiting: 80}, shortage{need: 1, want: 1, idle: 100, waiting: true}),
+	Entry("is what the smallest lacks, and all with 2 s of spending", settled(), shortageInputs{unreserved: 10, smallest: 30, waiting: 80, rate: 7}, shortage{need: 20, want: 84, rate: 7, idle: 10, waiting: true}),
+	Entry("is without the spending after an outage", afterOutage(), shortageInputs{unreserved: 10, smallest: 30, waiting: 80, rate: 7}, shortage{need: 20, want: 70, rate: 7, idle: 10, waiting: true}),
+	Entry("is one token at least", afterOutage(), shortageInputs{unreserved: 100, smallest: 30, waiting: 80}, shortage{need: 1, want: 1, idle: 100, waiting: true}),
 )
 
 var _ = Describe("A call to a lender", func() {
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -98,7 +98,7 @@
 	if writes {
 		return s.settings.Ledger.due(s.settings.Routers(), now)
 	}
-	return len(s.settings.Ledger.lacks(s.settings.Routers(), now)) > 0
+	return len(s.settings.Ledger.holdingShortages(s.settings.Routers(), now)) > 0
 }
 
 // syncOrBorrow syncs, asks neighbours as well if that takes long or fails, and
--- a/escrow/shortage.go
+++ b/escrow/shortage.go
@@ -42,8 +42,8 @@
 	return replenishTimeout
 }
 
-// shortfall is what a shortage depends on.
-type shortfall struct {
+// shortageInputs is what a shortage depends on.
+type shortageInputs struct {
 	// unreserved is what is owned here, target what should be held.
 	unreserved, target granitehoist.Tokens
 	// waiting is the sum of the bounds of the waiting requests, smallest the
@@ -55,9 +55,9 @@
 	frozen bool
 }
 
-// ofHolding decides what a router behind relays asks them for: if its holding is
+// forHolding decides what a router behind relays asks them for: if its holding is
 // low or requests wait, what fills the holding beside what they need.
-func (s shortfall) ofHolding() shortage {
+func (s shortageInputs) forHolding() shortage {
 	own := max(0, s.unreserved)
 	if s.frozen || (s.waiting == 0 && !isLow(own, s.target, refillBelow)) {
 		return shortage{}
@@ -69,11 +69,11 @@
 	}
 }
 
-// ofWaiters decides what any router asks its neighbours for while requests wait
+// forWaiters decides what any router asks its neighbours for while requests wait
 // and the store does not help: what the smallest request lacks at least, what all
 // lack if possible, and loanCover of its spending unless holdings are kept small
 // after an outage.
-func (s shortfall) ofWaiters(c conditions) shortage {
+func (s shortageInputs) forWaiters(c conditions) shortage {
 	own := max(0, s.unreserved)
 	need := max(1, s.smallest-own)
 	want := s.waiting - own
