--- a/escrow/contact.go
+++ b/escrow/contact.go
@@ -24,28 +24,28 @@
 	// in touch with it, and silentSince when a call first failed since.
 	lastAnswer  time.Time
 	silentSince time.Time
-	// lastSync is when the store last answered this router itself.
-	lastSync time.Time
-	// cutSince is when a call first failed since the store answered this router
+	// lastDirectAnswer is when the store last answered this router itself.
+	lastDirectAnswer time.Time
+	// cutOffSince is when a call first failed since the store answered this router
 	// itself, or a relay that called it for this router.
-	cutSince time.Time
+	cutOffSince time.Time
 	// outageEnded is when the last outage ended, here or at a neighbour.
 	outageEnded time.Time
 }
 
 // answeredDirectly notes that the store answered this router.
 func (c *contact) answeredDirectly(now time.Time) {
-	c.lastSync = now
+	c.lastDirectAnswer = now
 	c.answeredThroughRelay(now)
 }
 
 // answeredThroughRelay notes that the store answered this router, or a relay that
 // called it for this router.
 func (c *contact) answeredThroughRelay(now time.Time) {
-	if c.cut(now) >= minOutage {
+	if c.cutOffTime(now) >= minOutage {
 		c.outageEnded = now
 	}
-	c.cutSince = time.Time{}
+	c.cutOffSince = time.Time{}
 	c.answeredAnyone(now)
 }
 
@@ -60,15 +60,15 @@
 	if c.silentSince.IsZero() {
 		c.silentSince = now
 	}
-	if c.cutSince.IsZero() {
-		c.cutSince = now
+	if c.cutOffSince.IsZero() {
+		c.cutOffSince = now
 	}
 }
 
-// noteNeighbourSilence takes in for how long the store has not answered a
+// noteNeighbourCutOff takes in for how long the store has not answered a
 // neighbour. While it answers this router, an outage there counts as one here.
-func (c *contact) noteNeighbourSilence(cut time.Duration, now time.Time) {
-	if c.cutSince.IsZero() && cut >= minOutage {
+func (c *contact) noteNeighbourCutOff(cutOff time.Duration, now time.Time) {
+	if c.cutOffSince.IsZero() && cutOff >= minOutage {
 		c.outageEnded = now
 	}
 }
@@ -84,17 +84,17 @@
 	return now.Sub(c.silentSince)
 }
 
-// cut returns for how long the store has not answered this router itself, nor a
+// cutOffTime returns for how long the store has not answered this router itself, nor a
 // relay for it; zero if it does.
-func (c contact) cut(now time.Time) time.Duration {
-	if c.cutSince.IsZero() {
+func (c contact) cutOffTime(now time.Time) time.Duration {
+	if c.cutOffSince.IsZero() {
 		return 0
 	}
-	return now.Sub(c.cutSince)
+	return now.Sub(c.cutOffSince)
 }
 
 // isInTouch reports whether what this router knows of the record is new enough to
 // be reported to borrowers.
 func (c contact) isInTouch(now time.Time) bool {
-	return !c.isSilent() && now.Sub(c.lastSync) <= inTouchTime
+	return !c.isSilent() && now.Sub(c.lastDirectAnswer) <= inTouchTime
 }
--- a/escrow/contact_test.go
+++ b/escrow/contact_test.go
@@ -23,21 +23,21 @@
 		var c contact
 		Expect(c.isSilent()).To(BeFalse())
 		Expect(c.silence(at)).To(BeZero())
-		Expect(c.cut(at)).To(BeZero())
+		Expect(c.cutOffTime(at)).To(BeZero())
 	})
 
 	It("is lost from the first failed call on", func() {
 		c := failedFor(3 * time.Second)
 		Expect(c.isSilent()).To(BeTrue())
 		Expect(c.silence(at)).To(Equal(3 * time.Second))
-		Expect(c.cut(at)).To(Equal(3 * time.Second))
+		Expect(c.cutOffTime(at)).To(Equal(3 * time.Second))
 	})
 
 	It("ends a silence by a lender's answer, but not the cut of this router", func() {
 		c := failedFor(5 * time.Second)
 		c.answeredAnyone(at)
 		Expect(c.silence(at)).To(BeZero())
-		Expect(c.cut(at)).To(Equal(5 * time.Second))
+		Expect(c.cutOffTime(at)).To(Equal(5 * time.Second))
 		Expect(c.outageEnded).To(BeZero())
 	})
 
@@ -46,7 +46,7 @@
 			c := failedFor(silence)
 			c.answeredThroughRelay(at)
 			Expect(c.outageEnded.Equal(at)).To(Equal(outage))
-			Expect(c.cut(at)).To(BeZero())
+			Expect(c.cutOffTime(at)).To(BeZero())
 		},
 		Entry("4 s", 4*time.Second, true),
 		Entry("less", 3999*time.Millisecond, false),
@@ -54,21 +54,21 @@
 
 	DescribeTable("counts a neighbour's outage as its own",
 		func(own contact, cut time.Duration, outage bool) {
-			own.noteNeighbourSilence(cut, at)
+			own.noteNeighbourCutOff(cut, at)
 			Expect(own.outageEnded.Equal(at)).To(Equal(outage))
 		},
 		Entry("if the store answers here", contact{}, 4*time.Second, true),
 		Entry("not if it was short", contact{}, time.Second, false),
-		Entry("not while the store is silent here too", contact{cutSince: ago(time.Second)}, 4*time.Second, false),
+		Entry("not while the store is silent here too", contact{cutOffSince: ago(time.Second)}, 4*time.Second, false),
 	)
 
 	DescribeTable("is close enough to report to borrowers",
 		func(c contact, expected bool) {
 			Expect(c.isInTouch(at)).To(Equal(expected))
 		},
-		Entry("3 s after an answer", contact{lastSync: ago(3 * time.Second)}, true),
-		Entry("not later", contact{lastSync: ago(3*time.Second + 1)}, false),
-		Entry("not after a failed call", contact{lastSync: at, silentSince: at}, false),
+		Entry("3 s after an answer", contact{lastDirectAnswer: ago(3 * time.Second)}, true),
+		Entry("not later", contact{lastDirectAnswer: ago(3*time.Second + 1)}, false),
+		Entry("not after a failed call", contact{lastDirectAnswer: at, silentSince: at}, false),
 	)
 })
 
--- a/escrow/due.go
+++ b/escrow/due.go
@@ -23,7 +23,9 @@
 
 // isRecordOld decides whether the record has to be read although nothing is
 // wanted. lastSync is when the store last answered this router itself.
-func isRecordOld(lastSync, now time.Time) bool { return now.Sub(lastSync) > maxRecordAge }
+func isRecordOld(lastDirectAnswer, now time.Time) bool {
+	return now.Sub(lastDirectAnswer) > maxRecordAge
+}
 
 // needsSync decides whether a holding is worth a sync: it is low and the store has
 // tokens left, or others may miss what is held. What is known of the store is as
--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -39,7 +39,7 @@
 func (l *Ledger) due(routers int, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if isRecordOld(l.contact.lastSync, now) {
+	if isRecordOld(l.contact.lastDirectAnswer, now) {
 		return true
 	}
 	c := l.conditions(routers, now)
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -237,20 +237,20 @@
 	l.contact.failed(now)
 }
 
-// StoreSilence returns for how long the store has not answered this router itself,
+// CutOffTime returns for how long the store has not answered this router itself,
 // nor a relay for it; zero if it does.
-func (l *Ledger) StoreSilence(now time.Time) time.Duration {
+func (l *Ledger) CutOffTime(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.contact.cut(now)
+	return l.contact.cutOffTime(now)
 }
 
-// NoteNeighbourSilence takes in for how long the store has not answered a
+// NoteNeighbourCutOff takes in for how long the store has not answered a
 // neighbour, as the neighbour says.
-func (l *Ledger) NoteNeighbourSilence(silence time.Duration, now time.Time) {
+func (l *Ledger) NoteNeighbourCutOff(cutOff time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.contact.noteNeighbourSilence(silence, now)
+	l.contact.noteNeighbourCutOff(cutOff, now)
 }
 
 // mustNotBeNegative panics if an amount is negative: the caller is at fault, and
--- a/escrow/outage_test.go
+++ b/escrow/outage_test.go
@@ -81,19 +81,19 @@
 	})
 
 	It("are given back as well when the store did not answer a neighbour", func() {
-		b.ledger.NoteNeighbourSilence(time.Second, now)
+		b.ledger.NoteNeighbourCutOff(time.Second, now)
 		pass(500 * time.Millisecond)
 		Expect(free()).To(BeNumerically(">", 60_000))
-		b.ledger.NoteNeighbourSilence(5*time.Second, now)
+		b.ledger.NoteNeighbourCutOff(5*time.Second, now)
 		pass(500 * time.Millisecond)
 		Expect(free()).To(BeNumerically("<", limit/50))
 	})
 
 	It("tell for how long the store has not answered", func() {
-		Expect(b.ledger.StoreSilence(now)).To(BeZero())
+		Expect(b.ledger.CutOffTime(now)).To(BeZero())
 		store.Fail(standin.StoreFaults{Down: true})
 		pass(3 * time.Second)
-		Expect(b.ledger.StoreSilence(now)).To(BeNumerically("~", 3*time.Second, 200*time.Millisecond))
+		Expect(b.ledger.CutOffTime(now)).To(BeNumerically("~", 3*time.Second, 200*time.Millisecond))
 	})
 })
 
--- a/node/updates.go
+++ b/node/updates.go
@@ -45,7 +45,7 @@
 func (n *Node) askUpdates(ctx context.Context, to granitehoist.Peer, prefix string, after granitehoist.Version, wait time.Duration) (follow.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+updatesTimeout)
 	defer cancel()
-	params := updatesParams{Prefix: prefix, After: after, Wait: wait, Cut: n.parts.ledger.StoreSilence(n.clock())}
+	params := updatesParams{Prefix: prefix, After: after, Wait: wait, Cut: n.parts.ledger.CutOffTime(n.clock())}
 	var packed follow.PackedUpdate
 	if err := n.parts.peers.Call(ctx, to, methodUpdates, params, &packed); err != nil {
 		return follow.Update{}, err
@@ -56,7 +56,7 @@
 // serveUpdates answers another router. A prefix that this node does not follow
 // has no updates: the empty answer changes nothing at the caller.
 func (n *Node) serveUpdates(ctx context.Context, params updatesParams) (follow.PackedUpdate, error) {
-	n.parts.ledger.NoteNeighbourSilence(params.Cut, n.clock())
+	n.parts.ledger.NoteNeighbourCutOff(params.Cut, n.clock())
 	for _, f := range []*follow.Follower{n.configs.follower, n.instances.follower} {
 		if f.Prefix() == params.Prefix {
 			return follow.Pack(f.Updates(ctx, params.After, min(params.Wait, maxUpdatesWait)))
