--- a/escrow/account.go
+++ b/escrow/account.go
@@ -24,8 +24,8 @@
 	lastTarget granitehoist.Tokens
 	// waiters are the requests that wait for tokens, the earliest first.
 	waiters []*waiter
-	// changed says that the limit is another one since the last sync.
-	changed bool
+	// limitChanged says that the limit is another one since the last sync.
+	limitChanged bool
 }
 
 // claim is what tokens are wanted for: a request, or a loan to a router that
--- a/escrow/admit.go
+++ b/escrow/admit.go
@@ -11,8 +11,8 @@
 const (
 	// admitted says that the tokens may be reserved.
 	admitted admission = iota
-	// lacking says that the router has fewer free tokens than the claim needs.
-	lacking
+	// tooFewFree says that the router has fewer free tokens than the claim needs.
+	tooFewFree
 	// leftForUrgent says that the router has them, but leaves them for requests of
 	// a higher priority.
 	leftForUrgent
@@ -25,7 +25,7 @@
 func admit(free, bound, forUrgent granitehoist.Tokens) admission {
 	switch {
 	case free < bound:
-		return lacking
+		return tooFewFree
 	case free < bound+forUrgent:
 		return leftForUrgent
 	}
--- a/escrow/admit_test.go
+++ b/escrow/admit_test.go
@@ -23,11 +23,11 @@
 		Expect(admit(free, bound, forUrgent)).To(Equal(expected))
 	},
 	Entry("of all that is free", granitehoist.Tokens(100), granitehoist.Tokens(100), granitehoist.Tokens(0), admitted),
-	Entry("of more than is free", granitehoist.Tokens(100), granitehoist.Tokens(101), granitehoist.Tokens(0), lacking),
+	Entry("of more than is free", granitehoist.Tokens(100), granitehoist.Tokens(101), granitehoist.Tokens(0), tooFewFree),
 	Entry("that leaves what is reserved for urgent requests", granitehoist.Tokens(100), granitehoist.Tokens(70), granitehoist.Tokens(30), admitted),
 	Entry("that would take of it", granitehoist.Tokens(100), granitehoist.Tokens(71), granitehoist.Tokens(30), leftForUrgent),
 	Entry("of nothing", granitehoist.Tokens(0), granitehoist.Tokens(0), granitehoist.Tokens(0), admitted),
-	Entry("of nothing while tokens are owed", granitehoist.Tokens(-1), granitehoist.Tokens(0), granitehoist.Tokens(0), lacking),
+	Entry("of nothing while tokens are owed", granitehoist.Tokens(-1), granitehoist.Tokens(0), granitehoist.Tokens(0), tooFewFree),
 )
 
 var _ = DescribeTable("What is reserved for urgent requests",
--- a/escrow/borrow.go
+++ b/escrow/borrow.go
@@ -92,7 +92,7 @@
 	if !inTouch {
 		s.settings.Ledger.noteStoreFailure(s.settings.Clock())
 	}
-	if s.settings.Ledger.replenished(inTouch) {
+	if s.settings.Ledger.noteRelaysAsked(inTouch) {
 		return relaysHelped
 	}
 	return relaysFailed
--- a/escrow/export_test.go
+++ b/escrow/export_test.go
@@ -14,7 +14,7 @@
 // Enter enters a request that waits, as Syncer.Reserve does, and returns where
 // its outcome arrives.
 func (l *Ledger) Enter(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) <-chan Outcome {
-	return l.wait(w, claim{bound: bound, priority: priority}, now).outcome
+	return l.addWaiter(w, claim{bound: bound, priority: priority}, now).outcome
 }
 
 // Replenish and GiveBack do one step of a syncer that does not write the record.
--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -27,7 +27,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.accounts {
-		if len(a.waiters) > 0 || a.owned.frozen || a.changed {
+		if len(a.waiters) > 0 || a.owned.frozen || a.limitChanged {
 			return true
 		}
 	}
@@ -134,16 +134,16 @@
 	return found
 }
 
-// replenished notes that relays were asked, and reports whether the record can
+// noteRelaysAsked notes that relays were asked, and reports whether the record can
 // do no more: it alone settles a reduced budget, and helps requests that wait
 // while no relay is in touch with it.
-func (l *Ledger) replenished(inTouch bool) bool {
+func (l *Ledger) noteRelaysAsked(inTouch bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	settled := true
+	done := true
 	for _, a := range l.accounts {
-		a.changed = false
-		settled = settled && !a.owned.frozen && (inTouch || len(a.waiters) == 0)
+		a.limitChanged = false
+		done = done && !a.owned.frozen && (inTouch || len(a.waiters) == 0)
 	}
-	return settled
+	return done
 }
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -100,7 +100,7 @@
 	a := l.account(w)
 	if a.owned.setLimit(limit) {
 		a.fleet.record.valid = false
-		a.changed = true
+		a.limitChanged = true
 	}
 }
 
@@ -126,12 +126,12 @@
 	if a.judgeEnd(c, now).withholds() {
 		return false
 	}
-	return l.take(a, c, now)
+	return l.reserveIfAdmitted(a, c, now)
 }
 
-// take reserves for a claim if admit allows it; the caller holds mu. The most that a request can cost
+// reserveIfAdmitted reserves for a claim if admit allows it; the caller holds mu. The most that a request can cost
 // counts as demand until its use is known.
-func (l *Ledger) take(a *account, c claim, now time.Time) bool {
+func (l *Ledger) reserveIfAdmitted(a *account, c claim, now time.Time) bool {
 	forUrgent := reservedForUrgent(c.priority, a.demand.highestPriority, a.lastTarget, outageLeft(l.contact.silentSince, now))
 	if admit(a.owned.free(), c.bound, forUrgent) != admitted {
 		return false
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -64,7 +64,7 @@
 		l.wake(a, now)
 	}
 	if r.InTouch {
-		l.refuse(a, now)
+		l.refuseAndWake(a, now)
 	}
 	return brought
 }
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -89,8 +89,8 @@
 		if a.fleet.record.valid {
 			a.owned.frozen = false
 		}
-		a.changed = false
+		a.limitChanged = false
 		l.wake(a, now)
-		l.refuse(a, now)
+		l.refuseAndWake(a, now)
 	}
 }
--- a/escrow/record.go
+++ b/escrow/record.go
@@ -34,15 +34,15 @@
 // Net returns what the incarnation has, or has spent.
 func (r Row) Net() granitehoist.Tokens { return r.Granted - r.Returned }
 
-// Account is the record of one workspace.
-type Account struct {
+// StoredAccount is the record of one workspace.
+type StoredAccount struct {
 	// Folded is the sum of the rows of incarnations that have ended.
 	Folded granitehoist.Tokens              `json:"f,omitempty"`
 	Rows   map[granitehoist.Incarnation]Row `json:"rows,omitempty"`
 }
 
 // Taken returns the tokens that are not left in the store.
-func (a *Account) Taken() granitehoist.Tokens {
+func (a *StoredAccount) Taken() granitehoist.Tokens {
 	taken := a.Folded
 	for _, row := range a.Rows {
 		taken += row.Net()
@@ -51,7 +51,7 @@
 }
 
 // IdleElsewhere returns what other incarnations last reported to be idle.
-func (a *Account) IdleElsewhere(self granitehoist.Incarnation) granitehoist.Tokens {
+func (a *StoredAccount) IdleElsewhere(self granitehoist.Incarnation) granitehoist.Tokens {
 	var idle granitehoist.Tokens
 	for incarnation, row := range a.Rows {
 		if incarnation != self {
@@ -63,7 +63,7 @@
 
 // rateElsewhere returns what other incarnations last reported to spend, in tokens
 // a second.
-func (a *Account) rateElsewhere(self granitehoist.Incarnation) granitehoist.Tokens {
+func (a *StoredAccount) rateElsewhere(self granitehoist.Incarnation) granitehoist.Tokens {
 	var sum granitehoist.Tokens
 	for incarnation, row := range a.Rows {
 		if incarnation != self {
@@ -78,7 +78,7 @@
 	Format int `json:"format"`
 	// Boxes names the incarnation that last wrote for each box.
 	Boxes    map[granitehoist.Box]granitehoist.Incarnation `json:"boxes"`
-	Accounts map[granitehoist.Workspace]*Account           `json:"accounts"`
+	Accounts map[granitehoist.Workspace]*StoredAccount     `json:"accounts"`
 }
 
 // DecodeRecord reads a stored record. A key that does not exist is an empty
@@ -97,7 +97,7 @@
 		r.Boxes = map[granitehoist.Box]granitehoist.Incarnation{}
 	}
 	if r.Accounts == nil {
-		r.Accounts = map[granitehoist.Workspace]*Account{}
+		r.Accounts = map[granitehoist.Workspace]*StoredAccount{}
 	}
 	return r, nil
 }
@@ -137,10 +137,10 @@
 }
 
 // account returns the account of a workspace, making it if need be.
-func (r *Record) account(w granitehoist.Workspace) *Account {
+func (r *Record) account(w granitehoist.Workspace) *StoredAccount {
 	a, ok := r.Accounts[w]
 	if !ok {
-		a = &Account{}
+		a = &StoredAccount{}
 		r.Accounts[w] = a
 	}
 	if a.Rows == nil {
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -32,7 +32,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.kick:
+		case <-s.kicks:
 			pause.For(ctx, gatherTime)
 		case <-ticker.C:
 		}
--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -17,7 +17,7 @@
 // Syncer keeps a Ledger and the record in the store in step. Run drives it.
 type Syncer struct {
 	settings SyncerSettings
-	kick     chan struct{}
+	kicks    chan struct{}
 
 	// mu is held during a sync, its calls included, and guards what follows.
 	mu sync.Mutex
@@ -94,7 +94,7 @@
 	if s.Synced == nil {
 		s.Synced = func(error) {}
 	}
-	return &Syncer{settings: s, kick: make(chan struct{}, 1), avoided: map[string]time.Time{}}
+	return &Syncer{settings: s, kicks: make(chan struct{}, 1), avoided: map[string]time.Time{}}
 }
 
 // Reserve sets bound tokens of a workspace aside. If the router owns too few it
@@ -109,7 +109,7 @@
 	if s.settings.Ledger.reserve(w, c, s.settings.Clock()) {
 		return Granted
 	}
-	entered := s.settings.Ledger.wait(w, c, s.settings.Clock())
+	entered := s.settings.Ledger.addWaiter(w, c, s.settings.Clock())
 	s.Kick()
 	select {
 	case outcome := <-entered.outcome:
@@ -127,7 +127,7 @@
 // Kick asks for a sync at once.
 func (s *Syncer) Kick() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.kicks <- struct{}{}:
 	default:
 	}
 }
--- a/escrow/wait.go
+++ b/escrow/wait.go
@@ -30,15 +30,15 @@
 // Without a source the request waits.
 func judgeWait(bound granitehoist.Tokens, end endVerdict, fleet fleetView, unreserved granitehoist.Tokens) waitVerdict {
 	left := fleet.leftAnywhere(unreserved)
-	var lacking bool
+	var unaffordable bool
 	switch {
 	case fleet.lenderIsNewer():
-		lacking = bound > left.tokens
+		unaffordable = bound > left.tokens
 	case fleet.record.valid:
-		lacking = bound > fleet.record.remaining+max(0, unreserved)
+		unaffordable = bound > fleet.record.remaining+max(0, unreserved)
 	}
 	switch {
-	case !lacking && !end.withholds():
+	case !unaffordable && !end.withholds():
 		return waitVerdict{}
 	case left.reported && bound > left.tokens:
 		return waitVerdict{ends: true, outcome: Exhausted}
--- a/escrow/waiters.go
+++ b/escrow/waiters.go
@@ -9,14 +9,14 @@
 	"granitehoist.example/granitehoist"
 )
 
-// wait enters a request that waits for tokens. If a fresh source says that waiting
+// addWaiter enters a request that waits for tokens. If a fresh source says that waiting
 // can't help, the wait ends at once.
-func (l *Ledger) wait(w granitehoist.Workspace, c claim, now time.Time) *waiter {
+func (l *Ledger) addWaiter(w granitehoist.Workspace, c claim, now time.Time) *waiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
 	added := &waiter{claim: c, outcome: make(chan Outcome, 1)}
-	if l.take(a, c, now) {
+	if l.reserveIfAdmitted(a, c, now) {
 		added.outcome <- Granted
 		return added
 	}
@@ -52,15 +52,15 @@
 // wake reserves for the waiters that fit, the earlier ones first.
 func (l *Ledger) wake(a *account, now time.Time) {
 	a.endWaits(func(c claim) waitVerdict {
-		if a.judgeEnd(c, now).withholds() || !l.take(a, c, now) {
+		if a.judgeEnd(c, now).withholds() || !l.reserveIfAdmitted(a, c, now) {
 			return waitVerdict{}
 		}
 		return waitVerdict{ends: true, outcome: Granted}
 	})
 }
 
-// refuse ends the waits that what is left can't serve, and wakes the others.
-func (l *Ledger) refuse(a *account, now time.Time) {
+// refuseAndWake ends the waits that what is left can't serve, and wakes the others.
+func (l *Ledger) refuseAndWake(a *account, now time.Time) {
 	a.endWaits(func(c claim) waitVerdict { return a.judgeWait(c, now) })
 	l.wake(a, now)
 }
--- a/escrow/waiters_test.go
+++ b/escrow/waiters_test.go
@@ -20,7 +20,7 @@
 		a.lastTarget = 1000
 		l.noteStoreFailure(at)
 		Expect(l.Reserve(kiosk, 10, granitehoist.MaxPriority, at)).To(BeTrue())
-		waits := l.wait(kiosk, claim{bound: 800, priority: granitehoist.MaxPriority - 2}, at)
+		waits := l.addWaiter(kiosk, claim{bound: 800, priority: granitehoist.MaxPriority - 2}, at)
 		Expect(waits.outcome).NotTo(Receive())
 		l.Borrowed(kiosk, "k1", LendResult{InTouch: true, StoreRemaining: 5000, LeftAnywhere: 5000}, at)
 		Expect(waits.outcome).To(Receive(Equal(Granted)))
