--- a/escrow/doc.go
+++ b/escrow/doc.go
@@ -47,13 +47,13 @@
 // # Where to begin reading
 //
 // Read owned.go, then ledger.go (reserve and settle), plan.go (what a sync grants
-// and returns), sync.go (how it is written), run.go and next.go (when). The rules
+// and returns), sync.go (how it is written), run.go and round.go (when). The rules
 // are functions of their inputs and the time, each in a file of its own with the
 // reasons for its numbers:
 //
-//   - what is admitted: admit.go, urgent.go, taper.go, wait.go;
+//   - what is admitted: admit.go, urgent.go, budgetend.go, wait.go;
 //   - where tokens are placed: target.go, exposure.go, refill.go, giveback.go,
-//     lend.go, surplus.go, shortage.go, due.go;
-//   - what is believed: contact.go, remaining.go;
-//   - what the syncer does: next.go, calltimeout.go.
+//     loansize.go, surplus.go, shortage.go, due.go;
+//   - what is believed: contact.go, fleetview.go;
+//   - what the syncer does: round.go, storefailures.go.
 package escrow
