--- a/escrow/doc.go
+++ b/escrow/doc.go
@@ -51,7 +51,7 @@
 // are functions of their inputs and the time, each in a file of its own with the
 // reasons for its numbers:
 //
-//   - what is admitted: admit.go, budgetend.go, wait.go;
+//   - what is admitted: outcome.go, admit.go, budgetend.go, wait.go;
 //   - where tokens are placed: target.go, exposure.go, refill.go, surplus.go,
 //     loansize.go, shortage.go, due.go;
 //   - what is believed: contact.go, fleetview.go;
--- /dev/null
+++ b/escrow/outcome.go
@@ -0,0 +1,59 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package escrow
+
+import (
+	"time"
+
+	"granitehoist.example/granitehoist"
+)
+
+// Outcome is how a reservation ended.
+type Outcome int
+
+// The outcomes.
+const (
+	// Granted says that the tokens are reserved and are to be settled.
+	Granted Outcome = iota
+	// Exhausted says that the budget has too few tokens left anywhere.
+	Exhausted
+	// Scarce says that too few can be had here now, though the budget may have
+	// enough.
+	Scarce
+	// Withheld says that the request is too large for the little that is left.
+	Withheld
+	// Unreachable says that too few are here and the store does not answer.
+	Unreachable
+)
+
+// String returns the name of an outcome as logs show it.
+func (o Outcome) String() string {
+	return [...]string{"granted", "exhausted", "scarce", "withheld", "unreachable"}[o]
+}
+
+// Answer is the outcome of a request for tokens, with what the router knew then.
+type Answer struct {
+	Outcome Outcome
+	// Free is what a request could still reserve here.
+	Free granitehoist.Tokens
+	// StoreRemaining is what the store had left when the record was last read, Age
+	// ago; both are zero if it never was.
+	StoreRemaining granitehoist.Tokens
+	Age            time.Duration
+	// Silent is how long the store has not answered, zero if it does.
+	Silent time.Duration
+}
+
+// answer returns an outcome with what the router knows of the workspace.
+func (l *Ledger) answer(w granitehoist.Workspace, o Outcome, now time.Time) Answer {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.account(w)
+	answer := Answer{Outcome: o, Free: a.owned.free(), StoreRemaining: a.fleet.record.remaining}
+	if !a.fleet.record.readAt.IsZero() {
+		answer.Age = now.Sub(a.fleet.record.readAt)
+	}
+	answer.Silent = l.contact.silence(now)
+	return answer
+}
