--- a/escrow/budgetend.go
+++ b/escrow/budgetend.go
@@ -13,13 +13,13 @@
 // served after a loss of all boxes, also late in a budget (docs/FINDINGS.md,
 // hunt-3e01-71, where large requests took what was left).
 const (
-	// taperBelow is the part of the prepaid total under which large requests are
+	// withholdBelow is the part of the prepaid total under which large requests are
 	// withheld. Measured: 0.02 earned about the same in trials and was not kept, for
 	// that rule (docs/PERFORMANCE.md); 0.08 was the first value (7965447).
-	taperBelow = 0.06
-	// taperShare is the part of what is left that one request may take. Measured:
+	withholdBelow = 0.06
+	// withholdShare is the part of what is left that one request may take. Measured:
 	// an eighth left 5 % of a small budget unspent (7965447).
-	taperShare = 0.33
+	withholdShare = 0.33
 	// rationBelow is the part of the prepaid total that is spent over time.
 	// Measured together with minReturnPartAtEnd (0b8d3d0): the rule is kept in 5
 	// of 5 runs; without the returns 3 of 5 runs broke it.
@@ -76,9 +76,9 @@
 func (e budgetEnd) judge(bound granitehoist.Tokens, r ration, now time.Time) (endVerdict, ration) {
 	left, limit, size := float64(e.left.tokens), float64(e.limit), float64(bound)
 	switch {
-	case !e.left.reported || left >= taperBelow*limit:
+	case !e.left.reported || left >= withholdBelow*limit:
 		return endAllows, r
-	case size > taperShare*left:
+	case size > withholdShare*left:
 		return aboveShare, r
 	case size > e.mean:
 		return aboveMean, r
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -27,7 +27,7 @@
 func (s *Syncer) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.settings.Interval)
 	defer ticker.Stop()
-	memory := loopMemory{pause: failurePause}
+	state := loopState{pause: failurePause}
 	for {
 		select {
 		case <-ctx.Done():
@@ -36,12 +36,12 @@
 			pause.For(ctx, gatherTime)
 		case <-ticker.C:
 		}
-		s.runRound(ctx, &memory)
+		s.runRound(ctx, &state)
 	}
 }
 
-// loopMemory is what Run remembers from one round to the next.
-type loopMemory struct {
+// loopState is what Run remembers from one round to the next.
+type loopState struct {
 	// retryAt is when a store that failed may be called again, and pause how long
 	// it will be left alone after its next failure.
 	retryAt time.Time
@@ -52,14 +52,14 @@
 }
 
 // runRound gathers what a round decides from, and does what it decides.
-func (s *Syncer) runRound(ctx context.Context, m *loopMemory) {
+func (s *Syncer) runRound(ctx context.Context, state *loopState) {
 	now := s.settings.Clock()
 	writes := s.settings.Writes()
 	r := round{
 		needed:        s.settings.Ledger.mustSync() || s.isDue(writes, now),
 		writes:        writes,
-		relayFailures: m.relayFailures,
-		pausing:       now.Before(m.retryAt),
+		relayFailures: state.relayFailures,
+		pausing:       now.Before(state.retryAt),
 	}
 	next := r.next()
 	if next == stepAskRelays {
@@ -67,29 +67,29 @@
 		next = r.next()
 	}
 	if r.relays == relaysHelped {
-		m.relayFailures = 0
+		state.relayFailures = 0
 	}
 	switch next {
 	case stepRepay:
 		s.repaySurplus(ctx)
 	case stepCountFailure:
-		m.relayFailures++
+		state.relayFailures++
 	case stepBorrow:
 		s.borrow(ctx)
 	case stepSync:
 		if s.syncOrBorrow(ctx) {
-			m.pause = failurePause
+			state.pause = failurePause
 			return
 		}
-		m.syncFailed(s.settings.Clock())
+		state.syncFailed(s.settings.Clock())
 	case stepNothing, stepAskRelays:
 	}
 }
 
 // syncFailed leaves the store alone for a pause, and makes the next one longer.
-func (m *loopMemory) syncFailed(now time.Time) {
-	m.retryAt = now.Add(m.pause)
-	m.pause = longerPause(m.pause)
+func (s *loopState) syncFailed(now time.Time) {
+	s.retryAt = now.Add(s.pause)
+	s.pause = longerPause(s.pause)
 }
 
 // isDue reports whether holdings are off enough to be worth a call to the store,
