--- a/escrow/account.go
+++ b/escrow/account.go
@@ -11,8 +11,8 @@
 
 // account is all that a Ledger has of one workspace. Ledger.mu guards it.
 type account struct {
-	// owned holds this router's tokens: the only part that decides what may be
-	// spent. The other parts only decide how much is held and what is refused.
+	// owned holds this router's tokens, the only part that decides what may be
+	// spent. The other parts decide how much is held and what is refused.
 	owned  owned
 	fleet  fleetView
 	demand demand
@@ -24,7 +24,7 @@
 	lastTarget granitehoist.Tokens
 	// waiters are the requests that wait for tokens, the earliest first.
 	waiters []*waiter
-	// limitChanged says that the limit is another one since the last sync.
+	// limitChanged says that the limit has changed since the last sync.
 	limitChanged bool
 }
 
@@ -39,8 +39,9 @@
 	loan bool
 }
 
-// judgeEnd applies the rules of the end of a budget to a claim. A loan is not
-// judged: the borrower judges its own requests.
+// judgeEnd applies the rules of the end of a budget to a claim, and lets the
+// ration grow up to now. A loan is not judged: the borrower judges its own
+// requests.
 func (a *account) judgeEnd(c claim, now time.Time) endVerdict {
 	if c.loan {
 		return endAllows
--- a/escrow/admit.go
+++ b/escrow/admit.go
@@ -42,8 +42,8 @@
 	// standard days last about 8 s (docs/PERFORMANCE.md).
 	expectedOutage = 10 * time.Second
 	// urgentPart is the part of the holding that a request leaves for each step of
-	// priority above its own. Measured with its value only (959d02e): 0.861 to
-	// 0.896 at Tuul, 0.949 to 0.954 at Lima.
+	// priority above its own. Measured at this value only (959d02e, against no
+	// such rule): Tuul 0.861 to 0.896, Lima 0.949 to 0.954.
 	urgentPart = 0.3
 )
 
--- a/escrow/borrow.go
+++ b/escrow/borrow.go
@@ -20,7 +20,7 @@
 	// measured (e36d45a).
 	maxLenders = 12
 	// relaysAsked bounds the relays that are asked for one shortage or offered a
-	// repayment. Chosen, not measured (c1de361).
+	// repayment. Chosen, not measured (0c0db10).
 	relaysAsked = 3
 	// relayWait is how long a relay waits for the store on behalf of a neighbour;
 	// it leaves most of the neighbour's lendTimeout to the network and to another
@@ -71,9 +71,9 @@
 	return result.InTouch
 }
 
-// askRelays fills the holdings from relays, for all workspaces at once, and says
-// whether they have done what can be done: where a relay that knows the record
-// does not help, the record can't either.
+// askRelays fills the holdings from relays, for all workspaces at once, and reports
+// whether the record could add nothing: what a relay in touch with the store can't
+// lend, the store does not have.
 func (s *Syncer) askRelays(ctx context.Context) relayAnswer {
 	shortages := s.settings.Ledger.holdingShortages(s.settings.Routers(), s.settings.Clock())
 	lenders := s.lenders()
@@ -100,7 +100,7 @@
 
 // borrowFromAny asks one lender after the other until nothing is missing or one
 // is in touch with the store: then the others can't do more. It reports whether
-// one of the two came about.
+// either happened.
 func (s *Syncer) borrowFromAny(ctx context.Context, lenders []granitehoist.Peer, missing shortage) bool {
 	for _, lender := range lenders {
 		if s.borrowFrom(ctx, lender, missing) {
--- a/escrow/budgetend.go
+++ b/escrow/budgetend.go
@@ -14,8 +14,9 @@
 // hunt-3e01-71, where large requests took what was left).
 const (
 	// withholdBelow is the part of the prepaid total under which large requests are
-	// withheld. Measured: 0.02 earned about the same in trials and was not kept, for
-	// that rule (docs/PERFORMANCE.md); 0.08 was the first value (7965447).
+	// withheld. Measured in trials (docs/PERFORMANCE.md): 0.02 earned 0.601 and
+	// 0.612 at Tuul and Lima, this value 0.591 and 0.595, but too little was served
+	// then after a loss of all boxes. 0.08 was the first value (7965447).
 	withholdBelow = 0.06
 	// withholdShare is the part of what is left that one request may take. Measured:
 	// an eighth left 5 % of a small budget unspent (7965447).
@@ -43,8 +44,8 @@
 const (
 	// endAllows says that the end of the budget does not stand in the way.
 	endAllows endVerdict = iota
-	// aboveShare says that the request would take more than taperShare of what is
-	// left.
+	// aboveShare says that the request would take more than withholdShare of what
+	// is left.
 	aboveShare
 	// aboveMean says that the request is larger than the mean of the requests.
 	aboveMean
@@ -67,12 +68,12 @@
 }
 
 // judge decides whether a request of a bound may be paid for, and returns the
-// ration as it is afterwards. Below taperBelow of the prepaid total a request may
-// take no more than taperShare of what is left and be no larger than the mean, so
-// that a few large requests leave something for many small ones. Below
+// ration as it is afterwards. Below withholdBelow of the prepaid total a request
+// may take no more than withholdShare of what is left and be no larger than the
+// mean, so that a few large requests leave something for many small ones. Below
 // rationBelow each router spends by a ration that grows with time, so that
-// requests which come last find something. Where nothing has been reported, every
-// request is allowed.
+// late requests find something. Without a report of what is left, every request is
+// allowed.
 func (e budgetEnd) judge(bound granitehoist.Tokens, r ration, now time.Time) (endVerdict, ration) {
 	left, limit, size := float64(e.left.tokens), float64(e.limit), float64(bound)
 	switch {
--- a/escrow/contact.go
+++ b/escrow/contact.go
@@ -10,13 +10,13 @@
 	// Chosen, not measured (e3d7583).
 	minOutage = 4 * time.Second
 	// inTouchTime is how long after an answer of the store a router says that it is
-	// in touch: a router that works reads the record each maxRecordAge, and has a
-	// second to do so. Chosen, not measured (c814f3e).
+	// in touch: a healthy router reads the record every maxRecordAge, and has a
+	// second more for the read. Chosen, not measured (c814f3e).
 	inTouchTime = maxRecordAge + time.Second
 )
 
 // contact is what a router knows of its contact with the store. The zero value
-// stands for a store that has not been called. The store counts as silent from
+// means a store that has not been called. The store counts as silent from
 // the first failed call until the next answer; there is no threshold, since a
 // call fails only after its timeout.
 type contact struct {
@@ -65,8 +65,8 @@
 	}
 }
 
-// noteNeighbourCutOff takes in for how long the store has not answered a
-// neighbour. While it answers this router, an outage there counts as one here.
+// noteNeighbourCutOff records for how long the store has not answered a neighbour.
+// While it answers this router, an outage there counts as one here.
 func (c *contact) noteNeighbourCutOff(cutOff time.Duration, now time.Time) {
 	if c.cutOffSince.IsZero() && cutOff >= minOutage {
 		c.outageEnded = now
--- a/escrow/demand.go
+++ b/escrow/demand.go
@@ -30,7 +30,7 @@
 }
 
 // borrowerReport is what a borrower reported at a time: its rate in tokens a
-// second, and what it owned beside its requests.
+// second, and what it owned and had not reserved.
 type borrowerReport struct {
 	perSecond float64
 	idle      granitehoist.Tokens
@@ -41,7 +41,7 @@
 // so covers the last 20 requests or so. Chosen, not measured (ae8d6e8).
 const meanWeight = 0.05
 
-// measure takes a request's bound and priority into what is known of requests.
+// measure records a request's bound and priority.
 func (d *demand) measure(bound granitehoist.Tokens, priority granitehoist.Priority) {
 	d.largest = max(d.largest, bound)
 	if d.mean == 0 {
@@ -56,7 +56,7 @@
 	// (c814f3e).
 	borrowerRateFresh = 8 * time.Second
 	// borrowerIdleFresh is how long what a borrower had idle counts as left of the
-	// budget; after it the report is forgotten. Chosen, not measured (c814f3e).
+	// budget; after that the report is dropped. Chosen, not measured (c814f3e).
 	borrowerIdleFresh = 15 * time.Second
 )
 
@@ -84,8 +84,8 @@
 	return idle
 }
 
-// noteBorrower takes in what a borrower says of itself, and forgets old reports.
-// Negative amounts count as zero.
+// noteBorrower records what a borrower reports of itself, and drops reports older
+// than borrowerIdleFresh. Negative amounts count as zero.
 func (d *demand) noteBorrower(p LendParams, now time.Time) {
 	for borrower, report := range d.borrowers {
 		if now.Sub(report.at) > borrowerIdleFresh {
--- a/escrow/doc.go
+++ b/escrow/doc.go
@@ -10,8 +10,8 @@
 // A Record in the store holds, for each workspace and incarnation of a router,
 // the tokens that were ever granted to it and that it ever returned. A router
 // owns what its row grants, less what it returned and spent, and spends nothing
-// else. A request reserves the most that it can cost before an upstream hears
-// of it and is settled to its use.
+// else. A request reserves the most that it can cost before it is sent to an
+// upstream, and is settled to its use.
 //
 // Rows only grow and each has one writer, so a write whose answer is lost needs
 // no repair: the next read shows whether it took effect, and a write that the
@@ -23,7 +23,7 @@
 //
 // # State
 //
-// Ledger.mu guards all that is owned and known of budgets: one account a
+// Ledger.mu guards all that this router owns and knows of budgets: one account a
 // workspace, and the contact with the store. An account consists of
 //
 //   - owned, the only part that decides what may be spent; it states the
@@ -39,7 +39,7 @@
 // # What it relies on
 //
 // The store's compare-and-swap on one key (granitehoist.Store), a clock that
-// passes at about the rate of time, and a Caller that reaches neighbours. A wrong
+// runs at about the right rate, and a Caller that reaches neighbours. A wrong
 // clock makes holdings too large or too small but never overspends. Prepaid
 // totals come from the configuration by Ledger.SetLimit, and the number of routers
 // and the neighbours from the fleet.
@@ -48,12 +48,20 @@
 //
 // Read owned.go, then ledger.go (reserve and settle), plan.go (what a sync grants
 // and returns), sync.go (how it is written), run.go and round.go (when). The rules
-// are functions of their inputs and the time, each in a file of its own with the
-// reasons for its numbers:
+// are functions of their inputs and the time, in files with the reasons for their
+// numbers:
 //
-//   - what is admitted: outcome.go, admit.go, budgetend.go, wait.go;
+//   - what is admitted: admit.go, budgetend.go, wait.go;
 //   - where tokens are placed: target.go, exposure.go, refill.go, surplus.go,
 //     loansize.go, shortage.go, due.go;
-//   - what is believed: contact.go, fleetview.go;
+//   - what is known of the store and other routers: contact.go, fleetview.go;
 //   - what the syncer does: round.go, storefailures.go.
+//
+// # When requests are refused for tokens
+//
+// The request's log line has the outcome as budget=; outcome.go says what each
+// means and which rule gave it, docs/OPERATIONS.md what to do. The fields free,
+// rest, rest_age and silent of the line are those of Answer: what is free here, what
+// the store had left and how old that is, and for how long the store has been
+// silent. The lines of budget_grant and budget_loan show which tokens came.
 package escrow
--- a/escrow/due.go
+++ b/escrow/due.go
@@ -13,11 +13,11 @@
 	// maxRecordAge is how old the record may become before it is read again, so
 	// that what lenders report of it is not old. Chosen, not measured (c814f3e).
 	maxRecordAge = 2 * time.Second
-	// staleIdleBelow is the part of the prepaid total under which a stale idle
-	// figure in a row is corrected. Chosen, not measured (c814f3e).
+	// staleIdleBelow is the part of the prepaid total under which Row.Idle is
+	// corrected if it is too high. Chosen, not measured (c814f3e).
 	staleIdleBelow = 0.1
-	// staleIdlePart is the part of the prepaid total by which the figure must be
-	// too high for that. Chosen, not measured (c814f3e).
+	// staleIdlePart is the part of the prepaid total by which Row.Idle must be too
+	// high for that. Chosen, not measured (c814f3e).
 	staleIdlePart = 0.001
 )
 
@@ -28,7 +28,7 @@
 }
 
 // needsSync decides whether a holding is worth a sync: it is low and the store has
-// tokens left, or others may miss what is held. What is known of the store is as
+// tokens left, or so much is held that storeReturn.tokens returns some. What is known of the store is as
 // old as the last sync.
 func (r storeReturn) needsSync(c conditions) bool {
 	return (r.remaining > 0 && isLow(r.unreserved, r.target, refillBelow)) || r.tokens(c) > 0
--- a/escrow/fleetview.go
+++ b/escrow/fleetview.go
@@ -10,7 +10,7 @@
 )
 
 // fleetView is what a router knows of the tokens that it doesn't own, from two
-// sources, each with the time at which it was heard. Ledger.mu guards it.
+// sources, each with the time of its last report. Ledger.mu guards it.
 type fleetView struct {
 	record recordView
 	lender lenderView
@@ -41,8 +41,8 @@
 	valid bool
 }
 
-// remainingFresh is how long what a source says to remain is good enough
-// to refuse a request by it at once. Chosen, not measured (7965447); it is a
+// remainingFresh is how old a source may be for a request to be refused at once by
+// what it says is left. Chosen, not measured (7965447); it is a
 // little more than DefaultInterval, the time between two looks at the holdings.
 const remainingFresh = 800 * time.Millisecond
 
@@ -51,7 +51,7 @@
 	return now.Sub(v.record.readAt) < remainingFresh || now.Sub(v.lender.at) < remainingFresh
 }
 
-// lenderIsNewer decides which source to believe: the lender's report if it
+// lenderIsNewer decides which source to use: the lender's report if it
 // arrived after the record was read here.
 func (v *fleetView) lenderIsNewer() bool {
 	return v.lender.valid && v.lender.at.After(v.record.readAt)
--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -34,8 +34,8 @@
 	return false
 }
 
-// due reports whether a sync is worth a call: the record has not been read for
-// long, or a holding is off.
+// due reports whether a sync is worth a call: the record is old, or a holding needs
+// one.
 func (l *Ledger) due(routers int, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,9 +128,9 @@
 	return found
 }
 
-// noteRelaysAsked notes that relays were asked, and reports whether the record can
-// do no more: it alone settles a reduced budget, and helps requests that wait
-// while no relay is in touch with it.
+// noteRelaysAsked notes that relays were asked, and reports whether the record is
+// not needed as well. It is needed after a reduction of a limit, and while requests
+// wait and no relay is in touch with the store.
 func (l *Ledger) noteRelaysAsked(inTouch bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -31,7 +31,7 @@
 	// Incarnation names this run of the router. No other run may ever have it.
 	Incarnation granitehoist.Incarnation
 	// Cover is the time of spending at the present rate that a router holds
-	// tokens for; zero stands for DefaultCover.
+	// tokens for; zero means DefaultCover.
 	Cover time.Duration
 }
 
@@ -45,8 +45,8 @@
 	return &Ledger{settings: s, accounts: map[granitehoist.Workspace]*account{}}
 }
 
-// account returns the account of a workspace, making it if need be. The caller
-// holds mu.
+// account returns the account of a workspace and creates it if there is none. The
+// caller holds mu.
 func (l *Ledger) account(w granitehoist.Workspace) *account {
 	a, ok := l.accounts[w]
 	if !ok {
@@ -93,8 +93,8 @@
 	return l.reserveIfAdmitted(a, c, now)
 }
 
-// reserveIfAdmitted reserves for a claim if admit allows it; the caller holds mu. The most that a request can cost
-// counts as demand until its use is known.
+// reserveIfAdmitted reserves for a claim if admit allows it; the caller holds mu.
+// The bound of a request counts as demand until its use is known.
 func (l *Ledger) reserveIfAdmitted(a *account, c claim, now time.Time) bool {
 	forUrgent := reservedForUrgent(c.priority, a.demand.highestPriority, a.lastTarget, outageLeft(l.contact.silentSince, now))
 	if admit(a.owned.free(), c.bound, forUrgent) != admitted {
@@ -188,16 +188,16 @@
 	l.contact.failed(now)
 }
 
-// CutOffTime returns for how long the store has not answered this router itself,
-// nor a relay for it; zero if it does.
+// CutOffTime returns for how long the store has answered neither this router itself
+// nor a relay that called for it; zero if it answers. Answer.Silent differs: an
+// answer to any lender ends that silence.
 func (l *Ledger) CutOffTime(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.contact.cutOffTime(now)
 }
 
-// NoteNeighbourCutOff takes in for how long the store has not answered a
-// neighbour, as the neighbour says.
+// NoteNeighbourCutOff records the CutOffTime that a neighbour reports of itself.
 func (l *Ledger) NoteNeighbourCutOff(cutOff time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -9,8 +9,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Lend serves a borrower from what this ledger owns. A borrower that calls twice
-// gets two loans.
+// Lend gives a borrower a loan of the size that lending.loan decides, which may be
+// none, from what this ledger owns. A borrower that calls twice gets two loans.
 func (l *Ledger) Lend(p LendParams, now time.Time) LendResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,8 +48,8 @@
 	return l.lendResult(a, p.Borrower, now)
 }
 
-// Borrowed takes in a lender's reply, and reports whether it brought tokens. A
-// reply that is late or doubled brings none.
+// Borrowed records a lender's reply, and reports whether it brought tokens. A reply
+// that is late or doubled brings none.
 func (l *Ledger) Borrowed(w granitehoist.Workspace, lender granitehoist.Incarnation, r LendResult, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/loansize.go
+++ b/escrow/loansize.go
@@ -5,9 +5,9 @@
 
 import "granitehoist.example/granitehoist"
 
-// lendPart is the part of its free tokens that a lender gives if that is less than
-// the borrower needs, so that several lenders serve one request together, or if
-// it is more than that. Chosen, not measured (f7eef06, e36d45a).
+// lendPart is the part of its free tokens that a lender gives at most, unless the
+// borrower needs more and the lender has it. A lender that has less than the need
+// gives this part too, so that several lenders serve one request together. Chosen, not measured (f7eef06, e36d45a).
 const lendPart = 0.5
 
 // lending is what the size of a loan depends on.
--- a/escrow/messages.go
+++ b/escrow/messages.go
@@ -19,7 +19,7 @@
 	Want granitehoist.Tokens `json:"want"`
 	// Rate is what the borrower spends in tokens a second.
 	Rate granitehoist.Tokens `json:"rate"`
-	// Idle is what the borrower owns beside its requests.
+	// Idle is what the borrower owns and has not reserved, in tokens.
 	Idle granitehoist.Tokens `json:"idle,omitempty"`
 }
 
--- a/escrow/outcome.go
+++ b/escrow/outcome.go
@@ -14,16 +14,19 @@
 
 // The outcomes.
 const (
-	// Granted says that the tokens are reserved and are to be settled.
+	// Granted says that the tokens are reserved. The caller must settle them.
 	Granted Outcome = iota
-	// Exhausted says that the budget has too few tokens left anywhere.
+	// Exhausted says that the budget has too few tokens left in the store and at
+	// all routers together. See judgeWait.
 	Exhausted
-	// Scarce says that too few can be had here now, though the budget may have
-	// enough.
+	// Scarce says that this router could not get enough tokens, though the budget
+	// may have enough and the store answers. See judgeWait and judgeTimeout.
 	Scarce
-	// Withheld says that the request is too large for the little that is left.
+	// Withheld says that the budget is near its end and the request is too large
+	// for what is left. See budgetEnd.judge.
 	Withheld
-	// Unreachable says that too few are here and the store does not answer.
+	// Unreachable says that this router has too few tokens and the store does not
+	// answer. See judgeTimeout.
 	Unreachable
 )
 
@@ -41,7 +44,8 @@
 	// ago; both are zero if it never was.
 	StoreRemaining granitehoist.Tokens
 	Age            time.Duration
-	// Silent is how long the store has not answered, zero if it does.
+	// Silent is for how long the store has answered neither this router nor a
+	// lender that reported to it; zero if it answers.
 	Silent time.Duration
 }
 
--- a/escrow/owned.go
+++ b/escrow/owned.go
@@ -14,11 +14,11 @@
 //
 //	granted + sum(borrowed) - returned - sum(lent) = spent + reserved + unreserved
 //
-// tokens. Each total only grows, and only by the methods below; reserved is the
-// exception, which Settle and lendReserved take from. No term is negative.
-// unreserved is negative only by what upstreams used beyond the bounds of their
-// requests: that was spent though nobody had set it aside, and nothing more is
-// reserved until grants or loans have covered it. The tests check this after
+// tokens. Only the methods below change the terms. Each is a total that only
+// grows, except reserved, which settle and lendReserved reduce. No term is
+// negative but unreserved, and that only by what upstreams used beyond the bounds
+// of their requests: it was spent without having been reserved, and nothing more
+// is reserved until grants or loans have covered it. The tests check this after
 // each step of random histories (CheckConservation in export_test.go).
 type owned struct {
 	// granted and returned are the totals of this incarnation's row. granted
@@ -36,7 +36,7 @@
 	// limit is the prepaid total in force.
 	limit granitehoist.Tokens
 	// frozen says that the limit was reduced and the record has not been read
-	// since: the free tokens may no longer be covered.
+	// since: the new limit may no longer cover what is free here.
 	frozen bool
 }
 
@@ -53,7 +53,8 @@
 	return o.unreserved()
 }
 
-// setLimit puts a prepaid total in force and reports whether it is another one.
+// setLimit sets the prepaid total in force and reports whether it changed. After a
+// reduction nothing is free until the record has been read again.
 func (o *owned) setLimit(limit granitehoist.Tokens) bool {
 	changed := limit != o.limit
 	if limit < o.limit {
@@ -63,7 +64,8 @@
 	return changed
 }
 
-// confirmGranted takes in the total that the store is known to have granted.
+// confirmGranted records the total that the store has confirmed as granted. A
+// smaller total is an older one and changes nothing.
 func (o *owned) confirmGranted(total granitehoist.Tokens) {
 	o.granted = max(o.granted, total)
 }
@@ -84,7 +86,7 @@
 	o.spent += used
 }
 
-// lend deducts a loan before the borrower hears of it.
+// lend deducts a loan. Call it before the reply to the borrower is sent.
 func (o *owned) lend(to granitehoist.Incarnation, tokens granitehoist.Tokens) {
 	if o.lent == nil {
 		o.lent = map[granitehoist.Incarnation]granitehoist.Tokens{}
@@ -98,7 +100,7 @@
 	o.lend(to, bound)
 }
 
-// borrow takes in the total of a lender's loans and reports whether it is larger
+// borrow records the total of a lender's loans and reports whether it is larger
 // than the one before: an old message changes nothing.
 func (o *owned) borrow(from granitehoist.Incarnation, total granitehoist.Tokens) bool {
 	if total <= o.borrowed[from] {
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -18,8 +18,8 @@
 // plannedRow is a row as it is to be written.
 type plannedRow struct {
 	row Row
-	// remaining is what the store has left after the write, by the prepaid total
-	// limit.
+	// remaining is what the store has left of limit, the prepaid total, after the
+	// write.
 	remaining granitehoist.Tokens
 	limit     granitehoist.Tokens
 }
@@ -27,10 +27,9 @@
 // isWrite reports whether the record has to be written.
 func (p plan) isWrite() bool { return len(p.rows) > 0 }
 
-// prepare enters into a record what the ledger wants: grants and returns by the
-// rules of holdings. routers is the number of routers that share the budgets.
-// Returns are deducted at once; grants only count when confirm is called with the
-// record that has them.
+// prepare writes into r the grants and returns that the rules ask for; see nextRow.
+// routers is the number of routers that share the budgets. Returns are deducted at
+// once; grants only count when confirm is called with the record that has them.
 func (l *Ledger) prepare(r *Record, routers int, now time.Time) plan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +77,8 @@
 	return next
 }
 
-// confirm takes in a sync whose outcome is known: the record as it now is.
+// confirm finishes a sync whose outcome is known; r is the record as the store has
+// it now.
 func (l *Ledger) confirm(r *Record, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/record.go
+++ b/escrow/record.go
@@ -31,7 +31,7 @@
 	Rate granitehoist.Tokens `json:"v,omitempty"`
 }
 
-// Net returns what the incarnation has, or has spent.
+// Net returns the tokens that the incarnation got and did not return.
 func (r Row) Net() granitehoist.Tokens { return r.Granted - r.Returned }
 
 // StoredAccount is the record of one workspace.
@@ -73,7 +73,7 @@
 	return sum
 }
 
-// Record is the state of all workspaces as it lies in the store.
+// Record is the state of all workspaces as it is stored.
 type Record struct {
 	Format int `json:"format"`
 	// Boxes names the incarnation that last wrote for each box.
@@ -136,7 +136,7 @@
 	}
 }
 
-// account returns the account of a workspace, making it if need be.
+// account returns the account of a workspace and creates it if there is none.
 func (r *Record) account(w granitehoist.Workspace) *StoredAccount {
 	a, ok := r.Accounts[w]
 	if !ok {
--- a/escrow/round.go
+++ b/escrow/round.go
@@ -4,8 +4,8 @@
 package escrow
 
 // relayFailureLimit is how often relays may fail to help a router before it goes
-// to the record itself. They have to help once for it to be patient again. Chosen,
-// not measured (0c0db10).
+// to the record itself. The count starts anew when they help. Chosen, not measured
+// (0c0db10).
 const relayFailureLimit = 3
 
 // relayAnswer is what came of asking the relays in one round of a syncer.
@@ -23,17 +23,16 @@
 // round is what one round of a syncer decides from. All of it is of this round
 // but relayFailures.
 type round struct {
-	// needed says that requests wait, a limit has changed or holdings are off.
+	// needed says that requests wait, a limit has changed or isDue holds.
 	needed bool
-	// writes says that this router writes the record of its own accord.
+	// writes is SyncerSettings.Writes.
 	writes bool
 	// relays is what came of asking the relays in this round.
 	relays relayAnswer
 	// relayFailures counts the rounds in which they failed since they last helped,
 	// this one left out.
 	relayFailures int
-	// pausing says that the store failed so short a while ago that it is not to be
-	// called yet.
+	// pausing says that the pause after the store's last failure is not over.
 	pausing bool
 }
 
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -22,8 +22,8 @@
 	borrowAfter = 20 * time.Millisecond
 )
 
-// Run syncs when requests wait or holdings are off, until ctx ends. It is to be
-// called once.
+// Run syncs when requests wait or holdings are too low or too high, until ctx ends.
+// Call it once.
 func (s *Syncer) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.settings.Interval)
 	defer ticker.Stop()
@@ -92,8 +92,9 @@
 	s.pause = longerPause(s.pause)
 }
 
-// isDue reports whether holdings are off enough to be worth a call to the store,
-// or to relays if this router does not write the record.
+// isDue reports whether the record is old or a holding is low or high enough to be
+// worth a call to the store; or whether one is low enough for a call to relays, if
+// this router does not write the record.
 func (s *Syncer) isDue(writes bool, now time.Time) bool {
 	if writes {
 		return s.settings.Ledger.due(s.settings.Routers(), now)
@@ -110,7 +111,7 @@
 		borrower.Stop()
 		return true
 	}
-	// A router that stops has ended the call itself: that is no fault of the store.
+	// A router that stops cancels the call itself: that is no failure of the store.
 	if ctx.Err() == nil {
 		s.settings.Log.Warn(event.BudgetSyncFailed, zap.Error(err))
 	}
--- a/escrow/shortage.go
+++ b/escrow/shortage.go
@@ -27,8 +27,8 @@
 	// need is what the lender should have at least, want what would serve for a
 	// while.
 	need, want granitehoist.Tokens
-	// rate is what this router spends in tokens a second, idle what it owns beside
-	// its requests: the lender reports both to others.
+	// rate is what this router spends in tokens a second, idle what it owns and has
+	// not reserved: the lender reports both to others.
 	rate, idle granitehoist.Tokens
 	// waiting says that requests wait for the answer.
 	waiting bool
--- a/escrow/storefailures.go
+++ b/escrow/storefailures.go
@@ -14,8 +14,8 @@
 	// maxFailurePause (5f4c091): the end of an outage was noticed after 0.3 s in
 	// place of 1.2 s.
 	probeTimeout = 400 * time.Millisecond
-	// fullTimeoutEvery is which of the calls to a silent store get the full timeout
-	// all the same, since the store may only be slow. Chosen, not measured
+	// fullTimeoutEvery is after how many failed tries in a row one gets the full
+	// timeout again, since the store may only be slow. Chosen, not measured
 	// (5f4c091).
 	fullTimeoutEvery = 4
 	// failurePause is the first pause after a failed sync. Chosen, not measured
--- a/escrow/surplus.go
+++ b/escrow/surplus.go
@@ -9,14 +9,14 @@
 	// returnAboveTarget is the multiple of the target above which tokens are given
 	// back. Chosen, not measured (a5ccbbc).
 	returnAboveTarget = 2.0
-	// returnAboveTargetAfterOutage stands for it while holdings are kept small
-	// after an outage. Chosen, not measured (e3d7583).
+	// returnAboveTargetAfterOutage replaces returnAboveTarget while holdings are
+	// kept small after an outage. Chosen, not measured (e3d7583).
 	returnAboveTargetAfterOutage = 1.2
 	// minReturnPart is the part of the prepaid total below which it is not worth a
 	// write to give tokens back. Chosen, not measured (c814f3e).
 	minReturnPart = 0.005
-	// minReturnPartAtEnd stands for it below endPart, since what each router keeps
-	// is then a good part of what there is. Measured (0b8d3d0): eight routers kept
+	// minReturnPartAtEnd replaces minReturnPart below endPart, since what all
+	// routers keep is then a large part of what is left. Measured (0b8d3d0): eight routers kept
 	// up to 4 % of a budget between them and a day broke the users' rule on service
 	// after a loss of all boxes; with this value it held in 5 of 5 runs.
 	minReturnPartAtEnd = 0.0002
@@ -66,7 +66,7 @@
 	return extra
 }
 
-// surplus is what a router gives to a neighbour.
+// surplus is what a router can give to a neighbour.
 type surplus struct {
 	workspace granitehoist.Workspace
 	tokens    granitehoist.Tokens
@@ -78,8 +78,8 @@
 
 // surplusOf decides how many tokens a router that does not write the record gives
 // to a relay, or hands over to neighbours when it stops: what is beyond its
-// target, if it holds more than returnAboveTarget times that and the rest is worth
-// a call. At a stop the target is zero.
+// target, if it holds more than returnAboveTarget times that and the surplus is
+// worth a call. At a stop the target is zero.
 func surplusOf(free, target, limit granitehoist.Tokens) granitehoist.Tokens {
 	surplus := free - target
 	if float64(free) <= returnAboveTarget*float64(target) || float64(surplus) <= minRepayPart*float64(limit) {
--- a/escrow/sync.go
+++ b/escrow/sync.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// conflictTries bounds the writes of one sync that lose to those of others.
-	// Chosen, not measured (a5ccbbc).
+	// conflictTries bounds the writes that one sync tries while each conflicts with
+	// that of another router. Chosen, not measured (a5ccbbc).
 	conflictTries = 8
-	// conflictPause is by how much the pause before each further try is longer.
+	// conflictPause is by how much the pause grows with each try.
 	// Chosen, not measured (a5ccbbc).
 	conflictPause = time.Millisecond
 )
 
-// Sync enters what the ledger wants into the record. It begins with the record
-// as it was last seen: if that is no longer the newest, the store refuses the
-// write and answers with the newest. An error leaves the ledger with what it is
-// known to own; after one whose outcome is unknown, the next sync reads whether
-// the write took effect. Errors are those of the store, ErrConflict after
-// conflictTries, or that the record can't be read or is too large. Calls of Sync
-// wait for each other.
+// Sync writes the ledger's grants and returns into the record. It begins with the
+// record as it was last seen: if that is no longer the newest, the store refuses
+// the write and answers with the newest. After an error the ledger owns no more
+// than the store has confirmed; if the outcome of a write is unknown, the next sync
+// reads whether it took effect. Errors are those of the store, ErrConflict after
+// conflictTries, or that the record can't be decoded or is too large. Concurrent
+// calls run one after the other.
 func (s *Syncer) Sync(ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,8 @@
 		return err
 	}
 	if !planned.isWrite() && !fresh {
-		// Nothing can be had by what was seen last; the newest may differ.
+		// By the record last seen there is nothing to grant or return; the newest
+		// may differ.
 		if err := s.read(ctx); err != nil {
 			return err
 		}
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// plan enters what the ledger wants into a copy of the record last seen.
+// plan writes the ledger's grants and returns into a copy of the record last seen.
 func (s *Syncer) plan() (*Record, plan, error) {
 	record, err := DecodeRecord(s.lastEntry)
 	if err != nil {
--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -25,11 +25,12 @@
 	// set: after a write of unknown outcome it has to be read again.
 	lastEntry      granitehoist.Entry
 	lastEntryValid bool
-	// failures counts the syncs that the store failed in a row.
+	// failures counts the failed syncs in a row. A conflict is no failure: the
+	// store has answered.
 	failures int
 
-	// avoiding guards avoided: until when neighbours that did not answer are left
-	// out, by address.
+	// avoiding guards avoided, which holds by address until when a neighbour that
+	// did not answer is not asked.
 	avoiding sync.Mutex
 	avoided  map[string]time.Time
 }
@@ -45,16 +46,16 @@
 	// Caller reaches them; nil borrows from nobody.
 	Lenders func() []granitehoist.Peer
 	Caller  granitehoist.Caller
-	// Writes reports whether this router reads and writes the record of its own
-	// accord. One that does not borrows from relays, and goes to the record only
-	// when they don't help. Serves reports whether it is a relay, which goes to
-	// the record when others ask. Nil stands for always.
+	// Writes reports whether this router reads and writes the record without being
+	// asked. One that does not borrows from relays, and uses the record only when
+	// they don't help. Nil means always, as does a nil Lenders or Caller.
 	Writes func() bool
+	// Serves reports whether it is a relay, which uses the record when others ask
+	// for loans. Nil means the same as Writes.
 	Serves func() bool
-	// Interval is how often the holdings are looked at; zero stands for
-	// DefaultInterval.
+	// Interval is how often Run checks the holdings; zero means DefaultInterval.
 	Interval time.Duration
-	// Timeout bounds a call to the store; zero stands for DefaultTimeout.
+	// Timeout bounds a call to the store; zero means DefaultTimeout.
 	Timeout time.Duration
 	Clock   granitehoist.Clock
 	Log     *zap.Logger
@@ -63,9 +64,10 @@
 	Synced func(error)
 }
 
-// DefaultInterval is how often the holdings are looked at. Measured (332eb91): with
-// 0.7 s the fleet makes fewer calls and earns as much, Tuul 0.938 and 0.969, Lima
-// 0.979.
+// DefaultInterval is how often Run checks the holdings. Measured together with
+// connections that are kept longer (332eb91, docs/PERFORMANCE.md): fewer calls than
+// with 0.4 s and about the same earned, Tuul 0.946 before, 0.938 and 0.969 after;
+// Lima 0.969 before, 0.979 after with 9.5 s of cover.
 const DefaultInterval = 700 * time.Millisecond
 
 // NewSyncer returns a syncer. It panics if the settings lack the box, the
--- a/escrow/target.go
+++ b/escrow/target.go
@@ -26,12 +26,12 @@
 	sharePart = 0.5
 	// startPart is the part of what is left that all routers together hold before
 	// requests show the demand: operators prepay in the proportions of the demand
-	// that they expect. Chosen, not measured (c1de361); a floor of 27 % that did
-	// not fade lost 26 % of the tokens when all routers died (f7eef06).
+	// that they expect. Chosen, not measured (f7eef06); there a floor of 27 % that
+	// did not fade lost 26 % of the tokens when all routers died.
 	startPart = 0.2
 	// spareRequests is how many requests of the largest size a router may hold
-	// tokens for where it sees no demand to speak of. Chosen, not measured
-	// (c1de361).
+	// tokens for where it sees next to no demand. Chosen, not measured
+	// (a5ccbbc).
 	spareRequests = 1.0
 	// sparePart is the part of what is left that all routers together may hold for
 	// such requests. Chosen, not measured (c814f3e).
--- a/escrow/wait.go
+++ b/escrow/wait.go
@@ -9,9 +9,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-// unreachableAfter is how long before the end of a wait the store, or a lender in
-// touch with it, must have answered for the wait to end as Scarce instead of
-// Unreachable. Chosen, not measured (7a995c8).
+// unreachableAfter is how old the last answer of the store, or of a lender in touch
+// with it, may be when a wait times out: if it is older, the wait ends as
+// Unreachable instead of Scarce. Chosen, not measured (7a995c8).
 const unreachableAfter = 100 * time.Millisecond
 
 // waitVerdict is whether the wait of a request ends without tokens, and with which
--- a/escrow/waiters.go
+++ b/escrow/waiters.go
@@ -12,13 +12,15 @@
 // waiter is a request that waits for tokens.
 type waiter struct {
 	claim
-	// outcome gets the one outcome of the wait. It has room for it, so that the
+	// outcome receives the one outcome of the wait. It is buffered, so that the
 	// sender, who holds Ledger.mu, never blocks.
 	outcome chan Outcome
 }
 
-// addWaiter enters a request that waits for tokens. If a fresh source says that waiting
-// can't help, the wait ends at once.
+// addWaiter queues a claim that was not granted. It grants the claim if admit
+// allows it now, and refuses it if a source younger than remainingFresh says that
+// waiting can't help. The first does not ask judgeEnd: a request that the end of
+// the budget withholds is granted here if this router has the tokens free.
 func (l *Ledger) addWaiter(w granitehoist.Workspace, c claim, now time.Time) *waiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,7 +40,8 @@
 	return added
 }
 
-// abandon ends a wait that nothing answered in time.
+// abandon removes a waiter whose time is over, and returns the outcome that arrived
+// in the meantime or else that of judgeTimeout.
 func (l *Ledger) abandon(w granitehoist.Workspace, abandoned *waiter, now time.Time) Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +60,7 @@
 	return judgeTimeout(l.contact.lastAnswer, now)
 }
 
-// wake reserves for the waiters that fit, the earlier ones first.
+// wake grants the waiters that the rules admit now, the earliest first.
 func (l *Ledger) wake(a *account, now time.Time) {
 	a.endWaits(func(c claim) waitVerdict {
 		if a.judgeEnd(c, now).withholds() || !l.reserveIfAdmitted(a, c, now) {
@@ -67,13 +70,15 @@
 	})
 }
 
-// refuseAndWake ends the waits that what is left can't serve, and wakes the others.
+// refuseAndWake ends the waits that judgeWait refuses, and calls wake for the
+// others.
 func (l *Ledger) refuseAndWake(a *account, now time.Time) {
 	a.endWaits(func(c claim) waitVerdict { return a.judgeWait(c, now) })
 	l.wake(a, now)
 }
 
-// endWaits ends the waits that a function says end, the earlier ones first.
+// endWaits asks judge about each waiter, the earliest first, and removes those whose
+// wait ends.
 func (a *account) endWaits(judge func(claim) waitVerdict) {
 	waiting := a.waiters[:0]
 	for _, w := range a.waiters {
