--- a/escrow/account.go
+++ b/escrow/account.go
@@ -84,13 +84,13 @@
 
 // grant returns the tokens that the router asks for while the store has remaining
 // tokens. A holding below a part of its target is filled.
-func (a *account) grant(remaining granitehoist.Tokens, c conditions, below float64) granitehoist.Tokens {
+func (a *account) grant(remaining granitehoist.Tokens, c conditions, lowBelow float64) granitehoist.Tokens {
 	if remaining <= 0 {
 		return 0
 	}
 	unreserved := a.owned.unreserved()
 	r := refill{
-		remaining: remaining, unreserved: unreserved, below: below,
+		remaining: remaining, unreserved: unreserved, lowBelow: lowBelow,
 		lack:   lackOf(a.allowedBounds(c.now), remaining, unreserved),
 		target: a.target(remaining, c),
 	}
--- a/escrow/export_test.go
+++ b/escrow/export_test.go
@@ -17,11 +17,11 @@
 	return l.addWaiter(w, claim{bound: bound, priority: priority}, now).outcome
 }
 
-// Replenish and GiveBack do one step of a syncer that does not write the record.
-func Replenish(s *Syncer) { s.askRelays(context.Background()) }
+// AskRelays and RepaySurplus do one step of a syncer that does not write the record.
+func AskRelays(s *Syncer) { s.askRelays(context.Background()) }
 
-// GiveBack gives back what the syncer's ledger holds beyond its needs.
-func GiveBack(s *Syncer) { s.repaySurplus(context.Background()) }
+// RepaySurplus gives back what the syncer's ledger holds beyond its needs.
+func RepaySurplus(s *Syncer) { s.repaySurplus(context.Background()) }
 
 // Repay takes tokens off a ledger's own and returns what the receiver is told.
 func Repay(l *Ledger, to granitehoist.Incarnation, w granitehoist.Workspace, tokens granitehoist.Tokens) RepayParams {
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -35,9 +35,9 @@
 	defer l.mu.Unlock()
 	p := plan{rows: map[granitehoist.Workspace]plannedRow{}}
 	c := l.conditions(routers, now)
-	below := refillBelow
+	lowBelow := refillBelow
 	if l.anyLow(c) {
-		below = joinBelow
+		lowBelow = joinBelow
 	}
 	self := l.settings.Incarnation
 	for w, a := range l.accounts {
@@ -46,7 +46,7 @@
 		a.owned.confirmGranted(row.Granted)
 		a.demand.othersRate = float64(stored.rateElsewhere(self))
 		remaining := a.owned.limit - stored.Taken()
-		next := a.nextRow(row, remaining, c, below)
+		next := a.nextRow(row, remaining, c, lowBelow)
 		after := remaining - (next.Granted - row.Granted) + (next.Returned - row.Returned)
 		if isRowStale(row, next, remaining, a.owned.limit) {
 			stored.Rows[self] = next
@@ -64,14 +64,14 @@
 
 // nextRow returns what this router's row should become while the store has
 // remaining tokens. What it returns is deducted from what is owned.
-func (a *account) nextRow(row Row, remaining granitehoist.Tokens, c conditions, below float64) Row {
+func (a *account) nextRow(row Row, remaining granitehoist.Tokens, c conditions, lowBelow float64) Row {
 	next := row
 	next.Spent = a.owned.spent
 	next.Rate = granitehoist.Tokens(a.demand.rate.value(c.now) + a.demand.borrowersRate(c.now))
 	a.owned.returnToStore(a.storeReturn(remaining, c).tokens(c))
 	next.Returned = a.owned.returned
 	if !c.closing {
-		next.Granted += a.grant(remaining+next.Returned-row.Returned, c, below)
+		next.Granted += a.grant(remaining+next.Returned-row.Returned, c, lowBelow)
 	}
 	next.Idle = max(0, a.owned.unreserved()+next.Granted-row.Granted)
 	return next
--- a/escrow/refill.go
+++ b/escrow/refill.go
@@ -19,9 +19,9 @@
 )
 
 // isLow decides whether a holding is so far below its target that more tokens are
-// to be asked for; below is refillBelow or joinBelow.
-func isLow(unreserved, target granitehoist.Tokens, below float64) bool {
-	return float64(unreserved) < below*float64(target)
+// to be asked for; lowBelow is refillBelow or joinBelow.
+func isLow(unreserved, target granitehoist.Tokens, lowBelow float64) bool {
+	return float64(unreserved) < lowBelow*float64(target)
 }
 
 // refill is what the size of a grant depends on.
@@ -31,8 +31,8 @@
 	// target is what should be held ahead of requests, lack what waiting requests
 	// need beyond what is owned.
 	target, lack granitehoist.Tokens
-	// below is the part of the target under which the holding is filled.
-	below float64
+	// lowBelow is the part of the target under which the holding is filled.
+	lowBelow float64
 }
 
 // grant decides how many tokens a router asks the store for now: what waiting
@@ -42,7 +42,7 @@
 	if r.remaining <= 0 {
 		return 0
 	}
-	if r.lack == 0 && !isLow(r.unreserved, r.target, r.below) {
+	if r.lack == 0 && !isLow(r.unreserved, r.target, r.lowBelow) {
 		return 0
 	}
 	return max(0, min(r.remaining, r.lack+max(0, r.target-max(0, r.unreserved))))
--- a/escrow/relay_test.go
+++ b/escrow/relay_test.go
@@ -81,11 +81,11 @@
 		for end := clock().Add(lasting); clock().Before(end); pass(step) {
 			if !ledger.Reserve(kiosk, size, normal, clock()) {
 				outcome := ledger.Enter(kiosk, size, normal, clock())
-				escrow.Replenish(syncer)
+				escrow.AskRelays(syncer)
 				Expect(outcome).To(Receive(Equal(escrow.Granted)))
 			}
 			ledger.Settle(kiosk, size, size, clock())
-			escrow.Replenish(syncer)
+			escrow.AskRelays(syncer)
 		}
 	}
 	// unspent returns what is left in the store and at both routers.
@@ -102,7 +102,7 @@
 		spend(1000, 100*time.Millisecond, 6*time.Second)
 		pass(30 * time.Second)
 		Expect(relay.sync()).To(Succeed())
-		escrow.GiveBack(syncer)
+		escrow.RepaySurplus(syncer)
 		spend(1000, 4*time.Second, 24*time.Second)
 		Expect(ledger.State(kiosk).Free).To(BeNumerically("<", 10_000))
 	})
@@ -112,7 +112,7 @@
 		held, before := ledger.State(kiosk).Free, unspent()
 		pass(40 * time.Second)
 		Expect(relay.sync()).To(Succeed())
-		escrow.GiveBack(syncer)
+		escrow.RepaySurplus(syncer)
 		Expect(ledger.State(kiosk).Free).To(BeNumerically("<", held/4))
 		Expect(unspent()).To(Equal(before))
 		spend(1000, 100*time.Millisecond, 12*time.Second)
@@ -120,7 +120,7 @@
 		pass(40 * time.Second)
 		Expect(relay.sync()).To(Succeed())
 		line.lost = escrow.MethodRepay
-		escrow.GiveBack(syncer)
+		escrow.RepaySurplus(syncer)
 		Expect(unspent()).To(Equal(before))
 	})
 
@@ -144,7 +144,7 @@
 		store.Fail(standin.StoreFaults{Down: true})
 		Expect(relay.sync()).NotTo(Succeed())
 		pass(40 * time.Second)
-		escrow.GiveBack(syncer)
+		escrow.RepaySurplus(syncer)
 		Expect(ledger.State(kiosk).Free).To(Equal(held))
 	})
 })
--- a/escrow/round_test.go
+++ b/escrow/round_test.go
@@ -40,10 +40,10 @@
 
 var _ = Describe("The pause after failed syncs", func() {
 	It("doubles up to its bound", func() {
-		m := loopState{pause: failurePause}
+		m := loopState{nextPause: failurePause}
 		m.syncFailed(at)
-		Expect(m).To(Equal(loopState{retryAt: at.Add(150 * time.Millisecond), pause: 300 * time.Millisecond}))
+		Expect(m).To(Equal(loopState{retryAt: at.Add(150 * time.Millisecond), nextPause: 300 * time.Millisecond}))
 		m.syncFailed(at)
-		Expect(m).To(Equal(loopState{retryAt: at.Add(300 * time.Millisecond), pause: 300 * time.Millisecond}))
+		Expect(m).To(Equal(loopState{retryAt: at.Add(300 * time.Millisecond), nextPause: 300 * time.Millisecond}))
 	})
 })
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -27,7 +27,7 @@
 func (s *Syncer) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.settings.Interval)
 	defer ticker.Stop()
-	state := loopState{pause: failurePause}
+	state := loopState{nextPause: failurePause}
 	for {
 		select {
 		case <-ctx.Done():
@@ -44,8 +44,8 @@
 type loopState struct {
 	// retryAt is when a store that failed may be called again, and pause how long
 	// it will be left alone after its next failure.
-	retryAt time.Time
-	pause   time.Duration
+	retryAt   time.Time
+	nextPause time.Duration
 	// relayFailures counts the rounds in which relays failed since they last
 	// helped.
 	relayFailures int
@@ -78,7 +78,7 @@
 		s.borrow(ctx)
 	case stepSync:
 		if s.syncOrBorrow(ctx) {
-			state.pause = failurePause
+			state.nextPause = failurePause
 			return
 		}
 		state.syncFailed(s.settings.Clock())
@@ -88,8 +88,8 @@
 
 // syncFailed leaves the store alone for a pause, and makes the next one longer.
 func (s *loopState) syncFailed(now time.Time) {
-	s.retryAt = now.Add(s.pause)
-	s.pause = longerPause(s.pause)
+	s.retryAt = now.Add(s.nextPause)
+	s.nextPause = longerPause(s.nextPause)
 }
 
 // isDue reports whether the record is old or a holding is low or high enough to be
