--- a/escrow/account.go
+++ b/escrow/account.go
@@ -83,7 +83,7 @@
 }
 
 // grant returns the tokens that the router asks for while the store has remaining
-// tokens. A holding below a part of its target is filled.
+// tokens. A holding below the part lowBelow of its target is filled.
 func (a *account) grant(remaining granitehoist.Tokens, c conditions, lowBelow float64) granitehoist.Tokens {
 	if remaining <= 0 {
 		return 0
--- a/escrow/demand.go
+++ b/escrow/demand.go
@@ -73,7 +73,7 @@
 }
 
 // borrowersIdle returns what borrowers have idle by the reports of the last
-// borrowerIdleFresh, without that of one of them.
+// borrowerIdleFresh, without that of one of them; an empty one leaves none out.
 func (d *demand) borrowersIdle(without granitehoist.Incarnation, now time.Time) granitehoist.Tokens {
 	var idle granitehoist.Tokens
 	for borrower, report := range d.borrowers {
--- a/escrow/doc.go
+++ b/escrow/doc.go
@@ -9,8 +9,8 @@
 //
 // A Record in the store holds, for each workspace and incarnation of a router,
 // the tokens that were ever granted to it and that it ever returned. A router
-// owns what its row grants, less what it returned and spent, and spends nothing
-// else. A request reserves the most that it can cost before it is sent to an
+// owns what its row grants and others lent it, less what it returned, lent and
+// spent, and spends nothing else. A request reserves the most that it can cost before it is sent to an
 // upstream, and is settled to its use.
 //
 // Rows only grow and each has one writer, so a write whose answer is lost needs
@@ -33,8 +33,8 @@
 //   - ration, what may be spent of the last part of the budget.
 //
 // No call is made while Ledger.mu is held. Syncer.mu is held during a sync, calls
-// included; it guards the record last seen. A sync takes Ledger.mu within it, never
-// the other way around.
+// included; it guards the record last seen. A sync takes Ledger.mu while it holds
+// Syncer.mu, never the other way around.
 //
 // # What it relies on
 //
--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -66,6 +66,7 @@
 func (l *Ledger) waiterShortages(now time.Time) []shortage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	// forWaiters does not use the target, so the number of routers does not matter.
 	c := l.conditions(0, now)
 	var shortages []shortage
 	for w, a := range l.accounts {
--- a/escrow/lenders.go
+++ b/escrow/lenders.go
@@ -13,7 +13,7 @@
 // measured (c814f3e).
 const avoidTime = 1500 * time.Millisecond
 
-// avoid leaves a neighbour out for a while.
+// avoid leaves a neighbour out for avoidTime.
 func (s *Syncer) avoid(lender granitehoist.Peer) {
 	s.avoiding.Lock()
 	defer s.avoiding.Unlock()
@@ -21,7 +21,7 @@
 }
 
 // lenders returns the neighbours that may lend, the likeliest first, without those
-// that did not answer of late.
+// that failed to answer in the last avoidTime.
 func (s *Syncer) lenders() []granitehoist.Peer {
 	if s.settings.Lenders == nil {
 		return nil
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -9,11 +9,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// plan is what one sync is about to change in the record.
-type plan struct {
-	// rows holds this router's rows that have to be written, by workspace.
-	rows map[granitehoist.Workspace]plannedRow
-}
+// plan holds this router's rows that one sync is about to write, by workspace.
+type plan map[granitehoist.Workspace]plannedRow
 
 // plannedRow is a row as it is to be written.
 type plannedRow struct {
@@ -25,7 +22,7 @@
 }
 
 // isWrite reports whether the record has to be written.
-func (p plan) isWrite() bool { return len(p.rows) > 0 }
+func (p plan) isWrite() bool { return len(p) > 0 }
 
 // prepare writes into r the grants and returns that the rules ask for; see nextRow.
 // routers is the number of routers that share the budgets. Returns are deducted at
@@ -33,7 +30,7 @@
 func (l *Ledger) prepare(r *Record, routers int, now time.Time) plan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := plan{rows: map[granitehoist.Workspace]plannedRow{}}
+	p := plan{}
 	c := l.conditions(routers, now)
 	lowBelow := refillBelow
 	if l.anyLow(c) {
@@ -50,7 +47,7 @@
 		after := remaining - (next.Granted - row.Granted) + (next.Returned - row.Returned)
 		if isRowStale(row, next, remaining, a.owned.limit) {
 			stored.Rows[self] = next
-			p.rows[w] = plannedRow{row: next, remaining: after, limit: a.owned.limit}
+			p[w] = plannedRow{row: next, remaining: after, limit: a.owned.limit}
 		}
 		a.lastTarget = a.target(remaining, c)
 		a.routers = routers
@@ -63,7 +60,9 @@
 }
 
 // nextRow returns what this router's row should become while the store has
-// remaining tokens. What it returns is deducted from what is owned.
+// remaining tokens. It deducts what it returns to the store from what is owned.
+// lowBelow is refillBelow, or joinBelow if the record is likely to be written for
+// another workspace.
 func (a *account) nextRow(row Row, remaining granitehoist.Tokens, c conditions, lowBelow float64) Row {
 	next := row
 	next.Spent = a.owned.spent
--- a/escrow/shortage.go
+++ b/escrow/shortage.go
@@ -16,7 +16,8 @@
 	// lendTimeout bounds a call to a lender while requests wait. Chosen, not
 	// measured (c1de361).
 	lendTimeout = 120 * time.Millisecond
-	// replenishTimeout bounds such a call while none waits. Chosen, not measured
+	// replenishTimeout bounds such a call while none waits, and a repayment.
+	// Chosen, not measured
 	// (c1de361).
 	replenishTimeout = 400 * time.Millisecond
 )
--- a/escrow/sync.go
+++ b/escrow/sync.go
@@ -99,7 +99,7 @@
 	record, err := DecodeRecord(s.lastEntry)
 	if err != nil {
 		s.lastEntryValid = false
-		return nil, plan{}, err
+		return nil, nil, err
 	}
 	record.Enter(s.settings.Box, s.settings.Ledger.settings.Incarnation)
 	return record, s.settings.Ledger.prepare(record, s.settings.Routers(), s.settings.Clock()), nil
@@ -133,7 +133,7 @@
 
 // logGrants logs the rows that were written.
 func (s *Syncer) logGrants(planned plan) {
-	for w, written := range planned.rows {
+	for w, written := range planned {
 		s.settings.Log.Info(event.BudgetGrant,
 			zap.String("workspace", string(w)),
 			zap.Int64("granted", int64(written.row.Granted)), zap.Int64("returned", int64(written.row.Returned)),
