--- a/escrow/contact.go
+++ b/escrow/contact.go
@@ -76,7 +76,8 @@
 // isSilent reports whether a call has failed since the last answer.
 func (c contact) isSilent() bool { return !c.silentSince.IsZero() }
 
-// silence returns for how long the store has not answered, zero if it does.
+// silence returns for how long the store has answered neither this router nor a
+// lender that reported to it, zero if it answers. Compare cutOffTime.
 func (c contact) silence(now time.Time) time.Duration {
 	if !c.isSilent() {
 		return 0
