--- a/escrow/account.go
+++ b/escrow/account.go
@@ -11,8 +11,8 @@
 
 // account is all that a Ledger has of one workspace. Ledger.mu guards it.
 type account struct {
-	// owned holds this router's tokens: the only part that decides what may be
-	// spent. The other parts only decide how much is held and what is refused.
+	// owned holds this router's tokens, the only part that decides what may be
+	// spent. The other parts decide how much is held and what is refused.
 	owned  owned
 	fleet  fleetView
 	demand demand
@@ -24,8 +24,8 @@
 	lastTarget granitehoist.Tokens
 	// waiters are the requests that wait for tokens, the earliest first.
 	waiters []*waiter
-	// changed says that the limit is another one since the last sync.
-	changed bool
+	// limitChanged says that the limit has changed since the last sync.
+	limitChanged bool
 }
 
 // claim is what tokens are wanted for: a request, or a loan to a router that
@@ -39,16 +39,9 @@
 	loan bool
 }
 
-// waiter is a request that waits for tokens.
-type waiter struct {
-	claim
-	// outcome gets the one outcome of the wait. It has room for it, so that the
-	// sender, who holds Ledger.mu, never blocks.
-	outcome chan Outcome
-}
-
-// judgeEnd applies the rules of the end of a budget to a claim. A loan is not
-// judged: the borrower judges its own requests.
+// judgeEnd applies the rules of the end of a budget to a claim, and lets the
+// ration grow up to now. A loan is not judged: the borrower judges its own
+// requests.
 func (a *account) judgeEnd(c claim, now time.Time) endVerdict {
 	if c.loan {
 		return endAllows
@@ -80,24 +73,24 @@
 	return h.target(c)
 }
 
-// giveBack returns what the return of tokens depends on while the store has
+// storeReturn returns what the return of tokens depends on while the store has
 // remaining tokens.
-func (a *account) giveBack(remaining granitehoist.Tokens, c conditions) giveBack {
-	return giveBack{
+func (a *account) storeReturn(remaining granitehoist.Tokens, c conditions) storeReturn {
+	return storeReturn{
 		unreserved: a.owned.unreserved(), target: a.target(remaining, c),
 		remaining: remaining, limit: a.owned.limit, waiting: len(a.waiters) > 0,
 	}
 }
 
 // grant returns the tokens that the router asks for while the store has remaining
-// tokens. A holding below a part of its target is filled.
-func (a *account) grant(remaining granitehoist.Tokens, c conditions, below float64) granitehoist.Tokens {
+// tokens. A holding below the part lowBelow of its target is filled.
+func (a *account) grant(remaining granitehoist.Tokens, c conditions, lowBelow float64) granitehoist.Tokens {
 	if remaining <= 0 {
 		return 0
 	}
 	unreserved := a.owned.unreserved()
 	r := refill{
-		remaining: remaining, unreserved: unreserved, below: below,
+		remaining: remaining, unreserved: unreserved, lowBelow: lowBelow,
 		lack:   lackOf(a.allowedBounds(c.now), remaining, unreserved),
 		target: a.target(remaining, c),
 	}
@@ -116,9 +109,9 @@
 	return bounds
 }
 
-// shortfall returns what a shortage depends on.
-func (a *account) shortfall(c conditions) shortfall {
-	s := shortfall{
+// shortageInputs returns what a shortage depends on.
+func (a *account) shortageInputs(c conditions) shortageInputs {
+	s := shortageInputs{
 		unreserved: a.owned.unreserved(), target: a.target(a.fleet.remainingInStore(a.owned.limit), c),
 		rate: a.demand.rate.value(c.now), frozen: a.owned.frozen,
 	}
--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -27,24 +27,24 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, a := range l.accounts {
-		if len(a.waiters) > 0 || a.owned.frozen || a.changed {
+		if len(a.waiters) > 0 || a.owned.frozen || a.limitChanged {
 			return true
 		}
 	}
 	return false
 }
 
-// due reports whether a sync is worth a call: the record has not been read for
-// long, or a holding is off.
+// due reports whether a sync is worth a call: the record is old, or a holding needs
+// one.
 func (l *Ledger) due(routers int, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if isRecordOld(l.contact.lastSync, now) {
+	if isRecordOld(l.contact.lastDirectAnswer, now) {
 		return true
 	}
 	c := l.conditions(routers, now)
 	for _, a := range l.accounts {
-		if a.giveBack(a.fleet.record.remaining, c).isOff(c) {
+		if a.storeReturn(a.fleet.record.remaining, c).needsSync(c) {
 			return true
 		}
 	}
@@ -62,53 +62,48 @@
 	return false
 }
 
-// waitersLacks returns what requests wait for, by workspace.
-func (l *Ledger) waitersLacks(now time.Time) []shortage {
+// waiterShortages returns what requests wait for, by workspace.
+func (l *Ledger) waiterShortages(now time.Time) []shortage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	// forWaiters does not use the target, so the number of routers does not matter.
 	c := l.conditions(0, now)
-	var lacks []shortage
+	var shortages []shortage
 	for w, a := range l.accounts {
 		if len(a.waiters) == 0 || a.owned.frozen {
 			continue
 		}
-		lack := a.shortfall(c).ofWaiters(c)
-		lack.workspace = w
-		lacks = append(lacks, lack)
+		short := a.shortageInputs(c).forWaiters(c)
+		short.workspace = w
+		shortages = append(shortages, short)
 	}
-	return lacks
+	return shortages
 }
 
-// lacks returns what a router behind relays asks them for, by workspace.
-func (l *Ledger) lacks(routers int, now time.Time) []shortage {
+// holdingShortages returns what a router behind relays asks them for, by workspace.
+func (l *Ledger) holdingShortages(routers int, now time.Time) []shortage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.conditions(routers, now).behindRelay()
-	var lacks []shortage
+	var shortages []shortage
 	for w, a := range l.accounts {
 		a.routers = routers
-		if lack := a.shortfall(c).ofHolding(); lack.want > 0 {
-			lack.workspace = w
-			lacks = append(lacks, lack)
+		if short := a.shortageInputs(c).forHolding(); short.want > 0 {
+			short.workspace = w
+			shortages = append(shortages, short)
 		}
 	}
-	return lacks
+	return shortages
 }
 
-// lackOf returns what a router behind relays asks them for in one workspace.
-func (l *Ledger) lackOf(w granitehoist.Workspace, routers int, now time.Time) shortage {
+// holdingShortage returns what a router behind relays asks them for in one workspace.
+func (l *Ledger) holdingShortage(w granitehoist.Workspace, routers int, now time.Time) shortage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.conditions(routers, now).behindRelay()
-	lack := l.account(w).shortfall(c).ofHolding()
-	lack.workspace = w
-	return lack
-}
-
-// surplus is what a router gives to a neighbour.
-type surplus struct {
-	workspace granitehoist.Workspace
-	tokens    granitehoist.Tokens
+	short := l.account(w).shortageInputs(c).forHolding()
+	short.workspace = w
+	return short
 }
 
 // surpluses returns what a router that does not write the record holds beyond
@@ -134,16 +129,16 @@
 	return found
 }
 
-// replenished notes that relays were asked, and reports whether the record can
-// do no more: it alone settles a reduced budget, and helps requests that wait
-// while no relay is in touch with it.
-func (l *Ledger) replenished(inTouch bool) bool {
+// noteRelaysAsked notes that relays were asked, and reports whether the record is
+// not needed as well. It is needed after a reduction of a limit, and while requests
+// wait and no relay is in touch with the store.
+func (l *Ledger) noteRelaysAsked(inTouch bool) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	settled := true
+	done := true
 	for _, a := range l.accounts {
-		a.changed = false
-		settled = settled && !a.owned.frozen && (inTouch || len(a.waiters) == 0)
+		a.limitChanged = false
+		done = done && !a.owned.frozen && (inTouch || len(a.waiters) == 0)
 	}
-	return settled
+	return done
 }
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -31,46 +31,10 @@
 	// Incarnation names this run of the router. No other run may ever have it.
 	Incarnation granitehoist.Incarnation
 	// Cover is the time of spending at the present rate that a router holds
-	// tokens for; zero stands for DefaultCover.
+	// tokens for; zero means DefaultCover.
 	Cover time.Duration
 }
 
-// Outcome is how a reservation ended.
-type Outcome int
-
-// The outcomes.
-const (
-	// Granted says that the tokens are reserved and are to be settled.
-	Granted Outcome = iota
-	// Exhausted says that the budget has too few tokens left anywhere.
-	Exhausted
-	// Scarce says that too few can be had here now, though the budget may have
-	// enough.
-	Scarce
-	// Withheld says that the request is too large for the little that is left.
-	Withheld
-	// Unreachable says that too few are here and the store does not answer.
-	Unreachable
-)
-
-// String returns the name of an outcome as logs show it.
-func (o Outcome) String() string {
-	return [...]string{"granted", "exhausted", "scarce", "withheld", "unreachable"}[o]
-}
-
-// Answer is the outcome of a request for tokens, with what the router knew then.
-type Answer struct {
-	Outcome Outcome
-	// Free is what a request could still reserve here.
-	Free granitehoist.Tokens
-	// StoreRemaining is what the store had left when the record was last read, Age
-	// ago; both are zero if it never was.
-	StoreRemaining granitehoist.Tokens
-	Age            time.Duration
-	// Silent is how long the store has not answered, zero if it does.
-	Silent time.Duration
-}
-
 // NewLedger returns an empty ledger. It panics if the settings have no
 // incarnation.
 func NewLedger(s LedgerSettings) *Ledger {
@@ -81,8 +45,8 @@
 	return &Ledger{settings: s, accounts: map[granitehoist.Workspace]*account{}}
 }
 
-// account returns the account of a workspace, making it if need be. The caller
-// holds mu.
+// account returns the account of a workspace and creates it if there is none. The
+// caller holds mu.
 func (l *Ledger) account(w granitehoist.Workspace) *account {
 	a, ok := l.accounts[w]
 	if !ok {
@@ -100,7 +64,7 @@
 	a := l.account(w)
 	if a.owned.setLimit(limit) {
 		a.fleet.record.valid = false
-		a.changed = true
+		a.limitChanged = true
 	}
 }
 
@@ -126,12 +90,12 @@
 	if a.judgeEnd(c, now).withholds() {
 		return false
 	}
-	return l.take(a, c, now)
+	return l.reserveIfAdmitted(a, c, now)
 }
 
-// take reserves for a claim if admit allows it; the caller holds mu. The most that a request can cost
-// counts as demand until its use is known.
-func (l *Ledger) take(a *account, c claim, now time.Time) bool {
+// reserveIfAdmitted reserves for a claim if admit allows it; the caller holds mu.
+// The bound of a request counts as demand until its use is known.
+func (l *Ledger) reserveIfAdmitted(a *account, c claim, now time.Time) bool {
 	forUrgent := reservedForUrgent(c.priority, a.demand.highestPriority, a.lastTarget, outageLeft(l.contact.silentSince, now))
 	if admit(a.owned.free(), c.bound, forUrgent) != admitted {
 		return false
@@ -171,19 +135,6 @@
 	return l.closing
 }
 
-// answer returns an outcome with what the router knows of the workspace.
-func (l *Ledger) answer(w granitehoist.Workspace, o Outcome, now time.Time) Answer {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	a := l.account(w)
-	answer := Answer{Outcome: o, Free: a.owned.free(), StoreRemaining: a.fleet.record.remaining}
-	if !a.fleet.record.readAt.IsZero() {
-		answer.Age = now.Sub(a.fleet.record.readAt)
-	}
-	answer.Silent = l.contact.silence(now)
-	return answer
-}
-
 // State is what the router has of a workspace's tokens.
 type State struct {
 	Granted, Returned, Spent, Reserved granitehoist.Tokens
@@ -237,20 +188,20 @@
 	l.contact.failed(now)
 }
 
-// StoreSilence returns for how long the store has not answered this router itself,
-// nor a relay for it; zero if it does.
-func (l *Ledger) StoreSilence(now time.Time) time.Duration {
+// CutOffTime returns for how long the store has answered neither this router itself
+// nor a relay that called for it; zero if it answers. Answer.Silent differs: an
+// answer to any lender ends that silence.
+func (l *Ledger) CutOffTime(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.contact.cut(now)
+	return l.contact.cutOffTime(now)
 }
 
-// NoteNeighbourSilence takes in for how long the store has not answered a
-// neighbour, as the neighbour says.
-func (l *Ledger) NoteNeighbourSilence(silence time.Duration, now time.Time) {
+// NoteNeighbourCutOff records the CutOffTime that a neighbour reports of itself.
+func (l *Ledger) NoteNeighbourCutOff(cutOff time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.contact.noteNeighbourSilence(silence, now)
+	l.contact.noteNeighbourCutOff(cutOff, now)
 }
 
 // mustNotBeNegative panics if an amount is negative: the caller is at fault, and
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -9,36 +9,32 @@
 	"granitehoist.example/granitehoist"
 )
 
-// plan is what one sync is about to change in the record.
-type plan struct {
-	// rows holds this router's rows that have to be written, by workspace.
-	rows map[granitehoist.Workspace]plannedRow
-}
+// plan holds this router's rows that one sync is about to write, by workspace.
+type plan map[granitehoist.Workspace]plannedRow
 
 // plannedRow is a row as it is to be written.
 type plannedRow struct {
 	row Row
-	// remaining is what the store has left after the write, by the prepaid total
-	// limit.
+	// remaining is what the store has left of limit, the prepaid total, after the
+	// write.
 	remaining granitehoist.Tokens
 	limit     granitehoist.Tokens
 }
 
 // isWrite reports whether the record has to be written.
-func (p plan) isWrite() bool { return len(p.rows) > 0 }
+func (p plan) isWrite() bool { return len(p) > 0 }
 
-// prepare enters into a record what the ledger wants: grants and returns by the
-// rules of holdings. routers is the number of routers that share the budgets.
-// Returns are deducted at once; grants only count when confirm is called with the
-// record that has them.
+// prepare writes into r the grants and returns that the rules ask for; see nextRow.
+// routers is the number of routers that share the budgets. Returns are deducted at
+// once; grants only count when confirm is called with the record that has them.
 func (l *Ledger) prepare(r *Record, routers int, now time.Time) plan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := plan{rows: map[granitehoist.Workspace]plannedRow{}}
+	p := plan{}
 	c := l.conditions(routers, now)
-	below := refillBelow
+	lowBelow := refillBelow
 	if l.anyLow(c) {
-		below = joinBelow
+		lowBelow = joinBelow
 	}
 	self := l.settings.Incarnation
 	for w, a := range l.accounts {
@@ -47,11 +43,11 @@
 		a.owned.confirmGranted(row.Granted)
 		a.demand.othersRate = float64(stored.rateElsewhere(self))
 		remaining := a.owned.limit - stored.Taken()
-		next := a.nextRow(row, remaining, c, below)
+		next := a.nextRow(row, remaining, c, lowBelow)
 		after := remaining - (next.Granted - row.Granted) + (next.Returned - row.Returned)
 		if isRowStale(row, next, remaining, a.owned.limit) {
 			stored.Rows[self] = next
-			p.rows[w] = plannedRow{row: next, remaining: after, limit: a.owned.limit}
+			p[w] = plannedRow{row: next, remaining: after, limit: a.owned.limit}
 		}
 		a.lastTarget = a.target(remaining, c)
 		a.routers = routers
@@ -64,21 +60,24 @@
 }
 
 // nextRow returns what this router's row should become while the store has
-// remaining tokens. What it returns is deducted from what is owned.
-func (a *account) nextRow(row Row, remaining granitehoist.Tokens, c conditions, below float64) Row {
+// remaining tokens. It deducts what it returns to the store from what is owned.
+// lowBelow is refillBelow, or joinBelow if the record is likely to be written for
+// another workspace.
+func (a *account) nextRow(row Row, remaining granitehoist.Tokens, c conditions, lowBelow float64) Row {
 	next := row
 	next.Spent = a.owned.spent
 	next.Rate = granitehoist.Tokens(a.demand.rate.value(c.now) + a.demand.borrowersRate(c.now))
-	a.owned.giveBack(a.giveBack(remaining, c).tokens(c))
+	a.owned.returnToStore(a.storeReturn(remaining, c).tokens(c))
 	next.Returned = a.owned.returned
 	if !c.closing {
-		next.Granted += a.grant(remaining+next.Returned-row.Returned, c, below)
+		next.Granted += a.grant(remaining+next.Returned-row.Returned, c, lowBelow)
 	}
 	next.Idle = max(0, a.owned.unreserved()+next.Granted-row.Granted)
 	return next
 }
 
-// confirm takes in a sync whose outcome is known: the record as it now is.
+// confirm finishes a sync whose outcome is known; r is the record as the store has
+// it now.
 func (l *Ledger) confirm(r *Record, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,8 +88,8 @@
 		if a.fleet.record.valid {
 			a.owned.frozen = false
 		}
-		a.changed = false
+		a.limitChanged = false
 		l.wake(a, now)
-		l.refuse(a, now)
+		l.refuseAndWake(a, now)
 	}
 }
--- a/escrow/next_test.go
+++ b/escrow/round_test.go
@@ -17,7 +17,7 @@
 	Entry("of a writer that needs nothing is none", round{writes: true}, stepNothing),
 	Entry("of a writer is a sync", round{needed: true, writes: true}, stepSync),
 	Entry("of a writer whose store has just failed is to ask neighbours", round{needed: true, writes: true, pausing: true}, stepBorrow),
-	Entry("of another that needs nothing is to give back", round{}, stepReturn),
+	Entry("of another that needs nothing is to give back", round{}, stepRepay),
 	Entry("of another is to ask relays", round{needed: true}, stepAskRelays),
 	Entry("of another is to ask relays though they failed before", round{needed: true, relayFailures: 9}, stepAskRelays),
 	Entry("after relays helped is to ask neighbours", round{needed: true, relays: relaysHelped, relayFailures: 9}, stepBorrow),
@@ -40,10 +40,10 @@
 
 var _ = Describe("The pause after failed syncs", func() {
 	It("doubles up to its bound", func() {
-		m := loopMemory{pause: failurePause}
+		m := loopState{nextPause: failurePause}
 		m.syncFailed(at)
-		Expect(m).To(Equal(loopMemory{retryAt: at.Add(150 * time.Millisecond), pause: 300 * time.Millisecond}))
+		Expect(m).To(Equal(loopState{retryAt: at.Add(150 * time.Millisecond), nextPause: 300 * time.Millisecond}))
 		m.syncFailed(at)
-		Expect(m).To(Equal(loopMemory{retryAt: at.Add(300 * time.Millisecond), pause: 300 * time.Millisecond}))
+		Expect(m).To(Equal(loopState{retryAt: at.Add(300 * time.Millisecond), nextPause: 300 * time.Millisecond}))
 	})
 })
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -22,44 +22,44 @@
 	borrowAfter = 20 * time.Millisecond
 )
 
-// Run syncs when requests wait or holdings are off, until ctx ends. It is to be
-// called once.
+// Run syncs when requests wait or holdings are too low or too high, until ctx ends.
+// Call it once.
 func (s *Syncer) Run(ctx context.Context) {
 	ticker := time.NewTicker(s.settings.Interval)
 	defer ticker.Stop()
-	memory := loopMemory{pause: failurePause}
+	state := loopState{nextPause: failurePause}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.kick:
+		case <-s.kicks:
 			pause.For(ctx, gatherTime)
 		case <-ticker.C:
 		}
-		s.runRound(ctx, &memory)
+		s.runRound(ctx, &state)
 	}
 }
 
-// loopMemory is what Run remembers from one round to the next.
-type loopMemory struct {
+// loopState is what Run remembers from one round to the next.
+type loopState struct {
 	// retryAt is when a store that failed may be called again, and pause how long
 	// it will be left alone after its next failure.
-	retryAt time.Time
-	pause   time.Duration
+	retryAt   time.Time
+	nextPause time.Duration
 	// relayFailures counts the rounds in which relays failed since they last
 	// helped.
 	relayFailures int
 }
 
 // runRound gathers what a round decides from, and does what it decides.
-func (s *Syncer) runRound(ctx context.Context, m *loopMemory) {
+func (s *Syncer) runRound(ctx context.Context, state *loopState) {
 	now := s.settings.Clock()
 	writes := s.settings.Writes()
 	r := round{
 		needed:        s.settings.Ledger.mustSync() || s.isDue(writes, now),
 		writes:        writes,
-		relayFailures: m.relayFailures,
-		pausing:       now.Before(m.retryAt),
+		relayFailures: state.relayFailures,
+		pausing:       now.Before(state.retryAt),
 	}
 	next := r.next()
 	if next == stepAskRelays {
@@ -67,38 +67,39 @@
 		next = r.next()
 	}
 	if r.relays == relaysHelped {
-		m.relayFailures = 0
+		state.relayFailures = 0
 	}
 	switch next {
-	case stepReturn:
-		s.returnSurplus(ctx)
+	case stepRepay:
+		s.repaySurplus(ctx)
 	case stepCountFailure:
-		m.relayFailures++
+		state.relayFailures++
 	case stepBorrow:
 		s.borrow(ctx)
 	case stepSync:
 		if s.syncOrBorrow(ctx) {
-			m.pause = failurePause
+			state.nextPause = failurePause
 			return
 		}
-		m.syncFailed(s.settings.Clock())
+		state.syncFailed(s.settings.Clock())
 	case stepNothing, stepAskRelays:
 	}
 }
 
 // syncFailed leaves the store alone for a pause, and makes the next one longer.
-func (m *loopMemory) syncFailed(now time.Time) {
-	m.retryAt = now.Add(m.pause)
-	m.pause = longerPause(m.pause)
+func (s *loopState) syncFailed(now time.Time) {
+	s.retryAt = now.Add(s.nextPause)
+	s.nextPause = longerPause(s.nextPause)
 }
 
-// isDue reports whether holdings are off enough to be worth a call to the store,
-// or to relays if this router does not write the record.
+// isDue reports whether the record is old or a holding is low or high enough to be
+// worth a call to the store; or whether one is low enough for a call to relays, if
+// this router does not write the record.
 func (s *Syncer) isDue(writes bool, now time.Time) bool {
 	if writes {
 		return s.settings.Ledger.due(s.settings.Routers(), now)
 	}
-	return len(s.settings.Ledger.lacks(s.settings.Routers(), now)) > 0
+	return len(s.settings.Ledger.holdingShortages(s.settings.Routers(), now)) > 0
 }
 
 // syncOrBorrow syncs, asks neighbours as well if that takes long or fails, and
@@ -110,7 +111,7 @@
 		borrower.Stop()
 		return true
 	}
-	// A router that stops has ended the call itself: that is no fault of the store.
+	// A router that stops cancels the call itself: that is no failure of the store.
 	if ctx.Err() == nil {
 		s.settings.Log.Warn(event.BudgetSyncFailed, zap.Error(err))
 	}
--- a/escrow/shortage.go
+++ b/escrow/shortage.go
@@ -16,7 +16,8 @@
 	// lendTimeout bounds a call to a lender while requests wait. Chosen, not
 	// measured (c1de361).
 	lendTimeout = 120 * time.Millisecond
-	// replenishTimeout bounds such a call while none waits. Chosen, not measured
+	// replenishTimeout bounds such a call while none waits, and a repayment.
+	// Chosen, not measured
 	// (c1de361).
 	replenishTimeout = 400 * time.Millisecond
 )
@@ -27,8 +28,8 @@
 	// need is what the lender should have at least, want what would serve for a
 	// while.
 	need, want granitehoist.Tokens
-	// rate is what this router spends in tokens a second, idle what it owns beside
-	// its requests: the lender reports both to others.
+	// rate is what this router spends in tokens a second, idle what it owns and has
+	// not reserved: the lender reports both to others.
 	rate, idle granitehoist.Tokens
 	// waiting says that requests wait for the answer.
 	waiting bool
@@ -42,8 +43,8 @@
 	return replenishTimeout
 }
 
-// shortfall is what a shortage depends on.
-type shortfall struct {
+// shortageInputs is what a shortage depends on.
+type shortageInputs struct {
 	// unreserved is what is owned here, target what should be held.
 	unreserved, target granitehoist.Tokens
 	// waiting is the sum of the bounds of the waiting requests, smallest the
@@ -55,9 +56,9 @@
 	frozen bool
 }
 
-// ofHolding decides what a router behind relays asks them for: if its holding is
+// forHolding decides what a router behind relays asks them for: if its holding is
 // low or requests wait, what fills the holding beside what they need.
-func (s shortfall) ofHolding() shortage {
+func (s shortageInputs) forHolding() shortage {
 	own := max(0, s.unreserved)
 	if s.frozen || (s.waiting == 0 && !isLow(own, s.target, refillBelow)) {
 		return shortage{}
@@ -69,11 +70,11 @@
 	}
 }
 
-// ofWaiters decides what any router asks its neighbours for while requests wait
+// forWaiters decides what any router asks its neighbours for while requests wait
 // and the store does not help: what the smallest request lacks at least, what all
 // lack if possible, and loanCover of its spending unless holdings are kept small
 // after an outage.
-func (s shortfall) ofWaiters(c conditions) shortage {
+func (s shortageInputs) forWaiters(c conditions) shortage {
 	own := max(0, s.unreserved)
 	need := max(1, s.smallest-own)
 	want := s.waiting - own
--- a/escrow/wait.go
+++ b/escrow/wait.go
@@ -9,9 +9,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-// unreachableAfter is how long before the end of a wait the store, or a lender in
-// touch with it, must have answered for the wait to end as Scarce instead of
-// Unreachable. Chosen, not measured (7a995c8).
+// unreachableAfter is how old the last answer of the store, or of a lender in touch
+// with it, may be when a wait times out: if it is older, the wait ends as
+// Unreachable instead of Scarce. Chosen, not measured (7a995c8).
 const unreachableAfter = 100 * time.Millisecond
 
 // waitVerdict is whether the wait of a request ends without tokens, and with which
@@ -30,15 +30,15 @@
 // Without a source the request waits.
 func judgeWait(bound granitehoist.Tokens, end endVerdict, fleet fleetView, unreserved granitehoist.Tokens) waitVerdict {
 	left := fleet.leftAnywhere(unreserved)
-	var lacking bool
+	var unaffordable bool
 	switch {
 	case fleet.lenderIsNewer():
-		lacking = bound > left.tokens
+		unaffordable = bound > left.tokens
 	case fleet.record.valid:
-		lacking = bound > fleet.record.remaining+max(0, unreserved)
+		unaffordable = bound > fleet.record.remaining+max(0, unreserved)
 	}
 	switch {
-	case !lacking && !end.withholds():
+	case !unaffordable && !end.withholds():
 		return waitVerdict{}
 	case left.reported && bound > left.tokens:
 		return waitVerdict{ends: true, outcome: Exhausted}
