--- /dev/null
+++ b/escrow/withheld_test.go
@@ -0,0 +1,64 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package escrow_test
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/escrow"
+	"granitehoist.example/granitehoist/standin"
+)
+
+// TestWithheldRequestIsNotGranted holds that a request which the end of a budget
+// withholds is not granted by waiting either. It stands in KNOWN-RED.txt: the
+// first step of a wait asks only whether the tokens are free here.
+func TestWithheldRequestIsNotGranted(t *testing.T) {
+	const limit = granitehoist.Tokens(100_000)
+	now := time.Unix(1000, 0)
+	clock := func() time.Time { return now }
+	store := standin.NewStore(standin.StoreSettings{Clock: clock})
+	// Another incarnation has spent all but 2,000 tokens.
+	record := &escrow.Record{
+		Format: 1,
+		Boxes:  map[granitehoist.Box]granitehoist.Incarnation{"b": "b1"},
+		Accounts: map[granitehoist.Workspace]*escrow.StoredAccount{kiosk: {Rows: map[granitehoist.Incarnation]escrow.Row{
+			"b1": {Granted: limit - 2000, Spent: limit - 2000},
+		}}},
+	}
+	value, err := record.Encode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := store.CompareAndSwap(context.Background(), granitehoist.Change{Key: escrow.RecordKey, Value: value}); err != nil {
+		t.Fatal(err)
+	}
+	b := newBox("a", "a1", store, 2, clock)
+	b.ledger.SetLimit(kiosk, limit)
+	if err := b.sync(); err != nil {
+		t.Fatal(err)
+	}
+	// A loan leaves more here than this router holds of its own accord.
+	b.ledger.Borrowed(kiosk, "b1", escrow.LendResult{Total: 1000}, now)
+	for range 10 {
+		if !b.ledger.Reserve(kiosk, 10, normal, now) {
+			t.Fatal("a small request is refused")
+		}
+		b.ledger.Settle(kiosk, 10, 0, now)
+	}
+	const large = granitehoist.Tokens(900)
+	if free := b.ledger.State(kiosk).Free; free < large {
+		t.Fatalf("%d tokens are free here, too few for the request", free)
+	}
+	if b.ledger.Reserve(kiosk, large, normal, now) {
+		t.Fatal("the request is not withheld at the end of the budget")
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
+	defer cancel()
+	if answer := b.syncer.Reserve(ctx, kiosk, large, normal); answer.Outcome == escrow.Granted {
+		t.Errorf("the request is %s after a wait", answer.Outcome)
+	}
+}
