--- a/partner/bill/suite_test.go
+++ b/partner/bill/suite_test.go
@@ -12,12 +12,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// patience is how long an eventual thing may take on a busy machine.
-const patience = 20 * time.Second
+// stepTimeout is how long an eventual thing may take on a busy machine.
+const stepTimeout = 20 * time.Second
 
 func TestBill(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(patience)
+	SetDefaultEventuallyTimeout(stepTimeout)
 	// Properties are checked on the same cases each time.
 	Expect(flag.Set("rapid.seed", "1")).To(Succeed())
 	RunSpecs(t, "bill")
--- a/trial/suite_test.go
+++ b/trial/suite_test.go
@@ -11,11 +11,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// patience is how long an eventual thing may take on a busy machine.
-const patience = 20 * time.Second
+// stepTimeout is how long an eventual thing may take on a busy machine.
+const stepTimeout = 20 * time.Second
 
 func TestTrial(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(patience)
+	SetDefaultEventuallyTimeout(stepTimeout)
 	RunSpecs(t, "trial")
 }
