--- a/doc.go
+++ b/doc.go
@@ -16,8 +16,8 @@
 // machines. Begin reading at node (puts the parts together), then follow a
 // request through forward (its path), catalog (the configuration in force),
 // escrow (prepaid tokens), balance (choice of an upstream) and exchange
-// (connections to upstreams). Package follow keeps copies of the store's keys;
-// platform translates the users' protocols and decides nothing.
+// (connections to upstreams). Package platform translates the users' protocols
+// and decides nothing.
 //
 // The command granitehoist runs the partners' router, which has its own
 // callers' interface, and the tools. Its packages are below partner: router
@@ -27,8 +27,9 @@
 // engines and services), orphan (charges of dead routers), report (service
 // levels), settings (the TOML file) and boxlist (the platform's list of boxes).
 //
-// Both use fleet (membership and calls between routers), store (writes whose
-// answer may be lost) and the packages below internal. The packages standin,
+// Both use follow (copies of the store's keys), fleet (membership and calls
+// between routers), store (writes whose answer may be lost), the store's client
+// in platform and the packages below internal. The packages standin,
 // trial, measure, soak and explain are tools: stand-ins of outside systems, a
 // trial that judges itself, measurements, a fault soak and a reader of logs.
 //
