--- a/escrow/round.go
+++ b/escrow/round.go
@@ -4,7 +4,7 @@
 package escrow
 
 // relayFailureLimit is how often relays may fail to help a router before it goes
-// to the record itself. The count starts anew when they help. Chosen, not measured
+// to the record itself. The count starts again when they help. Chosen, not measured
 // (0c0db10).
 const relayFailureLimit = 3
 
--- a/node/doc.go
+++ b/node/doc.go
@@ -4,7 +4,7 @@
 // Package node puts the parts of a router on the users' platform together: it
 // follows the configuration and the instances' announcements, serves callers,
 // keeps the prepaid tokens in step with the store, answers its neighbours, and
-// stops in good order. Adapter holds all that depends on the platform. The
+// stops gracefully. Adapter holds all that depends on the platform. The
 // program granitehoist-edge runs one Node.
 //
 // State. A Node keeps nothing on disk; a new process reads everything again.
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -108,7 +108,7 @@
 	return a.settings.Interval
 }
 
-// step sends one round of messages and takes in the replies.
+// step sends one round of messages and applies the replies.
 func (a *Agent) step(ctx context.Context) {
 	a.running.Lock()
 	defer a.running.Unlock()
--- a/partner/budget/asks.go
+++ b/partner/budget/asks.go
@@ -80,7 +80,7 @@
 	return ask
 }
 
-// Apply takes in the Keeper's replies to asks. A reply that is old or doubled
+// Apply processes the Keeper's replies to asks. A reply that is old or doubled
 // changes nothing but the target, what remains and the lenders.
 func (p *Purse) Apply(asks []Ask, replies []Reply, now time.Time) {
 	p.mu.Lock()
--- a/partner/budget/keeper.go
+++ b/partner/budget/keeper.go
@@ -53,10 +53,10 @@
 const DefaultShards = 8
 
 const (
-	// conflictTries bounds how often a Keeper reads a record anew after others
+	// conflictTries bounds how often a Keeper reads a record again after others
 	// changed it. Chosen, not measured.
 	conflictTries = 20
-	// lostTries bounds how often a Keeper reads a record anew after the answer to
+	// lostTries bounds how often a Keeper reads a record again after the answer to
 	// its write was lost. Chosen, not measured.
 	lostTries = 3
 	// conflictPause is how much longer a Keeper waits with each further conflict,
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -67,7 +67,7 @@
 	return BorrowParams{Incarnation: p.incarnation, Budget: k, Known: known, Want: known + missing + a.demand.largest}, true
 }
 
-// TakeLoan takes in a lender's answer. An old or doubled answer changes nothing,
+// TakeLoan processes a lender's answer. An old or doubled answer changes nothing,
 // and neither does one that comes after Close: the page may have closed the
 // incarnation's rows by then, so that it could not give the tokens back.
 func (p *Purse) TakeLoan(k granitehoist.BudgetID, r BorrowResult) {
--- a/partner/budget/page.go
+++ b/partner/budget/page.go
@@ -70,7 +70,7 @@
 }
 
 // takeBack undoes grants that an incarnation had not seen when it closed. A closed
-// purse takes in no grant.
+// purse accepts no grant.
 func (p *Page) takeBack(i granitehoist.Incarnation, ask Ask) {
 	a := p.account(ask.Budget)
 	row := a.Rows[i]
--- a/partner/budget/purse.go
+++ b/partner/budget/purse.go
@@ -120,7 +120,7 @@
 }
 
 // Close makes the following Asks return everything that is free. After it the
-// purse takes in no grant and no loan, so that the page can take back what it
+// purse accepts no grant and no loan, so that the page can take back what it
 // granted and the purse has not seen.
 func (p *Purse) Close() {
 	p.mu.Lock()
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -40,7 +40,7 @@
 	Box granitehoist.Box `json:"box"`
 	// Seen is when it last reported, in Unix seconds.
 	Seen int64 `json:"seen"`
-	// Closed says that it stopped in good order and holds nothing.
+	// Closed says that it stopped gracefully and holds nothing.
 	Closed bool `json:"closed,omitempty"`
 }
 
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -52,7 +52,7 @@
 // that is cut off for a while keeps its part. Chosen, not measured.
 const regionSilentAfter = 30 * rootInterval
 
-// serve takes in a region's report and gives it what the budget allows. The
+// serve processes a region's report and gives it what the budget allows. The
 // region gets it only once the root is written.
 func (r *Root) serve(region granitehoist.Region, ask RegionAsk, split Split, now time.Time) regionReply {
 	a := r.account(ask.Budget)
--- a/partner/orphan/silent.go
+++ b/partner/orphan/silent.go
@@ -21,18 +21,18 @@
 type lastSeen struct {
 	// at is its newest report, in seconds of Unix time.
 	at int64
-	// closed says that it stopped in good order, with its charges in the store.
+	// closed says that it stopped gracefully, with its charges in the store.
 	closed bool
 }
 
 // isSilent decides whether a router's attempts are to be charged by another: it
-// did not stop in good order and has not reported for SilentAfter.
+// did not stop gracefully and has not reported for SilentAfter.
 func (l lastSeen) isSilent(now time.Time) bool {
 	return !l.closed && now.Sub(time.Unix(l.at, 0)) > SilentAfter
 }
 
 // Silent returns the incarnations of the region that drew on budgets, did not
-// stop in good order and have been silent for SilentAfter. Its errors are the
+// stop gracefully and have been silent for SilentAfter. Its errors are the
 // store's, or of a page that can't be read.
 func (s *Settler) Silent(ctx context.Context, now time.Time) ([]granitehoist.Incarnation, error) {
 	seen, err := s.readLastSeen(ctx)
--- a/trial/routers.go
+++ b/trial/routers.go
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// stopRouters stops all routers in good order.
+// stopRouters stops all routers gracefully.
 func (s *Site) stopRouters(ctx context.Context) error {
 	for _, r := range s.Routers {
 		if err := r.Stop(ctx); err != nil {
--- a/trial/stops.go
+++ b/trial/stops.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// stopFailed notes that a planned stop was not in good order.
+// stopFailed notes that a planned stop was not graceful.
 func (s *Site) stopFailed(err error) {
 	s.log.Error("stop_failed", zap.Error(err))
 	s.stops.failures.Add(1)
