--- /dev/null
+++ b/forward/stalledunpaid_test.go
@@ -0,0 +1,47 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package forward_test
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	. "github.com/onsi/gomega"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/balance"
+	"granitehoist.example/granitehoist/exchange"
+	"granitehoist.example/granitehoist/forward"
+	"granitehoist.example/granitehoist/platform"
+	"granitehoist.example/granitehoist/standin"
+)
+
+// TestStalledAttemptGoesOnWithoutRetry holds that an attempt without progress is
+// not cancelled if the retry budget can't pay for another. It stands in
+// KNOWN-RED.txt: the stall timer does not ask the retry budget.
+func TestStalledAttemptGoesOnWithoutRetry(t *testing.T) {
+	RegisterTestingT(t)
+	s := newSite()
+	for _, instance := range []string{"i-1", "i-2"} {
+		// Each event comes later than the limits of progress.
+		w, err := standin.NewWorker(instance, always(standin.WorkerAnswer{Events: 2, Gap: 1200 * time.Millisecond}))
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(w.Close)
+		s.table.Announce(balance.Instance{ID: granitehoist.Upstream(instance), Service: model, Address: w.Address(), Version: 1})
+	}
+	f := forward.New(forward.Settings{
+		Catalog: s.current, Funds: s.funds, Table: s.table, Codec: platform.Codec{},
+		Pool:  exchange.NewPool(exchange.Settings{}),
+		Retry: forward.RetrySettings{Window: time.Hour},
+	})
+	if _, err := f.Serve(context.Background(), request("/resume/x"), &fakeSink{}); err != nil {
+		t.Fatalf("the request with the one retry: %v", err)
+	}
+	if _, err := f.Serve(context.Background(), request("/resume/x"), &fakeSink{}); err != nil {
+		t.Errorf("the request without a retry: %v", err)
+	}
+}
