--- a/escrow/admit.go
+++ b/escrow/admit.go
@@ -13,58 +13,52 @@
 type admission int
 
 const (
-	// admitted says that the tokens may be reserved.
+	// admitted means that the tokens may be reserved.
 	admitted admission = iota
-	// tooFewFree says that the router has fewer free tokens than the claim needs.
-	tooFewFree
-	// leftForUrgent says that the router has them, but leaves them for requests of
-	// a higher priority.
-	leftForUrgent
+	// insufficientFree means that the router has fewer free tokens than the claim needs.
+	insufficientFree
+	// heldForPriority means that the free tokens are reserved for requests of higher
+	// priority.
+	heldForPriority
 )
 
-// admit decides whether a claim may reserve tokens: what is free now must cover
-// its bound and what is reserved for urgent requests. Only tokens that this
-// router owns count, never what it knows of others, so that no two routers can
-// spend the same token.
-func admit(free, bound, forUrgent granitehoist.Tokens) admission {
+// admit decides whether a claim may reserve tokens: the free tokens must cover its bound
+// and the reserve for requests of higher priority. Only tokens that this router owns
+// count, so that no two routers can spend the same token.
+func admit(free, bound, reserve granitehoist.Tokens) admission {
 	switch {
 	case free < bound:
-		return tooFewFree
-	case free < bound+forUrgent:
-		return leftForUrgent
+		return insufficientFree
+	case free < bound+reserve:
+		return heldForPriority
 	}
 	return admitted
 }
 
 const (
-	// expectedOutage is how long tokens are reserved for urgent requests while the
-	// store is silent. Chosen, not measured (959d02e); the outages on the users'
-	// standard days last about 8 s (docs/PERFORMANCE.md).
+	// expectedOutage is how long tokens are reserved for requests of higher priority
+	// while the store is unresponsive.
 	expectedOutage = 10 * time.Second
-	// urgentPart is the part of the holding that a request leaves for each step of
-	// priority above its own. Measured at this value only (959d02e, against no
-	// such rule): Tuul 0.861 to 0.896, Lima 0.949 to 0.954.
-	urgentPart = 0.3
+	// priorityReserveFraction is the fraction of the holding that a request leaves for
+	// each priority level above its own.
+	priorityReserveFraction = 0.3
 )
 
-// outageLeft returns the part of an expected outage that is still to come, from 1
-// when the store falls silent to 0 after expectedOutage. silentSince is zero
-// while the store answers, and the result is 0 then.
-func outageLeft(silentSince, now time.Time) float64 {
-	if silentSince.IsZero() {
+// outageRemaining returns the remaining fraction of an expected outage, from 1 when the
+// store becomes unresponsive to 0 after expectedOutage. unresponsiveSince is zero while the
+// store responds, and the result is 0 then.
+func outageRemaining(unresponsiveSince, now time.Time) float64 {
+	if unresponsiveSince.IsZero() {
 		return 0
 	}
-	return max(0, 1-now.Sub(silentSince).Seconds()/expectedOutage.Seconds())
+	return max(0, 1-now.Sub(unresponsiveSince).Seconds()/expectedOutage.Seconds())
 }
 
-// reservedForUrgent decides how many tokens a request leaves for those of a
-// higher priority: urgentPart of the holding for each step between its priority
-// and the highest that this router has seen, at most the whole holding, fading
-// with what is left of an expected outage. While the store answers it is zero.
-//
-// In an outage the holding can't be refilled, and the least urgent requests would
-// spend what the others need. target is the holding as of the last sync.
-func reservedForUrgent(priority, highest granitehoist.Priority, target granitehoist.Tokens, outageLeft float64) granitehoist.Tokens {
+// priorityReserve returns how many tokens a request leaves for those of higher priority:
+// priorityReserveFraction of target, that of the last sync, for each level below the
+// highest that this router has seen, scaled by outageRemaining. Without it, requests of
+// low priority would use up a holding that can't be refilled during an outage.
+func priorityReserve(priority, highest granitehoist.Priority, target granitehoist.Tokens, outageLeft float64) granitehoist.Tokens {
 	steps := float64(max(0, highest-priority))
-	return granitehoist.Tokens(min(1, urgentPart*steps) * outageLeft * float64(target))
+	return granitehoist.Tokens(min(1, priorityReserveFraction*steps) * outageLeft * float64(target))
 }
--- a/escrow/admit_test.go
+++ b/escrow/admit_test.go
@@ -12,29 +12,29 @@
 	"granitehoist.example/granitehoist"
 )
 
-// at is the present time of the rules' tests.
-var at = time.Unix(1000, 0)
+// testNow is the present time of the rules' tests.
+var testNow = time.Unix(1000, 0)
 
 // ago returns a time before at.
-func ago(d time.Duration) time.Time { return at.Add(-d) }
+func ago(d time.Duration) time.Time { return testNow.Add(-d) }
 
 var _ = DescribeTable("A reservation",
-	func(free, bound, forUrgent granitehoist.Tokens, expected admission) {
-		Expect(admit(free, bound, forUrgent)).To(Equal(expected))
+	func(free, bound, reserve granitehoist.Tokens, expected admission) {
+		Expect(admit(free, bound, reserve)).To(Equal(expected))
 	},
 	Entry("of all that is free", granitehoist.Tokens(100), granitehoist.Tokens(100), granitehoist.Tokens(0), admitted),
-	Entry("of more than is free", granitehoist.Tokens(100), granitehoist.Tokens(101), granitehoist.Tokens(0), tooFewFree),
+	Entry("of more than is free", granitehoist.Tokens(100), granitehoist.Tokens(101), granitehoist.Tokens(0), insufficientFree),
 	Entry("that leaves what is reserved for urgent requests", granitehoist.Tokens(100), granitehoist.Tokens(70), granitehoist.Tokens(30), admitted),
-	Entry("that would take of it", granitehoist.Tokens(100), granitehoist.Tokens(71), granitehoist.Tokens(30), leftForUrgent),
+	Entry("that would take of it", granitehoist.Tokens(100), granitehoist.Tokens(71), granitehoist.Tokens(30), heldForPriority),
 	Entry("of nothing", granitehoist.Tokens(0), granitehoist.Tokens(0), granitehoist.Tokens(0), admitted),
-	Entry("of nothing while tokens are owed", granitehoist.Tokens(-1), granitehoist.Tokens(0), granitehoist.Tokens(0), tooFewFree),
+	Entry("of nothing while tokens are owed", granitehoist.Tokens(-1), granitehoist.Tokens(0), granitehoist.Tokens(0), insufficientFree),
 )
 
 var _ = DescribeTable("What is reserved for urgent requests",
 	func(steps int, silentFor time.Duration, expected granitehoist.Tokens) {
 		highest := granitehoist.MaxPriority
-		left := outageLeft(ago(silentFor), at)
-		Expect(reservedForUrgent(highest-granitehoist.Priority(steps), highest, 1000, left)).To(Equal(expected))
+		left := outageRemaining(ago(silentFor), testNow)
+		Expect(priorityReserve(highest-granitehoist.Priority(steps), highest, 1000, left)).To(Equal(expected))
 	},
 	Entry("is nothing for the most urgent", 0, time.Duration(0), granitehoist.Tokens(0)),
 	Entry("is nothing for one above all before it", -1, time.Duration(0), granitehoist.Tokens(0)),
@@ -46,6 +46,6 @@
 
 var _ = Describe("What is left of an expected outage", func() {
 	It("is nothing while the store answers", func() {
-		Expect(outageLeft(time.Time{}, at)).To(BeZero())
+		Expect(outageRemaining(time.Time{}, testNow)).To(BeZero())
 	})
 })
--- a/escrow/ask.go
+++ b/escrow/ask.go
@@ -12,33 +12,31 @@
 )
 
 const (
-	// maxAsked bounds the lenders that are asked for one request: the holder and two that
-	// stand in for it.
-	maxAsked = 3
-	// DefaultHedgeAfter is how long a lender may take before the next one is asked as
-	// well: several times a call between two routers of a region with a write of the
-	// record, and a third of the time that the most urgent requests of the users' sites
-	// wait for tokens.
+	// maxLendersPerRequest bounds the lenders that are called for one request: the
+	// holder and two stand-ins.
+	maxLendersPerRequest = 3
+	// DefaultHedgeAfter is how long a lender may take before the next one is called as
+	// well. It exceeds the usual time of a call between two routers and a write of the
+	// record.
 	DefaultHedgeAfter = 30 * time.Millisecond
-	// noLenderPause is the time between two looks for lenders while a router that starts
-	// knows of none.
-	noLenderPause = 10 * time.Millisecond
+	// lenderPollInterval is the time between two checks for lenders while a starting
+	// router knows of none.
+	lenderPollInterval = 10 * time.Millisecond
 )
 
-// ask asks lenders for what a request waits for, one after the other, the next as
-// soon as one has answered without helping or is slow. It returns the outcome of
-// the wait: at once when none of them could help, at the end of ctx at the latest.
-// Calls that are under way then go on, since a loan that arrives late serves the
-// next request.
-func (s *Syncer) ask(ctx context.Context, w granitehoist.Workspace, c claim, entered *waiter) Outcome {
+// borrowForRequest borrows for a waiting request. It calls lenders in order, the next
+// one when the last has responded without helping or is slow, and returns the outcome of
+// the wait: as soon as no lender could help, at the end of ctx at the latest. Calls in
+// progress go on afterwards, since a late loan serves the next request.
+func (s *Syncer) borrowForRequest(ctx context.Context, w granitehoist.Workspace, c claim, queued *waiter) Outcome {
 	select {
-	case outcome := <-entered.outcome:
+	case outcome := <-queued.outcome:
 		return outcome
 	default:
 	}
-	lenders := s.lendersToAsk(ctx, w)
+	lenders := s.waitForLenders(ctx, w)
 	answers := make(chan bool, len(lenders))
-	missing := s.settings.Ledger.requestShortage(w, c)
+	request := s.settings.Ledger.loanRequestFor(w, c)
 	asked, pending, answered := 0, 0, false
 	askNext := func() {
 		if asked == len(lenders) {
@@ -47,17 +45,17 @@
 		lender := lenders[asked]
 		asked++
 		pending++
-		go func() { answers <- s.borrowFrom(context.WithoutCancel(ctx), lender, missing) }()
+		go func() { answers <- s.borrowFrom(context.WithoutCancel(ctx), lender, request) }()
 	}
 	askNext()
 	hedge := time.NewTicker(s.settings.HedgeAfter)
 	defer hedge.Stop()
 	for pending > 0 {
 		select {
-		case outcome := <-entered.outcome:
+		case outcome := <-queued.outcome:
 			return outcome
 		case <-ctx.Done():
-			return s.settings.Ledger.abandon(w, entered, s.settings.Clock())
+			return s.settings.Ledger.abandon(w, queued, s.settings.Clock())
 		case <-hedge.C:
 			askNext()
 		case ok := <-answers:
@@ -67,48 +65,48 @@
 		}
 	}
 	if !answered && len(lenders) > 0 {
-		return s.readRecordFor(ctx, w, entered)
+		return s.readRecordFor(ctx, w, queued)
 	}
-	return s.settings.Ledger.abandon(w, entered, s.settings.Clock())
+	return s.settings.Ledger.abandon(w, queued, s.settings.Clock())
 }
 
-// refill asks the first lender for the next packet of a workspace if it is time to,
-// without waiting for the answer. If that fails, the next request asks.
+// refill borrows the next batch for a workspace in the background if it is due. After a
+// failure the next request tries again.
 func (s *Syncer) refill(w granitehoist.Workspace) {
-	missing, needed := s.settings.Ledger.startRefill(w, s.settings.Clock())
+	request, needed := s.settings.Ledger.startRefill(w, s.settings.Clock())
 	if !needed {
 		return
 	}
 	go func() {
 		defer s.settings.Ledger.endRefill(w)
 		if lenders := s.lenders(w); len(lenders) > 0 {
-			s.borrowFrom(context.Background(), lenders[0], missing)
+			s.borrowFrom(context.Background(), lenders[0], request)
 		}
 	}()
 }
 
-// lendersToAsk returns the lenders of a workspace. It waits until there are some, or
-// until ctx ends: a router that starts has not read the list of its fleet yet, and
-// hundreds that start together must not all go to the record.
-func (s *Syncer) lendersToAsk(ctx context.Context, w granitehoist.Workspace) []Lender {
+// waitForLenders returns the lenders of a workspace. It waits until there are some or
+// until ctx ends, so that routers that start together do not all use the record before
+// they have read the list of the fleet.
+func (s *Syncer) waitForLenders(ctx context.Context, w granitehoist.Workspace) []Lender {
 	for {
 		lenders := s.lenders(w)
 		if len(lenders) > 0 || ctx.Err() != nil {
-			return lenders[:min(len(lenders), maxAsked)]
+			return lenders[:min(len(lenders), maxLendersPerRequest)]
 		}
-		pause.For(ctx, noLenderPause)
+		pause.For(ctx, lenderPollInterval)
 	}
 }
 
-// readRecordFor has the record read for a request that no lender answered.
-func (s *Syncer) readRecordFor(ctx context.Context, w granitehoist.Workspace, entered *waiter) Outcome {
-	s.settings.Ledger.noteForsaken(w)
+// readRecordFor triggers a read of the record for a request that no lender responded to.
+func (s *Syncer) readRecordFor(ctx context.Context, w granitehoist.Workspace, queued *waiter) Outcome {
+	s.settings.Ledger.noteLendersFailed(w)
 	s.Kick()
-	return s.wait(ctx, w, entered)
+	return s.wait(ctx, w, queued)
 }
 
-// requestShortage returns what a request of a router that asks holders asks for.
-func (l *Ledger) requestShortage(w granitehoist.Workspace, c claim) shortage {
+// loanRequestFor returns the loan that a borrower requests for a claim.
+func (l *Ledger) loanRequestFor(w granitehoist.Workspace, c claim) loanRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
@@ -116,5 +114,5 @@
 	if len(a.waiters) <= 1 {
 		need = max(1, c.bound-max(0, a.owned.free()))
 	}
-	return shortage{workspace: w, need: need, want: need}
+	return loanRequest{workspace: w, need: need, want: need}
 }
--- a/escrow/ask_test.go
+++ b/escrow/ask_test.go
@@ -69,106 +69,106 @@
 	var store *standin.Store
 	var elapsed atomic.Int64
 	var holder *box
-	var line *syncerCaller
+	var caller *syncerCaller
 	var ledger *escrow.Ledger
 	clock := func() time.Time { return time.Unix(1000, 0).Add(time.Duration(elapsed.Load())) }
 	pass := func(d time.Duration) { elapsed.Add(int64(d)) }
 	// asking returns a syncer of the router that asks the given lenders.
-	asking := func(caller granitehoist.Caller, lenders ...granitehoist.Incarnation) *escrow.Syncer {
+	asking := func(via granitehoist.Caller, lenders ...granitehoist.Incarnation) *escrow.Syncer {
 		return escrow.NewSyncer(escrow.SyncerSettings{
-			Box: "b", Ledger: ledger, Store: store, Clock: clock, Caller: caller,
-			Routers: func() int { return 20 }, Lenders: lendersAlways(lenders...),
+			Box: "b", Ledger: ledger, Store: store, Clock: clock, Caller: via,
+			Routers: func() int { return 20 }, Lenders: fixedLenders(lenders...),
 		})
 	}
 	BeforeEach(func() {
 		elapsed.Store(0)
 		store = standin.NewStore(standin.StoreSettings{Clock: clock})
 		holder = newHolder("k", "k1", store, clock)
-		holder.ledger.SetLimit(kiosk, limit)
+		holder.ledger.SetLimit(testWorkspace, limit)
 		Expect(holder.sync()).To(Succeed())
 		ctx, cancel := context.WithCancel(context.Background())
 		DeferCleanup(cancel)
 		go holder.syncer.Run(ctx)
-		line = &syncerCaller{to: holder.syncer}
-		ledger = escrow.NewLedger(escrow.LedgerSettings{Incarnation: "b1", Role: always(escrow.Asks)})
-		ledger.SetLimit(kiosk, limit)
+		caller = &syncerCaller{to: holder.syncer}
+		ledger = escrow.NewLedger(escrow.LedgerSettings{Incarnation: "b1", Role: constantRole(escrow.Asks)})
+		ledger.SetLimit(testWorkspace, limit)
 	})
 	// request reserves and settles one request of the router.
 	request := func(s *escrow.Syncer, bound, used granitehoist.Tokens) escrow.Outcome {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		outcome := s.Reserve(ctx, kiosk, bound, normal).Outcome
+		outcome := s.Reserve(ctx, testWorkspace, bound, maxPriority).Outcome
 		if outcome == escrow.Granted {
-			s.Settle(kiosk, bound, used)
+			s.Settle(testWorkspace, bound, used)
 		}
 		return outcome
 	}
 	// unspent returns what is left in the store and at both routers.
 	unspent := func() granitehoist.Tokens {
-		return limit - recordOf(store).Accounts[kiosk].Taken() + holder.ledger.State(kiosk).Free + ledger.State(kiosk).Free
+		return limit - recordOf(store).Accounts[testWorkspace].Taken() + holder.ledger.State(testWorkspace).Free + ledger.State(testWorkspace).Free
 	}
 
 	It("holds nothing but what its last request left over", func() {
-		syncer := asking(line, "k1")
+		syncer := asking(caller, "k1")
 		for range 50 {
 			Expect(request(syncer, 1000, 900)).To(Equal(escrow.Granted))
 			pass(time.Second)
 		}
-		Expect(ledger.State(kiosk).Free).To(Equal(granitehoist.Tokens(100)))
-		Expect(recordOf(store).Accounts[kiosk].Rows).NotTo(HaveKey(granitehoist.Incarnation("b1")))
+		Expect(ledger.State(testWorkspace).Free).To(Equal(granitehoist.Tokens(100)))
+		Expect(recordOf(store).Accounts[testWorkspace].Rows).NotTo(HaveKey(granitehoist.Incarnation("b1")))
 	})
 
 	It("gives back what a request left over, once, though the reply is lost", func() {
-		syncer := asking(line, "k1")
+		syncer := asking(caller, "k1")
 		Expect(request(syncer, 5000, 1000)).To(Equal(escrow.Granted))
 		before := unspent()
-		line.lost = escrow.MethodRepay
+		caller.lost = escrow.MethodRepay
 		escrow.RepaySurplus(syncer)
 		Expect(unspent()).To(Equal(before))
-		line.lost = ""
+		caller.lost = ""
 		escrow.RepaySurplus(syncer)
-		Expect(ledger.State(kiosk).Free).To(BeZero())
+		Expect(ledger.State(testWorkspace).Free).To(BeZero())
 		Expect(unspent()).To(Equal(before))
 	})
 
 	It("gives it back as well while the store is silent, so that others find it", func() {
-		syncer := asking(line, "k1")
+		syncer := asking(caller, "k1")
 		Expect(request(syncer, 5000, 1000)).To(Equal(escrow.Granted))
 		store.Fail(standin.StoreFaults{Down: true})
 		Expect(holder.sync()).NotTo(Succeed())
 		escrow.RepaySurplus(syncer)
-		Expect(ledger.State(kiosk).Free).To(BeZero())
+		Expect(ledger.State(testWorkspace).Free).To(BeZero())
 	})
 
 	It("asks a holder that does not answer only now and then", func() {
-		line.unreachable = "dead"
-		syncer := asking(line, "dead", "k1")
+		caller.unreachable = "dead"
+		syncer := asking(caller, "dead", "k1")
 		for range 30 {
 			Expect(request(syncer, 1000, 1000)).To(Equal(escrow.Granted))
 			pass(100 * time.Millisecond)
 		}
-		Expect(line.failed.Load()).To(BeNumerically("<=", 3))
+		Expect(caller.failed.Load()).To(BeNumerically("<=", 3))
 	})
 
 	It("asks nobody again for a budget of which a holder has just said that it is spent", func() {
-		holder.ledger.SetLimit(kiosk, 1000)
+		holder.ledger.SetLimit(testWorkspace, 1000)
 		Expect(holder.sync()).To(Succeed())
-		syncer := asking(line, "k1")
+		syncer := asking(caller, "k1")
 		Expect(request(syncer, 5000, 0)).To(Equal(escrow.Exhausted))
-		asked := line.calls.Load()
+		asked := caller.calls.Load()
 		Expect(request(syncer, 5000, 0)).To(Equal(escrow.Exhausted))
-		Expect(line.calls.Load()).To(Equal(asked))
+		Expect(caller.calls.Load()).To(Equal(asked))
 	})
 
 	It("waits for the list of its fleet and does not go to the record without it", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
-		Expect(asking(line).Reserve(ctx, kiosk, 1000, normal).Outcome).NotTo(Equal(escrow.Granted))
-		Expect(recordOf(store).Accounts[kiosk].Rows).NotTo(HaveKey(granitehoist.Incarnation("b1")))
+		Expect(asking(caller).Reserve(ctx, testWorkspace, 1000, maxPriority).Outcome).NotTo(Equal(escrow.Granted))
+		Expect(recordOf(store).Accounts[testWorkspace].Rows).NotTo(HaveKey(granitehoist.Incarnation("b1")))
 	})
 
 	It("asks the next one when a holder is slow", func() {
-		syncer := asking(&slowCaller{Caller: line, fast: "k1", slow: 2 * time.Second}, "slow", "k1")
+		syncer := asking(&slowCaller{Caller: caller, fast: "k1", slow: 2 * time.Second}, "slow", "k1")
 		began := time.Now()
 		Expect(request(syncer, 1000, 1000)).To(Equal(escrow.Granted))
 		Expect(time.Since(began)).To(BeNumerically("<", time.Second))
@@ -177,23 +177,23 @@
 	It("learns at once that no holder has the tokens", func() {
 		store.Fail(standin.StoreFaults{Down: true})
 		Expect(holder.sync()).NotTo(Succeed())
-		syncer := asking(line, "k1")
+		syncer := asking(caller, "k1")
 		began := time.Now()
 		Expect(request(syncer, limit/2, 0)).To(Equal(escrow.Unreachable))
 		Expect(time.Since(began)).To(BeNumerically("<", 500*time.Millisecond))
-		Expect(holder.ledger.State(kiosk).Free).To(BeNumerically(">", 0), "nothing is lent that would not be enough")
+		Expect(holder.ledger.State(testWorkspace).Free).To(BeNumerically(">", 0), "nothing is lent that would not be enough")
 	})
 
 	It("is paid by a router that stands in for the holders, for a while", func() {
 		other := newBox("o", "o1", store, 20, clock)
-		standIn := escrow.NewLedger(escrow.LedgerSettings{Incarnation: "o1", Role: always(escrow.Asks)})
+		standIn := escrow.NewLedger(escrow.LedgerSettings{Incarnation: "o1", Role: constantRole(escrow.Asks)})
 		other.ledger = standIn
 		other.syncer = escrow.NewSyncer(escrow.SyncerSettings{Box: "o", Ledger: standIn, Store: store, Clock: clock, Routers: func() int { return 20 }})
-		standIn.SetLimit(kiosk, limit)
+		standIn.SetLimit(testWorkspace, limit)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go other.syncer.Run(ctx)
-		ask := escrow.LendParams{Borrower: "b1", Workspace: kiosk, Need: 500, Want: 500}
+		ask := escrow.LendParams{Borrower: "b1", Workspace: testWorkspace, Need: 500, Want: 500}
 		Expect(other.syncer.ServeLend(ctx, ask)).To(HaveField("Total", BeZero()))
 		ask.StandIn = true
 		wait, done := context.WithTimeout(ctx, 2*time.Second)
@@ -203,9 +203,9 @@
 			Expect(err).NotTo(HaveOccurred())
 			return result.Total
 		}).Should(BeNumerically(">=", 500))
-		Expect(standIn.Role(kiosk, clock())).To(Equal(escrow.StandsIn))
+		Expect(standIn.Role(testWorkspace, clock())).To(Equal(escrow.StandsIn))
 		pass(4 * time.Second)
-		Expect(standIn.Role(kiosk, clock())).To(Equal(escrow.Asks))
+		Expect(standIn.Role(testWorkspace, clock())).To(Equal(escrow.Asks))
 	})
 })
 
@@ -215,20 +215,20 @@
 		clock := func() time.Time { return now }
 		store := standin.NewStore(standin.StoreSettings{Clock: clock})
 		holder := newHolder("k", "k1", store, clock)
-		holder.ledger.SetLimit(kiosk, 10_000_000)
+		holder.ledger.SetLimit(testWorkspace, 10_000_000)
 		Expect(holder.sync()).To(Succeed())
 		for i := range 200 {
 			borrower := granitehoist.Incarnation("b" + strconv.Itoa(i%40))
-			result, err := holder.syncer.ServeLend(context.Background(), escrow.LendParams{Borrower: borrower, Workspace: kiosk, Need: 1000, Want: 1000})
+			result, err := holder.syncer.ServeLend(context.Background(), escrow.LendParams{Borrower: borrower, Workspace: testWorkspace, Need: 1000, Want: 1000})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(result.InTouch).To(BeTrue())
-			_, err = holder.syncer.ServeRepay(context.Background(), escrow.RepayParams{Giver: borrower, Workspace: kiosk, Total: granitehoist.Tokens(i/40+1) * 500})
+			_, err = holder.syncer.ServeRepay(context.Background(), escrow.RepayParams{Giver: borrower, Workspace: testWorkspace, Total: granitehoist.Tokens(i/40+1) * 500})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(holder.sync()).To(Succeed())
 			now = now.Add(100 * time.Millisecond)
 		}
 		// 10 loans a second of 1,000 tokens, of which half come back, for 9 s.
-		Expect(holder.ledger.State(kiosk).Free).To(BeNumerically("~", 45_000, 10_000))
+		Expect(holder.ledger.State(testWorkspace).Free).To(BeNumerically("~", 45_000, 10_000))
 	})
 
 	It("loses little of a budget if all routers die late in it, with the store well until then", func() {
@@ -237,17 +237,17 @@
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
 		holder := newHolder("k", "k1", standin.NewStore(standin.StoreSettings{Clock: clock}), clock)
-		holder.ledger.SetLimit(kiosk, limit)
+		holder.ledger.SetLimit(testWorkspace, limit)
 		for i := range 300 {
 			borrower := granitehoist.Incarnation("b" + strconv.Itoa(i%40))
-			_, err := holder.syncer.ServeLend(context.Background(), escrow.LendParams{Borrower: borrower, Workspace: kiosk, Need: 1000, Want: 1000})
+			_, err := holder.syncer.ServeLend(context.Background(), escrow.LendParams{Borrower: borrower, Workspace: testWorkspace, Need: 1000, Want: 1000})
 			Expect(err).NotTo(HaveOccurred())
-			_, err = holder.syncer.ServeRepay(context.Background(), escrow.RepayParams{Giver: borrower, Workspace: kiosk, Total: granitehoist.Tokens(i/40+1) * 500})
+			_, err = holder.syncer.ServeRepay(context.Background(), escrow.RepayParams{Giver: borrower, Workspace: testWorkspace, Total: granitehoist.Tokens(i/40+1) * 500})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(holder.sync()).To(Succeed())
 			now = now.Add(100 * time.Millisecond)
 		}
 		// 9 s of the demand, which were held before, are 22 % of the budget.
-		Expect(holder.ledger.State(kiosk).Free).To(BeNumerically("<=", limit*5/100))
+		Expect(holder.ledger.State(testWorkspace).Free).To(BeNumerically("<=", limit*5/100))
 	})
 })
--- /dev/null
+++ b/escrow/batch.go
@@ -0,0 +1,65 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package escrow
+
+import (
+	"time"
+
+	"granitehoist.example/granitehoist"
+)
+
+const (
+	// batchCover is how long a batch of borrowed tokens lasts at the router's rate of
+	// spending. It leaves time to borrow the next batch, and is short compared to a
+	// holder's cover.
+	batchCover = 2 * time.Second
+	// minBatchRequests is the minimum size of a batch, in requests of the mean bound. A
+	// router that expects fewer in batchCover borrows for each request, since batches at
+	// many routers would tie up much of a budget.
+	minBatchRequests = 4
+	// batchRefillThreshold is the fraction of a batch under which the next one is
+	// borrowed.
+	batchRefillThreshold = 0.5
+)
+
+// batchSizeFor returns how many tokens a borrower keeps ahead of its requests: those of
+// batchCover at its rate in tokens a second if they suffice for minBatchRequests of the
+// mean bound, else none. A router that receives all requests of a workspace then calls
+// its holder about once a second instead of once per request.
+func batchSizeFor(perSecond, mean float64) granitehoist.Tokens {
+	packet := perSecond * batchCover.Seconds()
+	if packet < minBatchRequests*mean {
+		return 0
+	}
+	return granitehoist.Tokens(packet)
+}
+
+// batchSize returns how many tokens this router keeps ahead of its requests as a
+// borrower.
+func (a *account) batchSize(now time.Time) granitehoist.Tokens {
+	return batchSizeFor(a.demand.rate.value(now), a.demand.mean)
+}
+
+// startRefill returns the loan for the next batch and reports whether it is due. After
+// the call to the lender the caller must call endRefill; until then no other refill is
+// due.
+func (l *Ledger) startRefill(w granitehoist.Workspace, now time.Time) (loanRequest, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.account(w)
+	packet := a.batchSize(now)
+	free := a.owned.free()
+	if packet == 0 || a.refilling || float64(free) >= batchRefillThreshold*float64(packet) || l.role(w, a, now) != Asks {
+		return loanRequest{}, false
+	}
+	a.refilling = true
+	return loanRequest{workspace: w, need: 1, want: packet - max(0, free)}, true
+}
+
+// endRefill marks the refill that startRefill began as finished.
+func (l *Ledger) endRefill(w granitehoist.Workspace) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.account(w).refilling = false
+}
--- a/escrow/packet_test.go
+++ b/escrow/batch_test.go
@@ -14,7 +14,7 @@
 
 var _ = DescribeTable("A packet",
 	func(perSecond, mean float64, expected granitehoist.Tokens) {
-		Expect(packetOf(perSecond, mean)).To(Equal(expected))
+		Expect(batchSizeFor(perSecond, mean)).To(Equal(expected))
 	},
 	Entry("is 2 s of the spending", 10_000.0, 1_000.0, granitehoist.Tokens(20_000)),
 	Entry("is none for fewer than four requests", 1_999.0, 1_000.0, granitehoist.Tokens(0)),
@@ -28,22 +28,22 @@
 	BeforeEach(func() {
 		l = NewLedger(LedgerSettings{Incarnation: "a1", Role: func(Shard) Role { return Asks }})
 		l.SetLimit(desk, 1_000_000)
-		l.Borrowed(desk, "k1", LendResult{Total: 100_000}, at)
+		l.Borrowed(desk, "k1", LendResult{Total: 100_000}, testNow)
 		for i := range 100 {
-			now := at.Add(time.Duration(i) * 20 * time.Millisecond)
+			now := testNow.Add(time.Duration(i) * 20 * time.Millisecond)
 			Expect(l.Reserve(desk, 500, granitehoist.MaxPriority, now)).To(BeTrue())
 			l.Settle(desk, 500, 500, now)
 		}
 	})
-	later := at.Add(2 * time.Second)
+	later := testNow.Add(2 * time.Second)
 
 	It("asks for the next packet once, before the last is used up", func() {
 		_, needed := l.startRefill(desk, later)
 		Expect(needed).To(BeFalse(), "it has 50,000 tokens, a packet")
 		Expect(l.Reserve(desk, 30_000, granitehoist.MaxPriority, later)).To(BeTrue())
-		missing, needed := l.startRefill(desk, later)
+		request, needed := l.startRefill(desk, later)
 		Expect(needed).To(BeTrue())
-		Expect(missing.want).To(BeNumerically(">", 20_000))
+		Expect(request.want).To(BeNumerically(">", 20_000))
 		_, needed = l.startRefill(desk, later)
 		Expect(needed).To(BeFalse())
 		l.endRefill(desk)
--- a/escrow/bench_test.go
+++ b/escrow/bench_test.go
@@ -37,7 +37,7 @@
 			for i := range b.N {
 				each := boxes[i%len(boxes)]
 				w := granitehoist.Workspace(fmt.Sprintf("work%03d", i%size.workspaces))
-				if free := each.ledger.State(w).Free / 2; each.ledger.Reserve(w, free, normal, now) {
+				if free := each.ledger.State(w).Free / 2; each.ledger.Reserve(w, free, maxPriority, now) {
 					each.ledger.Settle(w, free, free, now)
 				}
 				if err := each.sync(); err != nil {
@@ -59,13 +59,13 @@
 	now := time.Unix(1000, 0)
 	store := standin.NewStore(standin.StoreSettings{})
 	one := newBox("a", "a1", store, 1, func() time.Time { return now })
-	one.ledger.SetLimit(kiosk, 1<<50)
+	one.ledger.SetLimit(testWorkspace, 1<<50)
 	if err := one.sync(); err != nil {
 		b.Fatal(err)
 	}
 	for range b.N {
-		if one.ledger.Reserve(kiosk, 100, normal, now) {
-			one.ledger.Settle(kiosk, 100, 0, now)
+		if one.ledger.Reserve(testWorkspace, 100, maxPriority, now) {
+			one.ledger.Settle(testWorkspace, 100, 0, now)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 			now := time.Unix(1000, 0)
 			store := standin.NewStore(standin.StoreSettings{Clock: func() time.Time { return now }})
 			holder := newHolder("edge-hall-1", "edge-hall-1-0123456789abcdef01234567", store, func() time.Time { return now })
-			holder.ledger.SetLimit(kiosk, 1<<50)
+			holder.ledger.SetLimit(testWorkspace, 1<<50)
 			if err := holder.sync(); err != nil {
 				b.Fatal(err)
 			}
@@ -88,12 +88,12 @@
 			b.ResetTimer()
 			for i := range b.N {
 				borrower := granitehoist.Incarnation(fmt.Sprintf("edge-hall-%d-0123456789abcdef01234567", i%routers))
-				loan := escrow.LendParams{Borrower: borrower, Workspace: kiosk, Need: 1000, Want: 1000}
+				loan := escrow.LendParams{Borrower: borrower, Workspace: testWorkspace, Need: 1000, Want: 1000}
 				if _, err := holder.syncer.ServeLend(b.Context(), loan); err != nil {
 					b.Fatal(err)
 				}
 				repaid[i%routers] += 100
-				rest := escrow.RepayParams{Giver: borrower, Workspace: kiosk, Total: repaid[i%routers]}
+				rest := escrow.RepayParams{Giver: borrower, Workspace: testWorkspace, Total: repaid[i%routers]}
 				if _, err := holder.syncer.ServeRepay(b.Context(), rest); err != nil {
 					b.Fatal(err)
 				}
--- a/escrow/borrow.go
+++ b/escrow/borrow.go
@@ -14,30 +14,31 @@
 )
 
 const (
-	// maxLenders bounds the neighbours that are asked for one shortage.
-	maxLenders = 12
-	// DefaultLendWait is how long a lender waits for the store on behalf of a neighbour;
-	// it leaves most of the neighbour's lendTimeout to the network and to another lender.
+	// maxLendersPerRound bounds the neighbours that are called for one loan request.
+	maxLendersPerRound = 12
+	// DefaultLendWait is how long a lender waits for the store on behalf of a neighbour.
+	// It is well below lendTimeout, to leave time for the network and for another
+	// lender.
 	DefaultLendWait = 45 * time.Millisecond
 )
 
-// borrow asks neighbours, one after the other, until no request waits.
+// borrow calls neighbours in order until no request waits.
 func (s *Syncer) borrow(ctx context.Context) {
 	if s.settings.Caller == nil {
 		return
 	}
 	lenders := map[granitehoist.Workspace][]Lender{}
-	for i := range maxLenders {
+	for i := range maxLendersPerRound {
 		asked := false
-		for _, missing := range s.settings.Ledger.waiterShortages(s.settings.Clock()) {
-			if _, ok := lenders[missing.workspace]; !ok {
-				lenders[missing.workspace] = s.lenders(missing.workspace)
+		for _, request := range s.settings.Ledger.loanRequestsForWaiters(s.settings.Clock()) {
+			if _, ok := lenders[request.workspace]; !ok {
+				lenders[request.workspace] = s.lenders(request.workspace)
 			}
-			if i >= len(lenders[missing.workspace]) || ctx.Err() != nil {
+			if i >= len(lenders[request.workspace]) || ctx.Err() != nil {
 				continue
 			}
 			asked = true
-			s.borrowFrom(ctx, lenders[missing.workspace][i], missing)
+			s.borrowFrom(ctx, lenders[request.workspace][i], request)
 		}
 		if !asked {
 			return
@@ -45,35 +46,35 @@
 	}
 }
 
-// borrowFrom asks one neighbour for one loan, and reports whether it answered.
-func (s *Syncer) borrowFrom(ctx context.Context, lender Lender, missing shortage) bool {
+// borrowFrom calls one neighbour for one loan, and reports whether it responded.
+func (s *Syncer) borrowFrom(ctx context.Context, lender Lender, request loanRequest) bool {
 	ctx, cancel := context.WithTimeout(ctx, lendTimeout)
 	defer cancel()
 	params := LendParams{
-		Borrower: s.settings.Ledger.settings.Incarnation, Workspace: missing.workspace,
-		Need: missing.need, Want: missing.want, StandIn: lender.StandsIn,
+		Borrower: s.settings.Ledger.settings.Incarnation, Workspace: request.workspace,
+		Need: request.need, Want: request.want, StandIn: lender.StandsIn,
 	}
 	var result LendResult
 	if err := s.settings.Caller.Call(ctx, lender.Peer, MethodLend, params, &result); err != nil {
-		// Nothing is lost: a loan whose reply was lost is in the next total. The
-		// lender is left out for a while and another one asked.
-		s.avoid(lender)
+		// A loan whose reply was lost is included in the next total. Exclude the lender
+		// for a while so that another one is called.
+		s.exclude(lender)
 		return false
 	}
-	s.settings.Ledger.noteHolder(missing.workspace, result.InTouch, s.settings.Clock())
-	if s.settings.Ledger.Borrowed(missing.workspace, lender.Incarnation, result, s.settings.Clock()) {
+	s.settings.Ledger.noteHolderStatus(request.workspace, result.InTouch, s.settings.Clock())
+	if s.settings.Ledger.Borrowed(request.workspace, lender.Incarnation, result, s.settings.Clock()) {
 		s.settings.Log.Info(event.BudgetLoan,
-			zap.String("workspace", string(missing.workspace)), zap.String("lender", string(lender.Incarnation)),
+			zap.String("workspace", string(request.workspace)), zap.String("lender", string(lender.Incarnation)),
 			zap.Int64("total", int64(result.Total)))
 	}
 	return true
 }
 
-// ServeLend answers a neighbour's call of MethodLend. A router that uses the record
-// reserves what the borrower wants as a request does, and so asks the store if it
-// owns too little; if that does not work out in LendWait, it lends what it has. One
-// that lends to a whole fleet does not keep the borrower waiting for a store that is
-// silent. A want below the need counts as the need. The error is always nil.
+// ServeLend handles a neighbour's call of MethodLend. A router that uses the record
+// reserves p.Want as a request does, and so triggers a sync if it owns too little; if
+// that fails within LendWait, it lends what it has. A holder does not make the borrower
+// wait for an unresponsive store. A want below the need counts as the need. The error is
+// always nil.
 func (s *Syncer) ServeLend(ctx context.Context, p LendParams) (LendResult, error) {
 	p.Want = max(p.Want, p.Need)
 	ledger, now := s.settings.Ledger, s.settings.Clock()
@@ -84,7 +85,7 @@
 	if p.Need <= 0 || role == Asks {
 		return ledger.Lend(p, now), nil
 	}
-	c := claim{bound: p.Want, priority: granitehoist.MaxPriority, loan: true, counts: role.lends()}
+	c := claim{bound: p.Want, priority: granitehoist.MaxPriority, isLoan: true, countsAsDemand: role.isHolder()}
 	if s.reserveForLoan(ctx, p.Workspace, c, role) {
 		return ledger.lendReserved(p, p.Want, s.settings.Clock()), nil
 	}
@@ -93,10 +94,10 @@
 
 // reserveForLoan reserves for a loan, and reports whether it did.
 func (s *Syncer) reserveForLoan(ctx context.Context, w granitehoist.Workspace, c claim, role Role) bool {
-	if role.lends() && s.settings.Ledger.isStoreSilent() {
+	if role.isHolder() && s.settings.Ledger.isStoreUnresponsive() {
 		granted := s.settings.Ledger.reserve(w, c, s.settings.Clock())
 		if !granted {
-			// The store is tried again for the next borrower.
+			// Try the store again for the next borrower.
 			s.Kick()
 		}
 		return granted
--- a/escrow/budgetend.go
+++ b/escrow/budgetend.go
@@ -9,55 +9,52 @@
 	"granitehoist.example/granitehoist"
 )
 
-// The values below serve the users' rule that a part of the requests must be
-// served after a loss of all boxes, also late in a budget (docs/FINDINGS.md,
-// hunt-3e01-71, where large requests took what was left).
+// Parameters of the rules for the end of a budget. They keep tokens for small requests that
+// arrive late, also after all routers have crashed.
 const (
-	// withholdBelow is the part of the prepaid total under which large requests are
-	// withheld. Measured in trials (docs/PERFORMANCE.md): 0.02 earned 0.601 and
-	// 0.612 at Tuul and Lima, this value 0.591 and 0.595, but too little was served
-	// then after a loss of all boxes. 0.08 was the first value (7965447).
-	withholdBelow = 0.06
-	// withholdShare is the part of what is left that one request may take. Measured:
-	// an eighth left 5 % of a small budget unspent (7965447).
-	withholdShare = 0.33
-	// rationBelow is the part of the prepaid total that is spent over time.
-	// Measured together with minReturnPartAtEnd (0b8d3d0): the rule is kept in 5
-	// of 5 runs; without the returns 3 of 5 runs broke it.
-	rationBelow = 0.01
-	// rationTime is about how long the last part lasts, if rationedPart of the
-	// routers get requests. Chosen, not measured (0b8d3d0), so that small requests
-	// find something until a standard day of the users ends.
+	// withholdThreshold is the fraction of the prepaid total under which large requests
+	// are withheld.
+	withholdThreshold = 0.06
+	// maxRequestFraction is the fraction of the remaining budget that one request may
+	// take.
+	maxRequestFraction = 0.33
+	// rationThreshold is the fraction of the prepaid total under which spending is
+	// rationed over time.
+	rationThreshold = 0.01
+	// rationTime is about how long the rationed part lasts if rationedFraction of the
+	// routers get requests.
 	rationTime = 20 * time.Second
-	// rationedPart is the part of the routers that are taken to spend the last part.
-	rationedPart = 0.5
-	// rationRequests bounds the unused ration, in requests of the mean bound.
-	rationRequests = 2.0
+	// rationedFraction is the fraction of the routers that are assumed to spend the
+	// rationed part.
+	rationedFraction = 0.5
+	// maxRationRequests bounds the unused ration, in requests of the mean bound.
+	maxRationRequests = 2.0
 )
 
-// endVerdict is whether a request may be paid for near the end of a budget, and
-// if not, why.
-type endVerdict int
+// endDecision is whether a request may be paid for near the end of a budget, and if not,
+// why.
+type endDecision int
 
 const (
-	// endAllows says that the end of the budget does not stand in the way.
-	endAllows endVerdict = iota
-	// aboveShare says that the request would take more than withholdShare of what
-	// is left.
-	aboveShare
-	// aboveMean says that the request is larger than the mean of the requests.
+	// endAllowed means that the request may be paid for.
+	endAllowed endDecision = iota
+	// aboveMaxFraction means that the request would take more than maxRequestFraction of
+	// the remaining budget.
+	aboveMaxFraction
+	// aboveMean means that the request is larger than the mean of the requests.
 	aboveMean
-	// aboveRation says that the request is larger than this router's ration.
+	// aboveRation means that the request is larger than this router's ration.
 	aboveRation
 )
 
-// withholds reports whether the verdict keeps a request from being paid for.
-func (v endVerdict) withholds() bool { return v != endAllows }
+// withholds reports whether the request must not be paid for.
+func (v endDecision) withholds() bool { return v != endAllowed }
 
-// budgetEnd is what the rule for the end of a budget depends on.
+// budgetEnd holds the inputs of the rules for the end of a budget.
 type budgetEnd struct {
-	// left is what is left of the budget anywhere, as old as its source.
-	left budgetLeft
+	// remaining is what remains of the budget in the store and at all routers, as old as
+	// its source.
+	remaining remainingBudget
 	// limit is the prepaid total, mean the mean bound of this router's requests.
 	limit granitehoist.Tokens
 	mean  float64
@@ -65,34 +62,33 @@
 	routers int
 }
 
-// judge decides whether a request of a bound may be paid for, and returns the
-// ration as it is afterwards. Below withholdBelow of the prepaid total a request
-// may take no more than withholdShare of what is left and be no larger than the
-// mean, so that a few large requests leave something for many small ones. Below
-// rationBelow each router spends by a ration that grows with time, so that
-// late requests find something. Without a report of what is left, every request is
-// allowed.
-func (e budgetEnd) judge(bound granitehoist.Tokens, r ration, now time.Time) (endVerdict, ration) {
-	left, limit, size := float64(e.left.tokens), float64(e.limit), float64(bound)
+// decide decides whether a request with the given bound may be paid for, and returns the
+// updated ration. Below withholdThreshold of the prepaid total a request may take no
+// more than maxRequestFraction of the remaining budget and must not exceed the mean, so
+// that a few large requests leave tokens for many small ones. Below rationThreshold each
+// router spends from a ration that grows with time, so that late requests can be served.
+// If the remaining budget is unknown, every request is allowed.
+func (e budgetEnd) decide(bound granitehoist.Tokens, r ration, now time.Time) (endDecision, ration) {
+	remaining, limit, size := float64(e.remaining.tokens), float64(e.limit), float64(bound)
 	switch {
-	case !e.left.reported || left >= withholdBelow*limit:
-		return endAllows, r
-	case size > withholdShare*left:
-		return aboveShare, r
+	case !e.remaining.known || remaining >= withholdThreshold*limit:
+		return endAllowed, r
+	case size > maxRequestFraction*remaining:
+		return aboveMaxFraction, r
 	case size > e.mean:
 		return aboveMean, r
-	case left >= rationBelow*limit:
-		return endAllows, r
+	case remaining >= rationThreshold*limit:
+		return endAllowed, r
 	}
-	sharing := max(1, rationedPart*float64(e.routers))
-	r = r.grown(left/sharing/rationTime.Seconds(), rationRequests*e.mean, now)
+	sharing := max(1, rationedFraction*float64(e.routers))
+	r = r.grown(remaining/sharing/rationTime.Seconds(), maxRationRequests*e.mean, now)
 	if size > r.tokens {
 		return aboveRation, r
 	}
-	return endAllows, r
+	return endAllowed, r
 }
 
-// ration is what a router may spend of the last part of a budget. The zero value
+// ration is a router's spending limit for the last part of a budget. The zero value
 // allows nothing yet.
 type ration struct {
 	tokens float64
@@ -100,8 +96,8 @@
 	at time.Time
 }
 
-// grown returns the ration with what has been added since it last grew, at a rate
-// in tokens a second and up to a bound.
+// grown returns the ration at now, with perSecond tokens a second added since it last
+// grew, up to most.
 func (r ration) grown(perSecond, most float64, now time.Time) ration {
 	if !r.at.IsZero() {
 		r.tokens = min(most, r.tokens+perSecond*now.Sub(r.at).Seconds())
@@ -110,7 +106,7 @@
 	return r
 }
 
-// less returns the ration without what a request may cost.
+// less returns the ration minus the bound of a request, at least zero.
 func (r ration) less(bound granitehoist.Tokens) ration {
 	r.tokens = max(0, r.tokens-float64(bound))
 	return r
--- a/escrow/budgetend_test.go
+++ b/escrow/budgetend_test.go
@@ -13,51 +13,51 @@
 )
 
 var _ = DescribeTable("A request near the end of a budget of 100,000 tokens",
-	func(left, bound granitehoist.Tokens, expected endVerdict) {
-		end := budgetEnd{left: budgetLeft{tokens: left, reported: true}, limit: 100_000, mean: 200, routers: 4}
-		verdict, _ := end.judge(bound, ration{tokens: 50, at: at}, at)
-		Expect(verdict).To(Equal(expected))
-		Expect(verdict.withholds()).To(Equal(expected != endAllows))
+	func(remaining, bound granitehoist.Tokens, expected endDecision) {
+		end := budgetEnd{remaining: remainingBudget{tokens: remaining, known: true}, limit: 100_000, mean: 200, routers: 4}
+		decision, _ := end.decide(bound, ration{tokens: 50, at: testNow}, testNow)
+		Expect(decision).To(Equal(expected))
+		Expect(decision.withholds()).To(Equal(expected != endAllowed))
 	},
-	Entry("is not judged from 6 % on", granitehoist.Tokens(6_000), granitehoist.Tokens(5_999), endAllows),
-	Entry("may be of the mean size below", granitehoist.Tokens(5_999), granitehoist.Tokens(200), endAllows),
+	Entry("is not judged from 6 % on", granitehoist.Tokens(6_000), granitehoist.Tokens(5_999), endAllowed),
+	Entry("may be of the mean size below", granitehoist.Tokens(5_999), granitehoist.Tokens(200), endAllowed),
 	Entry("may not be larger than that", granitehoist.Tokens(5_999), granitehoist.Tokens(201), aboveMean),
-	Entry("may not take more than a third", granitehoist.Tokens(5_999), granitehoist.Tokens(1_980), aboveShare),
-	Entry("needs no ration from 1 % on", granitehoist.Tokens(1_000), granitehoist.Tokens(200), endAllows),
-	Entry("may be of the ration below", granitehoist.Tokens(999), granitehoist.Tokens(50), endAllows),
+	Entry("may not take more than a third", granitehoist.Tokens(5_999), granitehoist.Tokens(1_980), aboveMaxFraction),
+	Entry("needs no ration from 1 % on", granitehoist.Tokens(1_000), granitehoist.Tokens(200), endAllowed),
+	Entry("may be of the ration below", granitehoist.Tokens(999), granitehoist.Tokens(50), endAllowed),
 	Entry("may not be larger than that", granitehoist.Tokens(999), granitehoist.Tokens(51), aboveRation),
 )
 
 var _ = Describe("The end of a budget that nothing was reported of", func() {
 	It("withholds nothing", func() {
-		verdict, _ := budgetEnd{limit: 100_000}.judge(50_000, ration{}, at)
-		Expect(verdict).To(Equal(endAllows))
+		decision, _ := budgetEnd{limit: 100_000}.decide(50_000, ration{}, testNow)
+		Expect(decision).To(Equal(endAllowed))
 	})
 })
 
 var _ = Describe("The ration", func() {
-	end := budgetEnd{left: budgetLeft{tokens: 800, reported: true}, limit: 100_000, mean: 200, routers: 4}
+	end := budgetEnd{remaining: remainingBudget{tokens: 800, known: true}, limit: 100_000, mean: 200, routers: 4}
 	after := func(r ration, d time.Duration) ration {
-		_, r = end.judge(1, r, at.Add(d))
+		_, r = end.decide(1, r, testNow.Add(d))
 		return r
 	}
 
 	It("allows nothing at first", func() {
-		Expect(after(ration{}, 0)).To(Equal(ration{at: at}))
+		Expect(after(ration{}, 0)).To(Equal(ration{at: testNow}))
 	})
 
 	It("grows by the router's share of what is left in 20 s", func() {
 		// Half of the four routers are taken to spend: 800 / 2 / 20 s.
-		Expect(after(ration{at: at}, time.Second).tokens).To(BeNumerically("~", 20, 1e-9))
+		Expect(after(ration{at: testNow}, time.Second).tokens).To(BeNumerically("~", 20, 1e-9))
 	})
 
 	It("is bounded by two requests of the mean size", func() {
-		Expect(after(ration{at: at}, time.Minute).tokens).To(BeNumerically("~", 400, 1e-9))
+		Expect(after(ration{at: testNow}, time.Minute).tokens).To(BeNumerically("~", 400, 1e-9))
 	})
 
 	It("is not grown by a request that another rule withholds", func() {
-		_, r := end.judge(201, ration{at: at}, at.Add(time.Second))
-		Expect(r).To(Equal(ration{at: at}))
+		_, r := end.decide(201, ration{at: testNow}, testNow.Add(time.Second))
+		Expect(r).To(Equal(ration{at: testNow}))
 	})
 
 	It("loses what is spent, down to nothing", func() {
--- a/escrow/demand.go
+++ b/escrow/demand.go
@@ -5,28 +5,29 @@
 
 import "granitehoist.example/granitehoist"
 
-// demand is what a router knows of the requests for a workspace, here and at
-// others. Ledger.mu guards it. Rates are in tokens a second.
+// demand is what a router knows of the requests for a workspace, here and at other
+// routers. Ledger.mu guards it. Rates are in tokens a second.
 type demand struct {
-	// rate is that of this router's own requests and, at a holder, of its loans, by
-	// their bounds until they are settled or repaid.
+	// rate is that of this router's own requests and, at a holder, of its loans, counted
+	// by their bounds until they are settled or repaid.
 	rate rate
-	// othersRate is the sum of what the other rows of the record said when it was
+	// othersRate is the sum of the rates in the other rows of the record when it was
 	// last read.
 	othersRate float64
-	// largest and mean are of the bounds of the claims that count.
+	// largest and mean are the largest and the mean bound of the claims that count as
+	// demand.
 	largest granitehoist.Tokens
 	mean    float64
-	// highestPriority is that of these claims so far.
+	// highestPriority is the highest priority of these claims so far.
 	highestPriority granitehoist.Priority
 }
 
-// meanWeight is the weight of the newest request in the mean of the bounds, which so
-// covers the last 20 requests or so.
+// meanWeight is the weight of the newest request in the exponentially weighted mean of
+// the bounds, which covers about the last 20 requests.
 const meanWeight = 0.05
 
-// measure records a request's bound and priority.
-func (d *demand) measure(bound granitehoist.Tokens, priority granitehoist.Priority) {
+// observe records the bound and the priority of a request.
+func (d *demand) observe(bound granitehoist.Tokens, priority granitehoist.Priority) {
 	d.largest = max(d.largest, bound)
 	if d.mean == 0 {
 		d.mean = float64(bound)
--- a/escrow/divide_test.go
+++ b/escrow/divide_test.go
@@ -23,11 +23,11 @@
 	for _, entry := range entries {
 		record, err := escrow.DecodeRecord(entry)
 		Expect(err).NotTo(HaveOccurred())
-		if _, ok := record.Accounts[kiosk]; ok {
+		if _, ok := record.Accounts[testWorkspace]; ok {
 			return record
 		}
 	}
-	return &escrow.Record{Accounts: map[granitehoist.Workspace]*escrow.StoredAccount{kiosk: {}}}
+	return &escrow.Record{Accounts: map[granitehoist.Workspace]*escrow.StoredAccount{testWorkspace: {}}}
 }
 
 var _ = Describe("A record that is divided as the fleet grows", func() {
@@ -40,7 +40,7 @@
 	// large is set.
 	newGrowing := func(name, incarnation string) *box {
 		ledger := escrow.NewLedger(escrow.LedgerSettings{Incarnation: granitehoist.Incarnation(incarnation)})
-		ledger.SetLimit(kiosk, limit)
+		ledger.SetLimit(testWorkspace, limit)
 		return &box{ledger, escrow.NewSyncer(escrow.SyncerSettings{
 			Box: granitehoist.Box(name), Ledger: ledger, Store: store, Clock: clock,
 			Routers: func() int { return 2 }, Divides: func() bool { return large },
@@ -54,15 +54,15 @@
 	It("keeps what each router owns, and its rows", func() {
 		a := newGrowing("a", "a1")
 		Expect(a.sync()).To(Succeed())
-		held := a.ledger.State(kiosk)
+		held := a.ledger.State(testWorkspace)
 		Expect(held.Free).To(BeNumerically(">", 0))
 		large = true
 		Expect(a.sync()).To(Succeed())
 		Expect(recordOf(store).Shards).To(BeNumerically(">", 0))
-		Expect(a.ledger.State(kiosk).Free).To(Equal(held.Free))
+		Expect(a.ledger.State(testWorkspace).Free).To(Equal(held.Free))
 		a.ledger.Close()
 		Expect(a.sync()).To(Succeed())
-		Expect(shardRecord(store).Accounts[kiosk].Taken()).To(BeZero())
+		Expect(shardRecord(store).Accounts[testWorkspace].Taken()).To(BeZero())
 	})
 
 	It("can't be written by a router that still has it undivided, which then uses the shards", func() {
@@ -74,8 +74,8 @@
 		b.ledger.Close()
 		Expect(b.sync()).To(Succeed())
 		Expect(recordOf(store).Shards).To(BeNumerically(">", 0))
-		Expect(recordOf(store).Accounts[kiosk].Rows["b1"].Returned).To(BeZero(), "the divided record stays as it was")
-		Expect(shardRecord(store).Accounts[kiosk].Rows["b1"].Net()).To(BeZero())
+		Expect(recordOf(store).Accounts[testWorkspace].Rows["b1"].Returned).To(BeZero(), "the divided record stays as it was")
+		Expect(shardRecord(store).Accounts[testWorkspace].Rows["b1"].Net()).To(BeZero())
 	})
 
 	It("is divided once, though the answer is lost", func() {
@@ -90,18 +90,18 @@
 		Expect(recordOf(store)).To(Equal(before))
 		a.ledger.Close()
 		Expect(a.sync()).To(Succeed())
-		Expect(shardRecord(store).Accounts[kiosk].Rows["a1"].Granted).To(BeNumerically(">", 0))
-		Expect(shardRecord(store).Accounts[kiosk].Taken()).To(BeZero())
+		Expect(shardRecord(store).Accounts[testWorkspace].Rows["a1"].Granted).To(BeNumerically(">", 0))
+		Expect(shardRecord(store).Accounts[testWorkspace].Taken()).To(BeZero())
 	})
 
 	It("counts what a router owned that died before, in its shard", func() {
 		dead := newGrowing("a", "a1")
 		Expect(dead.sync()).To(Succeed())
-		lost := dead.ledger.State(kiosk).Granted
+		lost := dead.ledger.State(testWorkspace).Granted
 		large = true
 		next := newGrowing("a", "a2")
 		Expect(next.sync()).To(Succeed())
-		Expect(shardRecord(store).Accounts[kiosk].Folded).To(Equal(lost))
+		Expect(shardRecord(store).Accounts[testWorkspace].Folded).To(Equal(lost))
 	})
 
 	It("of a later program that divides otherwise is not touched", func() {
--- a/escrow/end_test.go
+++ b/escrow/endofbudget_test.go
@@ -28,7 +28,7 @@
 		boxes = nil
 		for _, name := range []string{"a", "b", "c", "d"} {
 			b := newBox(name, name+"1", store, 4, clock)
-			b.ledger.SetLimit(kiosk, limit)
+			b.ledger.SetLimit(testWorkspace, limit)
 			Expect(b.sync()).To(Succeed())
 			boxes = append(boxes, b)
 		}
@@ -37,23 +37,23 @@
 	drain := func(b *box, keep granitehoist.Tokens) {
 		GinkgoHelper()
 		for range 10_000 {
-			free := b.ledger.State(kiosk).Free
-			left := recordOf(store).Accounts[kiosk].Taken()
+			free := b.ledger.State(testWorkspace).Free
+			left := recordOf(store).Accounts[testWorkspace].Taken()
 			if limit-left <= keep && free <= small {
 				return
 			}
-			if !b.ledger.Reserve(kiosk, small, normal, now) {
+			if !b.ledger.Reserve(testWorkspace, small, maxPriority, now) {
 				now = now.Add(10 * time.Millisecond)
 				_ = b.sync()
 				continue
 			}
-			b.ledger.Settle(kiosk, small, small, now)
+			b.ledger.Settle(testWorkspace, small, small, now)
 		}
 	}
 	held := func() granitehoist.Tokens {
 		var sum granitehoist.Tokens
 		for _, b := range boxes {
-			sum += b.ledger.State(kiosk).Free
+			sum += b.ledger.State(testWorkspace).Free
 		}
 		return sum
 	}
@@ -62,8 +62,8 @@
 	rest := func() {
 		GinkgoHelper()
 		for _, b := range boxes {
-			Expect(b.ledger.Reserve(kiosk, small, normal, now)).To(BeTrue())
-			b.ledger.Settle(kiosk, small, small, now)
+			Expect(b.ledger.Reserve(testWorkspace, small, maxPriority, now)).To(BeTrue())
+			b.ledger.Settle(testWorkspace, small, small, now)
 		}
 		for range 40 {
 			now = now.Add(time.Second)
@@ -80,12 +80,12 @@
 		const unused = limit / 250
 		for _, b := range boxes[1:] {
 			ended := make(chan escrow.Outcome, 1)
-			go func() { ended <- b.syncer.Reserve(context.Background(), kiosk, unused, normal).Outcome }()
-			Eventually(func() int { return b.ledger.State(kiosk).Waiting }).Should(Equal(1))
+			go func() { ended <- b.syncer.Reserve(context.Background(), testWorkspace, unused, maxPriority).Outcome }()
+			Eventually(func() int { return b.ledger.State(testWorkspace).Waiting }).Should(Equal(1))
 			Expect(b.sync()).To(Succeed())
 			Expect(<-ended).To(Equal(escrow.Granted))
-			b.ledger.Settle(kiosk, unused, 0, now)
-			Expect(b.ledger.State(kiosk).Free).To(BeNumerically(">=", unused))
+			b.ledger.Settle(testWorkspace, unused, 0, now)
+			Expect(b.ledger.State(testWorkspace).Free).To(BeNumerically(">=", unused))
 		}
 		drain(boxes[0], limit/100)
 		for range 3 {
@@ -94,7 +94,7 @@
 			}
 		}
 		for _, b := range boxes[1:] {
-			Expect(b.ledger.State(kiosk).Free).To(BeNumerically("<=", limit/2000))
+			Expect(b.ledger.State(testWorkspace).Free).To(BeNumerically("<=", limit/2000))
 		}
 	})
 
@@ -106,17 +106,17 @@
 				Expect(b.sync()).To(Succeed())
 			}
 		}
-		left := func() granitehoist.Tokens { return limit - recordOf(store).Accounts[kiosk].Taken() + held() }
+		left := func() granitehoist.Tokens { return limit - recordOf(store).Accounts[testWorkspace].Taken() + held() }
 		served := 0
 		ask := func(lasting time.Duration) int {
 			GinkgoHelper()
 			for end := now.Add(lasting); now.Before(end); now = now.Add(10 * time.Millisecond) {
 				for _, b := range boxes {
-					if !b.ledger.Reserve(kiosk, small, normal, now) {
+					if !b.ledger.Reserve(testWorkspace, small, maxPriority, now) {
 						_ = b.sync()
 						continue
 					}
-					b.ledger.Settle(kiosk, small, small, now)
+					b.ledger.Settle(testWorkspace, small, small, now)
 					served++
 				}
 			}
--- a/escrow/export_test.go
+++ b/escrow/export_test.go
@@ -14,7 +14,7 @@
 // Enter enters a request that waits, as Syncer.Reserve does, and returns where
 // its outcome arrives.
 func (l *Ledger) Enter(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) <-chan Outcome {
-	return l.addWaiter(w, claim{bound: bound, priority: priority, counts: true}, now).outcome
+	return l.addWaiter(w, claim{bound: bound, priority: priority, countsAsDemand: true}, now).outcome
 }
 
 // Rounds is the state of a syncer's loop between the rounds that a test runs.
--- a/escrow/exposure.go
+++ b/escrow/exposure.go
@@ -6,34 +6,29 @@
 import "time"
 
 const (
-	// exposedAfterOutage is the part of a prepaid total that all routers may hold
-	// together right after an outage. Measured with the two times below
-	// (e3d7583): Tuul 0.864 to 0.891, Lima 0.954 to 0.975. The single values were
-	// chosen for the users' standard days, on which all routers are killed soon
-	// after an outage.
-	exposedAfterOutage = 0.008
-	// exposureLowTime is how long after an outage the part stays there. See
-	// exposedAfterOutage.
-	exposureLowTime = 4 * time.Second
-	// exposureGrownTime is when the part has grown to sharePart. See
-	// exposedAfterOutage.
-	exposureGrownTime = 9 * time.Second
+	// exposedFractionAfterOutage is the fraction of a prepaid total that all routers may
+	// hold together right after an outage.
+	exposedFractionAfterOutage = 0.008
+	// exposureHoldTime is how long after an outage the fraction stays there.
+	exposureHoldTime = 4 * time.Second
+	// exposureRecoveryTime is how long after an outage the fraction has grown to
+	// maxHeldFraction, and the bound is lifted.
+	exposureRecoveryTime = 9 * time.Second
 )
 
-// exposedPart decides which part of a prepaid total all routers may hold together,
-// from the time since the last outage ended; outageEnded is zero if there was
-// none. From exposureGrownTime after an outage on, and without one, it is all of
-// it. What is held protects against the next outage and is lost if the routers
-// die. Right after an outage the next one is far, so the holdings grow back
-// slowly.
-func exposedPart(outageEnded, now time.Time) float64 {
+// exposedFraction returns the fraction of a prepaid total that all routers may hold
+// together, from the time since the last outage ended; outageEnded is zero if there was
+// none. It is 1 without an outage and from exposureRecoveryTime after one. Held tokens
+// cover the next outage but are lost if the routers crash. Right after an outage another
+// one is unlikely, so the holdings grow back slowly.
+func exposedFraction(outageEnded, now time.Time) float64 {
 	if outageEnded.IsZero() {
 		return 1
 	}
 	since := now.Sub(outageEnded)
-	if since >= exposureGrownTime {
+	if since >= exposureRecoveryTime {
 		return 1
 	}
-	grown := max(0, (since-exposureLowTime).Seconds()/(exposureGrownTime-exposureLowTime).Seconds())
-	return exposedAfterOutage + (sharePart-exposedAfterOutage)*grown
+	grown := max(0, (since-exposureHoldTime).Seconds()/(exposureRecoveryTime-exposureHoldTime).Seconds())
+	return exposedFractionAfterOutage + (maxHeldFraction-exposedFractionAfterOutage)*grown
 }
--- a/escrow/fleetview.go
+++ b/escrow/fleetview.go
@@ -9,8 +9,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// fleetView is what a router knows of the tokens that it doesn't own, from two
-// sources, each with the time of its last report. Ledger.mu guards it.
+// fleetView is what a router knows of the tokens that it doesn't own, from two sources,
+// each with the time of its last report. Ledger.mu guards it.
 type fleetView struct {
 	record recordView
 	lender lenderView
@@ -18,9 +18,9 @@
 
 // recordView is what this router read in the record itself.
 type recordView struct {
-	// remaining is what the store had left after this router's own write.
+	// remaining is what the store had left after this router's last write.
 	remaining granitehoist.Tokens
-	// idleElsewhere is what the rows of other incarnations said to be idle.
+	// idleElsewhere is the sum of the idle tokens in the rows of other incarnations.
 	idleElsewhere granitehoist.Tokens
 	// readAt is when the record was last read, zero if never.
 	readAt time.Time
@@ -28,36 +28,35 @@
 	valid bool
 }
 
-// lenderView is what a lender that is in touch with the store last reported.
+// lenderView is the last report of a lender that is connected to the store.
 type lenderView struct {
-	// remaining is what the store had left, left the same and what is idle at all
+	// remaining is what the store had left; totalRemaining adds the idle tokens of all
 	// routers but this one.
-	remaining granitehoist.Tokens
-	left      granitehoist.Tokens
+	remaining      granitehoist.Tokens
+	totalRemaining granitehoist.Tokens
 	// at is when the report arrived, zero if none has.
 	at    time.Time
 	valid bool
 }
 
-// remainingFresh is how old a source may be for a request to be refused at once by
-// what it says is left. Chosen, not measured (7965447); it is a
-// little more than DefaultInterval, the time between two looks at the holdings.
-const remainingFresh = 800 * time.Millisecond
+// maxReportAge is how old a report may be for a request to be refused at once because of
+// it. It is a little more than DefaultInterval.
+const maxReportAge = 800 * time.Millisecond
 
-// isFresh reports whether either source is younger than remainingFresh.
+// isFresh reports whether either source is younger than maxReportAge.
 func (v *fleetView) isFresh(now time.Time) bool {
-	return now.Sub(v.record.readAt) < remainingFresh || now.Sub(v.lender.at) < remainingFresh
+	return now.Sub(v.record.readAt) < maxReportAge || now.Sub(v.lender.at) < maxReportAge
 }
 
-// lenderIsNewer decides which source to use: the lender's report if it
-// arrived after the record was read here.
+// lenderIsNewer reports whether the lender's report arrived after the record was read
+// here, and is to be used instead of it.
 func (v *fleetView) lenderIsNewer() bool {
 	return v.lender.valid && v.lender.at.After(v.record.readAt)
 }
 
-// remainingInStore returns what the store has left according to the newer
-// source. Without any source it is the whole limit, so that a router that starts
-// asks for tokens instead of refusing requests.
+// remainingInStore returns what the store has left according to the newer source.
+// Without any source it is the whole limit, so that a starting router requests tokens
+// instead of refusing requests.
 func (v *fleetView) remainingInStore(limit granitehoist.Tokens) granitehoist.Tokens {
 	switch {
 	case v.lenderIsNewer():
@@ -68,8 +67,8 @@
 	return limit
 }
 
-// reported returns what the store had left by the newer source and the age of that;
-// both are zero without any source.
+// reported returns what the store had left according to the newer source, and the age of
+// that report; both are zero without any source.
 func (v *fleetView) reported(now time.Time) (remaining granitehoist.Tokens, age time.Duration) {
 	switch {
 	case v.lenderIsNewer():
@@ -80,24 +79,24 @@
 	return v.record.remaining, now.Sub(v.record.readAt)
 }
 
-// budgetLeft is what is left of a budget in the store and at all routers.
-type budgetLeft struct {
+// remainingBudget is what remains of a budget in the store and at all routers.
+type remainingBudget struct {
 	tokens granitehoist.Tokens
-	// reported is false if no source has said anything of the present limit.
-	reported bool
+	// known is false if no source has reported under the present limit.
+	known bool
 }
 
-// leftAnywhere returns what is left of the budget in the store, here and at all
-// other routers, according to the newer source. unreserved is what is owned here
-// now; the other terms are as old as their source.
-func (v *fleetView) leftAnywhere(unreserved granitehoist.Tokens) budgetLeft {
+// totalRemaining returns what remains of the budget in the store, here and at all other
+// routers, according to the newer source. unreserved is what is owned here now; the
+// other terms are as old as their source.
+func (v *fleetView) totalRemaining(unreserved granitehoist.Tokens) remainingBudget {
 	here := max(0, unreserved)
 	switch {
 	case v.lenderIsNewer():
-		return budgetLeft{tokens: v.lender.left + here, reported: true}
+		return remainingBudget{tokens: v.lender.totalRemaining + here, known: true}
 	case v.record.valid:
-		left := max(0, v.record.remaining) + here + v.record.idleElsewhere
-		return budgetLeft{tokens: left, reported: true}
+		total := max(0, v.record.remaining) + here + v.record.idleElsewhere
+		return remainingBudget{tokens: total, known: true}
 	}
-	return budgetLeft{}
+	return remainingBudget{}
 }
--- a/escrow/fleetview_test.go
+++ b/escrow/fleetview_test.go
@@ -13,31 +13,31 @@
 )
 
 var _ = DescribeTable("What remains of a budget of 500 tokens",
-	func(v fleetView, store granitehoist.Tokens, left budgetLeft) {
+	func(v fleetView, store granitehoist.Tokens, total remainingBudget) {
 		Expect(v.remainingInStore(500)).To(Equal(store))
-		Expect(v.leftAnywhere(10)).To(Equal(left))
+		Expect(v.totalRemaining(10)).To(Equal(total))
 	},
-	Entry("is all of it in the store before anything was reported", fleetView{}, granitehoist.Tokens(500), budgetLeft{}),
-	Entry("is as the record says", recordSays(50, 30), granitehoist.Tokens(50), budgetLeft{tokens: 90, reported: true}),
-	Entry("is as a lender says that was heard later", lenderSays(40, 70), granitehoist.Tokens(40), budgetLeft{tokens: 80, reported: true}),
-	Entry("is as the record says if that was read later", olderLender(), granitehoist.Tokens(50), budgetLeft{tokens: 90, reported: true}),
-	Entry("is as an old lender says if the record was not read under the present limit", lenderOnly(), granitehoist.Tokens(40), budgetLeft{tokens: 80, reported: true}),
-	Entry("counts a record that is overdrawn as empty", recordSays(-20, 30), granitehoist.Tokens(-20), budgetLeft{tokens: 40, reported: true}),
+	Entry("is all of it in the store before anything was reported", fleetView{}, granitehoist.Tokens(500), remainingBudget{}),
+	Entry("is as the record says", viewFromRecord(50, 30), granitehoist.Tokens(50), remainingBudget{tokens: 90, known: true}),
+	Entry("is as a lender says that was heard later", viewFromLender(40, 70), granitehoist.Tokens(40), remainingBudget{tokens: 80, known: true}),
+	Entry("is as the record says if that was read later", viewWithOlderLender(), granitehoist.Tokens(50), remainingBudget{tokens: 90, known: true}),
+	Entry("is as an old lender says if the record was not read under the present limit", viewFromLenderOnly(), granitehoist.Tokens(40), remainingBudget{tokens: 80, known: true}),
+	Entry("counts a record that is overdrawn as empty", viewFromRecord(-20, 30), granitehoist.Tokens(-20), remainingBudget{tokens: 40, known: true}),
 )
 
-func olderLender() fleetView {
-	v := recordSays(50, 30)
-	v.lender = lenderView{remaining: 40, left: 70, at: ago(2 * time.Second), valid: true}
+func viewWithOlderLender() fleetView {
+	v := viewFromRecord(50, 30)
+	v.lender = lenderView{remaining: 40, totalRemaining: 70, at: ago(2 * time.Second), valid: true}
 	return v
 }
 
-func lenderOnly() fleetView {
-	return fleetView{lender: lenderView{remaining: 40, left: 70, at: ago(time.Minute), valid: true}}
+func viewFromLenderOnly() fleetView {
+	return fleetView{lender: lenderView{remaining: 40, totalRemaining: 70, at: ago(time.Minute), valid: true}}
 }
 
 var _ = DescribeTable("What is known of a budget",
 	func(v fleetView, expected bool) {
-		Expect(v.isFresh(at)).To(Equal(expected))
+		Expect(v.isFresh(testNow)).To(Equal(expected))
 	},
 	Entry("is not fresh before anything was reported", fleetView{}, false),
 	Entry("is fresh by the record", fleetView{record: recordView{readAt: ago(799 * time.Millisecond)}}, true),
--- /dev/null
+++ b/escrow/grant.go
@@ -0,0 +1,65 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package escrow
+
+import (
+	"sort"
+
+	"granitehoist.example/granitehoist"
+)
+
+const (
+	// refillThreshold is the fraction of the target under which a holding is low and
+	// more tokens are requested.
+	refillThreshold = 0.75
+	// jointRefillThreshold replaces refillThreshold if the record is written for another
+	// workspace anyway.
+	jointRefillThreshold = 0.9
+)
+
+// isLow decides whether a holding is so far below its target that more tokens are to be
+// requested; threshold is refillThreshold or jointRefillThreshold.
+func isLow(unreserved, target granitehoist.Tokens, threshold float64) bool {
+	return float64(unreserved) < threshold*float64(target)
+}
+
+// grantInputs holds the inputs of the size of a grant.
+type grantInputs struct {
+	// remaining is what the store has left, unreserved what is owned here.
+	remaining, unreserved granitehoist.Tokens
+	// target is what should be held ahead of requests, shortfall what waiting requests
+	// need beyond what is owned.
+	target, shortfall granitehoist.Tokens
+	// threshold is the fraction of the target under which the holding is filled.
+	threshold float64
+}
+
+// grant decides how many tokens to request from the store: the shortfall and, if there
+// is one or the holding is low, what fills the holding, up to what the store has.
+func (r grantInputs) grant() granitehoist.Tokens {
+	if r.remaining <= 0 {
+		return 0
+	}
+	if r.shortfall == 0 && !isLow(r.unreserved, r.target, r.threshold) {
+		return 0
+	}
+	return max(0, min(r.remaining, r.shortfall+max(0, r.target-max(0, r.unreserved))))
+}
+
+// shortfallOf returns what waiting requests with the given bounds need beyond what is
+// owned. It counts the smallest requests first, as far as the store and the owned tokens
+// can cover them, so that a large one does not block small ones. bounds is sorted in
+// place.
+func shortfallOf(bounds []granitehoist.Tokens, remaining, unreserved granitehoist.Tokens) granitehoist.Tokens {
+	sort.Slice(bounds, func(i, j int) bool { return bounds[i] < bounds[j] })
+	own := max(0, unreserved)
+	var sum granitehoist.Tokens
+	for _, bound := range bounds {
+		if sum+bound > remaining+own {
+			break
+		}
+		sum += bound
+	}
+	return max(0, sum-own)
+}
--- a/escrow/history_test.go
+++ b/escrow/history_test.go
@@ -16,15 +16,15 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// lateStore is a store that loses answers, refuses calls, and performs writes
+// faultyStore is a store that loses answers, refuses calls, and performs writes
 // later if their condition still holds.
-type lateStore struct {
+type faultyStore struct {
 	granitehoist.Store
 	fault string
 	late  [][]granitehoist.Change
 }
 
-func (s *lateStore) Get(ctx context.Context, key string) (granitehoist.Entry, error) {
+func (s *faultyStore) Get(ctx context.Context, key string) (granitehoist.Entry, error) {
 	switch s.fault {
 	case "down":
 		return granitehoist.Entry{}, granitehoist.ErrUnavailable
@@ -34,7 +34,7 @@
 	return s.Store.Get(ctx, key)
 }
 
-func (s *lateStore) CompareAndSwapAll(ctx context.Context, changes []granitehoist.Change) (granitehoist.Version, error) {
+func (s *faultyStore) CompareAndSwapAll(ctx context.Context, changes []granitehoist.Change) (granitehoist.Version, error) {
 	switch s.fault {
 	case "down":
 		return 0, granitehoist.ErrUnavailable
@@ -50,8 +50,8 @@
 	return s.Store.CompareAndSwapAll(ctx, changes)
 }
 
-// arrive performs the writes that were held.
-func (s *lateStore) arrive() {
+// deliverLate performs the writes that were held.
+func (s *faultyStore) deliverLate() {
 	for _, changes := range s.late {
 		_, _ = s.Store.CompareAndSwapAll(context.Background(), changes)
 	}
@@ -60,13 +60,13 @@
 
 // history is a run of boxes over one store.
 type history struct {
-	now    time.Time
-	store  *lateStore
-	boxes  []*box
-	alive  []string
-	starts int
-	limit  granitehoist.Tokens
-	most   granitehoist.Tokens
+	now      time.Time
+	store    *faultyStore
+	boxes    []*box
+	alive    []string
+	starts   int
+	limit    granitehoist.Tokens
+	maxLimit granitehoist.Tokens
 	// paid counts the tokens of requests that ended; open those in progress of
 	// boxes that died, at their most.
 	paid granitehoist.Tokens
@@ -87,8 +87,8 @@
 const boxCount = 3
 
 func newHistory(limit granitehoist.Tokens) *history {
-	h := &history{now: time.Unix(1000, 0), limit: limit, most: limit}
-	h.store = &lateStore{Store: standin.NewStore(standin.StoreSettings{Clock: h.clock})}
+	h := &history{now: time.Unix(1000, 0), limit: limit, maxLimit: limit}
+	h.store = &faultyStore{Store: standin.NewStore(standin.StoreSettings{Clock: h.clock})}
 	for i := range boxCount {
 		h.boxes = append(h.boxes, nil)
 		h.alive = append(h.alive, "")
@@ -109,7 +109,7 @@
 		Incarnation: granitehoist.Incarnation(h.alive[i]),
 		Role:        func(escrow.Shard) escrow.Role { return h.roles[i] },
 	})
-	ledger.SetLimit(kiosk, h.limit)
+	ledger.SetLimit(testWorkspace, h.limit)
 	h.boxes[i] = &box{ledger, escrow.NewSyncer(escrow.SyncerSettings{
 		Box: granitehoist.Box(fmt.Sprintf("box%d", i)), Ledger: ledger, Store: h.store, Clock: h.clock,
 		Routers: func() int { return boxCount },
@@ -129,11 +129,11 @@
 }
 
 func (h *history) reserve(i int, bound granitehoist.Tokens) {
-	if h.boxes[i].ledger.Reserve(kiosk, bound, normal, h.now) {
+	if h.boxes[i].ledger.Reserve(testWorkspace, bound, maxPriority, h.now) {
 		h.open[i] = append(h.open[i], bound)
 		return
 	}
-	ended := h.boxes[i].ledger.Enter(kiosk, bound, normal, h.now)
+	ended := h.boxes[i].ledger.Enter(testWorkspace, bound, maxPriority, h.now)
 	h.waiting[i] = append(h.waiting[i], waitingRequest{bound, ended})
 }
 
@@ -162,7 +162,7 @@
 	bound := h.open[i][0]
 	h.open[i] = h.open[i][1:]
 	used := bound * granitehoist.Tokens(part) / 4
-	h.boxes[i].ledger.Settle(kiosk, bound, used, h.now)
+	h.boxes[i].ledger.Settle(testWorkspace, bound, used, h.now)
 	h.paid += used
 }
 
@@ -171,9 +171,9 @@
 	if from == to {
 		return
 	}
-	result := h.boxes[from].ledger.Lend(escrow.LendParams{Borrower: granitehoist.Incarnation(h.alive[to]), Workspace: kiosk, Need: need, Want: 2 * need}, h.now)
+	result := h.boxes[from].ledger.Lend(escrow.LendParams{Borrower: granitehoist.Incarnation(h.alive[to]), Workspace: testWorkspace, Need: need, Want: 2 * need}, h.now)
 	if !lost {
-		h.boxes[to].ledger.Borrowed(kiosk, granitehoist.Incarnation(h.alive[from]), result, h.now)
+		h.boxes[to].ledger.Borrowed(testWorkspace, granitehoist.Incarnation(h.alive[from]), result, h.now)
 	}
 }
 
@@ -182,7 +182,7 @@
 	if from == to {
 		return
 	}
-	told := escrow.Repay(h.boxes[from].ledger, granitehoist.Incarnation(h.alive[to]), kiosk, tokens)
+	told := escrow.Repay(h.boxes[from].ledger, granitehoist.Incarnation(h.alive[to]), testWorkspace, tokens)
 	if !lost {
 		_, _ = h.boxes[to].syncer.ServeRepay(context.Background(), told)
 	}
@@ -197,19 +197,19 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	result, _ := h.boxes[from].syncer.ServeLend(ctx, escrow.LendParams{
-		Borrower: granitehoist.Incarnation(h.alive[to]), Workspace: kiosk, Need: need, Want: 3 * need,
+		Borrower: granitehoist.Incarnation(h.alive[to]), Workspace: testWorkspace, Need: need, Want: 3 * need,
 		StandIn: h.roles[from] == escrow.Asks && h.large,
 	})
 	if !lost {
-		h.boxes[to].ledger.Borrowed(kiosk, granitehoist.Incarnation(h.alive[from]), result, h.now)
+		h.boxes[to].ledger.Borrowed(testWorkspace, granitehoist.Incarnation(h.alive[from]), result, h.now)
 	}
 }
 
 func (h *history) setLimit(limit granitehoist.Tokens) {
 	h.limit = limit
-	h.most = max(h.most, limit)
+	h.maxLimit = max(h.maxLimit, limit)
 	for _, b := range h.boxes {
-		b.ledger.SetLimit(kiosk, limit)
+		b.ledger.SetLimit(testWorkspace, limit)
 	}
 }
 
@@ -260,7 +260,7 @@
 	{2, func(t *rapid.T, h *history) {
 		h.store.fault = rapid.SampledFrom([]string{"", "", "", "down", "silent", "late", "lost"}).Draw(t, "fault")
 	}},
-	{2, func(_ *rapid.T, h *history) { h.store.arrive() }},
+	{2, func(_ *rapid.T, h *history) { h.store.deliverLate() }},
 	{2, func(t *rapid.T, h *history) {
 		h.roles[index.Draw(t, "box")] = rapid.SampledFrom([]escrow.Role{escrow.Shares, escrow.Holds, escrow.Asks}).Draw(t, "role")
 	}},
@@ -296,8 +296,8 @@
 		for range historyLength {
 			all[rapid.IntRange(0, len(all)-1).Draw(t, "step")].run(t, h)
 			h.collect()
-			if total := h.outstanding(); total > h.most {
-				t.Fatalf("%d tokens may be spent of a budget that was never above %d", total, h.most)
+			if total := h.outstanding(); total > h.maxLimit {
+				t.Fatalf("%d tokens may be spent of a budget that was never above %d", total, h.maxLimit)
 			}
 			for _, b := range h.boxes {
 				if err := escrow.CheckConservation(b.ledger); err != nil {
--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -10,47 +10,47 @@
 	"granitehoist.example/granitehoist"
 )
 
-// conditions returns what decisions on holdings depend on at a time. The caller
-// holds mu.
+// conditions returns the inputs common to all decisions on holdings at a time. The
+// caller holds mu.
 func (l *Ledger) conditions(routers int, now time.Time) conditions {
 	c := conditions{
 		now: now, routers: max(1, routers), cover: l.settings.Cover,
-		startPart: startPart, sharePart: sharePart, sparePart: sparePart,
-		exposedPart: exposedPart(l.contact.outageEnded, now), closing: l.closing,
-		sawOutage: !l.contact.outageEnded.IsZero(),
+		initialFraction: initialFraction, maxHeldFraction: maxHeldFraction, spareFraction: spareFraction,
+		exposedFraction: exposedFraction(l.health.outageEnded, now), closing: l.closing,
+		sawOutage: !l.health.outageEnded.IsZero(),
 	}
-	if !l.began.IsZero() {
-		c.confidence = min(1, now.Sub(l.began).Seconds()/rateTime.Seconds())
+	if !l.firstRequestAt.IsZero() {
+		c.confidence = min(1, now.Sub(l.firstRequestAt).Seconds()/rateWindow.Seconds())
 	}
 	return c
 }
 
-// neededShards returns the shards of which a sync is worth a call: requests wait, a
-// limit has changed, or a holding needs one. If there are some, those whose holdings are
-// nearly low join them, since one call writes all. If there is none and the store has not
-// been heard of for a while, it is one of those for which this router uses the
-// record. A router that uses it for none needs none.
-func (l *Ledger) neededShards(routers int, now time.Time) []Shard {
+// shardsToSync returns the shards that justify a sync: requests wait, a limit has
+// changed, or a holding needs it. If there are any, shards whose holdings are nearly low
+// are added, since one call writes all. If there are none and the store has not
+// responded for maxRecordAge, the result is one of the shards for which this router uses
+// the record.
+func (l *Ledger) shardsToSync(routers int, now time.Time) []Shard {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := l.conditions(routers, now)
 	var needed, joining, used []Shard
 	for w, a := range l.accounts {
-		c := all.as(l.role(w, a, now))
+		c := all.withRole(l.role(w, a, now))
 		if !a.usesRecord(c) {
 			continue
 		}
 		used = append(used, ShardOf(w))
-		if a.mustSync() || a.storeReturn(a.fleet.record.remaining, c).needsSync(c) {
+		if a.mustSync() || a.returnInputs(a.fleet.record.remaining, c).needsSync(c) {
 			needed = append(needed, ShardOf(w))
 			continue
 		}
 		remaining := a.fleet.record.remaining
-		if remaining > 0 && isLow(a.owned.unreserved(), a.target(remaining, c), joinBelow) {
+		if remaining > 0 && isLow(a.owned.unreserved(), a.target(remaining, c), jointRefillThreshold) {
 			joining = append(joining, ShardOf(w))
 		}
 	}
-	if len(needed) == 0 && len(used) > 0 && isRecordOld(l.contact.lastDirectAnswer, now) {
+	if len(needed) == 0 && len(used) > 0 && isRecordStale(l.health.lastDirectResponse, now) {
 		return used[:1]
 	}
 	if len(needed) > 0 {
@@ -67,7 +67,7 @@
 	all := l.conditions(0, now)
 	var used []Shard
 	for w, a := range l.accounts {
-		if a.usesRecord(all.as(l.role(w, a, now))) {
+		if a.usesRecord(all.withRole(l.role(w, a, now))) {
 			used = append(used, ShardOf(w))
 		}
 	}
@@ -77,47 +77,47 @@
 
 // mustSync reports whether requests wait or the limit has changed.
 func (a *account) mustSync() bool {
-	return len(a.waiters) > 0 || a.owned.frozen || a.limitChanged
+	return len(a.waiters) > 0 || a.owned.limitUnconfirmed || a.limitChanged
 }
 
-// anyLow reports whether a holding of a scope is low or requests wait. The caller
-// holds mu.
+// anyLow reports whether a holding of a scope is low or requests wait. The caller holds
+// mu.
 func (l *Ledger) anyLow(in scope, all conditions) bool {
 	for w, a := range l.accounts {
-		c := all.as(l.role(w, a, all.now))
+		c := all.withRole(l.role(w, a, all.now))
 		if !in.covers(w) || !a.usesRecord(c) {
 			continue
 		}
 		target := a.target(a.fleet.record.remaining, c)
-		if len(a.waiters) > 0 || isLow(a.owned.unreserved(), target, refillBelow) {
+		if len(a.waiters) > 0 || isLow(a.owned.unreserved(), target, refillThreshold) {
 			return true
 		}
 	}
 	return false
 }
 
-// waiterShortages returns what requests wait for, by workspace. Those of a router
-// that asks holders ask by themselves (Syncer.ask).
-func (l *Ledger) waiterShortages(now time.Time) []shortage {
+// loanRequestsForWaiters returns the loans that waiting requests need, one per
+// workspace. Borrowers request them in Syncer.borrowForRequest instead.
+func (l *Ledger) loanRequestsForWaiters(now time.Time) []loanRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	// forWaiters does not use the target, so the number of routers does not matter.
 	c := l.conditions(0, now)
-	var shortages []shortage
+	var requests []loanRequest
 	for w, a := range l.accounts {
-		if len(a.waiters) == 0 || a.owned.frozen || l.role(w, a, now) == Asks {
+		if len(a.waiters) == 0 || a.owned.limitUnconfirmed || l.role(w, a, now) == Asks {
 			continue
 		}
-		short := a.shortageInputs(c).forWaiters(c)
-		short.workspace = w
-		shortages = append(shortages, short)
+		request := a.loanRequestInputs(c).forWaiters(c)
+		request.workspace = w
+		requests = append(requests, request)
 	}
-	return shortages
+	return requests
 }
 
-// surpluses returns what this router has free and does not need, by workspace: where
-// it asks holders what is beyond two packets and worth a call, elsewhere nothing
-// unless it stops.
+// surpluses returns the free tokens that this router does not need, by workspace: at a
+// borrower what exceeds two batches and is worth a call, at other routers nothing unless
+// the ledger is closing.
 func (l *Ledger) surpluses(routers int, now time.Time) []surplus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,7 +127,7 @@
 		if free <= 0 || len(a.waiters) > 0 || (l.role(w, a, now) != Asks && !l.closing) {
 			continue
 		}
-		extra := free - 2*a.packet(now)
+		extra := free - 2*a.batchSize(now)
 		if l.closing {
 			extra = free
 		}
@@ -138,7 +138,7 @@
 	return found
 }
 
-// hasFree reports whether anything is free.
+// hasFree reports whether any workspace has free tokens.
 func (l *Ledger) hasFree() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -150,9 +150,9 @@
 	return false
 }
 
-// noteForsaken notes that no lender answered for a workspace.
-func (l *Ledger) noteForsaken(w granitehoist.Workspace) {
+// noteLendersFailed records that no lender of a workspace responded.
+func (l *Ledger) noteLendersFailed(w granitehoist.Workspace) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.account(w).forsaken = true
+	l.account(w).lendersFailed = true
 }
--- a/escrow/largefleet_test.go
+++ b/escrow/largefleet_test.go
@@ -50,12 +50,12 @@
 	largeFleetRouters = 100
 	largeFleetStep    = 50 * time.Millisecond
 	largeFleetOutage  = 8 * time.Second
-	// largeFleetLook is how often each router looks at its holdings, as Run does.
-	largeFleetLook = 700 * time.Millisecond
-	// largeFleetPatience is the bubble's time that a call or request may take, and
+	// largeFleetCheckInterval is how often each router looks at its holdings, as Run does.
+	largeFleetCheckInterval = 700 * time.Millisecond
+	// largeFleetTimeout is the bubble's time that a call or request may take, and
 	// largeFleetPause that between two rounds of the loop that it waits for.
-	largeFleetPatience = 2 * time.Second
-	largeFleetPause    = time.Millisecond
+	largeFleetTimeout = 2 * time.Second
+	largeFleetPause   = time.Millisecond
 )
 
 // newLargeFleet returns a fleet of which the first router is the holder and the next
@@ -92,15 +92,15 @@
 	if i == 0 {
 		role, lenders = escrow.Holds, f.lenders[1:]
 	}
-	ledger := escrow.NewLedger(escrow.LedgerSettings{Incarnation: name, Role: always(role)})
-	ledger.SetLimit(kiosk, f.limit)
+	ledger := escrow.NewLedger(escrow.LedgerSettings{Incarnation: name, Role: constantRole(role)})
+	ledger.SetLimit(testWorkspace, f.limit)
 	b := &box{ledger, escrow.NewSyncer(escrow.SyncerSettings{
 		Box: granitehoist.Box(name), Ledger: ledger, Store: f.store, Clock: f.clock, Caller: f,
 		Routers: func() int { return largeFleetRouters },
 		Divides: func() bool { return true },
 		Lenders: func(escrow.Shard) []escrow.Lender { return lenders },
 		// Calls take no time here, so that only a busy machine could be too slow.
-		LendWait: largeFleetPatience, HedgeAfter: largeFleetPatience,
+		LendWait: largeFleetTimeout, HedgeAfter: largeFleetTimeout,
 	})}
 	f.boxes = append(f.boxes, b)
 	f.byName[name] = b
@@ -169,20 +169,20 @@
 // part, at once.
 func (f *largeFleet) run(lasting time.Duration) {
 	for end := f.clock().Add(lasting); f.clock().Before(end); f.pass(largeFleetStep) {
-		if time.Duration(f.elapsed.Load())%largeFleetLook < largeFleetStep {
-			f.look()
+		if time.Duration(f.elapsed.Load())%largeFleetCheckInterval < largeFleetStep {
+			f.checkHoldings()
 		}
 		f.arrive(f.boxes[f.random.IntN(len(f.boxes))])
 	}
 }
 
-// look lets each router do what its loop does now and then.
-func (f *largeFleet) look() {
+// checkHoldings lets each router do what its loop does now and then.
+func (f *largeFleet) checkHoldings() {
 	for i, b := range f.boxes {
 		if f.dead[f.nameOf(i)] {
 			continue
 		}
-		if b.ledger.Role(kiosk, f.clock()) != escrow.Asks {
+		if b.ledger.Role(testWorkspace, f.clock()) != escrow.Asks {
 			_ = b.sync()
 		}
 		escrow.RepaySurplus(b.syncer)
@@ -195,12 +195,12 @@
 
 func (f *largeFleet) arrive(b *box) {
 	bound := granitehoist.Tokens(500 + f.random.IntN(19_500))
-	ctx, cancel := context.WithTimeout(context.Background(), largeFleetPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), largeFleetTimeout)
 	defer cancel()
 	f.asked++
 	var answer escrow.Answer
-	reserve := func() { answer = b.syncer.Reserve(ctx, kiosk, bound, normal) }
-	if b.ledger.Role(kiosk, f.clock()) == escrow.StandsIn {
+	reserve := func() { answer = b.syncer.Reserve(ctx, testWorkspace, bound, maxPriority) }
+	if b.ledger.Role(testWorkspace, f.clock()) == escrow.StandsIn {
 		// Its request waits for its own loop.
 		f.runLoopDuring(b, reserve)
 	} else {
@@ -211,7 +211,7 @@
 		return
 	}
 	used := bound - granitehoist.Tokens(f.random.IntN(int(bound/8)))
-	b.syncer.Settle(kiosk, bound, used)
+	b.syncer.Settle(testWorkspace, bound, used)
 	f.paid += used
 }
 
@@ -220,7 +220,7 @@
 	var held granitehoist.Tokens
 	for i, b := range f.boxes {
 		if !f.dead[f.nameOf(i)] {
-			held += b.ledger.State(kiosk).Free
+			held += b.ledger.State(testWorkspace).Free
 		}
 	}
 	return held
@@ -252,7 +252,7 @@
 		check("is not scattered over them", func(g *WithT, f *largeFleet) {
 			f.run(10 * time.Second)
 			g.Expect(f.refused).To(BeZero())
-			scattered := f.held() - f.boxes[0].ledger.State(kiosk).Free
+			scattered := f.held() - f.boxes[0].ledger.State(testWorkspace).Free
 			g.Expect(scattered).To(BeNumerically("<", fleetLimit/100))
 		})
 
@@ -262,7 +262,7 @@
 			// a random moment, so that up to 16 % of 8 s may find nothing. The outage
 			// begins when it has 7.5 s of it, which is enough for all but 7 %.
 			for range 50 {
-				if f.boxes[0].ledger.State(kiosk).Free >= 1_500_000 {
+				if f.boxes[0].ledger.State(testWorkspace).Free >= 1_500_000 {
 					break
 				}
 				f.run(100 * time.Millisecond)
@@ -271,7 +271,7 @@
 			g.Expect(f.refusedIn(largeFleetOutage)).To(BeNumerically("<", 0.1))
 			f.store.Fail(standin.StoreFaults{})
 			f.pass(time.Second)
-			f.look()
+			f.checkHoldings()
 			g.Expect(f.refusedIn(5 * time.Second)).To(BeNumerically("<", 0.02))
 		})
 
@@ -284,7 +284,7 @@
 		check("is paid by one that stands in when the holder dies", func(g *WithT, f *largeFleet) {
 			f.run(10 * time.Second)
 			f.dead["r0"] = true
-			lost := f.boxes[0].ledger.State(kiosk).Free
+			lost := f.boxes[0].ledger.State(testWorkspace).Free
 			g.Expect(f.refusedIn(5 * time.Second)).To(BeNumerically("<", 0.01))
 			g.Expect(lost).To(BeNumerically("<", fleetLimit/4))
 		})
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -11,35 +11,34 @@
 	"granitehoist.example/granitehoist/internal/defaults"
 )
 
-// Ledger is what one incarnation owns of each workspace's tokens. It makes no
-// calls and is safe for concurrent use.
+// Ledger holds the tokens that one incarnation owns of each workspace. It makes no calls
+// and is safe for concurrent use.
 type Ledger struct {
 	settings LedgerSettings
 
-	// mu guards what follows. No call is made while it is held.
+	// mu guards the fields below. No call is made while it is held.
 	mu       sync.Mutex
 	accounts map[granitehoist.Workspace]*account
-	// closing says that everything free is to be returned.
+	// closing is set once all free tokens are to be returned.
 	closing bool
-	// began is when the first request of any workspace came, zero before.
-	began   time.Time
-	contact contact
+	// firstRequestAt is when the first request of any workspace arrived, zero before.
+	firstRequestAt time.Time
+	health         storeHealth
 }
 
 // LedgerSettings configure a Ledger.
 type LedgerSettings struct {
-	// Incarnation names this run of the router. No other run may ever have it.
+	// Incarnation identifies this run of the router. It must never be reused.
 	Incarnation granitehoist.Incarnation
-	// Cover is the time of spending at the present rate that a router holds
-	// tokens for; zero means DefaultCover.
+	// Cover is how long the holdings should last at the present rate of spending; zero
+	// means DefaultCover.
 	Cover time.Duration
 	// Role returns this router's role for the workspaces of a shard; nil means Shares
 	// for all. It is called with the ledger's lock held and must not call the ledger.
 	Role func(Shard) Role
 }
 
-// NewLedger returns an empty ledger. It panics if the settings have no
-// incarnation.
+// NewLedger returns an empty ledger. It panics if the settings have no incarnation.
 func NewLedger(s LedgerSettings) *Ledger {
 	if s.Incarnation == "" {
 		panic("escrow: ledger without incarnation")
@@ -48,8 +47,8 @@
 	return &Ledger{settings: s, accounts: map[granitehoist.Workspace]*account{}}
 }
 
-// account returns the account of a workspace and creates it if there is none. The
-// caller holds mu.
+// account returns the account of a workspace and creates it if there is none. The caller
+// holds mu.
 func (l *Ledger) account(w granitehoist.Workspace) *account {
 	a, ok := l.accounts[w]
 	if !ok {
@@ -59,8 +58,8 @@
 	return a
 }
 
-// SetLimit sets the prepaid total of a workspace, in tokens. After a reduction
-// nothing is reserved until the record has been read under the new total.
+// SetLimit sets the prepaid total of a workspace, in tokens. After a reduction nothing
+// is reserved until the record has been read under the new total.
 func (l *Ledger) SetLimit(w granitehoist.Workspace, limit granitehoist.Tokens) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,62 +70,61 @@
 	}
 }
 
-// Reserve sets bound tokens aside, and reports whether the router owns that
-// many and the rules of admission allow it. Each success is to be followed by one
-// Settle. It panics if bound is negative.
+// Reserve reserves bound tokens, and reports whether the router owns that many and the
+// admission rules allow it. Each success must be followed by one Settle. It panics if
+// bound is negative.
 func (l *Ledger) Reserve(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) bool {
-	return l.reserve(w, claim{bound: bound, priority: priority, counts: true}, now)
+	return l.reserve(w, claim{bound: bound, priority: priority, countsAsDemand: true}, now)
 }
 
-// reserve is Reserve for a claim of any kind.
+// reserve implements Reserve for any claim.
 func (l *Ledger) reserve(w granitehoist.Workspace, c claim, now time.Time) bool {
-	mustNotBeNegative(c.bound)
+	requireNonNegative(c.bound)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	if l.began.IsZero() {
-		l.began = now
+	if l.firstRequestAt.IsZero() {
+		l.firstRequestAt = now
 	}
-	if c.counts {
-		a.demand.measure(c.bound, c.priority)
+	if c.countsAsDemand {
+		a.demand.observe(c.bound, c.priority)
 	}
-	if a.judgeEnd(c, now).withholds() {
+	if a.checkBudgetEnd(c, now).withholds() {
 		return false
 	}
 	return l.reserveIfAdmitted(a, c, now)
 }
 
-// reserveIfAdmitted reserves for a claim if admit allows it; the caller holds mu.
-// The bound of a request counts as demand until its use is known.
+// reserveIfAdmitted reserves for a claim if admit allows it. The bound of a request
+// counts as demand until its use is known. The caller holds mu.
 func (l *Ledger) reserveIfAdmitted(a *account, c claim, now time.Time) bool {
-	forUrgent := reservedForUrgent(c.priority, a.demand.highestPriority, a.lastTarget, outageLeft(l.contact.silentSince, now))
-	if admit(a.owned.free(), c.bound, forUrgent) != admitted {
+	reserve := priorityReserve(c.priority, a.demand.highestPriority, a.lastTarget, outageRemaining(l.health.unresponsiveSince, now))
+	if admit(a.owned.free(), c.bound, reserve) != admitted {
 		return false
 	}
 	a.owned.reserve(c.bound)
-	if c.counts {
-		a.demand.rate.add(c.bound, l.began, now)
+	if c.countsAsDemand {
+		a.demand.rate.add(c.bound, l.firstRequestAt, now)
 	}
-	if !c.loan {
+	if !c.isLoan {
 		a.ration = a.ration.less(c.bound)
 	}
 	return true
 }
 
-// Settle ends a reservation of bound tokens with what was used. It panics if
+// Settle ends a reservation of bound tokens and records the tokens used. It panics if
 // there is no such reservation or if used is negative.
 func (l *Ledger) Settle(w granitehoist.Workspace, bound, used granitehoist.Tokens, now time.Time) {
-	mustNotBeNegative(used)
+	requireNonNegative(used)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
 	a.owned.settle(bound, used)
-	a.demand.rate.add(used-bound, l.began, now)
-	l.wake(a, now)
+	a.demand.rate.add(used-bound, l.firstRequestAt, now)
+	l.admitWaiters(a, now)
 }
 
-// Close makes the following syncs return everything that is free, and grants
-// nothing more.
+// Close makes the following syncs return all free tokens, and stops grants.
 func (l *Ledger) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,14 +138,14 @@
 	return l.closing
 }
 
-// State is what the router has of a workspace's tokens.
+// State is a snapshot of a workspace's tokens at this router.
 type State struct {
 	Granted, Returned, Spent, Reserved granitehoist.Tokens
 	// Free is what a request may reserve.
 	Free granitehoist.Tokens
 	// StoreRemaining is what the store had left when the record was last read.
 	StoreRemaining granitehoist.Tokens
-	// ReadAt is when that was, zero if never.
+	// ReadAt is when the record was last read, zero if never.
 	ReadAt time.Time
 	// Waiting is the number of requests that wait for tokens.
 	Waiting int
@@ -164,60 +162,61 @@
 	}
 }
 
-// isStoreSilent reports whether the last call to the store failed.
-func (l *Ledger) isStoreSilent() bool {
+// isStoreUnresponsive reports whether a call to the store has failed since its last
+// response.
+func (l *Ledger) isStoreUnresponsive() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.contact.isSilent()
+	return l.health.isUnresponsive()
 }
 
-// noteStoreAnswer notes that the store has answered this router.
-func (l *Ledger) noteStoreAnswer(now time.Time) {
+// noteStoreResponse records that the store responded to this router.
+func (l *Ledger) noteStoreResponse(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.contact.answeredDirectly(now)
+	l.health.noteDirectResponse(now)
 }
 
-// noteHolder notes whether a holder that this router asked is in touch with the
-// store, which such a router does not call itself.
-func (l *Ledger) noteHolder(w granitehoist.Workspace, inTouch bool, now time.Time) {
+// noteHolderStatus records whether a holder that this borrower called is connected to
+// the store. Other roles call the store themselves and ignore it.
+func (l *Ledger) noteHolderStatus(w granitehoist.Workspace, inTouch bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.role(w, l.account(w), now) != Asks:
 	case inTouch:
-		l.contact.answeredThroughLender(now)
+		l.health.noteHolderResponse(now)
 	default:
-		l.contact.failed(now)
+		l.health.noteFailure(now)
 	}
 }
 
-// noteStoreFailure notes that a call to the store failed.
+// noteStoreFailure records that a call to the store failed.
 func (l *Ledger) noteStoreFailure(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.contact.failed(now)
+	l.health.noteFailure(now)
 }
 
-// CutOffTime returns for how long the store has answered neither this router itself
-// nor a holder that it asks; zero if it answers. Answer.Silent differs: an
-// answer to any lender ends that silence.
+// CutOffTime returns for how long the store has responded neither to this router itself
+// nor to a holder that it borrows from; zero if it responds. Answer.Silent differs: a
+// response to any lender resets it.
 func (l *Ledger) CutOffTime(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.contact.cutOffTime(now)
+	return l.health.cutOffTime(now)
 }
 
-// NoteNeighbourCutOff records the CutOffTime that a neighbour reports of itself.
+// NoteNeighbourCutOff records the CutOffTime that a neighbour reports.
 func (l *Ledger) NoteNeighbourCutOff(cutOff time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.contact.noteNeighbourCutOff(cutOff, now)
+	l.health.noteNeighbourCutOff(cutOff, now)
 }
 
-// mustNotBeNegative panics if an amount is negative: the caller is at fault, and
-// going on could create tokens.
-func mustNotBeNegative(t granitehoist.Tokens) {
+// requireNonNegative panics if an amount is negative, which is a bug of the caller and
+// could create tokens.
+func requireNonNegative(t granitehoist.Tokens) {
 	if t < 0 {
 		panic("escrow: negative amount")
 	}
--- a/escrow/lend_test.go
+++ b/escrow/lend_test.go
@@ -13,22 +13,22 @@
 )
 
 var _ = DescribeTable("A loan",
-	func(l lending, expected granitehoist.Tokens) {
+	func(l loanInputs, expected granitehoist.Tokens) {
 		Expect(l.loan()).To(Equal(expected))
 	},
-	Entry("is what is wanted", lending{free: 100, need: 20, want: 40}, granitehoist.Tokens(40)),
-	Entry("is at most half of what is free", lending{free: 100, need: 20, want: 90}, granitehoist.Tokens(50)),
-	Entry("is all that is needed if there is that much", lending{free: 100, need: 100, want: 100}, granitehoist.Tokens(100)),
-	Entry("is half of what is free if that is not enough", lending{free: 100, need: 101, want: 200}, granitehoist.Tokens(50)),
-	Entry("is nothing while own requests wait", lending{free: 100, need: 20, want: 40, waiting: true}, granitehoist.Tokens(0)),
-	Entry("is nothing at a stop", lending{free: 100, need: 20, want: 40, closing: true}, granitehoist.Tokens(0)),
-	Entry("is nothing if nothing is free", lending{free: 0, need: 20, want: 40}, granitehoist.Tokens(0)),
-	Entry("is nothing if tokens are owed", lending{free: -50, need: 20, want: 40}, granitehoist.Tokens(0)),
-	Entry("is nothing if nothing is needed", lending{free: 100, need: 0, want: 40}, granitehoist.Tokens(0)),
-	Entry("is what is needed of one who wants less than that", lending{free: 100, need: 20, want: -40}, granitehoist.Tokens(20)),
-	Entry("is never negative", lending{free: 10, need: 20, want: -40}, granitehoist.Tokens(0)),
-	Entry("of a holder is what is wanted as well", lending{free: 100, need: 20, want: 40, whole: true}, granitehoist.Tokens(40)),
-	Entry("of a holder is nothing if it is not enough", lending{free: 100, need: 101, want: 200, whole: true}, granitehoist.Tokens(0)),
+	Entry("is what is wanted", loanInputs{free: 100, need: 20, want: 40}, granitehoist.Tokens(40)),
+	Entry("is at most half of what is free", loanInputs{free: 100, need: 20, want: 90}, granitehoist.Tokens(50)),
+	Entry("is all that is needed if there is that much", loanInputs{free: 100, need: 100, want: 100}, granitehoist.Tokens(100)),
+	Entry("is half of what is free if that is not enough", loanInputs{free: 100, need: 101, want: 200}, granitehoist.Tokens(50)),
+	Entry("is nothing while own requests wait", loanInputs{free: 100, need: 20, want: 40, waiting: true}, granitehoist.Tokens(0)),
+	Entry("is nothing at a stop", loanInputs{free: 100, need: 20, want: 40, closing: true}, granitehoist.Tokens(0)),
+	Entry("is nothing if nothing is free", loanInputs{free: 0, need: 20, want: 40}, granitehoist.Tokens(0)),
+	Entry("is nothing if tokens are owed", loanInputs{free: -50, need: 20, want: 40}, granitehoist.Tokens(0)),
+	Entry("is nothing if nothing is needed", loanInputs{free: 100, need: 0, want: 40}, granitehoist.Tokens(0)),
+	Entry("is what is needed of one who wants less than that", loanInputs{free: 100, need: 20, want: -40}, granitehoist.Tokens(20)),
+	Entry("is never negative", loanInputs{free: 10, need: 20, want: -40}, granitehoist.Tokens(0)),
+	Entry("of a holder is what is wanted as well", loanInputs{free: 100, need: 20, want: 40, allOrNothing: true}, granitehoist.Tokens(40)),
+	Entry("of a holder is nothing if it is not enough", loanInputs{free: 100, need: 101, want: 200, allOrNothing: true}, granitehoist.Tokens(0)),
 )
 
 var _ = DescribeTable("What a router that asks holders has left of a budget of 100,000 tokens",
@@ -41,12 +41,12 @@
 )
 
 var _ = DescribeTable("What a router asks for while requests wait and the store does not help",
-	func(c conditions, s shortageInputs, expected shortage) {
+	func(c conditions, s loanRequestInputs, expected loanRequest) {
 		Expect(s.forWaiters(c)).To(Equal(expected))
 	},
-	Entry("is what the smallest lacks, and all with 2 s of spending", settled(), shortageInputs{unreserved: 10, smallest: 30, waiting: 80, rate: 7}, shortage{need: 20, want: 84}),
-	Entry("is without the spending after an outage", afterOutage(), shortageInputs{unreserved: 10, smallest: 30, waiting: 80, rate: 7}, shortage{need: 20, want: 70}),
-	Entry("is one token at least", afterOutage(), shortageInputs{unreserved: 100, smallest: 30, waiting: 80}, shortage{need: 1, want: 1}),
+	Entry("is what the smallest lacks, and all with 2 s of spending", steadyState(), loanRequestInputs{unreserved: 10, smallest: 30, waiting: 80, rate: 7}, loanRequest{need: 20, want: 84}),
+	Entry("is without the spending after an outage", afterOutage(), loanRequestInputs{unreserved: 10, smallest: 30, waiting: 80, rate: 7}, loanRequest{need: 20, want: 70}),
+	Entry("is one token at least", afterOutage(), loanRequestInputs{unreserved: 100, smallest: 30, waiting: 80}, loanRequest{need: 1, want: 1}),
 )
 
 var _ = Describe("The neighbours that are asked", func() {
@@ -54,12 +54,12 @@
 	all := []Lender{near, far}
 
 	It("are all that did answer of late, in their order", func() {
-		Expect(answering(all, nil, at)).To(Equal(all))
-		Expect(answering(all, map[string]time.Time{"near": at}, at)).To(Equal([]Lender{far}))
-		Expect(answering(all, map[string]time.Time{"near": ago(1)}, at)).To(Equal(all))
+		Expect(availableLenders(all, nil, testNow)).To(Equal(all))
+		Expect(availableLenders(all, map[string]time.Time{"near": testNow}, testNow)).To(Equal([]Lender{far}))
+		Expect(availableLenders(all, map[string]time.Time{"near": ago(1)}, testNow)).To(Equal(all))
 	})
 
 	It("are all if none answered of late", func() {
-		Expect(answering(all, map[string]time.Time{"near": at, "far": at}, at)).To(Equal(all))
+		Expect(availableLenders(all, map[string]time.Time{"near": testNow, "far": testNow}, testNow)).To(Equal(all))
 	})
 })
--- a/escrow/lenders.go
+++ b/escrow/lenders.go
@@ -9,33 +9,32 @@
 	"granitehoist.example/granitehoist"
 )
 
-// avoidTime is how long a neighbour that did not answer is left out.
-const avoidTime = 1500 * time.Millisecond
+// lenderBackoff is how long a neighbour that did not respond is not called.
+const lenderBackoff = 1500 * time.Millisecond
 
-// avoid leaves a neighbour out for avoidTime.
-func (s *Syncer) avoid(lender Lender) {
-	s.avoiding.Lock()
-	defer s.avoiding.Unlock()
-	s.avoided[lender.Address] = s.settings.Clock().Add(avoidTime)
+// exclude excludes a neighbour for lenderBackoff.
+func (s *Syncer) exclude(lender Lender) {
+	s.excludeMu.Lock()
+	defer s.excludeMu.Unlock()
+	s.excludedUntil[lender.Address] = s.settings.Clock().Add(lenderBackoff)
 }
 
 // lenders returns the neighbours that may lend a workspace's tokens, the likeliest
-// first, without those that failed to answer in the last avoidTime.
+// first, without those that failed to respond within the last lenderBackoff.
 func (s *Syncer) lenders(w granitehoist.Workspace) []Lender {
 	if s.settings.Lenders == nil || s.settings.Caller == nil {
 		return nil
 	}
 	all := s.settings.Lenders(ShardOf(w))
 	now := s.settings.Clock()
-	s.avoiding.Lock()
-	defer s.avoiding.Unlock()
-	return answering(all, s.avoided, now)
+	s.excludeMu.Lock()
+	defer s.excludeMu.Unlock()
+	return availableLenders(all, s.excludedUntil, now)
 }
 
-// answering decides which neighbours are asked: those that are not left out, or
-// all if none would remain. avoided holds until when neighbours are left out, by
-// address.
-func answering(all []Lender, avoided map[string]time.Time, now time.Time) []Lender {
+// availableLenders returns the neighbours that are not excluded, or all if none would
+// remain. excludedUntil holds the end of each exclusion by address.
+func availableLenders(all []Lender, avoided map[string]time.Time, now time.Time) []Lender {
 	var answering []Lender
 	for _, lender := range all {
 		if now.After(avoided[lender.Address]) {
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -9,32 +9,31 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Lend gives a borrower a loan of the size that lending.loan decides, which may be
-// none, from what this ledger owns. A borrower that calls twice gets two loans.
+// Lend gives a borrower a loan of the size that loanInputs.loan returns, which may be
+// zero. A borrower that calls twice gets two loans.
 func (l *Ledger) Lend(p LendParams, now time.Time) LendResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(p.Workspace)
-	lends := l.role(p.Workspace, a, now).lends()
-	loan := lending{
+	lends := l.role(p.Workspace, a, now).isHolder()
+	loan := loanInputs{
 		free: a.owned.free(), need: p.Need, want: p.Want,
-		waiting: len(a.waiters) > 0, closing: l.closing, whole: lends,
+		waiting: len(a.waiters) > 0, closing: l.closing, allOrNothing: lends,
 	}.loan()
 	if loan > 0 {
 		a.owned.lend(p.Borrower, loan)
 	}
 	if loan > 0 && lends {
-		a.demand.rate.add(loan, l.began, now)
+		a.demand.rate.add(loan, l.firstRequestAt, now)
 	}
 	return l.lendResult(a, p.Borrower, now)
 }
 
-// lendResult returns the reply to a borrower: the total of its loans and, if this
-// router is in touch with the store, what it knows of the budget. The caller holds
-// mu.
+// lendResult returns the reply to a borrower: the total of its loans and, if this router
+// is connected to the store, what it knows of the budget. The caller holds mu.
 func (l *Ledger) lendResult(a *account, borrower granitehoist.Incarnation, now time.Time) LendResult {
 	result := LendResult{Total: a.owned.lent[borrower]}
-	if !a.fleet.record.valid || !l.contact.isInTouch(now) {
+	if !a.fleet.record.valid || !l.health.isConnected(now) {
 		return result
 	}
 	result.InTouch = true
@@ -52,40 +51,40 @@
 	return l.lendResult(a, p.Borrower, now)
 }
 
-// Borrowed records a lender's reply, and reports whether it brought tokens. A reply
-// that is late or doubled brings none.
+// Borrowed records a lender's reply, and reports whether it brought tokens. Late or
+// duplicate replies bring none.
 func (l *Ledger) Borrowed(w granitehoist.Workspace, lender granitehoist.Incarnation, r LendResult, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
 	if r.InTouch {
-		l.contact.answeredAnyone(now)
-		a.fleet.lender = lenderView{remaining: r.StoreRemaining, left: r.LeftAnywhere, at: now, valid: true}
+		l.health.noteResponse(now)
+		a.fleet.lender = lenderView{remaining: r.StoreRemaining, totalRemaining: r.LeftAnywhere, at: now, valid: true}
 	}
 	brought := a.owned.borrow(lender, r.Total)
 	if brought {
-		l.wake(a, now)
+		l.admitWaiters(a, now)
 	}
 	if r.InTouch {
-		l.refuseAndWake(a, now)
+		l.refuseAndAdmitWaiters(a, now)
 	}
 	return brought
 }
 
-// repaid records a repayment. What comes back was not spent, so it is taken off the
-// demand that a holder counted when it lent it.
-func (l *Ledger) repaid(p RepayParams, now time.Time) {
+// noteRepayment records a repayment. Repaid tokens were not spent, so a holder deducts
+// them from the demand that it counted for the loan.
+func (l *Ledger) noteRepayment(p RepayParams, now time.Time) {
 	l.mu.Lock()
 	a := l.account(p.Workspace)
-	if back := p.Total - a.owned.borrowed[p.Giver]; back > 0 && l.role(p.Workspace, a, now).lends() {
-		a.demand.rate.add(-back, l.began, now)
+	if back := p.Total - a.owned.borrowed[p.Giver]; back > 0 && l.role(p.Workspace, a, now).isHolder() {
+		a.demand.rate.add(-back, l.firstRequestAt, now)
 	}
 	l.mu.Unlock()
 	l.Borrowed(p.Workspace, p.Giver, LendResult{Total: p.Total}, now)
 }
 
-// repay deducts tokens from what this ledger owns and returns the message that
-// gives them to the receiver.
+// repay deducts tokens from what this ledger owns and returns the message that transfers
+// them to the receiver.
 func (l *Ledger) repay(to granitehoist.Incarnation, s surplus) RepayParams {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/loansize.go
+++ b/escrow/loansize.go
@@ -5,37 +5,37 @@
 
 import "granitehoist.example/granitehoist"
 
-// lendPart is the part of its free tokens that a lender gives at most, unless the
-// borrower needs more and the lender has it. A lender that has less than the need
-// gives this part too, so that several lenders serve one request together. Chosen, not measured (f7eef06, e36d45a).
-const lendPart = 0.5
+// maxLendFraction is the fraction of its free tokens that a lender lends at most, unless
+// the borrower needs more and the lender has it. A lender with less than the need lends
+// this fraction too, so that several lenders can serve one request together.
+const maxLendFraction = 0.5
 
-// lending is what the size of a loan depends on.
-type lending struct {
+// loanInputs holds the inputs of the size of a loan.
+type loanInputs struct {
 	// free is what the lender may reserve.
 	free granitehoist.Tokens
-	// need is what one request of the borrower lacks, want what would serve it for
-	// a while.
+	// need is what one request of the borrower lacks, want what would serve it for a
+	// while.
 	need, want granitehoist.Tokens
-	// waiting says that requests of the lender wait for tokens themselves.
+	// waiting is set if requests of the lender wait for tokens themselves.
 	waiting bool
-	// closing says that the lender stops, and gives its tokens back.
+	// closing is set if the lender is shutting down and returns its tokens.
 	closing bool
-	// whole says that a loan below the need is of no use: a holder has the tokens
-	// of all, so that parts of loans would only scatter them.
-	whole bool
+	// allOrNothing is set if no loan below the need is given. Partial loans of a holder
+	// would only scatter the tokens of its shard.
+	allOrNothing bool
 }
 
-// loan decides how many tokens a lender gives: what is wanted up to lendPart of
-// what is free, but all that is needed if it has that much.
-func (l lending) loan() granitehoist.Tokens {
+// loan returns how many tokens to lend: the want up to maxLendFraction of what is free,
+// but at least the need if the lender has that much.
+func (l loanInputs) loan() granitehoist.Tokens {
 	if l.closing || l.waiting || l.need <= 0 || l.free <= 0 {
 		return 0
 	}
-	if l.whole && l.free < l.need {
+	if l.allOrNothing && l.free < l.need {
 		return 0
 	}
-	tokens := min(l.want, granitehoist.Tokens(lendPart*float64(l.free)))
+	tokens := min(l.want, granitehoist.Tokens(maxLendFraction*float64(l.free)))
 	if l.free >= l.need {
 		tokens = max(l.need, tokens)
 	}
--- a/escrow/outage_test.go
+++ b/escrow/outage_test.go
@@ -27,8 +27,8 @@
 		GinkgoHelper()
 		for end := now.Add(lasting); now.Before(end); now = now.Add(100 * time.Millisecond) {
 			_ = b.sync()
-			if b.ledger.Reserve(kiosk, 1000, normal, now) {
-				b.ledger.Settle(kiosk, 1000, 1000, now)
+			if b.ledger.Reserve(testWorkspace, 1000, maxPriority, now) {
+				b.ledger.Settle(testWorkspace, 1000, 1000, now)
 			}
 		}
 		_ = b.sync()
@@ -39,12 +39,12 @@
 		pass(lasting)
 		store.Fail(standin.StoreFaults{})
 	}
-	free := func() granitehoist.Tokens { return b.ledger.State(kiosk).Free }
+	free := func() granitehoist.Tokens { return b.ledger.State(testWorkspace).Free }
 	BeforeEach(func() {
 		now = time.Unix(1000, 0)
 		store = standin.NewStore(standin.StoreSettings{Clock: clock})
 		b = newBox("a", "a1", store, 1, clock)
-		b.ledger.SetLimit(kiosk, limit)
+		b.ledger.SetLimit(testWorkspace, limit)
 		pass(20 * time.Second)
 		Expect(free()).To(BeNumerically(">", 60_000))
 	})
@@ -54,7 +54,7 @@
 		Expect(free()).To(BeNumerically(">", 15_000))
 		pass(500 * time.Millisecond)
 		Expect(free()).To(BeNumerically("<", limit/50))
-		Expect(recordOf(store).Accounts[kiosk].Rows["a1"].Returned).To(BeNumerically(">", 0))
+		Expect(recordOf(store).Accounts[testWorkspace].Rows["a1"].Returned).To(BeNumerically(">", 0))
 	})
 
 	It("grow back within the time from one outage to another", func() {
@@ -77,7 +77,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go b.syncer.Run(ctx)
-		Expect(b.syncer.Reserve(ctx, kiosk, limit/20, normal).Outcome).To(Equal(escrow.Granted))
+		Expect(b.syncer.Reserve(ctx, testWorkspace, limit/20, maxPriority).Outcome).To(Equal(escrow.Granted))
 	})
 
 	It("are given back as well when the store did not answer a neighbour", func() {
@@ -101,7 +101,7 @@
 	const limit = granitehoist.Tokens(100_000)
 	var store *standin.Store
 	var neighbour *box
-	var line *syncerCaller
+	var caller *syncerCaller
 	var ledger *escrow.Ledger
 	var syncer *escrow.Syncer
 	at := time.Unix(1000, 0)
@@ -109,18 +109,18 @@
 	BeforeEach(func() {
 		store = standin.NewStore(standin.StoreSettings{Clock: clock})
 		neighbour = newBox("n", "n1", store, 2, clock)
-		neighbour.ledger.SetLimit(kiosk, limit)
+		neighbour.ledger.SetLimit(testWorkspace, limit)
 		Expect(neighbour.sync()).To(Succeed())
-		line = &syncerCaller{to: neighbour.syncer}
+		caller = &syncerCaller{to: neighbour.syncer}
 		ledger = escrow.NewLedger(escrow.LedgerSettings{Incarnation: "b1"})
-		ledger.SetLimit(kiosk, limit)
+		ledger.SetLimit(testWorkspace, limit)
 		syncer = escrow.NewSyncer(escrow.SyncerSettings{
-			Box: "b", Ledger: ledger, Store: store, Clock: clock, Caller: line,
+			Box: "b", Ledger: ledger, Store: store, Clock: clock, Caller: caller,
 			Routers: func() int { return 2 },
-			Lenders: lendersAlways("n1"),
+			Lenders: fixedLenders("n1"),
 		})
 		Expect(syncer.Sync(context.Background())).To(Succeed())
-		Expect(ledger.State(kiosk).Free).To(BeNumerically(">", 1000))
+		Expect(ledger.State(testWorkspace).Free).To(BeNumerically(">", 1000))
 	})
 	fail := func() {
 		store.Fail(standin.StoreFaults{Down: true})
@@ -129,35 +129,35 @@
 
 	It("gives its tokens back to the store", func() {
 		Expect(syncer.Close(context.Background())).To(Succeed())
-		Expect(recordOf(store).Accounts[kiosk].Rows["b1"].Net()).To(BeZero())
+		Expect(recordOf(store).Accounts[testWorkspace].Rows["b1"].Net()).To(BeZero())
 	})
 
 	It("gives them to a neighbour while the store is silent", func() {
-		held := ledger.State(kiosk).Free
-		before := neighbour.ledger.State(kiosk).Free
+		held := ledger.State(testWorkspace).Free
+		before := neighbour.ledger.State(testWorkspace).Free
 		fail()
 		Expect(syncer.Close(context.Background())).NotTo(Succeed())
-		Expect(ledger.State(kiosk).Free).To(BeZero())
-		Expect(neighbour.ledger.State(kiosk).Free).To(Equal(before + held))
+		Expect(ledger.State(testWorkspace).Free).To(BeZero())
+		Expect(neighbour.ledger.State(testWorkspace).Free).To(Equal(before + held))
 		store.Fail(standin.StoreFaults{})
-		Expect(recordOf(store).Accounts[kiosk].Taken()).To(BeNumerically("<=", limit))
+		Expect(recordOf(store).Accounts[testWorkspace].Taken()).To(BeNumerically("<=", limit))
 	})
 
 	It("gives nothing to one that stops as well", func() {
-		held := ledger.State(kiosk).Free
+		held := ledger.State(testWorkspace).Free
 		neighbour.ledger.Close()
 		fail()
 		Expect(syncer.Close(context.Background())).NotTo(Succeed())
-		Expect(ledger.State(kiosk).Free).To(Equal(held))
+		Expect(ledger.State(testWorkspace).Free).To(Equal(held))
 	})
 
 	It("takes nothing back from one whose reply was lost", func() {
-		before := neighbour.ledger.State(kiosk).Free
-		held := ledger.State(kiosk).Free
+		before := neighbour.ledger.State(testWorkspace).Free
+		held := ledger.State(testWorkspace).Free
 		fail()
-		line.lost = escrow.MethodRepay
+		caller.lost = escrow.MethodRepay
 		Expect(syncer.Close(context.Background())).NotTo(Succeed())
-		Expect(ledger.State(kiosk).Free + neighbour.ledger.State(kiosk).Free).To(BeNumerically("<=", before+held))
+		Expect(ledger.State(testWorkspace).Free + neighbour.ledger.State(testWorkspace).Free).To(BeNumerically("<=", before+held))
 	})
 })
 
@@ -165,14 +165,14 @@
 type timedStore struct {
 	granitehoist.Store
 	mu       sync.Mutex
-	patience []time.Duration
+	timeouts []time.Duration
 }
 
 func (s *timedStore) Get(ctx context.Context, _ string) (granitehoist.Entry, error) {
 	deadline, _ := ctx.Deadline()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.patience = append(s.patience, time.Until(deadline))
+	s.timeouts = append(s.timeouts, time.Until(deadline))
 	return granitehoist.Entry{}, granitehoist.ErrUnknown
 }
 
@@ -184,14 +184,14 @@
 			Expect(b.sync()).NotTo(Succeed())
 		}
 		long := 0
-		for _, patience := range store.patience {
+		for _, patience := range store.timeouts {
 			if patience > escrow.DefaultTimeout/2 {
 				long++
 			}
 		}
-		Expect(store.patience).To(HaveLen(6))
-		Expect(store.patience[0]).To(BeNumerically("<=", 400*time.Millisecond), "a router that starts")
-		Expect(store.patience[1]).To(BeNumerically("<=", 400*time.Millisecond))
+		Expect(store.timeouts).To(HaveLen(6))
+		Expect(store.timeouts[0]).To(BeNumerically("<=", 400*time.Millisecond), "a router that starts")
+		Expect(store.timeouts[1]).To(BeNumerically("<=", 400*time.Millisecond))
 		Expect(long).To(Equal(1))
 	})
 })
--- a/escrow/outcome.go
+++ b/escrow/outcome.go
@@ -9,24 +9,24 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Outcome is how a reservation ended.
+// Outcome is the result of a reservation.
 type Outcome int
 
 // The outcomes.
 const (
-	// Granted says that the tokens are reserved. The caller must settle them.
+	// Granted means that the tokens are reserved. The caller must settle them.
 	Granted Outcome = iota
-	// Exhausted says that the budget has too few tokens left in the store and at
-	// all routers together. See judgeWait.
+	// Exhausted means that too few tokens are left in the store and at all routers
+	// together. See decideWait.
 	Exhausted
-	// Scarce says that this router could not get enough tokens, though the budget
-	// may have enough and the store answers. See judgeWait and judgeTimeout.
+	// Scarce means that this router could not get enough tokens, though the budget may
+	// have enough and the store responds. See decideWait and timeoutOutcome.
 	Scarce
-	// Withheld says that the budget is near its end and the request is too large
-	// for what is left. See budgetEnd.judge.
+	// Withheld means that the budget is near its end and the request is too large for
+	// the remainder. See budgetEnd.decide.
 	Withheld
-	// Unreachable says that this router has too few tokens and the store does not
-	// answer. See judgeTimeout.
+	// Unreachable means that this router has too few tokens and the store does not
+	// respond. See timeoutOutcome.
 	Unreachable
 )
 
@@ -35,17 +35,18 @@
 	return [...]string{"granted", "exhausted", "scarce", "withheld", "unreachable"}[o]
 }
 
-// Answer is the outcome of a request for tokens, with what the router knew then.
+// Answer is the outcome of a reservation, with the state of the budget as this router
+// knew it then.
 type Answer struct {
 	Outcome Outcome
 	// Free is what a request could still reserve here.
 	Free granitehoist.Tokens
-	// StoreRemaining is what the store had left by the newest report, of the record
-	// itself or of a lender, Age ago; both are zero if there was none.
+	// StoreRemaining is what the store had left by the newest report, of the record or
+	// of a lender, and Age the age of that report; both are zero if there was none.
 	StoreRemaining granitehoist.Tokens
 	Age            time.Duration
-	// Silent is for how long the store has answered neither this router nor a
-	// lender that reported to it; zero if it answers.
+	// Silent is for how long the store has responded neither to this router nor to a
+	// lender that reported to it; zero if it responds.
 	Silent time.Duration
 }
 
@@ -56,6 +57,6 @@
 	a := l.account(w)
 	answer := Answer{Outcome: o, Free: a.owned.free()}
 	answer.StoreRemaining, answer.Age = a.fleet.reported(now)
-	answer.Silent = l.contact.silence(now)
+	answer.Silent = l.health.unresponsiveFor(now)
 	return answer
 }
--- a/escrow/owned.go
+++ b/escrow/owned.go
@@ -9,38 +9,39 @@
 
 // owned is what one incarnation owns of a workspace's tokens. Ledger.mu guards it.
 //
-// The conservation rule: every token of the prepaid total is at one place. At
-// this incarnation there are
+// The conservation rule: every token of the prepaid total is in one place. This
+// incarnation has
 //
 //	granted + sum(borrowed) - returned - sum(lent) = spent + reserved + unreserved
 //
-// tokens. Only the methods below change the terms. Each is a total that only
-// grows, except reserved, which settle and lendReserved reduce. No term is
-// negative but unreserved, and that only by what upstreams used beyond the bounds
-// of their requests: it was spent without having been reserved, and nothing more
-// is reserved until grants or loans have covered it. The tests check this after
-// each step of random histories (CheckConservation in export_test.go).
+// tokens. Only the methods below change the terms. Each is a total that only grows,
+// except reserved, which settle and lendReserved reduce. Only unreserved can be
+// negative, by what upstreams used beyond the bounds of their requests; nothing more is
+// reserved until grants or loans have covered it. The tests check the rule on random
+// histories (CheckConservation in export_test.go).
 type owned struct {
-	// granted and returned are the totals of this incarnation's row. granted
-	// counts a grant once the store has confirmed it, returned once it has been
-	// decided: a lost write must neither create tokens nor let them be spent here.
+	// granted and returned are the totals of this incarnation's row. granted counts a
+	// grant once the store has confirmed it, returned counts a return before it is
+	// written, so that a lost write neither creates tokens nor lets returned ones be
+	// spent here.
 	granted  granitehoist.Tokens
 	returned granitehoist.Tokens
-	// spent is the use of the settled requests, reserved the sum of the bounds of
-	// the others.
+	// spent is the use of the settled requests, reserved the sum of the bounds of the
+	// others.
 	spent    granitehoist.Tokens
 	reserved granitehoist.Tokens
-	// lent and borrowed are the totals of all loans by the other's incarnation,
-	// lentSum and borrowedSum their sums: a holder lends to hundreds of routers.
+	// lent and borrowed are the totals of all loans, by the incarnation of the other
+	// router. lentSum and borrowedSum are their sums, kept because a holder lends to
+	// many routers.
 	lent        map[granitehoist.Incarnation]granitehoist.Tokens
 	borrowed    map[granitehoist.Incarnation]granitehoist.Tokens
 	lentSum     granitehoist.Tokens
 	borrowedSum granitehoist.Tokens
 	// limit is the prepaid total in force.
 	limit granitehoist.Tokens
-	// frozen says that the limit was reduced and the record has not been read
+	// limitUnconfirmed is set if the limit was reduced and the record has not been read
 	// since: the new limit may no longer cover what is free here.
-	frozen bool
+	limitUnconfirmed bool
 }
 
 // unreserved returns the tokens that are neither spent nor reserved.
@@ -50,7 +51,7 @@
 
 // free returns the tokens that a request may reserve.
 func (o *owned) free() granitehoist.Tokens {
-	if o.frozen {
+	if o.limitUnconfirmed {
 		return 0
 	}
 	return o.unreserved()
@@ -61,14 +62,14 @@
 func (o *owned) setLimit(limit granitehoist.Tokens) bool {
 	changed := limit != o.limit
 	if limit < o.limit {
-		o.frozen = true
+		o.limitUnconfirmed = true
 	}
 	o.limit = limit
 	return changed
 }
 
-// confirmGranted records the total that the store has confirmed as granted. A
-// smaller total is an older one and changes nothing.
+// confirmGranted records the total that the store has confirmed as granted. A smaller
+// total is an older one and is ignored.
 func (o *owned) confirmGranted(total granitehoist.Tokens) {
 	o.granted = max(o.granted, total)
 }
@@ -76,10 +77,10 @@
 // returnToStore deducts tokens that are about to be returned to the store.
 func (o *owned) returnToStore(tokens granitehoist.Tokens) { o.returned += tokens }
 
-// reserve sets tokens aside that the caller has found to be free.
+// reserve reserves tokens. The caller has checked that they are free.
 func (o *owned) reserve(bound granitehoist.Tokens) { o.reserved += bound }
 
-// settle ends a reservation with what was used. It panics if there is no such
+// settle ends a reservation and records the tokens used. It panics if there is no such
 // reservation.
 func (o *owned) settle(bound, used granitehoist.Tokens) {
 	if o.reserved < bound {
@@ -89,7 +90,7 @@
 	o.spent += used
 }
 
-// lend deducts a loan. Call it before the reply to the borrower is sent.
+// lend deducts a loan. It must be called before the reply to the borrower is sent.
 func (o *owned) lend(to granitehoist.Incarnation, tokens granitehoist.Tokens) {
 	if o.lent == nil {
 		o.lent = map[granitehoist.Incarnation]granitehoist.Tokens{}
@@ -104,8 +105,8 @@
 	o.lend(to, bound)
 }
 
-// borrow records the total of a lender's loans and reports whether it is larger
-// than the one before: an old message changes nothing.
+// borrow records the total of a lender's loans and reports whether it grew. Old messages
+// are ignored.
 func (o *owned) borrow(from granitehoist.Incarnation, total granitehoist.Tokens) bool {
 	if total <= o.borrowed[from] {
 		return false
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -12,42 +12,41 @@
 // plan holds this router's rows that one sync is about to write, by workspace.
 type plan map[granitehoist.Workspace]plannedRow
 
-// plannedRow is a row as it is to be written.
+// plannedRow is a row to be written.
 type plannedRow struct {
 	row Row
-	// remaining is what the store has left of limit, the prepaid total, after the
-	// write.
+	// remaining is what the store has left of limit, the prepaid total, after the write.
 	remaining granitehoist.Tokens
 	limit     granitehoist.Tokens
 }
 
 // usesRecord decides whether this router reads and writes the record for an account:
-// always unless it asks holders. It does so too after the limit was reduced, when
-// it stops, and when no lender answers.
+// unless it is a borrower, and then only after the limit was reduced, at shutdown, and
+// when no lender responds.
 func (a *account) usesRecord(c conditions) bool {
-	return c.role != Asks || a.owned.frozen || c.closing || a.forsaken
+	return c.role != Asks || a.owned.limitUnconfirmed || c.closing || a.lendersFailed
 }
 
 // isWrite reports whether the record has to be written.
 func (p plan) isWrite() bool { return len(p) > 0 }
 
-// prepare writes into r, the record of a scope, the grants and returns that the rules
-// ask for; see nextRow. joins says that it is written together with other records, so
-// that holdings which are nearly low are filled as well. routers is the number of routers that share the budgets.
-// Returns are deducted at once; grants only count when confirm is called with the
-// record that has them.
-func (l *Ledger) prepare(r *Record, in scope, joins bool, routers int, now time.Time) plan {
+// prepare adds the grants and returns that nextRow decides to r, the record of a scope,
+// and returns the changed rows. batched means that it is written together with other
+// records, so that nearly low holdings are filled as well. routers is the number of
+// routers that share the budgets. Returns are deducted at once; grants count once
+// confirm is called with the record that has them.
+func (l *Ledger) prepare(r *Record, in scope, batched bool, routers int, now time.Time) plan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p := plan{}
 	all := l.conditions(routers, now)
-	lowBelow := refillBelow
-	if joins || l.anyLow(in, all) {
-		lowBelow = joinBelow
+	threshold := refillThreshold
+	if batched || l.anyLow(in, all) {
+		threshold = jointRefillThreshold
 	}
 	self := l.settings.Incarnation
 	for w, a := range l.accounts {
-		c := all.as(l.role(w, a, now))
+		c := all.withRole(l.role(w, a, now))
 		if !in.covers(w) || !a.usesRecord(c) {
 			continue
 		}
@@ -56,9 +55,9 @@
 		a.owned.confirmGranted(row.Granted)
 		a.demand.othersRate = float64(stored.rateElsewhere(self))
 		remaining := a.owned.limit - stored.Taken()
-		next := a.nextRow(row, remaining, c, lowBelow)
+		next := a.nextRow(row, remaining, c, threshold)
 		after := remaining - (next.Granted - row.Granted) + (next.Returned - row.Returned)
-		if isRowStale(row, next, remaining, a.owned.limit) {
+		if rowNeedsWrite(row, next, remaining, a.owned.limit) {
 			stored.Rows[self] = next
 			p[w] = plannedRow{row: next, remaining: after, limit: a.owned.limit}
 		}
@@ -71,42 +70,40 @@
 	return p
 }
 
-// nextRow returns what this router's row should become while the store has
-// remaining tokens. It deducts what it returns to the store from what is owned.
-// lowBelow is refillBelow, or joinBelow if the record is likely to be written for
-// another workspace.
-func (a *account) nextRow(row Row, remaining granitehoist.Tokens, c conditions, lowBelow float64) Row {
+// nextRow returns this router's next row while the store has remaining tokens, and
+// deducts the tokens to be returned from what is owned. threshold is refillThreshold, or
+// jointRefillThreshold if the record is likely to be written for another workspace.
+func (a *account) nextRow(row Row, remaining granitehoist.Tokens, c conditions, threshold float64) Row {
 	next := row
 	next.Spent = a.owned.spent
 	next.Rate = granitehoist.Tokens(a.demand.rate.value(c.now))
-	a.owned.returnToStore(a.storeReturn(remaining, c).tokens(c))
+	a.owned.returnToStore(a.returnInputs(remaining, c).tokens(c))
 	next.Returned = a.owned.returned
 	if !c.closing {
-		next.Granted += a.grant(remaining+next.Returned-row.Returned, c, lowBelow)
+		next.Granted += a.grant(remaining+next.Returned-row.Returned, c, threshold)
 	}
 	next.Idle = max(0, a.owned.unreserved()+next.Granted-row.Granted)
 	return next
 }
 
-// confirm finishes a sync whose outcome is known; r is the record of a scope as the
-// store has it now.
+// confirm completes a sync of known outcome; r is the record of a scope as stored.
 func (l *Ledger) confirm(r *Record, in scope, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c := l.conditions(0, now)
 	for w, a := range l.accounts {
-		if !in.covers(w) || !a.usesRecord(c.as(l.role(w, a, now))) {
+		if !in.covers(w) || !a.usesRecord(c.withRole(l.role(w, a, now))) {
 			continue
 		}
-		a.forsaken = false
+		a.lendersFailed = false
 		if stored, ok := r.Accounts[w]; ok {
 			a.owned.confirmGranted(stored.Rows[l.settings.Incarnation].Granted)
 		}
 		if a.fleet.record.valid {
-			a.owned.frozen = false
+			a.owned.limitUnconfirmed = false
 		}
 		a.limitChanged = false
-		l.wake(a, now)
-		l.refuseAndWake(a, now)
+		l.admitWaiters(a, now)
+		l.refuseAndAdmitWaiters(a, now)
 	}
 }
--- a/escrow/rate.go
+++ b/escrow/rate.go
@@ -10,61 +10,61 @@
 	"granitehoist.example/granitehoist"
 )
 
-// rate estimates tokens a second by an exponentially weighted mean over steps. The
-// zero value has seen nothing. Ledger.mu guards it.
+// rate estimates tokens a second by an exponentially weighted mean over steps. The zero
+// value is ready for use. Ledger.mu guards it.
 type rate struct {
 	// perSecond is the mean at the end of the last step.
 	perSecond float64
-	// sum counts the tokens of the present step, which began at began.
-	sum   float64
-	began time.Time
-	// covered is the time that the mean covers, up to rateTime.
+	// stepTokens counts the tokens of the present step, which began at stepStart.
+	stepTokens float64
+	stepStart  time.Time
+	// covered is the time that the mean covers, up to rateWindow.
 	covered time.Duration
 }
 
 const (
-	// rateStep is the least time that a step of the mean covers.
+	// rateStep is the minimum duration of a step.
 	rateStep = 500 * time.Millisecond
-	// rateTime is the time over which the mean forgets, and after which a router trusts
-	// its own view of the demand.
-	rateTime = 5 * time.Second
+	// rateWindow is the time constant of the mean, and the time after which a router
+	// relies on its own view of the demand.
+	rateWindow = 5 * time.Second
 )
 
-// add counts tokens; what was reserved and not used is taken off by a negative
-// amount. watched is since when the router has seen requests of any workspace:
-// their absence in this one counts from then on. It may be zero.
-func (r *rate) add(t granitehoist.Tokens, watched, now time.Time) {
-	if r.began.IsZero() {
-		r.began = now
-		if !watched.IsZero() {
-			r.began = watched
+// add counts tokens; a negative amount deducts what was reserved and not used.
+// observedSince is the start of the first step, from which on the absence of requests
+// counts; if it is zero, the first call starts the step.
+func (r *rate) add(t granitehoist.Tokens, observedSince, now time.Time) {
+	if r.stepStart.IsZero() {
+		r.stepStart = now
+		if !observedSince.IsZero() {
+			r.stepStart = observedSince
 		}
 	}
-	r.roll(now)
-	r.sum += float64(t)
+	r.advance(now)
+	r.stepTokens += float64(t)
 }
 
-// roll ends the present step if it has lasted for rateStep.
-func (r *rate) roll(now time.Time) {
-	if r.began.IsZero() {
+// advance ends the present step if it has lasted for rateStep.
+func (r *rate) advance(now time.Time) {
+	if r.stepStart.IsZero() {
 		return
 	}
-	elapsed := now.Sub(r.began)
+	elapsed := now.Sub(r.stepStart)
 	if elapsed < rateStep {
 		return
 	}
-	// The first steps weigh as much as their part of the time covered so far, so
-	// that the mean does not begin at zero.
-	r.covered = min(rateTime, r.covered+elapsed)
-	weight := max(1-math.Exp(-elapsed.Seconds()/rateTime.Seconds()), min(1, elapsed.Seconds()/r.covered.Seconds()))
-	r.perSecond += (r.sum/elapsed.Seconds() - r.perSecond) * weight
-	r.sum = 0
-	r.began = now
+	// The first steps weigh as much as their part of the time covered so far, so that
+	// the mean does not start at zero.
+	r.covered = min(rateWindow, r.covered+elapsed)
+	weight := max(1-math.Exp(-elapsed.Seconds()/rateWindow.Seconds()), min(1, elapsed.Seconds()/r.covered.Seconds()))
+	r.perSecond += (r.stepTokens/elapsed.Seconds() - r.perSecond) * weight
+	r.stepTokens = 0
+	r.stepStart = now
 }
 
-// value returns the mean in tokens a second. It is not below zero, though what comes
-// back in a step may be more than what went out.
+// value returns the mean in tokens a second. It is at least zero, though the deductions
+// of a step may exceed its additions.
 func (r *rate) value(now time.Time) float64 {
-	r.roll(now)
+	r.advance(now)
 	return max(0, r.perSecond)
 }
--- a/escrow/record.go
+++ b/escrow/record.go
@@ -14,41 +14,42 @@
 const (
 	// recordFormat is the format number of a stored Record.
 	recordFormat = 1
-	// dividedFormat is that of a record whose workspaces have moved to shards. A
-	// router that does not know it can't write it, and so owns no more than it did.
+	// dividedFormat is the format number of a record whose workspaces have moved to
+	// shards. Routers that do not support it can't write the record, and so get no more
+	// grants from it.
 	dividedFormat = 2
 )
 
-// RecordKey is the store's key of the record of all workspaces. In a large fleet
-// each shard has a record of its own, and this one is kept as it was when they were
-// divided: what it has of a workspace is where the record of its shard begins.
+// RecordKey is the store's key of the record of all workspaces. In a large fleet each
+// shard has a record of its own, and this one is kept unchanged since the division: the
+// record of a shard starts with the accounts of its workspaces here.
 const RecordKey = "budget/escrow"
 
-// Row is what one incarnation has had of a workspace's tokens.
+// Row is the state of one incarnation's tokens of a workspace.
 type Row struct {
 	// Granted and Returned only grow.
 	Granted  granitehoist.Tokens `json:"g"`
 	Returned granitehoist.Tokens `json:"r,omitempty"`
-	// Spent and Idle are as the incarnation last reported. They only decide what
-	// callers are answered and how large grants are, never what may be spent.
+	// Spent and Idle are as the incarnation last reported. They only affect which
+	// requests are refused and how large grants are, never what may be spent.
 	Spent granitehoist.Tokens `json:"s,omitempty"`
 	Idle  granitehoist.Tokens `json:"i,omitempty"`
-	// Rate is what the incarnation and its borrowers spend in tokens a second, as
-	// it last reported.
+	// Rate is what the incarnation and its borrowers spend in tokens a second, as it
+	// last reported.
 	Rate granitehoist.Tokens `json:"v,omitempty"`
 }
 
-// Net returns the tokens that the incarnation got and did not return.
+// Net returns the tokens that were granted to the incarnation and not returned.
 func (r Row) Net() granitehoist.Tokens { return r.Granted - r.Returned }
 
 // StoredAccount is the record of one workspace.
 type StoredAccount struct {
-	// Folded is the sum of the rows of incarnations that have ended.
+	// Folded is the sum of Row.Net over incarnations that have ended.
 	Folded granitehoist.Tokens              `json:"f,omitempty"`
 	Rows   map[granitehoist.Incarnation]Row `json:"rows,omitempty"`
 }
 
-// Taken returns the tokens that are not left in the store.
+// Taken returns the tokens that were granted and not returned.
 func (a *StoredAccount) Taken() granitehoist.Tokens {
 	taken := a.Folded
 	for _, row := range a.Rows {
@@ -57,7 +58,8 @@
 	return taken
 }
 
-// IdleElsewhere returns what other incarnations last reported to be idle.
+// IdleElsewhere returns the sum of the idle tokens that other incarnations last
+// reported.
 func (a *StoredAccount) IdleElsewhere(self granitehoist.Incarnation) granitehoist.Tokens {
 	var idle granitehoist.Tokens
 	for incarnation, row := range a.Rows {
@@ -68,8 +70,8 @@
 	return idle
 }
 
-// rateElsewhere returns what other incarnations last reported to spend, in tokens
-// a second.
+// rateElsewhere returns the sum of the rates that other incarnations last reported, in
+// tokens a second.
 func (a *StoredAccount) rateElsewhere(self granitehoist.Incarnation) granitehoist.Tokens {
 	var sum granitehoist.Tokens
 	for incarnation, row := range a.Rows {
@@ -80,27 +82,27 @@
 	return sum
 }
 
-// Record is the state of all workspaces, or of those of a shard, as it is stored.
+// Record is the stored state of all workspaces, or of those of a shard.
 type Record struct {
 	Format int `json:"format"`
-	// Shards is the number of shards into which the record was divided, zero if it
-	// was not.
+	// Shards is the number of shards into which the record was divided, zero if it was
+	// not.
 	Shards int `json:"shards,omitempty"`
-	// Boxes names the incarnation that last wrote for each box.
+	// Boxes holds the incarnation that last wrote the record, by box.
 	Boxes    map[granitehoist.Box]granitehoist.Incarnation `json:"boxes"`
 	Accounts map[granitehoist.Workspace]*StoredAccount     `json:"accounts"`
-	// unknown holds what a later version has put into the stored record.
+	// unknown holds the fields that a later version added to the stored record.
 	unknown unknownFields
 }
 
-// DecodeRecord reads a stored record. A key that does not exist is an empty
-// record. The error says that the value is not a record or has another format.
+// DecodeRecord decodes a stored record. A key that does not exist is an empty record. It
+// returns an error if the value is not a record or has an unsupported format.
 func DecodeRecord(e granitehoist.Entry) (*Record, error) {
 	r := &Record{Format: recordFormat}
 	if e.Version != 0 {
-		unknown, err := decodeKeeping(e.Value, r)
+		unknown, err := decodeWithUnknown(e.Value, r)
 		if err != nil {
-			return nil, eris.Wrapf(err, "escrow: record %s can't be read", e.Key)
+			return nil, eris.Wrapf(err, "escrow: decode record %s", e.Key)
 		}
 		r.unknown = unknown
 	}
@@ -112,7 +114,7 @@
 	}
 	for w, account := range r.Accounts {
 		if account == nil {
-			return nil, eris.Errorf("escrow: record %s has nothing of workspace %q", e.Key, w)
+			return nil, eris.Errorf("escrow: record %s has a null account for workspace %q", e.Key, w)
 		}
 	}
 	if r.Boxes == nil {
@@ -127,13 +129,13 @@
 // isDivided reports whether the workspaces have moved to shards.
 func (r *Record) isDivided() bool { return r.Format == dividedFormat }
 
-// divide marks the record as one whose workspaces have moved to shards. Nothing else
-// in it may change from then on.
+// divide marks the record as one whose workspaces have moved to shards. It must not be
+// changed afterwards.
 func (r *Record) divide() { r.Format, r.Shards = dividedFormat, shardCount }
 
-// part returns the record with which a shard of a divided record begins: the rows of
-// its workspaces as they were.
-func (r *Record) part(of Shard) *Record {
+// forShard returns the initial record of a shard of a divided record: the rows of the
+// shard's workspaces as they were.
+func (r *Record) forShard(of Shard) *Record {
 	p := &Record{
 		unknown:  r.unknown,
 		Format:   recordFormat,
@@ -148,24 +150,25 @@
 	return p
 }
 
-// Encode returns the stored form. The error says that it is larger than
+// Encode returns the stored form. It returns an error if that exceeds
 // granitehoist.MaxValueSize.
 func (r *Record) Encode() ([]byte, error) {
-	raw, err := encodeKeeping(r, r.unknown)
+	raw, err := encodeWithUnknown(r, r.unknown)
 	if err != nil {
-		return nil, eris.Wrap(err, "escrow: record can't be written")
+		return nil, eris.Wrap(err, "escrow: encode record")
 	}
 	if len(raw) > granitehoist.MaxValueSize {
-		return nil, eris.Errorf("escrow: record has %d bytes, more than the store takes", len(raw))
+		return nil, eris.Errorf("escrow: record has %d bytes, the store accepts at most %d", len(raw), granitehoist.MaxValueSize)
 	}
 	return raw, nil
 }
 
-// Enter makes an incarnation the present one of its box. The rows of the one
-// before it are folded: a box runs one router at a time, so that one has ended.
+// Enter registers an incarnation as the current one of its box. The rows of the previous
+// incarnation are added to Folded and deleted: a box runs one router at a time, so that
+// one has ended.
 func (r *Record) Enter(box granitehoist.Box, incarnation granitehoist.Incarnation) {
-	before, found := r.Boxes[box]
-	if found && before == incarnation {
+	previous, found := r.Boxes[box]
+	if found && previous == incarnation {
 		return
 	}
 	r.Boxes[box] = incarnation
@@ -173,12 +176,12 @@
 		return
 	}
 	for _, account := range r.Accounts {
-		row, ok := account.Rows[before]
+		row, ok := account.Rows[previous]
 		if !ok {
 			continue
 		}
 		account.Folded += row.Net()
-		delete(account.Rows, before)
+		delete(account.Rows, previous)
 	}
 }
 
--- a/escrow/recordcopy.go
+++ b/escrow/recordcopy.go
@@ -11,9 +11,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-// scope is the workspaces that one record has.
+// scope is the set of workspaces of one record.
 type scope struct {
-	// divided says that they are those of shard, and not all.
+	// divided limits the scope to the workspaces of shard; otherwise it has all.
 	divided bool
 	shard   Shard
 }
@@ -25,69 +25,70 @@
 type recordCopy struct {
 	key   string
 	scope scope
-	// begins is what the record is as long as the store has none; nil for an empty
-	// one.
-	begins *Record
+	// initial is the divided record from which a shard's record starts while the store
+	// has none; nil means an empty record.
+	initial *Record
 
-	// mu is held during a sync, its calls included, and guards what follows.
+	// mu is held during a sync, its calls included, and guards the fields below.
 	mu sync.Mutex
-	// lastEntry is the record as it last was in the store, if lastEntryValid is
-	// set: after a write of unknown outcome it has to be read again.
+	// lastEntry is the last known entry of the store if lastEntryValid is set. After a
+	// write of unknown outcome the record has to be read again.
 	lastEntry      granitehoist.Entry
 	lastEntryValid bool
 }
 
-// decode returns the record last seen, for the caller to change.
+// decode returns a new copy of the last known record.
 func (c *recordCopy) decode() (*Record, error) {
-	if c.lastEntry.Version == 0 && c.begins != nil {
-		return c.begins.part(c.scope.shard), nil
+	if c.lastEntry.Version == 0 && c.initial != nil {
+		return c.initial.forShard(c.scope.shard), nil
 	}
 	return DecodeRecord(c.lastEntry)
 }
 
-// copies holds the records that a router uses: that of all workspaces, or those of
+// recordCopies holds the records that a router uses: the undivided one, or those of
 // shards once it has been divided. It is safe for concurrent use.
-type copies struct {
-	whole recordCopy
+type recordCopies struct {
+	undivided recordCopy
 
-	// mu guards what follows. No call is made while it is held.
+	// mu guards the fields below. No call is made while it is held.
 	mu sync.Mutex
-	// frozen is the divided record, nil as long as this router has not seen one.
-	frozen *Record
+	// base is the divided record, nil until this router has seen it.
+	base   *Record
 	shards map[Shard]*recordCopy
 }
 
-// errDivided says that the record of all workspaces has been divided.
+// errDivided means that the record of all workspaces has been divided.
 var errDivided = errors.New("escrow: the record has been divided into shards")
 
-// divided notes that the record of all workspaces has been divided.
-func (c *copies) divided(frozen *Record) {
+// markDivided sets the divided record from which the records of shards start. Only the
+// first call has an effect.
+func (c *recordCopies) markDivided(frozen *Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.frozen == nil {
-		c.frozen, c.shards = frozen, map[Shard]*recordCopy{}
+	if c.base == nil {
+		c.base, c.shards = frozen, map[Shard]*recordCopy{}
 	}
 }
 
-// isDivided reports whether divided was called.
-func (c *copies) isDivided() bool {
+// isDivided reports whether markDivided was called.
+func (c *recordCopies) isDivided() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.frozen != nil
+	return c.base != nil
 }
 
-// of returns the records that have the given shards.
-func (c *copies) of(shards []Shard) []*recordCopy {
+// forShards returns the records that have the given shards.
+func (c *recordCopies) forShards(shards []Shard) []*recordCopy {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.frozen == nil {
-		return []*recordCopy{&c.whole}
+	if c.base == nil {
+		return []*recordCopy{&c.undivided}
 	}
 	var used []*recordCopy
 	for _, shard := range shards {
 		record, ok := c.shards[shard]
 		if !ok {
-			record = &recordCopy{key: shard.key(), scope: scope{divided: true, shard: shard}, begins: c.frozen}
+			record = &recordCopy{key: shard.key(), scope: scope{divided: true, shard: shard}, initial: c.base}
 			c.shards[shard] = record
 		}
 		used = append(used, record)
@@ -95,11 +96,11 @@
 	return used
 }
 
-// divide has the record of all workspaces divided if the fleet is large and it has
-// not been. Several routers may do so at once: one of their writes takes effect, and
-// the others read it. The errors are those of Sync.
+// divide divides the record of all workspaces unless that has been done. Several routers
+// may do so at once: one of their writes takes effect, and the others read it. The
+// errors are those of Sync.
 func (s *Syncer) divide(ctx context.Context) error {
-	whole := &s.copies.whole
+	whole := &s.copies.undivided
 	whole.mu.Lock()
 	defer whole.mu.Unlock()
 	for range conflictTries {
@@ -113,7 +114,7 @@
 	return granitehoist.ErrConflict
 }
 
-// tryDivide makes one attempt of divide, with the record last seen.
+// tryDivide makes one attempt of divide, with the last known record.
 func (s *Syncer) tryDivide(ctx context.Context, whole *recordCopy) error {
 	ctx, cancel := context.WithTimeout(ctx, s.callTimeout())
 	defer cancel()
@@ -133,6 +134,6 @@
 			return err
 		}
 	}
-	s.copies.divided(record)
+	s.copies.markDivided(record)
 	return nil
 }
--- a/escrow/repay.go
+++ b/escrow/repay.go
@@ -14,26 +14,26 @@
 	"granitehoist.example/granitehoist/internal/pause"
 )
 
-// maxGiveTries bounds the neighbours that are offered one workspace's tokens.
-const maxGiveTries = 3
+// maxTransferTries bounds the neighbours that are offered one workspace's tokens.
+const maxTransferTries = 3
 
-// ServeRepay answers a neighbour's call of MethodRepay. A total of zero only asks
-// whether this router would take tokens; ErrUnavailable says that it stops and
-// would not.
+// ServeRepay handles a neighbour's call of MethodRepay. A total of zero only asks
+// whether this router accepts tokens. The error is ErrUnavailable if it is closing and
+// does not.
 func (s *Syncer) ServeRepay(_ context.Context, p RepayParams) (LendResult, error) {
 	now := s.settings.Clock()
 	if p.Total == 0 && s.settings.Ledger.isClosing() {
-		// What is given now would be lost with this router.
+		// Tokens accepted now would be lost with this router.
 		return LendResult{}, granitehoist.ErrUnavailable
 	}
-	s.settings.Ledger.repaid(p, now)
+	s.settings.Ledger.noteRepayment(p, now)
 	return s.settings.Ledger.report(p.Workspace, p.Giver, now), nil
 }
 
-// repayLoop gives holders back what requests left over, until ctx ends.
+// repayLoop repays surplus tokens to holders until ctx ends.
 func (s *Syncer) repayLoop(ctx context.Context) {
 	for {
-		pause.For(ctx, untilNextLook(s.settings.Interval, rand.Float64()))
+		pause.For(ctx, nextCheckDelay(s.settings.Interval, rand.Float64()))
 		if ctx.Err() != nil {
 			return
 		}
@@ -41,41 +41,43 @@
 	}
 }
 
-// repaySurplus gives what this router has free of workspaces whose holders it asks
-// to the first lender that takes it.
+// repaySurplus transfers the surplus tokens of workspaces for which this router is a
+// borrower to the first lender that accepts them.
 func (s *Syncer) repaySurplus(ctx context.Context) {
 	ledger, now := s.settings.Ledger, s.settings.Clock()
 	for _, extra := range ledger.surpluses(s.settings.Routers(), now) {
 		if ledger.Role(extra.workspace, now) == Asks {
-			s.give(ctx, extra)
+			s.transfer(ctx, extra)
 		}
 	}
 }
 
-// handOver gives what is free to neighbours when the router stops and the store
-// does not take it back. They may spend it, and return it when the store answers.
-func (s *Syncer) handOver(ctx context.Context) {
+// transferAll transfers all free tokens to neighbours when the router shuts down and the
+// store does not accept them. They may spend them, and return them when the store
+// responds.
+func (s *Syncer) transferAll(ctx context.Context) {
 	for _, free := range s.settings.Ledger.surpluses(s.settings.Routers(), s.settings.Clock()) {
-		s.give(ctx, free)
+		s.transfer(ctx, free)
 	}
 }
 
-// give gives tokens to the first lender of their workspace that takes them.
-func (s *Syncer) give(ctx context.Context, extra surplus) {
+// transfer transfers tokens to the first lender of their workspace that accepts them.
+func (s *Syncer) transfer(ctx context.Context, extra surplus) {
 	for i, to := range s.lenders(extra.workspace) {
-		if i >= maxGiveTries || s.offer(ctx, to.Peer, extra) {
+		if i >= maxTransferTries || s.transferTo(ctx, to.Peer, extra) {
 			return
 		}
 	}
 }
 
-// offer gives tokens to a neighbour in two calls: the first asks whether it takes
-// them, the second gives. It reports whether the tokens have been deducted here.
-func (s *Syncer) offer(ctx context.Context, to granitehoist.Peer, extra surplus) bool {
+// transferTo transfers tokens to a neighbour in two calls: the first asks whether it
+// accepts them, the second transfers them. It reports whether the tokens have been
+// deducted here.
+func (s *Syncer) transferTo(ctx context.Context, to granitehoist.Peer, extra surplus) bool {
 	ctx, cancel := context.WithTimeout(ctx, repayTimeout)
 	defer cancel()
-	// A neighbour that can't be reached must not be given anything. Its error needs
-	// no handling: nothing has been given, and the next neighbour is asked.
+	// Nothing is deducted before the neighbour has responded. If it does not, the error
+	// is dropped and the next neighbour is tried.
 	ask := RepayParams{Giver: s.settings.Ledger.settings.Incarnation, Workspace: extra.workspace}
 	var result LendResult
 	if err := s.settings.Caller.Call(ctx, to, MethodRepay, ask, &result); err != nil {
@@ -83,8 +85,8 @@
 	}
 	repayment := s.settings.Ledger.repay(to.Incarnation, extra)
 	if err := s.settings.Caller.Call(ctx, to, MethodRepay, repayment, &result); err != nil {
-		// The tokens may have arrived, so they are not taken back. The next message
-		// to this neighbour has a total that includes them.
+		// The tokens may have arrived, so they stay deducted. The total of the next
+		// message to this neighbour includes them.
 		s.settings.Log.Warn(event.BudgetSyncFailed, zap.Error(err))
 		return true
 	}
--- a/escrow/role.go
+++ b/escrow/role.go
@@ -9,46 +9,42 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Role is what a router does for the tokens of one workspace. Correctness never
-// depends on it: routers that disagree about roles cost each other a call, never a
-// token, since a token is only spent where it is owned.
+// Role is what a router does for the tokens of one workspace. Correctness does not
+// depend on it: routers that disagree about roles only make extra calls, since a token
+// is only spent by its owner.
 //
-// One holder a shard keeps the tokens of a large fleet where a request finds them, in
-// place of pieces at hundreds of routers that are too small for any. Against such
-// pieces, filled by one lender, it earned 0.095 +- 0.039 more of worth in three pairs
-// of days of trouble of 87 routers, and 0.018 +- 0.002 in four pairs of drawn days of
-// 86.
+// In a large fleet one holder per shard keeps the tokens together, since equal parts at
+// hundreds of routers would be too small for most requests.
 type Role int
 
 const (
 	// Shares is the role of every router of a small fleet: it takes tokens from the
 	// record for its own requests.
 	Shares Role = iota
-	// Holds is the role of the router of a large fleet that takes a workspace's
-	// tokens from the record for the requests of all, and lends them.
+	// Holds is the role of the holder in a large fleet: it takes a workspace's tokens
+	// from the record for the requests of all routers, and lends them.
 	Holds
-	// StandsIn is the role of one that was asked in place of the holder: it does the
-	// same for a while, and holds less.
+	// StandsIn is the role of a stand-in holder, a router that was asked in place of the
+	// holder: it does the same for a while, with smaller holdings.
 	StandsIn
-	// Asks is the role of the others: they own no tokens but those of requests in
-	// progress, and pay each request from a loan of a holder.
+	// Asks is the role of borrowers, all other routers of a large fleet: they own few or
+	// no tokens ahead of requests, and pay for requests with loans of a holder.
 	Asks
 )
 
-// standInTime is how long a router that was asked in place of a holder goes on as one
-// after the last such call: twice the time after which a holder that did not answer is
-// asked again (avoidTime).
+// standInTime is how long a router remains a stand-in holder after the last call that
+// asked it to. It is twice lenderBackoff, after which the holder is called again.
 const standInTime = 3 * time.Second
 
 // Lender is a neighbour that may lend a workspace's tokens.
 type Lender struct {
 	granitehoist.Peer
-	// StandsIn says that it is not the holder, and is asked in its place.
+	// StandsIn is set if it is not the holder and is asked in its place.
 	StandsIn bool
 }
 
-// lends reports whether a router with the role lends to a whole fleet.
-func (r Role) lends() bool { return r == Holds || r == StandsIn }
+// isHolder reports whether a router with the role lends to a whole fleet.
+func (r Role) isHolder() bool { return r == Holds || r == StandsIn }
 
 // role returns this router's role for a workspace. The caller holds mu.
 func (l *Ledger) role(w granitehoist.Workspace, a *account, now time.Time) Role {
@@ -69,7 +65,7 @@
 	return l.role(w, l.account(w), now)
 }
 
-// standIn makes this router stand in for the holder of a workspace for standInTime.
+// standIn makes this router a stand-in holder of a workspace for standInTime.
 func (l *Ledger) standIn(w granitehoist.Workspace, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/round.go
+++ b/escrow/round.go
@@ -3,34 +3,34 @@
 
 package escrow
 
-// round is what one round of a syncer decides from.
+// round holds the inputs of the decision of one round of a syncer.
 type round struct {
-	// needed says that requests wait, a limit has changed or a holding is due, of a
-	// workspace for which this router uses the record.
+	// needed is set if requests wait, a limit has changed or a holding needs a sync, in
+	// a workspace for which this router uses the record.
 	needed bool
-	// pausing says that the pause after the store's last failure is not over.
-	pausing bool
+	// backingOff is set during the backoff after a failure of the store.
+	backingOff bool
 }
 
-// step is what a syncer does next in a round.
+// step is the action of a syncer in a round.
 type step int
 
 const (
-	// stepNothing ends a round in which nothing is needed.
+	// stepNothing does nothing.
 	stepNothing step = iota
-	// stepBorrow asks neighbours for what requests wait for.
+	// stepBorrow borrows from neighbours for waiting requests.
 	stepBorrow
-	// stepSync goes to the record, and asks neighbours as well if that takes long.
+	// stepSync syncs the record, and also borrows from neighbours if that takes long.
 	stepSync
 )
 
-// next decides what a syncer does: it goes to the record when something is needed,
-// and asks neighbours while a store that failed is given a pause.
+// next returns the action of a round: a sync when one is needed, or a loan during the
+// backoff after a failure of the store.
 func (r round) next() step {
 	switch {
 	case !r.needed:
 		return stepNothing
-	case r.pausing:
+	case r.backingOff:
 		return stepBorrow
 	}
 	return stepSync
--- a/escrow/round_test.go
+++ b/escrow/round_test.go
@@ -15,9 +15,9 @@
 		Expect(r.next()).To(Equal(expected))
 	},
 	Entry("is none if nothing is needed", round{}, stepNothing),
-	Entry("is none if nothing is needed of a store that has just failed", round{pausing: true}, stepNothing),
+	Entry("is none if nothing is needed of a store that has just failed", round{backingOff: true}, stepNothing),
 	Entry("is a sync if something is needed", round{needed: true}, stepSync),
-	Entry("is to ask neighbours while the store has just failed", round{needed: true, pausing: true}, stepBorrow),
+	Entry("is to ask neighbours while the store has just failed", round{needed: true, backingOff: true}, stepBorrow),
 )
 
 var _ = DescribeTable("A call to the store",
@@ -34,10 +34,10 @@
 
 var _ = Describe("The pause after failed syncs", func() {
 	It("doubles up to its bound", func() {
-		m := loopState{nextPause: failurePause}
-		m.syncFailed(at)
-		Expect(m).To(Equal(loopState{retryAt: at.Add(150 * time.Millisecond), nextPause: 300 * time.Millisecond}))
-		m.syncFailed(at)
-		Expect(m).To(Equal(loopState{retryAt: at.Add(300 * time.Millisecond), nextPause: 300 * time.Millisecond}))
+		m := loopState{backoff: initialBackoff}
+		m.syncFailed(testNow)
+		Expect(m).To(Equal(loopState{retryAt: testNow.Add(150 * time.Millisecond), backoff: 300 * time.Millisecond}))
+		m.syncFailed(testNow)
+		Expect(m).To(Equal(loopState{retryAt: testNow.Add(300 * time.Millisecond), backoff: 300 * time.Millisecond}))
 	})
 })
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -15,59 +15,59 @@
 )
 
 const (
-	// gatherTime lets requests that arrive together share a sync.
-	gatherTime = 3 * time.Millisecond
-	// borrowAfter is how long a sync may take before neighbours are asked as well.
+	// syncDelay lets requests that arrive together share a sync.
+	syncDelay = 3 * time.Millisecond
+	// borrowAfter is how long a sync may take before neighbours are asked for loans as
+	// well.
 	borrowAfter = 20 * time.Millisecond
 )
 
-// Run syncs when requests wait or holdings are too low or too high, until ctx ends.
-// Call it once.
+// Run syncs when requests wait or holdings are too low or too high, until ctx ends. It
+// must be called once.
 func (s *Syncer) Run(ctx context.Context) {
-	timer := time.NewTimer(untilNextLook(s.settings.Interval, rand.Float64()))
+	timer := time.NewTimer(nextCheckDelay(s.settings.Interval, rand.Float64()))
 	defer timer.Stop()
 	go s.repayLoop(ctx)
-	state := loopState{nextPause: failurePause}
+	state := loopState{backoff: initialBackoff}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.kicks:
-			pause.For(ctx, gatherTime)
+		case <-s.triggers:
+			pause.For(ctx, syncDelay)
 		case <-timer.C:
-			timer.Reset(untilNextLook(s.settings.Interval, rand.Float64()))
+			timer.Reset(nextCheckDelay(s.settings.Interval, rand.Float64()))
 		}
 		s.runRound(ctx, &state)
 	}
 }
 
-// untilNextLook decides when the holdings are looked at next: after half to one and a
-// half of the interval, by a random draw from 0 up to 1. Routers that started
-// together would otherwise all write the record at the same moments, and each write
-// but the first would conflict.
-func untilNextLook(interval time.Duration, draw float64) time.Duration {
+// nextCheckDelay returns the time until the next check of the holdings: from half to one
+// and a half of the interval, by a random draw in [0, 1). The jitter keeps routers that
+// started together from writing the record at the same moments and conflicting.
+func nextCheckDelay(interval time.Duration, draw float64) time.Duration {
 	return time.Duration((0.5 + draw) * float64(interval))
 }
 
-// loopState is what Run remembers from one round to the next.
+// loopState is the state that Run keeps between rounds.
 type loopState struct {
-	// retryAt is when a store that failed may be called again, and pause how long
-	// it will be left alone after its next failure.
-	retryAt   time.Time
-	nextPause time.Duration
+	// retryAt is when a store that failed may be called again, and backoff the delay
+	// after its next failure.
+	retryAt time.Time
+	backoff time.Duration
 }
 
-// runRound gathers what a round decides from, and does what it decides.
+// runRound collects the inputs of a round and carries out its decision.
 func (s *Syncer) runRound(ctx context.Context, state *loopState) {
 	now := s.settings.Clock()
-	needed := s.settings.Ledger.neededShards(s.settings.Routers(), now)
-	r := round{needed: len(needed) > 0, pausing: now.Before(state.retryAt)}
+	needed := s.settings.Ledger.shardsToSync(s.settings.Routers(), now)
+	r := round{needed: len(needed) > 0, backingOff: now.Before(state.retryAt)}
 	switch r.next() {
 	case stepBorrow:
 		s.borrow(ctx)
 	case stepSync:
 		if s.syncOrBorrow(ctx, needed) {
-			state.nextPause = failurePause
+			state.backoff = initialBackoff
 			return
 		}
 		state.syncFailed(s.settings.Clock())
@@ -75,14 +75,14 @@
 	}
 }
 
-// syncFailed leaves the store alone for a pause, and makes the next one longer.
+// syncFailed starts the backoff and increases the next one.
 func (s *loopState) syncFailed(now time.Time) {
-	s.retryAt = now.Add(s.nextPause)
-	s.nextPause = longerPause(s.nextPause)
+	s.retryAt = now.Add(s.backoff)
+	s.backoff = nextBackoff(s.backoff)
 }
 
-// syncOrBorrow syncs shards, asks neighbours as well if that takes long or fails, and
-// reports whether the store answered.
+// syncOrBorrow syncs shards, also borrows from neighbours if that takes long or fails,
+// and reports whether the sync succeeded.
 func (s *Syncer) syncOrBorrow(ctx context.Context, needed []Shard) bool {
 	borrower := time.AfterFunc(borrowAfter, func() { s.borrow(ctx) })
 	err := s.syncShards(ctx, needed)
@@ -90,7 +90,8 @@
 		borrower.Stop()
 		return true
 	}
-	// A router that stops cancels the call itself: that is no failure of the store.
+	// A router that shuts down cancels the call itself, which is no failure of the
+	// store.
 	if ctx.Err() == nil {
 		s.settings.Log.Warn(event.BudgetSyncFailed, zap.Error(err))
 	}
--- a/escrow/shard.go
+++ b/escrow/shard.go
@@ -11,13 +11,12 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Shard is the part of the workspaces whose tokens one record has in a large fleet.
-// It is the unit in which holders are chosen.
+// Shard is a part of the workspaces whose tokens share a record in a large fleet.
+// Holders are chosen by shard.
 type Shard int
 
-// shardCount is the number of shards. With the 14,000 budgets of docs/CAPACITY.md
-// a record has 55 of them, some 10 KB; with the 24 or 40 of the users' sites nearly
-// each has a record of its own.
+// shardCount is the number of shards. It keeps the record of a shard small when there
+// are many thousand workspaces, and gives few workspaces a record each.
 const shardCount = 256
 
 // ShardOf returns the shard of a workspace.
--- a/escrow/together_test.go
+++ b/escrow/sharded_test.go
@@ -17,43 +17,43 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// manyShards is a fleet of two holders that both take themselves for the holder of all
+// shardedFleet is a fleet of two holders that both take themselves for the holder of all
 // shards, so that their writes conflict, over a store that loses, refuses and delays
 // writes of several records at once.
-type manyShards struct {
+type shardedFleet struct {
 	now    time.Time
-	store  *lateStore
+	store  *faultyStore
 	boxes  []*box
 	starts int
 	// paid counts what each workspace's requests used.
 	paid map[granitehoist.Workspace]granitehoist.Tokens
 }
 
-const manyShardsLimit = granitehoist.Tokens(20_000)
+const shardedFleetLimit = granitehoist.Tokens(20_000)
 
-// manyShardsWorkspaces are of different shards.
-var manyShardsWorkspaces = []granitehoist.Workspace{"kiosk", "lock", "quay", "gate"}
+// shardedFleetWorkspaces are of different shards.
+var shardedFleetWorkspaces = []granitehoist.Workspace{"kiosk", "lock", "quay", "gate"}
 
-func newManyShards() *manyShards {
-	f := &manyShards{now: time.Unix(1000, 0), paid: map[granitehoist.Workspace]granitehoist.Tokens{}, boxes: make([]*box, 2)}
-	f.store = &lateStore{Store: standin.NewStore(standin.StoreSettings{Clock: f.clock})}
+func newShardedFleet() *shardedFleet {
+	f := &shardedFleet{now: time.Unix(1000, 0), paid: map[granitehoist.Workspace]granitehoist.Tokens{}, boxes: make([]*box, 2)}
+	f.store = &faultyStore{Store: standin.NewStore(standin.StoreSettings{Clock: f.clock})}
 	for i := range f.boxes {
 		f.start(i)
 	}
 	return f
 }
 
-func (f *manyShards) clock() time.Time { return f.now }
+func (f *shardedFleet) clock() time.Time { return f.now }
 
 // start starts a box, in place of one that dies with all that it owns.
-func (f *manyShards) start(i int) {
+func (f *shardedFleet) start(i int) {
 	f.starts++
 	ledger := escrow.NewLedger(escrow.LedgerSettings{
 		Incarnation: granitehoist.Incarnation(fmt.Sprintf("i-%d", f.starts)),
 		Role:        func(escrow.Shard) escrow.Role { return escrow.Holds },
 	})
-	for _, w := range manyShardsWorkspaces {
-		ledger.SetLimit(w, manyShardsLimit)
+	for _, w := range shardedFleetWorkspaces {
+		ledger.SetLimit(w, shardedFleetLimit)
 	}
 	f.boxes[i] = &box{ledger, escrow.NewSyncer(escrow.SyncerSettings{
 		Box: granitehoist.Box(fmt.Sprint("box-", i)), Ledger: ledger, Store: f.store, Clock: f.clock,
@@ -63,7 +63,7 @@
 }
 
 // use serves a request if the box owns enough for it.
-func (f *manyShards) use(i int, w granitehoist.Workspace, bound, used granitehoist.Tokens) {
+func (f *shardedFleet) use(i int, w granitehoist.Workspace, bound, used granitehoist.Tokens) {
 	if f.boxes[i].ledger.Reserve(w, bound, 5, f.now) {
 		f.boxes[i].ledger.Settle(w, bound, used, f.now)
 		f.paid[w] += used
@@ -75,13 +75,13 @@
 // grant is never more than the prepaid total.
 func TestHistoriesOfManyShards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newManyShards()
+		f := newShardedFleet()
 		box := rapid.IntRange(0, 1)
 		for range rapid.IntRange(20, 60).Draw(t, "steps") {
 			i := box.Draw(t, "box")
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
-				w := rapid.SampledFrom(manyShardsWorkspaces).Draw(t, "workspace")
+				w := rapid.SampledFrom(shardedFleetWorkspaces).Draw(t, "workspace")
 				bound := granitehoist.Tokens(rapid.IntRange(1, 6000).Draw(t, "bound"))
 				f.use(i, w, bound, bound/2)
 			case 2, 3:
@@ -90,7 +90,7 @@
 			case 4:
 				f.store.fault = rapid.SampledFrom([]string{"", "", "down", "silent", "late", "lost"}).Draw(t, "fault")
 			case 5:
-				f.store.arrive()
+				f.store.deliverLate()
 			case 6:
 				f.start(i)
 			}
@@ -100,7 +100,7 @@
 	})
 }
 
-func (f *manyShards) check(t *rapid.T) {
+func (f *shardedFleet) check(t *rapid.T) {
 	entries, _, err := f.store.Store.List(context.Background(), escrow.RecordKey+"/")
 	if err != nil {
 		t.Fatal(err)
@@ -111,30 +111,30 @@
 			t.Fatal(err)
 		}
 		for w, account := range record.Accounts {
-			if account.Taken() > manyShardsLimit {
-				t.Fatalf("%s: %d taken of %d", w, account.Taken(), manyShardsLimit)
+			if account.Taken() > shardedFleetLimit {
+				t.Fatalf("%s: %d taken of %d", w, account.Taken(), shardedFleetLimit)
 			}
 		}
 	}
 	for w, paid := range f.paid {
-		if paid > manyShardsLimit {
-			t.Fatalf("%s: %d used of %d", w, paid, manyShardsLimit)
+		if paid > shardedFleetLimit {
+			t.Fatalf("%s: %d used of %d", w, paid, shardedFleetLimit)
 		}
 	}
 }
 
 // TestOneWriteForAllShards checks what syncs of a holder of several shards cost.
 func TestOneWriteForAllShards(t *testing.T) {
-	newHolder := func() *manyShards {
-		f := newManyShards()
+	newHolder := func() *shardedFleet {
+		f := newShardedFleet()
 		if err := f.boxes[0].sync(); err != nil {
 			t.Fatal(err)
 		}
 		return f
 	}
-	writes := func(f *manyShards) int { return f.store.Store.(*standin.Store).Calls().Writes }
-	drain := func(f *manyShards) {
-		for _, w := range manyShardsWorkspaces {
+	writes := func(f *shardedFleet) int { return f.store.Store.(*standin.Store).Calls().Writes }
+	drain := func(f *shardedFleet) {
+		for _, w := range shardedFleetWorkspaces {
 			for f.boxes[0].ledger.State(w).Free > 0 {
 				f.use(0, w, 1, 1)
 			}
@@ -151,7 +151,7 @@
 		if made := writes(f) - before; made != 1 {
 			t.Fatalf("%d writes", made)
 		}
-		for _, w := range manyShardsWorkspaces {
+		for _, w := range shardedFleetWorkspaces {
 			if f.boxes[0].ledger.State(w).Free == 0 {
 				t.Fatalf("%s was not filled", w)
 			}
@@ -167,7 +167,7 @@
 		if err := f.boxes[0].sync(); err != nil {
 			t.Fatal(err)
 		}
-		for _, w := range manyShardsWorkspaces {
+		for _, w := range shardedFleetWorkspaces {
 			if f.boxes[0].ledger.State(w).Free == 0 {
 				t.Fatalf("%s was not filled", w)
 			}
@@ -184,9 +184,9 @@
 		if err := f.boxes[0].sync(); err != nil {
 			t.Fatal(err)
 		}
-		for _, w := range manyShardsWorkspaces {
+		for _, w := range shardedFleetWorkspaces {
 			state := f.boxes[0].ledger.State(w)
-			if state.Free == 0 || state.Granted+state.StoreRemaining > manyShardsLimit {
+			if state.Free == 0 || state.Granted+state.StoreRemaining > shardedFleetLimit {
 				t.Fatalf("%s: %+v", w, state)
 			}
 		}
--- /dev/null
+++ b/escrow/storehealth.go
@@ -0,0 +1,100 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package escrow
+
+import "time"
+
+const (
+	// minOutage is the shortest unresponsive period of the store that counts as an
+	// outage.
+	minOutage = 4 * time.Second
+	// connectedTime is how long after a response of the store a router counts as
+	// connected: maxRecordAge between two reads, and a second for the read.
+	connectedTime = maxRecordAge + time.Second
+)
+
+// storeHealth is what a router knows of the store's availability. The zero value means a
+// store that has not been called. The store counts as unresponsive from the first failed
+// call until the next response; there is no threshold, since a call fails only after its
+// timeout.
+type storeHealth struct {
+	// lastResponse is when the store last responded to this router or to a lender that
+	// is connected to it, and unresponsiveSince when a call first failed since then.
+	lastResponse      time.Time
+	unresponsiveSince time.Time
+	// lastDirectResponse is when the store last responded to this router itself.
+	lastDirectResponse time.Time
+	// cutOffSince is when a call first failed since the store last responded to this
+	// router itself or to a holder that it borrows from.
+	cutOffSince time.Time
+	// outageEnded is when the last outage ended, here or at a neighbour.
+	outageEnded time.Time
+}
+
+// noteDirectResponse records that the store responded to this router.
+func (c *storeHealth) noteDirectResponse(now time.Time) {
+	c.lastDirectResponse = now
+	c.noteHolderResponse(now)
+}
+
+// noteHolderResponse records that the store responded to this router or to a holder that
+// it borrows from.
+func (c *storeHealth) noteHolderResponse(now time.Time) {
+	if c.cutOffTime(now) >= minOutage {
+		c.outageEnded = now
+	}
+	c.cutOffSince = time.Time{}
+	c.noteResponse(now)
+}
+
+// noteResponse records that the store responded to this router or to a lender.
+func (c *storeHealth) noteResponse(now time.Time) {
+	c.lastResponse = now
+	c.unresponsiveSince = time.Time{}
+}
+
+// noteFailure records that a call to the store failed.
+func (c *storeHealth) noteFailure(now time.Time) {
+	if c.unresponsiveSince.IsZero() {
+		c.unresponsiveSince = now
+	}
+	if c.cutOffSince.IsZero() {
+		c.cutOffSince = now
+	}
+}
+
+// noteNeighbourCutOff records for how long the store has not responded to a neighbour.
+// If the store responds to this router, an outage there counts as one here.
+func (c *storeHealth) noteNeighbourCutOff(cutOff time.Duration, now time.Time) {
+	if c.cutOffSince.IsZero() && cutOff >= minOutage {
+		c.outageEnded = now
+	}
+}
+
+// isUnresponsive reports whether a call has failed since the last response.
+func (c storeHealth) isUnresponsive() bool { return !c.unresponsiveSince.IsZero() }
+
+// unresponsiveFor returns for how long the store has responded neither to this router
+// nor to a lender that reported to it, zero if it responds. Compare cutOffTime.
+func (c storeHealth) unresponsiveFor(now time.Time) time.Duration {
+	if !c.isUnresponsive() {
+		return 0
+	}
+	return now.Sub(c.unresponsiveSince)
+}
+
+// cutOffTime returns for how long the store has responded neither to this router itself
+// nor to a holder that it borrows from; zero if it does.
+func (c storeHealth) cutOffTime(now time.Time) time.Duration {
+	if c.cutOffSince.IsZero() {
+		return 0
+	}
+	return now.Sub(c.cutOffSince)
+}
+
+// isConnected reports whether this router's view of the record is recent enough to be
+// reported to borrowers.
+func (c storeHealth) isConnected(now time.Time) bool {
+	return !c.isUnresponsive() && now.Sub(c.lastDirectResponse) <= connectedTime
+}
--- /dev/null
+++ b/escrow/storeretry.go
@@ -0,0 +1,37 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package escrow
+
+import "time"
+
+const (
+	// DefaultTimeout bounds a call to a store that responds.
+	DefaultTimeout = 1500 * time.Millisecond
+	// probeTimeout bounds the calls to an unresponsive store. It is short because a call
+	// sent before the store recovers waits for its whole timeout.
+	probeTimeout = 400 * time.Millisecond
+	// fullTimeoutEvery is the number of failed attempts in a row after which one gets
+	// the full timeout again, since the store may only be slow.
+	fullTimeoutEvery = 4
+	// initialBackoff is the first delay after a failed sync.
+	initialBackoff = 150 * time.Millisecond
+	// maxBackoff bounds the delay after failed syncs.
+	maxBackoff = 300 * time.Millisecond
+)
+
+// callTimeout returns how long the calls of a sync may take, at most full: the full time
+// while the store responds and for every fullTimeoutEvery-th attempt while it is
+// unresponsive, else probeTimeout. failures counts the syncs that failed in a row,
+// reached is false until the store has responded with a record. A starting router uses
+// probeTimeout first, to find out soon whether the store is unresponsive.
+func callTimeout(failures int, reached bool, full time.Duration) time.Duration {
+	firstCall := failures == 0 && !reached
+	if failures%fullTimeoutEvery == 0 && !firstCall {
+		return full
+	}
+	return min(probeTimeout, full)
+}
+
+// nextBackoff returns the delay after one more failed sync.
+func nextBackoff(pause time.Duration) time.Duration { return min(2*pause, maxBackoff) }
--- a/escrow/surplus_test.go
+++ b/escrow/surplus_test.go
@@ -12,45 +12,45 @@
 
 // stopping are the conditions of a router that stops.
 func stopping() conditions {
-	c := settled()
+	c := steadyState()
 	c.closing = true
 	return c
 }
 
 var _ = DescribeTable("What goes back to the store of a budget of 100,000 tokens",
-	func(c conditions, g storeReturn, expected granitehoist.Tokens) {
+	func(c conditions, g returnInputs, expected granitehoist.Tokens) {
 		g.limit = 100_000
 		Expect(g.tokens(c)).To(Equal(expected))
 	},
-	Entry("is nothing up to twice the target", settled(), storeReturn{unreserved: 2_000, target: 1_000, remaining: 50_000}, granitehoist.Tokens(0)),
-	Entry("is what is beyond the target above that", settled(), storeReturn{unreserved: 2_001, target: 1_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
-	Entry("is nothing up to 1.2 times the target after an outage", afterOutage(), storeReturn{unreserved: 6_000, target: 5_000, remaining: 50_000}, granitehoist.Tokens(0)),
-	Entry("is what is beyond the target above that, after an outage", afterOutage(), storeReturn{unreserved: 6_001, target: 5_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
-	Entry("is nothing below 0.5 % of the total", settled(), storeReturn{unreserved: 499, target: 0, remaining: 50_000}, granitehoist.Tokens(0)),
-	Entry("is as little as 0.5 % of the total", settled(), storeReturn{unreserved: 500, target: 0, remaining: 50_000}, granitehoist.Tokens(500)),
-	Entry("is less at the end", settled(), storeReturn{unreserved: 20, target: 0, remaining: 1_999}, granitehoist.Tokens(20)),
-	Entry("is nothing below 0.02 % there", settled(), storeReturn{unreserved: 19, target: 0, remaining: 1_999}, granitehoist.Tokens(0)),
-	Entry("is nothing while requests wait", settled(), storeReturn{unreserved: 9_000, target: 0, remaining: 50_000, waiting: true}, granitehoist.Tokens(0)),
-	Entry("is what a reduced limit does not cover, also while requests wait", settled(), storeReturn{unreserved: 9_000, target: 9_000, remaining: -700, waiting: true}, granitehoist.Tokens(700)),
-	Entry("is no more than there is", settled(), storeReturn{unreserved: 600, target: 600, remaining: -700}, granitehoist.Tokens(600)),
-	Entry("is everything at a stop", stopping(), storeReturn{unreserved: 600, target: 600, remaining: 50_000, waiting: true}, granitehoist.Tokens(600)),
-	Entry("is nothing of what is owed", stopping(), storeReturn{unreserved: -5, target: 600, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is nothing up to twice the target", steadyState(), returnInputs{unreserved: 2_000, target: 1_000, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is what is beyond the target above that", steadyState(), returnInputs{unreserved: 2_001, target: 1_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
+	Entry("is nothing up to 1.2 times the target after an outage", afterOutage(), returnInputs{unreserved: 6_000, target: 5_000, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is what is beyond the target above that, after an outage", afterOutage(), returnInputs{unreserved: 6_001, target: 5_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
+	Entry("is nothing below 0.5 % of the total", steadyState(), returnInputs{unreserved: 499, target: 0, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is as little as 0.5 % of the total", steadyState(), returnInputs{unreserved: 500, target: 0, remaining: 50_000}, granitehoist.Tokens(500)),
+	Entry("is less at the end", steadyState(), returnInputs{unreserved: 20, target: 0, remaining: 1_999}, granitehoist.Tokens(20)),
+	Entry("is nothing below 0.02 % there", steadyState(), returnInputs{unreserved: 19, target: 0, remaining: 1_999}, granitehoist.Tokens(0)),
+	Entry("is nothing while requests wait", steadyState(), returnInputs{unreserved: 9_000, target: 0, remaining: 50_000, waiting: true}, granitehoist.Tokens(0)),
+	Entry("is what a reduced limit does not cover, also while requests wait", steadyState(), returnInputs{unreserved: 9_000, target: 9_000, remaining: -700, waiting: true}, granitehoist.Tokens(700)),
+	Entry("is no more than there is", steadyState(), returnInputs{unreserved: 600, target: 600, remaining: -700}, granitehoist.Tokens(600)),
+	Entry("is everything at a stop", stopping(), returnInputs{unreserved: 600, target: 600, remaining: 50_000, waiting: true}, granitehoist.Tokens(600)),
+	Entry("is nothing of what is owed", stopping(), returnInputs{unreserved: -5, target: 600, remaining: 50_000}, granitehoist.Tokens(0)),
 )
 
 var _ = DescribeTable("A holding of a budget of 100,000 tokens is worth a sync",
-	func(g storeReturn, expected bool) {
+	func(g returnInputs, expected bool) {
 		g.limit = 100_000
-		Expect(g.needsSync(settled())).To(Equal(expected))
+		Expect(g.needsSync(steadyState())).To(Equal(expected))
 	},
-	Entry("if it is low", storeReturn{unreserved: 749, target: 1_000, remaining: 50_000}, true),
-	Entry("not if the store has nothing for it", storeReturn{unreserved: 749, target: 1_000, remaining: 0}, false),
-	Entry("not if it is near its target", storeReturn{unreserved: 750, target: 1_000, remaining: 50_000}, false),
-	Entry("if much may be missed elsewhere", storeReturn{unreserved: 2_001, target: 1_000, remaining: 50_000}, true),
+	Entry("if it is low", returnInputs{unreserved: 749, target: 1_000, remaining: 50_000}, true),
+	Entry("not if the store has nothing for it", returnInputs{unreserved: 749, target: 1_000, remaining: 0}, false),
+	Entry("not if it is near its target", returnInputs{unreserved: 750, target: 1_000, remaining: 50_000}, false),
+	Entry("if much may be missed elsewhere", returnInputs{unreserved: 2_001, target: 1_000, remaining: 50_000}, true),
 )
 
 var _ = DescribeTable("A row of a budget of 100,000 tokens is written",
 	func(stored, next Row, remaining granitehoist.Tokens, expected bool) {
-		Expect(isRowStale(stored, next, remaining, 100_000)).To(Equal(expected))
+		Expect(rowNeedsWrite(stored, next, remaining, 100_000)).To(Equal(expected))
 	},
 	Entry("if tokens were granted", Row{}, Row{Granted: 1}, granitehoist.Tokens(50_000), true),
 	Entry("if tokens were returned", Row{}, Row{Returned: 1}, granitehoist.Tokens(50_000), true),
--- a/escrow/sync.go
+++ b/escrow/sync.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// conflictTries bounds the writes that one sync tries while each conflicts with that
-	// of another router.
+	// conflictTries bounds the attempts of one sync while its writes conflict with those
+	// of other routers.
 	conflictTries = 8
-	// conflictPause is by how much the pause grows with each try.
+	// conflictPause is the increase of the delay with each attempt.
 	conflictPause = time.Millisecond
 )
 
 // Sync writes the ledger's grants and returns into the records of all workspaces for
-// which this router uses them. It begins with a record as it was last seen: if that
-// is no longer the newest, the store refuses the write and answers with the newest.
-// After an error the ledger owns no more than the store has confirmed; if the outcome
-// of a write is unknown, the next sync reads whether it took effect. Errors are those
-// of the store, ErrConflict after conflictTries, or that a record can't be decoded or
-// is too large. Concurrent calls run one after the other for each record.
+// which this router uses them. It starts from the last known version of a record; if
+// that is outdated, the store refuses the write and returns the newest one. After an
+// error the ledger owns no more than the store has confirmed; if the outcome of a write
+// is unknown, the next sync reads whether it took effect. It returns errors of the
+// store, ErrConflict after conflictTries, or an error if a record can't be decoded or is
+// too large. Concurrent calls are serialized for each record.
 func (s *Syncer) Sync(ctx context.Context) error {
 	return s.syncShards(ctx, s.settings.Ledger.usedShards(s.settings.Clock()))
 }
 
-// syncShards syncs the records that have the given shards, all at once. While the
-// store is silent one of them shows whether it answers before the others are tried.
+// syncShards syncs the records that have the given shards. While the store is
+// unresponsive, one of them probes it before the others are synced.
 func (s *Syncer) syncShards(ctx context.Context, shards []Shard) error {
 	err := s.trySyncShards(ctx, shards)
 	if errors.Is(err, errDivided) {
@@ -48,15 +48,16 @@
 	return err
 }
 
-// trySyncShards is syncShards, but fails with errDivided if it finds that out.
+// trySyncShards implements syncShards, and fails with errDivided if the record turns out
+// to have been divided.
 func (s *Syncer) trySyncShards(ctx context.Context, shards []Shard) error {
 	if s.settings.Divides() && !s.copies.isDivided() {
 		if err := s.divide(ctx); err != nil {
 			return err
 		}
 	}
-	records := s.copies.of(shards)
-	if len(records) > 1 && s.settings.Ledger.isStoreSilent() {
+	records := s.copies.forShards(shards)
+	if len(records) > 1 && s.settings.Ledger.isStoreUnresponsive() {
 		if err := s.syncRecord(ctx, records[0]); err != nil {
 			return err
 		}
@@ -65,33 +66,32 @@
 	return s.syncRecords(ctx, records)
 }
 
-// syncRecords syncs records with one write for up to granitehoist.MaxChanges of them: a
-// holder of several shards makes a call for all, where it made one for each. If one of
-// the records has another version than expected the write has no effect, and each of
+// syncRecords syncs records with one write per granitehoist.MaxChanges of them. If one
+// of the records has another version than expected, the write has no effect, and each of
 // them is synced by itself.
 func (s *Syncer) syncRecords(ctx context.Context, records []*recordCopy) error {
 	var errs []error
-	for together := range slices.Chunk(records, granitehoist.MaxChanges) {
-		err := s.syncTogether(ctx, together)
+	for batch := range slices.Chunk(records, granitehoist.MaxChanges) {
+		err := s.syncTogether(ctx, batch)
 		if errors.Is(err, granitehoist.ErrConflict) {
-			err = s.syncEach(ctx, together)
+			err = s.syncEach(ctx, batch)
 		}
 		errs = append(errs, err)
 	}
 	return errors.Join(errs...)
 }
 
-// syncTogether makes one attempt to sync records. They are locked in their order, which
-// is that of their shards everywhere.
+// syncTogether makes one attempt to sync records with one write. Records are always
+// locked in the order of their shards.
 func (s *Syncer) syncTogether(ctx context.Context, records []*recordCopy) error {
 	for _, record := range records {
 		record.mu.Lock()
 		defer record.mu.Unlock()
 	}
-	return s.try(ctx, records)
+	return s.attemptSync(ctx, records)
 }
 
-// syncEach syncs records at the same time, each by itself.
+// syncEach syncs records concurrently, each by itself.
 func (s *Syncer) syncEach(ctx context.Context, records []*recordCopy) error {
 	errs := make([]error, len(records))
 	var syncing sync.WaitGroup
@@ -102,14 +102,14 @@
 	return errors.Join(errs...)
 }
 
-// syncRecord syncs one record.
+// syncRecord syncs one record, and retries after conflicts.
 func (s *Syncer) syncRecord(ctx context.Context, record *recordCopy) error {
 	record.mu.Lock()
 	defer record.mu.Unlock()
 	err := granitehoist.ErrConflict
 	for try := 0; try < conflictTries && errors.Is(err, granitehoist.ErrConflict); try++ {
 		pause.For(ctx, time.Duration(try)*conflictPause)
-		err = s.try(ctx, []*recordCopy{record})
+		err = s.attemptSync(ctx, []*recordCopy{record})
 	}
 	return err
 }
@@ -123,7 +123,7 @@
 	s.failures.Add(1)
 }
 
-// callTimeout returns how long the calls of a sync may take now.
+// callTimeout returns the present timeout of the calls of a sync.
 func (s *Syncer) callTimeout() time.Duration {
 	return callTimeout(int(s.failures.Load()), s.reached.Load(), s.settings.Timeout)
 }
@@ -135,10 +135,10 @@
 	planned plan
 }
 
-// try makes one attempt of a sync of records that the caller has locked: it drafts each,
-// and writes those that change all at once. A record that can't be drafted does not keep
-// the others from being synced.
-func (s *Syncer) try(ctx context.Context, records []*recordCopy) error {
+// attemptSync makes one attempt to sync records that the caller has locked: it drafts
+// each, and writes those that change in one write. A record that can't be drafted does
+// not keep the others from being synced.
+func (s *Syncer) attemptSync(ctx context.Context, records []*recordCopy) error {
 	ctx, cancel := context.WithTimeout(ctx, s.callTimeout())
 	defer cancel()
 	drafts := make([]draft, len(records))
@@ -168,25 +168,24 @@
 	return errors.Join(errs...)
 }
 
-// draft drafts a record from the one last seen, or the newest if none was seen or it
-// leaves nothing to write. joins says that it is to be written together with others.
-func (s *Syncer) draft(ctx context.Context, c *recordCopy, joins bool) (draft, error) {
+// draft drafts a record from its last known version, or from the newest if none is known
+// or it leaves nothing to write. batched means that it is written together with others.
+func (s *Syncer) draft(ctx context.Context, c *recordCopy, batched bool) (draft, error) {
 	fresh := !c.lastEntryValid
 	if fresh {
 		if err := s.read(ctx, c); err != nil {
 			return draft{}, err
 		}
 	}
-	record, planned, err := s.plan(c, joins)
+	record, planned, err := s.plan(c, batched)
 	if err != nil || planned.isWrite() || fresh {
 		return draft{c, record, planned}, err
 	}
-	// By the record last seen there is nothing to grant or return; the newest may
-	// differ.
+	// The last known version leaves nothing to grant or return; the newest may differ.
 	if err := s.read(ctx, c); err != nil {
 		return draft{}, err
 	}
-	record, planned, err = s.plan(c, joins)
+	record, planned, err = s.plan(c, batched)
 	return draft{c, record, planned}, err
 }
 
@@ -197,28 +196,28 @@
 		s.settings.Ledger.noteStoreFailure(s.settings.Clock())
 		return err
 	}
-	s.settings.Ledger.noteStoreAnswer(s.settings.Clock())
+	s.settings.Ledger.noteStoreResponse(s.settings.Clock())
 	s.reached.Store(true)
 	c.lastEntry, c.lastEntryValid = entry, true
 	return nil
 }
 
-// plan writes the ledger's grants and returns into a copy of the record last seen.
-func (s *Syncer) plan(c *recordCopy, joins bool) (*Record, plan, error) {
+// plan adds the ledger's grants and returns to a copy of the last known record.
+func (s *Syncer) plan(c *recordCopy, batched bool) (*Record, plan, error) {
 	record, err := c.decode()
 	if err != nil {
 		c.lastEntryValid = false
 		return nil, nil, err
 	}
 	if record.isDivided() {
-		s.copies.divided(record)
+		s.copies.markDivided(record)
 		return nil, nil, errDivided
 	}
 	record.Enter(s.settings.Box, s.settings.Ledger.settings.Incarnation)
-	return record, s.settings.Ledger.prepare(record, c.scope, joins, s.settings.Routers(), s.settings.Clock()), nil
+	return record, s.settings.Ledger.prepare(record, c.scope, batched, s.settings.Routers(), s.settings.Clock()), nil
 }
 
-// write writes records in place of those last seen, all or none.
+// write replaces the last known records in the store, all or none.
 func (s *Syncer) write(ctx context.Context, drafts []draft) error {
 	if len(drafts) == 0 {
 		return nil
@@ -232,14 +231,15 @@
 		s.noteWriteFailure(drafts, err)
 		return err
 	}
-	s.settings.Ledger.noteStoreAnswer(s.settings.Clock())
+	s.settings.Ledger.noteStoreResponse(s.settings.Clock())
 	for i, d := range drafts {
 		d.copy.lastEntry = granitehoist.Entry{Key: d.copy.key, Value: changes[i].Value, Version: version}
 	}
 	return nil
 }
 
-// changesOf returns the write of drafts. The error says that one of them is too large.
+// changesOf returns the changes that write drafts. It returns an error if one of them is
+// too large.
 func changesOf(drafts []draft) ([]granitehoist.Change, error) {
 	changes := make([]granitehoist.Change, 0, len(drafts))
 	for _, d := range drafts {
@@ -252,14 +252,14 @@
 	return changes, nil
 }
 
-// noteWriteFailure notes what a failed write says of the records: after a conflict their
-// states as the store has them, else that they have to be read again.
+// noteWriteFailure updates the record copies after a failed write: after a conflict to
+// the entries that the store returned, else so that they are read again.
 func (s *Syncer) noteWriteFailure(drafts []draft, err error) {
 	var conflict *granitehoist.Conflict
 	isConflict := errors.As(err, &conflict)
 	switch {
 	case isConflict:
-		s.settings.Ledger.noteStoreAnswer(s.settings.Clock())
+		s.settings.Ledger.noteStoreResponse(s.settings.Clock())
 	case !errors.Is(err, granitehoist.ErrConflict):
 		s.settings.Ledger.noteStoreFailure(s.settings.Clock())
 	}
