--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -15,22 +15,23 @@
 	"granitehoist.example/granitehoist/internal/defaults"
 )
 
-// Syncer keeps a Ledger and the record in the store in step. Run drives it.
+// Syncer synchronizes a Ledger with the records in the store, and borrows from
+// neighbours. Run drives it.
 type Syncer struct {
 	settings SyncerSettings
-	kicks    chan struct{}
+	triggers chan struct{}
 
-	// copies holds the records as they were last seen.
-	copies copies
-	// failures counts the failed syncs in a row. A conflict is no failure: the
-	// store has answered. reached says that the store has ever answered.
+	// copies holds the last known records.
+	copies recordCopies
+	// failures counts the failed syncs in a row. A conflict is no failure, since the
+	// store has responded. reached is set once the store has returned a record.
 	failures atomic.Int64
 	reached  atomic.Bool
 
-	// avoiding guards avoided, which holds by address until when a neighbour that
-	// did not answer is not asked.
-	avoiding sync.Mutex
-	avoided  map[string]time.Time
+	// excludeMu guards excludedUntil, which holds by address until when a neighbour that
+	// did not respond is not called.
+	excludeMu     sync.Mutex
+	excludedUntil map[string]time.Time
 }
 
 // SyncerSettings configure a Syncer.
@@ -38,13 +39,13 @@
 	Box    granitehoist.Box
 	Ledger *Ledger
 	Store  granitehoist.Store
-	// Routers returns the number of routers that share the budgets.
+	// Routers returns the number of routers that share the budgets; nil means one.
 	Routers func() int
-	// Divides reports whether the fleet is so large that its record is divided into
-	// shards, which is not undone; nil means that it is not.
+	// Divides reports whether the fleet is large enough to divide the record into
+	// shards, which can't be undone; nil means that it is not.
 	Divides func() bool
-	// Lenders returns the neighbours that may lend the tokens of a shard, the
-	// likeliest first, and Caller reaches them; nil borrows from nobody.
+	// Lenders returns the neighbours that may lend the tokens of a shard, the likeliest
+	// first, and Caller calls them. Nothing is borrowed if either is nil.
 	Lenders func(Shard) []Lender
 	Caller  granitehoist.Caller
 	// Interval is how often Run checks the holdings; zero means DefaultInterval.
@@ -54,7 +55,7 @@
 	// LendWait is how long this router waits for the store on behalf of a neighbour;
 	// zero means DefaultLendWait.
 	LendWait time.Duration
-	// HedgeAfter is how long a lender may take before the next one is asked as well;
+	// HedgeAfter is how long a lender may take before the next one is called as well;
 	// zero means DefaultHedgeAfter.
 	HedgeAfter time.Duration
 	Clock      granitehoist.Clock
@@ -64,17 +65,14 @@
 	Synced func(error)
 }
 
-// DefaultInterval is how often Run checks the holdings. Measured together with
-// connections that are kept longer (332eb91, docs/PERFORMANCE.md): fewer calls than
-// with 0.4 s and about the same earned, Tuul 0.946 before, 0.938 and 0.969 after;
-// Lima 0.969 before, 0.979 after with 9.5 s of cover.
+// DefaultInterval is how often Run checks the holdings.
 const DefaultInterval = 700 * time.Millisecond
 
-// NewSyncer returns a syncer. It panics if the settings lack the box, the
-// ledger or the store.
+// NewSyncer returns a syncer. It panics if the settings lack the box, the ledger or the
+// store.
 func NewSyncer(s SyncerSettings) *Syncer {
 	if s.Box == "" || s.Ledger == nil || s.Store == nil {
-		panic("escrow: a setting is missing")
+		panic("escrow: syncer settings lack the box, the ledger or the store")
 	}
 	defaults.Set(&s.Interval, DefaultInterval)
 	defaults.Set(&s.Timeout, DefaultTimeout)
@@ -96,39 +94,39 @@
 		s.Synced = func(error) {}
 	}
 	return &Syncer{
-		settings: s, kicks: make(chan struct{}, 1), avoided: map[string]time.Time{},
-		copies: copies{whole: recordCopy{key: RecordKey}},
+		settings: s, triggers: make(chan struct{}, 1), excludedUntil: map[string]time.Time{},
+		copies: recordCopies{undivided: recordCopy{key: RecordKey}},
 	}
 }
 
-// Reserve sets bound tokens of a workspace aside. If the router owns too few it
-// waits for a sync or a loan, until ctx ends.
+// Reserve reserves bound tokens of a workspace. If the router owns too few, it waits for
+// a sync or a loan until ctx ends.
 func (s *Syncer) Reserve(ctx context.Context, w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority) Answer {
-	outcome := s.reserve(ctx, w, claim{bound: bound, priority: priority, counts: true})
+	outcome := s.reserve(ctx, w, claim{bound: bound, priority: priority, countsAsDemand: true})
 	s.refill(w)
 	return s.settings.Ledger.answer(w, outcome, s.settings.Clock())
 }
 
-// reserve is Reserve for a claim of any kind.
+// reserve implements Reserve for any claim.
 func (s *Syncer) reserve(ctx context.Context, w granitehoist.Workspace, c claim) Outcome {
 	if s.settings.Ledger.reserve(w, c, s.settings.Clock()) {
 		return Granted
 	}
-	entered := s.settings.Ledger.addWaiter(w, c, s.settings.Clock())
-	if s.settings.Ledger.Role(w, s.settings.Clock()) == Asks && !c.loan {
-		return s.ask(ctx, w, c, entered)
+	queued := s.settings.Ledger.addWaiter(w, c, s.settings.Clock())
+	if s.settings.Ledger.Role(w, s.settings.Clock()) == Asks && !c.isLoan {
+		return s.borrowForRequest(ctx, w, c, queued)
 	}
 	s.Kick()
-	return s.wait(ctx, w, entered)
+	return s.wait(ctx, w, queued)
 }
 
-// wait returns the outcome of a request that waits, at the end of ctx at the latest.
-func (s *Syncer) wait(ctx context.Context, w granitehoist.Workspace, entered *waiter) Outcome {
+// wait returns the outcome of a waiting request, at the end of ctx at the latest.
+func (s *Syncer) wait(ctx context.Context, w granitehoist.Workspace, queued *waiter) Outcome {
 	select {
-	case outcome := <-entered.outcome:
+	case outcome := <-queued.outcome:
 		return outcome
 	case <-ctx.Done():
-		return s.settings.Ledger.abandon(w, entered, s.settings.Clock())
+		return s.settings.Ledger.abandon(w, queued, s.settings.Clock())
 	}
 }
 
@@ -137,23 +135,23 @@
 	s.settings.Ledger.Settle(w, bound, used, s.settings.Clock())
 }
 
-// Kick asks for a sync at once.
+// Kick triggers a round of Run. It does not block.
 func (s *Syncer) Kick() {
 	select {
-	case s.kicks <- struct{}{}:
+	case s.triggers <- struct{}{}:
 	default:
 	}
 }
 
-// handOverTimeout bounds what a closing router does after the store failed it.
-const handOverTimeout = 300 * time.Millisecond
+// transferTimeout bounds the transfer of tokens to neighbours when Close fails to return
+// them to the store.
+const transferTimeout = 300 * time.Millisecond
 
-// Close returns what is free: to holders where this router asks them, else to the
-// store, or to neighbours if the store does not take it; at once while the store is
-// silent, as there is little time. After a write of unknown outcome the tokens are
-// already deducted, and nothing is left to hand over. Only tokens that come free
-// afterwards can still be reserved. The error is that of the store; tokens that
-// were handed over are not lost though there is one.
+// Close returns the free tokens: first to holders where this router is a borrower, then
+// to the store, and to neighbours if the store is unresponsive or the sync fails. After
+// a write of unknown outcome the tokens are already deducted and are not transferred.
+// Only tokens that become free afterwards can still be reserved. It returns the error of
+// the store, also if the tokens were transferred to neighbours.
 func (s *Syncer) Close(ctx context.Context) error {
 	s.settings.Ledger.Close()
 	s.repaySurplus(ctx)
@@ -161,13 +159,13 @@
 		return nil
 	}
 	err := error(granitehoist.ErrUnavailable)
-	if !s.settings.Ledger.isStoreSilent() {
+	if !s.settings.Ledger.isStoreUnresponsive() {
 		err = s.Sync(ctx)
 	}
 	if err != nil && s.settings.Caller != nil {
-		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), handOverTimeout)
+		ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), transferTimeout)
 		defer cancel()
-		s.handOver(ctx)
+		s.transferAll(ctx)
 	}
 	return err
 }
--- a/escrow/unknown.go
+++ b/escrow/unknownfields.go
@@ -10,19 +10,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// Routers of two versions write the same record during an upgrade, and each writes all of
-// it. What a later version has put there and this one does not know is therefore kept and
-// written back, unless the object that it belongs to has gone. A record without such fields,
-// which is nearly every one, is decoded once, as before.
+// During an upgrade, routers of two versions write the same record, and each writes all
+// of it. Fields that a later version added are therefore kept and written back, unless
+// the object that has them is deleted. A record without such fields is decoded only
+// once.
 
-// unknownFields holds the fields of a stored object that this version does not know: values
-// of its own, and for the objects that it does know their unknownFields.
+// unknownFields holds the fields of a stored object that this version does not know:
+// their values, and for nested objects that it knows their unknownFields.
 type unknownFields map[string]any
 
-// decodeKeeping decodes an object, and returns the fields that the target does not have.
-// The target may hold defaults.
-func decodeKeeping[T any](raw []byte, target *T) (unknownFields, error) {
-	if decodeStrictly(raw, target) == nil {
+// decodeWithUnknown decodes an object, and returns the fields that the target does not
+// have. The target may hold defaults.
+func decodeWithUnknown[T any](raw []byte, target *T) (unknownFields, error) {
+	if decodeStrict(raw, target) == nil {
 		return nil, nil
 	}
 	if err := json.Unmarshal(raw, target); err != nil {
@@ -40,12 +40,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return missingIn(recognised, stored), nil
+	return collectUnknown(recognised, stored), nil
 }
 
-// decodeStrictly decodes an object, and fails if it has a field that the target lacks or
-// is followed by anything.
-func decodeStrictly(raw []byte, target any) error {
+// decodeStrict decodes an object, and fails if it has a field that the target lacks or
+// is followed by more data.
+func decodeStrict(raw []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(target); err != nil {
@@ -57,10 +57,10 @@
 	return nil
 }
 
-// errTrailing says that something follows the object.
-var errTrailing = eris.New("escrow: something follows the object")
+// errTrailing means that the object is followed by more data.
+var errTrailing = eris.New("escrow: trailing data after the JSON object")
 
-// decodeObject decodes an object as it is, with numbers as they are written.
+// decodeObject decodes an object into a map, and keeps numbers as they are written.
 func decodeObject(raw []byte) (map[string]any, error) {
 	decoder := json.NewDecoder(bytes.NewReader(raw))
 	decoder.UseNumber()
@@ -69,34 +69,34 @@
 	return object, err
 }
 
-// missingIn returns what is stored and not recognised.
-func missingIn(recognised, stored map[string]any) unknownFields {
+// collectUnknown returns the fields of stored that recognised does not have.
+func collectUnknown(recognised, stored map[string]any) unknownFields {
 	var missing unknownFields
 	for name, value := range stored {
 		known, found := recognised[name]
-		lacks := value
+		unknown := value
 		if found {
 			knownObject, isObject := known.(map[string]any)
 			storedObject, wasObject := value.(map[string]any)
 			if !isObject || !wasObject {
 				continue
 			}
-			inside := missingIn(knownObject, storedObject)
-			if len(inside) == 0 {
+			nested := collectUnknown(knownObject, storedObject)
+			if len(nested) == 0 {
 				continue
 			}
-			lacks = inside
+			unknown = nested
 		}
 		if missing == nil {
 			missing = unknownFields{}
 		}
-		missing[name] = lacks
+		missing[name] = unknown
 	}
 	return missing
 }
 
-// encodeKeeping encodes an object together with fields that it does not have.
-func encodeKeeping(object any, unknown unknownFields) ([]byte, error) {
+// encodeWithUnknown encodes an object together with its unknown fields.
+func encodeWithUnknown(object any, unknown unknownFields) ([]byte, error) {
 	raw, err := json.Marshal(object)
 	if err != nil || len(unknown) == 0 {
 		return raw, err
@@ -109,16 +109,17 @@
 	return json.Marshal(merged)
 }
 
-// addTo adds the fields to an object, those of objects that it lacks left out.
+// addTo adds the fields to an object. Fields of nested objects that it lacks are
+// dropped.
 func (u unknownFields) addTo(object map[string]any) {
 	for name, value := range u {
-		inside, nested := value.(unknownFields)
+		fields, nested := value.(unknownFields)
 		present, found := object[name]
 		if !nested && !found {
 			object[name] = value
 		}
 		if known, isObject := present.(map[string]any); nested && isObject {
-			inside.addTo(known)
+			fields.addTo(known)
 		}
 	}
 }
--- a/escrow/unknown_test.go
+++ b/escrow/unknownfields_test.go
@@ -64,7 +64,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		raw, err := record.part(ShardOf("kiosk")).Encode()
+		raw, err := record.forShard(ShardOf("kiosk")).Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/escrow/wait.go
+++ b/escrow/wait.go
@@ -9,50 +9,47 @@
 	"granitehoist.example/granitehoist"
 )
 
-// unreachableAfter is how old the last answer of the store, or of a lender in touch with
-// it, may be when a wait times out: if it is older, the wait ends as Unreachable instead
-// of Scarce.
+// unreachableAfter is the age of the last response of the store, or of a lender
+// connected to it, above which a wait that times out ends as Unreachable instead of
+// Scarce.
 const unreachableAfter = 100 * time.Millisecond
 
-// waitVerdict is whether the wait of a request ends without tokens, and with which
-// outcome. The zero value lets it wait on.
-type waitVerdict struct {
+// waitDecision is whether the wait of a request ends without tokens, and with which
+// outcome. The zero value lets it go on.
+type waitDecision struct {
 	ends    bool
 	outcome Outcome
 }
 
-// judgeWait decides whether a request that lacks tokens may wait for them. It ends
-// at once if more tokens are needed than any source says are left, or if the end
-// of the budget withholds it: nothing that a sync or a loan can bring would help.
-// A router that reads the record counts what the store has and what it owns
-// itself, since the record has no way to move what others hold; one that gets
-// reports from lenders counts what is idle at others too, since they lend it.
-// Without a source the request waits.
-func judgeWait(bound granitehoist.Tokens, end endVerdict, fleet fleetView, unreserved granitehoist.Tokens) waitVerdict {
-	left := fleet.leftAnywhere(unreserved)
+// decideWait decides whether a request that lacks tokens may wait for them. The wait
+// ends at once if it needs more tokens than the newer source reports, or if the end of
+// the budget withholds it, since neither a sync nor a loan would help. A router that
+// reads the record counts the tokens of the store and its own, since it can't get those
+// of others through the record; with a newer report of a lender it also counts the idle
+// tokens of others, which they lend. Without a source the request waits.
+func decideWait(bound granitehoist.Tokens, end endDecision, fleet fleetView, unreserved granitehoist.Tokens) waitDecision {
+	remaining := fleet.totalRemaining(unreserved)
 	var unaffordable bool
 	switch {
 	case fleet.lenderIsNewer():
-		unaffordable = bound > left.tokens
+		unaffordable = bound > remaining.tokens
 	case fleet.record.valid:
 		unaffordable = bound > fleet.record.remaining+max(0, unreserved)
 	}
 	switch {
 	case !unaffordable && !end.withholds():
-		return waitVerdict{}
-	case left.reported && bound > left.tokens:
-		return waitVerdict{ends: true, outcome: Exhausted}
+		return waitDecision{}
+	case remaining.known && bound > remaining.tokens:
+		return waitDecision{ends: true, outcome: Exhausted}
 	case end.withholds():
-		return waitVerdict{ends: true, outcome: Withheld}
+		return waitDecision{ends: true, outcome: Withheld}
 	}
-	return waitVerdict{ends: true, outcome: Scarce}
+	return waitDecision{ends: true, outcome: Scarce}
 }
 
-// judgeTimeout decides the outcome of a wait that nothing ended in time. lastAnswer
-// is when the store, or a lender in touch with it, last answered: if that was
-// within unreachableAfter the tokens are scarce, otherwise they could not be asked
-// for.
-func judgeTimeout(lastAnswer, now time.Time) Outcome {
+// timeoutOutcome returns the outcome of a wait that timed out: Scarce if the store, or a
+// lender connected to it, responded within unreachableAfter, otherwise Unreachable.
+func timeoutOutcome(lastAnswer, now time.Time) Outcome {
 	if now.Sub(lastAnswer) > unreachableAfter {
 		return Unreachable
 	}
--- a/escrow/waiters.go
+++ b/escrow/waiters.go
@@ -12,15 +12,15 @@
 // waiter is a request that waits for tokens.
 type waiter struct {
 	claim
-	// outcome receives the one outcome of the wait. It is buffered, so that the
-	// sender, who holds Ledger.mu, never blocks.
+	// outcome receives the outcome of the wait. It is buffered, so that the sender,
+	// which holds Ledger.mu, never blocks.
 	outcome chan Outcome
 }
 
-// addWaiter queues a claim that was not granted. It grants the claim if admit
-// allows it now, and refuses it if a source younger than remainingFresh says that
-// waiting can't help. The first does not ask judgeEnd: a request that the end of
-// the budget withholds is granted here if this router has the tokens free.
+// addWaiter queues a claim that was not granted. It grants the claim if admit allows it
+// now, and refuses it if a source younger than maxReportAge shows that waiting can't
+// help. The grant does not call checkBudgetEnd: a request that the end of the budget
+// withholds is granted here if this router has the tokens free.
 func (l *Ledger) addWaiter(w granitehoist.Workspace, c claim, now time.Time) *waiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -31,8 +31,8 @@
 		return added
 	}
 	if a.fleet.isFresh(now) {
-		if verdict := a.judgeWait(c, now); verdict.ends {
-			added.outcome <- verdict.outcome
+		if decision := a.checkWait(c, now); decision.ends {
+			added.outcome <- decision.outcome
 			return added
 		}
 	}
@@ -40,8 +40,8 @@
 	return added
 }
 
-// abandon removes a waiter whose time is over, and returns the outcome that arrived
-// in the meantime or else that of judgeTimeout.
+// abandon removes a waiter that timed out, and returns the outcome that arrived in the
+// meantime or else that of timeoutOutcome.
 func (l *Ledger) abandon(w granitehoist.Workspace, abandoned *waiter, now time.Time) Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,33 +57,33 @@
 			break
 		}
 	}
-	return judgeTimeout(l.contact.lastAnswer, now)
+	return timeoutOutcome(l.health.lastResponse, now)
 }
 
-// wake grants the waiters that the rules admit now, the earliest first.
-func (l *Ledger) wake(a *account, now time.Time) {
-	a.endWaits(func(c claim) waitVerdict {
-		if a.judgeEnd(c, now).withholds() || !l.reserveIfAdmitted(a, c, now) {
-			return waitVerdict{}
+// admitWaiters grants the waiters that are admitted now, in order of arrival.
+func (l *Ledger) admitWaiters(a *account, now time.Time) {
+	a.resolveWaiters(func(c claim) waitDecision {
+		if a.checkBudgetEnd(c, now).withholds() || !l.reserveIfAdmitted(a, c, now) {
+			return waitDecision{}
 		}
-		return waitVerdict{ends: true, outcome: Granted}
+		return waitDecision{ends: true, outcome: Granted}
 	})
 }
 
-// refuseAndWake ends the waits that judgeWait refuses, and calls wake for the
-// others.
-func (l *Ledger) refuseAndWake(a *account, now time.Time) {
-	a.endWaits(func(c claim) waitVerdict { return a.judgeWait(c, now) })
-	l.wake(a, now)
+// refuseAndAdmitWaiters ends the waits that checkWait refuses, and calls admitWaiters
+// for the others.
+func (l *Ledger) refuseAndAdmitWaiters(a *account, now time.Time) {
+	a.resolveWaiters(func(c claim) waitDecision { return a.checkWait(c, now) })
+	l.admitWaiters(a, now)
 }
 
-// endWaits asks judge about each waiter, the earliest first, and removes those whose
-// wait ends.
-func (a *account) endWaits(judge func(claim) waitVerdict) {
+// resolveWaiters calls decide for each waiter in order of arrival, and removes those
+// whose wait ends.
+func (a *account) resolveWaiters(decide func(claim) waitDecision) {
 	waiting := a.waiters[:0]
 	for _, w := range a.waiters {
-		if verdict := judge(w.claim); verdict.ends {
-			w.outcome <- verdict.outcome
+		if decision := decide(w.claim); decision.ends {
+			w.outcome <- decision.outcome
 			continue
 		}
 		waiting = append(waiting, w)
--- a/escrow/withheld_test.go
+++ b/escrow/withheld_test.go
@@ -25,7 +25,7 @@
 	record := &escrow.Record{
 		Format: 1,
 		Boxes:  map[granitehoist.Box]granitehoist.Incarnation{"b": "b1"},
-		Accounts: map[granitehoist.Workspace]*escrow.StoredAccount{kiosk: {Rows: map[granitehoist.Incarnation]escrow.Row{
+		Accounts: map[granitehoist.Workspace]*escrow.StoredAccount{testWorkspace: {Rows: map[granitehoist.Incarnation]escrow.Row{
 			"b1": {Granted: limit - 2000, Spent: limit - 2000},
 		}}},
 	}
@@ -37,28 +37,28 @@
 		t.Fatal(err)
 	}
 	b := newBox("a", "a1", store, 2, clock)
-	b.ledger.SetLimit(kiosk, limit)
+	b.ledger.SetLimit(testWorkspace, limit)
 	if err := b.sync(); err != nil {
 		t.Fatal(err)
 	}
 	// A loan leaves more here than this router holds of its own accord.
-	b.ledger.Borrowed(kiosk, "b1", escrow.LendResult{Total: 1000}, now)
+	b.ledger.Borrowed(testWorkspace, "b1", escrow.LendResult{Total: 1000}, now)
 	for range 10 {
-		if !b.ledger.Reserve(kiosk, 10, normal, now) {
+		if !b.ledger.Reserve(testWorkspace, 10, maxPriority, now) {
 			t.Fatal("a small request is refused")
 		}
-		b.ledger.Settle(kiosk, 10, 0, now)
+		b.ledger.Settle(testWorkspace, 10, 0, now)
 	}
 	const large = granitehoist.Tokens(900)
-	if free := b.ledger.State(kiosk).Free; free < large {
+	if free := b.ledger.State(testWorkspace).Free; free < large {
 		t.Fatalf("%d tokens are free here, too few for the request", free)
 	}
-	if b.ledger.Reserve(kiosk, large, normal, now) {
+	if b.ledger.Reserve(testWorkspace, large, maxPriority, now) {
 		t.Fatal("the request is not withheld at the end of the budget")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	if answer := b.syncer.Reserve(ctx, kiosk, large, normal); answer.Outcome == escrow.Granted {
+	if answer := b.syncer.Reserve(ctx, testWorkspace, large, maxPriority); answer.Outcome == escrow.Granted {
 		t.Errorf("the request is %s after a wait", answer.Outcome)
 	}
 }
