--- a/escrow/account.go
+++ b/escrow/account.go
@@ -72,16 +72,16 @@
 
 // target returns what the router should hold while the store has remaining tokens.
 func (a *account) target(remaining granitehoist.Tokens, c conditions) granitehoist.Tokens {
-	h := targetInputs{
+	t := targetInputs{
 		remaining: remaining, unreserved: a.owned.unreserved(),
 		limit: a.owned.limit, largest: a.demand.largest,
 		ownRate: a.demand.rate.value(c.now), othersRate: a.demand.othersRate,
 	}
 	if c.role.isHolder() {
 		// The rate of a holder already includes the rates of its borrowers.
-		h.othersRate = 0
+		t.othersRate = 0
 	}
-	return h.target(c)
+	return t.target(c)
 }
 
 // returnInputs returns the inputs of a return of tokens while the store has remaining
@@ -100,12 +100,12 @@
 		return 0
 	}
 	unreserved := a.owned.unreserved()
-	r := grantInputs{
+	g := grantInputs{
 		remaining: remaining, unreserved: unreserved, threshold: threshold,
 		shortfall: shortfallOf(a.allowedBounds(c.now), remaining, unreserved),
 		target:    a.target(remaining, c),
 	}
-	return r.grant()
+	return g.grant()
 }
 
 // allowedBounds returns the bounds of the waiting requests that the rules for the end of
@@ -122,15 +122,15 @@
 
 // loanRequestInputs returns the inputs of a loan request for the waiting requests.
 func (a *account) loanRequestInputs(c conditions) loanRequestInputs {
-	s := loanRequestInputs{
+	r := loanRequestInputs{
 		unreserved: a.owned.unreserved(),
 		rate:       a.demand.rate.value(c.now),
 	}
 	for i, w := range a.waiters {
-		s.waiting += w.bound
-		if i == 0 || w.bound < s.smallest {
-			s.smallest = w.bound
+		r.waiting += w.bound
+		if i == 0 || w.bound < r.smallest {
+			r.smallest = w.bound
 		}
 	}
-	return s
+	return r
 }
--- a/escrow/admit.go
+++ b/escrow/admit.go
@@ -56,9 +56,9 @@
 
 // priorityReserve returns how many tokens a request leaves for those of higher priority:
 // priorityReserveFraction of target, that of the last sync, for each level below the
-// highest that this router has seen, scaled by outageRemaining. Without it, requests of
+// highest that this router has seen, scaled by outageFraction. Without it, requests of
 // low priority would use up a holding that can't be refilled during an outage.
-func priorityReserve(priority, highest granitehoist.Priority, target granitehoist.Tokens, outageLeft float64) granitehoist.Tokens {
-	steps := float64(max(0, highest-priority))
-	return granitehoist.Tokens(min(1, priorityReserveFraction*steps) * outageLeft * float64(target))
+func priorityReserve(priority, highest granitehoist.Priority, target granitehoist.Tokens, outageFraction float64) granitehoist.Tokens {
+	levels := float64(max(0, highest-priority))
+	return granitehoist.Tokens(min(1, priorityReserveFraction*levels) * outageFraction * float64(target))
 }
--- a/escrow/ask.go
+++ b/escrow/ask.go
@@ -35,19 +35,19 @@
 	default:
 	}
 	lenders := s.waitForLenders(ctx, w)
-	answers := make(chan bool, len(lenders))
+	replies := make(chan bool, len(lenders))
 	request := s.settings.Ledger.loanRequestFor(w, c)
-	asked, pending, answered := 0, 0, false
-	askNext := func() {
-		if asked == len(lenders) {
+	called, pending, responded := 0, 0, false
+	callNext := func() {
+		if called == len(lenders) {
 			return
 		}
-		lender := lenders[asked]
-		asked++
+		lender := lenders[called]
+		called++
 		pending++
-		go func() { answers <- s.borrowFrom(context.WithoutCancel(ctx), lender, request) }()
+		go func() { replies <- s.borrowFrom(context.WithoutCancel(ctx), lender, request) }()
 	}
-	askNext()
+	callNext()
 	hedge := time.NewTicker(s.settings.HedgeAfter)
 	defer hedge.Stop()
 	for pending > 0 {
@@ -57,14 +57,14 @@
 		case <-ctx.Done():
 			return s.settings.Ledger.abandon(w, queued, s.settings.Clock())
 		case <-hedge.C:
-			askNext()
-		case ok := <-answers:
+			callNext()
+		case ok := <-replies:
 			pending--
-			answered = answered || ok
-			askNext()
+			responded = responded || ok
+			callNext()
 		}
 	}
-	if !answered && len(lenders) > 0 {
+	if !responded && len(lenders) > 0 {
 		return s.readRecordFor(ctx, w, queued)
 	}
 	return s.settings.Ledger.abandon(w, queued, s.settings.Clock())
--- a/escrow/ask_test.go
+++ b/escrow/ask_test.go
@@ -17,13 +17,12 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// syncerCaller passes the calls of a router to a relay without a network. The
-// reply to a method named lost is lost.
+// syncerCaller passes calls directly to the syncer of a holder. The reply to the method
+// loseReplyOf is lost.
 type syncerCaller struct {
-	to   *escrow.Syncer
-	lost string
-	// unreachable is an address that nobody reaches, failed counts the calls to it,
-	// calls all.
+	to          *escrow.Syncer
+	loseReplyOf string
+	// unreachable is an address whose calls fail; failed counts these calls, calls all.
 	unreachable string
 	failed      atomic.Int64
 	calls       atomic.Int64
@@ -43,28 +42,28 @@
 	case escrow.RepayParams:
 		reply, err = c.to.ServeRepay(ctx, p)
 	}
-	if err != nil || method == c.lost {
+	if err != nil || method == c.loseReplyOf {
 		return granitehoist.ErrUnknown
 	}
 	*result.(*escrow.LendResult) = reply
 	return nil
 }
 
-// slowCaller answers after a time, and only the calls to one incarnation at once.
+// slowCaller delays all calls but those to one incarnation.
 type slowCaller struct {
 	granitehoist.Caller
-	fast granitehoist.Incarnation
-	slow time.Duration
+	fast  granitehoist.Incarnation
+	delay time.Duration
 }
 
 func (c *slowCaller) Call(ctx context.Context, to granitehoist.Peer, method string, params, result any) error {
 	if to.Incarnation != c.fast {
-		time.Sleep(c.slow)
+		time.Sleep(c.delay)
 	}
 	return c.Caller.Call(ctx, to, method, params, result)
 }
 
-var _ = Describe("A router that asks holders", func() {
+var _ = Describe("A borrower", func() {
 	const limit = granitehoist.Tokens(1_000_000)
 	var store *standin.Store
 	var elapsed atomic.Int64
@@ -72,8 +71,8 @@
 	var caller *syncerCaller
 	var ledger *escrow.Ledger
 	clock := func() time.Time { return time.Unix(1000, 0).Add(time.Duration(elapsed.Load())) }
-	pass := func(d time.Duration) { elapsed.Add(int64(d)) }
-	// asking returns a syncer of the router that asks the given lenders.
+	advance := func(d time.Duration) { elapsed.Add(int64(d)) }
+	// asking returns a syncer of the borrower with the given lenders.
 	asking := func(via granitehoist.Caller, lenders ...granitehoist.Incarnation) *escrow.Syncer {
 		return escrow.NewSyncer(escrow.SyncerSettings{
 			Box: "b", Ledger: ledger, Store: store, Clock: clock, Caller: via,
@@ -93,7 +92,7 @@
 		ledger = escrow.NewLedger(escrow.LedgerSettings{Incarnation: "b1", Role: constantRole(escrow.Asks)})
 		ledger.SetLimit(testWorkspace, limit)
 	})
-	// request reserves and settles one request of the router.
+	// request reserves and settles one request of the borrower.
 	request := func(s *escrow.Syncer, bound, used granitehoist.Tokens) escrow.Outcome {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -108,30 +107,30 @@
 		return limit - recordOf(store).Accounts[testWorkspace].Taken() + holder.ledger.State(testWorkspace).Free + ledger.State(testWorkspace).Free
 	}
 
-	It("holds nothing but what its last request left over", func() {
+	It("holds only the remainder of its last request", func() {
 		syncer := asking(caller, "k1")
 		for range 50 {
 			Expect(request(syncer, 1000, 900)).To(Equal(escrow.Granted))
-			pass(time.Second)
+			advance(time.Second)
 		}
 		Expect(ledger.State(testWorkspace).Free).To(Equal(granitehoist.Tokens(100)))
 		Expect(recordOf(store).Accounts[testWorkspace].Rows).NotTo(HaveKey(granitehoist.Incarnation("b1")))
 	})
 
-	It("gives back what a request left over, once, though the reply is lost", func() {
+	It("repays the remainder of a request once, although the reply is lost", func() {
 		syncer := asking(caller, "k1")
 		Expect(request(syncer, 5000, 1000)).To(Equal(escrow.Granted))
 		before := unspent()
-		caller.lost = escrow.MethodRepay
+		caller.loseReplyOf = escrow.MethodRepay
 		escrow.RepaySurplus(syncer)
 		Expect(unspent()).To(Equal(before))
-		caller.lost = ""
+		caller.loseReplyOf = ""
 		escrow.RepaySurplus(syncer)
 		Expect(ledger.State(testWorkspace).Free).To(BeZero())
 		Expect(unspent()).To(Equal(before))
 	})
 
-	It("gives it back as well while the store is silent, so that others find it", func() {
+	It("repays the remainder while the store is unresponsive", func() {
 		syncer := asking(caller, "k1")
 		Expect(request(syncer, 5000, 1000)).To(Equal(escrow.Granted))
 		store.Fail(standin.StoreFaults{Down: true})
@@ -140,17 +139,17 @@
 		Expect(ledger.State(testWorkspace).Free).To(BeZero())
 	})
 
-	It("asks a holder that does not answer only now and then", func() {
+	It("rarely calls a holder that does not respond", func() {
 		caller.unreachable = "dead"
 		syncer := asking(caller, "dead", "k1")
 		for range 30 {
 			Expect(request(syncer, 1000, 1000)).To(Equal(escrow.Granted))
-			pass(100 * time.Millisecond)
+			advance(100 * time.Millisecond)
 		}
 		Expect(caller.failed.Load()).To(BeNumerically("<=", 3))
 	})
 
-	It("asks nobody again for a budget of which a holder has just said that it is spent", func() {
+	It("makes no call right after a holder reported an exhausted budget", func() {
 		holder.ledger.SetLimit(testWorkspace, 1000)
 		Expect(holder.sync()).To(Succeed())
 		syncer := asking(caller, "k1")
@@ -160,31 +159,31 @@
 		Expect(caller.calls.Load()).To(Equal(asked))
 	})
 
-	It("waits for the list of its fleet and does not go to the record without it", func() {
+	It("waits for the list of its fleet and does not read the record without it", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		defer cancel()
 		Expect(asking(caller).Reserve(ctx, testWorkspace, 1000, maxPriority).Outcome).NotTo(Equal(escrow.Granted))
 		Expect(recordOf(store).Accounts[testWorkspace].Rows).NotTo(HaveKey(granitehoist.Incarnation("b1")))
 	})
 
-	It("asks the next one when a holder is slow", func() {
-		syncer := asking(&slowCaller{Caller: caller, fast: "k1", slow: 2 * time.Second}, "slow", "k1")
+	It("calls the next lender when a holder is slow", func() {
+		syncer := asking(&slowCaller{Caller: caller, fast: "k1", delay: 2 * time.Second}, "slow", "k1")
 		began := time.Now()
 		Expect(request(syncer, 1000, 1000)).To(Equal(escrow.Granted))
 		Expect(time.Since(began)).To(BeNumerically("<", time.Second))
 	})
 
-	It("learns at once that no holder has the tokens", func() {
+	It("is refused at once if no holder has the tokens", func() {
 		store.Fail(standin.StoreFaults{Down: true})
 		Expect(holder.sync()).NotTo(Succeed())
 		syncer := asking(caller, "k1")
 		began := time.Now()
 		Expect(request(syncer, limit/2, 0)).To(Equal(escrow.Unreachable))
 		Expect(time.Since(began)).To(BeNumerically("<", 500*time.Millisecond))
-		Expect(holder.ledger.State(testWorkspace).Free).To(BeNumerically(">", 0), "nothing is lent that would not be enough")
+		Expect(holder.ledger.State(testWorkspace).Free).To(BeNumerically(">", 0), "no partial loan")
 	})
 
-	It("is paid by a router that stands in for the holders, for a while", func() {
+	It("can borrow from a stand-in holder for a while", func() {
 		other := newBox("o", "o1", store, 20, clock)
 		standIn := escrow.NewLedger(escrow.LedgerSettings{Incarnation: "o1", Role: constantRole(escrow.Asks)})
 		other.ledger = standIn
@@ -193,24 +192,24 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go other.syncer.Run(ctx)
-		ask := escrow.LendParams{Borrower: "b1", Workspace: testWorkspace, Need: 500, Want: 500}
-		Expect(other.syncer.ServeLend(ctx, ask)).To(HaveField("Total", BeZero()))
-		ask.StandIn = true
+		params := escrow.LendParams{Borrower: "b1", Workspace: testWorkspace, Need: 500, Want: 500}
+		Expect(other.syncer.ServeLend(ctx, params)).To(HaveField("Total", BeZero()))
+		params.StandIn = true
 		wait, done := context.WithTimeout(ctx, 2*time.Second)
 		defer done()
 		Eventually(func() granitehoist.Tokens {
-			result, err := other.syncer.ServeLend(wait, ask)
+			result, err := other.syncer.ServeLend(wait, params)
 			Expect(err).NotTo(HaveOccurred())
 			return result.Total
 		}).Should(BeNumerically(">=", 500))
 		Expect(standIn.Role(testWorkspace, clock())).To(Equal(escrow.StandsIn))
-		pass(4 * time.Second)
+		advance(4 * time.Second)
 		Expect(standIn.Role(testWorkspace, clock())).To(Equal(escrow.Asks))
 	})
 })
 
 var _ = Describe("A holder", func() {
-	It("keeps what the loans of all routers take in the time to be covered, and not what came back", func() {
+	It("holds the net loans of all routers for the covered time, without repaid tokens", func() {
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
 		store := standin.NewStore(standin.StoreSettings{Clock: clock})
@@ -227,12 +226,12 @@
 			Expect(holder.sync()).To(Succeed())
 			now = now.Add(100 * time.Millisecond)
 		}
-		// 10 loans a second of 1,000 tokens, of which half come back, for 9 s.
+		// 10 loans a second of 1,000 tokens, half of which is repaid, for 9 s.
 		Expect(holder.ledger.State(testWorkspace).Free).To(BeNumerically("~", 45_000, 10_000))
 	})
 
-	It("loses little of a budget if all routers die late in it, with the store well until then", func() {
-		// 5,000 tokens a second use up 200,000 in 40 s; the loss comes after 30 s.
+	It("loses little near the end of a budget if all routers crash without an earlier outage", func() {
+		// 5,000 tokens a second use up 200,000 in 40 s; the routers crash after 30 s.
 		const limit = granitehoist.Tokens(200_000)
 		now := time.Unix(1000, 0)
 		clock := func() time.Time { return now }
@@ -247,7 +246,7 @@
 			Expect(holder.sync()).To(Succeed())
 			now = now.Add(100 * time.Millisecond)
 		}
-		// 9 s of the demand, which were held before, are 22 % of the budget.
+		// 9 s of the demand would be 22 % of the budget.
 		Expect(holder.ledger.State(testWorkspace).Free).To(BeNumerically("<=", limit*5/100))
 	})
 })
--- a/escrow/batch.go
+++ b/escrow/batch.go
@@ -28,11 +28,11 @@
 // mean bound, else none. A router that receives all requests of a workspace then calls
 // its holder about once a second instead of once per request.
 func batchSizeFor(perSecond, mean float64) granitehoist.Tokens {
-	packet := perSecond * batchCover.Seconds()
-	if packet < minBatchRequests*mean {
+	size := perSecond * batchCover.Seconds()
+	if size < minBatchRequests*mean {
 		return 0
 	}
-	return granitehoist.Tokens(packet)
+	return granitehoist.Tokens(size)
 }
 
 // batchSize returns how many tokens this router keeps ahead of its requests as a
@@ -48,13 +48,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	packet := a.batchSize(now)
+	size := a.batchSize(now)
 	free := a.owned.free()
-	if packet == 0 || a.refilling || float64(free) >= batchRefillThreshold*float64(packet) || l.role(w, a, now) != Asks {
+	if size == 0 || a.refilling || float64(free) >= batchRefillThreshold*float64(size) || l.role(w, a, now) != Asks {
 		return loanRequest{}, false
 	}
 	a.refilling = true
-	return loanRequest{workspace: w, need: 1, want: packet - max(0, free)}, true
+	return loanRequest{workspace: w, need: 1, want: size - max(0, free)}, true
 }
 
 // endRefill marks the refill that startRefill began as finished.
--- a/escrow/bench_test.go
+++ b/escrow/bench_test.go
@@ -14,8 +14,8 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// BenchmarkSync is one sync of a router among others, store included. It tells
-// the bytes of the record too.
+// BenchmarkSync measures one sync of a router among others, store included, and reports
+// the size of the record.
 func BenchmarkSync(b *testing.B) {
 	for _, size := range []struct{ routers, workspaces int }{{6, 10}, {87, 24}, {300, 24}} {
 		b.Run(fmt.Sprintf("routers=%d,workspaces=%d", size.routers, size.workspaces), func(b *testing.B) {
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkReserve is what a request pays when the router owns the tokens.
+// BenchmarkReserve measures a reservation and settlement from owned tokens.
 func BenchmarkReserve(b *testing.B) {
 	now := time.Unix(1000, 0)
 	store := standin.NewStore(standin.StoreSettings{})
@@ -70,10 +70,10 @@
 	}
 }
 
-// BenchmarkHolder is what a holder does for one request of another router: a loan, a
-// part of it repaid, and a write of the record for each hundredth loan, store
-// included. It tells the bytes of the record too, whose size does not depend on the
-// number of routers.
+// BenchmarkHolder measures the work of a holder for one request of a borrower, store
+// included: a loan, a partial repayment, and a write of the record for every hundredth
+// loan. It reports the size of the record, which does not depend on the number of
+// routers.
 func BenchmarkHolder(b *testing.B) {
 	for _, routers := range []int{22, 87, 295, 1100} {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
--- a/escrow/budgetend_test.go
+++ b/escrow/budgetend_test.go
@@ -19,16 +19,16 @@
 		Expect(decision).To(Equal(expected))
 		Expect(decision.withholds()).To(Equal(expected != endAllowed))
 	},
-	Entry("is not judged from 6 % on", granitehoist.Tokens(6_000), granitehoist.Tokens(5_999), endAllowed),
-	Entry("may be of the mean size below", granitehoist.Tokens(5_999), granitehoist.Tokens(200), endAllowed),
-	Entry("may not be larger than that", granitehoist.Tokens(5_999), granitehoist.Tokens(201), aboveMean),
-	Entry("may not take more than a third", granitehoist.Tokens(5_999), granitehoist.Tokens(1_980), aboveMaxFraction),
+	Entry("is allowed from 6 % on", granitehoist.Tokens(6_000), granitehoist.Tokens(5_999), endAllowed),
+	Entry("may have the mean size below 6 %", granitehoist.Tokens(5_999), granitehoist.Tokens(200), endAllowed),
+	Entry("may not exceed the mean size below 6 %", granitehoist.Tokens(5_999), granitehoist.Tokens(201), aboveMean),
+	Entry("may not take more than a third of the remaining budget", granitehoist.Tokens(5_999), granitehoist.Tokens(1_980), aboveMaxFraction),
 	Entry("needs no ration from 1 % on", granitehoist.Tokens(1_000), granitehoist.Tokens(200), endAllowed),
-	Entry("may be of the ration below", granitehoist.Tokens(999), granitehoist.Tokens(50), endAllowed),
-	Entry("may not be larger than that", granitehoist.Tokens(999), granitehoist.Tokens(51), aboveRation),
+	Entry("may use the ration below 1 %", granitehoist.Tokens(999), granitehoist.Tokens(50), endAllowed),
+	Entry("may not exceed the ration below 1 %", granitehoist.Tokens(999), granitehoist.Tokens(51), aboveRation),
 )
 
-var _ = Describe("The end of a budget that nothing was reported of", func() {
+var _ = Describe("The end of a budget whose remainder is unknown", func() {
 	It("withholds nothing", func() {
 		decision, _ := budgetEnd{limit: 100_000}.decide(50_000, ration{}, testNow)
 		Expect(decision).To(Equal(endAllowed))
@@ -47,7 +47,7 @@
 	})
 
 	It("grows by the router's share of what is left in 20 s", func() {
-		// Half of the four routers are taken to spend: 800 / 2 / 20 s.
+		// Half of the four routers are assumed to spend: 800 / 2 / 20 s.
 		Expect(after(ration{at: testNow}, time.Second).tokens).To(BeNumerically("~", 20, 1e-9))
 	})
 
@@ -55,12 +55,12 @@
 		Expect(after(ration{at: testNow}, time.Minute).tokens).To(BeNumerically("~", 400, 1e-9))
 	})
 
-	It("is not grown by a request that another rule withholds", func() {
+	It("does not grow on a request that another rule withholds", func() {
 		_, r := end.decide(201, ration{at: testNow}, testNow.Add(time.Second))
 		Expect(r).To(Equal(ration{at: testNow}))
 	})
 
-	It("loses what is spent, down to nothing", func() {
+	It("is reduced by what is spent, down to zero", func() {
 		Expect(ration{tokens: 50}.less(20).tokens).To(BeNumerically("==", 30))
 		Expect(ration{tokens: 50}.less(60).tokens).To(BeZero())
 	})
--- a/escrow/differential_test.go
+++ b/escrow/differential_test.go
@@ -17,22 +17,23 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// centralCounter is the naive single centralCounter that all requests ask: it needs no
-// network, loses nothing and is never away.
+// centralCounter is the reference: one counter for all requests, without a network,
+// losses or outages.
 type centralCounter struct {
-	left, paid granitehoist.Tokens
+	remaining, spent granitehoist.Tokens
 }
 
-func (c *centralCounter) pay(bound, used granitehoist.Tokens) bool {
-	if bound > c.left {
+func (c *centralCounter) spend(bound, used granitehoist.Tokens) bool {
+	if bound > c.remaining {
 		return false
 	}
-	c.left -= used
-	c.paid += used
+	c.remaining -= used
+	c.spent += used
 	return true
 }
 
-// differentialRun serves the same arrivals by routers over a store and by a counter.
+// differentialRun serves the same requests by routers over a store and by a central
+// counter.
 type differentialRun struct {
 	store   *standin.Store
 	now     time.Time
@@ -41,10 +42,10 @@
 	limit   granitehoist.Tokens
 	random  *rand.Rand
 	central centralCounter
-	paid    granitehoist.Tokens
-	// payable and refused count the tokens of requests that the counter paid,
-	// and those of them that the routers refused.
-	payable, refused granitehoist.Tokens
+	spent   granitehoist.Tokens
+	// accepted and refused count the tokens of requests that the counter accepted, and
+	// those of them that the routers refused.
+	accepted, refused granitehoist.Tokens
 }
 
 const (
@@ -54,7 +55,7 @@
 )
 
 func newDifferentialRun(seed uint64, limit granitehoist.Tokens) *differentialRun {
-	c := &differentialRun{now: time.Unix(1000, 0), limit: limit, random: rand.New(rand.NewPCG(seed, 7)), central: centralCounter{left: limit}}
+	c := &differentialRun{now: time.Unix(1000, 0), limit: limit, random: rand.New(rand.NewPCG(seed, 7)), central: centralCounter{remaining: limit}}
 	c.store = standin.NewStore(standin.StoreSettings{Clock: c.clock})
 	c.boxes = make([]*box, differentialBoxes)
 	for i := range c.boxes {
@@ -65,7 +66,7 @@
 
 func (c *differentialRun) clock() time.Time { return c.now }
 
-// start starts a router, in place of the one on that box if there is one.
+// start starts a router, which replaces the one on that box if there is one.
 func (c *differentialRun) start(i int) {
 	c.starts++
 	name := "box" + strconv.Itoa(i)
@@ -74,37 +75,37 @@
 	_ = c.boxes[i].sync()
 }
 
-// run lets requests arrive for a while, a few boxes getting most of them. A
-// router that owns too few tokens asks the store at once.
-func (c *differentialRun) run(lasting time.Duration) {
-	for end := c.now.Add(lasting); c.now.Before(end); c.now = c.now.Add(differentialStep) {
+// run sends requests for a duration, most of them to a few boxes. A router that owns too
+// few tokens syncs at once.
+func (c *differentialRun) run(duration time.Duration) {
+	for end := c.now.Add(duration); c.now.Before(end); c.now = c.now.Add(differentialStep) {
 		if c.now.Sub(time.Unix(1000, 0))%differentialSyncInterval == 0 {
 			for _, b := range c.boxes {
 				_ = b.sync()
 			}
 		}
-		at := min(c.random.IntN(differentialBoxes), c.random.IntN(differentialBoxes))
+		target := min(c.random.IntN(differentialBoxes), c.random.IntN(differentialBoxes))
 		bound := granitehoist.Tokens(500 + c.random.IntN(2500))
-		c.arrive(c.boxes[at], bound, bound-granitehoist.Tokens(c.random.IntN(300)))
+		c.request(c.boxes[target], bound, bound-granitehoist.Tokens(c.random.IntN(300)))
 	}
 }
 
-func (c *differentialRun) arrive(b *box, bound, used granitehoist.Tokens) {
-	payable := c.central.pay(bound, used)
-	if payable {
-		c.payable += used
+func (c *differentialRun) request(b *box, bound, used granitehoist.Tokens) {
+	accepted := c.central.spend(bound, used)
+	if accepted {
+		c.accepted += used
 	}
 	if !c.reserve(b, bound) {
-		if payable {
+		if accepted {
 			c.refused += used
 		}
 		return
 	}
 	b.ledger.Settle(testWorkspace, bound, used, c.now)
-	c.paid += used
+	c.spent += used
 }
 
-// reserve tries again after a sync, with the wish entered as a waiter.
+// reserve tries again after a sync with the request among the waiters.
 func (c *differentialRun) reserve(b *box, bound granitehoist.Tokens) bool {
 	if b.ledger.Reserve(testWorkspace, bound, maxPriority, c.now) {
 		return true
@@ -118,22 +119,22 @@
 	return b.ledger.Reserve(testWorkspace, bound, maxPriority, c.now)
 }
 
-// refusedPart is the part of the payable tokens that the routers refused.
-func (c *differentialRun) refusedPart() float64 { return float64(c.refused) / float64(c.payable) }
+// refusedFraction returns the fraction of the accepted tokens that the routers refused.
+func (c *differentialRun) refusedFraction() float64 { return float64(c.refused) / float64(c.accepted) }
 
-var _ = Describe("Routers beside a naive counter of the same arrivals", func() {
+var _ = Describe("Routers compared to a central counter of the same requests", func() {
 	// Requests need about 175,000 tokens a second; the budget lasts for 60 s.
 	const limit = granitehoist.Tokens(10_000_000)
 	for _, seed := range []uint64{1, 2} {
 		It("strand under 3 % at the end of a budget, seed "+strconv.FormatUint(seed, 10), func() {
 			c := newDifferentialRun(seed, limit)
 			c.run(90 * time.Second)
-			Expect(c.paid).To(BeNumerically("<=", limit))
-			Expect(c.paid).To(BeNumerically(">=", limit*97/100))
-			AddReportEntry("refused part", c.refusedPart())
+			Expect(c.spent).To(BeNumerically("<=", limit))
+			Expect(c.spent).To(BeNumerically(">=", limit*97/100))
+			AddReportEntry("refused part", c.refusedFraction())
 		})
 
-		It("strand under 3 % though all are killed after an outage, seed "+strconv.FormatUint(seed, 10), func() {
+		It("strand under 3 % although all crash after an outage, seed "+strconv.FormatUint(seed, 10), func() {
 			c := newDifferentialRun(seed, limit)
 			c.run(20 * time.Second)
 			c.store.Fail(standin.StoreFaults{Down: true})
@@ -144,11 +145,11 @@
 				c.start(i)
 			}
 			c.run(90 * time.Second)
-			Expect(c.paid).To(BeNumerically("<=", limit))
-			Expect(c.paid).To(BeNumerically(">=", limit*97/100))
+			Expect(c.spent).To(BeNumerically("<=", limit))
+			Expect(c.spent).To(BeNumerically(">=", limit*97/100))
 		})
 
-		It("pay on through an outage, seed "+strconv.FormatUint(seed, 10), func() {
+		It("serve most requests during an outage, seed "+strconv.FormatUint(seed, 10), func() {
 			c := newDifferentialRun(seed, limit)
 			c.run(20 * time.Second)
 			c.store.Fail(standin.StoreFaults{Down: true})
@@ -157,11 +158,11 @@
 			Expect(c.refused - refused).To(BeNumerically("<", 6*175_000/10))
 			c.store.Fail(standin.StoreFaults{})
 			c.run(90 * time.Second)
-			Expect(c.paid).To(BeNumerically("<=", limit))
-			Expect(c.paid).To(BeNumerically(">=", limit*97/100))
+			Expect(c.spent).To(BeNumerically("<=", limit))
+			Expect(c.spent).To(BeNumerically(">=", limit*97/100))
 		})
 
-		It("never pay more while the store loses answers and single ones are killed, seed "+strconv.FormatUint(seed, 10), func() {
+		It("never overspend while the store loses responses and routers crash, seed "+strconv.FormatUint(seed, 10), func() {
 			c := newDifferentialRun(seed, limit)
 			c.store.Fail(standin.StoreFaults{LoseEvery: 5})
 			for range 12 {
@@ -169,8 +170,8 @@
 				c.start(c.random.IntN(differentialBoxes))
 			}
 			c.run(30 * time.Second)
-			Expect(c.paid).To(BeNumerically("<=", limit))
-			Expect(c.paid).To(BeNumerically(">=", limit/2))
+			Expect(c.spent).To(BeNumerically("<=", limit))
+			Expect(c.spent).To(BeNumerically(">=", limit/2))
 		})
 	}
 })
--- a/escrow/divide_test.go
+++ b/escrow/divide_test.go
@@ -15,7 +15,7 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// shardRecord returns the record of the shard that has the workspace kiosk.
+// shardRecord returns the record of the shard that has testWorkspace.
 func shardRecord(store granitehoist.Store) *escrow.Record {
 	GinkgoHelper()
 	entries, _, err := store.List(context.Background(), escrow.RecordKey+"/")
@@ -36,9 +36,8 @@
 	clock := func() time.Time { return now }
 	var store *standin.Store
 	var large bool
-	// newGrowing returns the books of a router whose fleet divides the record once
-	// large is set.
-	newGrowing := func(name, incarnation string) *box {
+	// newGrowingBox returns a box whose fleet divides the record once large is set.
+	newGrowingBox := func(name, incarnation string) *box {
 		ledger := escrow.NewLedger(escrow.LedgerSettings{Incarnation: granitehoist.Incarnation(incarnation)})
 		ledger.SetLimit(testWorkspace, limit)
 		return &box{ledger, escrow.NewSyncer(escrow.SyncerSettings{
@@ -52,7 +51,7 @@
 	})
 
 	It("keeps what each router owns, and its rows", func() {
-		a := newGrowing("a", "a1")
+		a := newGrowingBox("a", "a1")
 		Expect(a.sync()).To(Succeed())
 		held := a.ledger.State(testWorkspace)
 		Expect(held.Free).To(BeNumerically(">", 0))
@@ -65,8 +64,8 @@
 		Expect(shardRecord(store).Accounts[testWorkspace].Taken()).To(BeZero())
 	})
 
-	It("can't be written by a router that still has it undivided, which then uses the shards", func() {
-		a, b := newGrowing("a", "a1"), newGrowing("b", "b1")
+	It("can't be written by a router with an undivided copy, which then uses the shards", func() {
+		a, b := newGrowingBox("a", "a1"), newGrowingBox("b", "b1")
 		Expect(b.sync()).To(Succeed())
 		large = true
 		Expect(a.sync()).To(Succeed())
@@ -74,12 +73,12 @@
 		b.ledger.Close()
 		Expect(b.sync()).To(Succeed())
 		Expect(recordOf(store).Shards).To(BeNumerically(">", 0))
-		Expect(recordOf(store).Accounts[testWorkspace].Rows["b1"].Returned).To(BeZero(), "the divided record stays as it was")
+		Expect(recordOf(store).Accounts[testWorkspace].Rows["b1"].Returned).To(BeZero(), "the divided record does not change")
 		Expect(shardRecord(store).Accounts[testWorkspace].Rows["b1"].Net()).To(BeZero())
 	})
 
-	It("is divided once, though the answer is lost", func() {
-		a := newGrowing("a", "a1")
+	It("is divided once, although the response is lost", func() {
+		a := newGrowingBox("a", "a1")
 		Expect(a.sync()).To(Succeed())
 		large = true
 		store.Fail(standin.StoreFaults{LoseEvery: 1})
@@ -94,19 +93,19 @@
 		Expect(shardRecord(store).Accounts[testWorkspace].Taken()).To(BeZero())
 	})
 
-	It("counts what a router owned that died before, in its shard", func() {
-		dead := newGrowing("a", "a1")
+	It("counts the tokens of a crashed router in the record of the shard", func() {
+		dead := newGrowingBox("a", "a1")
 		Expect(dead.sync()).To(Succeed())
 		lost := dead.ledger.State(testWorkspace).Granted
 		large = true
-		next := newGrowing("a", "a2")
+		next := newGrowingBox("a", "a2")
 		Expect(next.sync()).To(Succeed())
 		Expect(shardRecord(store).Accounts[testWorkspace].Folded).To(Equal(lost))
 	})
 
-	It("of a later program that divides otherwise is not touched", func() {
+	It("is not changed if a later version divided it differently", func() {
 		_, err := store.CompareAndSwap(context.Background(), granitehoist.Change{Key: escrow.RecordKey, Value: []byte(`{"format":2,"shards":7}`)})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(newGrowing("a", "a1").sync()).To(MatchError(ContainSubstring("7 shards")))
+		Expect(newGrowingBox("a", "a1").sync()).To(MatchError(ContainSubstring("7 shards")))
 	})
 })
--- a/escrow/endofbudget_test.go
+++ b/escrow/endofbudget_test.go
@@ -33,7 +33,7 @@
 			boxes = append(boxes, b)
 		}
 	})
-	// drain spends at one box until no more than keep is left anywhere.
+	// drain spends at one box until at most keep is left in the store and one request here.
 	drain := func(b *box, keep granitehoist.Tokens) {
 		GinkgoHelper()
 		for range 10_000 {
@@ -58,8 +58,8 @@
 		return sum
 	}
 
-	// rest lets time go by without requests, until routers hold next to nothing.
-	rest := func() {
+	// idle advances the clock without requests until the routers hold next to nothing.
+	idle := func() {
 		GinkgoHelper()
 		for _, b := range boxes {
 			Expect(b.ledger.Reserve(testWorkspace, small, maxPriority, now)).To(BeTrue())
@@ -73,10 +73,10 @@
 		}
 	}
 
-	It("finds no tokens left with routers that nobody asks for them", func() {
-		rest()
-		// Each of the others was to serve a request that came to nothing, and holds
-		// less than is worth returning while there is much left.
+	It("leaves few tokens at routers without requests", func() {
+		idle()
+		// Each of the other routers holds tokens of a request that did not use them,
+		// fewer than are returned while much of the budget is left.
 		const unused = limit / 250
 		for _, b := range boxes[1:] {
 			ended := make(chan escrow.Outcome, 1)
@@ -98,8 +98,8 @@
 		}
 	})
 
-	It("is spent over time, so that those who come last get something", func() {
-		rest()
+	It("is rationed over time, so that late requests are served", func() {
+		idle()
 		drain(boxes[0], limit/90)
 		for range 2 {
 			for _, b := range boxes {
@@ -108,9 +108,9 @@
 		}
 		left := func() granitehoist.Tokens { return limit - recordOf(store).Accounts[testWorkspace].Taken() + held() }
 		served := 0
-		ask := func(lasting time.Duration) int {
+		serve := func(duration time.Duration) int {
 			GinkgoHelper()
-			for end := now.Add(lasting); now.Before(end); now = now.Add(10 * time.Millisecond) {
+			for end := now.Add(duration); now.Before(end); now = now.Add(10 * time.Millisecond) {
 				for _, b := range boxes {
 					if !b.ledger.Reserve(testWorkspace, small, maxPriority, now) {
 						_ = b.sync()
@@ -123,11 +123,12 @@
 			return served
 		}
 		Expect(left()).To(BeNumerically("<", limit/50))
-		// 400 requests a second would take what is left in a moment.
-		Expect(ask(time.Second)).To(BeNumerically(">", 0))
+		// 400 requests a second would use up what is left within a second without a
+		// ration.
+		Expect(serve(time.Second)).To(BeNumerically(">", 0))
 		Expect(left()).To(BeNumerically(">", limit/125))
 		after := served
-		Expect(ask(9 * time.Second)).To(BeNumerically(">", after))
+		Expect(serve(9 * time.Second)).To(BeNumerically(">", after))
 		Expect(left()).To(BeNumerically(">", limit/500))
 	})
 })
--- a/escrow/escrow_test.go
+++ b/escrow/escrow_test.go
@@ -22,7 +22,7 @@
 	maxPriority   = granitehoist.MaxPriority
 )
 
-// box is one router's books over a store.
+// box is the ledger and the syncer of one router.
 type box struct {
 	ledger *escrow.Ledger
 	syncer *escrow.Syncer
@@ -36,7 +36,7 @@
 	return &box{ledger, syncer}
 }
 
-// newHolder returns the books of a router that holds all shards for a large fleet.
+// newHolder returns a box whose router is the holder of all shards in a large fleet.
 func newHolder(name, incarnation string, store granitehoist.Store, clock granitehoist.Clock) *box {
 	ledger := escrow.NewLedger(escrow.LedgerSettings{Incarnation: granitehoist.Incarnation(incarnation), Role: constantRole(escrow.Holds)})
 	syncer := escrow.NewSyncer(escrow.SyncerSettings{
@@ -45,12 +45,12 @@
 	return &box{ledger, syncer}
 }
 
-// constantRole gives a router one role for all shards.
+// constantRole returns a role function with the same role for all shards.
 func constantRole(r escrow.Role) func(escrow.Shard) escrow.Role {
 	return func(escrow.Shard) escrow.Role { return r }
 }
 
-// fixedLenders names the same lenders for all shards.
+// fixedLenders returns a lender function with the same lenders for all shards.
 func fixedLenders(incarnations ...granitehoist.Incarnation) func(escrow.Shard) []escrow.Lender {
 	var lenders []escrow.Lender
 	for _, incarnation := range incarnations {
@@ -69,7 +69,7 @@
 	return record
 }
 
-// directCaller passes loans without a network, unless it is broken.
+// directCaller passes loans directly to a syncer, or fails if broken is set.
 type directCaller struct {
 	to     *escrow.Syncer
 	broken atomic.Bool
@@ -77,7 +77,7 @@
 
 func (c *directCaller) Call(ctx context.Context, _ granitehoist.Peer, _ string, params, result any) error {
 	if c.broken.Load() {
-		return errors.New("no way there")
+		return errors.New("unreachable")
 	}
 	loan, err := c.to.ServeLend(ctx, params.(escrow.LendParams))
 	*result.(*escrow.LendResult) = loan
@@ -100,7 +100,7 @@
 		b.ledger.Settle(testWorkspace, tokens, tokens, now)
 	}
 
-	It("are owned only once the store has said so", func() {
+	It("are owned only once the store has confirmed the grant", func() {
 		b := newBox("a", "a1", store, 1, clock)
 		b.ledger.SetLimit(testWorkspace, 1000)
 		Expect(reserve(b, 1)).To(BeFalse())
@@ -108,7 +108,7 @@
 		Expect(reserve(b, 100)).To(BeTrue())
 	})
 
-	It("survive a write whose answer was lost", func() {
+	It("survive a write whose response was lost", func() {
 		b := newBox("a", "a1", store, 1, clock)
 		b.ledger.SetLimit(testWorkspace, 1000)
 		store.Fail(standin.StoreFaults{LoseEvery: 1})
@@ -119,7 +119,7 @@
 		Expect(b.ledger.State(testWorkspace).Granted).To(Equal(recordOf(store).Accounts[testWorkspace].Rows["a1"].Granted))
 	})
 
-	It("of a dead incarnation are never granted again", func() {
+	It("of a crashed incarnation are never granted again", func() {
 		dead := newBox("a", "a1", store, 1, clock)
 		dead.ledger.SetLimit(testWorkspace, 1000)
 		Expect(dead.sync()).To(Succeed())
@@ -133,7 +133,7 @@
 		Expect(record.Accounts[testWorkspace].Rows).NotTo(HaveKey(granitehoist.Incarnation("a1")))
 	})
 
-	It("go back to the store at a stop in good order", func() {
+	It("are returned to the store at an orderly shutdown", func() {
 		b := newBox("a", "a1", store, 1, clock)
 		b.ledger.SetLimit(testWorkspace, 1000)
 		Expect(b.sync()).To(Succeed())
@@ -144,7 +144,7 @@
 		Expect(reserve(b, 1)).To(BeFalse())
 	})
 
-	It("are not spent from a holding after the budget was cut below it", func() {
+	It("are not spent from a holding that exceeds a reduced limit", func() {
 		b := newBox("a", "a1", store, 1, clock)
 		b.ledger.SetLimit(testWorkspace, 1000)
 		Expect(b.sync()).To(Succeed())
@@ -167,35 +167,35 @@
 		}
 		for i := range 100 {
 			each := []*box{a, b}[i%2]
-			wait, done := context.WithTimeout(ctx, time.Second)
+			wait, cancelWait := context.WithTimeout(ctx, time.Second)
 			if each.syncer.Reserve(wait, testWorkspace, 10, maxPriority).Outcome == escrow.Granted {
 				each.syncer.Settle(testWorkspace, 10, 10)
 				spent += 10
 			}
-			done()
+			cancelWait()
 		}
 		Expect(spent).To(BeNumerically(">=", 970))
 		Expect(spent).To(BeNumerically("<=", 1000))
 	})
 
-	It("are kept for small requests when little is left, and large ones are told so", func() {
+	It("are kept for small requests when little is left, and large ones are withheld", func() {
 		b := newBox("a", "a1", store, 1, clock)
 		b.ledger.SetLimit(testWorkspace, 10_000)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go b.syncer.Run(ctx)
-		spendAll := func(bound granitehoist.Tokens, until granitehoist.Tokens) {
+		spendUntil := func(bound granitehoist.Tokens, until granitehoist.Tokens) {
 			for b.ledger.State(testWorkspace).Spent < until {
 				Expect(b.syncer.Reserve(ctx, testWorkspace, bound, maxPriority).Outcome).To(Equal(escrow.Granted))
 				b.syncer.Settle(testWorkspace, bound, bound)
 			}
 		}
-		spendAll(50, 9600)
+		spendUntil(50, 9600)
 		Expect(b.syncer.Reserve(ctx, testWorkspace, 300, maxPriority).Outcome).To(Equal(escrow.Withheld))
 		Expect(b.syncer.Reserve(ctx, testWorkspace, 10, maxPriority).Outcome).To(Equal(escrow.Granted))
 	})
 
-	It("are told to be spent only if no router has enough of them", func() {
+	It("are reported as exhausted only if all routers together have too few", func() {
 		a, b := newBox("a", "a1", store, 2, clock), newBox("b", "b1", store, 2, clock)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -208,21 +208,21 @@
 		Expect(a.syncer.Reserve(ctx, testWorkspace, 1001, maxPriority).Outcome).To(Equal(escrow.Exhausted))
 	})
 
-	It("pass between neighbours by totals that a lost message can't double", func() {
+	It("are lent by totals that a repeated message can't double", func() {
 		a, b := newBox("a", "a1", store, 2, clock), newBox("b", "b1", store, 2, clock)
 		a.ledger.SetLimit(testWorkspace, 1000)
 		Expect(a.sync()).To(Succeed())
 		before := a.ledger.State(testWorkspace).Free
-		ask := escrow.LendParams{Borrower: "b1", Workspace: testWorkspace, Need: 20, Want: 20}
-		a.ledger.Lend(ask, now)
-		second := a.ledger.Lend(ask, now)
+		params := escrow.LendParams{Borrower: "b1", Workspace: testWorkspace, Need: 20, Want: 20}
+		a.ledger.Lend(params, now)
+		second := a.ledger.Lend(params, now)
 		Expect(b.ledger.Borrowed(testWorkspace, "a1", second, now)).To(BeTrue())
 		Expect(b.ledger.Borrowed(testWorkspace, "a1", second, now)).To(BeFalse())
 		Expect(b.ledger.State(testWorkspace).Free).To(Equal(granitehoist.Tokens(40)))
 		Expect(a.ledger.State(testWorkspace).Free).To(Equal(before - 40))
 	})
 
-	It("come from several neighbours if no one has enough", func() {
+	It("are borrowed from several neighbours if none has enough", func() {
 		borrower := newBox("z", "z1", store, 4, clock)
 		var lenders []*box
 		for _, name := range []string{"a", "b", "c"} {
@@ -239,13 +239,13 @@
 		Expect(reserve(borrower, one+1)).To(BeTrue())
 	})
 
-	It("reach a router that asks holders without a call to the store, and it goes there if none answers", func() {
-		relay := newBox("k", "k1", store, 1, clock)
-		relay.ledger.SetLimit(testWorkspace, 10_000)
+	It("are lent to a borrower without a call to the store, which it uses only if no holder responds", func() {
+		holder := newBox("k", "k1", store, 1, clock)
+		holder.ledger.SetLimit(testWorkspace, 10_000)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		go relay.syncer.Run(ctx)
-		caller := &directCaller{to: relay.syncer}
+		go holder.syncer.Run(ctx)
+		caller := &directCaller{to: holder.syncer}
 		ledger := escrow.NewLedger(escrow.LedgerSettings{Incarnation: "b1", Role: constantRole(escrow.Asks)})
 		ledger.SetLimit(testWorkspace, 10_000)
 		borrower := escrow.NewSyncer(escrow.SyncerSettings{
@@ -262,32 +262,32 @@
 		Expect(recordOf(store).Accounts[testWorkspace].Taken()).To(BeNumerically("<=", 10_000))
 	})
 
-	It("are lent to whoever asks for them in a wrong way as if it had asked for what it needs", func() {
-		relay := newBox("k", "k1", store, 1, clock)
-		relay.ledger.SetLimit(testWorkspace, 10_000)
-		Expect(relay.sync()).To(Succeed())
-		ask := escrow.LendParams{Borrower: "b1", Workspace: testWorkspace, Need: 30, Want: -500}
-		Expect(relay.syncer.ServeLend(context.Background(), ask)).To(HaveField("Total", granitehoist.Tokens(30)))
-		ask = escrow.LendParams{Borrower: "b1", Workspace: testWorkspace, Need: -30, Want: 500}
-		Expect(relay.syncer.ServeLend(context.Background(), ask)).To(HaveField("Total", granitehoist.Tokens(30)))
+	It("are lent by the need if the want is invalid, and not at all if the need is", func() {
+		holder := newBox("k", "k1", store, 1, clock)
+		holder.ledger.SetLimit(testWorkspace, 10_000)
+		Expect(holder.sync()).To(Succeed())
+		params := escrow.LendParams{Borrower: "b1", Workspace: testWorkspace, Need: 30, Want: -500}
+		Expect(holder.syncer.ServeLend(context.Background(), params)).To(HaveField("Total", granitehoist.Tokens(30)))
+		params = escrow.LendParams{Borrower: "b1", Workspace: testWorkspace, Need: -30, Want: 500}
+		Expect(holder.syncer.ServeLend(context.Background(), params)).To(HaveField("Total", granitehoist.Tokens(30)))
 	})
 
-	It("are held by all routers together for no more than a part of what is left, whoever asks first", func() {
+	It("are held by all routers together only up to a part of what is left", func() {
 		const limit = 200_000
-		at := now
-		passing := func() time.Time { return at }
-		boxes := []*box{newBox("a", "a1", store, 2, passing), newBox("b", "b1", store, 2, passing)}
+		present := now
+		runningClock := func() time.Time { return present }
+		boxes := []*box{newBox("a", "a1", store, 2, runningClock), newBox("b", "b1", store, 2, runningClock)}
 		for _, b := range boxes {
 			b.ledger.SetLimit(testWorkspace, limit)
 		}
 		for range 60 {
 			for _, b := range boxes {
 				Expect(b.sync()).To(Succeed())
-				if b.ledger.Reserve(testWorkspace, 1000, maxPriority, at) {
-					b.ledger.Settle(testWorkspace, 1000, 1000, at)
+				if b.ledger.Reserve(testWorkspace, 1000, maxPriority, present) {
+					b.ledger.Settle(testWorkspace, 1000, 1000, present)
 				}
 			}
-			at = at.Add(100 * time.Millisecond)
+			present = present.Add(100 * time.Millisecond)
 		}
 		var free, spent granitehoist.Tokens
 		for _, b := range boxes {
@@ -299,7 +299,7 @@
 		Expect(free).To(BeNumerically("<", (limit-spent)*6/10))
 	})
 
-	It("are kept for more urgent requests while the store is silent", func() {
+	It("are reserved for higher priorities while the store is unresponsive", func() {
 		b := newBox("a", "a1", store, 1, clock)
 		b.ledger.SetLimit(testWorkspace, 1000)
 		Expect(b.sync()).To(Succeed())
@@ -313,7 +313,7 @@
 		Expect(b.ledger.Reserve(testWorkspace, free, maxPriority, now)).To(BeTrue())
 	})
 
-	It("of a record that can't be read are not touched", func() {
+	It("are not granted from a record that can't be decoded", func() {
 		_, err := store.CompareAndSwap(context.Background(), granitehoist.Change{Key: escrow.RecordKey, Value: []byte("{")})
 		Expect(err).NotTo(HaveOccurred())
 		b := newBox("a", "a1", store, 1, clock)
--- a/escrow/example_test.go
+++ b/escrow/example_test.go
@@ -13,8 +13,8 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// A router takes tokens from the record, pays for a request and returns what is
-// left when it stops.
+// A router takes tokens from the record, pays for a request and returns the remaining
+// tokens at shutdown.
 func Example() {
 	now := time.Unix(0, 0)
 	store := standin.NewStore(standin.StoreSettings{})
--- a/escrow/export_test.go
+++ b/escrow/export_test.go
@@ -11,28 +11,28 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Enter enters a request that waits, as Syncer.Reserve does, and returns where
-// its outcome arrives.
-func (l *Ledger) Enter(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) <-chan Outcome {
+// AddWaiter queues a waiting request, as Syncer.Reserve does, and returns the channel of
+// its outcome.
+func (l *Ledger) AddWaiter(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) <-chan Outcome {
 	return l.addWaiter(w, claim{bound: bound, priority: priority, countsAsDemand: true}, now).outcome
 }
 
-// Rounds is the state of a syncer's loop between the rounds that a test runs.
-type Rounds struct{ state loopState }
+// Loop is the state of Syncer.Run between rounds that a test runs.
+type Loop struct{ state loopState }
 
-// Run does what the loop of Syncer.Run does once.
-func (r *Rounds) Run(s *Syncer) { s.runRound(context.Background(), &r.state) }
+// RunRound runs one round of Syncer.Run.
+func (r *Loop) RunRound(s *Syncer) { s.runRound(context.Background(), &r.state) }
 
-// RepaySurplus gives back what the syncer's ledger holds beyond its needs.
+// RepaySurplus repays the syncer's surplus tokens.
 func RepaySurplus(s *Syncer) { s.repaySurplus(context.Background()) }
 
-// Repay takes tokens off a ledger's own and returns what the receiver is told.
+// Repay deducts tokens from a ledger and returns the message to the receiver.
 func Repay(l *Ledger, to granitehoist.Incarnation, w granitehoist.Workspace, tokens granitehoist.Tokens) RepayParams {
 	return l.repay(to, surplus{w, tokens})
 }
 
-// CheckConservation checks for every workspace the conservation rule that owned
-// states, where no request used more than its bound.
+// CheckConservation checks the conservation rule of owned for every workspace. It
+// requires that no request used more than its bound.
 func CheckConservation(l *Ledger) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/exposure.go
+++ b/escrow/exposure.go
@@ -19,8 +19,8 @@
 // exposedFraction returns the fraction of a prepaid total that all routers may hold
 // together, from the time since the last outage ended; outageEnded is zero if there was
 // none. It is 1 without an outage and from exposureRecoveryTime after one. Held tokens
-// cover the next outage but are lost if the routers crash. Right after an outage another
-// one is unlikely, so the holdings grow back slowly.
+// cover the next outage but are lost if the routers crash. The next outage is assumed to
+// be some time away, so the holdings grow back slowly.
 func exposedFraction(outageEnded, now time.Time) float64 {
 	if outageEnded.IsZero() {
 		return 1
--- a/escrow/fleetview_test.go
+++ b/escrow/fleetview_test.go
@@ -12,17 +12,17 @@
 	"granitehoist.example/granitehoist"
 )
 
-var _ = DescribeTable("What remains of a budget of 500 tokens",
+var _ = DescribeTable("The remainder of a budget of 500 tokens",
 	func(v fleetView, store granitehoist.Tokens, total remainingBudget) {
 		Expect(v.remainingInStore(500)).To(Equal(store))
 		Expect(v.totalRemaining(10)).To(Equal(total))
 	},
-	Entry("is all of it in the store before anything was reported", fleetView{}, granitehoist.Tokens(500), remainingBudget{}),
-	Entry("is as the record says", viewFromRecord(50, 30), granitehoist.Tokens(50), remainingBudget{tokens: 90, known: true}),
-	Entry("is as a lender says that was heard later", viewFromLender(40, 70), granitehoist.Tokens(40), remainingBudget{tokens: 80, known: true}),
-	Entry("is as the record says if that was read later", viewWithOlderLender(), granitehoist.Tokens(50), remainingBudget{tokens: 90, known: true}),
-	Entry("is as an old lender says if the record was not read under the present limit", viewFromLenderOnly(), granitehoist.Tokens(40), remainingBudget{tokens: 80, known: true}),
-	Entry("counts a record that is overdrawn as empty", viewFromRecord(-20, 30), granitehoist.Tokens(-20), remainingBudget{tokens: 40, known: true}),
+	Entry("is the whole limit in the store before any report", fleetView{}, granitehoist.Tokens(500), remainingBudget{}),
+	Entry("is that of the record", viewFromRecord(50, 30), granitehoist.Tokens(50), remainingBudget{tokens: 90, known: true}),
+	Entry("is that of a lender with a newer report", viewFromLender(40, 70), granitehoist.Tokens(40), remainingBudget{tokens: 80, known: true}),
+	Entry("is that of the record if it was read later", viewWithOlderLender(), granitehoist.Tokens(50), remainingBudget{tokens: 90, known: true}),
+	Entry("is that of an old lender's report if the record was not read under the present limit", viewFromLenderOnly(), granitehoist.Tokens(40), remainingBudget{tokens: 80, known: true}),
+	Entry("counts an overdrawn store as empty", viewFromRecord(-20, 30), granitehoist.Tokens(-20), remainingBudget{tokens: 40, known: true}),
 )
 
 func viewWithOlderLender() fleetView {
@@ -35,12 +35,12 @@
 	return fleetView{lender: lenderView{remaining: 40, totalRemaining: 70, at: ago(time.Minute), valid: true}}
 }
 
-var _ = DescribeTable("What is known of a budget",
+var _ = DescribeTable("The view of a budget",
 	func(v fleetView, expected bool) {
 		Expect(v.isFresh(testNow)).To(Equal(expected))
 	},
-	Entry("is not fresh before anything was reported", fleetView{}, false),
+	Entry("is not fresh before any report", fleetView{}, false),
 	Entry("is fresh by the record", fleetView{record: recordView{readAt: ago(799 * time.Millisecond)}}, true),
-	Entry("is old by the record", fleetView{record: recordView{readAt: ago(800 * time.Millisecond)}}, false),
+	Entry("is stale by the record", fleetView{record: recordView{readAt: ago(800 * time.Millisecond)}}, false),
 	Entry("is fresh by a lender", fleetView{lender: lenderView{at: ago(799 * time.Millisecond)}}, true),
 )
--- a/escrow/fuzz_test.go
+++ b/escrow/fuzz_test.go
@@ -10,8 +10,8 @@
 	"granitehoist.example/granitehoist/escrow"
 )
 
-// FuzzRecord checks that no value under a record's key stops a router: it is a record
-// that can be written again, or an error.
+// FuzzRecord guards against stored values that make a router panic or that decode to a
+// record which can't be encoded.
 func FuzzRecord(f *testing.F) {
 	f.Add([]byte(`{"format":1,"boxes":{"edge-1":"edge-1-a"},"accounts":{"kiosk":{"f":7,"rows":{"edge-1-a":{"g":500,"r":20,"s":300,"i":180,"v":40}}}}}`))
 	f.Add([]byte(`{"format":2,"shards":256,"boxes":{},"accounts":{}}`))
--- a/escrow/grant.go
+++ b/escrow/grant.go
@@ -37,14 +37,14 @@
 
 // grant decides how many tokens to request from the store: the shortfall and, if there
 // is one or the holding is low, what fills the holding, up to what the store has.
-func (r grantInputs) grant() granitehoist.Tokens {
-	if r.remaining <= 0 {
+func (g grantInputs) grant() granitehoist.Tokens {
+	if g.remaining <= 0 {
 		return 0
 	}
-	if r.shortfall == 0 && !isLow(r.unreserved, r.target, r.threshold) {
+	if g.shortfall == 0 && !isLow(g.unreserved, g.target, g.threshold) {
 		return 0
 	}
-	return max(0, min(r.remaining, r.shortfall+max(0, r.target-max(0, r.unreserved))))
+	return max(0, min(g.remaining, g.shortfall+max(0, g.target-max(0, g.unreserved))))
 }
 
 // shortfallOf returns what waiting requests with the given bounds need beyond what is
--- a/escrow/history_test.go
+++ b/escrow/history_test.go
@@ -16,12 +16,12 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// faultyStore is a store that loses answers, refuses calls, and performs writes
-// later if their condition still holds.
+// faultyStore is a store that loses responses, refuses calls, and applies writes late if
+// their condition still holds.
 type faultyStore struct {
 	granitehoist.Store
-	fault string
-	late  [][]granitehoist.Change
+	fault   string
+	delayed [][]granitehoist.Change
 }
 
 func (s *faultyStore) Get(ctx context.Context, key string) (granitehoist.Entry, error) {
@@ -39,7 +39,7 @@
 	case "down":
 		return 0, granitehoist.ErrUnavailable
 	case "silent", "late":
-		s.late = append(s.late, changes)
+		s.delayed = append(s.delayed, changes)
 		return 0, granitehoist.ErrUnknown
 	case "lost":
 		if _, err := s.Store.CompareAndSwapAll(ctx, changes); err != nil {
@@ -50,31 +50,32 @@
 	return s.Store.CompareAndSwapAll(ctx, changes)
 }
 
-// deliverLate performs the writes that were held.
-func (s *faultyStore) deliverLate() {
-	for _, changes := range s.late {
+// deliverDelayed applies the delayed writes.
+func (s *faultyStore) deliverDelayed() {
+	for _, changes := range s.delayed {
 		_, _ = s.Store.CompareAndSwapAll(context.Background(), changes)
 	}
-	s.late = nil
+	s.delayed = nil
 }
 
-// history is a run of boxes over one store.
+// history is the state of boxes that share one store.
 type history struct {
-	now      time.Time
-	store    *faultyStore
-	boxes    []*box
-	alive    []string
-	starts   int
-	limit    granitehoist.Tokens
-	maxLimit granitehoist.Tokens
-	// paid counts the tokens of requests that ended; open those in progress of
-	// boxes that died, at their most.
-	paid granitehoist.Tokens
-	open [][]granitehoist.Tokens
-	// waiting holds the requests of each box that wait for tokens.
+	now          time.Time
+	store        *faultyStore
+	boxes        []*box
+	incarnations []string
+	starts       int
+	limit        granitehoist.Tokens
+	maxLimit     granitehoist.Tokens
+	// spent counts the use of settled requests, and the bounds of requests that were in
+	// progress when their box crashed. openBounds holds the bounds of requests in
+	// progress by box.
+	spent      granitehoist.Tokens
+	openBounds [][]granitehoist.Tokens
+	// waiting holds the waiting requests of each box.
 	waiting [][]waitingRequest
-	// roles has the role of each box, as it sees it itself; large says that the
-	// fleet has grown so large that the record is divided.
+	// roles holds the role that each box assumes; large is set if the fleet is large
+	// enough to divide the record.
 	roles []escrow.Role
 	large bool
 }
@@ -84,15 +85,15 @@
 	ended <-chan escrow.Outcome
 }
 
-const boxCount = 3
+const historyBoxes = 3
 
 func newHistory(limit granitehoist.Tokens) *history {
 	h := &history{now: time.Unix(1000, 0), limit: limit, maxLimit: limit}
 	h.store = &faultyStore{Store: standin.NewStore(standin.StoreSettings{Clock: h.clock})}
-	for i := range boxCount {
+	for i := range historyBoxes {
 		h.boxes = append(h.boxes, nil)
-		h.alive = append(h.alive, "")
-		h.open = append(h.open, nil)
+		h.incarnations = append(h.incarnations, "")
+		h.openBounds = append(h.openBounds, nil)
 		h.waiting = append(h.waiting, nil)
 		h.roles = append(h.roles, escrow.Shares)
 		h.start(i)
@@ -104,92 +105,92 @@
 
 func (h *history) start(i int) {
 	h.starts++
-	h.alive[i] = fmt.Sprintf("box%d-%d", i, h.starts)
+	h.incarnations[i] = fmt.Sprintf("box%d-%d", i, h.starts)
 	ledger := escrow.NewLedger(escrow.LedgerSettings{
-		Incarnation: granitehoist.Incarnation(h.alive[i]),
+		Incarnation: granitehoist.Incarnation(h.incarnations[i]),
 		Role:        func(escrow.Shard) escrow.Role { return h.roles[i] },
 	})
 	ledger.SetLimit(testWorkspace, h.limit)
 	h.boxes[i] = &box{ledger, escrow.NewSyncer(escrow.SyncerSettings{
 		Box: granitehoist.Box(fmt.Sprintf("box%d", i)), Ledger: ledger, Store: h.store, Clock: h.clock,
-		Routers: func() int { return boxCount },
+		Routers: func() int { return historyBoxes },
 		Divides: func() bool { return h.large },
 	})}
 }
 
-// kill loses a box. What its requests in progress got is taken at the most.
-func (h *history) kill(i int) {
+// crash crashes a box and starts a new router on it. Its requests in progress count with
+// their bounds.
+func (h *history) crash(i int) {
 	h.collect()
 	h.waiting[i] = nil
-	for _, bound := range h.open[i] {
-		h.paid += bound
+	for _, bound := range h.openBounds[i] {
+		h.spent += bound
 	}
-	h.open[i] = nil
+	h.openBounds[i] = nil
 	h.start(i)
 }
 
 func (h *history) reserve(i int, bound granitehoist.Tokens) {
 	if h.boxes[i].ledger.Reserve(testWorkspace, bound, maxPriority, h.now) {
-		h.open[i] = append(h.open[i], bound)
+		h.openBounds[i] = append(h.openBounds[i], bound)
 		return
 	}
-	ended := h.boxes[i].ledger.Enter(testWorkspace, bound, maxPriority, h.now)
+	ended := h.boxes[i].ledger.AddWaiter(testWorkspace, bound, maxPriority, h.now)
 	h.waiting[i] = append(h.waiting[i], waitingRequest{bound, ended})
 }
 
-// collect starts the waiting requests that were granted their tokens.
+// collect starts the waiting requests that were granted.
 func (h *history) collect() {
 	for i := range h.waiting {
-		var still []waitingRequest
+		var pending []waitingRequest
 		for _, w := range h.waiting[i] {
 			select {
 			case outcome := <-w.ended:
 				if outcome == escrow.Granted {
-					h.open[i] = append(h.open[i], w.bound)
+					h.openBounds[i] = append(h.openBounds[i], w.bound)
 				}
 			default:
-				still = append(still, w)
+				pending = append(pending, w)
 			}
 		}
-		h.waiting[i] = still
+		h.waiting[i] = pending
 	}
 }
 
 func (h *history) settle(i int, part int) {
-	if len(h.open[i]) == 0 {
+	if len(h.openBounds[i]) == 0 {
 		return
 	}
-	bound := h.open[i][0]
-	h.open[i] = h.open[i][1:]
+	bound := h.openBounds[i][0]
+	h.openBounds[i] = h.openBounds[i][1:]
 	used := bound * granitehoist.Tokens(part) / 4
 	h.boxes[i].ledger.Settle(testWorkspace, bound, used, h.now)
-	h.paid += used
+	h.spent += used
 }
 
-// lend passes a loan, and loses the reply if told so.
+// lend makes a loan, and drops the reply if lost is set.
 func (h *history) lend(from, to int, need granitehoist.Tokens, lost bool) {
 	if from == to {
 		return
 	}
-	result := h.boxes[from].ledger.Lend(escrow.LendParams{Borrower: granitehoist.Incarnation(h.alive[to]), Workspace: testWorkspace, Need: need, Want: 2 * need}, h.now)
+	result := h.boxes[from].ledger.Lend(escrow.LendParams{Borrower: granitehoist.Incarnation(h.incarnations[to]), Workspace: testWorkspace, Need: need, Want: 2 * need}, h.now)
 	if !lost {
-		h.boxes[to].ledger.Borrowed(testWorkspace, granitehoist.Incarnation(h.alive[from]), result, h.now)
+		h.boxes[to].ledger.Borrowed(testWorkspace, granitehoist.Incarnation(h.incarnations[from]), result, h.now)
 	}
 }
 
-// repay gives tokens away unasked, and loses the message if told so.
+// repay transfers tokens without a request, and drops the message if lost is set.
 func (h *history) repay(from, to int, tokens granitehoist.Tokens, lost bool) {
 	if from == to {
 		return
 	}
-	told := escrow.Repay(h.boxes[from].ledger, granitehoist.Incarnation(h.alive[to]), testWorkspace, tokens)
+	message := escrow.Repay(h.boxes[from].ledger, granitehoist.Incarnation(h.incarnations[to]), testWorkspace, tokens)
 	if !lost {
-		_, _ = h.boxes[to].syncer.ServeRepay(context.Background(), told)
+		_, _ = h.boxes[to].syncer.ServeRepay(context.Background(), message)
 	}
 }
 
-// serveLend lets a box go to the record for another, and loses the reply if told
-// so.
+// serveLend lets a box serve a loan from the record, and drops the reply if lost is set.
 func (h *history) serveLend(from, to int, need granitehoist.Tokens, lost bool) {
 	if from == to {
 		return
@@ -197,11 +198,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	result, _ := h.boxes[from].syncer.ServeLend(ctx, escrow.LendParams{
-		Borrower: granitehoist.Incarnation(h.alive[to]), Workspace: testWorkspace, Need: need, Want: 3 * need,
+		Borrower: granitehoist.Incarnation(h.incarnations[to]), Workspace: testWorkspace, Need: need, Want: 3 * need,
 		StandIn: h.roles[from] == escrow.Asks && h.large,
 	})
 	if !lost {
-		h.boxes[to].ledger.Borrowed(testWorkspace, granitehoist.Incarnation(h.alive[from]), result, h.now)
+		h.boxes[to].ledger.Borrowed(testWorkspace, granitehoist.Incarnation(h.incarnations[from]), result, h.now)
 	}
 }
 
@@ -213,10 +214,10 @@
 	}
 }
 
-// outstanding returns what was or may still be paid for.
-func (h *history) outstanding() granitehoist.Tokens {
-	total := h.paid
-	for _, bounds := range h.open {
+// committed returns the tokens that were spent or may still be spent.
+func (h *history) committed() granitehoist.Tokens {
+	total := h.spent
+	for _, bounds := range h.openBounds {
 		for _, bound := range bounds {
 			total += bound
 		}
@@ -224,14 +225,14 @@
 	return total
 }
 
-// step is one thing that happens, drawn as often as its weight says.
+// step is a random event, drawn in proportion to its weight.
 type step struct {
 	weight int
 	run    func(t *rapid.T, h *history)
 }
 
 var (
-	index  = rapid.IntRange(0, boxCount-1)
+	index  = rapid.IntRange(0, historyBoxes-1)
 	amount = rapid.IntRange(1, 200)
 )
 
@@ -241,12 +242,12 @@
 	}},
 	{8, func(t *rapid.T, h *history) { h.settle(index.Draw(t, "box"), rapid.IntRange(0, 4).Draw(t, "part")) }},
 	{8, func(t *rapid.T, h *history) { _ = h.boxes[index.Draw(t, "box")].sync() }},
-	{1, func(t *rapid.T, h *history) { h.kill(index.Draw(t, "box")) }},
+	{1, func(t *rapid.T, h *history) { h.crash(index.Draw(t, "box")) }},
 	{1, func(t *rapid.T, h *history) {
 		i := index.Draw(t, "box")
 		h.boxes[i].ledger.Close()
 		_ = h.boxes[i].sync()
-		h.kill(i)
+		h.crash(i)
 	}},
 	{4, func(t *rapid.T, h *history) {
 		h.lend(index.Draw(t, "from"), index.Draw(t, "to"), granitehoist.Tokens(amount.Draw(t, "need")), rapid.Bool().Draw(t, "lost"))
@@ -260,7 +261,7 @@
 	{2, func(t *rapid.T, h *history) {
 		h.store.fault = rapid.SampledFrom([]string{"", "", "", "down", "silent", "late", "lost"}).Draw(t, "fault")
 	}},
-	{2, func(_ *rapid.T, h *history) { h.store.deliverLate() }},
+	{2, func(_ *rapid.T, h *history) { h.store.deliverDelayed() }},
 	{2, func(t *rapid.T, h *history) {
 		h.roles[index.Draw(t, "box")] = rapid.SampledFrom([]escrow.Role{escrow.Shares, escrow.Holds, escrow.Asks}).Draw(t, "role")
 	}},
@@ -286,9 +287,8 @@
 
 const historyLength = 150
 
-// TestHistories checks random histories of spending, syncs, loans, kills, faults of
-// the store, changes of the budget and of the roles, and the division of the record,
-// for tokens spent beyond the budget.
+// TestHistories guards against overspending and lost tokens in random histories of
+// requests, loans, crashes, store faults and changes of limits, roles and sharding.
 func TestHistories(t *testing.T) {
 	all := stepsOf()
 	rapid.Check(t, func(t *rapid.T) {
@@ -296,7 +296,7 @@
 		for range historyLength {
 			all[rapid.IntRange(0, len(all)-1).Draw(t, "step")].run(t, h)
 			h.collect()
-			if total := h.outstanding(); total > h.maxLimit {
+			if total := h.committed(); total > h.maxLimit {
 				t.Fatalf("%d tokens may be spent of a budget that was never above %d", total, h.maxLimit)
 			}
 			for _, b := range h.boxes {
--- a/escrow/largefleet_test.go
+++ b/escrow/largefleet_test.go
@@ -20,50 +20,49 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// largeFleet is a fleet in which each router sees a workspace only now and then. It
-// runs on a clock of its own and without a network: calls between routers take no
-// time, and fail if the receiver is dead.
+// largeFleet is a fleet in which each router rarely sees a request of the workspace. It
+// has its own clock and no network: calls between routers take no time, and fail if the
+// receiver has crashed.
 type largeFleet struct {
 	elapsed atomic.Int64
-	// calls counts the calls that a loop had to run for.
+	// calls counts the calls for which a loop had to run.
 	calls atomic.Int64
-	// running is held while a loop's round runs.
+	// running is held during a round of a loop.
 	running sync.Mutex
 	store   *standin.Store
 	random  *rand.Rand
 	limit   granitehoist.Tokens
 	boxes   []*box
-	dead    map[granitehoist.Incarnation]bool
-	rounds  map[*box]*escrow.Rounds
+	crashed map[granitehoist.Incarnation]bool
+	loops   map[*box]*escrow.Loop
 	byName  map[granitehoist.Incarnation]*box
 	lenders []escrow.Lender
-	// asked and refused count the requests, paid the tokens of those that were
+	// requests and refused count the requests, spent the tokens of those that were
 	// served.
-	asked, refused int
-	paid           granitehoist.Tokens
+	requests, refused int
+	spent             granitehoist.Tokens
 }
 
-// The pattern is that of a mid-size workspace on the users' sites of 75 to 300
-// routers: some 20 requests a second in all, from 500 to 20,000 tokens each, of which
-// a router sees one in five to fifteen seconds; outages of the store of 8 s.
+// The load is about 20 requests a second in all, of 500 to 20,000 tokens each, so that a
+// router sees one every five seconds. Outages of the store last 8 s.
 const (
 	largeFleetRouters = 100
 	largeFleetStep    = 50 * time.Millisecond
 	largeFleetOutage  = 8 * time.Second
-	// largeFleetCheckInterval is how often each router looks at its holdings, as Run does.
+	// largeFleetCheckInterval is how often each router checks its holdings, as Run does.
 	largeFleetCheckInterval = 700 * time.Millisecond
-	// largeFleetTimeout is the bubble's time that a call or request may take, and
-	// largeFleetPause that between two rounds of the loop that it waits for.
+	// largeFleetTimeout bounds a call or request in the bubble's time, and
+	// largeFleetPause is the time between two rounds of the loop that it waits for.
 	largeFleetTimeout = 2 * time.Second
 	largeFleetPause   = time.Millisecond
 )
 
-// newLargeFleet returns a fleet of which the first router is the holder and the next
-// two stand in for it. Their loops run until the test ends.
+// newLargeFleet returns a fleet whose first router is the holder and whose next two are
+// stand-ins.
 func newLargeFleet(seed uint64, limit granitehoist.Tokens) *largeFleet {
 	f := &largeFleet{
 		random: rand.New(rand.NewPCG(seed, 3)), limit: limit,
-		dead: map[granitehoist.Incarnation]bool{}, rounds: map[*box]*escrow.Rounds{}, byName: map[granitehoist.Incarnation]*box{},
+		crashed: map[granitehoist.Incarnation]bool{}, loops: map[*box]*escrow.Loop{}, byName: map[granitehoist.Incarnation]*box{},
 	}
 	f.store = standin.NewStore(standin.StoreSettings{Clock: f.clock})
 	for i := range 3 {
@@ -80,8 +79,9 @@
 	return time.Unix(1000, 0).Add(time.Duration(f.elapsed.Load()))
 }
 
-// pass lets the fleet's clock go on, and the bubble's, in which what goes on by itself ends.
-func (f *largeFleet) pass(d time.Duration) {
+// advance advances the clock of the fleet and that of the bubble, in which background
+// work then finishes.
+func (f *largeFleet) advance(d time.Duration) {
 	time.Sleep(d)
 	f.elapsed.Add(int64(d))
 }
@@ -99,17 +99,18 @@
 		Routers: func() int { return largeFleetRouters },
 		Divides: func() bool { return true },
 		Lenders: func(escrow.Shard) []escrow.Lender { return lenders },
-		// Calls take no time here, so that only a busy machine could be too slow.
+		// Calls take no time here, so shorter timeouts would only fail on a slow
+		// machine.
 		LendWait: largeFleetTimeout, HedgeAfter: largeFleetTimeout,
 	})}
 	f.boxes = append(f.boxes, b)
 	f.byName[name] = b
-	f.rounds[b] = &escrow.Rounds{}
+	f.loops[b] = &escrow.Loop{}
 }
 
 // Call implements granitehoist.Caller.
 func (f *largeFleet) Call(ctx context.Context, to granitehoist.Peer, _ string, params, result any) error {
-	if f.dead[to.Incarnation] {
+	if f.crashed[to.Incarnation] {
 		return granitehoist.ErrUnknown
 	}
 	receiver := f.byName[to.Incarnation]
@@ -125,8 +126,8 @@
 	return err
 }
 
-// serveLend serves a loan while the receiver's loop runs. The time of the call is not
-// that of the test's clock.
+// serveLend serves a loan while the receiver's loop runs. The context of the borrower
+// does not limit it.
 func (f *largeFleet) serveLend(ctx context.Context, receiver *box, p escrow.LendParams) (escrow.LendResult, error) {
 	var reply escrow.LendResult
 	var err error
@@ -134,52 +135,52 @@
 	return reply, err
 }
 
-// runLoopDuring makes a call at a router while its loop runs, here and not on a goroutine of
-// its own: a round whenever the call waits. The fleet's clock stands still meanwhile.
+// runLoopDuring makes a call at a router and runs rounds of its loop on this goroutine
+// until the call returns. The fleet's clock does not advance meanwhile.
 func (f *largeFleet) runLoopDuring(b *box, call func()) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		call()
 	}()
-	// The bubble's time goes on only when all else waits. No two calls at once have rounds
-	// in the same moment.
+	// The bubble's time advances only when everything else waits. Distinct pauses keep
+	// the rounds of concurrent calls apart.
 	pause := largeFleetPause + time.Duration(f.calls.Add(1)%1000)*time.Nanosecond
 	for {
 		select {
 		case <-ended:
 			return
 		case <-time.After(pause):
-			f.round(b)
+			f.runRound(b)
 		}
 	}
 }
 
-// round runs one round of a router's loop, one at a time.
-func (f *largeFleet) round(b *box) {
+// runRound runs one round of a router's loop. Rounds never overlap.
+func (f *largeFleet) runRound(b *box) {
 	if !f.running.TryLock() {
 		// A round that borrows has another router serve a loan.
 		return
 	}
 	defer f.running.Unlock()
-	f.rounds[b].Run(b.syncer)
+	f.loops[b].RunRound(b.syncer)
 }
 
-// run lets requests arrive at random routers for a while. Each is used in full or in
-// part, at once.
-func (f *largeFleet) run(lasting time.Duration) {
-	for end := f.clock().Add(lasting); f.clock().Before(end); f.pass(largeFleetStep) {
+// run sends requests to random routers for a duration. Each uses most of its bound at
+// once.
+func (f *largeFleet) run(duration time.Duration) {
+	for end := f.clock().Add(duration); f.clock().Before(end); f.advance(largeFleetStep) {
 		if time.Duration(f.elapsed.Load())%largeFleetCheckInterval < largeFleetStep {
 			f.checkHoldings()
 		}
-		f.arrive(f.boxes[f.random.IntN(len(f.boxes))])
+		f.request(f.boxes[f.random.IntN(len(f.boxes))])
 	}
 }
 
-// checkHoldings lets each router do what its loop does now and then.
+// checkHoldings lets each router sync and repay, as its loop does periodically.
 func (f *largeFleet) checkHoldings() {
 	for i, b := range f.boxes {
-		if f.dead[f.nameOf(i)] {
+		if f.crashed[f.nameOf(i)] {
 			continue
 		}
 		if b.ledger.Role(testWorkspace, f.clock()) != escrow.Asks {
@@ -193,15 +194,15 @@
 	return granitehoist.Incarnation("r" + strconv.Itoa(i))
 }
 
-func (f *largeFleet) arrive(b *box) {
+func (f *largeFleet) request(b *box) {
 	bound := granitehoist.Tokens(500 + f.random.IntN(19_500))
 	ctx, cancel := context.WithTimeout(context.Background(), largeFleetTimeout)
 	defer cancel()
-	f.asked++
+	f.requests++
 	var answer escrow.Answer
 	reserve := func() { answer = b.syncer.Reserve(ctx, testWorkspace, bound, maxPriority) }
 	if b.ledger.Role(testWorkspace, f.clock()) == escrow.StandsIn {
-		// Its request waits for its own loop.
+		// The request waits for the router's own loop.
 		f.runLoopDuring(b, reserve)
 	} else {
 		reserve()
@@ -212,55 +213,54 @@
 	}
 	used := bound - granitehoist.Tokens(f.random.IntN(int(bound/8)))
 	b.syncer.Settle(testWorkspace, bound, used)
-	f.paid += used
+	f.spent += used
 }
 
 // held returns what all routers own and have not spent.
 func (f *largeFleet) held() granitehoist.Tokens {
 	var held granitehoist.Tokens
 	for i, b := range f.boxes {
-		if !f.dead[f.nameOf(i)] {
+		if !f.crashed[f.nameOf(i)] {
 			held += b.ledger.State(testWorkspace).Free
 		}
 	}
 	return held
 }
 
-// refusedIn runs for a while and returns the refused part of its requests.
-func (f *largeFleet) refusedIn(lasting time.Duration) float64 {
-	f.asked, f.refused = 0, 0
-	f.run(lasting)
-	return float64(f.refused) / float64(f.asked)
+// refusedFractionIn runs the fleet for a duration and returns the fraction of the
+// requests that were refused.
+func (f *largeFleet) refusedFractionIn(duration time.Duration) float64 {
+	f.requests, f.refused = 0, 0
+	f.run(duration)
+	return float64(f.refused) / float64(f.requests)
 }
 
-// fleetLimit is the prepaid total: 20 requests a second of 10,000 tokens use 200,000 tokens a
-// second.
+// fleetLimit is the prepaid total: 20 requests a second of 10,000 tokens use 200,000
+// tokens a second.
 const fleetLimit = granitehoist.Tokens(10_000_000)
 
-// TestLargeFleet checks a budget of which each of many routers sees a request now and then.
-// It runs in a synctest bubble: whatever waits for real time, as a sync that neighbours are
-// asked beside, waits for that of the bubble, and a router's loop runs exactly when all else
-// waits for it. A busy machine changes nothing.
+// TestLargeFleet guards against tokens being scattered over routers that rarely see a
+// request, and against refusals in outages. It runs in a synctest bubble.
 func TestLargeFleet(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
-		check := func(name string, play func(g *WithT, f *largeFleet)) {
+		check := func(name string, run func(g *WithT, f *largeFleet)) {
 			t.Run(name+", seed "+strconv.FormatUint(seed, 10), func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { play(NewWithT(t), newLargeFleet(seed, fleetLimit)) })
+				synctest.Test(t, func(t *testing.T) { run(NewWithT(t), newLargeFleet(seed, fleetLimit)) })
 			})
 		}
 
-		check("is not scattered over them", func(g *WithT, f *largeFleet) {
+		check("keeps the budget at the holder", func(g *WithT, f *largeFleet) {
 			f.run(10 * time.Second)
 			g.Expect(f.refused).To(BeZero())
 			scattered := f.held() - f.boxes[0].ledger.State(testWorkspace).Free
 			g.Expect(scattered).To(BeNumerically("<", fleetLimit/100))
 		})
 
-		check("pays for nearly all requests of an outage of the store", func(g *WithT, f *largeFleet) {
+		check("serves nearly all requests during an outage", func(g *WithT, f *largeFleet) {
 			f.run(10 * time.Second)
-			// The holder has between three quarters of 9 s of the demand and all of it at
-			// a random moment, so that up to 16 % of 8 s may find nothing. The outage
-			// begins when it has 7.5 s of it, which is enough for all but 7 %.
+			// The holding varies between refillThreshold and all of 9 s of the demand,
+			// so up to 16 % of 8 s may be refused. The outage begins at 7.5 s of demand,
+			// enough for all but 7 %.
 			for range 50 {
 				if f.boxes[0].ledger.State(testWorkspace).Free >= 1_500_000 {
 					break
@@ -268,31 +268,31 @@
 				f.run(100 * time.Millisecond)
 			}
 			f.store.Fail(standin.StoreFaults{Down: true})
-			g.Expect(f.refusedIn(largeFleetOutage)).To(BeNumerically("<", 0.1))
+			g.Expect(f.refusedFractionIn(largeFleetOutage)).To(BeNumerically("<", 0.1))
 			f.store.Fail(standin.StoreFaults{})
-			f.pass(time.Second)
+			f.advance(time.Second)
 			f.checkHoldings()
-			g.Expect(f.refusedIn(5 * time.Second)).To(BeNumerically("<", 0.02))
+			g.Expect(f.refusedFractionIn(5 * time.Second)).To(BeNumerically("<", 0.02))
 		})
 
-		check("pays for all but what its holder may lack at a random moment", func(g *WithT, f *largeFleet) {
+		check("serves all but what its holder may lack at a random moment of an outage", func(g *WithT, f *largeFleet) {
 			f.run(10 * time.Second)
 			f.store.Fail(standin.StoreFaults{Down: true})
-			g.Expect(f.refusedIn(largeFleetOutage)).To(BeNumerically("<=", 0.16))
+			g.Expect(f.refusedFractionIn(largeFleetOutage)).To(BeNumerically("<=", 0.16))
 		})
 
-		check("is paid by one that stands in when the holder dies", func(g *WithT, f *largeFleet) {
+		check("borrows from a stand-in when the holder crashes", func(g *WithT, f *largeFleet) {
 			f.run(10 * time.Second)
-			f.dead["r0"] = true
+			f.crashed["r0"] = true
 			lost := f.boxes[0].ledger.State(testWorkspace).Free
-			g.Expect(f.refusedIn(5 * time.Second)).To(BeNumerically("<", 0.01))
+			g.Expect(f.refusedFractionIn(5 * time.Second)).To(BeNumerically("<", 0.01))
 			g.Expect(lost).To(BeNumerically("<", fleetLimit/4))
 		})
 
-		check("is never overspent, and all but 3 % of it is used", func(g *WithT, f *largeFleet) {
+		check("uses at least 97 % of the budget and never overspends", func(g *WithT, f *largeFleet) {
 			f.run(60 * time.Second)
-			g.Expect(f.paid).To(BeNumerically("<=", fleetLimit))
-			g.Expect(f.paid).To(BeNumerically(">=", fleetLimit*97/100))
+			g.Expect(f.spent).To(BeNumerically("<=", fleetLimit))
+			g.Expect(f.spent).To(BeNumerically(">=", fleetLimit*97/100))
 		})
 	}
 }
--- a/escrow/loanrequest.go
+++ b/escrow/loanrequest.go
@@ -42,12 +42,12 @@
 // and the store does not help: at least what the smallest request lacks, if possible
 // what all lack and, unless holdings are limited after an outage, loanCover of its
 // spending.
-func (s loanRequestInputs) forWaiters(c conditions) loanRequest {
-	own := max(0, s.unreserved)
-	need := max(1, s.smallest-own)
-	want := s.waiting - own
+func (r loanRequestInputs) forWaiters(c conditions) loanRequest {
+	own := max(0, r.unreserved)
+	need := max(1, r.smallest-own)
+	want := r.waiting - own
 	if !c.isExposureLimited() {
-		want += granitehoist.Tokens(s.rate * loanCover.Seconds())
+		want += granitehoist.Tokens(r.rate * loanCover.Seconds())
 	}
 	return loanRequest{need: need, want: max(need, want)}
 }
--- a/escrow/outage_test.go
+++ b/escrow/outage_test.go
@@ -22,10 +22,10 @@
 	var now time.Time
 	var b *box
 	clock := func() time.Time { return now }
-	// pass lets time go by with a request each tenth of a second, and syncs.
-	pass := func(lasting time.Duration) {
+	// run advances the clock with a request and a sync every tenth of a second.
+	run := func(duration time.Duration) {
 		GinkgoHelper()
-		for end := now.Add(lasting); now.Before(end); now = now.Add(100 * time.Millisecond) {
+		for end := now.Add(duration); now.Before(end); now = now.Add(100 * time.Millisecond) {
 			_ = b.sync()
 			if b.ledger.Reserve(testWorkspace, 1000, maxPriority, now) {
 				b.ledger.Settle(testWorkspace, 1000, 1000, now)
@@ -33,10 +33,10 @@
 		}
 		_ = b.sync()
 	}
-	outage := func(lasting time.Duration) {
+	outage := func(duration time.Duration) {
 		GinkgoHelper()
 		store.Fail(standin.StoreFaults{Down: true})
-		pass(lasting)
+		run(duration)
 		store.Fail(standin.StoreFaults{})
 	}
 	free := func() granitehoist.Tokens { return b.ledger.State(testWorkspace).Free }
@@ -45,59 +45,59 @@
 		store = standin.NewStore(standin.StoreSettings{Clock: clock})
 		b = newBox("a", "a1", store, 1, clock)
 		b.ledger.SetLimit(testWorkspace, limit)
-		pass(20 * time.Second)
+		run(20 * time.Second)
 		Expect(free()).To(BeNumerically(">", 60_000))
 	})
 
-	It("are given back at once when it ends, so that little goes if the routers die then", func() {
+	It("are returned at once when it ends, so that little is lost if the routers crash then", func() {
 		outage(5 * time.Second)
 		Expect(free()).To(BeNumerically(">", 15_000))
-		pass(500 * time.Millisecond)
+		run(500 * time.Millisecond)
 		Expect(free()).To(BeNumerically("<", limit/50))
 		Expect(recordOf(store).Accounts[testWorkspace].Rows["a1"].Returned).To(BeNumerically(">", 0))
 	})
 
-	It("grow back within the time from one outage to another", func() {
+	It("grow back within 10 s", func() {
 		outage(5 * time.Second)
-		pass(3 * time.Second)
+		run(3 * time.Second)
 		Expect(free()).To(BeNumerically("<", limit/50))
-		pass(7 * time.Second)
+		run(7 * time.Second)
 		Expect(free()).To(BeNumerically(">", 60_000))
 	})
 
-	It("stay as they are when the store was silent for a moment", func() {
+	It("do not change after a short interruption", func() {
 		outage(2 * time.Second)
-		pass(500 * time.Millisecond)
+		run(500 * time.Millisecond)
 		Expect(free()).To(BeNumerically(">", 60_000))
 	})
 
-	It("serve what is asked for meanwhile", func() {
+	It("are filled for waiting requests after it", func() {
 		outage(5 * time.Second)
-		pass(500 * time.Millisecond)
+		run(500 * time.Millisecond)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go b.syncer.Run(ctx)
 		Expect(b.syncer.Reserve(ctx, testWorkspace, limit/20, maxPriority).Outcome).To(Equal(escrow.Granted))
 	})
 
-	It("are given back as well when the store did not answer a neighbour", func() {
+	It("are returned when the store did not respond to a neighbour", func() {
 		b.ledger.NoteNeighbourCutOff(time.Second, now)
-		pass(500 * time.Millisecond)
+		run(500 * time.Millisecond)
 		Expect(free()).To(BeNumerically(">", 60_000))
 		b.ledger.NoteNeighbourCutOff(5*time.Second, now)
-		pass(500 * time.Millisecond)
+		run(500 * time.Millisecond)
 		Expect(free()).To(BeNumerically("<", limit/50))
 	})
 
-	It("tell for how long the store has not answered", func() {
+	It("report for how long the store has not responded", func() {
 		Expect(b.ledger.CutOffTime(now)).To(BeZero())
 		store.Fail(standin.StoreFaults{Down: true})
-		pass(3 * time.Second)
+		run(3 * time.Second)
 		Expect(b.ledger.CutOffTime(now)).To(BeNumerically("~", 3*time.Second, 200*time.Millisecond))
 	})
 })
 
-var _ = Describe("A router that stops", func() {
+var _ = Describe("A router that shuts down", func() {
 	const limit = granitehoist.Tokens(100_000)
 	var store *standin.Store
 	var neighbour *box
@@ -127,12 +127,12 @@
 		_ = syncer.Sync(context.Background())
 	}
 
-	It("gives its tokens back to the store", func() {
+	It("returns its tokens to the store", func() {
 		Expect(syncer.Close(context.Background())).To(Succeed())
 		Expect(recordOf(store).Accounts[testWorkspace].Rows["b1"].Net()).To(BeZero())
 	})
 
-	It("gives them to a neighbour while the store is silent", func() {
+	It("transfers them to a neighbour while the store is unresponsive", func() {
 		held := ledger.State(testWorkspace).Free
 		before := neighbour.ledger.State(testWorkspace).Free
 		fail()
@@ -143,7 +143,7 @@
 		Expect(recordOf(store).Accounts[testWorkspace].Taken()).To(BeNumerically("<=", limit))
 	})
 
-	It("gives nothing to one that stops as well", func() {
+	It("transfers nothing to a neighbour that shuts down as well", func() {
 		held := ledger.State(testWorkspace).Free
 		neighbour.ledger.Close()
 		fail()
@@ -151,17 +151,17 @@
 		Expect(ledger.State(testWorkspace).Free).To(Equal(held))
 	})
 
-	It("takes nothing back from one whose reply was lost", func() {
+	It("keeps transferred tokens deducted if the reply was lost", func() {
 		before := neighbour.ledger.State(testWorkspace).Free
 		held := ledger.State(testWorkspace).Free
 		fail()
-		caller.lost = escrow.MethodRepay
+		caller.loseReplyOf = escrow.MethodRepay
 		Expect(syncer.Close(context.Background())).NotTo(Succeed())
 		Expect(ledger.State(testWorkspace).Free + neighbour.ledger.State(testWorkspace).Free).To(BeNumerically("<=", before+held))
 	})
 })
 
-// timedStore never answers, and notes how long each call may take.
+// timedStore never responds, and records the timeout of each call.
 type timedStore struct {
 	granitehoist.Store
 	mu       sync.Mutex
@@ -176,21 +176,21 @@
 	return granitehoist.Entry{}, granitehoist.ErrUnknown
 }
 
-var _ = Describe("A syncer whose store is silent", func() {
-	It("makes short calls, so that it soon sees the store again, and now and then a long one", func() {
+var _ = Describe("A syncer whose store is unresponsive", func() {
+	It("uses short timeouts to notice the recovery soon, and sometimes the full one", func() {
 		store := &timedStore{}
 		b := newBox("a", "a1", store, 1, time.Now)
 		for range 6 {
 			Expect(b.sync()).NotTo(Succeed())
 		}
 		long := 0
-		for _, patience := range store.timeouts {
-			if patience > escrow.DefaultTimeout/2 {
+		for _, timeout := range store.timeouts {
+			if timeout > escrow.DefaultTimeout/2 {
 				long++
 			}
 		}
 		Expect(store.timeouts).To(HaveLen(6))
-		Expect(store.timeouts[0]).To(BeNumerically("<=", 400*time.Millisecond), "a router that starts")
+		Expect(store.timeouts[0]).To(BeNumerically("<=", 400*time.Millisecond), "the first call of a router")
 		Expect(store.timeouts[1]).To(BeNumerically("<=", 400*time.Millisecond))
 		Expect(long).To(Equal(1))
 	})
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -20,9 +20,9 @@
 	limit     granitehoist.Tokens
 }
 
-// usesRecord decides whether this router reads and writes the record for an account:
-// unless it is a borrower, and then only after the limit was reduced, at shutdown, and
-// when no lender responds.
+// usesRecord decides whether this router reads and writes the record for an account. A
+// borrower does so only after the limit was reduced, at shutdown, and when no lender
+// responds; all other roles always do.
 func (a *account) usesRecord(c conditions) bool {
 	return c.role != Asks || a.owned.limitUnconfirmed || c.closing || a.lendersFailed
 }
--- a/escrow/round_test.go
+++ b/escrow/round_test.go
@@ -15,24 +15,24 @@
 		Expect(r.next()).To(Equal(expected))
 	},
 	Entry("is none if nothing is needed", round{}, stepNothing),
-	Entry("is none if nothing is needed of a store that has just failed", round{backingOff: true}, stepNothing),
+	Entry("is none if nothing is needed during a backoff", round{backingOff: true}, stepNothing),
 	Entry("is a sync if something is needed", round{needed: true}, stepSync),
-	Entry("is to ask neighbours while the store has just failed", round{needed: true, backingOff: true}, stepBorrow),
+	Entry("is to borrow during a backoff", round{needed: true, backingOff: true}, stepBorrow),
 )
 
-var _ = DescribeTable("A call to the store",
+var _ = DescribeTable("The timeout of a call to the store",
 	func(failures int, reached bool, full, expected time.Duration) {
 		Expect(callTimeout(failures, reached, full)).To(Equal(expected))
 	},
-	Entry("has the full time while the store answers", 0, true, DefaultTimeout, DefaultTimeout),
+	Entry("is full while the store responds", 0, true, DefaultTimeout, DefaultTimeout),
 	Entry("is short at the start", 0, false, DefaultTimeout, probeTimeout),
 	Entry("is short after a failure", 1, true, DefaultTimeout, probeTimeout),
-	Entry("has the full time for each fourth try", 4, true, DefaultTimeout, DefaultTimeout),
-	Entry("has it also if the store has never answered", 8, false, DefaultTimeout, DefaultTimeout),
-	Entry("is never longer than the full time", 1, true, 200*time.Millisecond, 200*time.Millisecond),
+	Entry("is full for each fourth attempt", 4, true, DefaultTimeout, DefaultTimeout),
+	Entry("is full for each fourth attempt also if the store has never responded", 8, false, DefaultTimeout, DefaultTimeout),
+	Entry("never exceeds the full timeout", 1, true, 200*time.Millisecond, 200*time.Millisecond),
 )
 
-var _ = Describe("The pause after failed syncs", func() {
+var _ = Describe("The backoff after failed syncs", func() {
 	It("doubles up to its bound", func() {
 		m := loopState{backoff: initialBackoff}
 		m.syncFailed(testNow)
--- a/escrow/sharded_test.go
+++ b/escrow/sharded_test.go
@@ -17,25 +17,25 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// shardedFleet is a fleet of two holders that both take themselves for the holder of all
-// shards, so that their writes conflict, over a store that loses, refuses and delays
-// writes of several records at once.
+// shardedFleet is a fleet of two routers that both act as the holder of all shards, so
+// that their writes conflict, over a store that loses, refuses and delays writes of
+// several records.
 type shardedFleet struct {
 	now    time.Time
 	store  *faultyStore
 	boxes  []*box
 	starts int
-	// paid counts what each workspace's requests used.
-	paid map[granitehoist.Workspace]granitehoist.Tokens
+	// spent counts the tokens used by each workspace's requests.
+	spent map[granitehoist.Workspace]granitehoist.Tokens
 }
 
 const shardedFleetLimit = granitehoist.Tokens(20_000)
 
-// shardedFleetWorkspaces are of different shards.
+// shardedFleetWorkspaces belong to different shards.
 var shardedFleetWorkspaces = []granitehoist.Workspace{"kiosk", "lock", "quay", "gate"}
 
 func newShardedFleet() *shardedFleet {
-	f := &shardedFleet{now: time.Unix(1000, 0), paid: map[granitehoist.Workspace]granitehoist.Tokens{}, boxes: make([]*box, 2)}
+	f := &shardedFleet{now: time.Unix(1000, 0), spent: map[granitehoist.Workspace]granitehoist.Tokens{}, boxes: make([]*box, 2)}
 	f.store = &faultyStore{Store: standin.NewStore(standin.StoreSettings{Clock: f.clock})}
 	for i := range f.boxes {
 		f.start(i)
@@ -45,7 +45,8 @@
 
 func (f *shardedFleet) clock() time.Time { return f.now }
 
-// start starts a box, in place of one that dies with all that it owns.
+// start starts a router, which replaces the one on that box and loses the tokens it
+// owned.
 func (f *shardedFleet) start(i int) {
 	f.starts++
 	ledger := escrow.NewLedger(escrow.LedgerSettings{
@@ -62,17 +63,16 @@
 	})}
 }
 
-// use serves a request if the box owns enough for it.
-func (f *shardedFleet) use(i int, w granitehoist.Workspace, bound, used granitehoist.Tokens) {
+// request serves a request if the box owns enough tokens.
+func (f *shardedFleet) request(i int, w granitehoist.Workspace, bound, used granitehoist.Tokens) {
 	if f.boxes[i].ledger.Reserve(w, bound, 5, f.now) {
 		f.boxes[i].ledger.Settle(w, bound, used, f.now)
-		f.paid[w] += used
+		f.spent[w] += used
 	}
 }
 
-// TestHistoriesOfManyShards checks random histories in which one write changes the
-// records of several shards: no workspace is overspent, and what the rows of the records
-// grant is never more than the prepaid total.
+// TestHistoriesOfManyShards guards against overspending and grants beyond the prepaid
+// total when one write changes the records of several shards.
 func TestHistoriesOfManyShards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newShardedFleet()
@@ -83,14 +83,14 @@
 			case 0, 1:
 				w := rapid.SampledFrom(shardedFleetWorkspaces).Draw(t, "workspace")
 				bound := granitehoist.Tokens(rapid.IntRange(1, 6000).Draw(t, "bound"))
-				f.use(i, w, bound, bound/2)
+				f.request(i, w, bound, bound/2)
 			case 2, 3:
 				// A failed sync is part of the history.
 				_ = f.boxes[i].sync()
 			case 4:
 				f.store.fault = rapid.SampledFrom([]string{"", "", "down", "silent", "late", "lost"}).Draw(t, "fault")
 			case 5:
-				f.store.deliverLate()
+				f.store.deliverDelayed()
 			case 6:
 				f.start(i)
 			}
@@ -116,14 +116,15 @@
 			}
 		}
 	}
-	for w, paid := range f.paid {
+	for w, paid := range f.spent {
 		if paid > shardedFleetLimit {
 			t.Fatalf("%s: %d used of %d", w, paid, shardedFleetLimit)
 		}
 	}
 }
 
-// TestOneWriteForAllShards checks what syncs of a holder of several shards cost.
+// TestOneWriteForAllShards guards against a write per shard, and against conflicts and
+// lost responses that leave a shard without tokens or grant them twice.
 func TestOneWriteForAllShards(t *testing.T) {
 	newHolder := func() *shardedFleet {
 		f := newShardedFleet()
@@ -136,12 +137,12 @@
 	drain := func(f *shardedFleet) {
 		for _, w := range shardedFleetWorkspaces {
 			for f.boxes[0].ledger.State(w).Free > 0 {
-				f.use(0, w, 1, 1)
+				f.request(0, w, 1, 1)
 			}
 		}
 		f.now = f.now.Add(time.Second)
 	}
-	t.Run("one call fills all that are low", func(t *testing.T) {
+	t.Run("one write fills all low holdings", func(t *testing.T) {
 		f := newHolder()
 		drain(f)
 		before := writes(f)
@@ -157,10 +158,10 @@
 			}
 		}
 	})
-	t.Run("a conflict in one of them keeps none from being filled", func(t *testing.T) {
+	t.Run("a conflict in one record does not keep any holding from being filled", func(t *testing.T) {
 		f := newHolder()
 		drain(f)
-		f.use(1, "kiosk", 1, 1)
+		f.request(1, "kiosk", 1, 1)
 		if err := f.boxes[1].sync(); err != nil {
 			t.Fatal(err)
 		}
@@ -173,7 +174,7 @@
 			}
 		}
 	})
-	t.Run("after a lost answer all are read again, and nothing is granted twice", func(t *testing.T) {
+	t.Run("after a lost response all records are read again, and nothing is granted twice", func(t *testing.T) {
 		f := newHolder()
 		drain(f)
 		f.store.fault = "lost"
--- a/escrow/storehealth.go
+++ b/escrow/storehealth.go
@@ -33,68 +33,68 @@
 }
 
 // noteDirectResponse records that the store responded to this router.
-func (c *storeHealth) noteDirectResponse(now time.Time) {
-	c.lastDirectResponse = now
-	c.noteHolderResponse(now)
+func (h *storeHealth) noteDirectResponse(now time.Time) {
+	h.lastDirectResponse = now
+	h.noteHolderResponse(now)
 }
 
 // noteHolderResponse records that the store responded to this router or to a holder that
 // it borrows from.
-func (c *storeHealth) noteHolderResponse(now time.Time) {
-	if c.cutOffTime(now) >= minOutage {
-		c.outageEnded = now
+func (h *storeHealth) noteHolderResponse(now time.Time) {
+	if h.cutOffTime(now) >= minOutage {
+		h.outageEnded = now
 	}
-	c.cutOffSince = time.Time{}
-	c.noteResponse(now)
+	h.cutOffSince = time.Time{}
+	h.noteResponse(now)
 }
 
 // noteResponse records that the store responded to this router or to a lender.
-func (c *storeHealth) noteResponse(now time.Time) {
-	c.lastResponse = now
-	c.unresponsiveSince = time.Time{}
+func (h *storeHealth) noteResponse(now time.Time) {
+	h.lastResponse = now
+	h.unresponsiveSince = time.Time{}
 }
 
 // noteFailure records that a call to the store failed.
-func (c *storeHealth) noteFailure(now time.Time) {
-	if c.unresponsiveSince.IsZero() {
-		c.unresponsiveSince = now
+func (h *storeHealth) noteFailure(now time.Time) {
+	if h.unresponsiveSince.IsZero() {
+		h.unresponsiveSince = now
 	}
-	if c.cutOffSince.IsZero() {
-		c.cutOffSince = now
+	if h.cutOffSince.IsZero() {
+		h.cutOffSince = now
 	}
 }
 
 // noteNeighbourCutOff records for how long the store has not responded to a neighbour.
 // If the store responds to this router, an outage there counts as one here.
-func (c *storeHealth) noteNeighbourCutOff(cutOff time.Duration, now time.Time) {
-	if c.cutOffSince.IsZero() && cutOff >= minOutage {
-		c.outageEnded = now
+func (h *storeHealth) noteNeighbourCutOff(cutOff time.Duration, now time.Time) {
+	if h.cutOffSince.IsZero() && cutOff >= minOutage {
+		h.outageEnded = now
 	}
 }
 
 // isUnresponsive reports whether a call has failed since the last response.
-func (c storeHealth) isUnresponsive() bool { return !c.unresponsiveSince.IsZero() }
+func (h storeHealth) isUnresponsive() bool { return !h.unresponsiveSince.IsZero() }
 
 // unresponsiveFor returns for how long the store has responded neither to this router
 // nor to a lender that reported to it, zero if it responds. Compare cutOffTime.
-func (c storeHealth) unresponsiveFor(now time.Time) time.Duration {
-	if !c.isUnresponsive() {
+func (h storeHealth) unresponsiveFor(now time.Time) time.Duration {
+	if !h.isUnresponsive() {
 		return 0
 	}
-	return now.Sub(c.unresponsiveSince)
+	return now.Sub(h.unresponsiveSince)
 }
 
 // cutOffTime returns for how long the store has responded neither to this router itself
 // nor to a holder that it borrows from; zero if it does.
-func (c storeHealth) cutOffTime(now time.Time) time.Duration {
-	if c.cutOffSince.IsZero() {
+func (h storeHealth) cutOffTime(now time.Time) time.Duration {
+	if h.cutOffSince.IsZero() {
 		return 0
 	}
-	return now.Sub(c.cutOffSince)
+	return now.Sub(h.cutOffSince)
 }
 
 // isConnected reports whether this router's view of the record is recent enough to be
 // reported to borrowers.
-func (c storeHealth) isConnected(now time.Time) bool {
-	return !c.isUnresponsive() && now.Sub(c.lastDirectResponse) <= connectedTime
+func (h storeHealth) isConnected(now time.Time) bool {
+	return !h.isUnresponsive() && now.Sub(h.lastDirectResponse) <= connectedTime
 }
--- a/escrow/storehealth_test.go
+++ b/escrow/storehealth_test.go
@@ -10,74 +10,74 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("Contact with the store", func() {
+var _ = Describe("The health of the store", func() {
 	failedFor := func(d time.Duration) storeHealth {
-		var c storeHealth
-		c.noteDirectResponse(ago(d))
-		c.noteFailure(ago(d))
-		c.noteFailure(testNow)
-		return c
+		var h storeHealth
+		h.noteDirectResponse(ago(d))
+		h.noteFailure(ago(d))
+		h.noteFailure(testNow)
+		return h
 	}
 
-	It("is not lost before a call has failed", func() {
-		var c storeHealth
-		Expect(c.isUnresponsive()).To(BeFalse())
-		Expect(c.unresponsiveFor(testNow)).To(BeZero())
-		Expect(c.cutOffTime(testNow)).To(BeZero())
+	It("is good before a call has failed", func() {
+		var h storeHealth
+		Expect(h.isUnresponsive()).To(BeFalse())
+		Expect(h.unresponsiveFor(testNow)).To(BeZero())
+		Expect(h.cutOffTime(testNow)).To(BeZero())
 	})
 
-	It("is lost from the first failed call on", func() {
-		c := failedFor(3 * time.Second)
-		Expect(c.isUnresponsive()).To(BeTrue())
-		Expect(c.unresponsiveFor(testNow)).To(Equal(3 * time.Second))
-		Expect(c.cutOffTime(testNow)).To(Equal(3 * time.Second))
+	It("is unresponsive from the first failed call on", func() {
+		h := failedFor(3 * time.Second)
+		Expect(h.isUnresponsive()).To(BeTrue())
+		Expect(h.unresponsiveFor(testNow)).To(Equal(3 * time.Second))
+		Expect(h.cutOffTime(testNow)).To(Equal(3 * time.Second))
 	})
 
-	It("ends a silence by a lender's answer, but not the cut of this router", func() {
-		c := failedFor(5 * time.Second)
-		c.noteResponse(testNow)
-		Expect(c.unresponsiveFor(testNow)).To(BeZero())
-		Expect(c.cutOffTime(testNow)).To(Equal(5 * time.Second))
-		Expect(c.outageEnded).To(BeZero())
+	It("is restored by a lender's response, but this router remains cut off", func() {
+		h := failedFor(5 * time.Second)
+		h.noteResponse(testNow)
+		Expect(h.unresponsiveFor(testNow)).To(BeZero())
+		Expect(h.cutOffTime(testNow)).To(Equal(5 * time.Second))
+		Expect(h.outageEnded).To(BeZero())
 	})
 
-	DescribeTable("ends an outage if it was silent for long enough",
+	DescribeTable("counts an outage if it was unresponsive for long enough",
 		func(silence time.Duration, ended bool) {
-			c := failedFor(silence)
-			c.noteHolderResponse(testNow)
-			Expect(c.outageEnded.Equal(testNow)).To(Equal(ended))
-			Expect(c.cutOffTime(testNow)).To(BeZero())
+			h := failedFor(silence)
+			h.noteHolderResponse(testNow)
+			Expect(h.outageEnded.Equal(testNow)).To(Equal(ended))
+			Expect(h.cutOffTime(testNow)).To(BeZero())
 		},
 		Entry("4 s", 4*time.Second, true),
 		Entry("less", 3999*time.Millisecond, false),
 	)
 
-	DescribeTable("counts a neighbour's outage as its own",
-		func(own storeHealth, cutOff time.Duration, ended bool) {
-			own.noteNeighbourCutOff(cutOff, testNow)
-			Expect(own.outageEnded.Equal(testNow)).To(Equal(ended))
+	DescribeTable("counts a neighbour's outage",
+		func(h storeHealth, cutOff time.Duration, ended bool) {
+			h.noteNeighbourCutOff(cutOff, testNow)
+			Expect(h.outageEnded.Equal(testNow)).To(Equal(ended))
 		},
-		Entry("if the store answers here", storeHealth{}, 4*time.Second, true),
+		Entry("if the store responds here", storeHealth{}, 4*time.Second, true),
 		Entry("not if it was short", storeHealth{}, time.Second, false),
-		Entry("not while the store is silent here too", storeHealth{cutOffSince: ago(time.Second)}, 4*time.Second, false),
+		Entry("not while the store is unresponsive here too", storeHealth{cutOffSince: ago(time.Second)}, 4*time.Second, false),
 	)
 
-	DescribeTable("is close enough to report to borrowers",
-		func(c storeHealth, expected bool) {
-			Expect(c.isConnected(testNow)).To(Equal(expected))
+	DescribeTable("is recent enough to report to borrowers",
+		func(h storeHealth, expected bool) {
+			Expect(h.isConnected(testNow)).To(Equal(expected))
 		},
-		Entry("3 s after an answer", storeHealth{lastDirectResponse: ago(3 * time.Second)}, true),
+		Entry("3 s after a response", storeHealth{lastDirectResponse: ago(3 * time.Second)}, true),
 		Entry("not later", storeHealth{lastDirectResponse: ago(3*time.Second + 1)}, false),
 		Entry("not after a failed call", storeHealth{lastDirectResponse: testNow, unresponsiveSince: testNow}, false),
 	)
 })
 
-var _ = DescribeTable("The part of a prepaid total that all routers may hold",
+var _ = DescribeTable("The fraction of a prepaid total that all routers may hold",
 	func(outageEnded time.Time, expected float64) {
 		Expect(exposedFraction(outageEnded, testNow)).To(BeNumerically("~", expected, 1e-9))
 	},
 	Entry("is all of it without an outage", time.Time{}, 1.0),
-	Entry("is 0.8 % right after one", testNow, 0.008),
+	Entry("is 0.8 % right after an outage", testNow, 0.008),
 	Entry("stays there for 4 s", ago(4*time.Second), 0.008),
 	Entry("grows to the usual half", ago(6500*time.Millisecond), 0.254),
 	Entry("is all of it from 9 s on", ago(9*time.Second), 1.0),
@@ -87,6 +87,6 @@
 	func(since time.Duration, old bool) {
 		Expect(isRecordStale(ago(since), testNow)).To(Equal(old))
 	},
-	Entry("2 s ago is not old", 2*time.Second, false),
-	Entry("before that is old", 2*time.Second+1, true),
+	Entry("2 s ago is not stale", 2*time.Second, false),
+	Entry("before that is stale", 2*time.Second+1, true),
 )
--- a/escrow/suite_test.go
+++ b/escrow/suite_test.go
@@ -11,11 +11,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// stepTimeout is how long an eventual thing may take on a busy machine.
-const stepTimeout = 20 * time.Second
+// eventuallyTimeout bounds Eventually, with a margin for slow machines.
+const eventuallyTimeout = 20 * time.Second
 
 func TestEscrow(t *testing.T) {
 	RegisterFailHandler(Fail)
-	SetDefaultEventuallyTimeout(stepTimeout)
+	SetDefaultEventuallyTimeout(eventuallyTimeout)
 	RunSpecs(t, "escrow")
 }
--- a/escrow/surplus_test.go
+++ b/escrow/surplus_test.go
@@ -10,42 +10,42 @@
 	"granitehoist.example/granitehoist"
 )
 
-// stopping are the conditions of a router that stops.
+// stopping returns the conditions of a router that shuts down.
 func stopping() conditions {
 	c := steadyState()
 	c.closing = true
 	return c
 }
 
-var _ = DescribeTable("What goes back to the store of a budget of 100,000 tokens",
-	func(c conditions, g returnInputs, expected granitehoist.Tokens) {
-		g.limit = 100_000
-		Expect(g.tokens(c)).To(Equal(expected))
+var _ = DescribeTable("The return to the store in a budget of 100,000 tokens",
+	func(c conditions, r returnInputs, expected granitehoist.Tokens) {
+		r.limit = 100_000
+		Expect(r.tokens(c)).To(Equal(expected))
 	},
-	Entry("is nothing up to twice the target", steadyState(), returnInputs{unreserved: 2_000, target: 1_000, remaining: 50_000}, granitehoist.Tokens(0)),
-	Entry("is what is beyond the target above that", steadyState(), returnInputs{unreserved: 2_001, target: 1_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
-	Entry("is nothing up to 1.2 times the target after an outage", afterOutage(), returnInputs{unreserved: 6_000, target: 5_000, remaining: 50_000}, granitehoist.Tokens(0)),
-	Entry("is what is beyond the target above that, after an outage", afterOutage(), returnInputs{unreserved: 6_001, target: 5_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
-	Entry("is nothing below 0.5 % of the total", steadyState(), returnInputs{unreserved: 499, target: 0, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is zero up to twice the target", steadyState(), returnInputs{unreserved: 2_000, target: 1_000, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is what exceeds the target above that", steadyState(), returnInputs{unreserved: 2_001, target: 1_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
+	Entry("is zero up to 1.2 times the target after an outage", afterOutage(), returnInputs{unreserved: 6_000, target: 5_000, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is what exceeds the target above that, after an outage", afterOutage(), returnInputs{unreserved: 6_001, target: 5_000, remaining: 50_000}, granitehoist.Tokens(1_001)),
+	Entry("is zero below 0.5 % of the total", steadyState(), returnInputs{unreserved: 499, target: 0, remaining: 50_000}, granitehoist.Tokens(0)),
 	Entry("is as little as 0.5 % of the total", steadyState(), returnInputs{unreserved: 500, target: 0, remaining: 50_000}, granitehoist.Tokens(500)),
-	Entry("is less at the end", steadyState(), returnInputs{unreserved: 20, target: 0, remaining: 1_999}, granitehoist.Tokens(20)),
-	Entry("is nothing below 0.02 % there", steadyState(), returnInputs{unreserved: 19, target: 0, remaining: 1_999}, granitehoist.Tokens(0)),
-	Entry("is nothing while requests wait", steadyState(), returnInputs{unreserved: 9_000, target: 0, remaining: 50_000, waiting: true}, granitehoist.Tokens(0)),
+	Entry("may be smaller at the end of the budget", steadyState(), returnInputs{unreserved: 20, target: 0, remaining: 1_999}, granitehoist.Tokens(20)),
+	Entry("is zero below 0.02 % at the end of the budget", steadyState(), returnInputs{unreserved: 19, target: 0, remaining: 1_999}, granitehoist.Tokens(0)),
+	Entry("is zero while requests wait", steadyState(), returnInputs{unreserved: 9_000, target: 0, remaining: 50_000, waiting: true}, granitehoist.Tokens(0)),
 	Entry("is what a reduced limit does not cover, also while requests wait", steadyState(), returnInputs{unreserved: 9_000, target: 9_000, remaining: -700, waiting: true}, granitehoist.Tokens(700)),
-	Entry("is no more than there is", steadyState(), returnInputs{unreserved: 600, target: 600, remaining: -700}, granitehoist.Tokens(600)),
-	Entry("is everything at a stop", stopping(), returnInputs{unreserved: 600, target: 600, remaining: 50_000, waiting: true}, granitehoist.Tokens(600)),
-	Entry("is nothing of what is owed", stopping(), returnInputs{unreserved: -5, target: 600, remaining: 50_000}, granitehoist.Tokens(0)),
+	Entry("is at most what is unreserved", steadyState(), returnInputs{unreserved: 600, target: 600, remaining: -700}, granitehoist.Tokens(600)),
+	Entry("is everything at shutdown", stopping(), returnInputs{unreserved: 600, target: 600, remaining: 50_000, waiting: true}, granitehoist.Tokens(600)),
+	Entry("is zero if the unreserved tokens are negative", stopping(), returnInputs{unreserved: -5, target: 600, remaining: 50_000}, granitehoist.Tokens(0)),
 )
 
-var _ = DescribeTable("A holding of a budget of 100,000 tokens is worth a sync",
-	func(g returnInputs, expected bool) {
-		g.limit = 100_000
-		Expect(g.needsSync(steadyState())).To(Equal(expected))
+var _ = DescribeTable("A holding in a budget of 100,000 tokens needs a sync",
+	func(r returnInputs, expected bool) {
+		r.limit = 100_000
+		Expect(r.needsSync(steadyState())).To(Equal(expected))
 	},
 	Entry("if it is low", returnInputs{unreserved: 749, target: 1_000, remaining: 50_000}, true),
 	Entry("not if the store has nothing for it", returnInputs{unreserved: 749, target: 1_000, remaining: 0}, false),
 	Entry("not if it is near its target", returnInputs{unreserved: 750, target: 1_000, remaining: 50_000}, false),
-	Entry("if much may be missed elsewhere", returnInputs{unreserved: 2_001, target: 1_000, remaining: 50_000}, true),
+	Entry("if it is far above its target", returnInputs{unreserved: 2_001, target: 1_000, remaining: 50_000}, true),
 )
 
 var _ = DescribeTable("A row of a budget of 100,000 tokens is written",
@@ -57,6 +57,6 @@
 	Entry("not for what was spent", Row{}, Row{Spent: 9_000, Rate: 100}, granitehoist.Tokens(1_000), false),
 	Entry("if it reports too much idle near the end", Row{Idle: 101}, Row{}, granitehoist.Tokens(9_999), true),
 	Entry("not if that is little", Row{Idle: 100}, Row{}, granitehoist.Tokens(9_999), false),
-	Entry("not while much is left", Row{Idle: 101}, Row{}, granitehoist.Tokens(10_000), false),
+	Entry("not while much of the budget is left", Row{Idle: 101}, Row{}, granitehoist.Tokens(10_000), false),
 	Entry("not if it reports too little idle", Row{}, Row{Idle: 5_000}, granitehoist.Tokens(9_999), false),
 )
--- a/escrow/target.go
+++ b/escrow/target.go
@@ -36,8 +36,8 @@
 	holderMaxHeldFraction = 0.5
 	// holderEndFraction limits the holding of a holder that has seen no outage, in
 	// proportion to the fraction of the prepaid total that is left, so that little of
-	// the end of a budget is lost if all routers crash. After an outage another one is
-	// likely, and the limit does not apply.
+	// the end of a budget is lost if all routers crash. Routers that have seen an outage
+	// expect more of them and ignore the limit.
 	holderEndFraction = 0.5
 	// minHolderCover is the least time of the demand that a holder holds tokens for,
 	// also right after an outage. It exceeds DefaultInterval, so that a holder does not
@@ -117,43 +117,43 @@
 // router's largest request, within spareFraction. It is bounded by the router's part of
 // the fleet's demand in exposedFraction of the prepaid total, but not below
 // minHolderCover at a holder.
-func (h targetInputs) target(c conditions) granitehoist.Tokens {
-	want := h.ownRate * c.cover.Seconds()
-	available := float64(max(0, h.remaining+max(0, h.unreserved)))
+func (t targetInputs) target(c conditions) granitehoist.Tokens {
+	want := t.ownRate * c.cover.Seconds()
+	available := float64(max(0, t.remaining+max(0, t.unreserved)))
 	want = max(want, c.initialFraction*available/float64(c.routers)*(1-c.confidence))
-	held := min(want, h.maxHeld(c, available)*h.demandFraction(c))
-	spare := min(spareRequests*float64(h.largest), c.spareFraction*available/float64(c.routers))
-	most := max(c.exposedFraction*float64(h.limit)*h.demandFraction(c), h.minimum(c))
+	held := min(want, t.maxHeld(c, available)*t.demandFraction(c))
+	spare := min(spareRequests*float64(t.largest), c.spareFraction*available/float64(c.routers))
+	most := max(c.exposedFraction*float64(t.limit)*t.demandFraction(c), t.minimum(c))
 	return granitehoist.Tokens(min(max(held, spare), most))
 }
 
 // maxHeld returns the tokens that all routers may hold ahead of requests. At a holder
 // that has seen no outage it shrinks with the remaining budget, but not below
 // minHolderCover.
-func (h targetInputs) maxHeld(c conditions, available float64) float64 {
+func (t targetInputs) maxHeld(c conditions, available float64) float64 {
 	most := c.maxHeldFraction * available
-	if !c.role.isHolder() || c.sawOutage || h.limit <= 0 {
+	if !c.role.isHolder() || c.sawOutage || t.limit <= 0 {
 		return most
 	}
-	end := holderEndFraction * available / float64(h.limit) * available
-	return min(most, max(end, h.minimum(c)))
+	end := holderEndFraction * available / float64(t.limit) * available
+	return min(most, max(end, t.minimum(c)))
 }
 
 // minimum returns the tokens of minHolderCover at a holder, none at other routers.
-func (h targetInputs) minimum(c conditions) float64 {
+func (t targetInputs) minimum(c conditions) float64 {
 	if !c.role.isHolder() {
 		return 0
 	}
-	return h.ownRate * minHolderCover.Seconds()
+	return t.ownRate * minHolderCover.Seconds()
 }
 
 // demandFraction returns the router's fraction of the fleet's demand, but no less than
 // an equal fraction while the router does not know its own demand yet.
-func (h targetInputs) demandFraction(c conditions) float64 {
+func (t targetInputs) demandFraction(c conditions) float64 {
 	equal := 1 / float64(c.routers)
-	fleet := h.ownRate + h.othersRate
+	fleet := t.ownRate + t.othersRate
 	if fleet <= 0 {
 		return equal
 	}
-	return max(equal*(1-c.confidence), h.ownRate/fleet)
+	return max(equal*(1-c.confidence), t.ownRate/fleet)
 }
--- a/escrow/unknownfields_test.go
+++ b/escrow/unknownfields_test.go
@@ -11,8 +11,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// rewritten decodes a stored record, changes it, and returns its new stored form.
-func rewritten(t *testing.T, stored string, change func(*Record)) map[string]any {
+// reencode decodes a stored record, changes it, and returns its new stored form.
+func reencode(t *testing.T, stored string, change func(*Record)) map[string]any {
 	t.Helper()
 	record, err := DecodeRecord(granitehoist.Entry{Key: RecordKey, Version: 1, Value: []byte(stored)})
 	if err != nil {
@@ -30,36 +30,36 @@
 	return object
 }
 
-func expectRewritten(t *testing.T, stored, want string, change func(*Record)) {
+func expectReencoded(t *testing.T, stored, want string, change func(*Record)) {
 	t.Helper()
 	var object map[string]any
 	if err := json.Unmarshal([]byte(want), &object); err != nil {
 		t.Fatal(err)
 	}
-	if got := rewritten(t, stored, change); !reflect.DeepEqual(got, object) {
+	if got := reencode(t, stored, change); !reflect.DeepEqual(got, object) {
 		t.Errorf("%v, not %v", got, object)
 	}
 }
 
-// TestLaterFieldsSurviveARewrite checks that a router keeps what a later version has put
-// into the record of the budgets.
+// TestLaterFieldsSurviveARewrite guards against a router dropping the fields that a
+// later version added to the record.
 func TestLaterFieldsSurviveARewrite(t *testing.T) {
 	const stored = `{"format":1,"later":[1,2],"boxes":{"edge-1":"edge-1-a"},"accounts":{"kiosk":{"big":12345678901234567890,"rows":{"edge-1-a":{"g":500,"new":{"x":true}}}}}}`
-	t.Run("unchanged", func(t *testing.T) { expectRewritten(t, stored, stored, func(*Record) {}) })
+	t.Run("unchanged", func(t *testing.T) { expectReencoded(t, stored, stored, func(*Record) {}) })
 	t.Run("a grant", func(t *testing.T) {
 		want := `{"format":1,"later":[1,2],"boxes":{"edge-1":"edge-1-a"},"accounts":{"kiosk":{"big":12345678901234567890,"rows":{"edge-1-a":{"g":600,"new":{"x":true}}}}}}`
-		expectRewritten(t, stored, want, func(r *Record) { r.Accounts["kiosk"].Rows["edge-1-a"] = Row{Granted: 600} })
+		expectReencoded(t, stored, want, func(r *Record) { r.Accounts["kiosk"].Rows["edge-1-a"] = Row{Granted: 600} })
 	})
-	t.Run("a row that is folded takes its own along", func(t *testing.T) {
+	t.Run("unknown fields of a deleted row are dropped", func(t *testing.T) {
 		want := `{"format":1,"later":[1,2],"boxes":{"edge-1":"edge-1-b"},"accounts":{"kiosk":{"big":12345678901234567890,"f":500}}}`
-		expectRewritten(t, stored, want, func(r *Record) { r.Enter("edge-1", "edge-1-b") })
+		expectReencoded(t, stored, want, func(r *Record) { r.Enter("edge-1", "edge-1-b") })
 	})
-	t.Run("a field that became zero is no later field", func(t *testing.T) {
+	t.Run("a known field that became zero is not kept", func(t *testing.T) {
 		const idle = `{"format":1,"later":0,"boxes":{},"accounts":{"kiosk":{"rows":{"edge-1-a":{"g":500,"i":20}}}}}`
 		want := `{"format":1,"later":0,"boxes":{},"accounts":{"kiosk":{"rows":{"edge-1-a":{"g":500}}}}}`
-		expectRewritten(t, idle, want, func(r *Record) { r.Accounts["kiosk"].Rows["edge-1-a"] = Row{Granted: 500} })
+		expectReencoded(t, idle, want, func(r *Record) { r.Accounts["kiosk"].Rows["edge-1-a"] = Row{Granted: 500} })
 	})
-	t.Run("a shard begins with those of the whole record", func(t *testing.T) {
+	t.Run("a shard starts with the unknown fields of the divided record", func(t *testing.T) {
 		record, err := DecodeRecord(granitehoist.Entry{Key: RecordKey, Version: 1, Value: []byte(stored)})
 		if err != nil {
 			t.Fatal(err)
@@ -77,8 +77,8 @@
 	})
 }
 
-// BenchmarkDecodeRecord is the decoding of a record with the rows of 8 routers for 40
-// workspaces, which each sync does.
+// BenchmarkDecodeRecord measures the decoding of a record with the rows of 8 routers for
+// 40 workspaces.
 func BenchmarkDecodeRecord(b *testing.B) {
 	record := &Record{Format: recordFormat, Boxes: map[granitehoist.Box]granitehoist.Incarnation{}, Accounts: map[granitehoist.Workspace]*StoredAccount{}}
 	for w := range 40 {
--- a/escrow/waiters_test.go
+++ b/escrow/waiters_test.go
@@ -14,36 +14,36 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-var _ = Describe("A request that waits for what is reserved for urgent ones", func() {
-	It("is granted it when a lender says that the store answers", func() {
-		const kiosk = granitehoist.Workspace("kiosk")
+var _ = Describe("A request that waits for tokens reserved for higher priorities", func() {
+	It("is granted when a lender reports that the store responds", func() {
+		const testWorkspace = granitehoist.Workspace("kiosk")
 		l := NewLedger(LedgerSettings{Incarnation: "a1"})
-		l.SetLimit(kiosk, 10_000)
-		a := l.account(kiosk)
+		l.SetLimit(testWorkspace, 10_000)
+		a := l.account(testWorkspace)
 		a.owned.confirmGranted(1000)
 		a.lastTarget = 1000
 		l.noteStoreFailure(testNow)
-		Expect(l.Reserve(kiosk, 10, granitehoist.MaxPriority, testNow)).To(BeTrue())
-		waits := l.addWaiter(kiosk, claim{bound: 800, priority: granitehoist.MaxPriority - 2}, testNow)
+		Expect(l.Reserve(testWorkspace, 10, granitehoist.MaxPriority, testNow)).To(BeTrue())
+		waits := l.addWaiter(testWorkspace, claim{bound: 800, priority: granitehoist.MaxPriority - 2}, testNow)
 		Expect(waits.outcome).NotTo(Receive())
-		l.Borrowed(kiosk, "k1", LendResult{InTouch: true, StoreRemaining: 5000, LeftAnywhere: 5000}, testNow)
+		l.Borrowed(testWorkspace, "k1", LendResult{InTouch: true, StoreRemaining: 5000, LeftAnywhere: 5000}, testNow)
 		Expect(waits.outcome).To(Receive(Equal(Granted)))
 	})
 })
 
 var _ = Describe("A request that is granted after a wait", func() {
-	It("counts as demand as one that did not wait", func() {
-		const kiosk = granitehoist.Workspace("kiosk")
+	It("counts as demand like one that did not wait", func() {
+		const testWorkspace = granitehoist.Workspace("kiosk")
 		l := NewLedger(LedgerSettings{Incarnation: "a1"})
-		l.SetLimit(kiosk, 10_000)
+		l.SetLimit(testWorkspace, 10_000)
 		s := NewSyncer(SyncerSettings{Box: "a", Ledger: l, Store: standin.NewStore(standin.StoreSettings{}), Clock: func() time.Time { return testNow }})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go s.Run(ctx)
-		Expect(s.Reserve(ctx, kiosk, 900, granitehoist.MaxPriority).Outcome).To(Equal(Granted))
-		s.Settle(kiosk, 900, 800)
+		Expect(s.Reserve(ctx, testWorkspace, 900, granitehoist.MaxPriority).Outcome).To(Equal(Granted))
+		s.Settle(testWorkspace, 900, 800)
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		Expect(l.account(kiosk).demand.rate.value(testNow.Add(rateStep))).To(BeNumerically("~", 800/rateStep.Seconds(), 1))
+		Expect(l.account(testWorkspace).demand.rate.value(testNow.Add(rateStep))).To(BeNumerically("~", 800/rateStep.Seconds(), 1))
 	})
 })
--- a/escrow/withheld_test.go
+++ b/escrow/withheld_test.go
@@ -13,9 +13,8 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// TestWithheldRequestIsNotGranted holds that a request which the end of a budget
-// withholds is not granted by waiting either. It stands in KNOWN-RED.txt: the
-// first step of a wait asks only whether the tokens are free here.
+// TestWithheldRequestIsNotGranted guards against granting a request that the end of a
+// budget withholds when it starts to wait.
 func TestWithheldRequestIsNotGranted(t *testing.T) {
 	const limit = granitehoist.Tokens(100_000)
 	now := time.Unix(1000, 0)
@@ -41,7 +40,7 @@
 	if err := b.sync(); err != nil {
 		t.Fatal(err)
 	}
-	// A loan leaves more here than this router holds of its own accord.
+	// The loan leaves more tokens here than the target.
 	b.ledger.Borrowed(testWorkspace, "b1", escrow.LendResult{Total: 1000}, now)
 	for range 10 {
 		if !b.ledger.Reserve(testWorkspace, 10, maxPriority, now) {
