--- a/escrow/bench_test.go
+++ b/escrow/bench_test.go
@@ -14,8 +14,8 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// BenchmarkSync is one sync of a router among others, store included. It tells
-// the bytes of the record too.
+// BenchmarkSync measures one sync of a router among others, store included, and reports
+// the size of the record.
 func BenchmarkSync(b *testing.B) {
 	for _, size := range []struct{ routers, workspaces int }{{6, 10}, {87, 24}, {300, 24}} {
 		b.Run(fmt.Sprintf("routers=%d,workspaces=%d", size.routers, size.workspaces), func(b *testing.B) {
@@ -37,7 +37,7 @@
 			for i := range b.N {
 				each := boxes[i%len(boxes)]
 				w := granitehoist.Workspace(fmt.Sprintf("work%03d", i%size.workspaces))
-				if free := each.ledger.State(w).Free / 2; each.ledger.Reserve(w, free, normal, now) {
+				if free := each.ledger.State(w).Free / 2; each.ledger.Reserve(w, free, maxPriority, now) {
 					each.ledger.Settle(w, free, free, now)
 				}
 				if err := each.sync(); err != nil {
@@ -54,33 +54,33 @@
 	}
 }
 
-// BenchmarkReserve is what a request pays when the router owns the tokens.
+// BenchmarkReserve measures a reservation and settlement from owned tokens.
 func BenchmarkReserve(b *testing.B) {
 	now := time.Unix(1000, 0)
 	store := standin.NewStore(standin.StoreSettings{})
 	one := newBox("a", "a1", store, 1, func() time.Time { return now })
-	one.ledger.SetLimit(kiosk, 1<<50)
+	one.ledger.SetLimit(testWorkspace, 1<<50)
 	if err := one.sync(); err != nil {
 		b.Fatal(err)
 	}
 	for range b.N {
-		if one.ledger.Reserve(kiosk, 100, normal, now) {
-			one.ledger.Settle(kiosk, 100, 0, now)
+		if one.ledger.Reserve(testWorkspace, 100, maxPriority, now) {
+			one.ledger.Settle(testWorkspace, 100, 0, now)
 		}
 	}
 }
 
-// BenchmarkHolder is what a holder does for one request of another router: a loan, a
-// part of it repaid, and a write of the record for each hundredth loan, store
-// included. It tells the bytes of the record too, whose size does not depend on the
-// number of routers.
+// BenchmarkHolder measures the work of a holder for one request of a borrower, store
+// included: a loan, a partial repayment, and a write of the record for every hundredth
+// loan. It reports the size of the record, which does not depend on the number of
+// routers.
 func BenchmarkHolder(b *testing.B) {
 	for _, routers := range []int{22, 87, 295, 1100} {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
 			now := time.Unix(1000, 0)
 			store := standin.NewStore(standin.StoreSettings{Clock: func() time.Time { return now }})
 			holder := newHolder("edge-hall-1", "edge-hall-1-0123456789abcdef01234567", store, func() time.Time { return now })
-			holder.ledger.SetLimit(kiosk, 1<<50)
+			holder.ledger.SetLimit(testWorkspace, 1<<50)
 			if err := holder.sync(); err != nil {
 				b.Fatal(err)
 			}
@@ -88,12 +88,12 @@
 			b.ResetTimer()
 			for i := range b.N {
 				borrower := granitehoist.Incarnation(fmt.Sprintf("edge-hall-%d-0123456789abcdef01234567", i%routers))
-				loan := escrow.LendParams{Borrower: borrower, Workspace: kiosk, Need: 1000, Want: 1000}
+				loan := escrow.LendParams{Borrower: borrower, Workspace: testWorkspace, Need: 1000, Want: 1000}
 				if _, err := holder.syncer.ServeLend(b.Context(), loan); err != nil {
 					b.Fatal(err)
 				}
 				repaid[i%routers] += 100
-				rest := escrow.RepayParams{Giver: borrower, Workspace: kiosk, Total: repaid[i%routers]}
+				rest := escrow.RepayParams{Giver: borrower, Workspace: testWorkspace, Total: repaid[i%routers]}
 				if _, err := holder.syncer.ServeRepay(b.Context(), rest); err != nil {
 					b.Fatal(err)
 				}
--- a/escrow/end_test.go
+++ b/escrow/endofbudget_test.go
@@ -28,42 +28,42 @@
 		boxes = nil
 		for _, name := range []string{"a", "b", "c", "d"} {
 			b := newBox(name, name+"1", store, 4, clock)
-			b.ledger.SetLimit(kiosk, limit)
+			b.ledger.SetLimit(testWorkspace, limit)
 			Expect(b.sync()).To(Succeed())
 			boxes = append(boxes, b)
 		}
 	})
-	// drain spends at one box until no more than keep is left anywhere.
+	// drain spends at one box until at most keep is left in the store and one request here.
 	drain := func(b *box, keep granitehoist.Tokens) {
 		GinkgoHelper()
 		for range 10_000 {
-			free := b.ledger.State(kiosk).Free
-			left := recordOf(store).Accounts[kiosk].Taken()
+			free := b.ledger.State(testWorkspace).Free
+			left := recordOf(store).Accounts[testWorkspace].Taken()
 			if limit-left <= keep && free <= small {
 				return
 			}
-			if !b.ledger.Reserve(kiosk, small, normal, now) {
+			if !b.ledger.Reserve(testWorkspace, small, maxPriority, now) {
 				now = now.Add(10 * time.Millisecond)
 				_ = b.sync()
 				continue
 			}
-			b.ledger.Settle(kiosk, small, small, now)
+			b.ledger.Settle(testWorkspace, small, small, now)
 		}
 	}
 	held := func() granitehoist.Tokens {
 		var sum granitehoist.Tokens
 		for _, b := range boxes {
-			sum += b.ledger.State(kiosk).Free
+			sum += b.ledger.State(testWorkspace).Free
 		}
 		return sum
 	}
 
-	// rest lets time go by without requests, until routers hold next to nothing.
-	rest := func() {
+	// idle advances the clock without requests until the routers hold next to nothing.
+	idle := func() {
 		GinkgoHelper()
 		for _, b := range boxes {
-			Expect(b.ledger.Reserve(kiosk, small, normal, now)).To(BeTrue())
-			b.ledger.Settle(kiosk, small, small, now)
+			Expect(b.ledger.Reserve(testWorkspace, small, maxPriority, now)).To(BeTrue())
+			b.ledger.Settle(testWorkspace, small, small, now)
 		}
 		for range 40 {
 			now = now.Add(time.Second)
@@ -73,19 +73,19 @@
 		}
 	}
 
-	It("finds no tokens left with routers that nobody asks for them", func() {
-		rest()
-		// Each of the others was to serve a request that came to nothing, and holds
-		// less than is worth returning while there is much left.
+	It("leaves few tokens at routers without requests", func() {
+		idle()
+		// Each of the other routers holds tokens of a request that did not use them,
+		// fewer than are returned while much of the budget is left.
 		const unused = limit / 250
 		for _, b := range boxes[1:] {
 			ended := make(chan escrow.Outcome, 1)
-			go func() { ended <- b.syncer.Reserve(context.Background(), kiosk, unused, normal).Outcome }()
-			Eventually(func() int { return b.ledger.State(kiosk).Waiting }).Should(Equal(1))
+			go func() { ended <- b.syncer.Reserve(context.Background(), testWorkspace, unused, maxPriority).Outcome }()
+			Eventually(func() int { return b.ledger.State(testWorkspace).Waiting }).Should(Equal(1))
 			Expect(b.sync()).To(Succeed())
 			Expect(<-ended).To(Equal(escrow.Granted))
-			b.ledger.Settle(kiosk, unused, 0, now)
-			Expect(b.ledger.State(kiosk).Free).To(BeNumerically(">=", unused))
+			b.ledger.Settle(testWorkspace, unused, 0, now)
+			Expect(b.ledger.State(testWorkspace).Free).To(BeNumerically(">=", unused))
 		}
 		drain(boxes[0], limit/100)
 		for range 3 {
@@ -94,40 +94,41 @@
 			}
 		}
 		for _, b := range boxes[1:] {
-			Expect(b.ledger.State(kiosk).Free).To(BeNumerically("<=", limit/2000))
+			Expect(b.ledger.State(testWorkspace).Free).To(BeNumerically("<=", limit/2000))
 		}
 	})
 
-	It("is spent over time, so that those who come last get something", func() {
-		rest()
+	It("is rationed over time, so that late requests are served", func() {
+		idle()
 		drain(boxes[0], limit/90)
 		for range 2 {
 			for _, b := range boxes {
 				Expect(b.sync()).To(Succeed())
 			}
 		}
-		left := func() granitehoist.Tokens { return limit - recordOf(store).Accounts[kiosk].Taken() + held() }
+		left := func() granitehoist.Tokens { return limit - recordOf(store).Accounts[testWorkspace].Taken() + held() }
 		served := 0
-		ask := func(lasting time.Duration) int {
+		serve := func(duration time.Duration) int {
 			GinkgoHelper()
-			for end := now.Add(lasting); now.Before(end); now = now.Add(10 * time.Millisecond) {
+			for end := now.Add(duration); now.Before(end); now = now.Add(10 * time.Millisecond) {
 				for _, b := range boxes {
-					if !b.ledger.Reserve(kiosk, small, normal, now) {
+					if !b.ledger.Reserve(testWorkspace, small, maxPriority, now) {
 						_ = b.sync()
 						continue
 					}
-					b.ledger.Settle(kiosk, small, small, now)
+					b.ledger.Settle(testWorkspace, small, small, now)
 					served++
 				}
 			}
 			return served
 		}
 		Expect(left()).To(BeNumerically("<", limit/50))
-		// 400 requests a second would take what is left in a moment.
-		Expect(ask(time.Second)).To(BeNumerically(">", 0))
+		// 400 requests a second would use up what is left within a second without a
+		// ration.
+		Expect(serve(time.Second)).To(BeNumerically(">", 0))
 		Expect(left()).To(BeNumerically(">", limit/125))
 		after := served
-		Expect(ask(9 * time.Second)).To(BeNumerically(">", after))
+		Expect(serve(9 * time.Second)).To(BeNumerically(">", after))
 		Expect(left()).To(BeNumerically(">", limit/500))
 	})
 })
--- a/escrow/together_test.go
+++ b/escrow/sharded_test.go
@@ -17,43 +17,44 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// manyShards is a fleet of two holders that both take themselves for the holder of all
-// shards, so that their writes conflict, over a store that loses, refuses and delays
-// writes of several records at once.
-type manyShards struct {
+// shardedFleet is a fleet of two routers that both act as the holder of all shards, so
+// that their writes conflict, over a store that loses, refuses and delays writes of
+// several records.
+type shardedFleet struct {
 	now    time.Time
-	store  *lateStore
+	store  *faultyStore
 	boxes  []*box
 	starts int
-	// paid counts what each workspace's requests used.
-	paid map[granitehoist.Workspace]granitehoist.Tokens
+	// spent counts the tokens used by each workspace's requests.
+	spent map[granitehoist.Workspace]granitehoist.Tokens
 }
 
-const manyShardsLimit = granitehoist.Tokens(20_000)
+const shardedFleetLimit = granitehoist.Tokens(20_000)
 
-// manyShardsWorkspaces are of different shards.
-var manyShardsWorkspaces = []granitehoist.Workspace{"kiosk", "lock", "quay", "gate"}
+// shardedFleetWorkspaces belong to different shards.
+var shardedFleetWorkspaces = []granitehoist.Workspace{"kiosk", "lock", "quay", "gate"}
 
-func newManyShards() *manyShards {
-	f := &manyShards{now: time.Unix(1000, 0), paid: map[granitehoist.Workspace]granitehoist.Tokens{}, boxes: make([]*box, 2)}
-	f.store = &lateStore{Store: standin.NewStore(standin.StoreSettings{Clock: f.clock})}
+func newShardedFleet() *shardedFleet {
+	f := &shardedFleet{now: time.Unix(1000, 0), spent: map[granitehoist.Workspace]granitehoist.Tokens{}, boxes: make([]*box, 2)}
+	f.store = &faultyStore{Store: standin.NewStore(standin.StoreSettings{Clock: f.clock})}
 	for i := range f.boxes {
 		f.start(i)
 	}
 	return f
 }
 
-func (f *manyShards) clock() time.Time { return f.now }
+func (f *shardedFleet) clock() time.Time { return f.now }
 
-// start starts a box, in place of one that dies with all that it owns.
-func (f *manyShards) start(i int) {
+// start starts a router, which replaces the one on that box and loses the tokens it
+// owned.
+func (f *shardedFleet) start(i int) {
 	f.starts++
 	ledger := escrow.NewLedger(escrow.LedgerSettings{
 		Incarnation: granitehoist.Incarnation(fmt.Sprintf("i-%d", f.starts)),
 		Role:        func(escrow.Shard) escrow.Role { return escrow.Holds },
 	})
-	for _, w := range manyShardsWorkspaces {
-		ledger.SetLimit(w, manyShardsLimit)
+	for _, w := range shardedFleetWorkspaces {
+		ledger.SetLimit(w, shardedFleetLimit)
 	}
 	f.boxes[i] = &box{ledger, escrow.NewSyncer(escrow.SyncerSettings{
 		Box: granitehoist.Box(fmt.Sprint("box-", i)), Ledger: ledger, Store: f.store, Clock: f.clock,
@@ -62,35 +63,34 @@
 	})}
 }
 
-// use serves a request if the box owns enough for it.
-func (f *manyShards) use(i int, w granitehoist.Workspace, bound, used granitehoist.Tokens) {
+// request serves a request if the box owns enough tokens.
+func (f *shardedFleet) request(i int, w granitehoist.Workspace, bound, used granitehoist.Tokens) {
 	if f.boxes[i].ledger.Reserve(w, bound, 5, f.now) {
 		f.boxes[i].ledger.Settle(w, bound, used, f.now)
-		f.paid[w] += used
+		f.spent[w] += used
 	}
 }
 
-// TestHistoriesOfManyShards checks random histories in which one write changes the
-// records of several shards: no workspace is overspent, and what the rows of the records
-// grant is never more than the prepaid total.
+// TestHistoriesOfManyShards guards against overspending and grants beyond the prepaid
+// total when one write changes the records of several shards.
 func TestHistoriesOfManyShards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newManyShards()
+		f := newShardedFleet()
 		box := rapid.IntRange(0, 1)
 		for range rapid.IntRange(20, 60).Draw(t, "steps") {
 			i := box.Draw(t, "box")
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
-				w := rapid.SampledFrom(manyShardsWorkspaces).Draw(t, "workspace")
+				w := rapid.SampledFrom(shardedFleetWorkspaces).Draw(t, "workspace")
 				bound := granitehoist.Tokens(rapid.IntRange(1, 6000).Draw(t, "bound"))
-				f.use(i, w, bound, bound/2)
+				f.request(i, w, bound, bound/2)
 			case 2, 3:
 				// A failed sync is part of the history.
 				_ = f.boxes[i].sync()
 			case 4:
 				f.store.fault = rapid.SampledFrom([]string{"", "", "down", "silent", "late", "lost"}).Draw(t, "fault")
 			case 5:
-				f.store.arrive()
+				f.store.deliverDelayed()
 			case 6:
 				f.start(i)
 			}
@@ -100,7 +100,7 @@
 	})
 }
 
-func (f *manyShards) check(t *rapid.T) {
+func (f *shardedFleet) check(t *rapid.T) {
 	entries, _, err := f.store.Store.List(context.Background(), escrow.RecordKey+"/")
 	if err != nil {
 		t.Fatal(err)
@@ -111,37 +111,38 @@
 			t.Fatal(err)
 		}
 		for w, account := range record.Accounts {
-			if account.Taken() > manyShardsLimit {
-				t.Fatalf("%s: %d taken of %d", w, account.Taken(), manyShardsLimit)
+			if account.Taken() > shardedFleetLimit {
+				t.Fatalf("%s: %d taken of %d", w, account.Taken(), shardedFleetLimit)
 			}
 		}
 	}
-	for w, paid := range f.paid {
-		if paid > manyShardsLimit {
-			t.Fatalf("%s: %d used of %d", w, paid, manyShardsLimit)
+	for w, paid := range f.spent {
+		if paid > shardedFleetLimit {
+			t.Fatalf("%s: %d used of %d", w, paid, shardedFleetLimit)
 		}
 	}
 }
 
-// TestOneWriteForAllShards checks what syncs of a holder of several shards cost.
+// TestOneWriteForAllShards guards against a write per shard, and against conflicts and
+// lost responses that leave a shard without tokens or grant them twice.
 func TestOneWriteForAllShards(t *testing.T) {
-	newHolder := func() *manyShards {
-		f := newManyShards()
+	newHolder := func() *shardedFleet {
+		f := newShardedFleet()
 		if err := f.boxes[0].sync(); err != nil {
 			t.Fatal(err)
 		}
 		return f
 	}
-	writes := func(f *manyShards) int { return f.store.Store.(*standin.Store).Calls().Writes }
-	drain := func(f *manyShards) {
-		for _, w := range manyShardsWorkspaces {
+	writes := func(f *shardedFleet) int { return f.store.Store.(*standin.Store).Calls().Writes }
+	drain := func(f *shardedFleet) {
+		for _, w := range shardedFleetWorkspaces {
 			for f.boxes[0].ledger.State(w).Free > 0 {
-				f.use(0, w, 1, 1)
+				f.request(0, w, 1, 1)
 			}
 		}
 		f.now = f.now.Add(time.Second)
 	}
-	t.Run("one call fills all that are low", func(t *testing.T) {
+	t.Run("one write fills all low holdings", func(t *testing.T) {
 		f := newHolder()
 		drain(f)
 		before := writes(f)
@@ -151,29 +152,29 @@
 		if made := writes(f) - before; made != 1 {
 			t.Fatalf("%d writes", made)
 		}
-		for _, w := range manyShardsWorkspaces {
+		for _, w := range shardedFleetWorkspaces {
 			if f.boxes[0].ledger.State(w).Free == 0 {
 				t.Fatalf("%s was not filled", w)
 			}
 		}
 	})
-	t.Run("a conflict in one of them keeps none from being filled", func(t *testing.T) {
+	t.Run("a conflict in one record does not keep any holding from being filled", func(t *testing.T) {
 		f := newHolder()
 		drain(f)
-		f.use(1, "kiosk", 1, 1)
+		f.request(1, "kiosk", 1, 1)
 		if err := f.boxes[1].sync(); err != nil {
 			t.Fatal(err)
 		}
 		if err := f.boxes[0].sync(); err != nil {
 			t.Fatal(err)
 		}
-		for _, w := range manyShardsWorkspaces {
+		for _, w := range shardedFleetWorkspaces {
 			if f.boxes[0].ledger.State(w).Free == 0 {
 				t.Fatalf("%s was not filled", w)
 			}
 		}
 	})
-	t.Run("after a lost answer all are read again, and nothing is granted twice", func(t *testing.T) {
+	t.Run("after a lost response all records are read again, and nothing is granted twice", func(t *testing.T) {
 		f := newHolder()
 		drain(f)
 		f.store.fault = "lost"
@@ -184,9 +185,9 @@
 		if err := f.boxes[0].sync(); err != nil {
 			t.Fatal(err)
 		}
-		for _, w := range manyShardsWorkspaces {
+		for _, w := range shardedFleetWorkspaces {
 			state := f.boxes[0].ledger.State(w)
-			if state.Free == 0 || state.Granted+state.StoreRemaining > manyShardsLimit {
+			if state.Free == 0 || state.Granted+state.StoreRemaining > shardedFleetLimit {
 				t.Fatalf("%s: %+v", w, state)
 			}
 		}
