--- a/throttle/doc.go
+++ b/throttle/doc.go
@@ -1,18 +1,19 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package throttle deals out the rate that an upstream takes from all routers together.
+// Package throttle enforces a rate limit that an upstream sets for all routers together.
 //
-// An upstream in need names that rate in its answers. No router sees what the others
-// send, so one of them issues permits for the upstream, and all send there only with a
-// permit. Package node chooses the issuer by rendezvous hashing and carries the requests
-// for permits; package balance keeps the permits until they are used or expire.
+// An overloaded upstream states the limit in its responses. A router does not see the
+// requests of the others, so one router issues permits for the upstream, and every router
+// needs a permit for each request that it sends there. Package node selects the issuer by
+// rendezvous hashing and transports permit requests; package balance holds permits until
+// they are used or expire.
 //
-// An Issuer paces by the generic cell rate algorithm (ITU-T I.371, in the form of virtual
-// scheduling): it keeps for each upstream when the next permit is due, and books permits
-// ahead for a short time. It makes no calls, stores nothing and forgets an upstream that
-// nobody asks for. One that has just started and one that stands in for another issue at
-// a part of the rate, since the permits of two issuers add up.
+// An Issuer implements the generic cell rate algorithm (ITU-T I.371, virtual scheduling):
+// it tracks when the next permit of each upstream is due and may reserve permits a short
+// time ahead. It makes no calls, persists nothing and drops the state of idle upstreams.
+// An issuer that has just started, and a fallback for an unreachable issuer, issue at a
+// reduced rate because the permits of two active issuers add up.
 //
-// Begin reading at Issuer.Issue.
+// Start reading at Issuer.Issue.
 package throttle
--- a/throttle/issuer.go
+++ b/throttle/issuer.go
@@ -11,76 +11,81 @@
 	"granitehoist.example/granitehoist"
 )
 
-// The users allow an upstream 6 x rate + 5 requests in any 4 s. A permit is used up to
-// Validity after it is due, and those due in the same time are at most its rate times
-// that time and the lateTime, half a permit for lateInterval, and one. So an issuer alone
-// lets through at most 4.7 x rate + 1.5 in 4 s, and together with one that stands in for it,
-// at a quarter of the rate, 5.9 x rate + 3.
+// An upstream must get at most 6 x rate + 5 requests in any 4 s. A permit is used up to
+// Validity after it is due. The permits due within a period number at most the rate times
+// the sum of the period and maxLateness, plus maxLatenessIntervals, plus one. Hence one
+// issuer admits at most 4.7 x rate + 1.5 requests in 4 s, and 5.9 x rate + 3 together with
+// a fallback at reducedRateFraction.
 const (
 	// Validity is how long after it is due a permit may be used.
 	Validity = 500 * time.Millisecond
-	// partOfRate is the part of the rate at which an issuer issues that stands in for
-	// another or has just started.
-	partOfRate = 0.25
-	// startTime is for how long an issuer counts as one that has just started: a list of
-	// nodes is read every 8 s, so that some routers ask another issuer until then.
-	startTime = 10 * time.Second
-	// lateTime and lateInterval are how long a permit that nobody asked for when it was
-	// due can still be issued: lateTime and that part of the time between two permits.
-	// With none of it routers that ask at random moments use 79 % of a rate of 0.5 a
-	// second (TestWays, 6 routers), with it 90 %.
-	lateTime     = 100 * time.Millisecond
-	lateInterval = 0.5
-	// retrySpread times the requests without a permit since the last one is over how many
-	// permits those that were told to wait are spread: all routers would otherwise come
-	// back together for one permit.
-	retrySpread = 0.5
-	// batchTime is how far behind the first of a batch its other permits may be due.
-	batchTime = 100 * time.Millisecond
-	// maxBatch bounds the permits of one grant.
+	// reducedRateFraction is the fraction of the rate at which a fallback, or an issuer
+	// within its startupPeriod, issues permits.
+	reducedRateFraction = 0.25
+	// startupPeriod is how long an issuer issues at the reduced rate after its start. It
+	// exceeds the 8 s refresh interval of the node list, until which some routers may
+	// still ask another issuer.
+	startupPeriod = 10 * time.Second
+	// maxLateness plus maxLatenessIntervals times the interval between permits is how long
+	// after its due time a permit can still be issued. Without this tolerance, routers
+	// that ask at random times leave part of the rate unused.
+	maxLateness          = 100 * time.Millisecond
+	maxLatenessIntervals = 0.5
+	// retryJitter is the random part of the retry delay, in permit intervals for each
+	// request denied since the last grant. It keeps the routers from retrying together
+	// for a single permit.
+	retryJitter = 0.5
+	// batchWindow is the longest time between the due times of the first and the last
+	// permit of one grant.
+	batchWindow = 100 * time.Millisecond
+	// maxBatch is the maximum number of permits in one grant.
 	maxBatch = 100
-	// minRate is what an upstream gets that names less, zero included: without any
-	// request no answer would tell when its need is over. The users' bound allows 5
-	// requests in 4 s whatever the rate; chosen far below that.
+	// minRate, in permits a second, replaces lower rates, including zero: a response is
+	// needed to learn that the limit has been lifted.
 	minRate = 0.1
-	// forgetAfter is how long an upstream is remembered after its last permit was due.
-	forgetAfter = time.Minute
+	// idleTimeout is how long the schedule of an upstream is kept after its next permit
+	// was due.
+	idleTimeout = time.Minute
 )
 
 // Settings configure an Issuer. The zero value works.
 type Settings struct {
-	// Started is when the router started; zero means long ago.
+	// Started is when the router started; zero means that the startup period is over.
 	Started time.Time
-	// Seed seeds the times at which routers are told to ask again.
+	// Seed seeds the jitter of the retry delays.
 	Seed uint64
 }
 
-// Life is one life of an upstream: one that starts again under its ID has another Born.
+// Life identifies one incarnation of an upstream. An upstream that restarts under the same
+// ID has a different Born, its start time in milliseconds since the Unix epoch.
 type Life struct {
 	Upstream granitehoist.Upstream
 	Born     int64
 }
 
-// Request asks for permits.
+// Request asks for permits for one upstream.
 type Request struct {
 	Life Life
-	// Rate is the number of requests a second that the upstream takes.
+	// Rate is the limit set by the upstream, in requests a second.
 	Rate float64
-	// Count is the number of permits that can be used; below one counts as one.
+	// Count is the number of permits wanted; values below one count as one.
 	Count int
-	// Within bounds how far ahead of the request the first permit may be due.
+	// Within is the longest time from the request until the first permit is due;
+	// negative values count as zero.
 	Within time.Duration
-	// StandsIn says that the issuer which all routers prefer could not be reached.
+	// StandsIn reports that the preferred issuer was unreachable, so that this issuer
+	// acts as its fallback.
 	StandsIn bool
 }
 
-// Grant is the answer to a Request. Either Count is positive or Retry is.
+// Grant is the response to a Request. Either Count or Retry is positive.
 type Grant struct {
-	// Count is the number of permits, all of which may be used from Due on, counted from
-	// the request, and until Validity after it.
+	// Count is the number of permits. They are valid from Due, relative to the request,
+	// until Validity after that.
 	Count int
 	Due   time.Duration
-	// Retry is when to ask again if there is no permit, counted from the request.
+	// Retry is the delay after which to ask again if no permit was granted, relative to
+	// the request.
 	Retry time.Duration
 }
 
@@ -89,85 +94,86 @@
 	settings Settings
 
 	// mu guards the fields below.
-	mu     sync.Mutex
-	random *rand.Rand
-	paces  map[Life]*pace
-	// sweptAt is when paces was last swept.
+	mu        sync.Mutex
+	random    *rand.Rand
+	schedules map[Life]*schedule
+	// sweptAt is when idle schedules were last removed.
 	sweptAt time.Time
 }
 
-// pace is when the permits of one upstream are due.
-type pace struct {
-	// next is when the next permit is due if all are used.
-	next time.Time
-	// denied counts the requests without a permit since the last one that got some.
+// schedule tracks the permits of one upstream.
+type schedule struct {
+	// nextDue is when the next permit is due if all earlier ones are used.
+	nextDue time.Time
+	// denied counts the requests denied since the last grant.
 	denied int
 }
 
-// NewIssuer returns an Issuer that has issued nothing.
+// NewIssuer returns an Issuer without any schedules.
 func NewIssuer(s Settings) *Issuer {
-	return &Issuer{settings: s, random: rand.New(rand.NewPCG(s.Seed, 2)), paces: map[Life]*pace{}}
+	return &Issuer{settings: s, random: rand.New(rand.NewPCG(s.Seed, 2)), schedules: map[Life]*schedule{}}
 }
 
-// Issue decides how many permits a router gets, from when on, or when it asks again. A
-// rate that is no number or negative counts as zero.
+// Issue grants permits that are due within the request's wait, or returns when to retry. A
+// negative rate or NaN counts as zero.
 func (i *Issuer) Issue(r Request, now time.Time) Grant {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.sweep(now)
 	interval := i.interval(r, now)
-	p, found := i.paces[r.Life]
+	s, found := i.schedules[r.Life]
 	if !found {
-		p = &pace{next: now}
-		i.paces[r.Life] = p
+		s = &schedule{nextDue: now}
+		i.schedules[r.Life] = s
 	}
-	due := p.firstDue(interval, now)
+	due := s.firstDue(interval, now)
 	if wait := due.Sub(now); wait > max(0, r.Within) {
-		p.denied++
-		spread := time.Duration(i.random.Float64() * float64(interval) * retrySpread * float64(p.denied))
+		s.denied++
+		spread := time.Duration(i.random.Float64() * float64(interval) * retryJitter * float64(s.denied))
 		return Grant{Retry: wait + spread}
 	}
-	p.denied = 0
+	s.denied = 0
 	grant := Grant{Due: max(0, due.Sub(now))}
-	latest := now.Add(grant.Due + batchTime)
+	latest := now.Add(grant.Due + batchWindow)
 	for at := due; grant.Count < min(max(1, r.Count), maxBatch) && !at.After(latest); at = at.Add(interval) {
 		grant.Count++
-		p.next = at.Add(interval)
+		s.nextDue = at.Add(interval)
 	}
 	return grant
 }
 
-// firstDue returns when the first permit of a request is due. Of those that nobody asked
-// for it leaves out the ones that are too late.
-func (p *pace) firstDue(interval time.Duration, now time.Time) time.Time {
-	late := lateTime + time.Duration(lateInterval*float64(interval))
-	if earliest := now.Add(-late); p.next.Before(earliest) {
+// firstDue returns when the next permit is due, skipping permits that are later than the
+// tolerance allows.
+func (s *schedule) firstDue(interval time.Duration, now time.Time) time.Time {
+	tolerance := maxLateness + time.Duration(maxLatenessIntervals*float64(interval))
+	if earliest := now.Add(-tolerance); s.nextDue.Before(earliest) {
 		return earliest
 	}
-	return p.next
+	return s.nextDue
 }
 
-// interval returns the time from one permit to the next.
+// interval returns the time between two permits at the effective rate of the request.
 func (i *Issuer) interval(r Request, now time.Time) time.Duration {
 	rate := minRate
 	if r.Rate > minRate {
 		rate = r.Rate
 	}
-	if r.StandsIn || now.Sub(i.settings.Started) < startTime {
-		rate *= partOfRate
+	if r.StandsIn || now.Sub(i.settings.Started) < startupPeriod {
+		rate *= reducedRateFraction
 	}
 	return time.Duration(float64(time.Second) / rate)
 }
 
-// sweep forgets upstreams that nobody asks for. The caller holds mu.
+// sweep removes the schedules of idle upstreams, at most once in idleTimeout. The caller
+// holds mu.
 func (i *Issuer) sweep(now time.Time) {
-	if now.Sub(i.sweptAt) < forgetAfter {
+	if now.Sub(i.sweptAt) < idleTimeout {
 		return
 	}
 	i.sweptAt = now
-	for life, p := range i.paces {
-		if now.Sub(p.next) > forgetAfter {
-			delete(i.paces, life)
+	for incarnation, s := range i.schedules {
+		if now.Sub(s.nextDue) > idleTimeout {
+			delete(i.schedules, incarnation)
 		}
 	}
 }
--- a/throttle/issuer_test.go
+++ b/throttle/issuer_test.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-var noon = time.Unix(1_000_000, 0)
+var testTime = time.Unix(1_000_000, 0)
 
-// issuedIn returns how many permits an issuer gives in a time to somebody who asks every
-// 10 ms for one that is due at once.
-func issuedIn(i *Issuer, r Request, lasts time.Duration) int {
+// countIssued returns the permits granted to a caller that repeats a request every 10 ms
+// for the given duration.
+func countIssued(i *Issuer, r Request, duration time.Duration) int {
 	issued := 0
-	for now := noon; now.Before(noon.Add(lasts)); now = now.Add(10 * time.Millisecond) {
+	for now := testTime; now.Before(testTime.Add(duration)); now = now.Add(10 * time.Millisecond) {
 		issued += i.Issue(r, now).Count
 	}
 	return issued
@@ -24,81 +24,82 @@
 
 func expectIssued(t *testing.T, s Settings, r Request, want int) {
 	t.Helper()
-	if got := issuedIn(NewIssuer(s), r, 40*time.Second); got < want-1 || got > want+1 {
-		t.Errorf("%d permits in 40 s, not %d", got, want)
+	if got := countIssued(NewIssuer(s), r, 40*time.Second); got < want-1 || got > want+1 {
+		t.Errorf("%d permits in 40 s, want %d", got, want)
 	}
 }
 
-// TestIssuer checks at which pace permits are issued.
+// TestIssuer guards against permits above or below the effective rate, and against state
+// shared between incarnations or kept for idle upstreams.
 func TestIssuer(t *testing.T) {
-	t.Run("at the rate", func(t *testing.T) { expectIssued(t, Settings{}, Request{Rate: 5}, 200) })
-	t.Run("a stand-in at a quarter", func(t *testing.T) { expectIssued(t, Settings{}, Request{Rate: 5, StandsIn: true}, 50) })
-	t.Run("one that has just started at a quarter for 10 s", func(t *testing.T) {
-		expectIssued(t, Settings{Started: noon}, Request{Rate: 4}, 10+120)
+	t.Run("issues at the requested rate", func(t *testing.T) { expectIssued(t, Settings{}, Request{Rate: 5}, 200) })
+	t.Run("fallback issues at a quarter of the rate", func(t *testing.T) { expectIssued(t, Settings{}, Request{Rate: 5, StandsIn: true}, 50) })
+	t.Run("issues at a quarter of the rate for 10 s after start", func(t *testing.T) {
+		expectIssued(t, Settings{Started: testTime}, Request{Rate: 4}, 10+120)
 	})
 	for _, rate := range []float64{0, -1, math.NaN(), math.Inf(-1), 1e-300} {
-		t.Run(fmt.Sprint("at least so often that the end of the need shows, rate ", rate), func(t *testing.T) {
+		t.Run(fmt.Sprint("applies the minimum rate to ", rate), func(t *testing.T) {
 			expectIssued(t, Settings{}, Request{Rate: rate}, 4)
 		})
 	}
 	for _, rate := range []float64{1e300, math.Inf(1)} {
-		t.Run(fmt.Sprint("a rate that binds nobody, ", rate), func(t *testing.T) {
-			if got := NewIssuer(Settings{}).Issue(Request{Rate: rate, Count: 50}, noon); got.Count != 50 || got.Due != 0 {
-				t.Errorf("%+v", got)
+		t.Run(fmt.Sprint("does not limit at rate ", rate), func(t *testing.T) {
+			if got := NewIssuer(Settings{}).Issue(Request{Rate: rate, Count: 50}, testTime); got.Count != 50 || got.Due != 0 {
+				t.Errorf("got %+v, want 50 permits due at once", got)
 			}
 		})
 	}
-	t.Run("many at once, no more than are due", func(t *testing.T) {
-		if got := NewIssuer(Settings{}).Issue(Request{Rate: 100, Count: 1000}, noon); got.Count != 11 {
-			t.Errorf("%d permits, those of 100 ms are 11", got.Count)
+	t.Run("bounds a batch by the permits due in its window", func(t *testing.T) {
+		if got := NewIssuer(Settings{}).Issue(Request{Rate: 100, Count: 1000}, testTime); got.Count != 11 {
+			t.Errorf("%d permits, want the 11 due within 100 ms", got.Count)
 		}
 	})
-	t.Run("two lives of an upstream have two rates", func(t *testing.T) {
+	t.Run("keeps a schedule for each incarnation", func(t *testing.T) {
 		i := NewIssuer(Settings{})
 		for born := range int64(2) {
-			if got := i.Issue(Request{Life: Life{Upstream: "i-0", Born: born}, Rate: 0.1}, noon); got.Count != 1 {
-				t.Errorf("life %d: %+v", born, got)
+			if got := i.Issue(Request{Life: Life{Upstream: "i-0", Born: born}, Rate: 0.1}, testTime); got.Count != 1 {
+				t.Errorf("incarnation %d: got %+v, want one permit", born, got)
 			}
 		}
 	})
-	t.Run("whoever gets none is told when to come back", func(t *testing.T) {
+	t.Run("returns a retry delay without a permit", func(t *testing.T) {
 		i := NewIssuer(Settings{})
-		i.Issue(Request{Rate: 1}, noon)
-		if got := i.Issue(Request{Rate: 1, Within: 100 * time.Millisecond}, noon); got.Count != 0 || got.Retry < time.Second {
-			t.Errorf("%+v", got)
+		i.Issue(Request{Rate: 1}, testTime)
+		if got := i.Issue(Request{Rate: 1, Within: 100 * time.Millisecond}, testTime); got.Count != 0 || got.Retry < time.Second {
+			t.Errorf("got %+v, want no permit and a retry delay of at least 1 s", got)
 		}
-		if got := i.Issue(Request{Rate: 1, Within: time.Second}, noon); got.Count != 1 || got.Due != time.Second {
-			t.Errorf("%+v", got)
+		if got := i.Issue(Request{Rate: 1, Within: time.Second}, testTime); got.Count != 1 || got.Due != time.Second {
+			t.Errorf("got %+v, want one permit due in 1 s", got)
 		}
 	})
-	t.Run("upstreams that nobody asks for are forgotten", func(t *testing.T) {
+	t.Run("removes schedules of idle upstreams", func(t *testing.T) {
 		i := NewIssuer(Settings{})
-		i.Issue(Request{Life: Life{Upstream: "i-0"}, Rate: 1}, noon)
-		i.Issue(Request{Life: Life{Upstream: "i-1"}, Rate: 1}, noon.Add(3*forgetAfter))
-		if len(i.paces) != 1 {
-			t.Errorf("%d upstreams", len(i.paces))
+		i.Issue(Request{Life: Life{Upstream: "i-0"}, Rate: 1}, testTime)
+		i.Issue(Request{Life: Life{Upstream: "i-1"}, Rate: 1}, testTime.Add(3*idleTimeout))
+		if len(i.schedules) != 1 {
+			t.Errorf("%d schedules, want 1", len(i.schedules))
 		}
 	})
 }
 
-// BenchmarkIssue is one question for a permit.
+// BenchmarkIssue measures one permit request.
 func BenchmarkIssue(b *testing.B) {
 	i := NewIssuer(Settings{})
-	now := noon
+	now := testTime
 	for range b.N {
 		now = now.Add(time.Millisecond)
 		i.Issue(Request{Life: Life{Upstream: "i-0"}, Rate: 10, Count: 1, Within: 100 * time.Millisecond}, now)
 	}
 }
 
-// ExampleIssuer shows two routers that share the rate of one upstream.
+// ExampleIssuer shows requests that share the rate limit of one upstream.
 func ExampleIssuer() {
 	issuer := NewIssuer(Settings{})
 	request := Request{Life: Life{Upstream: "i-7f3a"}, Rate: 2, Within: 600 * time.Millisecond}
-	first, second := issuer.Issue(request, noon), issuer.Issue(request, noon)
+	first, second := issuer.Issue(request, testTime), issuer.Issue(request, testTime)
 	fmt.Println(first.Count, first.Due)
 	fmt.Println(second.Count, second.Due)
-	third := issuer.Issue(request, noon)
+	third := issuer.Issue(request, testTime)
 	fmt.Println(third.Count, third.Retry >= time.Second)
 	// Output:
 	// 1 0s
