--- /dev/null
+++ b/balance/backoff.go
@@ -0,0 +1,78 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package balance
+
+import "time"
+
+// An instance that rejects a request may ask this router to back off for some time
+// (Retry-After, package pushback). The instance is deferred for all requests until that
+// time has passed. Then a few probe requests restore its load gradually.
+
+// defaultConcurrency is the capacity assumed for an instance that announces none.
+const defaultConcurrency = 16
+
+// concurrency returns the number of requests that the instance runs at once.
+func (i *Instance) concurrency() int {
+	if i.Capacity <= 0 {
+		return defaultConcurrency
+	}
+	return i.Capacity
+}
+
+// RestNote is the event that an instance asked this router to back off.
+type RestNote struct {
+	Instance
+	// Asked is the requested backoff, Left the time until the backoff ends.
+	Asked, Left time.Duration
+}
+
+// recordBackoff records the backoff requested by a response of the instance.
+func (l *Lease) recordBackoff(requested time.Duration, now time.Time) {
+	t := l.table
+	t.mu.Lock()
+	l.state.backoff.Ask(requested, now)
+	note := RestNote{Instance: l.Instance, Asked: requested, Left: l.state.backoff.Left(now)}
+	t.wakeWaiters()
+	t.mu.Unlock()
+	if t.settings.RestNoted != nil {
+		t.settings.RestNoted(note)
+	}
+}
+
+// recordAccepted records that the instance accepted the request. The header of a
+// successful response shows this long before a stream ends.
+func (l *Lease) recordAccepted() {
+	l.table.mu.Lock()
+	defer l.table.mu.Unlock()
+	if l.endProbe() {
+		l.state.backoff.Took(l.picked, l.concurrency())
+		l.table.wakeWaiters()
+	}
+}
+
+// endProbe ends the lease's probe after a backoff, and reports whether one was open. The
+// caller holds the table's lock.
+func (l *Lease) endProbe() bool {
+	if !l.isProbe {
+		return false
+	}
+	l.isProbe = false
+	l.state.backoff.EndTry()
+	return true
+}
+
+// endProbeWithResult ends the lease's probe, if one is open, with the result of the
+// attempt. The caller holds the table's lock.
+func (l *Lease) endProbeWithResult(r Result) {
+	if !l.endProbe() {
+		return
+	}
+	switch r {
+	case Good, Failed:
+		l.state.backoff.Took(l.picked, l.concurrency())
+	case Refused:
+		l.state.backoff.Refused()
+	case Broken, Unclear, Moved:
+	}
+}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -14,61 +14,60 @@
 
 // Instance is one run of an upstream as it announced itself.
 type Instance struct {
-	// ID is new at each start of an upstream.
+	// ID identifies the upstream. A restarted upstream may keep its ID; see Born.
 	ID      granitehoist.Upstream
 	Service granitehoist.Service
-	// Address is its IP and port.
+	// Address is the IP address and port.
 	Address string
 	Zone    granitehoist.AvailabilityZone
-	// Capacity is the number of requests that it runs at once; zero where the
-	// announcement does not say.
+	// Capacity is the number of requests that the instance runs at once; zero if unknown.
 	Capacity int
-	// Draining instances finish the requests that they have and get no new one.
+	// Draining reports that the instance finishes its current requests and accepts no new
+	// ones.
 	Draining bool
-	// ColdFor is for how much longer the instance was cold when it announced itself:
-	// it then bears only so many requests a second (Query.ColdPerSecond). Zero says
-	// that it is warm.
+	// ColdFor is how much longer the instance is cold after its announcement. A cold
+	// instance handles a limited request rate (Query.ColdPerSecond). Zero means warm.
 	ColdFor time.Duration
-	// Born is when this life of the instance began, in milliseconds since 1970; zero
-	// where the announcement does not say. An instance that starts again may keep its
-	// ID: of two announcements the one with the later Born is of a new life.
+	// Born is the start time of this incarnation in milliseconds since the Unix epoch;
+	// zero if unknown. An instance may restart under the same ID: the announcement with
+	// the later Born belongs to the newer incarnation.
 	Born int64
 	// Version is the store's version of the announcement.
 	Version granitehoist.Version
 }
 
-// Life is one life of an instance: one that starts again under its ID has another Born.
+// Life identifies one incarnation of an instance. An instance that restarts under the
+// same ID has a different Born.
 type Life struct {
 	ID   granitehoist.Upstream
 	Born int64
 }
 
-// life returns the life that the instance is in.
-func (i *Instance) life() Life { return Life{ID: i.ID, Born: i.Born} }
+// incarnation identifies the current incarnation of the instance.
+func (i *Instance) incarnation() Life { return Life{ID: i.ID, Born: i.Born} }
 
 // Settings configure a Table. The zero value works.
 type Settings struct {
-	// Zone is this router's own; of equal instances it prefers one there.
+	// Zone is this router's own zone, which is preferred among otherwise equal instances.
 	Zone granitehoist.AvailabilityZone
-	// Seed seeds the random choice among equals.
+	// Seed seeds the random choices.
 	Seed uint64
 	// Regions holds the region of each availability zone.
 	Regions map[granitehoist.AvailabilityZone]granitehoist.Region
-	// LimitChanged, if set, is called without a lock held when the table learns of a
-	// limit, of another rate, or of the end.
+	// LimitChanged, if set, is called without a lock held when the table learns that a
+	// rate limit has been set, changed or lifted.
 	LimitChanged func(LimitChange)
 	// LeavingNoted, if set, is called without a lock held when the table learns that an
-	// instance leaves, once for each life.
+	// instance is leaving, once for each incarnation.
 	LeavingNoted func(LeavingNote)
 	// RestNoted, if set, is called without a lock held when an instance asks this router
-	// for rest.
+	// to back off.
 	RestNoted func(RestNote)
 }
 
-// Table holds the instances of all services, and for each instance this
-// router's requests in progress and the results of its attempts. It makes no
-// calls and is safe for concurrent use. Its functions that decide take the
-// present time as an argument.
+// Table holds the instances of all services and, for each instance, this router's
+// requests in progress and the results of its attempts. It makes no calls and is safe for
+// concurrent use. Functions that depend on the time take it as an argument.
 type Table struct {
 	settings Settings
 
@@ -77,58 +76,62 @@
 	random    *rand.Rand
 	services  map[granitehoist.Service]*serviceState
 	instances map[granitehoist.Upstream]*instanceState
-	// evacuated holds the zones whose instances get no attempt.
+	// evacuated holds the zones whose instances get no attempts.
 	evacuated map[granitehoist.AvailabilityZone]bool
-	// newsVersion counts what answers to this router itself have said that is news to the
-	// others.
-	newsVersion uint64
-	// earlyLimits holds what others said of instances that are not announced yet.
-	earlyLimits map[Life]knownLimit
-	// leavers holds the lives that said that they leave.
-	leavers leavers
-	// spared counts the choices that spared an instance.
-	spared Spared
-	// wanting holds the instances for which permits are wanted.
-	wanting []*instanceState
+	// updateVersion counts the state changes reported by responses to this router, which
+	// other routers need to learn.
+	updateVersion uint64
+	// pendingLimits holds rate limits that other routers reported for instances not
+	// announced yet.
+	pendingLimits map[Life]knownLimit
+	// leavingIncarnations holds the incarnations that reported that they are leaving.
+	leavingIncarnations leavingSet
+	// skipCounts counts the choices that passed over an instance.
+	skipCounts Spared
+	// awaitingPermits holds the instances for which permits are wanted.
+	awaitingPermits []*instanceState
 
-	// permitsWanted is the channel of PermitsWanted. It holds one.
+	// permitsWanted is the channel of PermitsWanted, with a buffer of one.
 	permitsWanted chan struct{}
-	// deferredChanged is the channel of DeferredChanged; mu guards it.
+	// deferredChanged is the channel of DeferredChanged. It is guarded by mu.
 	deferredChanged chan struct{}
 }
 
-// instanceState is an instance with what this router observed of it. The lock of its
-// table guards it.
+// instanceState is an instance with this router's observations of it. It is guarded by
+// the lock of its table.
 type instanceState struct {
 	Instance
 	health
 	// inFlight is the number of this router's attempts in progress there.
 	inFlight int
-	// unreadTokens is the part of their prompts that it has yet to read.
-	unreadTokens granitehoist.Tokens
-	// removedAt is when its announcement was removed; zero while it is there.
+	// queuedTokens counts the prompt tokens of these attempts that await prefill.
+	queuedTokens granitehoist.Tokens
+	// removedAt is when the announcement was removed; zero while the instance is
+	// announced.
 	removedAt time.Time
-	// leaving says that it said in an answer that it is about to end.
+	// leaving reports that a response said that the instance is about to end.
 	leaving bool
-	// leavingVersion is the table's newsVersion when an answer to this router said so; zero
-	// if it has that from others.
+	// leavingVersion is the table's updateVersion at the response that reported leaving;
+	// zero if another router reported it first.
 	leavingVersion uint64
-	// rest is what it has asked this router for.
-	rest pushback.Rest
-	// coldUntil is when it is expected to be warm; zero if it never was cold.
+	// backoff is the backoff that the instance requested from this router.
+	backoff pushback.Rest
+	// coldUntil is when the instance is expected to be warm; zero if it never was cold.
 	coldUntil time.Time
-	// admitted is what this router may send it in the present second while it is cold.
-	admitted coldAdmission
-	// limit is nil if the instance has never named a limit.
+	// coldQuota is what this router may send in the current second while the instance is
+	// cold.
+	coldQuota coldQuota
+	// limit is nil if the instance has never set a rate limit.
 	limit *limitState
-	// idHash is the hash of its ID, for the choice of a prefix's owner.
+	// idHash is the hash of the ID, for rendezvous hashing.
 	idHash uint64
-	// eventGap follows the milliseconds between two events of its streams.
+	// eventGap estimates a quantile of the time between two events of a stream, in
+	// milliseconds.
 	eventGap quantile
-	// slow says that its pace is far above its service's median.
+	// slow reports that the event gap is far above the median of the service.
 	slow bool
-	// prefixSentAt holds by prefix hash when this router last sent the prefix
-	// here although another instance owns it.
+	// prefixSentAt maps a prefix hash to when this router last sent that prefix to this
+	// instance although another one owns it.
 	prefixSentAt map[uint64]time.Time
 }
 
@@ -141,7 +144,7 @@
 		instances: map[granitehoist.Upstream]*instanceState{},
 		evacuated: map[granitehoist.AvailabilityZone]bool{},
 
-		earlyLimits:     map[Life]knownLimit{},
+		pendingLimits:   map[Life]knownLimit{},
 		permitsWanted:   make(chan struct{}, 1),
 		deferredChanged: make(chan struct{}),
 	}
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -24,32 +24,32 @@
 		}
 		return t
 	}
-	pick := func(t *balance.Table, w balance.Query) *balance.Lease {
-		w.Service = pool
-		lease, err := t.Pick(w, now)
+	pick := func(t *balance.Table, q balance.Query) *balance.Lease {
+		q.Service = pool
+		lease, err := t.Pick(q, now)
 		Expect(err).NotTo(HaveOccurred())
 		return lease
 	}
 
-	It("is the same on every router for a common beginning", func() {
+	It("is the same on every router for a common prefix", func() {
 		a, b := newTable(18), newTable(18)
 		for i := range 50 {
-			w := balance.Query{PrefixHash: balance.PrefixHash([]string{fmt.Sprint(i)}), PrefixTokens: 5000, PromptTokens: 6000}
-			first, second := pick(a, w), pick(b, w)
+			q := balance.Query{PrefixHash: balance.PrefixHash([]string{fmt.Sprint(i)}), PrefixTokens: 5000, PromptTokens: 6000}
+			first, second := pick(a, q), pick(b, q)
 			Expect(first.ID).To(Equal(second.ID))
 			first.Done(balance.Good, now)
 			second.Done(balance.Good, now)
 		}
 	})
 
-	It("passes a home over whose queue outweighs what the cache saves", func() {
+	It("skips a prefix owner whose queue outweighs the cache hit", func() {
 		t := newTable(4)
-		w := balance.Query{PrefixHash: 77, PrefixTokens: 1000, PromptTokens: 20000}
-		home := pick(t, w)
-		Expect(pick(t, w).ID).NotTo(Equal(home.ID))
+		q := balance.Query{PrefixHash: 77, PrefixTokens: 1000, PromptTokens: 20000}
+		owner := pick(t, q)
+		Expect(pick(t, q).ID).NotTo(Equal(owner.ID))
 	})
 
-	It("never is one that drains, was tried or has moved", func() {
+	It("excludes draining and tried instances and ignores outdated announcements", func() {
 		t := newTable(3)
 		t.Announce(balance.Instance{ID: "i-0", Service: pool, Capacity: 64, Version: 2, Draining: true}, now)
 		for range 20 {
@@ -61,7 +61,7 @@
 		}
 	})
 
-	It("leaves out one that breaks off twice in a row, for a while", func() {
+	It("ejects an instance after two broken attempts in a row", func() {
 		t := newTable(2)
 		for range 2 {
 			lease := pick(t, balance.Query{Tried: map[granitehoist.Upstream]bool{"i-1": true}})
@@ -72,7 +72,7 @@
 		}
 	})
 
-	It("uses the gone for a moment if there is no other, and then finds none", func() {
+	It("uses removed instances as a last resort until the grace period ends", func() {
 		t := newTable(1)
 		t.Remove("i-0", now)
 		Expect(pick(t, balance.Query{}).ID).To(Equal(granitehoist.Upstream("i-0")))
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -12,7 +12,7 @@
 	"granitehoist.example/granitehoist/balance"
 )
 
-// BenchmarkPick is one choice among so many instances.
+// BenchmarkPick measures one choice among different numbers of instances.
 func BenchmarkPick(b *testing.B) {
 	for _, count := range []int{18, 140, 1000} {
 		b.Run(fmt.Sprintf("instances=%d", count), func(b *testing.B) {
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -9,20 +9,19 @@
 	"granitehoist.example/granitehoist"
 )
 
-// eligibility says whether an instance may get an attempt, and how preferably. A
-// higher one is preferred.
+// eligibility ranks an instance for an attempt. Higher values are preferred.
 type eligibility int
 
 const (
-	// excluded instances get no attempt: they drain or said that they leave, this request has tried them,
-	// their zone is evacuated, their region is no home of the request, they are cold
-	// and got enough, they have too many requests beside instances with a limit, or their
-	// announcement was removed too long ago.
+	// excluded instances get no attempt: they are draining or leaving, were tried for
+	// this request, are in an evacuated zone or a region that the request must not go to,
+	// are cold with their quota used up, are overloaded while others of the service are
+	// rate-limited, or were removed longer than removedGrace ago.
 	excluded eligibility = iota
-	// deferred instances get nothing now, but may soon: they rest or have just done so, or
-	// they name a limit and this router has no permit for them.
+	// deferred instances are unavailable for now: they asked for backoff, have not
+	// recovered from one yet, or set a rate limit for which this router has no permit.
 	deferred
-	// removed instances have lost their announcement less than removedGrace ago.
+	// removed instances lost their announcement less than removedGrace ago.
 	removed
 	// ejected instances are left out because of failures.
 	ejected
@@ -30,55 +29,55 @@
 	live
 )
 
-// constraints are what keeps instances from an attempt whatever their own state is, and what
-// the decision on cold ones depends on.
+// constraints are the conditions of an attempt that, apart from an instance's own state,
+// determine its eligibility.
 type constraints struct {
 	now time.Time
-	// tried holds the instances that the request was sent to.
+	// tried holds the instances that the request was already sent to.
 	tried map[granitehoist.Upstream]bool
-	// evacuated holds the zones that get nothing, as this router's copy of the
-	// operators' orders has them.
+	// evacuated holds the evacuated zones according to this router's copy of the
+	// operators' settings.
 	evacuated map[granitehoist.AvailabilityZone]bool
 	homes     []Homes
 	regions   map[granitehoist.AvailabilityZone]granitehoist.Region
 	cold      coldShare
-	// isNext says that what deferred instances take is for this request, and for none that
-	// waits.
-	isNext bool
-	// besideLimited says that an instance of the service names a limit.
-	besideLimited bool
+	// firstInQueue reports that the request may use deferred instances ahead of all
+	// waiting requests.
+	firstInQueue bool
+	// hasLimited reports that an instance of the service is rate-limited.
+	hasLimited bool
 	// routers is the number of routers, at least one.
 	routers int
 }
 
-// constraints returns what keeps instances of a service from an attempt of a query. The
-// caller holds mu.
+// constraints returns the constraints of a query for instances of a service. The caller
+// holds mu.
 func (t *Table) constraints(service *serviceState, q *Query, now time.Time) constraints {
 	return constraints{
 		now: now, tried: q.Tried, evacuated: t.evacuated, homes: q.Homes, regions: t.settings.Regions,
-		cold:          coldShare{perSecond: shareOfCold(q.ColdPerSecond, q.Routers), random: t.random},
-		isNext:        service.isNext(q),
-		besideLimited: service.hasLimited(),
-		routers:       max(1, q.Routers),
+		cold:         coldShare{perSecond: coldRateShare(q.ColdPerSecond, q.Routers), random: t.random},
+		firstInQueue: service.isFirstInQueue(q),
+		hasLimited:   service.hasLimited(),
+		routers:      max(1, q.Routers),
 	}
 }
 
-// eligibility decides whether an instance may get an attempt. The announcement that
-// it reads is as old as this router's copy of the store.
+// eligibility determines whether an instance may get an attempt. It relies on the
+// announcement in this router's copy of the store, which may be stale.
 func (s *instanceState) eligibility(c constraints) eligibility {
 	now := c.now
 	switch {
 	case c.tried[s.ID] || s.isLeaving() || c.evacuated[s.Zone]:
 		return excluded
-	case len(c.homes) > 0 && !allAllow(c.homes, c.regions[s.Zone]):
+	case len(c.homes) > 0 && !allowedByAll(c.homes, c.regions[s.Zone]):
 		return excluded
-	case s.isCold(now) && !s.admitsCold(c.cold, now):
+	case s.isCold(now) && !s.admitsWhileCold(c.cold, now):
 		return excluded
 	case !s.removedAt.IsZero() && !usableAfterRemoval(s.removedAt, now):
 		return excluded
-	case !s.rest.Admits(now), !s.rest.IsOver() && !c.isNext, s.lacksPermit(c.isNext, now):
+	case !s.backoff.Admits(now), !s.backoff.IsOver() && !c.firstInQueue, s.lacksPermit(c.firstInQueue, now):
 		return deferred
-	case c.besideLimited && s.isCrowded(c.routers):
+	case c.hasLimited && s.isOverloaded(c.routers):
 		return excluded
 	case !s.removedAt.IsZero():
 		return removed
@@ -88,25 +87,25 @@
 	return live
 }
 
-// isLeaving reports whether an instance is about to end, by its announcement or by an
-// answer.
+// isLeaving reports whether the instance is about to end, according to its announcement
+// or to a response.
 func (s *instanceState) isLeaving() bool { return s.Draining || s.leaving }
 
-// selection is what an attempt may choose from.
+// selection is the outcome of filtering the instances of a service for an attempt.
 type selection struct {
-	// choices are the instances among which it chooses. They have the order of states, on
-	// which the random choice among equals depends.
+	// choices are the candidates, in the order of the service's list. The result of the
+	// random choice among equals depends on this order.
 	choices []*instanceState
-	// later are those that are deferred.
-	later []*instanceState
-	// leaving is the number of those that are excluded because they leave.
+	// deferred holds the deferred instances.
+	deferred []*instanceState
+	// leaving counts the excluded instances that are leaving.
 	leaving int
 }
 
-// candidates decides which instances an attempt chooses among. They are all that
-// are live; if there is none, the one ejected instance whose ejection ends first,
-// since a try there may succeed and a refusal can't; if there is none either, those
-// that were removed lately. It has no choices if all are excluded or deferred.
+// candidates selects the instances that an attempt may use. These are all live instances;
+// otherwise the ejected instance whose ejection ends first, since an attempt there may
+// succeed; otherwise the recently removed instances. There are no choices if all
+// instances are excluded or deferred.
 func candidates(states []*instanceState, c constraints) selection {
 	chosen := selection{choices: make([]*instanceState, 0, len(states))}
 	var removedStates []*instanceState
@@ -122,7 +121,7 @@
 		case removed:
 			removedStates = append(removedStates, s)
 		case deferred:
-			chosen.later = append(chosen.later, s)
+			chosen.deferred = append(chosen.deferred, s)
 		case excluded:
 			if s.isLeaving() {
 				chosen.leaving++
--- a/balance/candidates_test.go
+++ b/balance/candidates_test.go
@@ -12,10 +12,10 @@
 	"granitehoist.example/granitehoist"
 )
 
-var noon = time.Unix(1000, 0)
+var testTime = time.Unix(1000, 0)
 
-// announced returns an instance that is live unless change does something to it.
-func announced(id granitehoist.Upstream, change func(*instanceState)) *instanceState {
+// newInstance returns a live instance, modified by change unless that is nil.
+func newInstance(id granitehoist.Upstream, change func(*instanceState)) *instanceState {
 	s := &instanceState{Instance: Instance{ID: id}}
 	if change != nil {
 		change(s)
@@ -24,11 +24,11 @@
 }
 
 func ejectedFor(d time.Duration) func(*instanceState) {
-	return func(s *instanceState) { s.ejectedUntil = noon.Add(d) }
+	return func(s *instanceState) { s.ejectedUntil = testTime.Add(d) }
 }
 
 func removedSince(d time.Duration) func(*instanceState) {
-	return func(s *instanceState) { s.removedAt = noon.Add(-d) }
+	return func(s *instanceState) { s.removedAt = testTime.Add(-d) }
 }
 
 func draining(s *instanceState) { s.Draining = true }
@@ -44,9 +44,9 @@
 var _ = Describe("The candidates of an attempt", func() {
 	tried := map[granitehoist.Upstream]bool{"tried": true}
 
-	DescribeTable("of one instance",
+	DescribeTable("include or exclude an instance",
 		func(id granitehoist.Upstream, change func(*instanceState), expected eligibility) {
-			Expect(announced(id, change).eligibility(constraints{now: noon, tried: tried})).To(Equal(expected))
+			Expect(newInstance(id, change).eligibility(constraints{now: testTime, tried: tried})).To(Equal(expected))
 		},
 		Entry("announced", granitehoist.Upstream("a"), nil, live),
 		Entry("tried before", granitehoist.Upstream("tried"), nil, excluded),
@@ -54,31 +54,31 @@
 		Entry("ejected", granitehoist.Upstream("a"), ejectedFor(time.Millisecond), ejected),
 		Entry("whose ejection ends now", granitehoist.Upstream("a"), ejectedFor(0), live),
 		Entry("removed now", granitehoist.Upstream("a"), removedSince(0), removed),
-		Entry("removed nearly a grace ago", granitehoist.Upstream("a"), removedSince(removedGrace-1), removed),
-		Entry("removed a grace ago", granitehoist.Upstream("a"), removedSince(removedGrace), excluded),
+		Entry("removed just under the grace period ago", granitehoist.Upstream("a"), removedSince(removedGrace-1), removed),
+		Entry("removed the grace period ago", granitehoist.Upstream("a"), removedSince(removedGrace), excluded),
 		Entry("tried and removed", granitehoist.Upstream("tried"), removedSince(0), excluded),
 	)
 
 	DescribeTable("are",
 		func(instances []*instanceState, expected ...granitehoist.Upstream) {
-			selected := candidates(instances, constraints{now: noon, tried: tried})
-			Expect(selected.later).To(BeEmpty())
+			selected := candidates(instances, constraints{now: testTime, tried: tried})
+			Expect(selected.deferred).To(BeEmpty())
 			Expect(idsOf(selected.choices)).To(Equal(append([]granitehoist.Upstream{}, expected...)))
 		},
-		Entry("none of no instances", nil),
-		Entry("none if all are excluded", []*instanceState{announced("tried", nil), announced("b", draining)}),
-		Entry("all live ones, in order, and no others", []*instanceState{
-			announced("c", nil), announced("b", ejectedFor(time.Second)), announced("a", nil), announced("d", removedSince(0)),
+		Entry("none without instances", nil),
+		Entry("none if all are excluded", []*instanceState{newInstance("tried", nil), newInstance("b", draining)}),
+		Entry("all live instances, in order, and no others", []*instanceState{
+			newInstance("c", nil), newInstance("b", ejectedFor(time.Second)), newInstance("a", nil), newInstance("d", removedSince(0)),
 		}, granitehoist.Upstream("c"), granitehoist.Upstream("a")),
-		Entry("the ejected one that ends first if none is live", []*instanceState{
-			announced("a", ejectedFor(3*time.Second)), announced("b", ejectedFor(time.Second)),
-			announced("c", ejectedFor(2*time.Second)), announced("d", removedSince(0)),
+		Entry("the instance whose ejection ends first if none is live", []*instanceState{
+			newInstance("a", ejectedFor(3*time.Second)), newInstance("b", ejectedFor(time.Second)),
+			newInstance("c", ejectedFor(2*time.Second)), newInstance("d", removedSince(0)),
 		}, granitehoist.Upstream("b")),
-		Entry("the first of ejected ones that end together", []*instanceState{
-			announced("a", ejectedFor(time.Second)), announced("b", ejectedFor(time.Second)),
+		Entry("the first of several instances whose ejections end together", []*instanceState{
+			newInstance("a", ejectedFor(time.Second)), newInstance("b", ejectedFor(time.Second)),
 		}, granitehoist.Upstream("a")),
-		Entry("those removed a moment ago as a last resort", []*instanceState{
-			announced("a", removedSince(time.Second)), announced("b", removedSince(removedGrace)), announced("c", removedSince(0)),
+		Entry("recently removed instances as a last resort", []*instanceState{
+			newInstance("a", removedSince(time.Second)), newInstance("b", removedSince(removedGrace)), newInstance("c", removedSince(0)),
 		}, granitehoist.Upstream("a"), granitehoist.Upstream("c")),
 	)
 })
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -9,32 +9,29 @@
 	"time"
 )
 
-// A cold instance bears only some requests a second, and falls over at more. The
-// routers keep that bound together without asking each other: each has an equal share
-// of it, whatever its own traffic is. In a large fleet the share is a small part of a
-// request: then a random draw decides, for each second anew, whether a router may send
-// the instance one. What is not used is not saved, since a hot prefix that comes to all
-// routers at once would find a request saved at each of them. While an instance gets no
-// more, its prefixes are owned by the next in rank (owner.go).
+// A cold instance handles only a limited request rate and fails above it. The routers
+// enforce that limit without communication: each has an equal share of it, independent of
+// its own traffic. In a large fleet the share is a fraction of a request a second, and a
+// random draw decides in each second whether a router may send a request. Unused quota is
+// not carried over, since a hot prefix arriving at all routers at once could use the
+// savings of all of them. While the quota is used up, the instance's prefixes are owned
+// by the next instance in rank (owner.go).
 
 const (
-	// coldPart is the part of what cold instances bear that the routers use, since
-	// their draws and phases differ. In the simulation of TestColdInstanceBesideHotPrefix
-	// the instance bears 9.9 requests a second and the users allow 19.85. In its worst
-	// second of 100 starts it got 10, 12, 13 and 9 with 1, 6, 87 and 295 routers at this
-	// value, 16, 19, 16 and 10 at three quarters, 20, 22, 19 and 11 at the whole.
-	coldPart = 0.5
-	// coldWindow is the time to which the bound applies.
+	// coldUtilization is the fraction of a cold instance's rate limit that the routers
+	// use. It leaves a margin for bursts, since the routers draw independently and their
+	// seconds are not aligned.
+	coldUtilization = 0.5
+	// coldWindow is the period to which the quota applies.
 	coldWindow = time.Second
-	// restoredCold is for how long the instances of a zone count as cold when its
-	// evacuation is withdrawn: they may have become cold, and a router may learn of
-	// that later than of the withdrawal, by a heartbeat of an instance (1.2 s on the
-	// users' sites) and the time between two watches of the store (0.5 s).
-	restoredCold = 2 * time.Second
+	// coldAfterRestore is how long the instances of a zone count as cold after its
+	// evacuation ends. They may have become cold, and their announcements may reach a
+	// router later than the end of the evacuation, by one heartbeat and one store poll.
+	coldAfterRestore = 2 * time.Second
 )
 
-// coldUntil returns when an instance that announced itself now will be warm, zero if
-// it is.
+// coldUntil returns when an instance announced at now will be warm; zero if it already
+// is.
 func coldUntil(coldFor time.Duration, now time.Time) time.Time {
 	if coldFor <= 0 {
 		return time.Time{}
@@ -42,59 +39,58 @@
 	return now.Add(coldFor)
 }
 
-// isCold reports whether an instance is expected to be cold.
+// isCold reports whether the instance is expected to be cold.
 func (s *instanceState) isCold(now time.Time) bool { return now.Before(s.coldUntil) }
 
-// shareOfCold decides how many requests a second a router may send to each cold
-// instance, of those that one bears; infinitely many if bears is zero.
-func shareOfCold(bears float64, routers int) float64 {
-	if bears <= 0 {
+// coldRateShare returns this router's share, in requests a second, of a cold instance's
+// rate limit; infinity if the limit is zero or negative.
+func coldRateShare(limit float64, routers int) float64 {
+	if limit <= 0 {
 		return math.Inf(1)
 	}
-	return coldPart * bears / float64(max(1, routers))
+	return coldUtilization * limit / float64(max(1, routers))
 }
 
-// coldShare is a router's share of what each cold instance of a service bears.
+// coldShare is a router's share of the rate limit of each cold instance of a service.
 type coldShare struct {
 	perSecond float64
 	random    *rand.Rand
 }
 
-// coldAdmission is how many requests a router may still send to a cold instance in the
-// present second. The zero value is that of an instance which has not been cold.
-type coldAdmission struct {
-	// phase shifts the seconds of the instance at this router, so that the routers
-	// do not all begin theirs together.
+// coldQuota is the number of requests that a router may still send to a cold instance in
+// the current second. The zero value is that of an instance that has not been cold.
+type coldQuota struct {
+	// phase offsets the seconds at this router, so that the routers do not refresh their
+	// quotas at the same time.
 	phase time.Duration
-	// second numbers the second for which left was drawn.
-	second int64
-	left   int
+	// second is the number of the second to which remaining applies.
+	second    int64
+	remaining int
 }
 
-// admitsCold decides whether a cold instance may get a request of this router now.
-func (s *instanceState) admitsCold(share coldShare, now time.Time) bool {
+// admitsWhileCold decides whether a cold instance may get a request from this router now.
+func (s *instanceState) admitsWhileCold(share coldShare, now time.Time) bool {
 	if math.IsInf(share.perSecond, 1) {
 		return true
 	}
-	return s.admitted.at(share, now).left > 0
+	return s.coldQuota.refresh(share, now).remaining > 0
 }
 
-// at returns the admission after a draw for the second that it is now, if that has not
-// been drawn for.
-func (a *coldAdmission) at(share coldShare, now time.Time) *coldAdmission {
-	if a.second == 0 {
-		a.phase = time.Duration(share.random.Int64N(int64(coldWindow)))
+// refresh draws a new quota if a new second has begun, and returns the quota.
+func (q *coldQuota) refresh(share coldShare, now time.Time) *coldQuota {
+	if q.second == 0 {
+		q.phase = time.Duration(share.random.Int64N(int64(coldWindow)))
 	}
-	second := now.Add(a.phase).UnixNano() / int64(coldWindow)
-	if second != a.second {
-		whole, part := math.Modf(share.perSecond)
-		a.second, a.left = second, int(whole)
-		if share.random.Float64() < part {
-			a.left++
+	second := now.Add(q.phase).UnixNano() / int64(coldWindow)
+	if second != q.second {
+		integer, fraction := math.Modf(share.perSecond)
+		q.second, q.remaining = second, int(integer)
+		if share.random.Float64() < fraction {
+			q.remaining++
 		}
 	}
-	return a
+	return q
 }
 
-// take counts a request that was sent.
-func (a *coldAdmission) take() { a.left-- }
+// consume counts a sent request.
+func (q *coldQuota) consume() { q.remaining-- }
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -12,35 +12,35 @@
 	"granitehoist.example/granitehoist"
 )
 
-// coldFleet is a fleet of routers that share what a cold instance bears. It runs on a
-// clock of its own and without a network.
+// coldFleet simulates a fleet of routers that share the rate limit of a cold instance, in
+// virtual time and without a network.
 type coldFleet struct {
 	tables []*Table
 	random *rand.Rand
 	now    time.Time
-	// arrivals are the times at which the instance i-0 got a request.
+	// arrivals holds the times at which the instance i-0 got a request.
 	arrivals []time.Time
 }
 
 const (
 	coldPool = granitehoist.Service("pool")
-	// coldBears and coldAllowed are of the users' largest shifted site: an instance
-	// bears 9.9 requests a second while it is cold, and the users allow 1.5 times
-	// that and 5 more, of all routers together in any second.
-	coldBears   = 9.9
-	coldAllowed = 1.5*coldBears + 5
-	coldLasts   = 3 * time.Second
+	// coldRate is the rate limit of a cold instance in requests a second, maxColdArrivals
+	// the limit on its arrivals from all routers in any second.
+	coldRate        = 9.9
+	maxColdArrivals = 1.5*coldRate + 5
+	coldDuration    = 3 * time.Second
 )
 
-// newColdFleet returns a fleet with so many instances, of which the first cold are so.
+// newColdFleet returns a fleet with the given numbers of routers and instances. The first
+// cold instances are cold.
 func newColdFleet(seed uint64, routers, instances, cold int) *coldFleet {
-	f := &coldFleet{random: rand.New(rand.NewPCG(seed, 7)), now: noon}
+	f := &coldFleet{random: rand.New(rand.NewPCG(seed, 7)), now: testTime}
 	for r := range routers {
 		t := New(Settings{Seed: seed*1000 + uint64(r)})
 		for i := range instances {
 			instance := Instance{ID: granitehoist.Upstream(fmt.Sprint("i-", i)), Service: coldPool, Capacity: 48, Version: 1}
 			if i < cold {
-				instance.ColdFor = coldLasts
+				instance.ColdFor = coldDuration
 			}
 			t.Announce(instance, f.now)
 		}
@@ -49,11 +49,11 @@
 	return f
 }
 
-// run sends so many requests a second of one prefix to random routers, until the cold
+// run sends perSecond requests a second with one prefix to random routers until the cold
 // instances are warm, and returns how many found no instance.
 func (f *coldFleet) run(perSecond int, q Query) (refused int) {
-	q.Service, q.ColdPerSecond, q.Routers = coldPool, coldBears, len(f.tables)
-	for end := f.now.Add(coldLasts); f.now.Before(end); f.now = f.now.Add(time.Second / time.Duration(perSecond)) {
+	q.Service, q.ColdPerSecond, q.Routers = coldPool, coldRate, len(f.tables)
+	for end := f.now.Add(coldDuration); f.now.Before(end); f.now = f.now.Add(time.Second / time.Duration(perSecond)) {
 		lease, err := f.tables[f.random.IntN(len(f.tables))].Pick(q, f.now)
 		if err != nil {
 			refused++
@@ -67,7 +67,7 @@
 	return refused
 }
 
-// worstSecond returns the most arrivals in any second.
+// worstSecond returns the largest number of arrivals in any second.
 func (f *coldFleet) worstSecond() int {
 	worst, first := 0, 0
 	for last, at := range f.arrivals {
@@ -79,7 +79,7 @@
 	return worst
 }
 
-// hotPrefix returns a prefix that the instance i-0 owns.
+// hotPrefix returns a query with a prefix that the instance i-0 owns.
 func hotPrefix(instances int) Query {
 	states := make([]*instanceState, 0, instances)
 	f := newColdFleet(1, 1, instances, 0)
@@ -91,9 +91,8 @@
 	}
 }
 
-// TestColdInstanceBesideHotPrefix checks that an instance which has just started gets
-// no more than it bears, of all routers together, though it owns the prefix of a third
-// of all requests.
+// TestColdInstanceBesideHotPrefix guards against overload of a cold instance by all
+// routers together when it owns a hot prefix.
 func TestColdInstanceBesideHotPrefix(t *testing.T) {
 	for _, routers := range []int{1, 6, 87, 295} {
 		t.Run(fmt.Sprint("routers=", routers), func(t *testing.T) {
@@ -103,41 +102,41 @@
 			for seed := range uint64(starts) {
 				f := newColdFleet(seed, routers, 90, 1)
 				if refused := f.run(140, hotPrefix(90)); refused > 0 {
-					t.Fatalf("%d requests found no instance beside 89 warm ones", refused)
+					t.Fatalf("%d requests found none of 89 warm instances", refused)
 				}
 				worst = max(worst, f.worstSecond())
 				sum += len(f.arrivals)
 			}
-			t.Logf("%d in the worst second of %d starts, %.1f a second", worst, starts, float64(sum)/starts/coldLasts.Seconds())
-			if float64(worst) > coldAllowed {
-				t.Fatalf("%d requests in a second, %.2f are allowed", worst, coldAllowed)
+			t.Logf("at most %d requests in a second of %d starts, mean %.1f a second", worst, starts, float64(sum)/starts/coldDuration.Seconds())
+			if float64(worst) > maxColdArrivals {
+				t.Fatalf("%d requests in a second, limit %.2f", worst, maxColdArrivals)
 			}
 		})
 	}
 }
 
-// TestAllInstancesCold checks the restart of a whole service under its usual load, 4.7
-// requests a second for each instance: what they bear is spread over all of them, and
-// what they don't is refused at once.
+// TestAllInstancesCold guards against overload of cold instances, and against excess
+// refusals, when a whole service restarts under load.
 func TestAllInstancesCold(t *testing.T) {
 	for _, routers := range []int{6, 87} {
 		t.Run(fmt.Sprint("routers=", routers), func(t *testing.T) {
 			f := newColdFleet(1, routers, 90, 90)
 			refused := f.run(420, Query{})
-			asked := 420 * int(coldLasts.Seconds())
-			t.Logf("refused %d of %d", refused, asked)
-			if float64(f.worstSecond()) > coldAllowed {
-				t.Fatalf("%d requests in a second, %.2f are allowed", f.worstSecond(), coldAllowed)
+			total := 420 * int(coldDuration.Seconds())
+			t.Logf("refused %d of %d", refused, total)
+			if float64(f.worstSecond()) > maxColdArrivals {
+				t.Fatalf("%d requests in a second, limit %.2f", f.worstSecond(), maxColdArrivals)
 			}
-			if refused > asked/3 {
-				t.Fatalf("refused %d of %d", refused, asked)
+			if refused > total/3 {
+				t.Fatalf("refused %d of %d", refused, total)
 			}
 		})
 	}
 }
 
-// TestColdEnds checks when an instance counts as cold.
-func TestColdEnds(t *testing.T) {
+// TestColdPeriodEnds guards against a cold period that ends too early or too late, or
+// follows a stale announcement.
+func TestColdPeriodEnds(t *testing.T) {
 	q := Query{Service: coldPool, ColdPerSecond: 0.0001, Routers: 100}
 	expect := func(t *testing.T, table *Table, at time.Time, served bool) {
 		t.Helper()
@@ -148,29 +147,29 @@
 	announce := func(table *Table, version granitehoist.Version, coldFor time.Duration, at time.Time) {
 		table.Announce(Instance{ID: "i-0", Service: coldPool, Version: version, ColdFor: coldFor}, at)
 	}
-	t.Run("by the time that it stated", func(t *testing.T) {
+	t.Run("after the announced time", func(t *testing.T) {
 		table := New(Settings{})
-		announce(table, 1, time.Second, noon)
-		expect(t, table, noon, false)
-		expect(t, table, noon.Add(time.Second), true)
+		announce(table, 1, time.Second, testTime)
+		expect(t, table, testTime, false)
+		expect(t, table, testTime.Add(time.Second), true)
 	})
-	t.Run("by a newer statement", func(t *testing.T) {
+	t.Run("with a newer announcement", func(t *testing.T) {
 		table := New(Settings{})
-		announce(table, 1, time.Minute, noon)
-		announce(table, 2, 0, noon)
-		expect(t, table, noon, true)
+		announce(table, 1, time.Minute, testTime)
+		announce(table, 2, 0, testTime)
+		expect(t, table, testTime, true)
 	})
-	t.Run("not by an older one", func(t *testing.T) {
+	t.Run("not with an outdated announcement", func(t *testing.T) {
 		table := New(Settings{})
-		announce(table, 2, time.Minute, noon)
-		announce(table, 1, 0, noon)
-		expect(t, table, noon, false)
+		announce(table, 2, time.Minute, testTime)
+		announce(table, 1, 0, testTime)
+		expect(t, table, testTime, false)
 	})
-	t.Run("and may begin again at any time", func(t *testing.T) {
+	t.Run("and may start again", func(t *testing.T) {
 		table := New(Settings{})
-		announce(table, 1, 0, noon)
-		expect(t, table, noon, true)
-		announce(table, 2, time.Second, noon)
-		expect(t, table, noon, false)
+		announce(table, 1, 0, testTime)
+		expect(t, table, testTime, true)
+		announce(table, 2, time.Second, testTime)
+		expect(t, table, testTime, false)
 	})
 }
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -5,103 +5,99 @@
 
 import "granitehoist.example/granitehoist"
 
-// milliseconds is an estimate of the time that a request loses at an instance. It
-// only ranks instances; the exact value does not matter.
+// milliseconds estimates the time that a request loses at an instance. It serves only to
+// rank instances.
 type milliseconds float64
 
-// The weights of the parts of a cost.
+// The weights of the terms of a cost.
 const (
-	// promptTokensPerMS is the prompt tokens that an instance reads in a
-	// millisecond. The users' pages give 56.6 and 56.9 for their two sites; the
-	// rounder value below both is chosen, not measured.
+	// promptTokensPerMS is the assumed prefill rate of an instance in tokens per
+	// millisecond.
 	promptTokensPerMS = 50.0
-	// perRequestMS is the milliseconds by which each request in progress slows a
-	// further one. Chosen, not measured; about one step of the users' upstreams,
-	// for which their pages give 3.79 and 3.09 ms and more.
+	// perRequestMS is the delay that each request in progress adds to another one, about
+	// one decoding step.
 	perRequestMS = 4.0
-	// smallCapacity is the capacity, in requests at once, below which one more request
-	// weighs more, in proportion.
+	// smallCapacity is the capacity, in concurrent requests, below which the delay of a
+	// request in progress grows in inverse proportion to the capacity.
 	smallCapacity = 16
-	// failureMS is what a request loses at an instance that fails every attempt: the time
-	// of the failed attempt and of the retry.
+	// failureMS is the expected loss at an instance that fails every attempt: the time of
+	// the failed attempt and of the retry.
 	failureMS = 400.0
-	// otherZoneMS is what a request loses on the way to another availability
-	// zone. Chosen, not measured; the users' pages give 0.9 and 0.5 ms for one
-	// way between zones. It decides only between almost equal instances.
-	otherZoneMS = 1.0
-	// slowReadingMS is what a heavy prompt costs the streams beside it at a slow instance,
-	// beyond that at others: more than the queues of other instances cost at most times.
-	slowReadingMS = 300.0
-	// otherPaceMS is what a request costs at an instance of the pace that was not drawn
-	// for it (prefersSlow): more than the queues of the others cost at most times.
-	otherPaceMS = 100.0
-	// cacheMissWeight is the extra cost of reading a prefix away from its owner, as
-	// a part of the reading time. Chosen, not measured by itself;
-	// it came with commit 7965447, whose scores cover several changes.
+	// crossZoneMS is the network delay to another availability zone. It decides only
+	// between almost equal instances.
+	crossZoneMS = 1.0
+	// slowPrefillMS is the additional delay that a heavy prompt causes to concurrent
+	// streams on a slow instance. It usually exceeds the queueing cost of the other
+	// instances.
+	slowPrefillMS = 300.0
+	// paceMismatchMS is the penalty for an instance of the speed class not drawn for the
+	// request (prefersSlow). It usually exceeds the queueing cost of the other instances.
+	paceMismatchMS = 100.0
+	// cacheMissWeight is the additional cost of prefilling a prefix away from its owner,
+	// as a fraction of the prefill time.
 	cacheMissWeight = 0.5
 )
 
-// load is the input from which the cost of an instance is computed.
+// load is the input of the cost function for one instance.
 type load struct {
-	// queuedTokens are those of prompts that this router sent to the instance
-	// and of which no event has arrived yet. It lacks those of other routers.
+	// queuedTokens counts the tokens of prompts that this router sent to the instance and
+	// for which no event has arrived yet. Requests of other routers are unknown.
 	queuedTokens granitehoist.Tokens
-	// unreadTokens are those of the request's own prompt that the instance is
-	// likely not to have in its cache.
-	unreadTokens granitehoist.Tokens
-	// unownedPrefixTokens are those of the request's prefix if another instance owns
-	// it, or none does; zero at the owner.
+	// uncachedTokens counts the tokens of the request's prompt that are probably not in
+	// the instance's cache.
+	uncachedTokens granitehoist.Tokens
+	// unownedPrefixTokens is the length of the request's prefix if the instance does not
+	// own it; zero at the owner.
 	unownedPrefixTokens granitehoist.Tokens
-	// inFlight is the number of this router's requests in progress there.
+	// inFlight is the number of this router's requests in progress at the instance.
 	inFlight int
-	// capacity is the number of requests that the instance runs at once; zero if
-	// it is unknown.
+	// capacity is the number of requests that the instance runs at once; zero if unknown.
 	capacity int
-	// failureRate is the mean of its failures, from 0 to 1.
+	// failureRate is the moving average of failures, from 0 to 1.
 	failureRate float64
-	otherZone   bool
-	// slow says that the instance is a slow one of its service, heavy that the
-	// prompt is heavy for the streams beside it.
+	crossZone   bool
+	// slow reports that the instance is slow for its service, heavy that the prompt
+	// delays concurrent streams.
 	slow, heavy bool
-	// prefersSlow says that slow instances were drawn for the request.
+	// prefersSlow reports that slow instances were drawn for the request.
 	prefersSlow bool
-	// tieBreak is a random number from 0 up to 1 that chooses among instances
-	// whose costs differ by less than a millisecond, so that routers which see
-	// the same loads do not all choose the same one.
+	// tieBreak is a random number in [0, 1) that separates instances whose costs differ
+	// by less than a millisecond, so that routers with the same view do not all choose
+	// the same one.
 	tieBreak float64
 }
 
-// cost estimates in milliseconds what a request loses at an instance. Pick
-// chooses the instance with the least. Its terms, in the order in which they are
-// added (the order is part of the result, which is rounded at each step):
+// cost estimates in milliseconds what a request loses at an instance. Pick chooses the
+// instance with the least cost. The terms, in the order of summation (which affects
+// rounding), are:
 //
-//   - the reading of the queued prompts and of the request's own;
-//   - what a prefix costs at an instance that does not own it: it takes memory
-//     there, and other routers go on asking the owner for it;
-//   - the slowing by the requests in progress;
-//   - the expected loss to a failure;
-//   - the pauses of the streams there (slow.go);
-//   - the way to another availability zone;
-//   - up to one millisecond that is random.
+//   - the prefill of the queued prompts and of the request's own;
+//   - the cache miss at an instance that does not own the prefix: the prefix takes cache
+//     space there, while other routers keep using the owner;
+//   - the delay by the requests in progress;
+//   - the expected loss by failures;
+//   - the effect on pauses of streams (slow.go);
+//   - the network delay to another availability zone;
+//   - up to one millisecond of random tie-break.
 func (l *load) cost() milliseconds {
-	cost := float64(l.queuedTokens+l.unreadTokens) / promptTokensPerMS
+	cost := float64(l.queuedTokens+l.uncachedTokens) / promptTokensPerMS
 	cost += cacheMissWeight * float64(l.unownedPrefixTokens) / promptTokensPerMS
 	cost += perRequestMS * float64(l.inFlight) * l.capacityScale()
 	cost += failureMS * l.failureRate
 	switch {
 	case l.slow && l.heavy:
-		cost += slowReadingMS
+		cost += slowPrefillMS
 	case !l.heavy && l.slow != l.prefersSlow:
-		cost += otherPaceMS
+		cost += paceMismatchMS
 	}
-	if l.otherZone {
-		cost += otherZoneMS
+	if l.crossZone {
+		cost += crossZoneMS
 	}
 	return milliseconds(cost + l.tieBreak)
 }
 
-// capacityScale returns how much more a request in progress slows an instance of
-// small capacity. An unknown capacity counts as large.
+// capacityScale returns the factor by which a small capacity increases the delay of a
+// request in progress. An unknown capacity counts as large.
 func (l *load) capacityScale() float64 {
 	if l.capacity <= 0 || l.capacity >= smallCapacity {
 		return 1
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -8,69 +8,71 @@
 const (
 	// firstEjection is the duration of an instance's first ejection.
 	firstEjection = 400 * time.Millisecond
-	// maxEjection bounds an ejection.
+	// maxEjection is the longest duration of an ejection.
 	maxEjection = 4 * time.Second
-	// maxEjectionDoublings bounds the doublings, so that they can't overflow.
-	// firstEjection reaches maxEjection with fewer.
+	// maxEjectionDoublings limits the exponent to prevent overflow. firstEjection reaches
+	// maxEjection with fewer doublings.
 	maxEjectionDoublings = 5
-	// ejectAfterFailures is the number of broken attempts in a row from which on an
-	// instance is ejected: one can be chance.
+	// ejectAfterFailures is the number of consecutive broken attempts that eject an
+	// instance. A single one may be chance.
 	ejectAfterFailures = 2
-	// refusedDivisor makes the ejection after a refusal this part of the first ejection,
-	// 100 ms: a full instance soon has room again.
+	// refusedDivisor divides firstEjection to give the short ejection after a refusal,
+	// since a full instance soon has capacity again.
 	refusedDivisor = 4
-	// failureWeight is the weight of the newest attempt in the mean of failures: about the
-	// last five attempts count.
+	// failureWeight is the weight of the newest attempt in the moving average of
+	// failures.
 	failureWeight = 0.2
 )
 
-// Result is what an attempt says about its instance.
+// Result is the outcome of an attempt with respect to its instance.
 type Result int
 
 // The results of attempts.
 const (
-	// Good says that the instance did its part.
+	// Good means that the instance handled the request.
 	Good Result = iota
-	// Failed says that it answered with a failure of its own.
+	// Failed means that the instance responded with an error of its own.
 	Failed
-	// Refused says that it refused the request, for example because it is full.
+	// Refused means that the instance refused the request, for example because it is
+	// full.
 	Refused
-	// Broken says that no answer arrived, or one that can't be used.
+	// Broken means that no usable response arrived.
 	Broken
-	// Unclear says nothing about the instance, for example if the caller left.
+	// Unclear gives no information about the instance, for example because the caller
+	// disconnected.
 	Unclear
-	// Moved says that another instance has the address.
+	// Moved means that another instance now has the address.
 	Moved
 )
 
-// health is what the results of this router's attempts say of an instance. The
-// zero value is that of an instance without attempts.
+// health summarizes the results of this router's attempts at an instance. The zero value
+// is that of an instance without attempts.
 type health struct {
 	// failuresInRow counts the broken attempts since the last good one.
 	failuresInRow int
-	// failureRate is the mean of failures from 0 to 1, newer attempts weighing
-	// more. It changes only with attempts, not with time.
+	// failureRate is the exponentially weighted moving average of failures, from 0 to 1.
+	// It changes with attempts, not with time.
 	failureRate float64
 	// ejectedUntil is when the last ejection ends; zero if there was none.
 	ejectedUntil time.Time
 }
 
-// ejected decides whether an instance is ejected at a time. The table sends no
-// probes: the first request that picks the instance after the ejection tries it.
+// ejected reports whether the instance is ejected at now. The table sends no probes of
+// its own: the first request after the ejection serves as one.
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// withResult decides how an attempt's result changes the health of its instance.
-// ejection is the duration of a first ejection.
+// withResult returns the health after an attempt's result. ejection is the duration of a
+// first ejection.
 //
-//   - A good attempt resets failuresInRow and lowers the mean. It does not end an
-//     ejection, since it may have begun before the failures that caused that.
-//   - An instance's own failure raises the mean only. The instance answered, so it
-//     is not ejected, but the mean makes it more costly than others.
-//   - A refusal ejects for a short time and is no failure.
-//   - A broken attempt raises the mean. The second in a row ejects, and so does
-//     each further one, for twice as long up to maxEjection.
-//   - If another instance has the address, the instance is ejected for maxEjection:
-//     the removal of its announcement will arrive in that time.
+//   - Good resets failuresInRow and lowers the failure rate. It does not end an ejection,
+//     since the attempt may have begun before the failures that caused the ejection.
+//   - Failed only raises the failure rate. The instance responded, so it is not ejected,
+//     but the rate increases its cost.
+//   - Refused ejects for a short time and does not count as a failure.
+//   - Broken raises the failure rate. The second one in a row ejects, and each further one
+//     ejects for twice as long, up to maxEjection.
+//   - Moved ejects for maxEjection: the removal of the old announcement will arrive
+//     within that time.
 //
 // A new ejection replaces the previous one, even if that would have lasted longer.
 func (h health) withResult(r Result, ejection time.Duration, now time.Time) health {
@@ -95,8 +97,8 @@
 	return h
 }
 
-// ejectionAfter returns the duration of an ejection after a number of failures
-// in a row, at least ejectAfterFailures.
+// ejectionAfter returns the duration of an ejection after failuresInRow consecutive
+// failures, at least ejectAfterFailures.
 func ejectionAfter(failuresInRow int, ejection time.Duration) time.Duration {
 	doublings := min(failuresInRow-ejectAfterFailures, maxEjectionDoublings)
 	return min(maxEjection, ejection<<doublings)
--- a/balance/evacuation.go
+++ b/balance/evacuation.go
@@ -9,9 +9,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Evacuate keeps all attempts from the instances of a zone until Restore, also retries
-// and streams that are resumed: those that run there end as they are. It reports whether
-// the zone was not evacuated before.
+// Evacuate excludes the instances of a zone from all attempts, including retries and
+// resumed streams, until Restore. Attempts in progress continue. It reports whether the
+// zone was not evacuated before.
 func (t *Table) Evacuate(zone granitehoist.AvailabilityZone) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -22,8 +22,8 @@
 	return true
 }
 
-// Restore ends the evacuation of a zone, and reports whether it was evacuated. Its
-// instances count as cold for restoredCold.
+// Restore ends the evacuation of a zone, and reports whether the zone was evacuated. Its
+// instances then count as cold for coldAfterRestore.
 func (t *Table) Restore(zone granitehoist.AvailabilityZone, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -31,7 +31,7 @@
 		return false
 	}
 	delete(t.evacuated, zone)
-	until := now.Add(restoredCold)
+	until := now.Add(coldAfterRestore)
 	for _, s := range t.instances {
 		if s.Zone == zone && s.coldUntil.Before(until) {
 			s.coldUntil = until
--- a/balance/evacuation_test.go
+++ b/balance/evacuation_test.go
@@ -10,15 +10,16 @@
 	"granitehoist.example/granitehoist"
 )
 
-// zonedTable returns a table of one instance in each of two zones.
+// zonedTable returns a table with one instance in each of two zones.
 func zonedTable() *Table {
 	t := New(Settings{Seed: 1, Zone: "north", Regions: map[granitehoist.AvailabilityZone]granitehoist.Region{"north": "coast", "south": "hills"}})
-	t.Announce(Instance{ID: "i-n", Service: coldPool, Zone: "north", Version: 1}, noon)
-	t.Announce(Instance{ID: "i-s", Service: coldPool, Zone: "south", Version: 1}, noon)
+	t.Announce(Instance{ID: "i-n", Service: coldPool, Zone: "north", Version: 1}, testTime)
+	t.Announce(Instance{ID: "i-s", Service: coldPool, Zone: "south", Version: 1}, testTime)
 	return t
 }
 
-// expectPicked checks which instances a query gets; none means that it is refused.
+// expectPicked checks which instances Pick chooses for a query. Without expected
+// instances, Pick must return NoUpstream.
 func expectPicked(t *testing.T, table *Table, q Query, at time.Time, expected ...granitehoist.Upstream) {
 	t.Helper()
 	q.Service = coldPool
@@ -34,92 +35,93 @@
 		}
 	}
 	if len(got) != len(expected) {
-		t.Fatalf("picked %v, not %v", got, expected)
+		t.Fatalf("picked %v, want %v", got, expected)
 	}
 	for _, id := range expected {
 		if !got[id] {
-			t.Fatalf("picked %v, not %v", got, expected)
+			t.Fatalf("picked %v, want %v", got, expected)
 		}
 	}
 }
 
-// TestEvacuation checks that nothing is sent to a zone that is evacuated, whatever
-// else is known of its instances.
+// TestEvacuation guards against attempts in an evacuated zone, whatever the state of its
+// instances.
 func TestEvacuation(t *testing.T) {
-	t.Run("leaves the other zones", func(t *testing.T) {
+	t.Run("does not affect other zones", func(t *testing.T) {
 		table := zonedTable()
 		table.Evacuate("north")
-		expectPicked(t, table, Query{}, noon, "i-s")
+		expectPicked(t, table, Query{}, testTime, "i-s")
 	})
-	t.Run("binds also the owner of a prefix and its retries", func(t *testing.T) {
+	t.Run("excludes prefix owners, also on retries", func(t *testing.T) {
 		table := zonedTable()
 		table.Evacuate("north")
 		for hash := range uint64(20) {
-			expectPicked(t, table, Query{PrefixHash: hash + 1, PrefixTokens: 900, PromptTokens: 1000}, noon, "i-s")
+			expectPicked(t, table, Query{PrefixHash: hash + 1, PrefixTokens: 900, PromptTokens: 1000}, testTime, "i-s")
 		}
-		expectPicked(t, table, Query{Tried: map[granitehoist.Upstream]bool{"i-s": true}}, noon)
+		expectPicked(t, table, Query{Tried: map[granitehoist.Upstream]bool{"i-s": true}}, testTime)
 	})
-	t.Run("binds instances that announce themselves later", func(t *testing.T) {
+	t.Run("excludes instances announced later", func(t *testing.T) {
 		table := zonedTable()
 		table.Evacuate("north")
-		table.Announce(Instance{ID: "i-new", Service: coldPool, Zone: "north", Version: 2}, noon)
-		expectPicked(t, table, Query{}, noon, "i-s")
+		table.Announce(Instance{ID: "i-new", Service: coldPool, Zone: "north", Version: 2}, testTime)
+		expectPicked(t, table, Query{}, testTime, "i-s")
 	})
-	t.Run("binds the last resorts: those ejected and those removed", func(t *testing.T) {
+	t.Run("excludes removed instances as a last resort", func(t *testing.T) {
 		table := zonedTable()
 		table.Evacuate("north")
-		table.Remove("i-n", noon)
-		expectPicked(t, table, Query{Tried: map[granitehoist.Upstream]bool{"i-s": true}}, noon)
+		table.Remove("i-n", testTime)
+		expectPicked(t, table, Query{Tried: map[granitehoist.Upstream]bool{"i-s": true}}, testTime)
 	})
-	t.Run("of all zones refuses", func(t *testing.T) {
+	t.Run("of all zones leaves no instance", func(t *testing.T) {
 		table := zonedTable()
 		table.Evacuate("north")
 		table.Evacuate("south")
-		expectPicked(t, table, Query{}, noon)
+		expectPicked(t, table, Query{}, testTime)
 	})
-	t.Run("ends, and counts once each way", func(t *testing.T) {
+	t.Run("ends, and reports only actual changes", func(t *testing.T) {
 		table := zonedTable()
 		if !table.Evacuate("north") || table.Evacuate("north") {
-			t.Fatal("a repetition counts")
+			t.Fatal("wrong report of a change")
 		}
-		if !table.Restore("north", noon) || table.Restore("north", noon) {
-			t.Fatal("a repetition counts")
+		if !table.Restore("north", testTime) || table.Restore("north", testTime) {
+			t.Fatal("wrong report of a change")
 		}
-		expectPicked(t, table, Query{}, noon, "i-n", "i-s")
+		expectPicked(t, table, Query{}, testTime, "i-n", "i-s")
 	})
-	t.Run("is followed by a time in which the zone counts as cold", func(t *testing.T) {
+	t.Run("is followed by a cold period", func(t *testing.T) {
 		table := zonedTable()
 		table.Evacuate("north")
-		table.Restore("north", noon)
+		table.Restore("north", testTime)
 		cold := Query{ColdPerSecond: 0.0001, Routers: 100, Tried: map[granitehoist.Upstream]bool{"i-s": true}}
-		expectPicked(t, table, cold, noon.Add(restoredCold-1))
-		expectPicked(t, table, cold, noon.Add(restoredCold), "i-n")
+		expectPicked(t, table, cold, testTime.Add(coldAfterRestore-1))
+		expectPicked(t, table, cold, testTime.Add(coldAfterRestore), "i-n")
 	})
 }
 
-// TestHomes checks each combination of the homes of a route and of a workspace.
-func TestHomes(t *testing.T) {
+// TestAllowedRegions guards against attempts outside the regions allowed by the rules of
+// a route and of a workspace.
+func TestAllowedRegions(t *testing.T) {
 	coast, hills := Homes{"coast"}, Homes{"hills"}
 	for _, test := range []struct {
 		name     string
 		homes    []Homes
 		expected []granitehoist.Upstream
 	}{
-		{"none set no bound", nil, []granitehoist.Upstream{"i-n", "i-s"}},
-		{"empty ones set no bound", []Homes{{}, {}}, []granitehoist.Upstream{"i-n", "i-s"}},
-		{"one binds", []Homes{coast}, []granitehoist.Upstream{"i-n"}},
-		{"one of two regions allows both", []Homes{{"coast", "hills"}}, []granitehoist.Upstream{"i-n", "i-s"}},
-		{"both bind", []Homes{{"coast", "hills"}, hills}, []granitehoist.Upstream{"i-s"}},
-		{"two that exclude each other refuse", []Homes{coast, hills}, nil},
-		{"an unknown region refuses", []Homes{{"plains"}}, nil},
+		{"no rules allow all regions", nil, []granitehoist.Upstream{"i-n", "i-s"}},
+		{"empty rules allow all regions", []Homes{{}, {}}, []granitehoist.Upstream{"i-n", "i-s"}},
+		{"one rule restricts", []Homes{coast}, []granitehoist.Upstream{"i-n"}},
+		{"one rule with two regions allows both", []Homes{{"coast", "hills"}}, []granitehoist.Upstream{"i-n", "i-s"}},
+		{"both rules apply", []Homes{{"coast", "hills"}, hills}, []granitehoist.Upstream{"i-s"}},
+		{"disjoint rules allow no region", []Homes{coast, hills}, nil},
+		{"a region without instances leaves none", []Homes{{"plains"}}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			expectPicked(t, zonedTable(), Query{Homes: test.homes}, noon, test.expected...)
+			expectPicked(t, zonedTable(), Query{Homes: test.homes}, testTime, test.expected...)
 		})
 	}
-	t.Run("keep requests from zones whose region is not known", func(t *testing.T) {
+	t.Run("excludes zones without a known region", func(t *testing.T) {
 		table := zonedTable()
-		table.Announce(Instance{ID: "i-x", Service: coldPool, Zone: "nowhere", Version: 1}, noon)
-		expectPicked(t, table, Query{Homes: []Homes{coast}}, noon, "i-n")
+		table.Announce(Instance{ID: "i-x", Service: coldPool, Zone: "nowhere", Version: 1}, testTime)
+		expectPicked(t, table, Query{Homes: []Homes{coast}}, testTime, "i-n")
 	})
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -10,8 +10,7 @@
 	"granitehoist.example/granitehoist/balance"
 )
 
-// One attempt: choose an instance, send the request to its address, report the
-// result.
+// Choose an instance, send the request to its address, and report the result.
 func Example() {
 	now := time.Unix(1000, 0)
 	table := balance.New(balance.Settings{Zone: "north"})
--- a/balance/hints.go
+++ b/balance/hints.go
@@ -10,21 +10,19 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Hint is what a router tells one that has just started of a service's instances, so
-// that the new one does not send heavy prompts to slow ones. A router that gets none
-// finds out by itself.
+// Hint names the slow instances of a service for a router that has just started, so that
+// it keeps heavy prompts from them. A router without hints relies on its own
+// observations.
 type Hint struct {
 	Service granitehoist.Service `json:"service"`
-	// Slow holds the instances that are slow, maxHinted at most.
+	// Slow holds the slow instances, at most maxHinted.
 	Slow []granitehoist.Upstream `json:"slow"`
 }
 
-// maxHinted bounds the instances of one Hint, 16 bytes or so each: at 10,000 instances the
-// slow ones beyond it are found out by each router itself. Above a third of the 140
-// instances of the users' largest site.
+// maxHinted limits the number of instances in one Hint and so the size of the message.
 const maxHinted = 128
 
-// Hints returns what this router knows of the services that have slow instances.
+// Hints returns a hint for each service that has slow instances.
 func (t *Table) Hints() []Hint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -43,7 +41,7 @@
 	return hints
 }
 
-// NoteHints takes the hints of another router for instances that this one has not
+// NoteHints applies the hints of another router to instances that this router has not
 // observed enough itself.
 func (t *Table) NoteHints(hints []Hint) {
 	t.mu.Lock()
@@ -51,6 +49,6 @@
 	for _, hint := range hints {
 		s := t.service(hint.Service)
 		s.hintedSlow = slices.Clone(hint.Slow[:min(len(hint.Slow), maxHinted)])
-		s.slowAt = time.Time{}
+		s.slowUpdatedAt = time.Time{}
 	}
 }
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -9,20 +9,20 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Homes are the regions that a rule of the operators allows a request to be sent to.
-// No regions say that the rule sets no bound.
+// Homes are the regions to which a rule of the operators confines a request. An empty
+// value allows all regions.
 type Homes []granitehoist.Region
 
-// allow decides whether the homes allow a region. A zone whose region is not known is
-// in none of them.
-func (h Homes) allow(region granitehoist.Region) bool {
+// allows reports whether the rule allows a region. The empty region of an unknown zone is
+// allowed only if Homes is empty.
+func (h Homes) allows(region granitehoist.Region) bool {
 	return len(h) == 0 || slices.Contains(h, region)
 }
 
-// allAllow decides whether all of several homes allow a region.
-func allAllow(homes []Homes, region granitehoist.Region) bool {
+// allowedByAll reports whether all of the rules allow a region.
+func allowedByAll(homes []Homes, region granitehoist.Region) bool {
 	for _, h := range homes {
-		if !h.allow(region) {
+		if !h.allows(region) {
 			return false
 		}
 	}
--- a/balance/leaving.go
+++ b/balance/leaving.go
@@ -5,94 +5,93 @@
 
 import "time"
 
-// An instance that is about to end says so in its answers as well as in its announcement. A
-// router that knew it from the announcement only went on to send for as long as the store
-// was away. Each answer of the instance is believed, also a refusal, the head of a stream or
-// an answer that breaks off.
+// An instance that is about to end says so in its responses as well as in its
+// announcement, so that routers learn of it while the store is unavailable. Every response
+// of the instance counts, including refusals, stream headers and truncated responses.
 //
-// Nothing takes it back for that life of the instance: a later answer that does not say so
-// may have been under way for longer, and an announcement that says otherwise, or another
-// router's copy of one, may be older. So it is kept apart from the announcements, also
-// while the instance has none.
+// Within an incarnation, leaving is final. A later response without the signal may have
+// been sent earlier, and a conflicting announcement may be stale. The state is therefore
+// kept separately from announcements, also while the instance has none.
 
 const (
-	// leaverMemory is for how long a life is remembered after it was last known to leave
-	// and to be announced: an old copy of its announcement may still come from another
-	// router that was cut off.
-	leaverMemory = time.Hour
-	// maxLeavers bounds the lives that are remembered, 0.5 MB or so.
-	maxLeavers = 4096
+	// leavingRetention is how long a leaving incarnation is remembered after the last
+	// report or the removal of its announcement. A partitioned router may still pass on a
+	// stale announcement.
+	leavingRetention = time.Hour
+	// maxLeavingIncarnations is the maximum number of remembered incarnations.
+	maxLeavingIncarnations = 4096
 )
 
-// leavers remembers which lives of instances said that they leave. The zero value is
-// empty. The lock of its table guards it.
-type leavers struct {
-	heardAt map[Life]time.Time
+// leavingSet remembers the incarnations that reported that they are leaving. The zero
+// value is empty. It is guarded by the lock of its table.
+type leavingSet struct {
+	reportedAt map[Life]time.Time
 }
 
-// add remembers a life. At the bound it forgets the one that was heard of first.
-func (l *leavers) add(life Life, now time.Time) {
-	if l.heardAt == nil {
-		l.heardAt = map[Life]time.Time{}
+// add remembers an incarnation, and evicts the oldest entry if the set is full.
+func (l *leavingSet) add(incarnation Life, now time.Time) {
+	if l.reportedAt == nil {
+		l.reportedAt = map[Life]time.Time{}
 	}
-	l.forgetOld(now)
-	if _, known := l.heardAt[life]; !known && len(l.heardAt) >= maxLeavers {
-		delete(l.heardAt, l.oldest())
+	l.expire(now)
+	if _, known := l.reportedAt[incarnation]; !known && len(l.reportedAt) >= maxLeavingIncarnations {
+		delete(l.reportedAt, l.oldest())
 	}
-	l.heardAt[life] = now
+	l.reportedAt[incarnation] = now
 }
 
-// has reports whether a life said that it leaves.
-func (l *leavers) has(life Life) bool {
-	_, known := l.heardAt[life]
+// contains reports whether an incarnation reported that it is leaving.
+func (l *leavingSet) contains(incarnation Life) bool {
+	_, known := l.reportedAt[incarnation]
 	return known
 }
 
-// forgetOld forgets the lives that were heard of longer than leaverMemory ago.
-func (l *leavers) forgetOld(now time.Time) {
-	for life, at := range l.heardAt {
-		if now.Sub(at) > leaverMemory {
-			delete(l.heardAt, life)
+// expire deletes the entries older than leavingRetention.
+func (l *leavingSet) expire(now time.Time) {
+	for incarnation, at := range l.reportedAt {
+		if now.Sub(at) > leavingRetention {
+			delete(l.reportedAt, incarnation)
 		}
 	}
 }
 
-// oldest returns the life that was heard of first.
-func (l *leavers) oldest() Life {
+// oldest returns the incarnation with the oldest report.
+func (l *leavingSet) oldest() Life {
 	var first Life
 	var firstAt time.Time
-	for life, at := range l.heardAt {
+	for incarnation, at := range l.reportedAt {
 		if firstAt.IsZero() || at.Before(firstAt) {
-			first, firstAt = life, at
+			first, firstAt = incarnation, at
 		}
 	}
 	return first
 }
 
-// LeavingNote tells that a router learned that an instance leaves.
+// LeavingNote is the event that this router learned that an instance is leaving.
 type LeavingNote struct {
 	Instance
-	// Observed says that an answer to this router told so, and not another router.
+	// Observed reports that the information came from a response to this router, not from
+	// another router.
 	Observed bool
 }
 
-// noteLeaving records that an answer of the instance said that it leaves.
-func (l *Lease) noteLeaving(now time.Time) {
+// recordLeaving records that a response said that the instance is leaving.
+func (l *Lease) recordLeaving(now time.Time) {
 	t := l.table
 	t.mu.Lock()
-	isNews := t.noteLeaving(l.state, now)
-	if isNews {
-		t.newsVersion++
-		l.state.leavingVersion = t.newsVersion
+	changed := t.recordLeaving(l.state, now)
+	if changed {
+		t.updateVersion++
+		l.state.leavingVersion = t.updateVersion
 	}
 	t.mu.Unlock()
-	if isNews {
-		t.tellLeaving(LeavingNote{Instance: l.Instance, Observed: true})
+	if changed {
+		t.notifyLeaving(LeavingNote{Instance: l.Instance, Observed: true})
 	}
 }
 
-// mergeLeaving takes what another router told. Of a life that is not announced yet it is
-// kept until that.
+// mergeLeaving applies the records of another router. Records of incarnations that are
+// not announced yet are kept until they are.
 func (t *Table) mergeLeaving(records []LeavingRecord, now time.Time) {
 	var notes []LeavingNote
 	t.mu.Lock()
@@ -100,30 +99,30 @@
 		s, found := t.instances[r.Upstream]
 		switch {
 		case !found || s.Born != r.Born:
-			t.leavers.add(r.life(), now)
-		case t.noteLeaving(s, now):
+			t.leavingIncarnations.add(r.incarnation(), now)
+		case t.recordLeaving(s, now):
 			notes = append(notes, LeavingNote{Instance: s.Instance})
 		}
 	}
 	t.mu.Unlock()
 	for _, note := range notes {
-		t.tellLeaving(note)
+		t.notifyLeaving(note)
 	}
 }
 
-// noteLeaving records that an instance leaves, and returns whether that is news. The
-// caller holds mu.
-func (t *Table) noteLeaving(s *instanceState, now time.Time) bool {
+// recordLeaving marks an instance as leaving, and reports whether it was not marked
+// before. The caller holds mu.
+func (t *Table) recordLeaving(s *instanceState, now time.Time) bool {
 	if s.leaving {
 		return false
 	}
 	s.leaving = true
-	t.leavers.add(s.life(), now)
+	t.leavingIncarnations.add(s.incarnation(), now)
 	return true
 }
 
-// tellLeaving passes news on to whoever drives the table. The caller holds no lock.
-func (t *Table) tellLeaving(note LeavingNote) {
+// notifyLeaving calls the LeavingNoted callback. The caller holds no lock.
+func (t *Table) notifyLeaving(note LeavingNote) {
 	if t.settings.LeavingNoted != nil {
 		t.settings.LeavingNoted(note)
 	}
--- /dev/null
+++ b/balance/overload.go
@@ -0,0 +1,39 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package balance
+
+// Where many instances of a service are rate-limited, the excess load goes to the others,
+// which may become overloaded: requests queue up there and time out after their prefill.
+// The load of instances without a rate limit is therefore bounded too. A request that finds
+// no instance with capacity waits for a permit or is refused at once.
+//
+// A router estimates the load of an instance as its own load times the number of routers.
+
+const (
+	// maxLoadFactor is the maximum number of requests at an instance beside rate-limited
+	// ones, as a multiple of its capacity: as many may be queued as are running.
+	maxLoadFactor = 2
+	// minCapacityPerRouter is the least capacity per router for which the load estimate
+	// is used. Below it, single requests at one router distort the estimate.
+	minCapacityPerRouter = 2
+)
+
+// hasLimited reports whether an instance of the service is rate-limited.
+func (s *serviceState) hasLimited() bool {
+	for _, i := range s.instances {
+		if i.isLimited() {
+			return true
+		}
+	}
+	return false
+}
+
+// isOverloaded reports whether an instance has reached its maximum load beside
+// rate-limited ones. routers is the number of routers that send it requests.
+func (s *instanceState) isOverloaded(routers int) bool {
+	if s.Capacity < minCapacityPerRouter*routers {
+		return false
+	}
+	return s.inFlight*routers >= maxLoadFactor*s.Capacity
+}
--- a/balance/crowding_test.go
+++ b/balance/overload_test.go
@@ -5,9 +5,9 @@
 
 import "testing"
 
-// TestCrowding checks how many requests an instance may have beside others with a limit.
-func TestCrowding(t *testing.T) {
-	// start picks so many times without an end, and returns how many found an instance.
+// TestOverloadProtection guards against overload of instances beside rate-limited ones.
+func TestOverloadProtection(t *testing.T) {
+	// start picks count times without ending an attempt, and returns how many succeeded.
 	start := func(p *testPool, count, routers int) int {
 		found := 0
 		for range count {
@@ -17,11 +17,11 @@
 		}
 		return found
 	}
-	t.Run("without a limit as many as come", func(t *testing.T) {
+	t.Run("does not limit a service without rate limits", func(t *testing.T) {
 		p := newTestPool(t, 2)
 		p.expect("of 100", start(p, 100, 2), 100)
 	})
-	t.Run("beside a limit twice its capacity, of all routers together", func(t *testing.T) {
+	t.Run("limits the load to twice the capacity for all routers together", func(t *testing.T) {
 		p := newTestPool(t, 2)
 		p.limit("i-0", 2)
 		p.expect("of 100, two routers", start(p, 100, 2), 8)
@@ -29,12 +29,12 @@
 		alone.limit("i-0", 2)
 		alone.expect("of 100, one router", start(alone, 100, 1), 16)
 	})
-	t.Run("as many as come where the share of a router is too small to tell", func(t *testing.T) {
+	t.Run("does not limit if the capacity per router is small", func(t *testing.T) {
 		p := newTestPool(t, 2)
 		p.limit("i-0", 2)
 		p.expect("of 100, five routers", start(p, 100, 5), 100)
 	})
-	t.Run("room again when a request has ended", func(t *testing.T) {
+	t.Run("admits a request when another one ends", func(t *testing.T) {
 		p := newTestPool(t, 2)
 		p.limit("i-0", 2)
 		lease, err := p.Pick(Query{Service: "pool"}, p.now)
@@ -44,7 +44,7 @@
 		p.expect("of 100", start(p, 100, 1), 15)
 		w, ok := p.NewWaiter(&Query{Service: "pool"})
 		if !ok {
-			t.Fatal("nobody waits yet")
+			t.Fatal("cannot wait although no request is waiting")
 		}
 		defer w.Close()
 		changed := p.DeferredChanged()
@@ -52,7 +52,7 @@
 		select {
 		case <-changed:
 		default:
-			t.Error("the waiting request is not woken")
+			t.Error("the waiting request was not woken")
 		}
 		if _, err := p.Pick(Query{Service: "pool", Waiting: true}, p.now); err != nil {
 			t.Error(err)
--- a/balance/owner.go
+++ b/balance/owner.go
@@ -9,12 +9,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ownerOf decides which of the instances owns a prefix: the one with the highest
-// hash of its ID and the prefix (rendezvous hashing). All routers that see the
-// same instances choose the same owner without asking each other, and when one
-// leaves only its own prefixes change owner. A slow instance owns the prefix of a
-// heavy prompt only if all are slow. It returns nil for the hash zero (no prefix) and
-// if there are no instances.
+// ownerOf returns the owner of a prefix: the instance with the highest hash of its ID and
+// the prefix (rendezvous hashing). All routers with the same instances determine the same
+// owner without communication, and when an instance leaves, only its own prefixes change
+// owner. A slow instance owns the prefix of a heavy prompt only if all are slow. It
+// returns nil for the hash zero (no prefix) and without instances.
 func ownerOf(states []*instanceState, prefixHash uint64, heavy bool) *instanceState {
 	if prefixHash == 0 {
 		return nil
@@ -33,7 +32,7 @@
 	return owner
 }
 
-// mix spreads the bits of a number (the finalizer of MurmurHash3, A. Appleby).
+// mix is the finalizer of MurmurHash3 (A. Appleby), which spreads the bits of a number.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
@@ -43,15 +42,15 @@
 	return x
 }
 
-// PrefixHash returns the hash of the parts that a prompt shares with others, in
-// order, and zero if there are none. All routers compute the same.
+// PrefixHash returns the hash of the parts of a prompt's shared prefix, in order; zero if
+// there are none. It is the same on all routers.
 func PrefixHash(parts []string) uint64 {
 	if len(parts) == 0 {
 		return 0
 	}
 	digest := xxhash.New()
 	for _, part := range parts {
-		// The lengths keep ("ab", "c") and ("a", "bc") apart.
+		// The length separates ("ab", "c") from ("a", "bc").
 		writeString(digest, strconv.Itoa(len(part)))
 		writeString(digest, part)
 	}
@@ -60,6 +59,6 @@
 
 // writeString adds a string to a digest.
 func writeString(digest *xxhash.Digest, s string) {
-	// A digest takes every write: its error is always nil.
+	// The error of xxhash.Digest.WriteString is always nil.
 	_, _ = digest.WriteString(s)
 }
--- a/balance/owner_test.go
+++ b/balance/owner_test.go
@@ -13,7 +13,7 @@
 	"granitehoist.example/granitehoist"
 )
 
-func hashed(count int) []*instanceState {
+func hashedInstances(count int) []*instanceState {
 	var instances []*instanceState
 	for i := range count {
 		id := fmt.Sprint("i-", i)
@@ -23,24 +23,24 @@
 }
 
 var _ = Describe("The owner of a prefix", func() {
-	DescribeTable("is none",
+	DescribeTable("is nil",
 		func(instances []*instanceState, prefixHash uint64) {
 			Expect(ownerOf(instances, prefixHash, false)).To(BeNil())
 		},
-		Entry("of no prefix", hashed(3), uint64(0)),
-		Entry("among no instances", nil, uint64(7)),
+		Entry("without a prefix", hashedInstances(3), uint64(0)),
+		Entry("without instances", nil, uint64(7)),
 	)
 
 	It("does not depend on the order of the instances", func() {
-		instances := hashed(5)
+		instances := hashedInstances(5)
 		reversed := []*instanceState{instances[4], instances[3], instances[2], instances[1], instances[0]}
 		for prefix := range uint64(100) {
 			Expect(ownerOf(reversed, prefix, false)).To(BeIdenticalTo(ownerOf(instances, prefix, false)))
 		}
 	})
 
-	It("stays when another instance leaves, and each instance owns some", func() {
-		instances := hashed(5)
+	It("does not change when another instance is removed, and every instance owns prefixes", func() {
+		instances := hashedInstances(5)
 		owned := map[*instanceState]int{}
 		for prefix := uint64(1); prefix <= 500; prefix++ {
 			owner := ownerOf(instances, prefix, false)
@@ -52,7 +52,7 @@
 		Expect(owned).To(HaveLen(5))
 	})
 
-	It("is looked up by a hash of the parts and their bounds", func() {
+	It("depends on the parts and their boundaries", func() {
 		Expect(PrefixHash(nil)).To(BeZero())
 		Expect(PrefixHash([]string{"ab", "c"})).To(Equal(PrefixHash([]string{"ab", "c"})))
 		Expect(PrefixHash([]string{"ab", "c"})).NotTo(Equal(PrefixHash([]string{"a", "bc"})))
--- a/balance/permit.go
+++ b/balance/permit.go
@@ -5,66 +5,67 @@
 
 import "time"
 
-// This file keeps the permits of a router for instances that name a limit, and what it
-// still wants. Whoever drives the table fetches permits: it takes PermitRequests, asks
-// the router that issues them, and gives the answers to NotePermits. An instance without a
-// permit is no candidate; a request that finds no other instance waits for one
-// (waiting.go) or is refused.
+// This file manages a router's permits for rate-limited instances. The owner of the table
+// fetches permits: it calls PermitRequests, asks the issuer, and passes the responses to
+// NotePermits. A rate-limited instance without a permit is not a candidate; a request
+// without another instance waits for a permit (waiting.go) or is refused.
 
-// permitAhead is how long before it is due a permit is fetched for requests that have
-// another instance meanwhile.
-const permitAhead = 100 * time.Millisecond
+// permitLeadTime is how long ahead of its due time a permit is fetched for requests that
+// can use another instance meanwhile.
+const permitLeadTime = 100 * time.Millisecond
 
 // PermitRequest asks for permits for one instance.
 type PermitRequest struct {
-	// Limit is what this router believes of the instance's limit.
+	// Limit is the known rate limit of the instance.
 	Limit LimitRecord
-	// Count is the number of requests that could use a permit, at least one.
+	// Count is the number of permits wanted, at least one.
 	Count int
-	// Within is for how long they can wait.
+	// Within is the longest time that a request can wait for one.
 	Within time.Duration
 }
 
-// PermitAnswer is the answer to a PermitRequest.
+// PermitAnswer is the response to a PermitRequest.
 type PermitAnswer struct {
 	Life Life
-	// Count permits may be used from Due until Expires.
+	// Count permits are valid from Due until Expires.
 	Count        int
 	Due, Expires time.Time
 	// Retry is when to ask again if Count is zero.
 	Retry time.Time
 }
 
-// limitState is what the table keeps of an instance that names a limit or has done so.
+// limitState holds the rate limit and the permits of an instance that has, or had, a
+// limit.
 type limitState struct {
 	known  knownLimit
 	demand permitDemand
-	// permits are those that were issued for the instance and have not been used.
+	// permits holds the issued permits in the order of their arrival.
 	permits []permitBatch
-	// expired counts the permits that were never used.
+	// expired counts the permits that expired unused.
 	expired int64
 }
 
-// permitBatch holds permits that may be used from due until expires.
+// permitBatch holds permits that are valid from due until expires.
 type permitBatch struct {
 	count        int
 	due, expires time.Time
 }
 
-// permitDemand is what a router wants of permits for one instance.
+// permitDemand is a router's demand for permits for one instance.
 type permitDemand struct {
-	// wanted counts the requests that lacked a permit since the last time one was asked
-	// for, and within is the longest time that one of them can wait.
-	wanted int
-	within time.Duration
-	// listed says that the instance stands in the table's list of those that want some.
-	listed bool
-	// asking says that a question is under way, notBefore when the next may follow.
-	asking    bool
+	// count is the number of requests that lacked a permit since the last permit request,
+	// and maxWait the longest time that one of them can wait.
+	count   int
+	maxWait time.Duration
+	// queued reports that the instance is in the table's awaitingPermits.
+	queued bool
+	// pending reports that a permit request is in flight; the next one may follow at
+	// notBefore.
+	pending   bool
 	notBefore time.Time
 }
 
-// hasPermit reports whether a permit may be used now. It drops those that have expired.
+// hasPermit reports whether a permit is valid now. It drops expired permits.
 func (l *limitState) hasPermit(now time.Time) bool {
 	kept := l.permits[:0]
 	for _, batch := range l.permits {
@@ -85,7 +86,7 @@
 	return false
 }
 
-// usePermit uses one of the permits that hasPermit found.
+// usePermit consumes one of the permits that hasPermit found.
 func (l *limitState) usePermit(now time.Time) {
 	for i := range l.permits {
 		batch := &l.permits[i]
@@ -96,78 +97,79 @@
 	}
 }
 
-// nextChance returns the time until a permit may be had for the instance: until the first
-// one is due, or until the next one may be asked for; zero if a question is under way.
-func (l *limitState) nextChance(now time.Time) time.Duration {
+// timeToPermit returns the time until the first permit is due or, without permits, until
+// the next permit request; zero if one is in flight.
+func (l *limitState) timeToPermit(now time.Time) time.Duration {
 	if len(l.permits) > 0 {
 		return max(0, l.permits[0].due.Sub(now))
 	}
-	if l.demand.asking {
+	if l.demand.pending {
 		return 0
 	}
 	return max(0, l.demand.notBefore.Sub(now))
 }
 
-// isLimited reports whether the instance gets nothing without a permit.
-func (s *instanceState) isLimited() bool { return s.limit != nil && s.limit.known.named }
+// isLimited reports whether the instance is rate-limited and so requires permits.
+func (s *instanceState) isLimited() bool { return s.limit != nil && s.limit.known.limited }
 
-// lacksPermit reports whether the instance must not get a request that may use a permit
-// only if mayUse says so.
+// lacksPermit reports whether the instance is rate-limited and the request has no permit
+// to use. mayUse reports whether the request may use an available permit.
 func (s *instanceState) lacksPermit(mayUse bool, now time.Time) bool {
 	return s.isLimited() && !(s.limit.hasPermit(now) && mayUse)
 }
 
-// want records that a request could have used a permit for an instance. One that waits has
-// been counted before. The caller holds mu.
-func (t *Table) want(s *instanceState, counted bool, within time.Duration) {
+// addPermitDemand records demand for a permit for an instance. counted reports that the
+// request is waiting and was counted before. The caller holds mu.
+func (t *Table) addPermitDemand(s *instanceState, counted bool, maxWait time.Duration) {
 	demand := &s.limit.demand
 	if !counted {
-		demand.wanted++
+		demand.count++
 	}
-	demand.wanted = max(1, demand.wanted)
-	demand.within = max(demand.within, within)
-	if demand.listed {
+	demand.count = max(1, demand.count)
+	demand.maxWait = max(demand.maxWait, maxWait)
+	if demand.queued {
 		return
 	}
-	demand.listed = true
-	t.wanting = append(t.wanting, s)
-	t.wakeAsker()
+	demand.queued = true
+	t.awaitingPermits = append(t.awaitingPermits, s)
+	t.signalPermitsWanted()
 }
 
-// PermitsWanted returns a channel that gets something when PermitRequests may have
-// something new. One goroutine receives from it.
+// PermitsWanted returns a channel that signals that PermitRequests may return new
+// requests. It is meant for one receiver.
 func (t *Table) PermitsWanted() <-chan struct{} { return t.permitsWanted }
 
-// PermitRequests returns what is to be asked for now, and when to call it again if nothing
-// new is wanted before; the zero time if nothing waits for its time. Each request that it
-// returns has to be answered by NotePermits.
+// PermitRequests returns the permit requests to send now, and when to call it again if
+// PermitsWanted does not signal before; the zero time if no request is scheduled. Each
+// returned request must be answered through NotePermits.
 func (t *Table) PermitRequests(now time.Time) (requests []PermitRequest, next time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	waiting := t.wanting[:0]
-	for _, s := range t.wanting {
+	remaining := t.awaitingPermits[:0]
+	for _, s := range t.awaitingPermits {
 		demand := &s.limit.demand
 		switch {
 		case !s.isLimited(), t.instances[s.ID] != s:
-			demand.listed, demand.wanted = false, 0
-		case demand.asking:
-			waiting = append(waiting, s)
+			demand.queued, demand.count = false, 0
+		case demand.pending:
+			remaining = append(remaining, s)
 		case now.Before(demand.notBefore):
-			waiting = append(waiting, s)
+			remaining = append(remaining, s)
 			if next.IsZero() || demand.notBefore.Before(next) {
 				next = demand.notBefore
 			}
 		default:
-			requests = append(requests, PermitRequest{Limit: s.limitRecord(now), Count: demand.wanted, Within: demand.within})
-			*demand = permitDemand{asking: true}
+			requests = append(requests, PermitRequest{Limit: s.limitRecord(now), Count: demand.count, Within: demand.maxWait})
+			*demand = permitDemand{pending: true}
 		}
 	}
-	clear(t.wanting[len(waiting):])
-	t.wanting = waiting
+	clear(t.awaitingPermits[len(remaining):])
+	t.awaitingPermits = remaining
 	return requests, next
 }
 
-// NotePermits takes the answer to a request of PermitRequests.
+// NotePermits applies the response to a request returned by PermitRequests. Responses for
+// unknown incarnations are ignored.
 func (t *Table) NotePermits(a PermitAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -176,15 +178,15 @@
 		return
 	}
 	demand := &s.limit.demand
-	demand.asking = false
+	demand.pending = false
 	if a.Count > 0 {
 		s.limit.permits = append(s.limit.permits, permitBatch{count: a.Count, due: a.Due, expires: a.Expires})
 		demand.notBefore = a.Due
 	} else {
 		demand.notBefore = a.Retry
 	}
-	if demand.listed {
-		t.wakeAsker()
+	if demand.queued {
+		t.signalPermitsWanted()
 	}
-	t.wakeWaiting()
+	t.wakeWaiters()
 }
--- a/balance/prefixcache.go
+++ b/balance/prefixcache.go
@@ -6,29 +6,27 @@
 import "time"
 
 const (
-	// prefixCacheTime is how long an upstream is assumed to keep a prefix in its cache
-	// after reading it.
+	// prefixCacheTime is how long an upstream is assumed to keep a prefix in its cache.
 	prefixCacheTime = 20 * time.Second
-	// maxRememberedPrefixes bounds the prefixes that are remembered of one instance, 32
-	// bytes each.
+	// maxRememberedPrefixes is the maximum number of prefixes remembered for one
+	// instance.
 	maxRememberedPrefixes = 512
 )
 
-// prefixCached decides whether an instance is likely to have a prefix in its
-// cache: it owns the prefix, so all routers send it there, or this router sent
-// it there at sentAt, less than prefixCacheTime ago. A zero sentAt means
-// never. It is an estimate, since upstreams don't report what their caches hold.
+// prefixCached estimates whether an instance has a prefix in its cache: it owns the
+// prefix, or this router sent the prefix there at sentAt, less than prefixCacheTime ago.
+// A zero sentAt means never. Upstreams don't report the contents of their caches.
 func prefixCached(owner bool, sentAt, now time.Time) bool {
 	return owner || (!sentAt.IsZero() && now.Sub(sentAt) < prefixCacheTime)
 }
 
-// cachesPrefix reports whether a query's prefix is likely in an instance's cache.
+// cachesPrefix reports whether a query's prefix is probably in the instance's cache.
 func (s *instanceState) cachesPrefix(q *Query, owner *instanceState, now time.Time) bool {
 	return q.PrefixHash != 0 && prefixCached(s == owner, s.prefixSentAt[q.PrefixHash], now)
 }
 
-// rememberPrefix records that a prefix was sent to an instance that does not own
-// it. At maxRememberedPrefixes it drops all earlier records.
+// rememberPrefix records that a prefix was sent to an instance that does not own it. At
+// maxRememberedPrefixes it drops all earlier records.
 func (s *instanceState) rememberPrefix(prefixHash uint64, now time.Time) {
 	if s.prefixSentAt == nil || len(s.prefixSentAt) >= maxRememberedPrefixes {
 		s.prefixSentAt = map[uint64]time.Time{}
--- a/balance/prefixcache_test.go
+++ b/balance/prefixcache_test.go
@@ -11,31 +11,31 @@
 )
 
 var _ = Describe("A prefix", func() {
-	DescribeTable("is taken to be in an instance's cache",
+	DescribeTable("is assumed to be cached by an instance",
 		func(owner bool, sentAt time.Time, expected bool) {
-			Expect(prefixCached(owner, sentAt, noon)).To(Equal(expected))
+			Expect(prefixCached(owner, sentAt, testTime)).To(Equal(expected))
 		},
 		Entry("at its owner", true, time.Time{}, true),
 		Entry("not where it was never sent", false, time.Time{}, false),
-		Entry("where it was sent a moment ago", false, noon, true),
-		Entry("nearly until the cache time ends", false, noon.Add(1-prefixCacheTime), true),
-		Entry("not after the cache time", false, noon.Add(-prefixCacheTime), false),
+		Entry("where it was just sent", false, testTime, true),
+		Entry("just before the cache time ends", false, testTime.Add(1-prefixCacheTime), true),
+		Entry("not after the cache time", false, testTime.Add(-prefixCacheTime), false),
 	)
 
-	It("is remembered, in a memory that starts anew when it is full", func() {
+	It("is remembered until the records reach their maximum and are dropped", func() {
 		var s instanceState
 		for prefix := range uint64(maxRememberedPrefixes) {
-			s.rememberPrefix(prefix+1, noon)
+			s.rememberPrefix(prefix+1, testTime)
 		}
 		Expect(s.prefixSentAt).To(HaveLen(maxRememberedPrefixes))
-		s.rememberPrefix(maxRememberedPrefixes+1, noon)
+		s.rememberPrefix(maxRememberedPrefixes+1, testTime)
 		Expect(s.prefixSentAt).To(HaveLen(1))
 	})
 
-	It("is cached for no query without one", func() {
+	It("is never cached for a query without one", func() {
 		var s instanceState
-		Expect(s.cachesPrefix(&Query{}, &s, noon)).To(BeFalse())
-		Expect(s.cachesPrefix(&Query{PrefixHash: 1}, &s, noon)).To(BeTrue())
-		Expect(s.cachesPrefix(&Query{PrefixHash: 1}, nil, noon)).To(BeFalse())
+		Expect(s.cachesPrefix(&Query{}, &s, testTime)).To(BeFalse())
+		Expect(s.cachesPrefix(&Query{PrefixHash: 1}, &s, testTime)).To(BeTrue())
+		Expect(s.cachesPrefix(&Query{PrefixHash: 1}, nil, testTime)).To(BeFalse())
 	})
 })
--- /dev/null
+++ b/balance/quantile.go
@@ -0,0 +1,48 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package balance
+
+// quantile estimates a quantile of a series of positive samples without storing them
+// (stochastic approximation, Robbins and Monro 1951). The zero value has no samples.
+type quantile struct {
+	value   float64
+	samples int
+}
+
+// minRelativeStep is the minimum step of the estimate relative to its value, which limits
+// its memory to about the last 100 samples. Smaller values give a steadier estimate that
+// adapts more slowly.
+const minRelativeStep = 0.02
+
+// observe adds a sample; p is the estimated quantile, from 0 to 1.
+func (q *quantile) observe(sample, p float64) {
+	q.samples++
+	step := max(minRelativeStep, 1/float64(q.samples))
+	switch {
+	case q.samples == 1:
+		q.value = sample
+	case sample < q.value:
+		q.value -= q.value * step * (1 - p)
+	case sample > q.value:
+		q.value += q.value * step * p
+	}
+}
+
+// hasSamples reports whether there are at least the given number of samples.
+func (q *quantile) hasSamples(samples int) bool { return q.samples >= samples }
+
+const (
+	// minEventGaps is the number of event gaps from which the pace of an instance is
+	// known. It covers several streams, since an instance that prefills long prompts
+	// beside a single stream seems slow.
+	minEventGaps = 200
+	// minPrefillSamples is the number of prompts from which the prefill rate is known.
+	minPrefillSamples = 20
+	// prefillRateQuantile is the quantile of observed prefill rates that represents an
+	// instance's own rate. Queued prompts show lower rates.
+	prefillRateQuantile = 0.75
+	// eventGapQuantile is the quantile of event gaps that represents an instance's pace.
+	// Gaps during a prefill are longer.
+	eventGapQuantile = 0.1
+)
--- a/balance/ratelimit.go
+++ b/balance/ratelimit.go
@@ -8,33 +8,32 @@
 	"time"
 )
 
-// An instance in need names in its answers how many requests a second it takes from all
-// routers together, for as long as it says so. A router that knows of a limit sends the
-// instance nothing without a permit (permit.go): no router sees what the others send, so
-// that whatever each sends by itself is multiplied by their number.
+// An overloaded instance states in its responses how many requests a second it accepts
+// from all routers together. Routers that know of a limit need a permit (permit.go) for
+// each request, because no router sees the requests of the others.
 //
-// This file decides what a router believes of the limit. A statement that tightens it (a
-// limit where there was none, or a lower one) holds from when its answer arrived. One
-// that relaxes it (a higher limit, or none) holds from when the request of that answer was
-// sent: the answer may have been under way before the limit was named.
+// This file maintains a router's view of the limit. A response that tightens the limit (a
+// first or a lower rate) takes effect as of its arrival. A response that relaxes it (a
+// higher rate, or none) takes effect as of the sending of its request, since it may have
+// been sent before the limit was set.
 
 // Rate is a number of requests a second.
 type Rate float64
 
-// RateStatement is what one answer says of the rate that its instance takes from all
-// routers together. The zero value says nothing.
+// RateStatement is the rate information in one response: the rate that the instance
+// accepts from all routers together. The zero value carries no information.
 type RateStatement struct {
-	// Named says that the answer names Rate.
+	// Named reports that the response states Rate.
 	Named bool
 	Rate  Rate
-	// Unreadable says that it states something which is no rate.
+	// Unreadable reports that the response states an invalid rate.
 	Unreadable bool
-	// Own says that the answer is surely the instance's own, so that one which names
-	// no rate says that there is no limit.
+	// Own reports that the response certainly comes from the instance, so that the
+	// absence of a rate means that there is no limit.
 	Own bool
 }
 
-// Stated reports whether the answer states anything, readable or not.
+// Stated reports whether the response states a rate, valid or not.
 func (s RateStatement) Stated() bool { return s.Named || s.Unreadable }
 
 // String returns the rate, "unreadable", or "none".
@@ -48,47 +47,47 @@
 	return "none"
 }
 
-// knownLimit is what a router believes of the limit of one life of an instance. The zero
-// value is that of an instance that has named none.
+// knownLimit is a router's view of the rate limit of one incarnation of an instance. The
+// zero value is that of an instance that never set a limit.
 type knownLimit struct {
-	named bool
-	rate  Rate
-	// asOf is when it held.
+	limited bool
+	rate    Rate
+	// asOf is the time to which the information refers.
 	asOf time.Time
-	// version is the table's when this router itself saw the limit begin or end; zero if
-	// it has that from others.
+	// version is the table's updateVersion when a response to this router set or lifted
+	// the limit; zero if the information came from another router.
 	version uint64
 }
 
-// after decides what is believed after an answer that arrived now to a request that was
-// sent at sent.
-func (k knownLimit) after(s RateStatement, sent, now time.Time) knownLimit {
+// withResponse returns the view after a response that arrived at now to a request sent at
+// sent.
+func (k knownLimit) withResponse(s RateStatement, sent, now time.Time) knownLimit {
 	switch {
 	case s.Unreadable, !s.Named && !s.Own:
 		return k
-	case s.Named && (!k.named || s.Rate <= k.rate):
-		return knownLimit{named: true, rate: s.Rate, asOf: now, version: k.version}
+	case s.Named && (!k.limited || s.Rate <= k.rate):
+		return knownLimit{limited: true, rate: s.Rate, asOf: now, version: k.version}
 	case sent.Before(k.asOf):
 		return k
 	}
-	return knownLimit{named: s.Named, rate: s.Rate, asOf: sent, version: k.version}
+	return knownLimit{limited: s.Named, rate: s.Rate, asOf: sent, version: k.version}
 }
 
-// merged decides what is believed after another router told what it believes: whichever
-// held later.
+// merged returns the view after another router reported its own: the more recent one.
 func (k knownLimit) merged(other knownLimit) knownLimit {
 	if !other.asOf.After(k.asOf) {
 		return k
 	}
-	return knownLimit{named: other.named, rate: other.rate, asOf: other.asOf}
+	return knownLimit{limited: other.limited, rate: other.rate, asOf: other.asOf}
 }
 
-// LimitChange tells that a router learned of a limit, of another rate, or of the end.
+// LimitChange is the event that a rate limit was set, changed or lifted.
 type LimitChange struct {
 	Instance
-	// Named says that there is a limit, of Rate; without it the limit has ended.
+	// Named reports that there is a limit of Rate; otherwise the limit was lifted.
 	Named bool
 	Rate  Rate
-	// Observed says that an answer to this router told so, and not another router.
+	// Observed reports that the information came from a response to this router, not from
+	// another router.
 	Observed bool
 }
--- a/balance/ratelimit_test.go
+++ b/balance/ratelimit_test.go
@@ -11,77 +11,78 @@
 	"granitehoist.example/granitehoist"
 )
 
-// TestKnownLimit checks what is believed after answers that come in any order.
+// TestKnownLimit guards against a wrong view of the limit when responses arrive out of
+// order.
 func TestKnownLimit(t *testing.T) {
-	at := func(s float64) time.Time { return noon.Add(time.Duration(s * float64(time.Second))) }
-	named := func(rate Rate) RateStatement { return RateStatement{Named: true, Rate: rate, Own: true} }
+	at := func(s float64) time.Time { return testTime.Add(time.Duration(s * float64(time.Second))) }
+	withRate := func(rate Rate) RateStatement { return RateStatement{Named: true, Rate: rate, Own: true} }
 	limit := func(rate Rate, asOf float64) knownLimit {
-		return knownLimit{named: true, rate: rate, asOf: at(asOf)}
+		return knownLimit{limited: true, rate: rate, asOf: at(asOf)}
 	}
-	ended := func(asOf float64) knownLimit { return knownLimit{asOf: at(asOf)} }
-	silent := RateStatement{Own: true}
+	lifted := func(asOf float64) knownLimit { return knownLimit{asOf: at(asOf)} }
+	noLimit := RateStatement{Own: true}
 	cases := []struct {
-		name       string
-		known      knownLimit
-		said       RateStatement
-		sent, now  float64
-		wantNamed  bool
-		wantRate   Rate
-		wantAsOfIs float64
+		name      string
+		known     knownLimit
+		statement RateStatement
+		sent, now float64
+		wantNamed bool
+		wantRate  Rate
+		wantAsOf  float64
 	}{
-		{"a first limit holds from its answer on", knownLimit{}, named(2), 1, 3, true, 2, 3},
-		{"a lower one too, also if its request was sent before", limit(2, 3), named(1), 1, 4, true, 1, 4},
-		{"a higher one from its request on", limit(2, 3), named(5), 4, 6, true, 5, 4},
-		{"an answer under way when a lower one was named", limit(2, 3), named(5), 2, 6, true, 2, 3},
-		{"an answer without a limit ends it", limit(2, 3), silent, 4, 6, false, 0, 4},
-		{"an answer without a limit that was under way", limit(2, 3), silent, 2, 6, true, 2, 3},
-		{"an answer of something on the way ends nothing", limit(2, 3), RateStatement{}, 4, 6, true, 2, 3},
-		{"what can't be read changes nothing", limit(2, 3), RateStatement{Unreadable: true, Own: true}, 4, 6, true, 2, 3},
-		{"a limit comes back", ended(3), named(2), 4, 6, true, 2, 6},
-		{"zero is a limit", knownLimit{}, named(0), 1, 3, true, 0, 3},
+		{"a first limit applies as of its response", knownLimit{}, withRate(2), 1, 3, true, 2, 3},
+		{"a lower limit applies as of its response, even to an earlier request", limit(2, 3), withRate(1), 1, 4, true, 1, 4},
+		{"a higher limit applies as of its request", limit(2, 3), withRate(5), 4, 6, true, 5, 4},
+		{"a higher limit in a response to an earlier request is ignored", limit(2, 3), withRate(5), 2, 6, true, 2, 3},
+		{"a response without a limit lifts it", limit(2, 3), noLimit, 4, 6, false, 0, 4},
+		{"a response without a limit to an earlier request is ignored", limit(2, 3), noLimit, 2, 6, true, 2, 3},
+		{"a response of an intermediary does not lift the limit", limit(2, 3), RateStatement{}, 4, 6, true, 2, 3},
+		{"an invalid rate is ignored", limit(2, 3), RateStatement{Unreadable: true, Own: true}, 4, 6, true, 2, 3},
+		{"a lifted limit is set again", lifted(3), withRate(2), 4, 6, true, 2, 6},
+		{"zero is a limit", knownLimit{}, withRate(0), 1, 3, true, 0, 3},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := c.known.after(c.said, at(c.sent), at(c.now))
-			want := knownLimit{named: c.wantNamed, rate: c.wantRate, asOf: at(c.wantAsOfIs)}
+			got := c.known.withResponse(c.statement, at(c.sent), at(c.now))
+			want := knownLimit{limited: c.wantNamed, rate: c.wantRate, asOf: at(c.wantAsOf)}
 			if got != want {
-				t.Errorf("%+v, not %+v", got, want)
+				t.Errorf("got %+v, want %+v", got, want)
 			}
 		})
 	}
-	t.Run("of two routers the later one is believed", func(t *testing.T) {
-		if got := limit(2, 3).merged(ended(4)); got.named {
+	t.Run("the more recent report of two routers applies", func(t *testing.T) {
+		if got := limit(2, 3).merged(lifted(4)); got.limited {
 			t.Errorf("%+v", got)
 		}
-		if got := limit(2, 3).merged(ended(2)); !got.named {
+		if got := limit(2, 3).merged(lifted(2)); !got.limited {
 			t.Errorf("%+v", got)
 		}
 	})
 }
 
-// testPool is a table with instances of one service.
+// testPool is a table with instances of one service and a clock.
 type testPool struct {
 	t   *testing.T
 	now time.Time
 	*Table
 }
 
-// newTestPool returns a table with so many instances, i-0 and so on.
+// newTestPool returns a table with the given number of instances, named i-0 and so on.
 func newTestPool(t *testing.T, instances int) *testPool {
-	p := &testPool{t: t, now: noon, Table: New(Settings{Seed: 1})}
+	p := &testPool{t: t, now: testTime, Table: New(Settings{Seed: 1})}
 	for i := range instances {
 		p.Announce(Instance{ID: granitehoist.Upstream(fmt.Sprint("i-", i)), Service: "pool", Capacity: 8, Version: 1}, p.now)
 	}
 	return p
 }
 
-// limit makes another router tell of a limit.
+// limit applies a rate limit reported by another router.
 func (p *testPool) limit(id granitehoist.Upstream, rate Rate) {
 	p.MergeLimits([]LimitRecord{{Upstream: id, Limited: true, Rate: rate}}, p.now)
 }
 
-// picks returns how many of so many requests each instance gets; "" counts those that
-// found none.
+// picks returns how many of count requests each instance gets; the key "" counts those
+// without an instance.
 func (p *testPool) picks(count int, q Query) map[granitehoist.Upstream]int {
 	q.Service = "pool"
 	got := map[granitehoist.Upstream]int{}
@@ -97,7 +98,8 @@
 	return got
 }
 
-// permit gives the table permits that may be used from due until expires, from now on.
+// permit adds permits that are valid from due until expires, relative to the current
+// time.
 func (p *testPool) permit(id granitehoist.Upstream, count int, due, expires time.Duration) {
 	p.NotePermits(PermitAnswer{Life: Life{ID: id}, Count: count, Due: p.now.Add(due), Expires: p.now.Add(expires)})
 }
@@ -105,18 +107,18 @@
 func (p *testPool) expect(what string, got, want int) {
 	p.t.Helper()
 	if got != want {
-		p.t.Errorf("%s: %d, not %d", what, got, want)
+		p.t.Errorf("%s: got %d, want %d", what, got, want)
 	}
 }
 
-// TestPermits checks that an instance with a limit gets what permits allow, and nothing else.
+// TestPermits guards against requests without a permit to a rate-limited instance.
 func TestPermits(t *testing.T) {
-	t.Run("without a permit all goes elsewhere", func(t *testing.T) {
+	t.Run("without a permit, other instances are used", func(t *testing.T) {
 		p := newTestPool(t, 2)
 		p.limit("i-0", 2)
 		p.expect("i-1", p.picks(10, Query{})["i-1"], 10)
 	})
-	t.Run("the owner of a prefix is no exception", func(t *testing.T) {
+	t.Run("prefix owners and pinned instances need permits", func(t *testing.T) {
 		p := newTestPool(t, 2)
 		p.limit("i-0", 2)
 		for hash := range uint64(20) {
@@ -124,7 +126,7 @@
 			p.expect("i-0 by pin", p.picks(1, Query{Pin: hash + 1})["i-0"], 0)
 		}
 	})
-	t.Run("a permit serves once", func(t *testing.T) {
+	t.Run("a permit is used once", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		p.limit("i-0", 2)
 		p.permit("i-0", 3, 0, time.Second)
@@ -132,7 +134,7 @@
 		p.expect("i-0", got["i-0"], 3)
 		p.expect("none", got[""], 7)
 	})
-	t.Run("not before it is due, and not after it has expired", func(t *testing.T) {
+	t.Run("a permit is valid from its due time until it expires", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		p.limit("i-0", 2)
 		p.permit("i-0", 1, 10*time.Millisecond, 20*time.Millisecond)
@@ -140,28 +142,28 @@
 		p.now = p.now.Add(20 * time.Millisecond)
 		p.expect("after", p.picks(1, Query{})["i-0"], 0)
 	})
-	t.Run("a new life has no limit, and permits of the one before don't count", func(t *testing.T) {
+	t.Run("a new incarnation has no limit", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 2, Born: 5}, p.now)
 		p.MergeLimits([]LimitRecord{{Upstream: "i-0", Born: 5, Limited: true, Rate: 2}}, p.now)
 		p.expect("limited", p.picks(1, Query{})["i-0"], 0)
 		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 3, Born: 6}, p.now)
-		p.expect("reborn", p.picks(5, Query{})["i-0"], 5)
+		p.expect("restarted", p.picks(5, Query{})["i-0"], 5)
 	})
-	t.Run("what another router tells before the announcement holds after it", func(t *testing.T) {
+	t.Run("a reported limit is kept until the instance is announced", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		p.limit("i-1", 2)
 		p.Announce(Instance{ID: "i-1", Service: "pool", Version: 1}, p.now)
 		p.expect("i-1", p.picks(10, Query{})["i-1"], 0)
 	})
-	t.Run("a stricter rule goes before a permit", func(t *testing.T) {
+	t.Run("a permit does not override draining", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		p.limit("i-0", 2)
 		p.permit("i-0", 5, 0, time.Second)
 		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 2, Draining: true}, p.now)
 		p.expect("draining", p.picks(1, Query{})["i-0"], 0)
 	})
-	t.Run("all is as before once the limit has ended", func(t *testing.T) {
+	t.Run("no permit is needed once the limit is lifted", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		p.limit("i-0", 2)
 		p.now = p.now.Add(time.Second)
@@ -170,7 +172,8 @@
 	})
 }
 
-// TestPermitRequests checks what is asked for, and when.
+// TestPermitRequests guards against permit requests that are repeated, early or without
+// demand.
 func TestPermitRequests(t *testing.T) {
 	expectRequests := func(p *testPool, want ...int) {
 		p.t.Helper()
@@ -180,15 +183,15 @@
 			got = append(got, r.Count)
 		}
 		if fmt.Sprint(got) != fmt.Sprint(want) {
-			p.t.Errorf("%v, not %v", got, want)
+			p.t.Errorf("got %v, want %v", got, want)
 		}
 	}
-	t.Run("nothing while nobody needs one", func(t *testing.T) {
+	t.Run("none without demand", func(t *testing.T) {
 		p := newTestPool(t, 2)
 		p.limit("i-0", 2)
 		expectRequests(p)
 	})
-	t.Run("one question for all requests since the last, and none while it is under way", func(t *testing.T) {
+	t.Run("one for all demand, and none while another is in flight", func(t *testing.T) {
 		p := newTestPool(t, 2)
 		p.limit("i-0", 2)
 		p.picks(4, Query{})
@@ -198,7 +201,7 @@
 		p.permit("i-0", 0, 0, 0)
 		expectRequests(p, 3)
 	})
-	t.Run("not before the issuer said", func(t *testing.T) {
+	t.Run("not before the retry time", func(t *testing.T) {
 		p := newTestPool(t, 2)
 		p.limit("i-0", 2)
 		p.picks(1, Query{})
@@ -211,47 +214,48 @@
 		p.now = p.now.Add(time.Second)
 		expectRequests(p, 1)
 	})
-	t.Run("nothing for a life that is over", func(t *testing.T) {
+	t.Run("none for an ended incarnation", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 2, Born: 5}, p.now)
 		p.MergeLimits([]LimitRecord{{Upstream: "i-0", Born: 5, Limited: true}}, p.now)
 		p.picks(1, Query{})
 		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 3, Born: 6}, p.now)
 		expectRequests(p)
-		p.expect("list", len(p.wanting), 0)
+		p.expect("instances awaiting permits", len(p.awaitingPermits), 0)
 	})
 }
 
-// TestWaitingOrder checks who may use a permit while others wait, and how many wait.
+// TestWaitingOrder guards against priority inversion among waiting requests, and against
+// more of them than can be served.
 func TestWaitingOrder(t *testing.T) {
 	wait := func(p *testPool, priority granitehoist.Priority) (*Waiter, bool) {
 		return p.NewWaiter(&Query{Service: "pool", Priority: priority, MaxWait: time.Second})
 	}
-	t.Run("the most urgent one first, and whoever came before", func(t *testing.T) {
+	t.Run("serves by priority, then by arrival", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		p.limit("i-0", 5)
 		p.permit("i-0", 9, 0, time.Second)
 		w, _ := wait(p, 5)
-		p.expect("less urgent", p.picks(1, Query{Priority: 4, Waiting: true})["i-0"], 0)
-		p.expect("as urgent, but later", p.picks(1, Query{Priority: 5})["i-0"], 0)
-		p.expect("the one that waits", p.picks(1, Query{Priority: 5, Waiting: true})["i-0"], 1)
-		p.expect("more urgent", p.picks(1, Query{Priority: 6})["i-0"], 1)
+		p.expect("lower priority", p.picks(1, Query{Priority: 4, Waiting: true})["i-0"], 0)
+		p.expect("equal priority, not waiting", p.picks(1, Query{Priority: 5})["i-0"], 0)
+		p.expect("waiting request", p.picks(1, Query{Priority: 5, Waiting: true})["i-0"], 1)
+		p.expect("higher priority", p.picks(1, Query{Priority: 6})["i-0"], 1)
 		w.Close()
-		p.expect("when nobody waits", p.picks(1, Query{Priority: 4})["i-0"], 1)
+		p.expect("without waiting requests", p.picks(1, Query{Priority: 4})["i-0"], 1)
 	})
-	t.Run("no more than can be served", func(t *testing.T) {
+	t.Run("admits no more than can be served", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		p.limit("i-0", 2)
 		for range 3 {
 			if _, ok := wait(p, 5); !ok {
-				t.Fatal("the limit lets two requests through in a second, and one may wait in any case")
+				t.Fatal("fewer than three requests may wait at a limit of 2 a second")
 			}
 		}
 		if _, ok := wait(p, 5); ok {
-			t.Error("a fourth request waits")
+			t.Error("a fourth request was admitted")
 		}
 	})
-	t.Run("the error says when a permit may be had", func(t *testing.T) {
+	t.Run("reports in the error when a permit may be available", func(t *testing.T) {
 		p := newTestPool(t, 2)
 		for _, id := range []granitehoist.Upstream{"i-0", "i-1"} {
 			p.limit(id, 2)
--- a/balance/removal_test.go
+++ b/balance/removal_test.go
@@ -11,18 +11,18 @@
 )
 
 var _ = Describe("An instance whose announcement was removed", func() {
-	DescribeTable("is usable and forgettable",
+	DescribeTable("is usable, and can be deleted",
 		func(since time.Duration, inFlight int, usable, forgotten bool) {
-			Expect(usableAfterRemoval(noon.Add(-since), noon)).To(Equal(usable))
-			Expect(forgettable(noon.Add(-since), inFlight, noon)).To(Equal(forgotten))
+			Expect(usableAfterRemoval(testTime.Add(-since), testTime)).To(Equal(usable))
+			Expect(canForget(testTime.Add(-since), inFlight, testTime)).To(Equal(forgotten))
 		},
-		Entry("at once", time.Duration(0), 0, true, false),
-		Entry("just before the grace ends", removedGrace-1, 0, true, false),
-		Entry("when the grace ends", removedGrace, 0, false, true),
-		Entry("after the grace with an attempt in progress", time.Hour, 1, false, false),
+		Entry("immediately", time.Duration(0), 0, true, false),
+		Entry("just before the grace period ends", removedGrace-1, 0, true, false),
+		Entry("when the grace period ends", removedGrace, 0, false, true),
+		Entry("after the grace period with an attempt in progress", time.Hour, 1, false, false),
 	)
 
-	It("is never forgotten while it is announced", func() {
-		Expect(forgettable(time.Time{}, 0, noon)).To(BeFalse())
+	It("is never deleted while it is announced", func() {
+		Expect(canForget(time.Time{}, 0, testTime)).To(BeFalse())
 	})
 })
--- a/balance/slow.go
+++ b/balance/slow.go
@@ -12,88 +12,85 @@
 	"granitehoist.example/granitehoist"
 )
 
-// An upstream reads prompts in pieces between the tokens of its other requests, so
-// each event of a stream beside a long prompt waits for some pieces. A prompt that can
-// make this wait longer than the streams' route allows is heavy. The waits are the
-// longest at slow instances: heavy prompts keep away from those, and more of the other
-// requests go there than to others, since no heavy prompt does. It buys streams in time:
-// before 12 upstreams of which four are slow, 330 late instead of 436 of 2,471 a day,
-// 0.0125 +- 0.0043 of worth (12 pairs of days, three of them calm).
+// An upstream interleaves chunks of prompt prefill with the decoding of its other
+// requests, which delays the events of concurrent streams. A prompt is heavy if this delay
+// can exceed the pause that the streams' route allows. Delays are longest at slow
+// instances, so heavy prompts avoid them, and a larger part of the other requests goes
+// there instead.
 
 const (
-	// heavyPart is the part of the allowed pause beyond which reading a prompt makes
-	// it heavy: a stream may meet several, and the reading rate is an estimate.
-	// Measured in one run each, on a calm day: at 0.6 361 of 1,710 streams were late,
-	// at this value 246.
-	heavyPart = 0.25
-	// slowFrom is the pace, in multiples of the service's median, from which on an
-	// instance counts as slow, and slowUntil that down to which it stays so, lest prefixes
-	// change their owners with the noise.
-	slowFrom, slowUntil = 1.15, 1.08
-	// slowAge is the age at which the slow instances are decided anew.
-	slowAge = time.Second
+	// heavyPauseFraction is the fraction of the allowed pause above which the prefill
+	// time makes a prompt heavy. It is below one because a stream may meet several
+	// prefills, and the prefill rate is an estimate.
+	heavyPauseFraction = 0.25
+	// slowThreshold and slowExitThreshold are multiples of the service's median pace: an
+	// instance becomes slow above the first and stays slow above the second. The
+	// hysteresis keeps noise from changing prefix owners.
+	slowThreshold, slowExitThreshold = 1.15, 1.08
+	// slowUpdateInterval is the interval at which slow instances are determined.
+	slowUpdateInterval = time.Second
 )
 
-// isHeavy decides whether an instance that reads tokensPerMS takes over heavyPart of
-// the allowed pause for a prompt. A pause of zero is not bounded.
+// isHeavy reports whether the prefill of a prompt at tokensPerMS takes more than
+// heavyPauseFraction of the allowed pause. A pause of zero or less means no limit.
 func isHeavy(prompt granitehoist.Tokens, tokensPerMS float64, allowed time.Duration) bool {
 	if allowed <= 0 {
 		return false
 	}
 	reading := float64(prompt) / tokensPerMS
-	return reading > heavyPart*float64(allowed.Milliseconds())
+	return reading > heavyPauseFraction*float64(allowed.Milliseconds())
 }
 
-// isSlow decides whether an instance is slow: by its pace in milliseconds between
-// two events, the median pace of its service and whether it was slow before.
+// isSlow reports whether an instance is slow, given its pace in milliseconds between two
+// events, the median pace of the service, and whether it was slow before.
 func isSlow(pace, median float64, before bool) bool {
-	limit := slowFrom
+	threshold := slowThreshold
 	if before {
-		limit = slowUntil
+		threshold = slowExitThreshold
 	}
-	return pace > limit*median
+	return pace > threshold*median
 }
 
-// serviceState is what a table has of one service. The lock of its table guards it.
+// serviceState holds a table's state of one service. It is guarded by the lock of its
+// table.
 type serviceState struct {
-	// waiting counts the requests that wait for a permit, by priority.
+	// waiting counts the waiting requests by priority.
 	waiting   [granitehoist.MaxPriority + 1]int
 	instances []*instanceState
-	// readRate follows the tokens of prompts that an instance reads in a millisecond.
-	readRate quantile
-	// hintedSlow holds the instances that another router said to be slow.
+	// prefillRate estimates the prefill rate of the instances, in tokens per millisecond.
+	prefillRate quantile
+	// hintedSlow holds the instances that another router reported as slow.
 	hintedSlow []granitehoist.Upstream
-	// slow is the number of slow instances, as decided at slowAt.
-	slow   int
-	slowAt time.Time
+	// slowCount is the number of slow instances as of slowUpdatedAt.
+	slowCount     int
+	slowUpdatedAt time.Time
 }
 
-// markSlow decides which instances are slow, at most once in slowAge: by their
-// observed pace or, while that is not known, by a hint.
+// markSlow determines the slow instances, at most once in slowUpdateInterval: by their
+// observed pace or, while that is unknown, by a hint.
 func (s *serviceState) markSlow(now time.Time) {
-	if now.Sub(s.slowAt) < slowAge {
+	if now.Sub(s.slowUpdatedAt) < slowUpdateInterval {
 		return
 	}
-	s.slowAt = now
-	s.slow = 0
+	s.slowUpdatedAt = now
+	s.slowCount = 0
 	median := s.medianPace()
 	for _, i := range s.instances {
 		i.slow = isSlow(i.eventGap.value, median, i.slow)
-		if !i.eventGap.known(minGaps) {
+		if !i.eventGap.hasSamples(minEventGaps) {
 			i.slow = slices.Contains(s.hintedSlow, i.ID)
 		}
 		if i.slow {
-			s.slow++
+			s.slowCount++
 		}
 	}
 }
 
-// medianPace returns the median of the instances' known paces, and infinity if none
-// is known.
+// medianPace returns the median of the known paces, infinity if none is known.
 func (s *serviceState) medianPace() float64 {
 	paces := make([]float64, 0, len(s.instances))
 	for _, i := range s.instances {
-		if i.eventGap.known(minGaps) {
+		if i.eventGap.hasSamples(minEventGaps) {
 			paces = append(paces, i.eventGap.value)
 		}
 	}
@@ -104,25 +101,24 @@
 	return paces[len(paces)/2]
 }
 
-// tokensPerMS returns the rate at which instances read prompts, promptTokensPerMS
-// while it has not been observed.
+// tokensPerMS returns the prefill rate of the service, promptTokensPerMS while it is
+// unknown.
 func (s *serviceState) tokensPerMS() float64 {
-	if !s.readRate.known(minReadings) {
+	if !s.prefillRate.hasSamples(minPrefillSamples) {
 		return promptTokensPerMS
 	}
-	return s.readRate.value
+	return s.prefillRate.value
 }
 
-// slowWeight is how many times as many requests go to a slow instance as to another,
-// heavy prompts apart. In a simulation of recorded arrivals, 1 left twice as many
-// streams late as this value, and 10 at twice the load nine times as many, since slow
-// instances were then too full.
+// slowWeight is the ratio of requests at a slow instance to those at another one, heavy
+// prompts apart. A lower value leaves more streams late, a higher one overloads slow
+// instances.
 const slowWeight = 3.5
 
-// prefersSlow decides by a random draw from 0 up to 1 whether a request that is not
-// heavy goes to a slow instance, of which there are so many among all. It is drawn for
-// each request, since a router sees only its own requests there: many routers that
-// all took the emptiest would fill the same few.
+// prefersSlow decides by a random draw in [0, 1) whether a request that is not heavy goes
+// to a slow instance, given the numbers of slow and of all instances. The draw for each
+// request keeps routers, which only see their own load, from all choosing the same
+// instances.
 func prefersSlow(slow, all int, draw float64) bool {
 	weighted := slowWeight * float64(slow)
 	return draw*(weighted+float64(all-slow)) < weighted
--- a/balance/statement.go
+++ b/balance/statement.go
@@ -5,33 +5,33 @@
 
 import "time"
 
-// Statement is what one answer says of its instance, whatever becomes of the request. The
-// zero value says nothing.
+// Statement is the information in one response about its instance, independent of the
+// outcome of the request. The zero value carries no information.
 type Statement struct {
-	// Rate is what it says of the rate that the instance takes.
+	// Rate is the rate information.
 	Rate RateStatement
-	// Leaving says that the instance is about to end and wants no further request.
+	// Leaving reports that the instance is about to end and accepts no further requests.
 	Leaving bool
-	// Rest is for how long the instance wants no request of this router; zero if it does
-	// not say.
+	// Rest is the backoff requested from this router; zero if none.
 	Rest time.Duration
-	// Taken says that the instance took the request on.
+	// Taken reports that the instance accepted the request.
 	Taken bool
 }
 
-// Note records what an answer of the instance says of it. An answer of another instance
-// that has its address says nothing of it. Most answers say nothing: they cost no lock.
-func (l *Lease) Note(said Statement, now time.Time) {
-	if l.learnsRate(said.Rate) {
-		l.noteRate(said.Rate, now)
+// Note records the information in a response of the instance. A response of
+// another instance that has taken over the address carries none. Most responses carry no
+// information and need no lock.
+func (l *Lease) Note(s Statement, now time.Time) {
+	if l.mayChangeLimit(s.Rate) {
+		l.recordRate(s.Rate, now)
 	}
-	if said.Leaving {
-		l.noteLeaving(now)
+	if s.Leaving {
+		l.recordLeaving(now)
 	}
-	if said.Rest > 0 {
-		l.noteRest(said.Rest, now)
+	if s.Rest > 0 {
+		l.recordBackoff(s.Rest, now)
 	}
-	if said.Taken && l.trial {
-		l.noteTaken()
+	if s.Taken && l.isProbe {
+		l.recordAccepted()
 	}
 }
--- a/balance/status.go
+++ b/balance/status.go
@@ -8,44 +8,45 @@
 	"time"
 )
 
-// Spared counts the choices of instances, waiting requests included, in which at least one
-// instance got nothing for what it had said.
+// Spared counts the choices, including those for waiting requests, that passed over at
+// least one instance because of information in its responses.
 type Spared struct {
-	// Leaving counts those beside instances that leave, Deferred those beside instances
-	// that rest or lack a permit.
+	// Leaving counts choices that passed over a leaving instance, Deferred those that
+	// passed over an instance in backoff or without a permit.
 	Leaving, Deferred int64
 }
 
-// Spared returns the counts since the table was made.
+// Spared returns the counts since the table was created.
 func (t *Table) Spared() Spared {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.spared
+	return t.skipCounts
 }
 
-// countSpared counts a choice. The caller holds mu.
-func (t *Table) countSpared(s *selection) {
+// countSkips counts a choice. The caller holds mu.
+func (t *Table) countSkips(s *selection) {
 	if s.leaving > 0 {
-		t.spared.Leaving++
+		t.skipCounts.Leaving++
 	}
-	if len(s.later) > 0 {
-		t.spared.Deferred++
+	if len(s.deferred) > 0 {
+		t.skipCounts.Deferred++
 	}
 }
 
 // Status is the state of an instance in the table, for logs and metrics.
 type Status struct {
 	Instance
-	// Ejected says that it is left out for failures or has lost its
-	// announcement.
+	// Ejected reports that the instance is ejected or no longer announced.
 	Ejected bool
-	// Leaving says that it is about to end, by its announcement or by an answer.
+	// Leaving reports that the instance is about to end, according to its announcement or
+	// to a response.
 	Leaving bool
-	// Resting says that it gets nothing of this router for a time that it asked for.
+	// Resting reports that the instance is in a backoff that it requested from this
+	// router.
 	Resting bool
 }
 
-// Statuses returns the instances of all services, by id.
+// Statuses returns the instances of all services, sorted by ID.
 func (t *Table) Statuses(now time.Time) []Status {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,7 +56,7 @@
 			Instance: s.Instance,
 			Ejected:  s.ejected(now) || !s.removedAt.IsZero(),
 			Leaving:  s.isLeaving(),
-			Resting:  s.rest.Left(now) > 0,
+			Resting:  s.backoff.Left(now) > 0,
 		})
 	}
 	sort.Slice(statuses, func(i, j int) bool { return statuses[i].ID < statuses[j].ID })
--- /dev/null
+++ b/balance/updates.go
@@ -0,0 +1,79 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package balance
+
+import (
+	"time"
+
+	"granitehoist.example/granitehoist"
+)
+
+// News carries, from one router to another, information that instances gave in their
+// responses. A receiver ignores unknown fields; a missing field carries no information.
+type News struct {
+	// Limits holds the rate limits that were set or lifted.
+	Limits []LimitRecord `json:"limits,omitempty"`
+	// Leaving holds the incarnations that are about to end.
+	Leaving []LeavingRecord `json:"leaving,omitempty"`
+}
+
+// Any reports whether there is any information.
+func (n News) Any() bool { return len(n.Limits)+len(n.Leaving) > 0 }
+
+// LeavingRecord reports that one incarnation of an instance is about to end.
+type LeavingRecord struct {
+	Upstream granitehoist.Upstream `json:"upstream"`
+	Born     int64                 `json:"born,omitempty"`
+}
+
+// incarnation returns the incarnation that the record describes.
+func (r LeavingRecord) incarnation() Life { return Life{ID: r.Upstream, Born: r.Born} }
+
+// NewsAfter returns the information from responses to this router since a version of the
+// table, and the current version.
+func (t *Table) NewsAfter(version uint64, now time.Time) (News, uint64) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var updates News
+	if t.updateVersion <= version {
+		return updates, version
+	}
+	for _, s := range t.instances {
+		if s.limit != nil && s.limit.known.version > version {
+			updates.Limits = append(updates.Limits, s.limitRecord(now))
+		}
+		if s.leavingVersion > version {
+			updates.Leaving = append(updates.Leaving, s.leavingRecord())
+		}
+	}
+	return updates, t.updateVersion
+}
+
+// AllNews returns the full current information about all instances, whether from
+// responses to this router or from other routers.
+func (t *Table) AllNews(now time.Time) News {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var updates News
+	for _, s := range t.instances {
+		if s.isLimited() {
+			updates.Limits = append(updates.Limits, s.limitRecord(now))
+		}
+		if s.leaving {
+			updates.Leaving = append(updates.Leaving, s.leavingRecord())
+		}
+	}
+	return updates
+}
+
+// MergeNews applies the information of another router.
+func (t *Table) MergeNews(updates News, now time.Time) {
+	t.MergeLimits(updates.Limits, now)
+	t.mergeLeaving(updates.Leaving, now)
+}
+
+// leavingRecord returns the record of a leaving instance.
+func (s *instanceState) leavingRecord() LeavingRecord {
+	return LeavingRecord{Upstream: s.ID, Born: s.Born}
+}
--- a/balance/waiting.go
+++ b/balance/waiting.go
@@ -10,26 +10,27 @@
 	"granitehoist.example/granitehoist"
 )
 
-// A request whose service has only instances that are deferred, since they rest or name a
-// limit, waits for one. The more urgent ones go first: what such an instance takes is for no
-// request while a more urgent one waits for the same service, and for none that has just
-// come while another of its urgency waits. No more wait than these instances may take
-// together in the time that one waits.
-
-// Waiter is a request that waits for a deferred instance. Close must be called on it once.
+// A request waits if all instances that it may use are deferred because of a backoff or a
+// rate limit. Waiting requests are served by priority: a deferred instance serves no
+// request while one of higher priority waits for the same service, and no new request
+// while one of equal priority waits. The number of waiting requests is limited to what
+// these instances can serve within the longest wait.
+
+// Waiter is a request that waits for a deferred instance. Close must be called exactly
+// once.
 type Waiter struct {
 	table    *Table
 	service  *serviceState
 	priority granitehoist.Priority
 }
 
-// NewWaiter enters a request that waits for at most a time among those of its service. It
-// returns false if that many wait already that it can't be served in that time.
+// NewWaiter registers a waiting request for its service. It returns false if so many
+// requests are waiting that this one could not be served within the query's MaxWait.
 func (t *Table) NewWaiter(q *Query) (*Waiter, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	service := t.service(q.Service)
-	if service.waitingCount() >= service.mostWaiting(q.MaxWait) {
+	if service.waitingCount() >= service.maxWaiters(q.MaxWait) {
 		return nil, false
 	}
 	w := &Waiter{table: t, service: service, priority: min(max(q.Priority, granitehoist.MinPriority), granitehoist.MaxPriority)}
@@ -37,15 +38,15 @@
 	return w, true
 }
 
-// Close takes the request out again.
+// Close removes the request from the waiting ones.
 func (w *Waiter) Close() {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
 	w.service.waiting[w.priority]--
-	w.table.wakeWaiting()
+	w.table.wakeWaiters()
 }
 
-// waitingCount returns the number of requests that wait.
+// waitingCount returns the number of waiting requests.
 func (s *serviceState) waitingCount() int {
 	count := 0
 	for _, n := range s.waiting {
@@ -54,27 +55,28 @@
 	return count
 }
 
-// mostWaiting decides how many requests may wait, for at most a time each: one, and what
-// the deferred instances take together in that time, if it were all for this router. An
-// instance that rests may take as many as it runs at once.
-func (s *serviceState) mostWaiting(maxWait time.Duration) int {
+// maxWaiters returns the maximum number of waiting requests, each waiting at most
+// maxWait: one, plus what the deferred instances can serve in that time if this router
+// had them to itself. An instance in backoff counts with its concurrency.
+func (s *serviceState) maxWaiters(maxWait time.Duration) int {
 	sum := 0.0
 	for _, i := range s.instances {
 		switch {
 		case i.isLimited():
 			sum += float64(i.limit.known.rate) * maxWait.Seconds()
-		case !i.rest.IsOver():
-			sum += float64(i.places())
+		case !i.backoff.IsOver():
+			sum += float64(i.concurrency())
 		}
 	}
-	return 1 + int(math.Min(maxWaiting, sum))
+	return 1 + int(math.Min(maxWaitersPerService, sum))
 }
 
-// maxWaiting bounds the requests of one service that wait, whatever the limits are.
-const maxWaiting = 1000
+// maxWaitersPerService is the upper limit of maxWaiters, up to one.
+const maxWaitersPerService = 1000
 
-// isNext decides whether what a deferred instance takes is for a query while others wait.
-func (s *serviceState) isNext(q *Query) bool {
+// isFirstInQueue reports whether a query takes precedence over all waiting requests at
+// deferred instances.
+func (s *serviceState) isFirstInQueue(q *Query) bool {
 	for p, n := range s.waiting {
 		priority := granitehoist.Priority(p)
 		if n > 0 && (priority > q.Priority || (priority == q.Priority && !q.Waiting)) {
@@ -85,63 +87,62 @@
 }
 
 // DeferredChanged returns a channel that is closed when waiting requests may find an
-// instance that they did not find before.
+// instance that was unavailable before.
 func (t *Table) DeferredChanged() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.deferredChanged
 }
 
-// wakeWaiting closes the channel of DeferredChanged. The caller holds mu.
-func (t *Table) wakeWaiting() {
+// wakeWaiters closes the channel of DeferredChanged. The caller holds mu.
+func (t *Table) wakeWaiters() {
 	close(t.deferredChanged)
 	t.deferredChanged = make(chan struct{})
 }
 
-// wakeAsker makes whoever receives from PermitsWanted look again. The caller holds mu.
-func (t *Table) wakeAsker() {
+// signalPermitsWanted wakes the receiver of PermitsWanted. The caller holds mu.
+func (t *Table) signalPermitsWanted() {
 	select {
 	case t.permitsWanted <- struct{}{}:
 	default:
 	}
 }
 
-// Deferral says that every instance that may be chosen is deferred, and for how long.
+// Deferral reports that all instances that a query may use are deferred.
 type Deferral struct {
-	// Chance is the time until one of them may take a request, zero if it is not known.
+	// Chance is the time until one of them may accept a request; zero if unknown.
 	Chance time.Duration
-	// Rest says that the first one then ends its rest.
+	// Rest reports that this time is set by a backoff rather than by a permit.
 	Rest bool
 }
 
-// DeferralOf returns what the error of Pick says of deferred instances, and false if it is
-// another error.
+// DeferralOf returns the deferral in an error of Pick, and false for any other error.
 func DeferralOf(err error) (Deferral, bool) {
-	later, is := err.(*deferredError)
-	if !is {
+	deferred, ok := err.(*deferredError)
+	if !ok {
 		return Deferral{}, false
 	}
-	return later.Deferral, true
+	return deferred.Deferral, true
 }
 
-// deferredError is Pick's error if all instances that may be chosen are deferred.
+// deferredError is the error of Pick if all instances that may be chosen are deferred.
 type deferredError struct {
 	Deferral
 	service granitehoist.Service
 }
 
 func (e *deferredError) Error() string {
-	return "balance: the upstreams of service " + string(e.service) + " take no more requests now"
+	return "balance: all upstreams of service " + string(e.service) + " are rate-limited or in backoff"
 }
 
-// deferral returns the error for a query whose candidates, at least one, are all deferred.
+// deferral returns the error for a query whose instances, at least one, are all deferred.
 func deferral(service granitehoist.Service, deferred []*instanceState, now time.Time) error {
-	return &deferredError{service: service, Deferral: soonest(deferred, now)}
+	return &deferredError{service: service, Deferral: earliestDeferral(deferred, now)}
 }
 
-// soonest returns the deferral of the one of the deferred instances, at least one, that may
-// take a request first.
-func soonest(deferred []*instanceState, now time.Time) Deferral {
+// earliestDeferral returns the deferral of the instance that may accept a request first.
+// There must be at least one instance.
+func earliestDeferral(deferred []*instanceState, now time.Time) Deferral {
 	first := deferred[0].deferral(now)
 	for _, s := range deferred[1:] {
 		if d := s.deferral(now); d.Chance < first.Chance {
@@ -151,12 +152,12 @@
 	return first
 }
 
-// deferral returns for how long an instance is deferred.
+// deferral returns how long an instance is deferred.
 func (s *instanceState) deferral(now time.Time) Deferral {
-	rest := s.rest.Left(now)
+	backoff := s.backoff.Left(now)
 	if !s.isLimited() {
-		return Deferral{Chance: rest, Rest: rest > 0}
+		return Deferral{Chance: backoff, Rest: backoff > 0}
 	}
-	permit := s.limit.nextChance(now)
-	return Deferral{Chance: max(rest, permit), Rest: rest > permit}
+	permit := s.limit.timeToPermit(now)
+	return Deferral{Chance: max(backoff, permit), Rest: backoff > permit}
 }
