--- a/balance/cold.go
+++ b/balance/cold.go
@@ -10,12 +10,10 @@
 )
 
 // A cold instance handles only a limited request rate and fails above it. The routers
-// enforce that limit without communication: each has an equal share of it, independent of
-// its own traffic. In a large fleet the share is a fraction of a request a second, and a
-// random draw decides in each second whether a router may send a request. Unused quota is
-// not carried over, since a hot prefix arriving at all routers at once could use the
-// savings of all of them. While the quota is used up, the instance's prefixes are owned
-// by the next instance in rank (owner.go).
+// enforce that limit without communication: each has an equal share of it. A fractional
+// share is rounded at random in each second. Unused quota is not carried over, since a hot
+// prefix arriving at all routers at once could use the savings of all of them. While the
+// quota is used up, the next instance in rank owns the instance's prefixes (owner.go).
 
 const (
 	// coldUtilization is the fraction of a cold instance's rate limit that the routers
--- a/node/statements.go
+++ b/node/statements.go
@@ -19,7 +19,7 @@
 // rest of this router. The node that first hears one of the first two tells all others at
 // once (push.go), so that none finds out by a request of its own: with 295 routers that would
 // be 295 requests. A rest is this node's alone: told to all, one router's refusal would take
-// an upstream from everyone (TestRestWays of package balance).
+// an upstream from everyone (TestBackoffStrategies of package balance).
 
 // methodPushNews is the method by which a node tells a neighbour what it heard. Versions
 // that know of limits only ignore the rest.
