--- a/suspect/block.go
+++ b/suspect/block.go
@@ -6,41 +6,40 @@
 import "time"
 
 const (
-	// firstScopeBlock is how long a scope is refused at first, and maxScopeBlock at most;
-	// each further round doubles it. After a block its requests are tried again at one
-	// upstream: an innocent scope is free after seconds, and one that goes on crashes one
-	// upstream in half a minute.
+	// firstScopeBlock is the duration of the first block of a scope. Each further round
+	// doubles it, up to maxScopeBlock. After a block the requests of the scope are tried
+	// again at one upstream, so that a scope refused by mistake recovers within seconds.
 	firstScopeBlock = 5 * time.Second
 	maxScopeBlock   = 30 * time.Second
 )
 
-// blockOf decides how long a request or scope is refused whose evidence suffices.
-func (t *Table) blockOf(e *entry) time.Duration {
-	if !e.ofScope {
+// blockDuration returns how long a request or scope with sufficient evidence is refused.
+func (t *Table) blockDuration(e *entry) time.Duration {
+	if !e.isScope {
 		return t.settings.Block
 	}
 	early, _ := e.earlyRound()
-	doublings := min(max(0, early-enoughEarlyOfScope), 3)
+	doublings := min(max(0, early-scopeEarlyRoundsToRefuse), 3)
 	return min(maxScopeBlock, firstScopeBlock<<doublings)
 }
 
-// clearLoss clears the later rounds that began in a loss of many upstreams, before it could
-// be told as one. First rounds stay: requests that are no suspects yet crash as many
-// upstreams as they run on. The caller holds mu.
-func (t *Table) clearLoss(now time.Time) {
-	if !t.crashed.inLoss(now) {
+// clearMassFailure clears rounds after the first that began during a mass failure, before
+// it was recognised as one. First rounds stay, since a request that is not yet suspect may
+// crash every upstream that runs it. The caller holds mu.
+func (t *Table) clearMassFailure(now time.Time) {
+	if !t.crashes.inMassFailure(now) {
 		return
 	}
 	for _, e := range t.entries {
 		before := e.round()
-		if before < 2 || now.Sub(e.roundAt) > lossTime {
+		if before < 2 || now.Sub(e.roundAt) > massFailureWindow {
 			continue
 		}
 		e.clearRound(before)
-		if !e.enough(e.ofScope) {
+		if !e.sufficient(e.isScope) {
 			e.refusedUntil = time.Time{}
 		}
-		t.recount(before, e.round())
-		t.noteOwn(e)
+		t.updateSuspectCount(before, e.round())
+		t.markObserved(e)
 	}
 }
--- a/suspect/digest.go
+++ b/suspect/digest.go
@@ -13,18 +13,18 @@
 	"granitehoist.example/granitehoist"
 )
 
-// digestBytes is the length of a Digest. With 128 bits of a keyed hash two
-// requests of one fleet are not expected to share a digest, so that none is held
-// responsible for another.
+// digestBytes is the length of a Digest in bytes. At 128 bits, collisions between requests
+// of one fleet are negligible.
 const digestBytes = 16
 
-// Digest names a request by what it asks for. The zero value names none.
+// Digest identifies a request or a scope by its content. The zero value identifies none.
 type Digest [digestBytes]byte
 
 // String returns the digest in hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Facts are what makes two requests the same.
+// Facts holds the fields that identify a request: two requests with equal facts count as
+// the same.
 type Facts struct {
 	Method string
 	Host   string
@@ -35,41 +35,42 @@
 	Body      []byte
 }
 
-// Scope is a workspace's traffic on a route. A caller who changes the body of each request
-// gives each another digest; what they have in common is the scope.
+// Scope identifies all requests of a workspace on a route. It covers callers that vary the
+// body, so that each of their requests has another digest.
 type Scope struct {
 	// Workspace is empty on routes that need no key.
 	Workspace granitehoist.Workspace
 	Route     string
 }
 
-// facts returns what names the scope. No request has the same: each has a method.
+// facts returns the facts of the scope. They differ from those of any request, which has a
+// method.
 func (s Scope) facts() *Facts { return &Facts{Target: s.Route, Workspace: s.Workspace} }
 
-// digest returns the digest of the facts.
+// digest returns the HMAC-SHA-256 of the facts, truncated to digestBytes.
 func (f *Facts) digest(secret *Secret) Digest {
 	mac := hmac.New(sha256.New, secret[:])
-	addField(mac, []byte(f.Method))
-	addField(mac, []byte(f.Host))
-	addField(mac, []byte(f.Target))
-	addField(mac, []byte(f.Workspace))
-	addField(mac, f.Body)
+	writeField(mac, []byte(f.Method))
+	writeField(mac, []byte(f.Host))
+	writeField(mac, []byte(f.Target))
+	writeField(mac, []byte(f.Workspace))
+	writeField(mac, f.Body)
 	var d Digest
 	copy(d[:], mac.Sum(nil))
 	return d
 }
 
-// Hash returns a part of the digest as a number, for choices that all routers make
-// alike. It is never zero.
+// Hash returns the first eight bytes of the digest as a number, for choices on which all
+// routers agree. It is never zero.
 func (d Digest) Hash() uint64 { return max(1, binary.BigEndian.Uint64(d[:])) }
 
-// addField adds a field behind its length, which keeps ("ab", "c") and ("a", "bc")
-// apart.
-func addField(h hash.Hash, field []byte) {
+// writeField writes a field prefixed by its length, so that ("ab", "c") and ("a", "bc")
+// hash differently.
+func writeField(h hash.Hash, field []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 	for _, part := range [][]byte{length[:], field} {
-		// A hash takes every write: its error is always nil.
+		// hash.Hash never returns an error from Write.
 		_, _ = h.Write(part)
 	}
 }
--- a/suspect/digest_test.go
+++ b/suspect/digest_test.go
@@ -17,7 +17,7 @@
 	return suspect.Facts{Method: "POST", Host: "h.example", Target: "/a/x?y=1", Workspace: "kiosk", Body: []byte("question")}
 }
 
-// newTable returns a table that knows a secret.
+// newTable returns a table with a secret.
 func newTable() *suspect.Table {
 	t := suspect.New(suspect.Settings{})
 	t.SetSecret(suspect.Secret{1})
@@ -36,7 +36,7 @@
 		Expect(digestOf(facts())).To(Equal(digestOf(facts())))
 	})
 
-	DescribeTable("differs with each fact", func(change func(*suspect.Facts)) {
+	DescribeTable("differs if one field differs", func(change func(*suspect.Facts)) {
 		other := facts()
 		change(&other)
 		Expect(digestOf(other)).NotTo(Equal(digestOf(facts())))
@@ -47,16 +47,16 @@
 		Entry("the query", func(f *suspect.Facts) { f.Target = "/a/x?y=2" }),
 		Entry("the workspace", func(f *suspect.Facts) { f.Workspace = "clerk" }),
 		Entry("the body", func(f *suspect.Facts) { f.Body = []byte("question ") }),
-		Entry("where a field ends", func(f *suspect.Facts) { f.Method, f.Host = "POSTh", ".example" }),
+		Entry("the boundary between two fields", func(f *suspect.Facts) { f.Method, f.Host = "POSTh", ".example" }),
 	)
 
-	It("holds nothing of the body", func() {
+	It("does not contain the body", func() {
 		text := digestOf(facts()).String()
 		Expect(text).To(HaveLen(32))
 		Expect(text).NotTo(ContainSubstring("question"))
 	})
 
-	It("differs in another fleet, which has another secret", func() {
+	It("differs under another secret", func() {
 		other := suspect.New(suspect.Settings{})
 		other.SetSecret(suspect.Secret{2})
 		f := facts()
@@ -65,7 +65,7 @@
 		Expect(d).NotTo(Equal(digestOf(facts())))
 	})
 
-	It("is not known before the secret is, and the first secret stays", func() {
+	It("is unknown until a secret is set, and later secrets are ignored", func() {
 		t, f := suspect.New(suspect.Settings{}), facts()
 		_, known := t.Digest(&f)
 		Expect(known).To(BeFalse())
--- a/suspect/doc.go
+++ b/suspect/doc.go
@@ -1,25 +1,24 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package suspect decides when a request is refused because it crashes upstreams (a query
-// of death, as the field calls it).
+// Package suspect detects requests that crash the upstreams which run them (queries of
+// death) and decides when to refuse them.
 //
 // A Digest identifies a request by its content, so that every router recognises it under
-// any id. A Table keeps the evidence by digest: which upstream processes crashed while the
-// request may have been running there, as this router saw it (NoteCrash, NoteSuccess) and
-// as others report it (Merge). Lookup returns the verdict on a request.
+// any ID. A Table holds the evidence by digest: the upstream processes that crashed while
+// the request may have been running there, as observed by this router (NoteCrash,
+// NoteSuccess) and as reported by others (Merge). Lookup returns the verdict on a request.
 //
-// State: a Table owns its entries and its secret. It is safe for concurrent use, makes no
-// calls and takes the present time as an argument. Both programs use it: package forward
-// in granitehoist-edge, whose routers share their evidence (package node), and package
-// partner/gate in 'granitehoist router', where each router has its own.
+// Crashes are counted in rounds. A suspect request is held for SettleTime after each round
+// and refused after several. A Scope, which is all requests of a workspace on a route, is
+// refused after more rounds. A mass failure, in which many upstreams crash at once, starts
+// no round beyond the first (recentcrashes.go, block.go).
 //
-// A request with evidence against it is held for a moment after each round of crashes, and
-// refused after some. The same is done, after more rounds, with a Scope: all that a
-// workspace sends on a route. Crashes that come with a loss of many upstreams make no later
-// round (crashedlives.go, block.go).
+// A Table owns its entries and its secret. It is safe for concurrent use, does no I/O and
+// takes the current time as an argument. Package forward in granitehoist-edge uses it, with
+// evidence shared between routers by package node, and so does package partner/gate in
+// 'granitehoist router', where each router keeps its own.
 //
-// Begin reading at evidence in evidence.go, which has the rule, then at Table. Merge
-// ignores records that no router can have sent. docs/design/suspects.md has what was
-// weighed and measured.
+// Begin reading at evidence in evidence.go, which counts the rounds, then at Table. The
+// design is described in docs/design/suspects.md.
 package suspect
--- a/suspect/evidence.go
+++ b/suspect/evidence.go
@@ -12,34 +12,35 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Life names one run of an upstream process.
+// Life identifies one incarnation of an upstream process: a restart begins a new one.
 type Life string
 
-// LifeOf returns the name of an upstream's run. born is when it began, in milliseconds
-// since 1970, and zero if that is not known. An upstream that restarts may keep its ID;
-// its next crash is then a different one.
-func LifeOf(id granitehoist.Upstream, born int64) Life {
-	if born == 0 {
+// LifeOf returns the incarnation of an upstream. startedMS is its start time in
+// milliseconds since the Unix epoch, and zero if that is unknown. It tells the crashes of an
+// upstream apart that keeps its ID over a restart.
+func LifeOf(id granitehoist.Upstream, startedMS int64) Life {
+	if startedMS == 0 {
 		return Life(id)
 	}
-	return Life(string(id) + "@" + strconv.FormatInt(born, 10))
+	return Life(string(id) + "@" + strconv.FormatInt(startedMS, 10))
 }
 
 // Crash is the crash of an upstream while a request may have been running there.
 type Crash struct {
+	// Life is the incarnation of the upstream.
 	Life Life `json:"life"`
-	// Round is one more than the highest round that the router knew of when it sent
-	// the request there; see evidence.
+	// Round is one more than the highest round that the router knew of when it sent the
+	// request; see evidence.
 	Round int `json:"round"`
-	// Early is the same among early crashes: those before any event of the answer had
-	// arrived. It is zero if the crash was not early.
+	// Early is the round among early crashes, which happen before the first event of the
+	// response arrives. It is zero if the crash was not early.
 	Early int `json:"early,omitempty"`
-	// Cleared says that the request has succeeded since, so that the crash had another
-	// cause.
+	// Cleared says that the crash is attributed to another cause, since the request
+	// succeeded later or many upstreams crashed at once.
 	Cleared bool `json:"cleared,omitempty"`
 }
 
-// openRound returns the round of a crash, zero if it is cleared.
+// openRound returns the round of the crash, and zero if it is cleared.
 func (c Crash) openRound() int {
 	if c.Cleared {
 		return 0
@@ -47,30 +48,21 @@
 	return c.Round
 }
 
-// evidence is the crashes seen under one request. The zero value is no evidence.
+// evidence is the set of crashes under one request. The zero value is empty.
 //
-// Crashes are counted in rounds, not by their number. Upstreams crash for reasons of
-// their own, and a popular request runs on every upstream of a rack that loses power:
-// crashes of runs that were sent without knowledge of each other form one round. A
-// second round needs the request to be sent again, once the loss has shown itself
-// everywhere (SettleTime), and another upstream to crash. A retry at once may meet another
-// upstream of the same rack: one loss of power made all the rounds of a refusal within
-// 1.5 ms, and a popular innocent request was refused everywhere.
-//
-// Unrelated crashes mostly hit streams that have already made progress, while a request
-// that crashes upstreams does so soon after it starts to run. Early crashes therefore
-// have rounds of their own, and fewer of them suffice.
-//
-// Evidence from several routers is merged by union, so that it may arrive in any order
-// and any number of times.
+// Crashes are counted in rounds: those of attempts sent without knowledge of each other form
+// one round, since one loss of power may crash every upstream that runs the request. Early
+// crashes have rounds of their own, and fewer of them suffice, since unrelated crashes mostly
+// hit streams in progress. Evidence of several routers is merged by union, so that the order
+// and repetition of messages do not matter.
 type evidence struct {
-	// crashes has one entry for each life, at most maxCrashes: those not cleared first,
-	// and of these the highest rounds.
+	// crashes has at most one entry for each incarnation and maxCrashes in total, ordered
+	// by descending open round.
 	crashes []Crash
 }
 
-// maxCrashes bounds the crashes kept for one request. It is above enoughCrashes, so that
-// what suffices for a refusal is never dropped.
+// maxCrashes bounds the crashes kept for one request. It exceeds earlyCrashesToRefuse, so
+// that sufficient evidence is never dropped.
 const maxCrashes = 8
 
 // openCrashes returns the number of crashes that are not cleared.
@@ -84,7 +76,7 @@
 	return open
 }
 
-// round returns the highest round that is not cleared, zero if there is none.
+// round returns the highest round that is not cleared, and zero if there is none.
 func (e *evidence) round() int {
 	highest := 0
 	for _, c := range e.crashes {
@@ -106,7 +98,7 @@
 	return round, crashes
 }
 
-// add merges a crash with those known, and reports whether that changed anything.
+// add merges a crash into the evidence and reports whether the evidence changed.
 func (e *evidence) add(c Crash) bool {
 	i := slices.IndexFunc(e.crashes, func(known Crash) bool { return known.Life == c.Life })
 	if i < 0 {
@@ -136,7 +128,7 @@
 	}
 }
 
-// clear clears all crashes, and reports whether that changed anything.
+// clear clears all crashes and reports whether the evidence changed.
 func (e *evidence) clear() bool {
 	changed := false
 	for i := range e.crashes {
@@ -146,10 +138,10 @@
 	return changed
 }
 
-// SettleTime is how long after the first crash of a round the next one may begin. A
-// request is held that long. Between the crashes of one loss lie some milliseconds, and
-// the routers know of each other's within 60 ms (BenchmarkWays); it is above twice that and
-// far below the time in which callers give up. Chosen by that, not measured by itself.
+// SettleTime is the least time from the first crash of a round to the start of the next
+// one. A suspect request is held that long, so that crashes with a common cause form one
+// round. It exceeds the time in which crashes are reported to all routers and is far below
+// usual client timeouts.
 const SettleTime = 150 * time.Millisecond
 
 // clearRound clears the crashes of one round.
@@ -162,29 +154,27 @@
 }
 
 const (
-	// enoughEarly is the number of rounds of early crashes from which a request is
-	// refused. With two, an own day of crash waves would have refused 6 to 48 innocent
-	// requests of some 4,500; with three it refuses 0 to 3 (deploy/days/upstreams-crash.toml,
-	// three seeds on each small site).
-	enoughEarly = 3
-	// enoughRounds is the same for crashes of any kind. With three instead of five that
-	// day refused 0 to 67. The platform allows three more runs after the third crash.
-	enoughRounds = 5
-	// enoughCrashes is the number of early crashes from which the second round suffices: a
-	// request that arrives at many routers at once crashes many upstreams per round. Twice
-	// enoughEarly.
-	enoughCrashes = 2 * enoughEarly
-	// enoughEarlyOfScope is enoughEarly for all requests of a scope: more, since they may
-	// have nothing else in common. With the four callers of TestDeadlyWithVariedBodies 8
-	// upstreams crash until then.
-	enoughEarlyOfScope = 5
+	// earlyRoundsToRefuse is the number of rounds of early crashes from which a request is
+	// refused.
+	earlyRoundsToRefuse = 3
+	// roundsToRefuse is the number of rounds of any crashes from which a request is refused.
+	// It is higher, since late crashes are more often unrelated to the request.
+	roundsToRefuse = 5
+	// earlyCrashesToRefuse is the number of early crashes from which one early round less
+	// suffices, since a request that arrives at many routers at once crashes many upstreams
+	// per round.
+	earlyCrashesToRefuse = 2 * earlyRoundsToRefuse
+	// scopeEarlyRoundsToRefuse is the number of early rounds from which a scope is refused.
+	// It is higher than that of a request, since a scope also covers unrelated requests.
+	scopeEarlyRoundsToRefuse = 5
 )
 
-// enough decides whether the evidence suffices to refuse the request, or all of a scope.
-func (e *evidence) enough(ofScope bool) bool {
+// sufficient reports whether the evidence suffices to refuse the request, or the scope if
+// isScope is set.
+func (e *evidence) sufficient(isScope bool) bool {
 	early, crashes := e.earlyRound()
-	if ofScope {
-		return early >= enoughEarlyOfScope
+	if isScope {
+		return early >= scopeEarlyRoundsToRefuse
 	}
-	return early >= enoughEarly || e.round() >= enoughRounds || (early == enoughEarly-1 && crashes >= enoughCrashes)
+	return early >= earlyRoundsToRefuse || e.round() >= roundsToRefuse || (early == earlyRoundsToRefuse-1 && crashes >= earlyCrashesToRefuse)
 }
--- a/suspect/example_test.go
+++ b/suspect/example_test.go
@@ -10,7 +10,7 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// A request ends one upstream after the other, until it is refused.
+// A request crashes one upstream after another until it is refused.
 func ExampleTable() {
 	table := suspect.New(suspect.Settings{})
 	table.SetSecret(suspect.Secret{1})
--- a/suspect/observation.go
+++ b/suspect/observation.go
@@ -5,26 +5,26 @@
 
 import "time"
 
-// Observation is what a router saw of a crash under a request.
+// Observation describes a crash under a request as this router observed it.
 type Observation struct {
-	// Life is the run of the upstream.
+	// Life is the incarnation of the upstream.
 	Life Life
-	// Known is the verdict on the request when it was sent there.
+	// Known is the verdict on the request at the time it was sent.
 	Known Verdict
-	// Early says that no event of the answer had arrived.
+	// Early says that no event of the response had arrived.
 	Early bool
 	// Sent is when the request was sent.
 	Sent time.Time
-	// OfScope says that the digest names a scope.
+	// OfScope says that the digest identifies a scope.
 	OfScope bool
 }
 
-// crash numbers the rounds of the observed crash. A run that was sent while the request
-// was to be held belongs to the round before, and so does one that crashed in a loss of
-// many upstreams.
-func (o Observation) crash(inLoss bool) Crash {
+// toCrash returns the observed crash with its rounds. A crash belongs to the round of the
+// verdict if the request should have been held or a mass failure was in progress, and to the
+// next round otherwise.
+func (o Observation) toCrash(inMassFailure bool) Crash {
 	next := 1
-	if o.Known.Hold > 0 || inLoss {
+	if o.Known.Hold > 0 || inMassFailure {
 		next = 0
 	}
 	c := Crash{Life: o.Life, Round: max(1, o.Known.Round+next)}
--- /dev/null
+++ b/suspect/recentcrashes.go
@@ -0,0 +1,79 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package suspect
+
+import "time"
+
+const (
+	// recentCrashRetention is how long a crash is kept.
+	recentCrashRetention = 5 * time.Second
+	// maxRecentCrashes bounds the crashes that are kept. It exceeds the number of upstreams
+	// that a router is connected to.
+	maxRecentCrashes = 4096
+	// massFailureCrashes is the number of upstreams that have to crash within
+	// massFailureWindow for a mass failure, such as a loss of power. All routers send a
+	// suspect to the same upstream, so that one suspect crashes at most two in that time:
+	// one, or two while routers see different sets of upstreams.
+	massFailureWindow  = 50 * time.Millisecond
+	massFailureCrashes = 4
+)
+
+// recentCrashes holds the upstream incarnations that crashed recently, under any request.
+// The zero value is empty and ready to use. The lock of its table guards it.
+type recentCrashes struct {
+	byIncarnation map[Life]recentCrash
+}
+
+// recentCrash holds when one incarnation crashed.
+type recentCrash struct {
+	// knownAt is when this router learned of the crash. observedAt is when it observed the
+	// crash itself, and zero if it only received a report. Reports may be late, so that
+	// only observedAt is used as the time of the crash.
+	knownAt, observedAt time.Time
+}
+
+// record adds a crash. observed says that this router observed it itself.
+func (c *recentCrashes) record(l Life, observed bool, now time.Time) {
+	if c.byIncarnation == nil {
+		c.byIncarnation = map[Life]recentCrash{}
+	}
+	crash, known := c.byIncarnation[l]
+	switch {
+	case !known && len(c.byIncarnation) >= maxRecentCrashes:
+		return
+	case !known:
+		crash.knownAt = now
+	}
+	if observed && crash.observedAt.IsZero() {
+		crash.observedAt = now
+	}
+	c.byIncarnation[l] = crash
+}
+
+// inMassFailure reports whether massFailureCrashes upstreams have crashed within
+// massFailureWindow, which a suspect request cannot cause.
+func (c *recentCrashes) inMassFailure(now time.Time) bool {
+	crashes := 0
+	for _, crash := range c.byIncarnation {
+		if !crash.observedAt.IsZero() && now.Sub(crash.observedAt) <= massFailureWindow {
+			crashes++
+		}
+	}
+	return crashes >= massFailureCrashes
+}
+
+// knownBefore reports whether the crash of an incarnation was known before t.
+func (c *recentCrashes) knownBefore(l Life, t time.Time) bool {
+	crash, known := c.byIncarnation[l]
+	return known && crash.knownAt.Before(t)
+}
+
+// sweep deletes the crashes that have been known for longer than recentCrashRetention.
+func (c *recentCrashes) sweep(now time.Time) {
+	for l, crash := range c.byIncarnation {
+		if now.Sub(crash.knownAt) > recentCrashRetention {
+			delete(c.byIncarnation, l)
+		}
+	}
+}
--- a/suspect/record.go
+++ b/suspect/record.go
@@ -12,19 +12,19 @@
 	"github.com/rotisserie/eris"
 )
 
-// Record is the evidence against one request, as routers send it to each other and keep
-// it in the store.
+// Record is the evidence against one request or scope, as routers send it to each other
+// and store it.
 type Record struct {
 	Digest  Digest  `json:"digest"`
 	Crashes []Crash `json:"crashes"`
-	// Scope says that the digest names a scope, and not one request.
+	// Scope says that the digest identifies a scope instead of a request.
 	Scope bool `json:"scope,omitempty"`
 }
 
-// Enough reports whether the evidence suffices to refuse the request, or the scope.
-func (r Record) Enough() bool { return (&evidence{crashes: r.Crashes}).enough(r.Scope) }
+// Enough reports whether the evidence suffices to refuse the request or scope.
+func (r Record) Enough() bool { return (&evidence{crashes: r.Crashes}).sufficient(r.Scope) }
 
-// IsCleared reports whether the evidence sufficed until the request succeeded.
+// IsCleared reports whether all crashes are cleared and sufficed for a refusal before that.
 func (r Record) IsCleared() bool {
 	before := evidence{crashes: slices.Clone(r.Crashes)}
 	if len(before.crashes) == 0 || (&evidence{crashes: r.Crashes}).round() > 0 {
@@ -33,47 +33,47 @@
 	for i := range before.crashes {
 		before.crashes[i].Cleared = false
 	}
-	return before.enough(r.Scope)
+	return before.sufficient(r.Scope)
 }
 
-// MaxRecords bounds the records of one message, some 150 bytes each. What exceeds it
-// follows in the next.
+// MaxRecords bounds the records of one message. The rest follows in the next ones.
 const MaxRecords = 64
 
 // MarshalText implements encoding.TextMarshaler.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. The error says that the text is
-// no digest.
+// UnmarshalText implements encoding.TextUnmarshaler. It returns an error unless text is
+// the hexadecimal form of a digest.
 func (d *Digest) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != digestBytes {
-		return eris.Errorf("suspect: a digest of %d digits", len(text))
+		return eris.Errorf("suspect: digest has %d digits instead of %d", len(text), 2*digestBytes)
 	}
 	_, err := hex.Decode(d[:], text)
 	return eris.Wrap(err, "suspect: digest")
 }
 
 func (e *entry) record() Record {
-	return Record{Digest: e.digest, Crashes: append([]Crash(nil), e.crashes...), Scope: e.ofScope}
+	return Record{Digest: e.digest, Crashes: append([]Crash(nil), e.crashes...), Scope: e.isScope}
 }
 
-// ObservedAfter returns what this router itself observed after a version of the table,
-// the oldest first and MaxRecords at most, and the version up to which that is all.
+// ObservedAfter returns the records that this router changed by its own observations after
+// a version of the table, oldest first and at most MaxRecords, and the version that these
+// records reach.
 func (t *Table) ObservedAfter(version uint64) ([]Record, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	newer := t.sorted(
-		func(e *entry) bool { return e.own > version },
-		func(a, b *entry) int { return cmp.Compare(a.own, b.own) })
+		func(e *entry) bool { return e.observedVersion > version },
+		func(a, b *entry) int { return cmp.Compare(a.observedVersion, b.observedVersion) })
 	if len(newer) <= MaxRecords {
 		return records(newer), t.version
 	}
 	newer = newer[:MaxRecords]
-	return records(newer), newer[MaxRecords-1].own
+	return records(newer), newer[MaxRecords-1].observedVersion
 }
 
-// Open returns the evidence that is not cleared, the highest rounds first and MaxRecords at
-// most.
+// Open returns the records that are not cleared, highest rounds first and at most
+// MaxRecords.
 func (t *Table) Open() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,9 +91,9 @@
 	return all
 }
 
-// Merge adds the records of another router or of the store. Crashes without
-// a life, with a round below 1, or with more early rounds than rounds are left out, as are
-// records beyond MaxRecords: no router sends them.
+// Merge adds records received from another router or the store. It ignores records beyond
+// MaxRecords, and invalid crashes: those without an incarnation, with a round below 1, or
+// with an early round that is negative or above the round.
 func (t *Table) Merge(received []Record, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -101,13 +101,13 @@
 		crashes := validCrashes(r.Crashes)
 		if len(crashes) > 0 {
 			e := t.entryOf(r.Digest, now)
-			e.ofScope = e.ofScope || r.Scope
+			e.isScope = e.isScope || r.Scope
 			t.add(e, crashes, now)
 		}
 	}
 }
 
-// validCrashes returns the crashes that a router can have sent, at most maxCrashes.
+// validCrashes returns the valid ones among the first maxCrashes crashes.
 func validCrashes(crashes []Crash) []Crash {
 	var valid []Crash
 	for _, c := range crashes[:min(len(crashes), maxCrashes)] {
--- a/suspect/record_test.go
+++ b/suspect/record_test.go
@@ -15,9 +15,9 @@
 )
 
 var _ = Describe("A record", func() {
-	It("is the same after a message", func() {
+	It("survives JSON encoding and decoding", func() {
 		table := newTable()
-		crashAgain(table, numbered(1), lives(1, 3)...)
+		crashInRounds(table, testDigest(1), testIncarnations(1, 3)...)
 		raw, err := json.Marshal(table.Open())
 		Expect(err).NotTo(HaveOccurred())
 		var records []suspect.Record
@@ -26,37 +26,38 @@
 		Expect(records[0].Enough()).To(BeTrue())
 	})
 
-	DescribeTable("whose digest can't be read is an error", func(text string) {
+	DescribeTable("rejects an invalid digest", func(text string) {
 		var d suspect.Digest
 		Expect(d.UnmarshalText([]byte(text))).NotTo(Succeed())
 	},
 		Entry("empty", ""),
 		Entry("too short", "00ff"),
 		Entry("too long", strings.Repeat("0", 34)),
-		Entry("no number", strings.Repeat("x", 32)),
+		Entry("not hexadecimal", strings.Repeat("x", 32)),
 	)
 })
 
 var _ = Describe("A secret", func() {
-	It("is the same after it was kept", func() {
+	It("survives JSON encoding and decoding", func() {
 		secret := suspect.NewSecret(strings.NewReader(strings.Repeat("s", 32)))
 		raw, err := json.Marshal(secret)
 		Expect(err).NotTo(HaveOccurred())
-		var kept suspect.Secret
-		Expect(json.Unmarshal(raw, &kept)).To(Succeed())
-		Expect(kept).To(Equal(secret))
+		var decoded suspect.Secret
+		Expect(json.Unmarshal(raw, &decoded)).To(Succeed())
+		Expect(decoded).To(Equal(secret))
 	})
 
-	DescribeTable("that can't be read is an error that does not tell it", func(text string) {
+	DescribeTable("rejects invalid text without quoting it in the error", func(text string) {
 		var s suspect.Secret
 		Expect(s.UnmarshalText([]byte(text))).To(MatchError(Not(ContainSubstring("abcd"))))
 	},
 		Entry("too short", "abcd"),
-		Entry("no number", "abcd"+strings.Repeat("x", 60)),
+		Entry("not hexadecimal", "abcd"+strings.Repeat("x", 60)),
 	)
 })
 
-// FuzzRecords holds that nothing that a neighbour or the store says stops a router.
+// FuzzRecords guards against panics, and evidence that cannot be cleared, after arbitrary
+// records from other routers or the store.
 func FuzzRecords(f *testing.F) {
 	f.Add([]byte(`[{"digest":"00000000000000000000000000000001","crashes":[{"life":"i-1","round":1}]}]`))
 	f.Add([]byte(`[{"digest":"00000000000000000000000000000001","crashes":[{"life":"i-1","round":9223372036854775807,"cleared":true}]},{}]`))
@@ -70,11 +71,11 @@
 		table.Merge(records, start)
 		table.Merge(table.Open(), start)
 		for _, r := range records {
-			table.NoteCrash(r.Digest, early("i-9", table.Lookup(r.Digest, start)), start)
+			table.NoteCrash(r.Digest, earlyCrash("i-9", table.Lookup(r.Digest, start)), start)
 			table.NoteSuccess(r.Digest, start)
 		}
 		if table.Any() {
-			t.Error("a request is suspect after all were answered")
+			t.Error("a request is still suspect after all succeeded")
 		}
 	})
 }
--- a/suspect/secret.go
+++ b/suspect/secret.go
@@ -10,16 +10,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// secretBytes is the length of a Secret.
+// secretBytes is the length of a Secret in bytes.
 const secretBytes = 32
 
-// Secret keys the digests of a fleet: who does not have it can't try out requests
-// until one has a digest that stands in a log. All routers of a fleet share it, since
-// they have to give a request the same digest.
+// Secret is the HMAC key of a fleet's digests. It prevents anyone without it from guessing
+// the request behind a logged digest. All routers of a fleet share it, so that they compute
+// the same digests.
 type Secret [secretBytes]byte
 
-// NewSecret returns a random secret. It panics if random fails, since no safe secret
-// can be made then.
+// NewSecret returns a secret read from random. It panics if reading fails.
 func NewSecret(random io.Reader) Secret {
 	var s Secret
 	if _, err := io.ReadFull(random, s[:]); err != nil {
@@ -31,27 +30,26 @@
 // MarshalText implements encoding.TextMarshaler.
 func (s Secret) MarshalText() ([]byte, error) { return []byte(hex.EncodeToString(s[:])), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. The error says that the text is
-// no secret, and does not hold it.
+// UnmarshalText implements encoding.TextUnmarshaler. It returns an error unless text is
+// the hexadecimal form of a secret; the error does not contain the text.
 func (s *Secret) UnmarshalText(text []byte) error {
 	if hex.DecodedLen(len(text)) != secretBytes {
-		return eris.Errorf("suspect: a secret of %d digits", len(text))
+		return eris.Errorf("suspect: secret has %d digits instead of %d", len(text), 2*secretBytes)
 	}
 	if _, err := hex.Decode(s[:], text); err != nil {
-		return eris.New("suspect: a secret with other signs than hexadecimal digits")
+		return eris.New("suspect: secret contains characters that are not hexadecimal digits")
 	}
 	return nil
 }
 
-// SetSecret sets the secret that the fleet shares. The first one stays: digests that
-// are known were made with it.
+// SetSecret sets the fleet's secret. Later calls have no effect, since the digests in the
+// table depend on the first secret.
 func (t *Table) SetSecret(s Secret) { t.secret.CompareAndSwap(nil, &s) }
 
-// Secret returns the secret that the fleet shares, and nil until it is known.
+// Secret returns the fleet's secret, and nil until it is set.
 func (t *Table) Secret() *Secret { return t.secret.Load() }
 
-// Digest returns the digest of a request, and false as long as the secret is not
-// known: requests can't be recognised then.
+// Digest returns the digest of a request, and false while no secret is set.
 func (t *Table) Digest(f *Facts) (Digest, bool) {
 	secret := t.secret.Load()
 	if secret == nil {
@@ -60,5 +58,5 @@
 	return f.digest(secret), true
 }
 
-// ScopeDigest returns the digest of a scope, and false while the secret is not known.
+// ScopeDigest returns the digest of a scope, and false while no secret is set.
 func (t *Table) ScopeDigest(s Scope) (Digest, bool) { return t.Digest(s.facts()) }
--- a/suspect/table.go
+++ b/suspect/table.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// DefaultBlock is how long a request is refused after its last crash, counted by each
-	// router from when it learned of it. It is the longest TTL of a lease in the platform's
-	// store, so that a router that starts finds the evidence there for as long.
+	// DefaultBlock is how long a request is refused after its last crash, from when the
+	// router learned of it. It equals the longest lease TTL of the platform's store, so that
+	// routers that start meanwhile still find the evidence there.
 	DefaultBlock = 10 * time.Minute
-	// DefaultMemory is how long evidence is kept after the last crash. Within it a request
-	// whose block has expired is refused again after one more crash.
+	// DefaultMemory is how long evidence is kept after the last crash. In this time one
+	// more crash suffices to refuse a request again whose block has expired.
 	DefaultMemory = 30 * time.Minute
-	// DefaultMax bounds the requests with evidence, some 0.2 KB each. An upstream that
-	// crashes under load leaves some 30.
+	// DefaultMax bounds the entries of a table, about 0.2 KB each. A crash adds an entry for
+	// each request that was running on the upstream.
 	DefaultMax = 4096
 )
 
-// Settings configure a Table. The zero value works.
+// Settings configures a Table. The zero value selects the defaults.
 type Settings struct {
 	// Block is how long a request is refused after its last crash; zero means
 	// DefaultBlock.
@@ -32,28 +32,28 @@
 	// Memory is how long evidence is kept after the last crash; zero means
 	// DefaultMemory.
 	Memory time.Duration
-	// Max bounds the requests with evidence; zero means DefaultMax.
+	// Max bounds the entries of the table; zero means DefaultMax.
 	Max int
-	// Noted, if set, is called after each change that this router itself observed,
-	// without a lock held.
+	// Noted, if set, is called after each change by an observation of this router. No lock
+	// is held during the call.
 	Noted func()
 }
 
-// Table holds the evidence against requests: what this router observed and what
-// it received from others. It makes no calls and is safe for concurrent use.
+// Table holds the evidence against requests, both observed by this router and received from
+// others. It does no I/O and is safe for concurrent use.
 type Table struct {
 	settings Settings
-	// secret is nil until it is known.
+	// secret is nil until SetSecret is called.
 	secret atomic.Pointer[Secret]
-	// suspects is the number of entries with a round above zero, so that a request
-	// pays nothing while there are none.
-	suspects atomic.Int64
+	// suspectCount is the number of entries with a round above zero. It is atomic so that
+	// Any needs no lock.
+	suspectCount atomic.Int64
 
 	// mu guards the fields below.
 	mu      sync.Mutex
 	entries map[Digest]*entry
-	crashed crashedLives
-	// version counts the changes that this router itself observed.
+	crashes recentCrashes
+	// version counts the changes by observations of this router.
 	version uint64
 }
 
@@ -61,17 +61,17 @@
 type entry struct {
 	evidence
 	digest Digest
-	// ofScope says that the digest names a scope.
-	ofScope bool
+	// isScope says that the digest identifies a scope.
+	isScope bool
 	// changedAt is when the evidence last changed here.
 	changedAt time.Time
 	// roundAt is when the highest round became known here.
 	roundAt time.Time
 	// refusedUntil is when the block expires; zero if the evidence does not suffice.
 	refusedUntil time.Time
-	// own is the table's version at the last change that this router itself observed;
-	// zero if it only heard of the request.
-	own uint64
+	// observedVersion is the table's version at the last change by an observation of this
+	// router; zero if all evidence was received from others.
+	observedVersion uint64
 }
 
 // New returns an empty table.
@@ -86,9 +86,9 @@
 }
 
 // Any reports whether there is evidence against any request.
-func (t *Table) Any() bool { return t.suspects.Load() > 0 }
+func (t *Table) Any() bool { return t.suspectCount.Load() > 0 }
 
-// Lookup returns the verdict on a request now.
+// Lookup returns the verdict on a request, and the zero Verdict if there is no evidence.
 func (t *Table) Lookup(d Digest, now time.Time) Verdict {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,17 +100,17 @@
 }
 
 // NoteCrash records that an upstream crashed while a request may have been running there,
-// and returns the verdict that follows. A run that began after that life was known to have
-// crashed is no evidence.
+// and returns the resulting verdict. It adds no evidence if the request was sent after the
+// crash was known.
 func (t *Table) NoteCrash(d Digest, o Observation, now time.Time) Verdict {
 	t.mu.Lock()
 	e := t.entryOf(d, now)
-	e.ofScope = e.ofScope || o.OfScope
-	isNews := !t.crashed.before(o.Life, o.Sent)
-	t.crashed.note(o.Life, true, now)
-	changed := isNews && t.add(e, []Crash{o.crash(t.crashed.inLoss(now))}, now)
+	e.isScope = e.isScope || o.OfScope
+	isNew := !t.crashes.knownBefore(o.Life, o.Sent)
+	t.crashes.record(o.Life, true, now)
+	changed := isNew && t.add(e, []Crash{o.toCrash(t.crashes.inMassFailure(now))}, now)
 	if changed {
-		t.noteOwn(e)
+		t.markObserved(e)
 	}
 	verdict := e.verdict(now)
 	t.mu.Unlock()
@@ -120,15 +120,14 @@
 	return verdict
 }
 
-// NoteDown records that the run of an upstream has ended, for a reason that is not known.
+// NoteDown records that an upstream incarnation has ended for an unknown reason.
 func (t *Table) NoteDown(l Life, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.crashed.note(l, false, now)
+	t.crashes.record(l, false, now)
 }
 
-// NoteSuccess records that a request succeeded, which clears it of all crashes that are
-// known here.
+// NoteSuccess records that a request succeeded, which clears all crashes in its entry.
 func (t *Table) NoteSuccess(d Digest, now time.Time) {
 	t.mu.Lock()
 	e, found := t.entries[d]
@@ -137,11 +136,11 @@
 		before := e.round()
 		changed = e.clear()
 		e.refusedUntil = time.Time{}
-		t.recount(before, 0)
+		t.updateSuspectCount(before, 0)
 	}
 	if changed {
 		e.changedAt = now
-		t.noteOwn(e)
+		t.markObserved(e)
 	}
 	t.mu.Unlock()
 	if changed {
@@ -149,34 +148,34 @@
 	}
 }
 
-// noteOwn marks an entry as changed by what this router observed. The caller holds mu.
-func (t *Table) noteOwn(e *entry) {
+// markObserved marks an entry as changed by an observation of this router. The caller holds
+// mu.
+func (t *Table) markObserved(e *entry) {
 	t.version++
-	e.own = t.version
+	e.observedVersion = t.version
 }
 
-// entryOf returns the entry of a request, a new one if there is none. The caller holds
+// entryOf returns the entry of a request and adds one if there is none. The caller holds
 // mu.
 func (t *Table) entryOf(d Digest, now time.Time) *entry {
 	if e, found := t.entries[d]; found {
 		return e
 	}
 	if len(t.entries) >= t.settings.Max {
-		t.makeRoom(now)
+		t.evict(now)
 	}
 	e := &entry{digest: d, changedAt: now}
 	t.entries[d] = e
 	return e
 }
 
-// add merges crashes into the evidence against a request, and reports whether that
-// changed anything. A new round restarts the block of a request that is refused. The
-// caller holds mu.
+// add merges crashes into an entry and reports whether the entry changed. A new round
+// restarts the block of a refused request. The caller holds mu.
 func (t *Table) add(e *entry, crashes []Crash, now time.Time) bool {
-	before, wasEnough := e.round(), e.enough(e.ofScope)
+	before, wasSufficient := e.round(), e.sufficient(e.isScope)
 	changed := false
 	for _, c := range crashes {
-		t.crashed.note(c.Life, false, now)
+		t.crashes.record(c.Life, false, now)
 		changed = e.evidence.add(c) || changed
 	}
 	if !changed {
@@ -187,35 +186,35 @@
 		e.roundAt = now
 	}
 	switch {
-	case !e.enough(e.ofScope):
+	case !e.sufficient(e.isScope):
 		e.refusedUntil = time.Time{}
-	case !wasEnough, e.round() > before:
-		e.refusedUntil = now.Add(t.blockOf(e))
+	case !wasSufficient, e.round() > before:
+		e.refusedUntil = now.Add(t.blockDuration(e))
 	}
-	t.recount(before, e.round())
-	t.clearLoss(now)
+	t.updateSuspectCount(before, e.round())
+	t.clearMassFailure(now)
 	return true
 }
 
-// recount follows an entry's round from one value to another in suspects. The caller
-// holds mu.
-func (t *Table) recount(before, after int) {
+// updateSuspectCount adjusts suspectCount to the change of an entry's round from before to
+// after. The caller holds mu.
+func (t *Table) updateSuspectCount(before, after int) {
 	switch {
 	case before == 0 && after > 0:
-		t.suspects.Add(1)
+		t.suspectCount.Add(1)
 	case before > 0 && after == 0:
-		t.suspects.Add(-1)
+		t.suspectCount.Add(-1)
 	}
 }
 
-// forget deletes an entry. The caller holds mu.
-func (t *Table) forget(e *entry) {
-	t.recount(e.round(), 0)
+// remove deletes an entry. The caller holds mu.
+func (t *Table) remove(e *entry) {
+	t.updateSuspectCount(e.round(), 0)
 	delete(t.entries, e.digest)
 }
 
-// Counts returns the number of requests with evidence against them, and of those that are
-// refused now.
+// Counts returns the number of entries with evidence that is not cleared, and the number of
+// those refused at the given time.
 func (t *Table) Counts(now time.Time) (suspects, refused int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/suspect/verdict.go
+++ b/suspect/verdict.go
@@ -9,41 +9,40 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Verdict sums up the evidence against a request at one moment. The zero value means
-// that there is none.
+// Verdict summarises the evidence against a request at one point in time. The zero value
+// means that there is none.
 type Verdict struct {
 	// Round is the highest round of crashes; zero if there is no evidence.
 	Round int
-	// Early is the highest round of early crashes.
+	// Early is the highest round of early crashes; zero if there were none.
 	Early int
-	// Crashes is the number of upstreams that crashed under the request.
+	// Crashes is the number of upstreams that crashed under the request and are not cleared.
 	Crashes int
-	// Hold is how long the request must not be sent yet, since what made upstreams crash
-	// may be under way.
+	// Hold is the time for which the request must not be sent, so that crashes with a common
+	// cause settle into one round.
 	Hold time.Duration
-	// Refused says that the request must not be sent, for another Left.
+	// Refused says that the request must not be sent until Left has passed.
 	Refused bool
 	Left    time.Duration
 }
 
-// Refusal returns the error for a request that the verdict refuses. Its RetryAfter is the
-// rest of the block even where a caller can't wait for it: an earlier attempt would be
-// refused too.
+// Refusal returns the error for a refused request. Its RetryAfter is the rest of the block,
+// even beyond the caller's deadline, since an earlier attempt would be refused too.
 func (v Verdict) Refusal() *granitehoist.Error {
 	e := granitehoist.Errorf(granitehoist.CrashesUpstreams, "%d upstreams crashed in %d rounds, %d of them early", v.Crashes, v.Round, v.Early)
 	e.RetryAfter = v.Left
 	return e
 }
 
-// HoldRefusal returns the error for a request that is held for longer than it can wait. Its
-// RetryAfter is the rest of the hold.
+// HoldRefusal returns the error for a request whose deadline is before the end of its hold.
+// Its RetryAfter is the rest of the hold.
 func (v Verdict) HoldRefusal() *granitehoist.Error {
-	e := granitehoist.Errorf(granitehoist.CrashesUpstreams, "%d upstreams crashed, the last a moment ago", v.Crashes)
+	e := granitehoist.Errorf(granitehoist.CrashesUpstreams, "%d upstreams crashed, the most recent one within the hold time", v.Crashes)
 	e.RetryAfter = v.Hold
 	return e
 }
 
-// verdict sums up the evidence now.
+// verdict summarises the evidence at the given time.
 func (e *entry) verdict(now time.Time) Verdict {
 	v := Verdict{Round: e.round(), Crashes: e.openCrashes()}
 	v.Early, _ = e.earlyRound()
