--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -12,11 +12,11 @@
 )
 
 func document(revision int64) *catalog.Document {
-	to := func(s granitehoist.Service) []catalog.Share { return []catalog.Share{{Service: s, Weight: 1}} }
+	only := func(s granitehoist.Service) []catalog.Share { return []catalog.Share{{Service: s, Weight: 1}} }
 	return &catalog.Document{
 		Revision: revision,
 		Routes: []catalog.Route{
-			{Name: "short", Host: "h.example", Prefix: "/a/", Split: to("one")},
+			{Name: "short", Host: "h.example", Prefix: "/a/", Split: only("one")},
 			{Name: "long", Host: "h.example", Prefix: "/a/b/", Split: []catalog.Share{{Service: "one", Weight: 90}, {Service: "two", Weight: 10}}},
 		},
 		Services:   []catalog.Service{{Name: "one"}, {Name: "two"}},
@@ -31,7 +31,7 @@
 		return s
 	}
 
-	It("matches the longest prefix of a host, whatever its port and letters", func() {
+	It("matches the longest prefix, ignoring the port and case of the host", func() {
 		s := build(document(1), 1)
 		Expect(s.Match("H.example:8080", "/a/b/c").Name).To(Equal(catalog.RouteName("long")))
 		Expect(s.Match("h.example", "/a/c").Name).To(Equal(catalog.RouteName("short")))
@@ -46,13 +46,13 @@
 		Expect(route.PickService(0.901)).To(Equal(granitehoist.Service("two")))
 	})
 
-	It("knows workspaces by any of their keys", func() {
+	It("finds a workspace by any of its keys", func() {
 		s := build(document(1), 1)
 		Expect(s.ByKey("k2").Name).To(Equal(granitehoist.Workspace("kiosk")))
 		Expect(s.ByKey("k3")).To(BeNil())
 	})
 
-	It("names what can't be served", func() {
+	It("rejects invalid routes and workspaces by name", func() {
 		d := document(1)
 		d.Routes[1].Prefix = "/a"
 		_, err := catalog.Build(d, 1)
@@ -63,7 +63,7 @@
 		Expect(err).To(MatchError(ContainSubstring("share a key")))
 	})
 
-	It("never goes back to an older version", func() {
+	It("does not go back to an older version", func() {
 		var current catalog.Current
 		Expect(current.Get()).To(BeNil())
 		Expect(current.Offer(build(document(5), 7))).To(BeTrue())
--- a/catalog/current.go
+++ b/catalog/current.go
@@ -7,33 +7,31 @@
 	"sync/atomic"
 )
 
-// Current holds the snapshot in force. The zero value holds none. It is safe for
-// concurrent use.
+// Current holds the active snapshot. The zero value holds none. It is safe for concurrent
+// use.
 type Current struct {
-	newest atomic.Pointer[Snapshot]
+	snapshot atomic.Pointer[Snapshot]
 }
 
-// Get returns the snapshot in force, nil before the first.
-func (c *Current) Get() *Snapshot { return c.newest.Load() }
+// Get returns the active snapshot, and nil before the first one.
+func (c *Current) Get() *Snapshot { return c.snapshot.Load() }
 
-// Offer puts a snapshot in force if it supersedes the present one, and reports
-// whether it did.
+// Offer activates a snapshot if it is newer than the active one, and reports whether it did.
 func (c *Current) Offer(s *Snapshot) bool {
 	for {
-		old := c.newest.Load()
+		old := c.snapshot.Load()
 		if !s.supersedes(old) {
 			return false
 		}
-		if c.newest.CompareAndSwap(old, s) {
+		if c.snapshot.CompareAndSwap(old, s) {
 			return true
 		}
 	}
 }
 
-// supersedes decides whether a snapshot replaces the one in force, which is nil
-// before the first. Only the store's version counts: it grows with each write, and a
-// configuration from a neighbour carries it too, so an old copy never replaces a
-// newer one. The operators' revision and the time of arrival do not matter.
+// supersedes reports whether the snapshot replaces old, the active one, which may be nil.
+// Only the store's version counts, which grows with each write and also comes with copies
+// from neighbours. The operators' revision and the time of arrival are ignored.
 func (s *Snapshot) supersedes(old *Snapshot) bool {
 	return old == nil || s.Version > old.Version
 }
--- a/catalog/document.go
+++ b/catalog/document.go
@@ -9,10 +9,10 @@
 	"granitehoist.example/granitehoist"
 )
 
-// RouteName names a route within a configuration.
+// RouteName identifies a route within a configuration.
 type RouteName string
 
-// Kind says how often a request of a route may run and how it is answered.
+// Kind determines how often a request of a route may run and how it is answered.
 type Kind int
 
 // The kinds of routes.
@@ -21,56 +21,53 @@
 	Safe Kind = iota
 	// Unsafe requests run at most once.
 	Unsafe
-	// Stream requests are answered by a sequence of events. They run at most
-	// once unless the route says that they may be resumed.
+	// Stream requests are answered with a sequence of events. They run at most once
+	// unless Route.Resume is set.
 	Stream
 )
 
-// String returns the name of a kind as logs show it. It panics for a number that
-// is none of the kinds.
+// String returns the name of the kind for logs. It panics if the kind is not one of the
+// constants above.
 func (k Kind) String() string {
 	return [...]string{"safe", "unsafe", "stream"}[k]
 }
 
-// Share is a service's part of the requests of a route.
+// Share is the part of a route's requests that goes to one service.
 type Share struct {
 	Service granitehoist.Service
-	// Weight is its part relative to the sum of the weights of the route; it is
-	// not negative.
+	// Weight is relative to the sum of the weights of the route. It must not be negative.
 	Weight float64
 }
 
-// Route leads the requests of a host below a path to services. It does not change
+// Route maps the requests for a host and a path prefix to services. It must not be changed
 // once a Snapshot holds it.
 type Route struct {
 	Name RouteName
 	// Host is compared without port and case.
 	Host string
-	// Prefix is that of the path. It begins and ends with a slash.
+	// Prefix is the path prefix. It begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a request may be held; zero sets no bound.
+	// Timeout is the time from the arrival of a request to its deadline; zero means none.
 	Timeout time.Duration
-	// Target is the latency that the operators want for an answer; a later one is
-	// worth less to them. Zero if they state none.
+	// Target is the target latency of a response; zero means none.
 	Target time.Duration
-	// Pause is the longest pause between two events with which a stream is still in
-	// time; zero if the operators state none.
+	// Pause is the target for the longest gap between two events of a stream; zero means
+	// none.
 	Pause    time.Duration
 	Priority granitehoist.Priority
 	Split    []Share
-	// MaxAttempts bounds the upstreams that may run one request, the first
-	// included; 0 counts as 1.
+	// MaxAttempts bounds the upstreams that may run one request, including the first;
+	// zero means one.
 	MaxAttempts int
 	// Anonymous routes need no key.
 	Anonymous bool
-	// Affinity says that requests with a common prefix gain by sharing an
-	// upstream.
+	// Affinity says that requests with a common prefix should go to the same upstream.
 	Affinity bool
-	// Resume says that a stream that broke off may continue at another upstream.
+	// Resume says that an interrupted stream may continue at another upstream.
 	Resume bool
-	// Homes are the only regions whose upstreams may get its requests; none set no
-	// bound.
+	// Homes restricts the requests to upstreams of these regions; empty means no
+	// restriction.
 	Homes []granitehoist.Region
 }
 
@@ -79,76 +76,71 @@
 	return r.Kind == Safe || (r.Kind == Stream && r.Resume)
 }
 
-// MayRunAgain decides whether a request of the route may run once more after runs
-// attempts that ran or may have run: only if it is repeatable, and MaxAttempts
-// allows another upstream.
+// MayRunAgain reports whether a request of the route may be attempted again. runs is the
+// number of attempts that ran or may have run.
 func (r *Route) MayRunAgain(runs int) bool {
 	return r.Repeatable() && runs < max(1, r.MaxAttempts)
 }
 
-// Service is a group of upstreams that offer the same thing.
+// Service is a group of interchangeable upstreams.
 type Service struct {
 	Name granitehoist.Service
-	// TokensPerEvent is the most tokens that one event of a stream holds; zero
-	// where events are not counted.
+	// TokensPerEvent is the maximum number of tokens in one event of a stream; zero if
+	// events are not counted.
 	TokensPerEvent granitehoist.Tokens
-	// ColdPerSecond is the number of requests a second, of all routers together, that
-	// an upstream bears while it is cold; zero sets no bound.
+	// ColdPerSecond bounds the requests per second that all routers together send to an
+	// upstream during its warm-up; zero means no bound.
 	ColdPerSecond float64
 }
 
-// Workspace is a customer and its rights.
+// Workspace holds the keys, priority, regions and budget of a customer.
 type Workspace struct {
 	Name granitehoist.Workspace
-	// Keys are the secrets that identify its requests. No two workspaces share
-	// one.
+	// Keys are the API keys that identify its requests. A key belongs to one workspace.
 	Keys []string
 	// Priority replaces that of the route if HasPriority is set.
 	Priority    granitehoist.Priority
 	HasPriority bool
-	// Homes are as those of a route. Both bind where both have some.
+	// Homes restricts the regions like Route.Homes. If both are set, both apply.
 	Homes []granitehoist.Region
-	// Prepaid is the total that the workspace may ever spend, if Limited is set.
+	// Prepaid is the total budget over all time; it applies if Limited is set.
 	Prepaid granitehoist.Tokens
 	Limited bool
 }
 
-// Limits bound what callers send, as the configuration says; zero where it does
-// not. Its limits of headers and idle connections are not here: the servers of
-// package node are made before a configuration is known and have constants for
-// them.
+// Limits bounds what clients may send. Header and idle connection limits are constants in
+// package node, since its servers start before a configuration is available.
 type Limits struct {
-	// BodyBytes bounds the body of a request.
+	// BodyBytes bounds the body of a request; zero if the configuration sets none.
 	BodyBytes int64
 }
 
-// Document is a configuration as operators wrote it, decoded. Build checks it.
+// Document is a decoded configuration file. Build validates it.
 type Document struct {
-	// Revision is the operators' own number of the configuration.
+	// Revision is the revision number that the operators assign.
 	Revision   int64
 	Routes     []Route
 	Services   []Service
 	Workspaces []Workspace
-	// Keyed says that requests of routes which are not anonymous need a key.
+	// Keyed says that routes which are not anonymous require a key.
 	Keyed  bool
 	Limits Limits
 }
 
-// PickService decides which service of a route's split serves a request. point is a
-// random number from 0 up to 1; each service has a part of that range in proportion
-// to its weight, in the order of the split. If all weights are zero it
-// is the last service. It panics if the split is empty, which Build refuses.
+// PickService chooses a service of the split at random in proportion to the weights. point
+// is a random number in [0, 1). If all weights are zero it returns the last service. It
+// panics if the split is empty, which Build rejects.
 func (r *Route) PickService(point float64) granitehoist.Service {
 	var total float64
 	for _, share := range r.Split {
 		total += share.Weight
 	}
-	mark := point * total
+	remaining := point * total
 	for _, share := range r.Split {
-		if mark < share.Weight {
+		if remaining < share.Weight {
 			return share.Service
 		}
-		mark -= share.Weight
+		remaining -= share.Weight
 	}
 	return r.Split[len(r.Split)-1].Service
 }
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -12,38 +12,38 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Snapshot is a configuration prepared for requests. It does not change and is
-// safe for concurrent use.
+// Snapshot is an immutable configuration, indexed for request routing. It is safe for
+// concurrent use.
 type Snapshot struct {
 	// Version is the store's version of the configuration.
 	Version granitehoist.Version
-	// Revision is the operators' own number.
+	// Revision is the revision number that the operators assign.
 	Revision int64
 	Limits   Limits
-	// Keyed says that requests of routes which are not anonymous need a key.
+	// Keyed says that routes which are not anonymous require a key.
 	Keyed bool
-	// hosts holds the routes by canonical host, those with longer prefixes first.
-	hosts      map[string][]*Route
-	services   map[granitehoist.Service]*Service
-	workspaces map[granitehoist.Workspace]*Workspace
-	keys       map[string]*Workspace
+	// routesByHost holds the routes by canonical host, longest prefix first.
+	routesByHost    map[string][]*Route
+	services        map[granitehoist.Service]*Service
+	workspaces      map[granitehoist.Workspace]*Workspace
+	workspacesByKey map[string]*Workspace
 }
 
-// Build prepares a configuration. It returns an error that names the route or
-// workspace that can't be served: a prefix without slashes at its ends, a route
-// without services or with a negative weight, a workspace without a name, a key of
-// two workspaces. The last of several services or workspaces of the same name wins. The
-// snapshot keeps parts of d, which must not change afterwards.
+// Build validates a configuration and returns its snapshot. It returns an error that names
+// the invalid route or workspace: a prefix that does not begin and end with a slash, a route
+// without services or with a negative weight, a workspace without a name, or a key of two
+// workspaces. Of several services or workspaces with the same name the last one wins. The
+// snapshot refers to d, which must not be changed afterwards.
 func Build(d *Document, version granitehoist.Version) (*Snapshot, error) {
 	s := &Snapshot{
-		Version:    version,
-		Revision:   d.Revision,
-		Limits:     d.Limits,
-		Keyed:      d.Keyed,
-		hosts:      map[string][]*Route{},
-		services:   map[granitehoist.Service]*Service{},
-		workspaces: map[granitehoist.Workspace]*Workspace{},
-		keys:       map[string]*Workspace{},
+		Version:         version,
+		Revision:        d.Revision,
+		Limits:          d.Limits,
+		Keyed:           d.Keyed,
+		routesByHost:    map[string][]*Route{},
+		services:        map[granitehoist.Service]*Service{},
+		workspaces:      map[granitehoist.Workspace]*Workspace{},
+		workspacesByKey: map[string]*Workspace{},
 	}
 	for i := range d.Services {
 		s.services[d.Services[i].Name] = &d.Services[i]
@@ -53,7 +53,7 @@
 			return nil, err
 		}
 	}
-	for _, routes := range s.hosts {
+	for _, routes := range s.routesByHost {
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 	for i := range d.Workspaces {
@@ -64,13 +64,13 @@
 	return s, nil
 }
 
-// addRoute checks a route and lists it under its host.
+// addRoute validates a route and indexes it by its host.
 func (s *Snapshot) addRoute(r *Route) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return eris.Errorf("catalog: route %q: prefix %q does not begin and end with a slash", r.Name, r.Prefix)
 	}
 	if len(r.Split) == 0 {
-		return eris.Errorf("catalog: route %q leads to no service", r.Name)
+		return eris.Errorf("catalog: route %q has no services", r.Name)
 	}
 	for _, share := range r.Split {
 		if share.Weight < 0 {
@@ -78,27 +78,27 @@
 		}
 	}
 	host := canonicalHost(r.Host)
-	s.hosts[host] = append(s.hosts[host], r)
+	s.routesByHost[host] = append(s.routesByHost[host], r)
 	return nil
 }
 
-// addWorkspace checks a workspace and lists it under its name and keys.
+// addWorkspace validates a workspace and indexes it by its name and keys.
 func (s *Snapshot) addWorkspace(w *Workspace) error {
 	if w.Name == "" {
 		return eris.New("catalog: a workspace has no name")
 	}
 	s.workspaces[w.Name] = w
 	for _, key := range w.Keys {
-		if other, taken := s.keys[key]; taken && other.Name != w.Name {
+		if other, found := s.workspacesByKey[key]; found && other.Name != w.Name {
 			return eris.Errorf("catalog: workspaces %q and %q share a key", other.Name, w.Name)
 		}
-		s.keys[key] = w
+		s.workspacesByKey[key] = w
 	}
 	return nil
 }
 
-// canonicalHost returns a host without its port, in lower case. An IPv6 address must
-// be in brackets.
+// canonicalHost returns a host in lower case and without its port. An IPv6 address must be
+// in brackets.
 func canonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -106,11 +106,10 @@
 	return strings.ToLower(host)
 }
 
-// Match decides which route serves a request: that of its host with the longest
-// prefix of its path. It returns nil if there is none. Among equal prefixes the first
-// in the configuration wins.
+// Match returns the route of a host with the longest prefix of path, and nil if no route
+// matches. Of several routes with the same prefix the first in the configuration wins.
 func (s *Snapshot) Match(host, path string) *Route {
-	for _, r := range s.hosts[canonicalHost(host)] {
+	for _, r := range s.routesByHost[canonicalHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -118,11 +117,11 @@
 	return nil
 }
 
-// Service returns a service, and nil if the configuration has none of the name.
+// Service returns the service with a name, and nil if there is none.
 func (s *Snapshot) Service(name granitehoist.Service) *Service { return s.services[name] }
 
-// ByKey returns the workspace that holds a key, and nil if none does.
-func (s *Snapshot) ByKey(key string) *Workspace { return s.keys[key] }
+// ByKey returns the workspace of a key, and nil if the key is unknown.
+func (s *Snapshot) ByKey(key string) *Workspace { return s.workspacesByKey[key] }
 
-// Workspaces returns the workspaces by name. The map must not be changed.
+// Workspaces returns the workspaces by name. The caller must not change the map.
 func (s *Snapshot) Workspaces() map[granitehoist.Workspace]*Workspace { return s.workspaces }
