--- a/store/doc.go
+++ b/store/doc.go
@@ -1,16 +1,13 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package store holds the conditional writes of 'granitehoist router' to the
-// platform's key-value store.
+// Package store provides conditional writes to the platform's key-value store that resolve
+// ambiguous outcomes.
 //
-// An answer of the store may be lost, and its write may take effect seconds
-// later. Swap and Create settle such a write by reading the key back, so that
-// their callers need not.
+// The response to a write may be lost, and the write may take effect seconds later. Create
+// and Swap determine the outcome of such a write by reading the key back.
 //
-// The package owns no state and starts no goroutine. It relies on
-// granitehoist.Store, which package platform implements over the store's
-// protocol and package standin in memory; cmd/granitehoist hands the client in.
-// Packages fleet, once, bill and orphan use it, all on the side of 'granitehoist
-// router'. Begin reading at Swap.
+// The package has no state and starts no goroutine. It uses granitehoist.Store, which package
+// platform implements over the store's protocol and package standin in memory. Packages
+// fleet, once, bill and orphan of 'granitehoist router' use it. Begin reading at Swap.
 package store
--- a/store/readback.go
+++ b/store/readback.go
@@ -9,31 +9,29 @@
 	"granitehoist.example/granitehoist"
 )
 
-// readBack is what the state of a key says about a write whose answer was lost.
-type readBack int
+// readBackResult is the outcome of a write with a lost response, as the key shows it.
+type readBackResult int
 
 const (
-	// notYet says that the write has had no effect so far, and still may.
-	notYet readBack = iota
-	// tookEffect says that the key has the value of the write.
-	tookEffect
-	// otherWriter says that another write changed the key. This one can no longer
-	// take effect. It may have done so and been overwritten, which the key does not
-	// show. So others must not overwrite a key before the writer that called Swap
-	// has its result.
-	otherWriter
+	// pending means that the write has not taken effect and still may.
+	pending readBackResult = iota
+	// applied means that the key has the value of the write.
+	applied
+	// superseded means that another write changed the key, so that this one can no longer
+	// take effect. It may have been applied and overwritten. Callers must therefore not
+	// overwrite a key before its previous writer has the result of Swap.
+	superseded
 )
 
-// judgeReadBack decides what became of a conditional write from the state of its
-// key, read after the answer was lost. The value decides first, since it is
-// unique to the write. Otherwise any version but the expected one is another
-// writer's: the store never makes a write whose condition does not hold.
-func judgeReadBack(current granitehoist.Entry, change granitehoist.Change) readBack {
+// classifyReadBack returns the outcome of a conditional write, given the state of its key
+// after the response was lost. The value is compared first, since it is unique to the write.
+// Any other value at a version other than the expected one is that of another writer.
+func classifyReadBack(current granitehoist.Entry, change granitehoist.Change) readBackResult {
 	switch {
 	case bytes.Equal(current.Value, change.Value):
-		return tookEffect
+		return applied
 	case current.Version != change.Expect:
-		return otherWriter
+		return superseded
 	}
-	return notYet
+	return pending
 }
--- a/store/readback_test.go
+++ b/store/readback_test.go
@@ -10,16 +10,16 @@
 	"granitehoist.example/granitehoist"
 )
 
-var _ = DescribeTable("Reading a key back after a lost answer",
-	func(current granitehoist.Entry, expect int, want readBack) {
+var _ = DescribeTable("Reading a key back after a lost response",
+	func(current granitehoist.Entry, expect int, want readBackResult) {
 		change := granitehoist.Change{Key: "a", Value: []byte("mine"), Expect: granitehoist.Version(expect)}
-		Expect(judgeReadBack(current, change)).To(Equal(want))
+		Expect(classifyReadBack(current, change)).To(Equal(want))
 	},
-	Entry("created", granitehoist.Entry{Value: []byte("mine"), Version: 4}, 0, tookEffect),
-	Entry("not there yet", granitehoist.Entry{}, 0, notYet),
-	Entry("created by another", granitehoist.Entry{Value: []byte("theirs"), Version: 4}, 0, otherWriter),
-	Entry("changed", granitehoist.Entry{Value: []byte("mine"), Version: 7}, 4, tookEffect),
-	Entry("as before", granitehoist.Entry{Value: []byte("old"), Version: 4}, 4, notYet),
-	Entry("changed by another", granitehoist.Entry{Value: []byte("theirs"), Version: 7}, 4, otherWriter),
-	Entry("deleted by another", granitehoist.Entry{}, 4, otherWriter),
+	Entry("created", granitehoist.Entry{Value: []byte("mine"), Version: 4}, 0, applied),
+	Entry("not created yet", granitehoist.Entry{}, 0, pending),
+	Entry("created by another", granitehoist.Entry{Value: []byte("theirs"), Version: 4}, 0, superseded),
+	Entry("changed", granitehoist.Entry{Value: []byte("mine"), Version: 7}, 4, applied),
+	Entry("not changed yet", granitehoist.Entry{Value: []byte("old"), Version: 4}, 4, pending),
+	Entry("changed by another", granitehoist.Entry{Value: []byte("theirs"), Version: 7}, 4, superseded),
+	Entry("deleted by another", granitehoist.Entry{}, 4, superseded),
 )
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -16,14 +16,13 @@
 
 var ctx = context.Background()
 
-// lateStore loses the first write and makes it when deliver is called; it refuses
-// every other write.
-type lateStore struct {
+// delayedStore delays the first write until deliver is called and rejects all others.
+type delayedStore struct {
 	granitehoist.Store
 	lost *granitehoist.Change
 }
 
-func (s *lateStore) CompareAndSwap(_ context.Context, change granitehoist.Change) (granitehoist.Version, error) {
+func (s *delayedStore) CompareAndSwap(_ context.Context, change granitehoist.Change) (granitehoist.Version, error) {
 	if s.lost != nil {
 		return 0, granitehoist.ErrUnavailable
 	}
@@ -31,49 +30,49 @@
 	return 0, granitehoist.ErrUnknown
 }
 
-func (s *lateStore) deliver() error {
+func (s *delayedStore) deliver() error {
 	_, err := s.Store.CompareAndSwap(ctx, *s.lost)
 	return err
 }
 
 var _ = Describe("Swap", func() {
-	var stand *standin.Store
-	BeforeEach(func() { stand = standin.NewStore(standin.StoreSettings{}) })
+	var mem *standin.Store
+	BeforeEach(func() { mem = standin.NewStore(standin.StoreSettings{}) })
 
-	It("settles a write whose answer is lost", func() {
-		stand.Fail(standin.StoreFaults{LoseEvery: 1})
-		version, err := store.Create(ctx, stand, "a", []byte("mine"))
+	It("resolves a write whose response is lost", func() {
+		mem.Fail(standin.StoreFaults{LoseEvery: 1})
+		version, err := store.Create(ctx, mem, "a", []byte("mine"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(version).NotTo(BeZero())
-		Expect(stand.Calls().Writes).To(Equal(1))
+		Expect(mem.Calls().Writes).To(Equal(1))
 	})
 
-	It("makes a write again that had no effect", func() {
-		stand.Fail(standin.StoreFaults{DropEvery: 1})
-		_, err := store.Create(ctx, stand, "a", []byte("mine"))
+	It("returns ErrUnknown while writes are dropped, and succeeds afterwards", func() {
+		mem.Fail(standin.StoreFaults{DropEvery: 1})
+		_, err := store.Create(ctx, mem, "a", []byte("mine"))
 		Expect(err).To(MatchError(granitehoist.ErrUnknown))
-		stand.Fail(standin.StoreFaults{})
-		_, err = store.Create(ctx, stand, "a", []byte("mine"))
+		mem.Fail(standin.StoreFaults{})
+		_, err = store.Create(ctx, mem, "a", []byte("mine"))
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	It("leaves the outcome open if the store refuses to repeat a write that may still take effect", func() {
-		late := &lateStore{Store: stand}
-		_, err := store.Create(ctx, late, "a", []byte("mine"))
+	It("returns an unknown outcome if the store rejects the repetition of a write that may still take effect", func() {
+		delayed := &delayedStore{Store: mem}
+		_, err := store.Create(ctx, delayed, "a", []byte("mine"))
 		Expect(err).To(HaveOccurred())
-		Expect(err).NotTo(MatchError(granitehoist.ErrUnavailable), "that error says that the write had no effect")
-		Expect(late.deliver()).To(Succeed())
-		e, err := stand.Get(ctx, "a")
+		Expect(err).NotTo(MatchError(granitehoist.ErrUnavailable), "ErrUnavailable would mean that the write had no effect")
+		Expect(delayed.deliver()).To(Succeed())
+		e, err := mem.Get(ctx, "a")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(string(e.Value)).To(Equal("mine"))
 	})
 
-	It("tells that another writer was first", func() {
-		_, err := store.Create(ctx, stand, "a", []byte("theirs"))
+	It("returns ErrConflict if another writer was first", func() {
+		_, err := store.Create(ctx, mem, "a", []byte("theirs"))
 		Expect(err).NotTo(HaveOccurred())
 		for _, faults := range []standin.StoreFaults{{}, {LoseEvery: 1}, {DropEvery: 1}} {
-			stand.Fail(faults)
-			_, err = store.Create(ctx, stand, "a", []byte("mine"))
+			mem.Fail(faults)
+			_, err = store.Create(ctx, mem, "a", []byte("mine"))
 			Expect(err).To(MatchError(granitehoist.ErrConflict))
 		}
 	})
