--- a/fleet/client.go
+++ b/fleet/client.go
@@ -17,7 +17,7 @@
 	"granitehoist.example/granitehoist/internal/defaults"
 )
 
-// Client calls other routers and keeps one connection to each. It implements
+// Client calls other routers over one persistent connection to each address. It implements
 // granitehoist.Caller and is safe for concurrent use.
 type Client struct {
 	settings ClientSettings
@@ -27,15 +27,15 @@
 	conns map[string]*jsonrpc2.Conn
 }
 
-// ClientSettings configure a Client. The zero value works.
+// ClientSettings configures a Client. The zero value selects the defaults.
 type ClientSettings struct {
-	// Timeout bounds a call, connecting included; zero stands for
-	// defaultCallTimeout. A call whose context ends sooner ends with it.
+	// Timeout bounds a call including the connection setup; zero means
+	// defaultCallTimeout. An earlier deadline of the call's context takes precedence.
 	Timeout time.Duration
 }
 
-// defaultCallTimeout bounds a call where the settings don't: routers of a site answer in
-// milliseconds, the longest calls wait for a change at the receiver for 0.4 s.
+// defaultCallTimeout is the default of ClientSettings.Timeout. It exceeds the time for which
+// a receiver may hold a call until something changes.
 const defaultCallTimeout = time.Second
 
 // NewClient returns a client without connections.
@@ -44,15 +44,14 @@
 	return &Client{settings: s, conns: map[string]*jsonrpc2.Conn{}}
 }
 
-// Call implements granitehoist.Caller. Its errors wrap ErrOtherIncarnation if
-// another incarnation answered, a *jsonrpc2.Error if the method failed at the
-// receiver, and the context's error if no answer came in time. A call without an
-// answer closes the connection, since it may be dead without an error; other
-// calls that wait on it fail as well.
+// Call implements granitehoist.Caller. Its errors wrap ErrOtherIncarnation if another
+// incarnation responded, a *jsonrpc2.Error if the method failed at the receiver, and the
+// context's error if no response arrived in time. A call without a response closes the
+// connection, which may be dead without an error; other calls in progress on it fail too.
 func (c *Client) Call(ctx context.Context, to granitehoist.Peer, method string, params, result any) error {
 	raw, err := json.Marshal(params)
 	if err != nil {
-		return eris.Wrapf(err, "fleet: parameters of %s", method)
+		return eris.Wrapf(err, "fleet: encode parameters of %s", method)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
@@ -61,18 +60,18 @@
 		return err
 	}
 	err = conn.Call(ctx, method, envelope{To: to.Incarnation, Params: raw}, result)
-	answer, answered := err.(*jsonrpc2.Error)
-	if err != nil && !answered {
-		c.forget(to.Address, conn)
+	rpcErr, responded := err.(*jsonrpc2.Error)
+	if err != nil && !responded {
+		c.dropConn(to.Address, conn)
 	}
-	if answered && answer.Code == codeOtherIncarnation {
-		err = eris.Wrap(ErrOtherIncarnation, answer.Message)
+	if responded && rpcErr.Code == otherIncarnationCode {
+		err = eris.Wrap(ErrOtherIncarnation, rpcErr.Message)
 	}
 	return eris.Wrapf(err, "fleet: call of %s at %s", method, to.Address)
 }
 
-// conn returns the connection to an address, and opens it if there is none. Of
-// two that are opened at the same time the first is used.
+// conn returns the connection to an address, and opens one if there is none. If two are
+// opened concurrently, the one that is added first is used.
 func (c *Client) conn(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	c.mu.Lock()
 	conn, ok := c.conns[address]
@@ -85,45 +84,44 @@
 	if err != nil {
 		return nil, eris.Wrapf(err, "fleet: connect to %s", address)
 	}
-	conn = jsonrpc2.NewConn(context.Background(), newStream(raw), refuseAll{}, jsonrpc2.SetLogger(discardLog))
+	conn = jsonrpc2.NewConn(context.Background(), newStream(raw), rejectCalls{}, jsonrpc2.SetLogger(discardLog))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if other, ok := c.conns[address]; ok {
-		discard(conn)
+		closeQuietly(conn)
 		return other, nil
 	}
 	c.conns[address] = conn
 	return conn, nil
 }
 
-// forget closes a connection that failed, so that the next call opens another.
-func (c *Client) forget(address string, conn *jsonrpc2.Conn) {
+// dropConn closes a failed connection, so that the next call opens a new one.
+func (c *Client) dropConn(address string, conn *jsonrpc2.Conn) {
 	c.mu.Lock()
 	if c.conns[address] == conn {
 		delete(c.conns, address)
 	}
 	c.mu.Unlock()
-	discard(conn)
+	closeQuietly(conn)
 }
 
-// Close ends all connections.
+// Close closes all connections. Calls in progress fail.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, conn := range c.conns {
-		discard(conn)
+		closeQuietly(conn)
 		delete(c.conns, address)
 	}
 }
 
-// refuseAll is the handler of a connection on which only this side calls.
-type refuseAll struct{}
+// rejectCalls is the handler of client connections, on which the server must not call.
+type rejectCalls struct{}
 
 // Handle implements jsonrpc2.Handler.
-func (refuseAll) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
+func (rejectCalls) Handle(ctx context.Context, c *jsonrpc2.Conn, r *jsonrpc2.Request) {
 	if !r.Notif {
-		// A server never calls its client. If one does and does not get this answer,
-		// its call times out.
+		// If the error does not reach the server, its call times out.
 		_ = c.ReplyWithError(ctx, r.ID, &jsonrpc2.Error{Code: jsonrpc2.CodeMethodNotFound, Message: "this side serves no calls"})
 	}
 }
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,46 +1,42 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package fleet connects the routers: how they call each other, which of them
-// are live, and which of them acts in a role.
+// Package fleet provides remote calls between routers, their membership list and the
+// assignment of roles to them.
 //
-// Calls (Client, Server) are JSON-RPC 2.0 over TCP with the library jsonrpc2.
-// Each call names the incarnation that it is for; a router that took over the
-// address refuses it with ErrOtherIncarnation. Both programs use them.
+// Calls (Client, Server) are JSON-RPC 2.0 over TCP. Each call names the incarnation that it
+// is addressed to; a router that has taken over the address rejects it with
+// ErrOtherIncarnation. Both programs use calls.
 //
-// Membership (Registry, View) is run by 'granitehoist router' alone. A router
-// enters itself in the store under a lease; the others read the list. Roles
-// follow from the View by rendezvous hashing. Two routers whose views differ may
-// both act in a role; every role is built so that this costs efficiency only.
+// Membership (Registry, View) is used by 'granitehoist router' only. A router writes its
+// entry to the store under a lease, and the others read the list. Roles are assigned by
+// rendezvous hashing over the View. Two routers with different views may both act in a role,
+// which must only cost efficiency.
 //
-// # Why node has a membership of its own
+// # Membership of granitehoist-edge
 //
-// granitehoist-edge (package node) does not use Registry. Its routers enter
-// their address once, without a lease, under the key of their box:
+// Package node of granitehoist-edge does not use Registry. Its routers write their address
+// once, without a lease, under the key of their box:
 //
-//   - Leases cost writes that grow with the fleet: 220 a second at 1,100
-//     routers (docs/CAPACITY.md). An entry without one costs one write a start.
-//   - Registry's roles must not stay with a dead router, so its entry has to end
-//     by itself. A node has no such roles: it skips a neighbour that does not
-//     answer, and the neighbour's entry is replaced when its box starts again.
-//   - In large fleets only relays read node's list, and neighbours correct it by
-//     greetings while the store does not answer. Registry knows the store's list
-//     only.
+//   - Lease renewals cost writes in proportion to the size of the fleet.
+//   - Roles of a Registry must move away from a dead router, so its entry has to expire. A
+//     node has no such roles: it skips a neighbour that does not respond, and the entry is
+//     replaced when the box restarts.
+//   - In large fleets only relays read node's list, and neighbours update each other while
+//     the store is unavailable. Registry uses the list in the store only.
 //
-// Both read a list from the store, write on a condition and delete on a condition,
-// but they handle errors differently: Registry fails on an entry that can't be
-// read, node logs it and goes on. So they share only the calls between routers. Both write under "boxes/", in different forms: the two programs must
-// not share a store.
+// Registry also fails on an entry that it cannot decode, while node logs and skips it. Both
+// write under "boxes/" in different formats, so the two programs must not share a store.
 //
 // # State
 //
-// Registry holds the router's own entry, its lease and the last view under its
-// own lock. In the store only this router writes its two entries, except that
-// Withdraw may delete the entry of another one. Client and Server hold their connections, each under its own lock.
-// All three are safe for concurrent use. A View is a value that does not change.
+// Registry holds the router's own entry, its lease and the last view. In the store only this
+// router writes its two entries, except that Withdraw may delete those of another. Client
+// and Server hold their connections. All three are safe for concurrent use. A View is
+// immutable.
 //
-// The package relies on granitehoist.Store and package store for the list. It has
-// no timers: the caller calls Refresh each Interval, and the store ends leases.
+// The package uses granitehoist.Store and package store. It has no timers: the caller calls
+// Refresh every Interval, and the store expires leases.
 //
 // Begin reading at Client.Call and Server.handle, then at Registry.Refresh.
 package fleet
--- a/fleet/entries.go
+++ b/fleet/entries.go
@@ -12,8 +12,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// readMembers reads the members under a prefix. It returns an error if one entry
-// can't be read: acting without a router that may serve would be unsafe.
+// readMembers returns the members under a prefix. It returns an error if any entry cannot be
+// decoded, since ignoring a router that may serve would be unsafe.
 func readMembers(ctx context.Context, s granitehoist.Store, prefix string) ([]Member, error) {
 	entries, _, err := s.List(ctx, prefix)
 	if err != nil {
@@ -23,22 +23,21 @@
 	for _, e := range entries {
 		var m Member
 		if err := json.Unmarshal(e.Value, &m); err != nil {
-			return nil, eris.Wrapf(err, "fleet: entry %s can't be read", e.Key)
+			return nil, eris.Wrapf(err, "fleet: decode entry %s", e.Key)
 		}
 		members = append(members, m)
 	}
 	return members, nil
 }
 
-// maxDeleteTries bounds how often deleteKey reads an entry again after the answer to its
-// write was lost, or after another write came between.
-const maxDeleteTries = 3
+// maxDeleteAttempts bounds the attempts of deleteKey after a lost response or a conflicting
+// write.
+const maxDeleteAttempts = 3
 
-// deleteKey deletes a key, whatever its value. A key that does not exist is no
-// error.
+// deleteKey deletes a key regardless of its value. It returns nil if the key does not exist.
 func deleteKey(ctx context.Context, s granitehoist.Store, key string) error {
 	var err error
-	for range maxDeleteTries {
+	for range maxDeleteAttempts {
 		var current granitehoist.Entry
 		current, err = s.Get(ctx, key)
 		if err != nil || current.Version == 0 {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -60,7 +60,7 @@
 		})
 	})
 
-	It("takes a greeting of a caller that does not know the incarnation, and no other call", func() {
+	It("accepts only greetings from a caller that does not know the incarnation", func() {
 		to := granitehoist.Peer{Address: me.Address}
 		var got echo
 		Expect(client.Call(ctx, to, "greet", echo{"hello"}, &got)).To(Succeed())
@@ -68,34 +68,34 @@
 		Expect(client.Call(ctx, to, "echo", echo{"hello"}, &got)).NotTo(Succeed())
 	})
 
-	It("passes on a call and its reply", func() {
+	It("transmits a call and its reply", func() {
 		var got echo
 		Expect(client.Call(ctx, me, "echo", echo{"x"}, &got)).To(Succeed())
 		Expect(got.Text).To(Equal("x"))
 	})
 
-	It("returns errors, unknown methods and timeouts, and goes on", func() {
+	It("returns errors for failed calls, unknown methods and timeouts, and stays usable", func() {
 		var got echo
 		Expect(client.Call(ctx, me, "fail", echo{}, &got)).To(MatchError(ContainSubstring("no")))
 		Expect(client.Call(ctx, me, "none", echo{}, &got)).To(MatchError(ContainSubstring("no such method")))
 		Expect(client.Call(ctx, me, "echo", []int{1}, &got)).NotTo(Succeed())
-		hasty := fleet.NewClient(fleet.ClientSettings{Timeout: 700 * time.Millisecond})
-		defer hasty.Close()
-		Expect(hasty.Call(ctx, me, "hang", echo{}, &got)).To(MatchError(context.DeadlineExceeded))
-		Eventually(func() error { return hasty.Call(ctx, me, "echo", echo{"y"}, &got) }).Should(Succeed())
+		impatient := fleet.NewClient(fleet.ClientSettings{Timeout: 700 * time.Millisecond})
+		defer impatient.Close()
+		Expect(impatient.Call(ctx, me, "hang", echo{}, &got)).To(MatchError(context.DeadlineExceeded))
+		Eventually(func() error { return impatient.Call(ctx, me, "echo", echo{"y"}, &got) }).Should(Succeed())
 		Expect(got.Text).To(Equal("y"))
 	})
 
-	It("is refused by a router that took over the address", func() {
+	It("is rejected by a router that has taken over the address", func() {
 		var got echo
-		earlier := granitehoist.Peer{Incarnation: "before-me", Address: me.Address}
-		err := client.Call(ctx, earlier, "echo", echo{"x"}, &got)
+		predecessor := granitehoist.Peer{Incarnation: "before-me", Address: me.Address}
+		err := client.Call(ctx, predecessor, "echo", echo{"x"}, &got)
 		Expect(err).To(MatchError(ContainSubstring("not before-me")))
 		Expect(err).To(MatchError(fleet.ErrOtherIncarnation))
 		Expect(got.Text).To(BeEmpty())
 	})
 
-	It("connects again after the other side has closed", func() {
+	It("fails after the server has closed", func() {
 		var got echo
 		Expect(client.Call(ctx, me, "echo", echo{"x"}, &got)).To(Succeed())
 		server.Close()
@@ -105,7 +105,7 @@
 })
 
 var _ = Describe("Server", func() {
-	It("does not listen when it was closed before it served", func() {
+	It("closes the listener if it was closed before Serve", func() {
 		server := fleet.NewServer(fleet.ServerSettings{Self: "me"})
 		server.Close()
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -127,7 +127,7 @@
 }
 
 var _ = Describe("View", func() {
-	It("gives the same holder for any order of the members", func() {
+	It("returns the same holder for any order of members", func() {
 		a, b := members(9), members(9)
 		b[0], b[8] = b[8], b[0]
 		for role := range 100 {
@@ -138,7 +138,7 @@
 		}
 	})
 
-	It("spreads roles and gives none to members that leave or are in another region", func() {
+	It("distributes roles over the members of the region that are not leaving", func() {
 		all := members(5)
 		all[0].Leaving = true
 		all[1].Region = "lima"
@@ -153,7 +153,7 @@
 	})
 })
 
-// slowLeases is a store that takes its time to grant a lease, and counts grants.
+// slowLeases is a store that grants leases after a delay and counts the grants.
 type slowLeases struct {
 	granitehoist.Store
 	grants atomic.Int32
@@ -177,7 +177,7 @@
 		return fleet.NewRegistry(fleet.RegistrySettings{Self: fleet.Member{Incarnation: id, Region: "tuul", Box: granitehoist.Box(id)}, Store: store})
 	}
 
-	It("sees the others, until their leases end", func() {
+	It("includes other members until their leases expire", func() {
 		a, b := newRegistry("a"), newRegistry("b")
 		Expect(a.Refresh(ctx)).To(Succeed())
 		Expect(b.Refresh(ctx)).To(Succeed())
@@ -185,11 +185,11 @@
 		now = now.Add(fleet.DefaultTTL + time.Second)
 		Expect(b.Refresh(ctx)).To(Succeed())
 		Expect(b.View().Members()).To(HaveLen(1))
-		Expect(a.Refresh(ctx)).To(Succeed(), "a paused router enters itself again")
+		Expect(a.Refresh(ctx)).To(Succeed(), "a router whose lease has expired writes its entry again")
 		Expect(a.View().Members()).To(HaveLen(2))
 	})
 
-	It("keeps its view while the store is down", func() {
+	It("keeps its view while the store is unavailable", func() {
 		a, b := newRegistry("a"), newRegistry("b")
 		Expect(a.Refresh(ctx)).To(Succeed())
 		Expect(b.Refresh(ctx)).To(Succeed())
@@ -198,7 +198,7 @@
 		Expect(b.View().Members()).To(HaveLen(2))
 	})
 
-	It("gets one lease although two refreshes run at once", func() {
+	It("is granted one lease by two concurrent refreshes", func() {
 		slow := &slowLeases{Store: store}
 		r := fleet.NewRegistry(fleet.RegistrySettings{Self: fleet.Member{Incarnation: "a", Region: "tuul", Box: "a"}, Store: slow})
 		var refreshes sync.WaitGroup
@@ -212,7 +212,7 @@
 		Expect(slow.grants.Load()).To(BeEquivalentTo(1))
 	})
 
-	It("ends a refresh that waits for another when its context ends", func() {
+	It("stops waiting for a concurrent refresh when the context is cancelled", func() {
 		slow := &slowLeases{Store: store}
 		r := fleet.NewRegistry(fleet.RegistrySettings{Self: fleet.Member{Incarnation: "a", Region: "tuul", Box: "a"}, Store: slow})
 		var refreshes sync.WaitGroup
@@ -221,13 +221,13 @@
 			Expect(r.Refresh(ctx)).To(Succeed())
 		})
 		Eventually(slow.grants.Load).Should(BeEquivalentTo(1))
-		ended, cancel := context.WithCancel(ctx)
+		cancelled, cancel := context.WithCancel(ctx)
 		cancel()
-		Expect(r.Refresh(ended)).To(MatchError(context.Canceled))
+		Expect(r.Refresh(cancelled)).To(MatchError(context.Canceled))
 		refreshes.Wait()
 	})
 
-	It("marks itself as leaving and removes its entries although answers are lost", func() {
+	It("marks itself as leaving and removes its entries although responses are lost", func() {
 		store.Fail(standin.StoreFaults{LoseEvery: 2})
 		a, b := newRegistry("a"), newRegistry("b")
 		Eventually(func() error { return a.Refresh(ctx) }).Should(Succeed())
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -15,83 +15,78 @@
 	"granitehoist.example/granitehoist/store"
 )
 
-// Where routers enter themselves in the store: under a lease in KeyPrefix, for
-// as long as they renew it, and in ServingPrefix for as long as they may serve.
-// A router that is cut off loses its lease but may go on serving.
+// Prefixes of the routers' entries in the store. Entries under KeyPrefix have a lease and
+// expire unless it is renewed. Those under ServingPrefix stay as long as the router may
+// serve, which it does even without a connection to the store.
 const (
 	KeyPrefix     = "boxes/"
 	ServingPrefix = "serving/"
 )
 
-// RegistrySettings configure a Registry.
+// RegistrySettings configures a Registry. Store and Self.Incarnation are required.
 type RegistrySettings struct {
 	Self  Member
 	Store granitehoist.Store
 }
 
-// DefaultTTL is how long an entry outlives its router, and so how long a dead router stays
-// in the views of others: a shorter one costs more writes for renewals, a longer one
-// leaves roles with a dead router for longer.
+// DefaultTTL is the TTL of the lease, and so how long a dead router stays in the views of
+// others. A shorter one costs more renewals, a longer one leaves roles with a dead router
+// for longer.
 const DefaultTTL = 15 * time.Second
 
-// renewalsPerTTL is how often an entry is renewed within its TTL, so that two renewals in
-// a row may fail.
+// renewalsPerTTL is the number of renewals within a TTL. Two of them in a row may fail.
 const renewalsPerTTL = 3
 
-// Registry keeps a router's own entry in the store and its view of the others.
-// While the store does not answer, the last view stays in use. It is safe for
-// concurrent use.
+// Registry maintains a router's entry in the store and its view of the fleet. The last view
+// stays in use while the store is unavailable. It is safe for concurrent use.
 type Registry struct {
 	settings RegistrySettings
-	// refreshing holds a value while a Refresh runs: two at the same time would
-	// each grant a lease, and the entry could be under the one that is not
-	// renewed.
-	refreshing chan struct{}
+	// refreshSlot holds a value while a Refresh runs. Concurrent ones would each grant a
+	// lease, and the entry could have the one that is not renewed.
+	refreshSlot chan struct{}
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// self is what the entry should say, written what was last written under
-	// lease.
+	// self is the desired entry, and written the one last written under lease.
 	self    Member
 	written Member
 	lease   granitehoist.LeaseID
-	// view holds the others and this router as last read.
+	// view holds the members as last read, including this router.
 	view View
 }
 
-// NewRegistry returns a registry whose view holds the router alone. It panics
-// if the settings lack the store or the incarnation.
+// NewRegistry returns a registry whose view holds this router only. It panics if the store
+// or the incarnation is missing in the settings.
 func NewRegistry(s RegistrySettings) *Registry {
 	if s.Store == nil || s.Self.Incarnation == "" {
-		panic("fleet: registry without store or incarnation")
+		panic("fleet: RegistrySettings.Store or Self.Incarnation is missing")
 	}
 	return &Registry{
-		settings:   s,
-		refreshing: make(chan struct{}, 1),
-		self:       s.Self,
-		view:       NewView([]Member{s.Self}),
+		settings:    s,
+		refreshSlot: make(chan struct{}, 1),
+		self:        s.Self,
+		view:        NewView([]Member{s.Self}),
 	}
 }
 
-// View returns the last view.
+// View returns the view of the last successful Refresh.
 func (r *Registry) View() View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.view
 }
 
-// Interval returns how often Refresh should be called.
+// Interval returns the time between two calls of Refresh.
 func (r *Registry) Interval() time.Duration { return DefaultTTL / renewalsPerTTL }
 
-// Refresh renews the router's entry and reads the others'. A router is in the
-// view from its first entry until its lease ends or it removes the entry. The
-// error is that of the store, or names an entry that can't be read; the view
-// then stays as it was. If another Refresh runs, this one waits for it, and
-// returns the context's error if that ends first.
+// Refresh renews the router's entry and updates the view. A router is in the view from its
+// first Refresh until its lease expires or its entry is removed. The error is that of the
+// store, or names an entry that cannot be decoded; the view then stays unchanged. A
+// concurrent Refresh is waited for, and the context's error returned if ctx ends first.
 func (r *Registry) Refresh(ctx context.Context) error {
 	select {
-	case r.refreshing <- struct{}{}:
-		defer func() { <-r.refreshing }()
+	case r.refreshSlot <- struct{}{}:
+		defer func() { <-r.refreshSlot }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -108,17 +103,17 @@
 	return nil
 }
 
-// renewEntry renews the lease, and writes the entry if its lease is new or it has
+// renewEntry renews the lease, and writes the entry if the lease is new or the entry has
 // changed.
 func (r *Registry) renewEntry(ctx context.Context) error {
 	r.mu.Lock()
 	lease, self, changed := r.lease, r.self, r.self != r.written
 	r.mu.Unlock()
-	verdict, err := r.renewLease(ctx, lease, changed)
-	switch verdict {
+	result, err := r.renewLease(ctx, lease, changed)
+	switch result {
 	case renewalFailed:
 		return err
-	case entryUnchanged:
+	case entryCurrent:
 		return nil
 	case needsLease:
 		lease, err = r.settings.Store.GrantLease(ctx, DefaultTTL)
@@ -135,28 +130,28 @@
 	return nil
 }
 
-// renewLease renews a lease if there is one. It returns what has to be done about
-// the entry, and the store's error.
-func (r *Registry) renewLease(ctx context.Context, lease granitehoist.LeaseID, changed bool) (renewal, error) {
+// renewLease renews a lease if there is one. It returns the action that the entry needs, and
+// the store's error.
+func (r *Registry) renewLease(ctx context.Context, lease granitehoist.LeaseID, changed bool) (renewalResult, error) {
 	if lease == "" {
 		return needsLease, nil
 	}
 	err := r.settings.Store.RenewLease(ctx, lease)
-	return decideRenewal(err, changed), err
+	return classifyRenewal(err, changed), err
 }
 
 func (r *Registry) key() string { return KeyPrefix + memberKey(r.settings.Self) }
 
-// memberKey is the part of a member's keys after their prefix.
+// memberKey returns a member's key without the prefix.
 func memberKey(m Member) string {
 	return string(m.Region) + "/" + string(m.Box) + "/" + string(m.Incarnation)
 }
 
-// writeEntry sets the entry. Only this incarnation writes its key.
+// writeEntry writes the entry under a lease. No other incarnation writes this key.
 func (r *Registry) writeEntry(ctx context.Context, lease granitehoist.LeaseID, self Member) error {
 	raw, err := json.Marshal(self)
 	if err != nil {
-		return eris.Wrap(err, "fleet: entry does not encode")
+		return eris.Wrap(err, "fleet: encode entry")
 	}
 	current, err := r.settings.Store.Get(ctx, r.key())
 	if err != nil {
@@ -166,14 +161,15 @@
 	return err
 }
 
-// Leave marks the router as stopping. The next Refresh writes that to the store.
+// Leave marks the router as stopping, so that it takes no roles. The next Refresh writes
+// this to the store.
 func (r *Registry) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.self.Leaving = true
 }
 
-// Remove deletes the router's entries, when it has stopped.
+// Remove deletes the router's entries. It is called after the router has stopped serving.
 func (r *Registry) Remove(ctx context.Context) error {
 	if err := deleteKey(ctx, r.settings.Store, r.key()); err != nil {
 		return err
--- a/fleet/renewal.go
+++ b/fleet/renewal.go
@@ -9,26 +9,26 @@
 	"granitehoist.example/granitehoist"
 )
 
-// renewal is what a refresh does about the router's own entry.
-type renewal int
+// renewalResult is the action that a refresh takes for the router's entry.
+type renewalResult int
 
-// The verdicts on an entry.
+// The results of a renewal.
 const (
-	// entryUnchanged: the lease was renewed, and the entry is as last written.
-	entryUnchanged renewal = iota
-	// needsWrite: the lease was renewed, but the entry has changed.
+	// entryCurrent means that the lease was renewed and the entry has not changed.
+	entryCurrent renewalResult = iota
+	// needsWrite means that the lease was renewed and the entry has changed.
 	needsWrite
-	// needsLease: there is no lease, or it has ended and the store deleted the
-	// entry with it. A new lease is granted and the entry written under it.
+	// needsLease means that there is no lease, or that it has expired and the store has
+	// deleted the entry. A new lease is granted and the entry written under it.
 	needsLease
-	// renewalFailed: the store did not answer, or refused. The lease may still
-	// exist, so that no other is granted; the next refresh renews it again.
+	// renewalFailed means that the store rejected the renewal or did not respond. The lease
+	// may still exist, so the next refresh renews it instead of granting another one.
 	renewalFailed
 )
 
-// decideRenewal decides what follows from an attempt to renew the lease: err is
-// its error, changed says that the entry differs from what was last written.
-func decideRenewal(err error, changed bool) renewal {
+// classifyRenewal returns the action after an attempt to renew the lease. err is the error of
+// the attempt; changed says that the entry differs from the one last written.
+func classifyRenewal(err error, changed bool) renewalResult {
 	switch {
 	case errors.Is(err, granitehoist.ErrNoLease):
 		return needsLease
@@ -37,6 +37,6 @@
 	case changed:
 		return needsWrite
 	default:
-		return entryUnchanged
+		return entryCurrent
 	}
 }
--- a/fleet/renewal_test.go
+++ b/fleet/renewal_test.go
@@ -11,29 +11,30 @@
 	"granitehoist.example/granitehoist"
 )
 
-func expectRenewal(t *testing.T, err error, changed bool, want renewal) {
+func checkRenewal(t *testing.T, err error, changed bool, want renewalResult) {
 	t.Helper()
-	if got := decideRenewal(err, changed); got != want {
-		t.Fatalf("after %v, changed %v: verdict %d, not %d", err, changed, got, want)
+	if got := classifyRenewal(err, changed); got != want {
+		t.Fatalf("after %v, changed %v: got result %d, want %d", err, changed, got, want)
 	}
 }
 
-// TestDecideRenewal checks what a refresh does about the router's own entry.
-func TestDecideRenewal(t *testing.T) {
+// TestClassifyRenewal guards against a second lease while the first may still exist, and
+// against an expired or outdated entry.
+func TestClassifyRenewal(t *testing.T) {
 	cases := []struct {
 		name    string
 		err     error
 		changed bool
-		want    renewal
+		want    renewalResult
 	}{
-		{"renewed", nil, false, entryUnchanged},
-		{"renewed, and the router leaves", nil, true, needsWrite},
-		{"the lease has ended", eris.Wrap(granitehoist.ErrNoLease, "store"), false, needsLease},
-		{"the lease has ended, and the router leaves", granitehoist.ErrNoLease, true, needsLease},
-		{"the store refuses", granitehoist.ErrUnavailable, true, renewalFailed},
-		{"no answer", granitehoist.ErrUnknown, false, renewalFailed},
+		{"renewed", nil, false, entryCurrent},
+		{"renewed, and the router is leaving", nil, true, needsWrite},
+		{"the lease has expired", eris.Wrap(granitehoist.ErrNoLease, "store"), false, needsLease},
+		{"the lease has expired, and the router is leaving", granitehoist.ErrNoLease, true, needsLease},
+		{"the store rejects the renewal", granitehoist.ErrUnavailable, true, renewalFailed},
+		{"no response", granitehoist.ErrUnknown, false, renewalFailed},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { expectRenewal(t, c.err, c.changed, c.want) })
+		t.Run(c.name, func(t *testing.T) { checkRenewal(t, c.err, c.changed, c.want) })
 	}
 }
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -18,7 +18,8 @@
 // HandlerFunc serves one method of a Server.
 type HandlerFunc func(ctx context.Context, params json.RawMessage) (any, error)
 
-// Handle returns a HandlerFunc that decodes the parameters for serve.
+// Handle returns a HandlerFunc that decodes the JSON parameters and calls serve. Parameters
+// that cannot be decoded give the JSON-RPC error CodeInvalidParams.
 func Handle[Params, Result any](serve func(context.Context, Params) (Result, error)) HandlerFunc {
 	return func(ctx context.Context, raw json.RawMessage) (any, error) {
 		var params Params
@@ -35,38 +36,38 @@
 	methods   map[string]HandlerFunc
 	greetings map[string]HandlerFunc
 
-	// mu guards the fields below but for done.
+	// mu guards the fields below except connWaiters.
 	mu       sync.Mutex
 	listener net.Listener
 	conns    map[*jsonrpc2.Conn]struct{}
 	closed   bool
-	// done counts the goroutines that wait for the end of a connection.
-	done sync.WaitGroup
+	// connWaiters counts the goroutines that wait for a connection to end.
+	connWaiters sync.WaitGroup
 }
 
-// ServerSettings configure a Server.
+// ServerSettings configures a Server.
 type ServerSettings struct {
-	// Self is the incarnation that is served; calls for others are refused.
+	// Self is the incarnation of this router; calls addressed to another are rejected.
 	Self granitehoist.Incarnation
 	// Methods holds the handlers by method name.
 	Methods map[string]HandlerFunc
-	// Greetings holds the handlers of methods that a caller may use before it
-	// knows the incarnation at an address; their replies must name it. A name must
-	// not be in both maps.
+	// Greetings holds the handlers of methods that a caller may use before it knows the
+	// incarnation at an address; their replies must name it. A method must not be in both
+	// maps.
 	Greetings map[string]HandlerFunc
 }
 
-// NewServer returns a server that does not listen yet. It panics if the
-// settings have no incarnation.
+// NewServer returns a server that is not serving yet. It panics if Self is missing in the
+// settings.
 func NewServer(s ServerSettings) *Server {
 	if s.Self == "" {
-		panic("fleet: server without incarnation")
+		panic("fleet: ServerSettings.Self is missing")
 	}
 	return &Server{self: s.Self, methods: s.Methods, greetings: s.Greetings, conns: map[*jsonrpc2.Conn]struct{}{}}
 }
 
-// Serve accepts connections from a listener until Close, and returns nil then. It
-// returns the listener's error if that fails before. If Close was called already,
+// Serve accepts connections from a listener until Close is called, and then returns nil. It
+// returns the listener's error if accepting fails before. If Close has already been called,
 // it closes the listener and returns.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
@@ -94,19 +95,19 @@
 	return s.closed
 }
 
-// startConn serves the calls of a connection, each on a goroutine of its own,
-// until it ends. A connection that was accepted while Close ran is closed at once.
+// startConn serves the calls of a connection until it ends, each on its own goroutine. A
+// connection that was accepted during Close is closed at once.
 func (s *Server) startConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
-		discard(conn)
+		closeQuietly(conn)
 		return
 	}
 	handler := jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(s.handle))
 	c := jsonrpc2.NewConn(context.Background(), newStream(conn), handler, jsonrpc2.SetLogger(discardLog))
 	s.conns[c] = struct{}{}
-	s.done.Go(func() {
+	s.connWaiters.Go(func() {
 		<-c.DisconnectNotify()
 		s.mu.Lock()
 		delete(s.conns, c)
@@ -114,8 +115,8 @@
 	})
 }
 
-// handle runs one call. Methods are refused to callers that name another
-// incarnation; greetings are not, since by them a caller learns the incarnation.
+// handle runs one call. It rejects calls addressed to another incarnation, except greetings,
+// by which a caller learns the incarnation.
 func (s *Server) handle(ctx context.Context, _ *jsonrpc2.Conn, r *jsonrpc2.Request) (any, error) {
 	serve, ok := s.methods[r.Method]
 	greeting := false
@@ -130,22 +131,22 @@
 		return nil, &jsonrpc2.Error{Code: jsonrpc2.CodeInvalidParams, Message: err.Error()}
 	}
 	if e.To != s.self && !greeting {
-		return nil, &jsonrpc2.Error{Code: codeOtherIncarnation, Message: "this is router " + string(s.self) + " and not " + string(e.To)}
+		return nil, &jsonrpc2.Error{Code: otherIncarnationCode, Message: "this is router " + string(s.self) + " and not " + string(e.To)}
 	}
 	return serve(ctx, e.Params)
 }
 
-// Close closes the listener and all connections, and waits until they have
-// ended. Calls in progress go on and their replies are lost.
+// Close closes the listener and all connections, and waits until they have ended. Calls in
+// progress continue, but their replies are lost.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
 	if s.listener != nil {
-		discard(s.listener)
+		closeQuietly(s.listener)
 	}
 	for c := range s.conns {
-		discard(c)
+		closeQuietly(c)
 	}
 	s.mu.Unlock()
-	s.done.Wait()
+	s.connWaiters.Wait()
 }
--- a/fleet/serving.go
+++ b/fleet/serving.go
@@ -13,15 +13,14 @@
 	"granitehoist.example/granitehoist/store"
 )
 
-// Enroll enters the router among those that may serve. It must succeed before the
-// router reads the documents by which it serves, and before its first request.
-// The entry has no lease, since a router that is cut off from the store goes on
-// serving. The error is that of the store; the entry may have been written in
-// spite of it, and Enroll can be called again.
+// Enroll adds the router to those that may serve. It must succeed before the router reads
+// its configuration and before its first request. The entry has no lease, since a router
+// without a connection to the store continues to serve. The error is that of the store; the
+// entry may have been written nevertheless, and Enroll can be called again.
 func (r *Registry) Enroll(ctx context.Context) error {
 	raw, err := json.Marshal(r.settings.Self)
 	if err != nil {
-		return eris.Wrap(err, "fleet: entry does not encode")
+		return eris.Wrap(err, "fleet: encode entry")
 	}
 	key := ServingPrefix + memberKey(r.settings.Self)
 	current, err := r.settings.Store.Get(ctx, key)
@@ -32,14 +31,14 @@
 	return err
 }
 
-// Serving returns the routers that may serve, live or not.
+// Serving returns the routers that may serve, whether live or not. It returns an error if
+// any entry cannot be decoded.
 func Serving(ctx context.Context, s granitehoist.Store) ([]Member, error) {
 	return readMembers(ctx, s, ServingPrefix)
 }
 
-// Withdraw removes a router from those that may serve. It is called by the
-// router itself when it has stopped, or by another when the platform or an
-// operator says that the router has ended.
+// Withdraw removes a router from those that may serve. The router itself calls it after it
+// has stopped, or another one if the platform or an operator reports its end.
 func Withdraw(ctx context.Context, s granitehoist.Store, m Member) error {
 	return deleteKey(ctx, s, ServingPrefix+memberKey(m))
 }
--- a/fleet/suite_test.go
+++ b/fleet/suite_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// stepTimeout bounds a step of a test, also while the computer is busy.
+// stepTimeout bounds a call or an Eventually; it leaves room for slow machines.
 const stepTimeout = 20 * time.Second
 
 func TestFleet(t *testing.T) {
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -11,37 +11,37 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Member is a router as it enters itself in the store.
+// Member is the entry of a router in the store.
 type Member struct {
 	Box         granitehoist.Box              `json:"box"`
 	Incarnation granitehoist.Incarnation      `json:"incarnation"`
 	Partner     granitehoist.Partner          `json:"partner"`
 	Region      granitehoist.Region           `json:"region"`
 	Zone        granitehoist.AvailabilityZone `json:"place"`
-	// Peers is the address for calls between routers.
+	// Peers is the TCP address, host:port, for calls between routers.
 	Peers string `json:"peers"`
 	// Leaving says that the router is stopping and takes no roles.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Peer returns the member as the receiver of calls.
+// Peer returns the incarnation and address for calls to the member.
 func (m Member) Peer() granitehoist.Peer {
 	return granitehoist.Peer{Incarnation: m.Incarnation, Address: m.Peers}
 }
 
-// View is the list of routers as one router last read it. It does not change.
+// View is an immutable list of members as one router last read it. The zero value is empty.
 type View struct {
 	members []Member
 }
 
-// NewView returns a view of members, in a fixed order.
+// NewView returns a view of the members, sorted by incarnation.
 func NewView(members []Member) View {
 	sorted := append([]Member(nil), members...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].Incarnation < sorted[j].Incarnation })
 	return View{members: sorted}
 }
 
-// Members returns all members.
+// Members returns the members sorted by incarnation. The caller must not change the slice.
 func (v View) Members() []Member { return v.members }
 
 // Region returns the members of a region.
@@ -55,9 +55,9 @@
 	return members
 }
 
-// Holder returns the member of a region that acts in a role, by rendezvous
-// hashing (D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase
-// Hit Rates", 1998). It returns false if all members of the region leave.
+// Holder returns the member of a region that acts in a role, by rendezvous hashing
+// (D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998).
+// It returns false if the region has no members or all of them are leaving.
 func (v View) Holder(r granitehoist.Region, role string) (Member, bool) {
 	var best Member
 	var bestWeight uint64
