--- a/follow/copy.go
+++ b/follow/copy.go
@@ -29,7 +29,8 @@
 	confirmedAt time.Time
 	// populated says that a first update of the store or another router has been applied.
 	populated bool
-	// deletions holds all deletions after the version deletionsFrom, oldest first.
+	// deletions holds the newest deletions, oldest first. It includes all that are newer
+	// than deletionsFrom.
 	deletions     []granitehoist.Entry
 	deletionsFrom granitehoist.Version
 	// changeSignal is closed and replaced at each change.
@@ -72,8 +73,8 @@
 	return changed
 }
 
-// sortedByVersion returns the entries by ascending version. An update lists its deletions
-// last, although a key may have been written again after its deletion.
+// sortedByVersion returns the entries by ascending version. An update may list a deletion
+// after the later rewrite of the same key; in that order it would remove the new entry.
 func sortedByVersion(entries []granitehoist.Entry) []granitehoist.Entry {
 	return slices.SortedStableFunc(slices.Values(entries), func(a, b granitehoist.Entry) int {
 		return cmp.Compare(a.Version, b.Version)
--- a/follow/relay_test.go
+++ b/follow/relay_test.go
@@ -31,27 +31,27 @@
 	return &network{followers: map[string]*follow.Follower{}, disconnected: map[string]bool{}, calls: map[string]int{}}
 }
 
-func (l *network) updates(ctx context.Context, to granitehoist.Peer, _ string, after granitehoist.Version, wait time.Duration) (follow.Update, error) {
-	l.mu.Lock()
-	l.calls[to.Address]++
-	f, broken := l.followers[to.Address], l.disconnected[to.Address]
-	l.mu.Unlock()
-	if broken || f == nil {
+func (n *network) updates(ctx context.Context, to granitehoist.Peer, _ string, after granitehoist.Version, wait time.Duration) (follow.Update, error) {
+	n.mu.Lock()
+	n.calls[to.Address]++
+	f, disconnected := n.followers[to.Address], n.disconnected[to.Address]
+	n.mu.Unlock()
+	if disconnected || f == nil {
 		return follow.Update{}, errors.New("unreachable")
 	}
 	return f.Updates(ctx, after, wait), nil
 }
 
-func (l *network) disconnect(address string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.disconnected[address] = true
+func (n *network) disconnect(address string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.disconnected[address] = true
 }
 
-func (l *network) callsTo(address string) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.calls[address]
+func (n *network) callsTo(address string) int {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.calls[address]
 }
 
 // watchCounter counts the watches of a store, including those that fail.
@@ -207,9 +207,9 @@
 		relay := run("relay", follow.Settings{Store: store})
 		at := write("p/a", "1")
 		Eventually(values(relay)).Should(ConsistOf("1"))
-		began := time.Now()
+		startedAt := time.Now()
 		Expect(relay.Updates(context.Background(), at, 50*time.Millisecond).Entries).To(BeEmpty())
-		Expect(time.Since(began)).To(BeNumerically(">=", 50*time.Millisecond))
+		Expect(time.Since(startedAt)).To(BeNumerically(">=", 50*time.Millisecond))
 		go func() {
 			defer GinkgoRecover()
 			write("p/a", "2")
--- a/suspect/evidence.go
+++ b/suspect/evidence.go
@@ -50,11 +50,10 @@
 
 // evidence is the set of crashes under one request. The zero value is empty.
 //
-// Crashes are counted in rounds: those of attempts sent without knowledge of each other form
-// one round, since one loss of power may crash every upstream that runs the request. Early
-// crashes have rounds of their own, and fewer of them suffice, since unrelated crashes mostly
-// hit streams in progress. Evidence of several routers is merged by union, so that the order
-// and repetition of messages do not matter.
+// Crashes of attempts sent without knowledge of each other form one round, since a loss of
+// power may crash every upstream that runs the request. Early crashes have rounds of their
+// own, and fewer of them suffice: unrelated crashes mostly hit streams in progress.
+// Evidence of several routers is merged by union, in any order.
 type evidence struct {
 	// crashes has at most one entry for each incarnation and maxCrashes in total, ordered
 	// by descending open round.
--- a/suspect/table_test.go
+++ b/suspect/table_test.go
@@ -211,7 +211,7 @@
 	})
 })
 
-var _ = Describe("A full table", func() {
+var _ = Describe("A table with many suspects", func() {
 	const maxEntries = 64
 
 	It("stays bounded and does not evict a request of a higher round", func() {
