--- a/partner/policy/doc.go
+++ b/partner/policy/doc.go
@@ -1,20 +1,20 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package policy decides whether a request may run, by the operators' short
-// programs in the Common Expression Language (CEL).
+// Package policy decides whether a request may run and with which priority. The
+// rules are short programs in the Common Expression Language (CEL), written by
+// operators and evaluated with the library cel-go.
 //
-// A policy has two programs over the same named, typed inputs: permit, a
-// boolean, and priority, an integer. The inputs are listed at Request. A
-// program that costs more than costLimit steps, or that fails, denies.
+// A Policy has two programs over the same typed variables, which Request lists:
+// permit yields a boolean and priority an integer. A program that fails, or whose
+// evaluation costs more than costLimit, denies the request.
 //
-// It runs in 'granitehoist router', where config.View asks the policies of the
-// documents in force, and in 'granitehoist check'. granitehoist-edge has no
-// policies.
+// 'granitehoist router' evaluates the policies of the active configuration through
+// config.View, and 'granitehoist check' compiles those of a configuration to be
+// checked. granitehoist-edge has no policies.
 //
-// State. There is none: a compiled Policy does not change and is safe for
-// concurrent use, and the time comes with the request. The package relies on the
-// library cel-go.
+// The package keeps no state. A compiled Policy is immutable and safe for
+// concurrent use, and the time of day is part of the request.
 //
-// Begin with Set.Decide, the rule over several policies, and Policy.Decide.
+// Begin with Set.Decide, which combines several policies, and Policy.Decide.
 package policy
--- a/partner/policy/policy.go
+++ b/partner/policy/policy.go
@@ -11,20 +11,20 @@
 	"granitehoist.example/granitehoist"
 )
 
-// costLimit bounds the cost of one program in CEL's own cost units, about one for each
+// costLimit bounds the cost of one evaluation in CEL cost units, about one for each
 // operation.
 const costLimit = 10_000
 
-// MaxProgramSize bounds the length of one program in bytes.
+// MaxProgramSize is the maximum length of one program in bytes.
 const MaxProgramSize = 4096
 
-// Source is the text of a policy.
+// Source holds the program texts of a policy.
 type Source struct {
 	Name string
 	// Permit is a CEL program that yields a boolean.
 	Permit string
-	// Priority is a CEL program that yields an integer; empty stands for
-	// "priority", the one that the caller asked for.
+	// Priority is a CEL program that yields an integer. If it is empty, the
+	// request's own priority is used.
 	Priority string
 }
 
@@ -41,13 +41,13 @@
 	priority cel.Program
 }
 
-// Fault describes what is wrong with one program of a policy.
+// Fault is the error of a program that does not compile or that fails in evaluation.
 type Fault struct {
 	// Policy is the policy's name.
 	Policy string
 	// Program is "permit" or "priority".
 	Program string
-	// Reason says what is wrong.
+	// Reason is the description of the error.
 	Reason string
 }
 
@@ -56,11 +56,11 @@
 	return fmt.Sprintf("policy %q, program %s: %s", f.Policy, f.Program, f.Reason)
 }
 
-// defaultPriorityProgram keeps the priority that the caller asked for.
+// defaultPriorityProgram yields the request's own priority.
 const defaultPriorityProgram = "priority"
 
-// New compiles a policy. It returns a *Fault if a program does not compile or
-// yields another type than it should.
+// New compiles a policy. It returns a *Fault if a program is too long, does not
+// compile or yields the wrong type, or if the permit program is empty.
 func New(source Source) (*Policy, error) {
 	permit, err := compile(source.Name, "permit", source.Permit, cel.BoolType)
 	if err != nil {
@@ -77,8 +77,8 @@
 	return &Policy{name: source.Name, permit: permit, priority: priority}, nil
 }
 
-// compile checks one program and prepares it. want is the type that it must
-// yield.
+// compile parses one program, checks that it yields the type want and returns it
+// ready for evaluation.
 func compile(policy, program, text string, want *cel.Type) (cel.Program, error) {
 	fault := func(format string, args ...any) error {
 		return &Fault{Policy: policy, Program: program, Reason: fmt.Sprintf(format, args...)}
@@ -103,15 +103,15 @@
 	return compiled, nil
 }
 
-// firstIssue returns where and why a program does not compile, on one line.
+// firstIssue formats the first compile error with its position on one line.
 func firstIssue(issues *cel.Issues) string {
 	first := issues.Errors()[0]
 	return fmt.Sprintf("line %d, column %d: %s", first.Location.Line(), first.Location.Column()+1, first.Message)
 }
 
-// Decide evaluates the policy. A program that fails or costs too much yields
-// an error with code PolicyFailed; the request is then to be denied. A priority
-// out of range becomes the nearest one in range.
+// Decide evaluates the policy for a request. If a program fails or exceeds the cost
+// limit, it returns an error with code PolicyFailed, and the caller must deny the
+// request. A priority out of range is clamped.
 func (p *Policy) Decide(r Request) (Decision, error) {
 	vars := r.variables()
 	permit, err := p.evaluate("permit", p.permit, vars)
@@ -125,12 +125,13 @@
 	if err != nil {
 		return Decision{}, err
 	}
-	// New has made sure that the program yields an integer, which CEL gives as an
-	// int64.
+	// New has checked that the program yields an integer, which CEL represents as
+	// an int64.
 	number, _ := value.(int64)
 	return Decision{Permit: true, Priority: clamp(number)}, nil
 }
 
+// evaluate runs one compiled program and returns its value as a Go value.
 func (p *Policy) evaluate(program string, compiled cel.Program, vars map[string]any) (any, error) {
 	value, _, err := compiled.Eval(vars)
 	if err != nil {
@@ -140,6 +141,7 @@
 	return value.Value(), nil
 }
 
+// clamp returns the priority in range that is nearest to number.
 func clamp(number int64) granitehoist.Priority {
 	return granitehoist.Priority(min(max(number, int64(granitehoist.MinPriority)), int64(granitehoist.MaxPriority)))
 }
--- a/partner/policy/request.go
+++ b/partner/policy/request.go
@@ -11,29 +11,28 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Request holds the inputs of a policy. Each field is the CEL variable named
-// in its comment.
+// Request holds the attributes of a request that a policy can test. The comment of
+// each field names its CEL variable.
 type Request struct {
 	Workspace  granitehoist.Workspace        // workspace: string
 	Service    granitehoist.Service          // service: string
 	Model      granitehoist.Model            // model: string, "" for a plain service
 	Partner    granitehoist.Partner          // partner: string, the caller's partner
-	Owner      granitehoist.Partner          // owner: string, the partner whose capacity is asked for
+	Owner      granitehoist.Partner          // owner: string, the partner whose capacity is requested
 	Zone       granitehoist.AvailabilityZone // place: string, the availability zone of the router
-	Priority   granitehoist.Priority         // priority: int, as the caller asked
+	Priority   granitehoist.Priority         // priority: int, as requested by the caller
 	PromptSize int                           // prompt_size: int, bytes
 	MaxOutput  granitehoist.Tokens           // max_output: int, tokens
 	Budget     string                        // budget: string, the name within the workspace
-	// Time gives hour (int, 0 to 23) and weekday (int, Sunday is 0), in the
-	// location that the time carries.
+	// Time provides hour (int, 0 to 23) and weekday (int, Sunday is 0) in its own
+	// time zone.
 	Time time.Time
 }
 
-// environment declares the variables that variables gives.
+// environment declares the CEL variables that Request.variables fills in.
 var environment = newEnvironment()
 
-// newEnvironment panics if a declaration is wrong, which a test of any policy
-// would show.
+// newEnvironment panics if a declaration is invalid, which is a programming error.
 func newEnvironment() *cel.Env {
 	env, err := cel.NewEnv(
 		cel.Variable("workspace", cel.StringType),
@@ -55,7 +54,7 @@
 	return env
 }
 
-// variables returns the values of the declared variables.
+// variables returns the values of the CEL variables by name.
 func (r Request) variables() map[string]any {
 	return map[string]any{
 		"workspace":   string(r.Workspace),
--- a/partner/policy/set.go
+++ b/partner/policy/set.go
@@ -5,14 +5,14 @@
 
 import "granitehoist.example/granitehoist"
 
-// Set is the policies of one partner for one use: its own workspaces, or its
-// capacity lent to the other partner's workspaces.
+// Set holds the policies of one partner for one use: either requests of its own
+// workspaces, or requests of the other partner's workspaces on its capacity.
 type Set []*Policy
 
-// Decide permits a request if the set has a policy and every policy of it
-// permits: without a policy nothing may run, and no policy can allow what another
-// denies. For the same reason the priority is the lowest that any of them gives. Denial returns an error with code PolicyDenied or
-// PolicyFailed. The time of day is r.Time; nothing else is read.
+// Decide permits a request if the set is not empty and every policy in it permits
+// the request. It returns the lowest priority that any of the policies yields. A
+// denied request yields an error with code PolicyDenied, and a failed program one
+// with code PolicyFailed.
 func (s Set) Decide(r Request) (granitehoist.Priority, error) {
 	if len(s) == 0 {
 		return 0, granitehoist.Errorf(granitehoist.PolicyDenied, "no policy permits workspace %s of %s on %s of %s", r.Workspace, r.Partner, r.Service, r.Owner)
@@ -24,7 +24,7 @@
 			return 0, err
 		}
 		if !d.Permit {
-			return 0, granitehoist.Errorf(granitehoist.PolicyDenied, "policy %s of this request's partners", p.name)
+			return 0, granitehoist.Errorf(granitehoist.PolicyDenied, "request denied by policy %s", p.name)
 		}
 		priority = min(priority, d.Priority)
 	}
