--- a/partner/policy/set.go
+++ b/partner/policy/set.go
@@ -24,7 +24,7 @@
 			return 0, err
 		}
 		if !d.Permit {
-			return 0, granitehoist.Errorf(granitehoist.PolicyDenied, "request denied by policy %s", p.name)
+			return 0, granitehoist.Errorf(granitehoist.PolicyDenied, "policy %s", p.name)
 		}
 		priority = min(priority, d.Priority)
 	}
--- a/partner/route/bench_test.go
+++ b/partner/route/bench_test.go
@@ -10,7 +10,7 @@
 	"granitehoist.example/granitehoist/partner/route"
 )
 
-// BenchmarkAcquire is one choice among a service's upstreams.
+// BenchmarkAcquire measures the choice among a service's upstreams.
 func BenchmarkAcquire(b *testing.B) {
 	for _, count := range []int{12, 200, 10000} {
 		b.Run(fmt.Sprintf("upstreams=%d", count), func(b *testing.B) {
--- a/partner/route/doc.go
+++ b/partner/route/doc.go
@@ -4,27 +4,26 @@
 // Package route chooses the upstream of each attempt, for package gate in
 // 'granitehoist router'.
 //
-// Requests with the same prefix go to the same upstream, whose prefix cache then
-// serves them, without exchange between routers: the prefix of the prompt is
-// hashed onto a ring of the service's upstreams, and every router computes
-// the same ring. The load bound of V. Mirrokni, M. Thorup and M. Zadimoghaddam,
-// "Consistent Hashing with Bounded Loads", 2018, passes a request on to the next
-// on the ring when the first has more than its part of this router's requests.
-// Requests without such a prefix go to the lighter of two random upstreams.
+// Requests with the same prompt prefix go to the same upstream, so that its prefix
+// cache can serve them. The prefix is hashed onto a consistent-hash ring of the
+// service's upstreams, which every router computes identically without any exchange
+// between them. Loads are bounded as in V. Mirrokni, M. Thorup and M. Zadimoghaddam,
+// "Consistent Hashing with Bounded Loads", 2018: if the first upstream has more than
+// its share of this router's requests, the next one on the ring is chosen. Requests
+// without an affinity go to the less loaded of two random upstreams.
 //
-// An upstream that refuses or fails is left out for a time that doubles with
-// each failure. Requests for which no upstream has room wait by priority until
-// their deadline.
+// An upstream that refuses or fails requests is ejected for a time that doubles with
+// each consecutive failure. Requests for which no upstream has capacity wait in a
+// priority queue until their deadline.
 //
-// State. A Table owns, under its one lock, the requests in progress and the
-// failures of each upstream, as this router sees them, and the requests that
-// wait. It makes no calls: its callers pass the upstreams, the time and the
-// results.
+// A Table guards all state with one lock: the requests in flight and the failures of
+// each upstream, as seen by this router, and the queued requests. It makes no calls;
+// its callers provide the upstreams, the time and the results.
 //
-// Begin with Table.Acquire and Slot.Done; the rules are servicePool.choose,
-// loadLimit (ring.go), ejection and the order of queue.
+// Begin with Table.Acquire and Slot.Done. The decisions are made in
+// servicePool.choose, loadLimit, ejectionTime and the order of queue.
 //
-// Package balance has the same duty in granitehoist-edge. There instances announce
-// themselves, and the choice is by estimated wait; here the documents list the
-// upstreams, and the choice is by the requests that this router has there.
+// Package balance chooses instances for granitehoist-edge, where instances register
+// themselves and the choice is by estimated wait. Here the configuration lists the
+// upstreams, and the choice is by the requests that this router has in flight.
 package route
--- a/partner/route/ejection.go
+++ b/partner/route/ejection.go
@@ -6,19 +6,17 @@
 import "time"
 
 const (
-	// firstEjection is how long an upstream is left out after its first failure in a row.
-	firstEjection = 500 * time.Millisecond
-	// maxEjection bounds it.
-	maxEjection = 30 * time.Second
-	// maxEjectionDoublings keeps the doubling from overflowing; it is reached
-	// beyond maxEjection, and so changes nothing else.
+	// baseEjectionTime is the ejection time after the first failure.
+	baseEjectionTime = 500 * time.Millisecond
+	// maxEjectionTime bounds the ejection time.
+	maxEjectionTime = 30 * time.Second
+	// maxEjectionDoublings prevents overflow. The result exceeds maxEjectionTime
+	// before this many doublings.
 	maxEjectionDoublings = 10
 )
 
-// ejection decides how long an upstream is left out after a number of failures
-// in a row, one or more: twice as long after each, so that one failure costs
-// little and an upstream that is down is rarely tried. If all upstreams of a service
-// are left out, the one whose time ends first is tried anyway.
-func ejection(failures int) time.Duration {
-	return min(maxEjection, firstEjection<<min(failures-1, maxEjectionDoublings))
+// ejectionTime returns how long an upstream is ejected after a number of consecutive
+// failures, which must be positive. The time doubles with each failure.
+func ejectionTime(failures int) time.Duration {
+	return min(maxEjectionTime, baseEjectionTime<<min(failures-1, maxEjectionDoublings))
 }
--- a/partner/route/export_test.go
+++ b/partner/route/export_test.go
@@ -5,7 +5,7 @@
 
 import "granitehoist.example/granitehoist"
 
-// InFlight returns the requests in progress at an upstream.
+// InFlight returns the number of requests in flight at an upstream.
 func (t *Table) InFlight(u granitehoist.Upstream) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -15,7 +15,7 @@
 	return 0
 }
 
-// Waiting returns the number of a service's requests that wait.
+// Waiting returns the number of queued requests of a service.
 func (t *Table) Waiting(s granitehoist.Service) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/partner/route/pool.go
+++ b/partner/route/pool.go
@@ -13,91 +13,91 @@
 	"granitehoist.example/granitehoist/internal/pushback"
 )
 
-// servicePool is the upstreams of one service, prepared for choosing. It belongs
-// to one Table, whose lock guards it.
+// servicePool holds the upstreams of one service and its queue. It is guarded by the
+// lock of its Table.
 type servicePool struct {
 	targets []Target
 	members []*member
-	// ring holds the points of the members, by their hashes.
+	// ring holds the hash points of the members in ascending order.
 	ring []point
-	// inFlight is the requests in progress at all members together.
+	// inFlight is the number of requests in flight at all members.
 	inFlight int
 	waiters  queue
-	// next is the pool that replaced this one; nil for the current pool.
-	next *servicePool
+	// successor is the pool that replaced this one; nil for the current pool.
+	successor *servicePool
 }
 
-// current returns the newest pool of the same service.
+// current returns the service's latest pool.
 func (p *servicePool) current() *servicePool {
-	for p.next != nil {
-		p = p.next
+	for p.successor != nil {
+		p = p.successor
 	}
 	return p
 }
 
-// has reports whether a member is one of the pool's.
-func (p *servicePool) has(m *member) bool { return slices.Contains(p.members, m) }
+// contains reports whether m is a member of the pool.
+func (p *servicePool) contains(m *member) bool { return slices.Contains(p.members, m) }
 
-// member is one upstream. It outlives pools, so that its requests in progress
-// and its failures are kept when the documents change.
+// member is the state of one upstream. It is shared by successive pools, so that a
+// change of configuration keeps its requests in flight and its failures.
 type member struct {
 	Target
 	inFlight int
-	// failures counts those in a row.
+	// failures is the number of consecutive failures.
 	failures int
-	// ejectedUntil is when it may be chosen again.
+	// ejectedUntil is when the ejection ends.
 	ejectedUntil time.Time
-	// rest is what it has asked this router for.
-	rest pushback.Rest
-	// leaving members get no new requests at all.
-	leaving bool
+	// backoff is the pause in requests that the upstream asked this router for.
+	backoff pushback.Rest
+	// draining members get no new requests.
+	draining bool
 }
 
-// hasRoom reports whether a member may take one more request now. limit bounds
-// its requests in progress beside its own Concurrency.
-func (m *member) hasRoom(limit int, tried map[granitehoist.Upstream]bool, now time.Time) bool {
-	return !m.leaving && m.rest.Admits(now) && m.inFlight < min(m.Concurrency, limit) && !now.Before(m.ejectedUntil) && !tried[m.Name]
+// available reports whether a member may take one more request now. limit bounds its
+// requests in flight in addition to Concurrency.
+func (m *member) available(limit int, tried map[granitehoist.Upstream]bool, now time.Time) bool {
+	return !m.draining && m.backoff.Admits(now) && m.inFlight < min(m.Concurrency, limit) && !now.Before(m.ejectedUntil) && !tried[m.Name]
 }
 
-// choose decides which upstream takes a request: the one on the ring that
-// requests of the same affinity share, within the load bound, or else the
-// lightest. It returns nil if none has room.
+// choose returns the member for a request: the one on the ring for its affinity,
+// within the load bound, or else the least loaded. It returns nil if none is
+// available.
 func (p *servicePool) choose(w Want, random *rand.Rand, now time.Time) *member {
 	if len(p.members) == 0 {
 		return nil
 	}
 	if w.Affinity != 0 {
-		if m := p.byRing(w, loadLimit(p.inFlight, len(p.members)), now); m != nil {
+		if m := p.firstOnRing(w, loadLimit(p.inFlight, len(p.members)), now); m != nil {
 			return m
 		}
 	}
-	if m := p.lightest(w, random, now); m != nil {
+	if m := p.leastLoaded(w, random, now); m != nil {
 		return m
 	}
 	return p.scan(w, now)
 }
 
-// byRing returns the first member with room, beginning at the point of an
-// affinity.
-func (p *servicePool) byRing(w Want, limit int, now time.Time) *member {
+// firstOnRing returns the first available member on the ring, beginning at the point of
+// the request's affinity. It returns nil if there is none within maxRingProbes points.
+func (p *servicePool) firstOnRing(w Want, limit int, now time.Time) *member {
 	start := sort.Search(len(p.ring), func(i int) bool { return p.ring[i].hash >= w.Affinity })
-	for step := range min(ringSteps, len(p.ring)) {
-		m := p.members[p.ring[(start+step)%len(p.ring)].member]
-		if m.hasRoom(limit, w.Tried, now) {
+	for probe := range min(maxRingProbes, len(p.ring)) {
+		m := p.members[p.ring[(start+probe)%len(p.ring)].member]
+		if m.available(limit, w.Tried, now) {
 			return m
 		}
 	}
 	return nil
 }
 
-// smallPool is the number of members up to which all are looked at.
-const smallPool = 16
+// maxFullScan is the largest pool in which leastLoaded examines every member.
+const maxFullScan = 16
 
-// lightest returns the member with room and the fewest requests: of all in a
-// small pool, of two random ones in a large one (M. Mitzenmacher, "The Power of
-// Two Choices in Randomized Load Balancing", 1996).
-func (p *servicePool) lightest(w Want, random *rand.Rand, now time.Time) *member {
-	if len(p.members) <= smallPool {
+// leastLoaded returns the available member with the fewest requests: among all in a
+// small pool, among two random ones in a large one (M. Mitzenmacher, "The Power of Two
+// Choices in Randomized Load Balancing", 1996). It returns nil if none is available.
+func (p *servicePool) leastLoaded(w Want, random *rand.Rand, now time.Time) *member {
+	if len(p.members) <= maxFullScan {
 		return p.scan(w, now)
 	}
 	a, b := p.members[random.IntN(len(p.members))], p.members[random.IntN(len(p.members))]
@@ -105,32 +105,33 @@
 		a, b = b, a
 	}
 	for _, m := range []*member{a, b} {
-		if m.hasRoom(m.Concurrency, w.Tried, now) {
+		if m.available(m.Concurrency, w.Tried, now) {
 			return m
 		}
 	}
 	return nil
 }
 
-// scan returns the member with room and the fewest requests among all.
+// scan returns the available member with the fewest requests among all, or nil.
 func (p *servicePool) scan(w Want, now time.Time) *member {
 	var best *member
 	for _, m := range p.members {
-		if m.hasRoom(m.Concurrency, w.Tried, now) && (best == nil || m.inFlight < best.inFlight) {
+		if m.available(m.Concurrency, w.Tried, now) && (best == nil || m.inFlight < best.inFlight) {
 			best = m
 		}
 	}
 	return best
 }
 
-// firstReturning returns the untried member that returns first, if every
-// untried member is left out for failures or rests, and whether there is an untried member at all.
-func (p *servicePool) firstReturning(w Want, now time.Time) (first *member, untried bool) {
+// earliestReadmission returns the untried member whose ejection ends first, if every
+// untried member is ejected or backing off. untried says whether there is an untried
+// member at all.
+func (p *servicePool) earliestReadmission(w Want, now time.Time) (first *member, untried bool) {
 	for _, m := range p.members {
-		if m.leaving || w.Tried[m.Name] {
+		if m.draining || w.Tried[m.Name] {
 			continue
 		}
-		if !m.rest.Admits(now) {
+		if !m.backoff.Admits(now) {
 			untried = true
 			continue
 		}
@@ -144,20 +145,20 @@
 	return first, untried || first != nil
 }
 
-// restsUntil returns the time until the first rest ends, if every member that may be chosen
-// rests, and false otherwise.
-func (p *servicePool) restsUntil(w Want, now time.Time) (left time.Duration, all bool) {
+// shortestBackoff returns the time until the first backoff ends and true, if every
+// untried member that is not draining is backing off.
+func (p *servicePool) shortestBackoff(w Want, now time.Time) (remaining time.Duration, all bool) {
 	for _, m := range p.members {
-		if m.leaving || w.Tried[m.Name] {
+		if m.draining || w.Tried[m.Name] {
 			continue
 		}
-		rest := m.rest.Left(now)
-		if rest == 0 {
+		wait := m.backoff.Left(now)
+		if wait == 0 {
 			return 0, false
 		}
-		if !all || rest < left {
-			left, all = rest, true
+		if !all || wait < remaining {
+			remaining, all = wait, true
 		}
 	}
-	return left, all
+	return remaining, all
 }
--- a/partner/route/queue.go
+++ b/partner/route/queue.go
@@ -11,25 +11,29 @@
 	"granitehoist.example/granitehoist"
 )
 
-// queue holds the requests of a service that wait for room, the highest
-// priority first and then in order of arrival.
+// queue holds the requests of a service that wait for capacity, ordered by descending
+// priority and then by arrival.
 type queue []*waiter
 
+// waiter is a queued request.
 type waiter struct {
 	want Want
-	// slot takes the one slot that the waiter is given.
-	slot chan *Slot
+	// granted receives the slot of the request. It is buffered, so that serveQueue does not
+	// block.
+	granted chan *Slot
 }
 
+// add inserts a request behind those of the same or a higher priority.
 func (q *queue) add(w Want) *waiter {
-	added := &waiter{want: w, slot: make(chan *Slot, 1)}
-	at := sort.Search(len(*q), func(i int) bool { return (*q)[i].want.Priority < w.Priority })
+	added := &waiter{want: w, granted: make(chan *Slot, 1)}
+	pos := sort.Search(len(*q), func(i int) bool { return (*q)[i].want.Priority < w.Priority })
 	*q = append(*q, nil)
-	copy((*q)[at+1:], (*q)[at:])
-	(*q)[at] = added
+	copy((*q)[pos+1:], (*q)[pos:])
+	(*q)[pos] = added
 	return added
 }
 
+// remove deletes a waiter, if it is still queued.
 func (q *queue) remove(w *waiter) {
 	for i, other := range *q {
 		if other == w {
@@ -39,34 +43,36 @@
 	}
 }
 
-// serveQueue gives room to waiting requests, in order. It ends at the first that
-// gets none, since those behind it would get none either, unless that one is a
-// retry: upstreams that it has tried may have room for the others.
+// serveQueue assigns free capacity to queued requests in order. It stops at the first
+// request without an available upstream, unless that request is a retry: the upstreams
+// that a retry excludes may be available to the requests behind it. The caller holds
+// mu.
 func (t *Table) serveQueue(p *servicePool, now time.Time) {
-	for at := 0; at < len(p.waiters); {
-		w := p.waiters[at]
-		// Whether the waiter could get room at another time doesn't matter here: it
-		// waits until its deadline.
+	for i := 0; i < len(p.waiters); {
+		w := p.waiters[i]
+		// A request that can't be assigned stays queued until its deadline, whether
+		// or not an upstream is eligible.
 		slot, _ := t.assign(p, w.want, now)
 		switch {
 		case slot != nil:
-			p.waiters = slices.Delete(p.waiters, at, at+1)
-			w.slot <- slot
+			p.waiters = slices.Delete(p.waiters, i, i+1)
+			w.granted <- slot
 		case len(w.want.Tried) == 0:
 			return
 		default:
-			at++
+			i++
 		}
 	}
 }
 
-// abandonWait ends a wait, or returns the slot if one was given at the same moment.
-// A newer pool may hold the wait than the one in which it began.
-func (t *Table) abandonWait(p *servicePool, w *waiter) (*Slot, error) {
+// cancelWait removes a waiter from the queue and returns an Overloaded error, or returns
+// the slot if one was granted concurrently. The waiter may have moved to a successor
+// of p.
+func (t *Table) cancelWait(p *servicePool, w *waiter) (*Slot, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	select {
-	case slot := <-w.slot:
+	case slot := <-w.granted:
 		return slot, nil
 	default:
 	}
--- a/partner/route/ring.go
+++ b/partner/route/ring.go
@@ -10,30 +10,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// point is one of a member's positions on the ring.
+// point is a position of a member on the hash ring. member is an index into
+// servicePool.members.
 type point struct {
 	hash   uint64
 	member int32
 }
 
 const (
-	// pointsPerMember spreads the members over the ring: with 32 points the
-	// largest part is less than twice the mean, and the load bound does the
-	// rest. A choice takes 0.21 µs at 12 upstreams and 0.38 µs at 10,000 (commit
-	// 4bb7e6e, docs/design/requests.md).
+	// pointsPerMember is the number of virtual nodes of each member. It keeps the
+	// largest share of the ring below twice the mean.
 	pointsPerMember = 32
-	// ringSteps bounds the points that are looked at for one request. Unless the pool is
-	// nearly full, one of them almost certainly has room; if none has, choose goes on with
-	// lightest and scan.
-	ringSteps = 64
-	// loadSlack is how much more than the average load an upstream may have before
-	// requests pass on to the next: the comparison in docs/design/requests.md ran with
-	// this value only.
+	// maxRingProbes bounds the points that are examined for one request. If no member at
+	// these points is available, choose falls back to leastLoaded and scan.
+	maxRingProbes = 64
+	// loadSlack is how far a member's load may exceed the average, as a fraction of
+	// it, before requests with affinity go to the next member on the ring.
 	loadSlack = 0.25
 )
 
-// newRing returns the points of members, by hash. It depends on their names
-// alone, so that every router has the same ring.
+// newRing returns the points of members in ascending order of their hashes. The
+// hashes depend only on the members' names, so that every router has the same ring.
 func newRing(members []*member) []point {
 	ring := make([]point, 0, len(members)*pointsPerMember)
 	for i, m := range members {
@@ -46,9 +43,9 @@
 	return ring
 }
 
-// loadLimit decides how many requests one member may have from this router
-// before a request with its affinity passes on: the average over all members
-// with one more request, and the slack.
+// loadLimit returns the number of requests that one member may have in flight from
+// this router under the load bound: the average over all members after one more
+// request, plus the slack. members must be positive.
 func loadLimit(inFlight, members int) int {
 	average := float64(inFlight+1) / float64(members)
 	return int(average*(1+loadSlack)) + 1
--- a/partner/route/route_test.go
+++ b/partner/route/route_test.go
@@ -21,6 +21,7 @@
 	start = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 )
 
+// targets returns n upstreams named u0, u1 and so on.
 func targets(n, concurrency int) []route.Target {
 	targets := make([]route.Target, n)
 	for i := range targets {
@@ -40,7 +41,7 @@
 		return slot
 	}
 
-	It("sends requests that begin alike to one upstream, on every router", func() {
+	It("sends requests with the same prefix to the same upstream on every router", func() {
 		want := route.Want{Service: "s", Targets: targets(20, 10), Affinity: route.PrefixAffinity([]byte("the same beginning"))}
 		first := acquire(want, start)
 		first.Done(route.Good, start)
@@ -50,7 +51,7 @@
 		Expect(same.Upstream).To(Equal(first.Upstream))
 	})
 
-	It("spreads a hot beginning when its upstream has more than its part", func() {
+	It("spreads a hot prefix when its upstream exceeds the load bound", func() {
 		want := route.Want{Service: "s", Targets: targets(4, 100), Affinity: 7}
 		loads := map[granitehoist.Upstream]int{}
 		for range 100 {
@@ -61,7 +62,7 @@
 		}
 	})
 
-	It("moves few beginnings when an upstream goes", func() {
+	It("remaps only the prefixes of a removed upstream", func() {
 		moved := 0
 		ten := targets(10, 10)
 		for affinity := range uint64(1000) {
@@ -82,7 +83,7 @@
 		Expect(moved).To(BeNumerically("~", 100, 40))
 	})
 
-	It("takes the least loaded without affinity", func() {
+	It("chooses the least loaded upstream without affinity", func() {
 		want := route.Want{Service: "s", Targets: targets(3, 10)}
 		seen := map[granitehoist.Upstream]int{}
 		for range 9 {
@@ -94,7 +95,7 @@
 		}
 	})
 
-	It("leaves out what failed, for longer each time, and lets it return", func() {
+	It("ejects a failed upstream, for longer each time, and readmits it", func() {
 		want := route.Want{Service: "s", Targets: targets(2, 10), Affinity: 7}
 		first := acquire(want, start)
 		first.Done(route.Bad, start)
@@ -106,7 +107,7 @@
 		Expect(acquire(want, later.Add(600*time.Millisecond)).Upstream).NotTo(Equal(first.Upstream))
 	})
 
-	It("sends nothing new to what is leaving, not even when nothing else is left", func() {
+	It("sends no new requests to a draining upstream, even if no other is available", func() {
 		both := targets(2, 10)
 		want := route.Want{Service: "s", Targets: both, Affinity: 7}
 		held := acquire(want, start)
@@ -125,23 +126,23 @@
 		acquire(want, start)
 	})
 
-	It("knows of leaving before it first hears of an upstream", func() {
+	It("drains an upstream that was marked before its first use", func() {
 		table.SetLeaving(map[granitehoist.Upstream]bool{"u0": true})
 		Expect(acquire(route.Want{Service: "s", Targets: targets(2, 10), Affinity: 7}, start).Upstream).To(Equal(granitehoist.Upstream("u1")))
 	})
 
-	It("tries the one that returns first when all are left out", func() {
+	It("uses an ejected upstream when all are ejected", func() {
 		want := route.Want{Service: "s", Targets: targets(1, 10)}
 		acquire(want, start).Done(route.Bad, start)
 		Expect(acquire(want, start).Upstream).To(Equal(granitehoist.Upstream("u0")))
 	})
 
-	It("refuses when every upstream was tried", func() {
+	It("returns NoUpstream when every upstream was tried", func() {
 		_, err := table.Acquire(ctx, route.Want{Service: "s", Targets: targets(1, 1), Tried: map[granitehoist.Upstream]bool{"u0": true}}, start)
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.NoUpstream))
 	})
 
-	It("gives room to the highest priority that waits, and then by arrival", func() {
+	It("serves queued requests by priority and then by arrival", func() {
 		want := route.Want{Service: "s", Targets: targets(1, 1)}
 		held := acquire(want, start)
 		order := make(chan int, 3)
@@ -162,7 +163,7 @@
 		Expect(table.InFlight("u0")).To(BeZero())
 	})
 
-	It("loses no room when a wait ends", func() {
+	It("leaks no capacity when a wait times out", func() {
 		want := route.Want{Service: "s", Targets: targets(1, 1)}
 		held := acquire(want, start)
 		short, cancel := context.WithTimeout(ctx, time.Millisecond)
@@ -174,7 +175,7 @@
 		Expect(table.InFlight("u0")).To(BeZero())
 	})
 
-	It("loses no room when a wait ends after the documents changed", func() {
+	It("leaks no capacity when a wait is cancelled after a configuration change", func() {
 		want := route.Want{Service: "s", Targets: targets(1, 1)}
 		held := acquire(want, start)
 		waiting, cancel := context.WithCancel(ctx)
@@ -185,7 +186,7 @@
 		}()
 		Eventually(func() int { return table.Waiting("s") }).Should(Equal(1))
 
-		By("another document, with one upstream more")
+		By("changing the configuration to one with an additional upstream")
 		changed := want
 		changed.Targets = targets(2, 1)
 		other := acquire(changed, start)
@@ -198,7 +199,7 @@
 		Expect(table.InFlight("u1")).To(BeZero())
 	})
 
-	It("does not let a retry that can't use the free room hold up the others", func() {
+	It("does not let a retry that can't use the free capacity block the others", func() {
 		want := route.Want{Service: "s", Targets: targets(2, 1)}
 		first, second := acquire(want, start), acquire(want, start)
 		waiting, cancel := context.WithCancel(ctx)
@@ -225,7 +226,7 @@
 		Expect(slot.Upstream).To(Equal(second.Upstream))
 	})
 
-	It("refuses at once when too many wait", func() {
+	It("returns Overloaded at once when the queue is full", func() {
 		table = route.NewTable(route.Settings{QueueLimit: 1})
 		want := route.Want{Service: "s", Targets: targets(1, 1)}
 		acquire(want, start)
@@ -243,54 +244,54 @@
 	})
 })
 
-var _ = Describe("An upstream that asks for rest", func() {
-	const rest = 3 * time.Second
+var _ = Describe("An upstream that requests backoff", func() {
+	const backoff = 3 * time.Second
 	var table *route.Table
 	BeforeEach(func() { table = route.NewTable(route.Settings{Seed: 1}) })
 
-	// ask acquires an upstream of so many, and makes it ask for rest.
-	ask := func(want route.Want, now time.Time) granitehoist.Upstream {
+	// backOff acquires an upstream, has it request backoff and returns its name.
+	backOff := func(want route.Want, now time.Time) granitehoist.Upstream {
 		GinkgoHelper()
 		slot, err := table.Acquire(context.Background(), want, now)
 		Expect(err).NotTo(HaveOccurred())
-		slot.Rest(rest, now)
+		slot.Rest(backoff, now)
 		slot.Done(route.Bad, now)
 		return slot.Upstream
 	}
 
-	It("gets nothing until its time is over, then one request at first", func() {
+	It("gets no requests until the backoff ends, and then a single probe first", func() {
 		want := route.Want{Service: "s", Targets: targets(2, 8)}
-		resting := ask(want, start)
-		for _, at := range []time.Duration{0, time.Second, rest - time.Millisecond} {
+		backingOff := backOff(want, start)
+		for _, at := range []time.Duration{0, time.Second, backoff - time.Millisecond} {
 			for range 8 {
 				slot, err := table.Acquire(context.Background(), want, start.Add(at))
 				Expect(err).NotTo(HaveOccurred())
-				Expect(slot.Upstream).NotTo(Equal(resting))
+				Expect(slot.Upstream).NotTo(Equal(backingOff))
 				slot.Done(route.Good, start.Add(at))
 			}
 		}
 		only := route.Want{Service: "s", Targets: want.Targets, Tried: map[granitehoist.Upstream]bool{}}
 		for _, target := range want.Targets {
-			only.Tried[target.Name] = target.Name != resting
+			only.Tried[target.Name] = target.Name != backingOff
 		}
-		first, err := table.Acquire(context.Background(), only, start.Add(rest))
+		first, err := table.Acquire(context.Background(), only, start.Add(backoff))
 		Expect(err).NotTo(HaveOccurred())
-		Expect(first.Upstream).To(Equal(resting))
+		Expect(first.Upstream).To(Equal(backingOff))
 		brief, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 		defer cancel()
-		_, err = table.Acquire(brief, only, start.Add(rest))
+		_, err = table.Acquire(brief, only, start.Add(backoff))
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.Overloaded))
-		first.Done(route.Good, start.Add(rest))
+		first.Done(route.Good, start.Add(backoff))
 		for range 2 {
-			_, err = table.Acquire(context.Background(), only, start.Add(rest))
+			_, err = table.Acquire(context.Background(), only, start.Add(backoff))
 			Expect(err).NotTo(HaveOccurred())
 		}
 	})
 
-	It("leads to a refusal at once if all do, with the end of the first rest", func() {
+	It("makes Acquire fail at once with the shortest backoff if all upstreams back off", func() {
 		want := route.Want{Service: "s", Targets: targets(2, 8)}
-		ask(want, start)
-		ask(want, start.Add(time.Second))
+		backOff(want, start)
+		backOff(want, start.Add(time.Second))
 		_, err := table.Acquire(context.Background(), want, start.Add(2*time.Second))
 		var refused *granitehoist.Error
 		Expect(errors.As(err, &refused)).To(BeTrue())
--- a/partner/route/rules_test.go
+++ b/partner/route/rules_test.go
@@ -14,9 +14,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-var _ = Describe("ejection", func() {
-	DescribeTable("doubles with each failure in a row, up to a bound",
-		func(failures int, want time.Duration) { Expect(ejection(failures)).To(Equal(want)) },
+var _ = Describe("ejectionTime", func() {
+	DescribeTable("doubles with each consecutive failure up to the maximum",
+		func(failures int, want time.Duration) { Expect(ejectionTime(failures)).To(Equal(want)) },
 		Entry("first", 1, 500*time.Millisecond),
 		Entry("second", 2, time.Second),
 		Entry("sixth", 6, 16*time.Second),
@@ -26,9 +26,9 @@
 })
 
 var _ = Describe("loadLimit", func() {
-	DescribeTable("is the average and a quarter, and never below one",
+	DescribeTable("is 1.25 times the average and at least one",
 		func(inFlight, members, want int) { Expect(loadLimit(inFlight, members)).To(Equal(want)) },
-		Entry("nothing in progress", 0, 4, 1),
+		Entry("no requests in flight", 0, 4, 1),
 		Entry("an average of 25", 99, 4, 32),
 		Entry("one member", 9, 1, 13),
 	)
@@ -38,8 +38,8 @@
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 	random := rand.New(rand.NewPCG(1, 0))
 
-	// chosen returns the name of the member that a pool of them chooses, "" for
-	// none.
+	// chosen returns the name of the member that a pool of these members chooses, or ""
+	// for none.
 	chosen := func(w Want, members ...*member) granitehoist.Upstream {
 		p := &servicePool{members: members, ring: newRing(members)}
 		for _, m := range members {
@@ -62,31 +62,31 @@
 		m.ejectedUntil = now.Add(time.Millisecond)
 		return m
 	}
-	leaving := func(name granitehoist.Upstream) *member {
+	draining := func(name granitehoist.Upstream) *member {
 		m := free(name)
-		m.leaving = true
+		m.draining = true
 		return m
 	}
 	tried := map[granitehoist.Upstream]bool{"a": true}
 
-	DescribeTable("takes the member with room and the fewest requests",
+	DescribeTable("returns the available member with the fewest requests",
 		func(want granitehoist.Upstream, w Want, members ...*member) {
 			Expect(chosen(w, members...)).To(Equal(want))
 		},
 		Entry("no members", granitehoist.Upstream(""), Want{}),
-		Entry("the lighter", granitehoist.Upstream("b"), Want{}, busy("a", 2), busy("b", 1)),
+		Entry("the less loaded one", granitehoist.Upstream("b"), Want{}, busy("a", 2), busy("b", 1)),
 		Entry("not a tried one", granitehoist.Upstream("b"), Want{Tried: tried}, free("a"), busy("b", 3)),
-		Entry("not one that is left out", granitehoist.Upstream("b"), Want{}, ejected("a"), busy("b", 3)),
-		Entry("not one that leaves", granitehoist.Upstream("b"), Want{}, leaving("a"), busy("b", 3)),
+		Entry("not an ejected one", granitehoist.Upstream("b"), Want{}, ejected("a"), busy("b", 3)),
+		Entry("not a draining one", granitehoist.Upstream("b"), Want{}, draining("a"), busy("b", 3)),
 		Entry("none when all are full", granitehoist.Upstream(""), Want{}, busy("a", 4), busy("b", 4)),
-		Entry("beyond the load bound when the ring has no room", granitehoist.Upstream("b"), Want{Affinity: 1, Tried: tried}, free("a"), busy("b", 3)),
+		Entry("beyond the load bound when no member on the ring is within it", granitehoist.Upstream("b"), Want{Affinity: 1, Tried: tried}, free("a"), busy("b", 3)),
 	)
 })
 
-var _ = Describe("A pool that took another's place", func() {
+var _ = Describe("A replacement pool", func() {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-	// acquire takes a slot among upstreams of one name each.
+	// acquire reserves a slot at one of the named upstreams.
 	acquire := func(t *Table, names ...granitehoist.Upstream) *Slot {
 		GinkgoHelper()
 		w := Want{Service: "s"}
@@ -98,7 +98,7 @@
 		return slot
 	}
 
-	DescribeTable("counts what its own members have in progress",
+	DescribeTable("counts the requests in flight at its own members only",
 		func(next ...granitehoist.Upstream) {
 			t := NewTable(Settings{})
 			held := acquire(t, "a")
@@ -112,7 +112,7 @@
 			other.Done(Good, now)
 			Expect(t.pools["s"].inFlight).To(BeZero())
 		},
-		Entry("with one upstream more", granitehoist.Upstream("a"), granitehoist.Upstream("b")),
-		Entry("without an upstream that was in use", granitehoist.Upstream("b")),
+		Entry("with an additional upstream", granitehoist.Upstream("a"), granitehoist.Upstream("b")),
+		Entry("without an upstream that has a request in flight", granitehoist.Upstream("b")),
 	)
 })
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -16,35 +16,35 @@
 	"granitehoist.example/granitehoist/internal/defaults"
 )
 
-// Target is an upstream that may be chosen.
+// Target is an upstream that can be chosen.
 type Target struct {
 	Name granitehoist.Upstream
-	// Concurrency bounds the requests in progress from this router.
+	// Concurrency bounds the requests in flight from this router.
 	Concurrency int
 }
 
-// Table has the requests in progress and the failures of each upstream, as
-// this router sees them. It is safe for concurrent use and makes no calls.
+// Table tracks the requests in flight and the failures of each upstream, as seen by
+// this router, and chooses upstreams for requests. It is safe for concurrent use.
 type Table struct {
 	settings Settings
 
-	// mu guards the fields below and everything reached from them.
+	// mu guards the fields below and everything reachable from them.
 	mu      sync.Mutex
 	random  *rand.Rand
 	members map[granitehoist.Upstream]*member
 	pools   map[granitehoist.Service]*servicePool
 }
 
-// Settings configure a Table. The zero value works.
+// Settings configures a Table. The zero value is ready to use.
 type Settings struct {
-	// QueueLimit bounds the requests of a service that wait; zero stands for
+	// QueueLimit bounds the queued requests of each service; zero means
 	// defaultQueueLimit.
 	QueueLimit int
-	// Seed chooses among equals.
+	// Seed seeds the random choice between upstreams.
 	Seed uint64
 }
 
-// defaultQueueLimit is in requests of one service at one router.
+// defaultQueueLimit is the default maximum of queued requests of one service.
 const defaultQueueLimit = 1000
 
 // NewTable returns an empty table.
@@ -58,60 +58,61 @@
 	}
 }
 
-// Want is what an attempt asks of the table.
+// Want describes the upstream that an attempt needs.
 type Want struct {
 	Service granitehoist.Service
-	// Targets are the service's upstreams. They are not to be changed; a new
-	// slice is compared with the last one.
+	// Targets are the service's upstreams. The slice must not be modified
+	// afterwards; Acquire detects a new configuration by a different slice.
 	Targets []Target
-	// Affinity is the hash of what requests should share an upstream by; zero
-	// stands for none.
+	// Affinity is a hash; requests with the same one share an upstream. Zero means
+	// no affinity.
 	Affinity uint64
 	Priority granitehoist.Priority
-	// Tried holds the upstreams that are not to be chosen again.
+	// Tried holds the upstreams that earlier attempts used; they are excluded.
 	Tried map[granitehoist.Upstream]bool
 }
 
-// PrefixAffinity returns the affinity of requests that share a prefix of their
-// prompts.
+// PrefixAffinity returns the affinity of requests with the given prompt prefix.
 func PrefixAffinity(prefix []byte) uint64 { return xxhash.Sum64(prefix) }
 
-// Acquire chooses an upstream, or waits for one until ctx ends. Its errors are
-// *Error with codes NoUpstream, if the service has none that could be chosen,
-// and Overloaded, if none had room in time, too many requests wait, or all have asked for
-// rest: the error then says when the first rest ends.
+// Acquire chooses an upstream, or waits for an available one until ctx is done. Its
+// errors are of type *granitehoist.Error. Their code is NoUpstream if the service has
+// no eligible upstream. It is Overloaded if none became available in time, if the queue
+// is full, or if all upstreams are backing off; in the last case RetryAfter is the time
+// until the first backoff ends.
 func (t *Table) Acquire(ctx context.Context, w Want, now time.Time) (*Slot, error) {
 	t.mu.Lock()
 	pool := t.currentPool(w)
-	slot, possible := t.assign(pool, w, now)
+	slot, eligible := t.assign(pool, w, now)
 	if slot != nil {
 		t.mu.Unlock()
 		return slot, nil
 	}
-	if err := t.refuseWait(pool, w, possible, now); err != nil {
+	if err := t.checkWait(pool, w, eligible, now); err != nil {
 		t.mu.Unlock()
 		return nil, err
 	}
-	added := pool.waiters.add(w)
+	queued := pool.waiters.add(w)
 	t.mu.Unlock()
 	select {
-	case slot := <-added.slot:
+	case slot := <-queued.granted:
 		return slot, nil
 	case <-ctx.Done():
-		return t.abandonWait(pool, added)
+		return t.cancelWait(pool, queued)
 	}
 }
 
-// refuseWait decides whether a request that finds no room may wait; nil if it may. possible
-// says that an upstream could be chosen if it had room. The caller holds mu.
-func (t *Table) refuseWait(pool *servicePool, w Want, possible bool, now time.Time) error {
-	if !possible {
+// checkWait returns nil if a request without an available upstream may be queued, and
+// otherwise the reason for its refusal. eligible says that an upstream could be chosen
+// if it had capacity. The caller holds mu.
+func (t *Table) checkWait(pool *servicePool, w Want, eligible bool, now time.Time) error {
+	if !eligible {
 		return granitehoist.Errorf(granitehoist.NoUpstream, "service %s", w.Service)
 	}
-	if left, all := pool.restsUntil(w, now); all {
-		refused := granitehoist.Errorf(granitehoist.Overloaded, "all upstreams of service %s rest", w.Service)
-		refused.RetryAfter = left
-		return refused
+	if remaining, all := pool.shortestBackoff(w, now); all {
+		overloaded := granitehoist.Errorf(granitehoist.Overloaded, "all upstreams of service %s are backing off", w.Service)
+		overloaded.RetryAfter = remaining
+		return overloaded
 	}
 	if len(pool.waiters) >= t.settings.QueueLimit {
 		return granitehoist.Errorf(granitehoist.Overloaded, "")
@@ -119,8 +120,8 @@
 	return nil
 }
 
-// currentPool returns the prepared upstreams of a service. Requests in progress
-// and waiting stay with the members and pass on to the new pool.
+// currentPool returns the service's pool and replaces it if the targets changed. The
+// new pool takes over the members' state and the queued requests. The caller holds mu.
 func (t *Table) currentPool(w Want) *servicePool {
 	p, exists := t.pools[w.Service]
 	if exists && sameSlice(p.targets, w.Targets) {
@@ -130,19 +131,19 @@
 		p.targets = w.Targets
 		return p
 	}
-	next := t.newPool(w.Targets)
+	next := t.buildPool(w.Targets)
 	if exists {
 		next.waiters = p.waiters
 		p.waiters = nil
-		p.next = next
+		p.successor = next
 	}
 	t.pools[w.Service] = next
 	return next
 }
 
-// newPool prepares upstreams. Those that were in a pool before keep their
-// requests in progress and their failures.
-func (t *Table) newPool(targets []Target) *servicePool {
+// buildPool returns a pool of the targets. Upstreams that are already known keep their
+// requests in flight and their failures.
+func (t *Table) buildPool(targets []Target) *servicePool {
 	p := &servicePool{targets: targets}
 	for _, target := range targets {
 		m, exists := t.members[target.Name]
@@ -158,108 +159,113 @@
 	return p
 }
 
+// sameSlice reports whether a and b share length and first element.
 func sameSlice(a, b []Target) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// assign chooses an upstream with room and takes it. possible is false if no
-// upstream could be chosen even with room.
-func (t *Table) assign(p *servicePool, w Want, now time.Time) (slot *Slot, possible bool) {
+// assign chooses an available upstream and reserves a slot there. If all untried
+// upstreams are ejected, it uses the one whose ejection ends first. eligible is false
+// if no upstream could be chosen even with capacity. The caller holds mu.
+func (t *Table) assign(p *servicePool, w Want, now time.Time) (slot *Slot, eligible bool) {
 	if m := p.choose(w, t.random, now); m != nil {
-		return t.take(p, m, now), true
+		return t.reserve(p, m, now), true
 	}
-	first, untried := p.firstReturning(w, now)
+	first, untried := p.earliestReadmission(w, now)
 	if first != nil && first.inFlight < first.Concurrency {
-		return t.take(p, first, now), true
+		return t.reserve(p, first, now), true
 	}
 	return nil, untried
 }
 
-// take counts a request at a member and returns its slot. The caller holds mu.
-func (t *Table) take(p *servicePool, m *member, now time.Time) *Slot {
+// reserve counts a request at a member and returns its slot. The caller holds mu.
+func (t *Table) reserve(p *servicePool, m *member, now time.Time) *Slot {
 	m.inFlight++
 	p.inFlight++
-	slot := &Slot{Upstream: m.Name, table: t, pool: p, member: m, taken: now, trial: !m.rest.IsOver()}
-	if slot.trial {
-		m.rest.Try()
+	slot := &Slot{Upstream: m.Name, table: t, pool: p, member: m, acquiredAt: now, probe: !m.backoff.IsOver()}
+	if slot.probe {
+		m.backoff.Try()
 	}
 	return slot
 }
 
-// SetLeaving names all upstreams that are leaving: they get no new requests.
-// Those in progress there go on.
+// SetLeaving replaces the set of draining upstreams. They get no new requests; those
+// in flight continue.
 func (t *Table) SetLeaving(leaving map[granitehoist.Upstream]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, m := range t.members {
-		m.leaving = leaving[name]
+		m.draining = leaving[name]
 	}
 	for name := range leaving {
 		if _, ok := t.members[name]; !ok {
-			t.members[name] = &member{Target: Target{Name: name}, leaving: leaving[name]}
+			t.members[name] = &member{Target: Target{Name: name}, draining: leaving[name]}
 		}
 	}
 }
 
-// Slot is an upstream chosen for one attempt. It is to be ended by one Done.
+// Slot is the capacity reserved at an upstream for one attempt. Done must be called
+// exactly once.
 type Slot struct {
 	Upstream granitehoist.Upstream
 	table    *Table
 	pool     *servicePool
 	member   *member
-	// taken is when it was chosen, and trial says that its upstream had rested before and
-	// had not recovered.
-	taken time.Time
-	trial bool
+	// acquiredAt is when the upstream was chosen. probe says that the upstream had not yet
+	// recovered from a backoff then.
+	acquiredAt time.Time
+	probe      bool
 }
 
-// Rest records that the upstream turned the attempt away and asked for a time without
-// requests. It is called before Done.
-func (s *Slot) Rest(asked time.Duration, now time.Time) {
+// Rest records that the upstream rejected the attempt and requested no further
+// requests for a duration. It must be called before Done.
+func (s *Slot) Rest(duration time.Duration, now time.Time) {
 	s.table.mu.Lock()
 	defer s.table.mu.Unlock()
-	s.member.rest.Ask(asked, now)
+	s.member.backoff.Ask(duration, now)
 }
 
-// endTrial takes the result of a request after a rest. The caller holds the table's lock.
-func (s *Slot) endTrial(r Result) {
-	if !s.trial {
+// endProbe applies the result of a request that probed an upstream after a backoff. The
+// caller holds the table's lock.
+func (s *Slot) endProbe(r Result) {
+	if !s.probe {
 		return
 	}
-	rest := &s.member.rest
-	rest.EndTry()
+	backoff := &s.member.backoff
+	backoff.EndTry()
 	switch r {
 	case Good:
-		rest.Took(s.taken, s.member.Concurrency)
+		backoff.Took(s.acquiredAt, s.member.Concurrency)
 	case Bad:
-		rest.Refused()
+		backoff.Refused()
 	case Unclear:
 	}
 }
 
-// Result is how an attempt ended, for the choice of later ones.
+// Result is the outcome of an attempt, as far as it concerns later choices.
 type Result int
 
-// The results.
+// Results of an attempt.
 const (
-	// Good says that the upstream served the attempt, or that the request was wrong.
+	// Good means that the upstream served the attempt or rejected an invalid request.
 	Good Result = iota
-	// Bad says that the upstream refused or failed.
+	// Bad means that the upstream refused or failed the attempt.
 	Bad
-	// Unclear counts neither way: for example, the caller left.
+	// Unclear counts as neither, for example after the caller disconnected.
 	Unclear
 )
 
-// Done ends an attempt and gives its room to a waiting request.
+// Done ends an attempt, records its result and assigns the freed capacity to queued
+// requests.
 func (s *Slot) Done(r Result, now time.Time) {
 	t, m := s.table, s.member
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m.inFlight--
-	s.endTrial(r)
+	s.endProbe(r)
 	pool := s.pool.current()
-	if pool == s.pool || pool.has(m) {
-		// A pool without the member never counted this request.
+	if pool == s.pool || pool.contains(m) {
+		// A successor without the member did not count this request.
 		pool.inFlight--
 	}
 	switch r {
@@ -267,7 +273,7 @@
 		m.failures = 0
 	case Bad:
 		m.failures++
-		m.ejectedUntil = now.Add(ejection(m.failures))
+		m.ejectedUntil = now.Add(ejectionTime(m.failures))
 	case Unclear:
 	}
 	t.serveQueue(pool, now)
