--- a/partner/budget/history_test.go
+++ b/partner/budget/history_test.go
@@ -27,6 +27,7 @@
 	boxes []*historyBox
 	// stopped holds the boxes that crashed or closed.
 	stopped []*historyBox
+	// started counts the boxes ever started.
 	started int
 	// maxPrepaid is the largest prepaid total so far.
 	maxPrepaid granitehoist.Tokens
--- a/partner/budget/split.go
+++ b/partner/budget/split.go
@@ -39,11 +39,9 @@
 const (
 	// refusalsCover lasts through an outage of two hours.
 	refusalsCover = 2 * time.Hour
-	// refusalsShare is the share for WeighRefusals.
 	refusalsShare = 0.9
 	// overspendCover lasts through an outage of an hour.
 	overspendCover = 75 * time.Minute
-	// overspendShare is the share for WeighOverspend.
 	overspendShare = 0.85
 )
 
--- a/partner/route/ejection.go
+++ b/partner/route/ejection.go
@@ -8,8 +8,7 @@
 const (
 	// baseEjectionTime is the ejection time after the first failure.
 	baseEjectionTime = 500 * time.Millisecond
-	// maxEjectionTime bounds the ejection time.
-	maxEjectionTime = 30 * time.Second
+	maxEjectionTime  = 30 * time.Second
 	// maxEjectionDoublings prevents overflow. The result exceeds maxEjectionTime
 	// before this many doublings.
 	maxEjectionDoublings = 10
