--- a/partner/once/doc.go
+++ b/partner/once/doc.go
@@ -1,25 +1,25 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package once lets a request that is marked as not to be repeated run at most
-// once in the whole fleet, for package gate in 'granitehoist router'.
+// Package once runs a request that is marked as not to be repeated at most once
+// across all routers of the fleet.
 //
-// Before an upstream gets such a request, the router binds its id by creating a
-// record in the platform's store. Only one router can create it, so no lease,
-// clock or view of the fleet matters: a paused router that resumes either has
-// the record or has not. When the store does not say for certain that the record
-// was created, the request is refused as not run. docs/design/once.md has the
-// ways that were weighed.
+// Before such a request is sent to an upstream, the router binds its id by
+// creating a record in the store. The store lets only one router create it, so
+// correctness depends on no lease, clock or membership view: a paused router
+// that resumes either owns the record or doesn't. If the store doesn't confirm
+// that the record was created, the request is refused as not run. The
+// alternatives are discussed in docs/design/once.md.
 //
-// State. The records in the store are the state; a Registry has none, and a
-// Binding only the record that it wrote, used by one goroutine. Records are
-// never removed. The package relies on granitehoist.Store alone, on its
-// compare-and-swap and on store.Swap, which reads back a write whose answer was
-// lost.
+// A Registry is stateless; all state is in the records. A Binding keeps the
+// record that it wrote last and belongs to one goroutine. Records are never
+// deleted. The package needs only the compare-and-swap of granitehoist.Store;
+// store.Swap reads a record back if the reply to a write was lost.
 //
-// Begin with Registry.Bind and the rule mayBind.
+// Package partner/gate, in 'granitehoist router', is the caller. Begin reading at
+// Registry.Bind and checkBindable.
 //
-// granitehoist-edge has no such package: package forward sends no unsafe request
-// again after an attempt that may have run, and records nothing, so that a repeat
-// by the caller is a request of its own there.
+// granitehoist-edge does without: package forward doesn't retry an unsafe request
+// after an attempt that may have run and keeps no record, so a repetition by the
+// caller is a new request there.
 package once
--- a/partner/once/record.go
+++ b/partner/once/record.go
@@ -12,66 +12,65 @@
 	"granitehoist.example/granitehoist"
 )
 
-// KeyPrefix is where records stand in the store.
+// KeyPrefix begins the store keys of all records.
 const KeyPrefix = "once/"
 
-// State says what may have happened to a bound request.
+// State is the execution state of a bound request.
 type State string
 
 // The states of a record.
 const (
-	// Bound says that an attempt may be running or may have run.
+	// Bound means that an attempt may be running or may have run.
 	Bound State = "bound"
-	// Done says that the upstream has answered.
+	// Done means that the upstream has responded.
 	Done State = "done"
-	// Free says that the attempt did not run, and that the request may be
-	// bound again.
+	// Free means that no attempt ran, so that the request may be bound again.
 	Free State = "free"
 )
 
-// Record is what stands in the store of one request.
+// Record is the stored state of one request.
 type Record struct {
-	// Attempt is the first that was bound; attempts that follow at other upstreams
-	// keep it.
+	// Attempt is the first attempt of the binding. Further attempts at other
+	// upstreams don't change it.
 	Attempt granitehoist.AttemptID `json:"attempt"`
 	State   State                  `json:"state"`
-	// Status is the upstream's HTTP status if State is Done.
+	// Status is the HTTP status of the upstream's response if State is Done.
 	Status int `json:"status,omitempty"`
-	// At is when the record was written, by the clock of the router that did.
+	// At is the time of the write, by the clock of the router that wrote it.
 	At time.Time `json:"at"`
 }
 
-// Subject names a request not to be repeated.
+// Subject identifies a request that is not to be repeated.
 type Subject struct {
 	Partner   granitehoist.Partner
 	Workspace granitehoist.Workspace
 	Request   granitehoist.RequestID
 }
 
-// key hashes the request id, since callers choose it.
+// key returns the store key of the subject's record. It hashes the request id,
+// which the caller chooses and which may be long or contain slashes.
 func (s Subject) key() string {
 	sum := sha256.Sum256([]byte(s.Request))
 	return KeyPrefix + string(s.Partner) + "/" + string(s.Workspace) + "/" + hex.EncodeToString(sum[:])
 }
 
-// mayBind decides whether a request may be bound, from its entry in the store: if
-// there is none, or if its record says that no attempt ran. It returns nil
-// then. No clock is asked: a record that is bound stays so until its own router
-// ends it, since a paused router may still send. Its errors are *Error with codes
-// AlreadyRun and OnceUnsure.
-func mayBind(e granitehoist.Entry) error {
+// checkBindable returns nil if a request may be bound, judged by its store entry
+// alone: it has no record, or its record says that no attempt ran. Bound records
+// don't expire, since a paused router may still send the request. The error is
+// a *granitehoist.Error with code AlreadyRun or OnceUnsure.
+func checkBindable(e granitehoist.Entry) error {
 	if e.Version == 0 {
 		return nil
 	}
 	var record Record
 	if err := json.Unmarshal(e.Value, &record); err != nil {
-		return granitehoist.Wrap(granitehoist.OnceUnsure, err, "the record can't be read")
+		return granitehoist.Wrap(granitehoist.OnceUnsure, err, "can't decode the record of the request")
 	}
 	switch record.State {
 	case Free:
 		return nil
 	case Done:
-		return granitehoist.Errorf(granitehoist.AlreadyRun, "the upstream answered status %d at %s", record.Status, record.At.UTC().Format(time.RFC3339))
+		return granitehoist.Errorf(granitehoist.AlreadyRun, "the upstream responded with status %d at %s", record.Status, record.At.UTC().Format(time.RFC3339))
 	}
-	return granitehoist.Errorf(granitehoist.OnceUnsure, "an attempt was begun at %s", record.At.UTC().Format(time.RFC3339))
+	return granitehoist.Errorf(granitehoist.OnceUnsure, "an attempt started at %s and has no recorded result", record.At.UTC().Format(time.RFC3339))
 }
--- a/partner/once/registry.go
+++ b/partner/once/registry.go
@@ -15,26 +15,25 @@
 
 // Settings configure a Registry.
 type Settings struct {
-	// Store is required.
+	// Store holds the records; required.
 	Store granitehoist.Store
 }
 
-// Registry binds requests. It keeps nothing: what is bound stands in the store.
-// It is safe for concurrent use.
+// Registry binds requests to attempts. It is stateless and safe for concurrent use.
 type Registry struct {
 	store granitehoist.Store
 }
 
-// New returns a registry. It panics if the settings have no store.
+// New returns a registry. It panics if s.Store is nil.
 func New(s Settings) *Registry {
 	if s.Store == nil {
-		panic("once: no store")
+		panic("once: Settings.Store is nil")
 	}
 	return &Registry{store: s.Store}
 }
 
-// Binding is a request that may be sent by this router, in one attempt at a
-// time. It is used by one goroutine.
+// Binding is the right of this router to send a request, one attempt at a time.
+// It is not safe for concurrent use.
 type Binding struct {
 	registry *Registry
 	key      string
@@ -42,17 +41,17 @@
 	version  granitehoist.Version
 }
 
-// Bind makes sure that no other attempt of the request runs. attempt must be
-// unique in the fleet. Its errors are *Error: AlreadyRun and OnceUnsure if another attempt
-// is in the record, OnceUnavailable if the store does not answer. After an
-// error the request is not to be sent.
+// Bind reserves the request for this router and attempt, whose id must be unique in
+// the fleet. The error is a *granitehoist.Error with code AlreadyRun or OnceUnsure if
+// the request is already bound, or OnceUnavailable if the store doesn't respond.
+// After an error the request must not be sent.
 func (r *Registry) Bind(ctx context.Context, s Subject, attempt granitehoist.AttemptID, now time.Time) (*Binding, error) {
 	key := s.key()
 	current, err := r.store.Get(ctx, key)
 	if err != nil {
 		return nil, granitehoist.Wrap(granitehoist.OnceUnavailable, err, "")
 	}
-	if err := mayBind(current); err != nil {
+	if err := checkBindable(current); err != nil {
 		return nil, err
 	}
 	b := &Binding{registry: r, key: key, record: Record{Attempt: attempt, State: Bound, At: now}, version: current.Version}
@@ -66,21 +65,21 @@
 	return nil, granitehoist.Wrap(granitehoist.OnceUnavailable, err, "")
 }
 
-// conflict returns the error of a request that another router has bound at the
-// same time.
+// conflict returns the error for a request whose record another router changed
+// between the read and the write.
 func (r *Registry) conflict(ctx context.Context, key string) error {
 	current, err := r.store.Get(ctx, key)
 	if err != nil {
-		return granitehoist.Wrap(granitehoist.OnceUnsure, err, "another attempt was begun")
+		return granitehoist.Wrap(granitehoist.OnceUnsure, err, "a concurrent attempt was bound")
 	}
-	if err := mayBind(current); err != nil {
+	if err := checkBindable(current); err != nil {
 		return err
 	}
-	return granitehoist.Errorf(granitehoist.OnceUnavailable, "another attempt was given up at the same time")
+	return granitehoist.Errorf(granitehoist.OnceUnavailable, "a concurrent attempt was released")
 }
 
-// write replaces the record if it has not changed since this router read or wrote
-// it. Its errors are the store's: ErrConflict if it has changed.
+// write replaces the record unless another router changed it since this router
+// last read or wrote it. It returns the store's error, ErrConflict after a change.
 func (b *Binding) write(ctx context.Context) error {
 	raw, err := json.Marshal(b.record)
 	if err != nil {
@@ -94,16 +93,15 @@
 	return nil
 }
 
-// Finish records that the upstream answered with a status. If it fails the
-// record stays Bound, and later requests with the same id are answered that the
-// request may have run.
+// Finish records that the upstream responded with status. On error the record
+// stays Bound, and later requests with the same id fail with OnceUnsure.
 func (b *Binding) Finish(ctx context.Context, status int, now time.Time) error {
 	b.record = Record{Attempt: b.record.Attempt, State: Done, Status: status, At: now}
 	return b.write(ctx)
 }
 
-// Release records that no attempt ran. It must be called only then. If it
-// fails the record stays Bound.
+// Release records that no attempt ran, so that the request may be bound again. It
+// must not be called if an attempt may have run. On error the record stays Bound.
 func (b *Binding) Release(ctx context.Context, now time.Time) error {
 	b.record = Record{Attempt: b.record.Attempt, State: Free, At: now}
 	return b.write(ctx)
--- a/partner/once/registry_test.go
+++ b/partner/once/registry_test.go
@@ -25,8 +25,7 @@
 	subject = once.Subject{Partner: "lima", Workspace: "drivers", Request: "start-1"}
 )
 
-// input and output describe one attempt for the checker: a request runs, or is
-// refused because another attempt may have run.
+// input and output are one call of Bind in the history that porcupine checks.
 type input struct{ request int }
 
 type output struct {
@@ -34,7 +33,7 @@
 	unknown bool
 }
 
-// atMostOnce is the sequential model: the first attempt runs, and no other.
+// atMostOnce is the sequential model: only the first attempt of a request runs.
 var atMostOnce = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byRequest := map[int][]porcupine.Operation{}
@@ -82,7 +81,7 @@
 		Expect(code).To(Equal(granitehoist.OnceUnsure))
 	})
 
-	It("tells that a finished request has run", func() {
+	It("reports a finished request as already run", func() {
 		b, _ := bind("a")
 		Expect(b.Finish(ctx, 201, now)).To(Succeed())
 		_, err := registry.Bind(ctx, subject, "b", now)
@@ -95,10 +94,10 @@
 		Expect(b.Release(ctx, now)).To(Succeed())
 		_, code := bind("b")
 		Expect(code).To(Equal(granitehoist.Served))
-		Expect(b.Finish(ctx, 200, now)).NotTo(Succeed(), "the released binding is over")
+		Expect(b.Finish(ctx, 200, now)).NotTo(Succeed(), "a released binding can't be finished")
 	})
 
-	It("keeps workspaces apart", func() {
+	It("binds the same request id separately in each workspace", func() {
 		_, code := bind("a")
 		Expect(code).To(Equal(granitehoist.Served))
 		other := subject
@@ -107,20 +106,20 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	DescribeTable("under store faults",
+	DescribeTable("returns the code for a store fault",
 		func(faults standin.StoreFaults, code granitehoist.Code) {
 			store.Fail(faults)
 			_, got := bind("a")
 			Expect(got).To(Equal(code))
 		},
 		Entry("down", standin.StoreFaults{Down: true}, granitehoist.OnceUnavailable),
-		Entry("silent", standin.StoreFaults{Silent: true}, granitehoist.OnceUnavailable),
-		Entry("the answer is lost and read back", standin.StoreFaults{LoseEvery: 1}, granitehoist.Served),
-		Entry("no write takes effect", standin.StoreFaults{DropEvery: 1}, granitehoist.OnceUnavailable),
+		Entry("no response", standin.StoreFaults{Silent: true}, granitehoist.OnceUnavailable),
+		Entry("the reply to the write is lost", standin.StoreFaults{LoseEvery: 1}, granitehoist.Served),
+		Entry("the write is dropped", standin.StoreFaults{DropEvery: 1}, granitehoist.OnceUnavailable),
 	)
 
-	It("is unsure of a record that it can't read", func() {
-		_, err := store.CompareAndSwap(ctx, granitehoist.Change{Key: keyOf(store, registry), Value: []byte("?")})
+	It("returns OnceUnsure for a record that it can't decode", func() {
+		_, err := store.CompareAndSwap(ctx, granitehoist.Change{Key: bindAndGetKey(store, registry), Value: []byte("?")})
 		Expect(err).To(MatchError(granitehoist.ErrConflict))
 		entries, _, _ := store.List(ctx, once.KeyPrefix)
 		_, err = store.CompareAndSwap(ctx, granitehoist.Change{Key: entries[0].Key, Value: []byte("?"), Expect: entries[0].Version})
@@ -129,14 +128,14 @@
 		Expect(code).To(Equal(granitehoist.OnceUnsure))
 	})
 
-	It("lets at most one of many racing routers run, whatever the store does", func() {
+	It("binds a request at most once among concurrent routers under store faults", func() {
 		for seed := range uint64(30) {
-			history := race(seed)
+			history := bindConcurrently(seed)
 			Expect(porcupine.CheckOperations(atMostOnce, history)).To(BeTrue(), fmt.Sprintf("seed %d", seed))
 		}
 	})
 
-	It("is checked by a model that can fail", func() {
+	It("uses a model that rejects a request run twice", func() {
 		twice := []porcupine.Operation{
 			{ClientId: 0, Input: input{0}, Output: output{ran: true}, Call: 0, Return: 1},
 			{ClientId: 1, Input: input{0}, Output: output{ran: true}, Call: 2, Return: 3},
@@ -145,8 +144,8 @@
 	})
 })
 
-// keyOf binds the subject and returns its key.
-func keyOf(s *standin.Store, r *once.Registry) string {
+// bindAndGetKey binds the subject and returns the key of its record.
+func bindAndGetKey(s *standin.Store, r *once.Registry) string {
 	_, err := r.Bind(ctx, subject, "a", now)
 	Expect(err).NotTo(HaveOccurred())
 	entries, _, err := s.List(ctx, once.KeyPrefix)
@@ -155,24 +154,24 @@
 }
 
 const (
-	racers   = 6
-	requests = 4
-	tries    = 12
+	clients        = 6
+	requests       = 4
+	bindsPerClient = 12
 )
 
-// race lets routers bind the same requests at the same time while the store
-// loses, drops and refuses calls, and returns what each was told.
-func race(seed uint64) []porcupine.Operation {
+// bindConcurrently binds the same requests from several registries at once while the
+// store drops writes, loses replies and fails calls. It returns the history of calls.
+func bindConcurrently(seed uint64) []porcupine.Operation {
 	store := standin.NewStore(standin.StoreSettings{})
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	begin := time.Now()
 	var group sync.WaitGroup
-	for client := range racers {
+	for client := range clients {
 		random := rand.New(rand.NewPCG(seed, uint64(client)))
 		registry := once.New(once.Settings{Store: store})
 		group.Go(func() {
-			for try := range tries {
+			for try := range bindsPerClient {
 				if client == 0 {
 					store.Fail(standin.StoreFaults{LoseEvery: random.IntN(4), DropEvery: random.IntN(4), Down: random.IntN(8) == 0})
 				}
@@ -192,9 +191,8 @@
 	return history
 }
 
-// outputOf maps what a router was told. A router that was refused knows nothing
-// for certain: the record may be of an attempt whose writer was told
-// OnceUnavailable and so did not run.
+// outputOf maps the error of Bind. An error tells nothing about whether the request
+// ran: the record may belong to a router that got OnceUnavailable and didn't send.
 func outputOf(err error) output {
 	return output{ran: err == nil, unknown: err != nil}
 }
