--- a/partner/orphan/charge.go
+++ b/partner/orphan/charge.go
@@ -8,41 +8,41 @@
 	"granitehoist.example/granitehoist/partner/bill"
 )
 
-// verdict says what becomes of an attempt of a dead router.
-type verdict int
+// attemptStatus is the billing status of an attempt of a failed router.
+type attemptStatus int
 
 const (
-	// alreadyCharged attempts stand in a segment.
-	alreadyCharged verdict = iota
-	// stillRunning attempts have not ended, or their engine has not said what they cost.
+	// alreadyCharged attempts are in a bill segment.
+	alreadyCharged attemptStatus = iota
+	// stillRunning attempts have not ended, or their engine has not reported the usage.
 	stillRunning
-	// neverArrived attempts were stopped before they reached the engine.
-	neverArrived
-	// toCharge attempts get a charge.
-	toCharge
+	// neverReceived attempts were stopped before they reached the engine; they cost nothing.
+	neverReceived
+	// uncharged attempts have ended and need a charge.
+	uncharged
 )
 
-// decideVerdict says what becomes of an attempt, from what its engine says now and
-// from whether a segment that was read before holds it.
-func decideVerdict(a granitehoist.KnownAttempt, charged bool) verdict {
+// classifyAttempt returns the status of an attempt, given the engine's report and
+// whether a bill segment contains the attempt.
+func classifyAttempt(a granitehoist.KnownAttempt, charged bool) attemptStatus {
 	switch {
 	case charged:
 		return alreadyCharged
 	case !a.Ended || !a.Usage.Reported:
 		return stillRunning
 	case a.Usage.Total() == 0:
-		return neverArrived
+		return neverReceived
 	}
-	return toCharge
+	return uncharged
 }
 
-// newCharge returns the charge of an attempt of the dead router. It returns false if
-// the attempt's id names no budget in force: the id carries a hash only, so that
-// nobody can be charged once the documents have dropped the budget.
+// newCharge returns the charge for an attempt of the failed router. It returns false
+// if the attempt id is malformed, or if no budget in force has the hash in the id, as
+// after the budget was removed from the documents.
 func (j *settlement) newCharge(a granitehoist.KnownAttempt, e engine) (bill.Charge, bool) {
 	dead := j.result.Incarnation
 	parts, ok := a.ID.Parts(dead)
-	budget := j.names[parts.BudgetHash]
+	budget := j.budgets[parts.BudgetHash]
 	if !ok || budget == "" {
 		return bill.Charge{}, false
 	}
--- a/partner/orphan/doc.go
+++ b/partner/orphan/doc.go
@@ -1,29 +1,29 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package orphan finds the attempts of routers that died with requests in progress
-// and charges each of them once. One router of a region does so at a time, in
-// 'granitehoist router'.
+// Package orphan finds the attempts of routers that failed with requests in progress
+// and charges each of them once.
 //
-// A router that dies takes its unconfirmed charges with it. The engines still
-// have its attempts, whose ids name the budget and the request. Another router
-// of the region lists them and enters a charge for each that no segment holds.
-// If a collector stores the dead router's own charge later, that one replaces the
-// one made here: both name the attempt.
+// The charges that a router has not stored yet are lost when it fails. The engines
+// still list its attempts, whose ids name the request and a hash of the budget. One
+// router of the region at a time, in 'granitehoist router', lists these attempts and
+// writes a charge for each that no bill segment contains. If a collector stores the
+// failed router's own charge later, that charge replaces the one written here,
+// since both contain the attempt's id.
 //
-// What the dead router held stays in doubt: plain services keep no list of
-// attempts, and loans to other boxes may be on their way, so that its tokens
-// are not provably unspent. docs/design/budgets.md has the reasons. An attempt on
-// a budget that the documents have dropped since is not charged, as its id holds
-// a hash of the budget only.
+// The unspent tokens of the failed router are not recovered: plain services keep no
+// list of attempts, and loans to other boxes may be in transit, so its tokens are not
+// provably unspent. docs/design/budgets.md has the reasons. An attempt whose budget
+// has been removed from the documents is not charged, since its id contains only a
+// hash of the budget.
 //
-// State. A Settler has none; it reads the budgets' pages and the segments of
-// bills in the store, and writes segments of its own. It relies on the packages
-// budget and bill for their forms, on config for the engines, and on the
-// engines' protocol.
+// A Settler is stateless. It reads the budget pages and the bill segments in the store
+// and writes segments of its own. It depends on packages budget and bill for these
+// formats, on config for the list of engines, and on the protocol of the engines.
 //
-// Begin with Settler.Settle; the rules are lastSeen.isSilent and decideVerdict.
+// Begin reading at Settler.Settle. lastSeen.isSilent decides which routers are
+// settled, and classifyAttempt which attempts are charged.
 //
-// granitehoist-edge makes no charges and so has nothing to settle; what a dead box
-// held counts as spent there (package escrow).
+// granitehoist-edge writes no charges. There, package escrow counts the tokens that a
+// failed box held as spent.
 package orphan
--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -23,67 +23,67 @@
 	Store  granitehoist.Store
 	// Shards is the number of budget shards, the same on all routers.
 	Shards int
-	// View returns the documents in force.
+	// View returns the partners' documents in force.
 	View func() *config.View
-	// Engines is the protocol of engines.
+	// Engines is the protocol of the model engines.
 	Engines granitehoist.Protocol
 }
 
-// Settler charges the orphans of one region's dead routers. It has no state of
-// its own and is safe for concurrent use.
+// Settler charges the orphaned attempts of the failed routers of one region. It is
+// stateless and safe for concurrent use.
 type Settler struct {
 	settings Settings
 }
 
-// New returns a settler. It panics if a setting is missing.
+// New returns a settler. It panics if a setting is missing or Shards is not positive.
 func New(s Settings) *Settler {
 	if s.Region == "" || s.Store == nil || s.Shards <= 0 || s.View == nil || s.Engines == nil {
-		panic("orphan: a setting is missing")
+		panic("orphan: Region, Store, Shards, View and Engines are required")
 	}
 	return &Settler{settings: s}
 }
 
-// Result is what was done for one dead router.
+// Result summarizes one call of Settle.
 type Result struct {
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
-	// Found is the attempts that engines knew, Charged those charged now and
-	// Running those that have not ended.
+	// Found is the number of attempts that the engines listed, Charged of those charged
+	// by this call, and Running of those that have not ended.
 	Found   int `json:"found"`
 	Charged int `json:"charged"`
 	Running int `json:"running"`
-	// Unreached lists the engines that could not be asked.
+	// Unreached lists the engines that failed to list their attempts.
 	Unreached []granitehoist.Upstream `json:"unreached,omitempty"`
 }
 
-// settlement is the input and the result of one call of Settle.
+// settlement is the state of one call of Settle.
 type settlement struct {
-	// stop says that attempts that still run are to be ended.
-	stop bool
-	// charged holds the attempts that segments hold.
+	// stopRunning means that attempts that have not ended are stopped.
+	stopRunning bool
+	// charged is the set of attempts in bill segments.
 	charged map[granitehoist.AttemptID]bool
-	names   budgetNames
+	budgets budgetsByHash
 	now     time.Time
 	result  Result
 	charges []bill.Charge
 }
 
-// budgetNames gives the budgets in force by the hashes that attempt ids carry.
-type budgetNames map[string]granitehoist.BudgetID
+// budgetsByHash maps the hashes in attempt ids to the budgets in force.
+type budgetsByHash map[string]granitehoist.BudgetID
 
-// engine is an upstream that may know attempts.
+// engine is an upstream that lists its attempts, with its service and the owner.
 type engine struct {
 	config.Upstream
 	service granitehoist.Service
 	owner   granitehoist.Partner
 }
 
-// Settle charges a dead router's ended attempts that no segment holds yet. If
-// stop is set, attempts that still run are ended first; it is to be set only
-// if the router has stopped for certain. Settling again charges nothing twice.
-// Its errors are the store's. An engine that can't be asked is no error: it is
-// listed in the result, and the next call asks it again.
+// Settle charges the ended attempts of a failed router that no bill segment contains.
+// If stop is set, attempts that have not ended are stopped first; it must be set only
+// if the router is known to have stopped. Repeated calls charge no attempt twice. It returns the errors
+// of the store. An unreachable engine is not an error: it is listed in Result.Unreached
+// and queried again by the next call.
 func (s *Settler) Settle(ctx context.Context, dead granitehoist.Incarnation, stop bool, now time.Time) (Result, error) {
-	job := &settlement{stop: stop, names: s.budgetNames(), now: now, result: Result{Incarnation: dead}}
+	job := &settlement{stopRunning: stop, budgets: s.budgetsByHash(), now: now, result: Result{Incarnation: dead}}
 	var err error
 	if job.charged, err = s.readCharged(ctx, dead); err != nil {
 		return job.result, err
@@ -102,25 +102,26 @@
 	return job.result, s.write(ctx, dead, job.charges)
 }
 
-// settleAttempt ends an attempt if asked to, and adds its charge if it gets one.
+// settleAttempt stops a running attempt if the job says so, and adds the charge of an
+// uncharged one.
 func (s *Settler) settleAttempt(ctx context.Context, job *settlement, e engine, a granitehoist.KnownAttempt) {
 	job.result.Found++
 	charged := job.charged[a.ID]
-	if job.stop && !charged && !a.Ended {
+	if job.stopRunning && !charged && !a.Ended {
 		a.Usage, a.Ended = s.settings.Engines.Stop(ctx, e.Address, a.ID)
 	}
-	switch decideVerdict(a, charged) {
+	switch classifyAttempt(a, charged) {
 	case stillRunning:
 		job.result.Running++
-	case toCharge:
+	case uncharged:
 		if c, ok := job.newCharge(a, e); ok {
 			job.charges = append(job.charges, c)
 		}
-	case alreadyCharged, neverArrived:
+	case alreadyCharged, neverReceived:
 	}
 }
 
-// engines returns all engines of all partners, by the documents in force.
+// engines returns the engines of all partners in the documents in force.
 func (s *Settler) engines() []engine {
 	var engines []engine
 	for _, offer := range s.settings.View().Offers("") {
@@ -134,7 +135,7 @@
 	return engines
 }
 
-// readCharged returns the attempts of an incarnation that segments hold.
+// readCharged returns the attempts of an incarnation that are in bill segments.
 func (s *Settler) readCharged(ctx context.Context, dead granitehoist.Incarnation) (map[granitehoist.AttemptID]bool, error) {
 	charges, err := bill.Read(ctx, s.settings.Store)
 	if err != nil {
@@ -152,20 +153,20 @@
 	return charged, nil
 }
 
-func (s *Settler) budgetNames() budgetNames {
-	names := budgetNames{}
+func (s *Settler) budgetsByHash() budgetsByHash {
+	names := budgetsByHash{}
 	for _, id := range s.settings.View().Budgets() {
 		names[granitehoist.BudgetHash(id)] = id
 	}
 	return names
 }
 
-// maxOrphanSegments bounds the segments of one dead router; each settling that finds
-// something to charge writes one.
+// maxOrphanSegments bounds the segments of one failed router. Each call of Settle that
+// adds charges writes one.
 const maxOrphanSegments = 1000
 
-// write stores the charges under the first free key. Two routers that settle at
-// once write two segments; readers count each attempt once.
+// write stores the charges under the first unused key. Two routers that settle
+// concurrently write two segments; readers count each attempt once.
 func (s *Settler) write(ctx context.Context, dead granitehoist.Incarnation, charges []bill.Charge) error {
 	if len(charges) == 0 {
 		return nil
@@ -180,5 +181,5 @@
 			return err
 		}
 	}
-	return eris.Errorf("orphan: more than %d segments of %s", maxOrphanSegments, dead)
+	return eris.Errorf("orphan: more than %d segments for incarnation %s", maxOrphanSegments, dead)
 }
--- a/partner/orphan/orphan_test.go
+++ b/partner/orphan/orphan_test.go
@@ -33,7 +33,7 @@
 	now = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 )
 
-// discard is a sink of answers that nobody reads.
+// discard is a sink that drops the response.
 type discard struct{}
 
 func (discard) Start(int, http.Header) error { return nil }
@@ -62,7 +62,7 @@
 	})
 
 	attempt := func(n uint64) granitehoist.AttemptID { return granitehoist.NewAttemptID(dead, n, k, "request.1") }
-	// serve lets the engine run an attempt of the dead router to its end.
+	// serve runs an attempt to its end on the engine and returns its cost in tokens.
 	serve := func(id granitehoist.AttemptID) granitehoist.Tokens {
 		GinkgoHelper()
 		body := `{"model":"m","max_tokens":8,"messages":[{"role":"user","content":"x"}]}`
@@ -84,7 +84,7 @@
 		return all
 	}
 
-	It("charges what the dead router did not, once", func() {
+	It("charges an uncharged attempt of a failed router exactly once", func() {
 		cost := serve(attempt(1))
 		for range 3 {
 			result, err := settler.Settle(ctx, dead, false, now)
@@ -100,7 +100,7 @@
 		Expect(c.Owner).To(Equal(granitehoist.Partner("tuul")))
 	})
 
-	It("charges for a dead router whose box has dots in its name", func() {
+	It("charges for a failed router whose box name contains dots", func() {
 		const dotted = granitehoist.Incarnation("box-1.miraflores.example-1f")
 		cost := serve(granitehoist.NewAttemptID(dotted, 1, k, "request.1"))
 		result, err := settler.Settle(ctx, dotted, false, now)
@@ -113,7 +113,7 @@
 		Expect(c.Tokens).To(Equal(cost))
 	})
 
-	It("charges nothing for an attempt that was stopped before it arrived", func() {
+	It("charges nothing for an attempt stopped before it reached the engine", func() {
 		_, ok := protocol.Stop(ctx, address, attempt(1))
 		Expect(ok).To(BeTrue())
 		result, err := settler.Settle(ctx, dead, true, now)
@@ -122,7 +122,7 @@
 		Expect(charges()).To(BeEmpty())
 	})
 
-	It("charges nothing that a segment holds", func() {
+	It("charges nothing for an attempt in a bill segment", func() {
 		cost := serve(attempt(1))
 		write(bill.SegmentKey("tuul", "box-2", 1), bill.Charge{Incarnation: dead, Seq: 1, Attempts: []granitehoist.AttemptID{attempt(1)}, Budget: k, Tokens: cost})
 		result, err := settler.Settle(ctx, dead, false, now)
@@ -130,7 +130,7 @@
 		Expect(result.Charged).To(BeZero())
 	})
 
-	It("gives way to the router's own charge that comes late", func() {
+	It("is replaced by a late charge of the failed router itself", func() {
 		cost := serve(attempt(1))
 		_, err := settler.Settle(ctx, dead, false, now)
 		Expect(err).NotTo(HaveOccurred())
@@ -139,7 +139,7 @@
 		Expect(charges()[0].Orphan).To(BeFalse())
 	})
 
-	It("takes two routers that settle at once for one", func() {
+	It("charges each attempt once when two routers settle concurrently", func() {
 		serve(attempt(1))
 		serve(attempt(2))
 		done := make(chan error, 2)
@@ -155,7 +155,7 @@
 		Expect(charges()).To(HaveLen(2))
 	})
 
-	It("leaves others' attempts alone", func() {
+	It("ignores attempts of an incarnation whose id has the failed one's as a prefix", func() {
 		serve(granitehoist.NewAttemptID("box-10", 1, k, "r"))
 		result, err := settler.Settle(ctx, dead, true, now)
 		Expect(err).NotTo(HaveOccurred())
@@ -169,7 +169,7 @@
 		Expect(err).To(MatchError(granitehoist.ErrUnavailable))
 	})
 
-	It("finds who is silent and did not stop in good order", func() {
+	It("lists routers that stopped reporting without a graceful stop", func() {
 		page := budget.NewPage()
 		page.Members["alive"] = budget.Member{Seen: now.Unix()}
 		page.Members["stopped"] = budget.Member{Seen: now.Add(-time.Hour).Unix(), Closed: true}
--- a/partner/orphan/rules_test.go
+++ b/partner/orphan/rules_test.go
@@ -15,28 +15,28 @@
 var _ = Describe("isSilent", func() {
 	now := time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 
-	DescribeTable("decides whether another router charges",
+	DescribeTable("reports a router that neither reports nor stopped gracefully",
 		func(age time.Duration, closed, want bool) {
 			Expect(lastSeen{at: now.Add(-age).Unix(), closed: closed}.isSilent(now)).To(Equal(want))
 		},
-		Entry("reported just now", time.Duration(0), false, false),
-		Entry("at the bound", SilentAfter, false, false),
-		Entry("beyond the bound", SilentAfter+time.Second, false, true),
-		Entry("stopped in good order", time.Hour, true, false),
+		Entry("reported now", time.Duration(0), false, false),
+		Entry("at SilentAfter", SilentAfter, false, false),
+		Entry("after SilentAfter", SilentAfter+time.Second, false, true),
+		Entry("stopped gracefully", time.Hour, true, false),
 	)
 })
 
-var _ = Describe("decide", func() {
+var _ = Describe("classifyAttempt", func() {
 	cost := granitehoist.Usage{Prompt: 2, Output: 1, Reported: true}
 
-	DescribeTable("decides what becomes of an attempt",
-		func(a granitehoist.KnownAttempt, charged bool, want verdict) {
-			Expect(decideVerdict(a, charged)).To(Equal(want))
+	DescribeTable("returns the billing status of an attempt",
+		func(a granitehoist.KnownAttempt, charged bool, want attemptStatus) {
+			Expect(classifyAttempt(a, charged)).To(Equal(want))
 		},
-		Entry("ended", granitehoist.KnownAttempt{Ended: true, Usage: cost}, false, toCharge),
-		Entry("ended and in a segment", granitehoist.KnownAttempt{Ended: true, Usage: cost}, true, alreadyCharged),
+		Entry("ended", granitehoist.KnownAttempt{Ended: true, Usage: cost}, false, uncharged),
+		Entry("ended and in a bill segment", granitehoist.KnownAttempt{Ended: true, Usage: cost}, true, alreadyCharged),
 		Entry("still running", granitehoist.KnownAttempt{Usage: cost}, false, stillRunning),
-		Entry("ended without a report", granitehoist.KnownAttempt{Ended: true}, false, stillRunning),
-		Entry("stopped before it arrived", granitehoist.KnownAttempt{Ended: true, Usage: granitehoist.Usage{Reported: true}}, false, neverArrived),
+		Entry("ended without reported usage", granitehoist.KnownAttempt{Ended: true}, false, stillRunning),
+		Entry("stopped before it reached the engine", granitehoist.KnownAttempt{Ended: true, Usage: granitehoist.Usage{Reported: true}}, false, neverReceived),
 	)
 })
--- a/partner/orphan/silent.go
+++ b/partner/orphan/silent.go
@@ -12,28 +12,28 @@
 	"granitehoist.example/granitehoist/partner/budget"
 )
 
-// SilentAfter is how long a router must be silent before its attempts are charged by
-// another. A router that is only cut off may return; its own charges then replace those
-// made here.
+// SilentAfter is the time without a report after which another router charges a
+// router's attempts. A partitioned router may return later; its own charges then
+// replace those written here.
 const SilentAfter = 2 * time.Minute
 
-// lastSeen is what the pages of a region's budgets record of a router.
+// lastSeen is the newest state of a router in the budget pages of its region.
 type lastSeen struct {
-	// at is its newest report, in seconds of Unix time.
+	// at is the time of its newest report, in seconds since the Unix epoch.
 	at int64
-	// closed says that it stopped gracefully, with its charges in the store.
+	// closed means that it stopped gracefully, with all its charges in the store.
 	closed bool
 }
 
-// isSilent decides whether a router's attempts are to be charged by another: it
-// did not stop gracefully and has not reported for SilentAfter.
+// isSilent reports whether the router did not stop gracefully and has not reported for
+// more than SilentAfter.
 func (l lastSeen) isSilent(now time.Time) bool {
 	return !l.closed && now.Sub(time.Unix(l.at, 0)) > SilentAfter
 }
 
-// Silent returns the incarnations of the region that drew on budgets, did not
-// stop gracefully and have been silent for SilentAfter. Its errors are the
-// store's, or of a page that can't be read.
+// Silent returns, in order, the incarnations of the region that drew on budgets, did not
+// stop gracefully and have not reported for more than SilentAfter. It returns the errors
+// of the store, and an error if a budget page can't be decoded.
 func (s *Settler) Silent(ctx context.Context, now time.Time) ([]granitehoist.Incarnation, error) {
 	seen, err := s.readLastSeen(ctx)
 	if err != nil {
@@ -49,8 +49,8 @@
 	return silent, nil
 }
 
-// readLastSeen reads the pages of all shards; a router has a row in each that it
-// drew on.
+// readLastSeen merges the budget pages of all shards. A router has a row in the page of
+// each shard that it drew on.
 func (s *Settler) readLastSeen(ctx context.Context) (map[granitehoist.Incarnation]lastSeen, error) {
 	seen := map[granitehoist.Incarnation]lastSeen{}
 	for shard := range budget.Shard(s.settings.Shards) {
