--- a/partner/upstream/engine.go
+++ b/partner/upstream/engine.go
@@ -15,13 +15,13 @@
 	"granitehoist.example/granitehoist/internal/pushback"
 )
 
-// Paths of an engine's protocol beyond the OpenAI-compatible ones.
+// Paths of the engine protocol that extend the OpenAI-compatible API.
 const (
-	// PathCancel ends an attempt and answers what it cost.
+	// PathCancel stops an attempt and returns its usage.
 	PathCancel = "/v1/cancel"
-	// PathResume goes on with a stream that was broken off.
+	// PathResume continues an interrupted stream.
 	PathResume = "/v1/resume"
-	// PathAttempts lists attempts whose ids begin with a prefix.
+	// PathAttempts lists the attempts whose ids have a prefix.
 	PathAttempts = "/v1/attempts"
 )
 
@@ -31,26 +31,26 @@
 	sender *sender
 }
 
-// NewEngine returns the protocol.
+// NewEngine returns an engine protocol with its own connection pool.
 func NewEngine() *Engine { return &Engine{sender: newSender()} }
 
-// EngineUsage is the usage object of the protocol: the tokens of one request.
+// EngineUsage is the usage object of the protocol, the token counts of one request.
 type EngineUsage struct {
 	PromptTokens     granitehoist.Tokens `json:"prompt_tokens"`
 	CompletionTokens granitehoist.Tokens `json:"completion_tokens"`
-	// TotalTokens is not read; it is the sum of the other two.
+	// TotalTokens is the sum of the other two. It is ignored when read.
 	TotalTokens granitehoist.Tokens `json:"total_tokens"`
 	Details     *PromptDetails      `json:"prompt_tokens_details,omitempty"`
 }
 
-// PromptDetails is the details object of a usage.
+// PromptDetails is the prompt_tokens_details object of a usage.
 type PromptDetails struct {
-	// CachedTokens is the part of the prompt that the engine took from its cache.
+	// CachedTokens is the number of prompt tokens served from the engine's cache.
 	CachedTokens granitehoist.Tokens `json:"cached_tokens"`
 }
 
-// usage returns the use that the engine reported. No object, or one with a
-// negative count, stands for no report.
+// usage converts the object. A nil object, or one with a negative count, gives a usage
+// that is not Reported.
 func (u *EngineUsage) usage() granitehoist.Usage {
 	if u == nil || u.PromptTokens < 0 || u.CompletionTokens < 0 {
 		return granitehoist.Usage{}
@@ -62,8 +62,8 @@
 	return usage
 }
 
-// engineAnswer is what is read of an answer, or of one event of a stream.
-type engineAnswer struct {
+// engineResponse holds the decoded fields of a response or of one event of a stream.
+type engineResponse struct {
 	ID      string `json:"id"`
 	Choices []struct {
 		Index        int     `json:"index"`
@@ -73,15 +73,15 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// belongsTo reports whether the id of the answer was made from an attempt's id.
-func (a *engineAnswer) belongsTo(attempt granitehoist.AttemptID) bool {
+// belongsTo reports whether the id of the response was derived from the attempt's.
+func (a *engineResponse) belongsTo(attempt granitehoist.AttemptID) bool {
 	return strings.HasSuffix(a.ID, "-"+string(attempt))
 }
 
-// Do implements granitehoist.Protocol. Its errors are *granitehoist.Error with
-// codes UpstreamRefused and BadRequest, if the engine did not run the attempt,
-// and UpstreamLost, UpstreamCut, UpstreamBadAnswer, AnswerCrossed and CallerGone,
-// if it may have. The usage is what the engine reported before the error.
+// Do implements granitehoist.Protocol. The error is a *granitehoist.Error. Its code is
+// UpstreamRefused or BadRequest if the engine didn't run the attempt, and UpstreamLost,
+// UpstreamCut, UpstreamBadAnswer, AnswerCrossed or CallerGone if it may have. The usage
+// is what the engine reported before the error.
 func (e *Engine) Do(ctx context.Context, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 	response, end, err := e.sender.open(ctx, c)
 	if err != nil {
@@ -92,13 +92,13 @@
 		return granitehoist.Usage{}, statusError(response)
 	}
 	if c.Stream {
-		return e.passStream(ctx, response, c, sink)
+		return e.forwardStream(ctx, response, c, sink)
 	}
-	return e.passWhole(response, c, sink)
+	return e.forwardBody(response, c, sink)
 }
 
-// statusError returns the error for an engine's status that is not 200. An engine
-// that answers 429 or 503, or that rejects a request as wrong, has not run it.
+// statusError returns the error for a status other than 200. An engine that responds
+// with 429, 503 or another 4xx status has not run the request.
 func statusError(r *http.Response) error {
 	switch {
 	case pushback.TurnsAway(r.StatusCode):
@@ -106,25 +106,25 @@
 		refused.RetryAfter = pushback.RetryAfter(r.Header)
 		return refused
 	case r.StatusCode >= http.StatusBadRequest && r.StatusCode < http.StatusInternalServerError:
-		return granitehoist.Errorf(granitehoist.BadRequest, "the upstream answered status %d", r.StatusCode)
+		return granitehoist.Errorf(granitehoist.BadRequest, "the upstream rejected the request with status %d", r.StatusCode)
 	}
 	return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d", r.StatusCode)
 }
 
-// errTooLarge is the cause of an error for an answer above maxAnswer.
-var errTooLarge = errors.New("upstream: the answer is too large")
+// errTooLarge is the cause of the error for a body larger than maxAnswer.
+var errTooLarge = errors.New("upstream: response body too large")
 
-// passWhole checks an answer that is not a stream and passes it on. It passes on
-// nothing unless the answer is complete and belongs to the attempt.
-func (e *Engine) passWhole(r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
-	body, err := io.ReadAll(io.LimitReader(r.Body, maxAnswer+1))
+// forwardBody forwards a response that is not a stream. It forwards nothing unless the
+// response is complete and belongs to the attempt.
+func (e *Engine) forwardBody(r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
+	body, err := io.ReadAll(io.LimitReader(r.Body, maxBodySize+1))
 	if err != nil {
 		return granitehoist.Usage{}, granitehoist.Wrap(granitehoist.UpstreamCut, err, "")
 	}
-	if len(body) > maxAnswer {
+	if len(body) > maxBodySize {
 		return granitehoist.Usage{}, granitehoist.Wrap(granitehoist.UpstreamBadAnswer, errTooLarge, "")
 	}
-	var answer engineAnswer
+	var answer engineResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
 		return granitehoist.Usage{}, granitehoist.Wrap(granitehoist.UpstreamBadAnswer, err, "")
 	}
@@ -143,8 +143,8 @@
 	return answer.Usage.usage(), nil
 }
 
-// finished reports whether every choice has a finish reason.
-func (a *engineAnswer) finished() bool {
+// finished reports whether each choice has a finish reason.
+func (a *engineResponse) finished() bool {
 	for _, choice := range a.Choices {
 		if choice.FinishReason == nil || *choice.FinishReason == "" {
 			return false
--- a/partner/upstream/engineattempts.go
+++ b/partner/upstream/engineattempts.go
@@ -13,22 +13,22 @@
 	"granitehoist.example/granitehoist"
 )
 
-// CancelRequest is the body of PathCancel.
+// CancelRequest is the request body of PathCancel.
 type CancelRequest struct {
 	ID granitehoist.AttemptID `json:"id"`
 }
 
-// AttemptRecord is what an engine has on record of an attempt.
+// AttemptRecord is the state of an attempt as its engine reports it.
 type AttemptRecord struct {
 	ID    granitehoist.AttemptID `json:"id"`
 	Ended bool                   `json:"ended"`
-	// Usage is what the attempt cost so far; final once it has ended.
+	// Usage is the cost of the attempt so far, which is final if Ended is set.
 	Usage *EngineUsage `json:"usage"`
 }
 
-// Stop implements granitehoist.Protocol. It reports false if the engine does not
-// say within lookupTimeout what the attempt cost. Its callers ask again
-// or charge an estimate, whatever the error was.
+// Stop implements granitehoist.Protocol. It returns false if the engine doesn't report
+// the usage of the attempt within lookupTimeout. The cause is not returned, since callers
+// try again or charge an estimate in any case.
 func (e *Engine) Stop(ctx context.Context, address string, attempt granitehoist.AttemptID) (granitehoist.Usage, bool) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
@@ -37,7 +37,7 @@
 		return granitehoist.Usage{}, false
 	}
 	var record AttemptRecord
-	response, err := sling.New().Client(e.sender.reusing).Do(request.WithContext(ctx), &record, nil)
+	response, err := sling.New().Client(e.sender.pooled).Do(request.WithContext(ctx), &record, nil)
 	switch {
 	case err != nil || response == nil:
 		return granitehoist.Usage{}, false
@@ -48,32 +48,32 @@
 	return granitehoist.Usage{}, false
 }
 
-// AttemptList is the answer of PathAttempts.
+// AttemptList is the response body of PathAttempts.
 type AttemptList struct {
 	Attempts []AttemptRecord `json:"attempts"`
 }
 
-// attemptQuery is the query of PathAttempts. Prefix begins the ids asked for.
+// attemptQuery is the query string of PathAttempts.
 type attemptQuery struct {
 	Prefix string `url:"prefix"`
 }
 
-// List implements granitehoist.Protocol. The engine must answer within
-// lookupTimeout.
+// List implements granitehoist.Protocol. It fails if the engine doesn't respond with
+// status 200 within lookupTimeout.
 func (e *Engine) List(ctx context.Context, address, prefix string) ([]granitehoist.KnownAttempt, error) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	request, err := sling.New().Base(address).Get(PathAttempts).QueryStruct(attemptQuery{Prefix: prefix}).Request()
 	if err != nil {
-		return nil, eris.Wrap(err, "upstream: request can't be made")
+		return nil, eris.Wrap(err, "upstream: build request to list attempts")
 	}
 	var list AttemptList
-	response, err := sling.New().Client(e.sender.reusing).Do(request.WithContext(ctx), &list, nil)
+	response, err := sling.New().Client(e.sender.pooled).Do(request.WithContext(ctx), &list, nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "upstream: list of attempts")
+		return nil, eris.Wrap(err, "upstream: list attempts")
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, eris.Errorf("upstream: list of attempts: status %d", response.StatusCode)
+		return nil, eris.Errorf("upstream: list attempts: status %d", response.StatusCode)
 	}
 	known := make([]granitehoist.KnownAttempt, len(list.Attempts))
 	for i, a := range list.Attempts {
--- a/partner/upstream/enginestream.go
+++ b/partner/upstream/enginestream.go
@@ -17,47 +17,45 @@
 )
 
 var (
-	// dataField begins the lines of a stream that hold an event. Other lines are
-	// comments and event names, which carry nothing of the answer.
+	// dataField begins the lines of a stream that contain an event. Other lines are
+	// comments, event names and separators, which are skipped.
 	dataField = []byte("data:")
-	// endMark is the data of the last event.
-	endMark = []byte("[DONE]")
+	// doneMarker is the data of the event that ends a stream.
+	doneMarker = []byte("[DONE]")
 )
 
 const (
-	// maxEventSize bounds one line of a stream, in bytes.
+	// maxEventSize is the largest line of a stream, in bytes.
 	maxEventSize = 1 << 20
-	// maxResumes bounds how often one stream is resumed. With it the trial's
-	// callers with a cut stream went from 4, 2 and 3 of 500 to none (seeds 1, 2
-	// and 3, commit 34c8284). The value was chosen.
+	// maxResumes bounds how often one stream is resumed after interruptions.
 	maxResumes = 3
 )
 
-// passStream passes on the events of an answer. It passes on the end mark only if
-// every choice has a finish reason. A stream that breaks off is resumed at the
-// same engine, from the event after the last complete one.
-func (e *Engine) passStream(ctx context.Context, r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
+// forwardStream forwards the events of a response, and doneMarker only if each choice has
+// a finish reason. An interrupted stream is resumed at the same engine, from the event
+// after the last complete one.
+func (e *Engine) forwardStream(ctx context.Context, r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 	state := streamState{attempt: c.Attempt, unfinished: map[int]bool{}}
-	err := e.passEvents(r, c, sink, &state)
+	err := e.forwardEvents(r, c, sink, &state)
 	for range maxResumes {
-		if !errors.Is(err, errBrokenOff) || ctx.Err() != nil || !state.choiceSeen {
+		if !errors.Is(err, errStreamInterrupted) || ctx.Err() != nil || !state.choiceSeen {
 			break
 		}
 		resumed, end, resumeErr := e.resume(ctx, c, state.events)
 		if resumeErr != nil {
-			// The error of the break, which the caller gets, says more.
+			// Return the error of the interruption, which is more informative.
 			break
 		}
-		err = e.passEvents(resumed, c, sink, &state)
+		err = e.forwardEvents(resumed, c, sink, &state)
 		end()
 	}
 	return state.usage, err
 }
 
-// errBrokenOff is the cause of an error after which the stream may be resumed.
-var errBrokenOff = errors.New("upstream: the stream broke off")
+// errStreamInterrupted marks errors after which the stream may be resumed.
+var errStreamInterrupted = errors.New("upstream: stream interrupted")
 
-// resume asks the engine to go on with a stream after a number of events.
+// resume asks the engine for the rest of a stream after the first events.
 func (e *Engine) resume(ctx context.Context, c granitehoist.Call, events int) (*http.Response, func(), error) {
 	call := granitehoist.Call{
 		Attempt: c.Attempt,
@@ -76,22 +74,22 @@
 	return response, end, nil
 }
 
-// passEvents passes on the events of one response until its end mark. The head of
-// the answer is sent with the first event, so that a caller gets a clean error
-// as long as there is none.
-func (e *Engine) passEvents(r *http.Response, c granitehoist.Call, sink granitehoist.Sink, state *streamState) error {
+// forwardEvents forwards the events of one HTTP response up to doneMarker. The status
+// line and headers are sent with the first event, so that an error before it gets a
+// status of its own.
+func (e *Engine) forwardEvents(r *http.Response, c granitehoist.Call, sink granitehoist.Sink, state *streamState) error {
 	reader := bufio.NewReader(r.Body)
 	for {
 		line, err := readLine(reader)
 		if err != nil {
-			return granitehoist.Wrap(granitehoist.UpstreamCut, errors.Join(errBrokenOff, err), "")
+			return granitehoist.Wrap(granitehoist.UpstreamCut, errors.Join(errStreamInterrupted, err), "")
 		}
 		data, ok := bytes.CutPrefix(bytes.TrimSpace(line), dataField)
 		if !ok {
 			continue
 		}
 		data = bytes.TrimSpace(data)
-		done := bytes.Equal(data, endMark)
+		done := bytes.Equal(data, doneMarker)
 		hidden, err := state.check(data, done)
 		if err != nil {
 			return err
@@ -99,8 +97,8 @@
 		if hidden && c.HideUsage {
 			continue
 		}
-		if !state.headSent {
-			state.headSent = true
+		if !state.headersSent {
+			state.headersSent = true
 			if err := sink.Start(r.StatusCode, CopyHeader(r.Header, HeaderAttempt, "Content-Length")); err != nil {
 				return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 			}
@@ -109,15 +107,15 @@
 			return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 		}
 		if done {
-			// Read what follows the end mark, so that the connection can be used
-			// again. An error only means that it can't; the answer is complete.
+			// Drain the body so that the connection can be reused. An error only
+			// prevents that; the response is complete.
 			_, _ = io.CopyN(io.Discard, reader, maxEventSize)
 			return nil
 		}
 	}
 }
 
-// encodeEvent returns one event as it is sent to callers.
+// encodeEvent returns data as one server-sent event.
 func encodeEvent(data []byte) []byte {
 	out := make([]byte, 0, len(data)+len("data: \n\n"))
 	out = append(out, "data: "...)
@@ -125,7 +123,7 @@
 	return append(out, "\n\n"...)
 }
 
-// readLine returns one line with its end, or an error if it is longer than
+// readLine returns one line including the newline, or an error if it is longer than
 // maxEventSize.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	var line []byte
@@ -144,30 +142,30 @@
 	}
 }
 
-// streamState is what was read of a stream so far, over all its responses.
+// streamState is the state of a stream across its resumptions.
 type streamState struct {
 	attempt granitehoist.AttemptID
-	// headSent says that the caller has the head of the answer.
-	headSent bool
-	// choiceSeen says that an event with a choice was read. Before it there is
-	// nothing to resume, and an end mark is an error.
+	// headersSent is set once the caller has the status line and headers.
+	headersSent bool
+	// choiceSeen is set once an event with a choice was read. Before that there is
+	// nothing to resume, and doneMarker is an error.
 	choiceSeen bool
-	// events counts those with a part of the answer.
+	// events is the number of events with a choice, from which resume continues.
 	events int
-	// unfinished holds the choices without a finish reason, by index.
+	// unfinished is the set of choices without a finish reason, by index.
 	unfinished map[int]bool
 	usage      granitehoist.Usage
 }
 
-// check checks one event, and reports whether it holds usage and no choices.
+// check validates one event. usageOnly means that it has a usage and no choices.
 func (s *streamState) check(data []byte, done bool) (usageOnly bool, err error) {
 	if done {
 		if !s.choiceSeen || len(s.unfinished) > 0 {
-			return false, granitehoist.Errorf(granitehoist.UpstreamCut, "the stream ended before its answer")
+			return false, granitehoist.Errorf(granitehoist.UpstreamCut, "the stream ended before each choice had a finish reason")
 		}
 		return false, nil
 	}
-	var a engineAnswer
+	var a engineResponse
 	if err := json.Unmarshal(data, &a); err != nil {
 		return false, granitehoist.Wrap(granitehoist.UpstreamBadAnswer, err, "")
 	}
--- a/partner/upstream/transport.go
+++ b/partner/upstream/transport.go
@@ -21,71 +21,70 @@
 	"granitehoist.example/granitehoist/exchange"
 )
 
-// HeaderAttempt carries the attempt id to an upstream and back.
+// HeaderAttempt is the header with the attempt id, in requests and responses.
 const HeaderAttempt = "X-Request-Id"
 
 const (
-	// connectTimeout bounds the making of a connection within a region.
+	// connectTimeout bounds the dial of a connection within a region.
 	connectTimeout = time.Second
-	// lookupTimeout bounds a call of Stop or List, which only looks up attempts.
+	// lookupTimeout bounds a call of Engine.Stop or Engine.List.
 	lookupTimeout = time.Second
-	// maxAnswer bounds the size of a whole answer in bytes, and so what one request keeps
-	// in memory.
-	maxAnswer = 32 << 20
-	// idlePerUpstream is twice config.DefaultConcurrency, so that a burst finds its
-	// connections made.
-	idlePerUpstream = 64
-	// idleTimeout is how long a connection is kept without a call.
+	// maxBodySize is the largest buffered response body in bytes. It bounds the memory of
+	// one request.
+	maxBodySize = 32 << 20
+	// maxIdlePerUpstream is twice config.DefaultConcurrency, so that a burst finds idle
+	// connections.
+	maxIdlePerUpstream = 64
+	// idleTimeout is how long an idle connection is kept.
 	idleTimeout = time.Minute
 )
 
-// sender makes HTTP calls and tells whether a byte may have left the box. It is
-// safe for concurrent use.
+// sender makes HTTP calls. Its errors tell whether the upstream may have received any
+// byte of the request. It is safe for concurrent use.
 type sender struct {
-	// reusing reuses connections; fresh makes one for each call, since the
-	// standard library may send a call again on a reused connection.
-	reusing, fresh *http.Client
+	// pooled reuses connections. singleUse dials one for each call, since the standard
+	// library may resend a request that failed on a reused connection.
+	pooled, singleUse *http.Client
 }
 
-// newSender returns a sender that follows no redirect and asks for no encoding.
+// newSender returns a sender that doesn't follow redirects or request compression.
 func newSender() *sender {
 	dialer := &net.Dialer{Timeout: connectTimeout}
-	client := func(alone bool) *http.Client {
+	newClient := func(disableKeepAlives bool) *http.Client {
 		return &http.Client{
 			Transport: &http.Transport{
 				DialContext:         dialer.DialContext,
-				MaxIdleConnsPerHost: idlePerUpstream,
+				MaxIdleConnsPerHost: maxIdlePerUpstream,
 				IdleConnTimeout:     idleTimeout,
-				DisableKeepAlives:   alone,
+				DisableKeepAlives:   disableKeepAlives,
 				DisableCompression:  true,
 			},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}
 	}
-	return &sender{reusing: client(false), fresh: client(true)}
+	return &sender{pooled: newClient(false), singleUse: newClient(true)}
 }
 
-// send sends a call once and returns the upstream's response. Its errors have
-// code UpstreamRefused if no byte can have left the box, and UpstreamLost
-// otherwise.
+// send sends a call once and returns the response. The error has code UpstreamRefused if
+// the call is invalid or no connection was established, and UpstreamLost otherwise.
 func (s *sender) send(ctx context.Context, c granitehoist.Call) (*http.Response, error) {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
-	client := s.reusing
+	client := s.pooled
 	if c.Once {
-		client = s.fresh
+		client = s.singleUse
 	}
 	base, path, err := splitPath(c)
 	if err != nil {
-		return nil, granitehoist.Wrap(granitehoist.UpstreamRefused, err, "the address is wrong")
+		return nil, granitehoist.Wrap(granitehoist.UpstreamRefused, err, "the URL of the call is invalid")
 	}
 	builder := sling.New().Client(client).Base(base).Path(path)
 	if len(c.Body) > 0 {
-		builder = builder.Body(unrepeatable{bytes.NewReader(c.Body)})
+		builder = builder.Body(nonReplayableBody{bytes.NewReader(c.Body)})
 	}
 	request, err := builder.Request()
 	if err != nil {
-		return nil, granitehoist.Wrap(granitehoist.UpstreamRefused, err, "the request can't be made")
+		return nil, granitehoist.Wrap(granitehoist.UpstreamRefused, err, "can't build the HTTP request")
 	}
 	request.ContentLength = int64(len(c.Body))
 	request.Method = c.Method
@@ -103,8 +102,8 @@
 	return nil, granitehoist.Wrap(granitehoist.UpstreamLost, err, "")
 }
 
-// open sends a call and returns the response unless it names another attempt. The
-// caller must call end once it has read the response.
+// open sends a call and returns the response, or an error with code AnswerCrossed if it
+// names another attempt. The caller must call end after reading the response.
 func (s *sender) open(ctx context.Context, c granitehoist.Call) (response *http.Response, end func(), err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	response, err = s.send(ctx, c)
@@ -113,24 +112,25 @@
 		return nil, nil, err
 	}
 	end = func() {
-		// If the answer was not read to its end this closes the connection, so that
-		// no later call reads the remaining bytes.
+		// Canceling closes the connection unless the response was read to its end, so
+		// that no later call reads the remaining bytes.
 		cancel()
-		// The body is thrown away; its error can't matter.
+		// The body has been read or is discarded, so an error has no effect.
 		_ = response.Body.Close()
 	}
-	if crossed(response, c.Attempt) {
+	if namesOtherAttempt(response, c.Attempt) {
 		end()
 		return nil, nil, granitehoist.Errorf(granitehoist.AnswerCrossed, "")
 	}
 	return response, end, nil
 }
 
-// unrepeatable hides the type of the body, so that the standard library can't
-// take it as one that may be sent again.
-type unrepeatable struct{ io.Reader }
+// nonReplayableBody hides the concrete type of the body from net/http, which would
+// otherwise set Request.GetBody and be able to resend it.
+type nonReplayableBody struct{ io.Reader }
 
-// splitPath returns the base and the path of a call's URL.
+// splitPath returns the base URL and the path of a call. It fails if the path doesn't
+// begin with a slash.
 func splitPath(c granitehoist.Call) (string, string, error) {
 	if !strings.HasPrefix(c.Path, "/") {
 		return "", "", errors.New("upstream: path does not begin with a slash")
@@ -138,14 +138,14 @@
 	return strings.TrimRight(c.Address, "/"), c.Path, nil
 }
 
-// crossed reports whether a response names another attempt.
-func crossed(r *http.Response, attempt granitehoist.AttemptID) bool {
+// namesOtherAttempt reports whether the response echoes the id of another attempt.
+func namesOtherAttempt(r *http.Response, attempt granitehoist.AttemptID) bool {
 	echoed := r.Header.Get(HeaderAttempt)
 	return echoed != "" && echoed != string(attempt)
 }
 
-// CopyHeader returns a header without what belongs to one connection and
-// without the given names.
+// CopyHeader returns a copy of h without the fields of one connection or message, as
+// exchange.PassedOn removes them, and without the given names.
 func CopyHeader(h http.Header, without ...string) http.Header {
 	header := exchange.PassedOn(h)
 	for _, name := range without {
