--- a/partner/gate/availability.go
+++ b/partner/gate/availability.go
@@ -5,20 +5,20 @@
 
 import "granitehoist.example/granitehoist"
 
-// availability decides whether the router takes requests, and what it answers its
-// balancer. The two differ on purpose while a router stops: the balancer sees it
-// first, and requests are refused only after the balancer had time to react.
+// availability is the state that decides whether the router accepts requests and what its
+// readiness endpoint reports. During a planned stop the endpoint reports not ready first,
+// and requests are refused only after load balancers had time to react.
 type availability struct {
 	// unready is set at the start of a planned stop.
 	unready bool
-	// draining is set when requests are refused.
+	// draining is set once new requests are refused.
 	draining bool
-	// documents is the number of partners whose document is in force; without
-	// one no key is valid.
+	// documents is the number of partners with a document in force. Without any, no key
+	// is valid.
 	documents int
 }
 
-// refusal returns the reason to refuse all requests, nil if there is none.
+// refusal returns the error with which all requests are refused, nil if there is none.
 func (a availability) refusal() error {
 	switch {
 	case a.draining:
@@ -29,13 +29,13 @@
 	return nil
 }
 
-// readiness is what balancers read.
+// readiness is the response of the readiness endpoint.
 type readiness struct {
 	ready bool
 	text  string
 }
 
-// readiness returns the answer to a balancer's question.
+// readiness returns the response for load balancers.
 func (a availability) readiness() readiness {
 	switch {
 	case a.unready || a.draining:
--- a/partner/gate/binding.go
+++ b/partner/gate/binding.go
@@ -13,20 +13,20 @@
 	"granitehoist.example/granitehoist/partner/once"
 )
 
-// bindingTimeout bounds the write that ends a binding, which outlives the caller.
+// bindingTimeout bounds the write that finishes or releases a binding. The write goes on
+// if the caller disconnects.
 const bindingTimeout = 2 * time.Second
 
-// bind records in the store that this router sends a request not to be
-// repeated. After an error the request is not sent.
+// bind records in the store that this router sends a request that is not to be repeated.
+// After an error the request must not be sent.
 func (g *Gate) bind(ctx context.Context, req *request, id granitehoist.AttemptID) (*once.Binding, error) {
-	identity := req.asked.identity
-	subject := once.Subject{Partner: identity.Partner, Workspace: identity.Workspace, Request: req.asked.id}
+	identity := req.input.identity
+	subject := once.Subject{Partner: identity.Partner, Workspace: identity.Workspace, Request: req.input.id}
 	return g.settings.Once.Bind(ctx, subject, id, g.settings.Clock())
 }
 
-// finishBinding records that a request not to be repeated has been answered. If
-// that fails the record stays bound, and later requests with the same id are
-// answered that the request may have run.
+// finishBinding records that a bound request got a response; b is nil for other requests.
+// On error the record stays bound, and later requests with the same id fail with OnceUnsure.
 func (g *Gate) finishBinding(ctx context.Context, req *request, b *once.Binding) {
 	if b == nil {
 		return
@@ -34,13 +34,13 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), bindingTimeout)
 	defer cancel()
 	if err := b.Finish(ctx, req.sink.status, g.settings.Clock()); err != nil {
-		g.settings.Log.Warn("once_record", zap.String("request", string(req.asked.id)), zap.Error(err))
+		g.settings.Log.Warn("once_record", zap.String("request", string(req.input.id)), zap.Error(err))
 	}
 }
 
-// release frees a binding if err says that its request did not run, so that the
-// caller may try again, and returns err. If that fails the record stays bound.
-func (g *Gate) release(ctx context.Context, b *once.Binding, err error) error {
+// releaseBinding releases a binding if err says that the request did not run, so that the
+// caller may repeat it. It returns err. If the release fails the record stays bound.
+func (g *Gate) releaseBinding(ctx context.Context, b *once.Binding, err error) error {
 	if b == nil || granitehoist.CodeOf(err).Info().Fate != granitehoist.NotRun {
 		return err
 	}
--- a/partner/gate/bound.go
+++ b/partner/gate/bound.go
@@ -8,51 +8,50 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// Tokens that an engine may add to a prompt's own text. All are upper bounds
+// Upper bounds of the tokens that an engine adds to the text of a prompt
 // (docs/design/budgets.md).
 const (
-	// templateMessageTokens is what the chat template adds to each message.
+	// templateMessageTokens is added by the chat template for each message.
 	templateMessageTokens = 16
-	// templateTokens is what the template adds to the prompt once.
+	// templateTokens is added by the template once for each prompt.
 	templateTokens = 64
-	// toolFactor is the tokens that the template may make of each byte of the tools and
-	// the response format.
-	toolFactor = 2
+	// schemaTokensPerByte is the number of tokens that the template produces for each byte
+	// of the tools and the response format.
+	schemaTokensPerByte = 2
 )
 
-// promptSize is what bounds the tokens of a prompt.
+// promptSize is the input of promptBound.
 type promptSize struct {
-	// textBytes is the size of the prompt's own text.
+	// textBytes is the size of the prompt's text.
 	textBytes int
 	messages  int
 	// schemaBytes is the size of the tools and the response format.
 	schemaBytes int
 }
 
-// promptBound decides how many tokens a prompt can cost at most. Each byte of
-// text is at most one token, since every token of a byte-level tokenizer covers
-// at least one byte; the template adds a bounded number.
+// promptBound returns an upper bound of the tokens of a prompt. Each byte of text is at
+// most one token, since a token of a byte-level tokenizer covers at least one byte. The
+// template adds a bounded number.
 func promptBound(p promptSize) granitehoist.Tokens {
-	return granitehoist.Tokens(p.textBytes + templateTokens + p.messages*templateMessageTokens + toolFactor*p.schemaBytes)
+	return granitehoist.Tokens(p.textBytes + templateTokens + p.messages*templateMessageTokens + schemaTokensPerByte*p.schemaBytes)
 }
 
-// outputBound decides how many tokens one choice may have: what the caller
-// asked for, within the service's maximum, or the service's default. asked is
-// nil if the caller named no maximum.
-func outputBound(asked *granitehoist.Tokens, s config.Service) granitehoist.Tokens {
-	if asked == nil {
+// outputBound returns the maximum output tokens of one choice: the requested number,
+// capped at the maximum of the service, or the default of the service if requested is nil.
+func outputBound(requested *granitehoist.Tokens, s config.Service) granitehoist.Tokens {
+	if requested == nil {
 		return s.DefaultOutput
 	}
-	return min(*asked, s.MaxOutput)
+	return min(*requested, s.MaxOutput)
 }
 
-// maxOutput returns the output tokens of one choice that the service allows.
+// maxOutput returns the maximum output tokens of one choice.
 func (c *completion) maxOutput(s config.Service) granitehoist.Tokens {
 	return outputBound(c.maxTokens, s)
 }
 
-// bound returns an upper bound of the request's cost, which is reserved before
-// it is sent to an upstream.
+// bound returns an upper bound of the cost of the request, which is reserved before the
+// request is sent.
 func (c *completion) bound(s config.Service) granitehoist.Tokens {
 	prompt := promptSize{
 		textBytes:   c.textBytes,
--- a/partner/gate/charge.go
+++ b/partner/gate/charge.go
@@ -5,34 +5,34 @@
 
 import "granitehoist.example/granitehoist"
 
-// attemptEnd is what decides how an attempt is settled.
-type attemptEnd struct {
-	// code is Served for an attempt that succeeded.
+// attemptOutcome is the input of decideSettlement.
+type attemptOutcome struct {
+	// code is Served if the attempt succeeded.
 	code granitehoist.Code
-	// plain says that the service is a plain one, which costs its price.
+	// plain is set for a plain service, which costs its fixed price.
 	plain bool
 	usage granitehoist.Usage
 }
 
-// settlement says what becomes of an attempt's reservation.
+// settlement is what to do with the reservation of an attempt.
 type settlement int
 
 const (
-	// keepReservation leaves it to the next attempt.
+	// keepReservation leaves the reservation to the next attempt.
 	keepReservation settlement = iota
-	// settleBound spends all of it.
+	// settleBound spends the whole reservation.
 	settleBound
-	// settleUsage spends what the upstream reported.
+	// settleUsage spends the usage that the upstream reported.
 	settleUsage
-	// askUpstream leaves it until the upstream has said what the attempt cost.
-	askUpstream
+	// queryUpstream keeps the reservation until the upstream has reported the cost.
+	queryUpstream
 )
 
-// decideSettlement decides how an attempt is paid for. One that did not run
-// costs nothing. A plain service costs its price even if its answer was lost, since
-// it can't be asked. An engine costs what it reports; if its attempt failed, the
-// report may be incomplete, so the engine is asked.
-func decideSettlement(a attemptEnd) settlement {
+// decideSettlement decides how an attempt is settled. An attempt that did not run costs
+// nothing. A plain service costs its price even if the response was lost, since it can't be
+// queried. An engine costs the usage that it reports; if the attempt failed the report may
+// be incomplete, so the engine is queried.
+func decideSettlement(a attemptOutcome) settlement {
 	switch {
 	case a.code.Info().Fate == granitehoist.NotRun:
 		return keepReservation
@@ -41,22 +41,22 @@
 	case a.usage.Reported && a.code == granitehoist.Served:
 		return settleUsage
 	}
-	return askUpstream
+	return queryUpstream
 }
 
-// requestCost is what decides whether a request is charged.
+// requestCost is the input of isCharged.
 type requestCost struct {
-	// mayHaveRun says that an attempt may have run.
+	// mayHaveRun means that an attempt may have run.
 	mayHaveRun bool
 	plain      bool
-	// wasUnsettled says that an engine had to be asked what an attempt cost.
+	// wasUnsettled means that an engine was queried for the cost of an attempt.
 	wasUnsettled bool
 	tokens       granitehoist.Tokens
 }
 
-// isCharged decides whether a request gets a charge: not if no attempt can have
-// run, nor if the engine that was asked says that it cost nothing, since then
-// the attempt never arrived there. Otherwise it gets one, even of no tokens.
+// isCharged reports whether a request gets a charge. It gets none if no attempt can have
+// run, or if a queried engine reported no cost, which means that the attempt never arrived.
+// Otherwise it gets one, even of zero tokens.
 func isCharged(c requestCost) bool {
 	neverArrived := !c.plain && c.wasUnsettled && c.tokens == 0
 	return c.mayHaveRun && !neverArrived
--- a/partner/gate/completion.go
+++ b/partner/gate/completion.go
@@ -11,9 +11,8 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// allowedFields are the fields of a completion request that can't raise its
-// cost beyond the bound. Others, such as a template of the caller's own, are
-// refused.
+// allowedFields are the fields of a completion request that can't raise its cost above the
+// bound. Others, such as a chat template of the caller, are refused.
 var allowedFields = map[string]bool{
 	"model": true, "messages": true, "prompt": true, "max_tokens": true, "max_completion_tokens": true,
 	"stream": true, "stream_options": true, "temperature": true, "top_p": true, "top_k": true, "min_p": true,
@@ -23,46 +22,46 @@
 }
 
 const (
-	// maxChoices bounds the answers that one request may ask for.
+	// maxChoices is the largest number of choices of one request.
 	maxChoices = 8
-	// maxTokenCount bounds a maximum of output tokens: the largest 32-bit number, so that
-	// the bound of no request overflows.
+	// maxTokenCount is the largest maximum of output tokens. It keeps the bound of a request
+	// from overflowing.
 	maxTokenCount = granitehoist.Tokens(math.MaxInt32)
 )
 
-// completion is a completion request as a caller sent it.
+// completion is a parsed completion request.
 type completion struct {
 	fields map[string]json.RawMessage
 	// bodyBytes is the size of the body.
 	bodyBytes int
-	// textBytes is the size of the prompt's own text; it bounds its tokens.
+	// textBytes is the size of the prompt's text, which bounds its tokens.
 	textBytes int
 	model     granitehoist.Model
 	stream    bool
-	// wantsUsage says that the caller asked for the usage in its stream.
+	// wantsUsage means that the caller requested the usage in its stream.
 	wantsUsage bool
 	choices    granitehoist.Tokens
-	// messages is the number of chat messages; zero for a plain prompt.
+	// messages is the number of chat messages, zero for a plain prompt.
 	messages int
-	// maxTokens is the caller's maximum of one choice, nil if it gave none.
+	// maxTokens is the caller's maximum for one choice, nil if it set none.
 	maxTokens *granitehoist.Tokens
-	// prefix is the part of the prompt by which requests share an upstream.
+	// prefix is the part of the prompt that is hashed for upstream affinity.
 	prefix []byte
 }
 
-// parseCompletion reads a body. Its errors are *Error with codes BadRequest,
-// BadTokenCount and Unsupported.
+// parseCompletion parses a request body. The error is a *granitehoist.Error with code
+// BadRequest, BadTokenCount or Unsupported.
 func parseCompletion(body []byte) (*completion, error) {
 	c := &completion{bodyBytes: len(body), choices: 1}
 	if err := json.Unmarshal(body, &c.fields); err != nil {
-		return nil, granitehoist.Errorf(granitehoist.BadRequest, "it is no JSON object: %v", err)
+		return nil, granitehoist.Errorf(granitehoist.BadRequest, "the body is not a JSON object: %v", err)
 	}
 	for name := range c.fields {
 		if !allowedFields[name] {
 			return nil, granitehoist.Errorf(granitehoist.Unsupported, "field %q", name)
 		}
 	}
-	if err := c.field("model", &c.model); err != nil {
+	if err := c.decodeField("model", &c.model); err != nil {
 		return nil, err
 	}
 	if c.model == "" {
@@ -80,47 +79,46 @@
 	return c, c.readPrompt()
 }
 
-// field decodes one field, if it is there and not null.
-func (c *completion) field(name string, into any) error {
+// decodeField decodes the field into dst if it is present and not null.
+func (c *completion) decodeField(name string, dst any) error {
 	raw, ok := c.fields[name]
 	if !ok || string(raw) == "null" {
 		return nil
 	}
-	if err := json.Unmarshal(raw, into); err != nil {
+	if err := json.Unmarshal(raw, dst); err != nil {
 		return granitehoist.Errorf(granitehoist.BadRequest, "field %q has the wrong type", name)
 	}
 	return nil
 }
 
-// readStream reads whether the answer is a stream, and whether the caller wants
-// the usage in it.
+// readStream reads whether the response is a stream and whether it includes the usage.
 func (c *completion) readStream() error {
-	if err := c.field("stream", &c.stream); err != nil {
+	if err := c.decodeField("stream", &c.stream); err != nil {
 		return err
 	}
 	var options struct {
 		IncludeUsage bool `json:"include_usage"`
 	}
-	if err := c.field("stream_options", &options); err != nil {
+	if err := c.decodeField("stream_options", &options); err != nil {
 		return err
 	}
 	c.wantsUsage = options.IncludeUsage
 	return nil
 }
 
-// readMaxTokens reads the caller's maximum, which may stand in either of two
-// fields, or in both if they agree.
+// readMaxTokens reads the caller's maximum, which may be in either of two fields, or in both
+// if they are equal.
 func (c *completion) readMaxTokens() error {
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		var n *float64
-		if err := c.field(name, &n); err != nil {
-			return granitehoist.Errorf(granitehoist.BadTokenCount, "field %q is no number", name)
+		if err := c.decodeField(name, &n); err != nil {
+			return granitehoist.Errorf(granitehoist.BadTokenCount, "field %q is not a number", name)
 		}
 		if n == nil {
 			continue
 		}
 		if *n != math.Trunc(*n) || *n < 1 || *n > float64(maxTokenCount) {
-			return granitehoist.Errorf(granitehoist.BadTokenCount, "field %q is a whole number from 1 to %d", name, maxTokenCount)
+			return granitehoist.Errorf(granitehoist.BadTokenCount, "field %q must be an integer from 1 to %d", name, maxTokenCount)
 		}
 		tokens := granitehoist.Tokens(*n)
 		if c.maxTokens != nil && *c.maxTokens != tokens {
@@ -131,19 +129,19 @@
 	return nil
 }
 
-// readChoices reads how many answers the caller asks for, one if it does not say.
+// readChoices reads the number of choices, one by default.
 func (c *completion) readChoices() error {
-	if err := c.field("n", &c.choices); err != nil {
+	if err := c.decodeField("n", &c.choices); err != nil {
 		return err
 	}
 	if c.choices < 1 || c.choices > maxChoices {
-		return granitehoist.Errorf(granitehoist.BadTokenCount, "field \"n\" is from 1 to %d", maxChoices)
+		return granitehoist.Errorf(granitehoist.BadTokenCount, "field \"n\" must be from 1 to %d", maxChoices)
 	}
 	return nil
 }
 
-// upstreamBody returns the body for the engine: the caller's, with the maximum
-// output written out, the usage asked for and the priority set.
+// upstreamBody returns the body for the engine: the caller's with max_tokens and the
+// priority set, and with the usage requested if it is a stream.
 func (c *completion) upstreamBody(s config.Service, p granitehoist.Priority) ([]byte, error) {
 	const added = 3 // max_tokens, priority and stream_options
 	fields := make(map[string]any, len(c.fields)+added)
@@ -159,8 +157,8 @@
 	return json.Marshal(fields)
 }
 
-// enginePriority returns the priority that an engine is sent. Engines serve a
-// smaller number first, callers and policies count the other way.
+// enginePriority converts a priority for an engine. Engines serve smaller numbers first,
+// while callers and policies use larger numbers for higher priorities.
 func enginePriority(p granitehoist.Priority) granitehoist.Priority {
 	return granitehoist.MaxPriority - p
 }
--- a/partner/gate/doc.go
+++ b/partner/gate/doc.go
@@ -1,38 +1,32 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package gate serves the callers of the fleet over HTTP.
+// Package gate serves the HTTP API of 'granitehoist router' to callers.
 //
-// A request goes this way: its key is looked up, its body and headers are
-// read, the partners' policies are asked, an upper bound of its cost is
-// reserved from the box's tokens, an upstream is chosen, a request not to be
-// repeated is bound in the store, and only then the upstream gets it. The
-// answer is passed on as it arrives, the reservation is settled to the use that
-// the upstream reports, and one charge is entered. Every refusal has a numbered
-// result code, which says whether the request ran.
+// A request is handled in these steps: look up its key, read its headers and body,
+// evaluate the partners' policies, reserve an upper bound of its cost from the tokens of
+// the box, choose an upstream, bind a request that is not to be repeated in the store,
+// and send it. The response is forwarded as it arrives. Then the reservation is settled
+// to the usage that the upstream reports, and one charge is recorded. Each refusal has a
+// numbered result code, which says whether the request ran.
 //
-// It runs in 'granitehoist router', which package router builds.
+// A Gate owns the counter of its attempts and the readiness flags (atomics), the retry
+// budget (retrybudget.Budget), the route targets of the documents in force (targetCache)
+// and the record of requests that crashed upstreams (suspect.Table); the last three do
+// their own locking. A request belongs to the goroutine that serves it. Its costTracker
+// passes to a background goroutine if an upstream has to be queried for the cost.
 //
-// State. A Gate owns the number of its attempts and whether it drains (atomic),
-// its budget of retries (retryBudget, own lock) and the upstreams prepared for
-// the documents in force (targetCache, own lock), and the evidence against requests
-// that crash upstreams (suspect.Table, own lock). A request belongs to the
-// goroutine that serves it; what its attempts cost (spend) passes on to one
-// goroutine in the background if an upstream has to be asked.
+// The package uses config for the documents in force, Funds (budget.Agent) for tokens,
+// bill.Ledger for charges, route.Table for upstreams, once.Registry for requests that
+// are not to be repeated, and the protocols of package partner/upstream.
 //
-// It relies on config for the documents in force, on Funds (budget.Agent) for
-// tokens, on bill.Ledger for charges, on route.Table for upstreams, on
-// once.Registry for requests not to be repeated, and on the protocols of package
-// upstream.
+// Begin reading at run.go, which processes a request from policy to charge, and read.go,
+// which reads it. The decisions are functions without I/O or locks: availability.go
+// (whether requests are accepted), refusals.go (Retry-After), bound.go (upper bound of
+// the cost), retry.go (whether to retry), result.go (the result of several attempts) and
+// charge.go (settlement and charging).
 //
-// Begin with run.go, which takes a request from policy to charge, and read.go
-// before it. The rules are functions without calls or locks: availability.go
-// (are requests taken), refusals.go (Retry-After), bound.go (what a request can
-// cost), retry.go (may another attempt follow), result.go (which result
-// stands after several), charge.go (what is paid).
-//
-// Package forward has the same duty in granitehoist-edge. There the keys and the
-// upstreams are the platform's, no policy is asked and no bill is written, and the
-// tokens come from package escrow; here the partners' documents, policies, budgets
-// and bills decide. Joining the two would change what the software does.
+// Package forward does the same in granitehoist-edge with other inputs: keys and
+// upstreams come from the platform, tokens from package escrow, and there are no
+// policies or bills.
 package gate
--- a/partner/gate/endpoints.go
+++ b/partner/gate/endpoints.go
@@ -16,22 +16,22 @@
 }
 
 func (g *Gate) serveReady(w http.ResponseWriter, _ *http.Request) {
-	answer := g.availability().readiness()
+	response := g.availability().readiness()
 	status := http.StatusServiceUnavailable
-	if answer.ready {
+	if response.ready {
 		status = http.StatusOK
 	}
-	writeText(w, status, answer.text)
+	writeText(w, status, response.text)
 }
 
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	// It fails only if the reader has closed its connection.
+	// The write fails only if the client has closed the connection.
 	_, _ = io.WriteString(w, text)
 }
 
-// serveUnknown refuses what no other path takes.
+// serveUnknown refuses requests whose path or method has no handler.
 func (g *Gate) serveUnknown(w http.ResponseWriter, r *http.Request) {
 	code := granitehoist.NotFound
 	switch r.URL.Path {
@@ -52,8 +52,8 @@
 	OwnedBy granitehoist.Partner `json:"owned_by"`
 }
 
-// serveModels lists the models that the caller's partner may use, in the form
-// of OpenAI-compatible servers.
+// serveModels lists the models that the caller's partner may use, in the format of the
+// OpenAI-compatible API.
 func (g *Gate) serveModels(w http.ResponseWriter, r *http.Request) {
 	view := g.settings.View()
 	identity, err := identify(view, r)
@@ -68,7 +68,6 @@
 		}
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// The list always encodes; a write fails only if the reader has closed its
-	// connection.
+	// Encoding can't fail; the write fails only if the client has closed the connection.
 	_ = json.NewEncoder(w).Encode(list)
 }
--- a/partner/gate/fakes_test.go
+++ b/partner/gate/fakes_test.go
@@ -31,12 +31,12 @@
 	budgetID = granitehoist.BudgetID("tuul/kiosk/season")
 )
 
-// fakeFunds pays from one amount.
+// fakeFunds is a gate.Funds with one amount of tokens for all budgets.
 type fakeFunds struct {
-	mu       sync.Mutex
-	left     granitehoist.Tokens
-	reserved granitehoist.Tokens
-	fail     error
+	mu        sync.Mutex
+	available granitehoist.Tokens
+	reserved  granitehoist.Tokens
+	fail      error
 }
 
 func (f *fakeFunds) Reserve(_ context.Context, _ granitehoist.BudgetID, bound granitehoist.Tokens) error {
@@ -45,10 +45,10 @@
 	if f.fail != nil {
 		return f.fail
 	}
-	if bound > f.left {
+	if bound > f.available {
 		return granitehoist.Errorf(granitehoist.BudgetExhausted, "")
 	}
-	f.left -= bound
+	f.available -= bound
 	f.reserved += bound
 	return nil
 }
@@ -57,23 +57,22 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reserved -= bound
-	f.left += bound - used
+	f.available += bound - used
 }
 
-func (f *fakeFunds) state() (left, reserved granitehoist.Tokens) {
+func (f *fakeFunds) state() (available, reserved granitehoist.Tokens) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.left, f.reserved
+	return f.available, f.reserved
 }
 
-// fakeProtocol answers each call by the next of its steps, the last one again
-// and again.
+// fakeProtocol handles each call with the next of its steps, and repeats the last one.
 type fakeProtocol struct {
 	mu    sync.Mutex
 	steps []func(granitehoist.Call, granitehoist.Sink) (granitehoist.Usage, error)
 	calls []granitehoist.Call
-	// stopped is what Stop answers; nil stands for not known.
-	stopped *granitehoist.Usage
+	// stopUsage is the usage that Stop returns; if nil, Stop returns false.
+	stopUsage *granitehoist.Usage
 }
 
 func (f *fakeProtocol) Do(_ context.Context, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
@@ -85,10 +84,10 @@
 }
 
 func (f *fakeProtocol) Stop(context.Context, string, granitehoist.AttemptID) (granitehoist.Usage, bool) {
-	if f.stopped == nil {
+	if f.stopUsage == nil {
 		return granitehoist.Usage{}, false
 	}
-	return *f.stopped, true
+	return *f.stopUsage, true
 }
 
 func (f *fakeProtocol) List(context.Context, string, string) ([]granitehoist.KnownAttempt, error) {
@@ -101,22 +100,22 @@
 	return len(f.calls)
 }
 
-// answers serves whole answers that cost 10 tokens.
-func answers(_ granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
+// respondOK sends a complete response that costs 10 tokens.
+func respondOK(_ granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 	_ = sink.Start(http.StatusOK, http.Header{"Content-Type": {"application/json"}})
 	_ = sink.Write([]byte(`{"done":true}`))
 	return granitehoist.Usage{Prompt: 4, Output: 6, Reported: true}, nil
 }
 
-// fails ends the call with a code before any answer.
-func fails(code granitehoist.Code) func(granitehoist.Call, granitehoist.Sink) (granitehoist.Usage, error) {
+// failWith returns a step that fails with a code before any response.
+func failWith(code granitehoist.Code) func(granitehoist.Call, granitehoist.Sink) (granitehoist.Usage, error) {
 	return func(granitehoist.Call, granitehoist.Sink) (granitehoist.Usage, error) {
 		return granitehoist.Usage{}, granitehoist.Errorf(code, "")
 	}
 }
 
-// breaks gives a part of an answer and fails.
-func breaks(_ granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
+// failMidStream sends the first event of a stream and fails.
+func failMidStream(_ granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 	_ = sink.Start(http.StatusOK, http.Header{"Content-Type": {"text/event-stream"}})
 	_ = sink.Write([]byte("data: {\"part\":1}\n\n"))
 	return granitehoist.Usage{}, granitehoist.Errorf(granitehoist.UpstreamCut, "")
@@ -147,8 +146,8 @@
 	}
 }
 
-// site is a gate between fakes.
-type site struct {
+// fixture is a gate with fake funds and protocols.
+type fixture struct {
 	settings gate.Settings
 	gate     *gate.Gate
 	funds    *fakeFunds
@@ -159,11 +158,11 @@
 	view     *config.View
 }
 
-func newSite() *site {
-	s := &site{
-		funds:  &fakeFunds{left: 10_000},
-		engine: &fakeProtocol{steps: []func(granitehoist.Call, granitehoist.Sink) (granitehoist.Usage, error){answers}},
-		plain:  &fakeProtocol{steps: []func(granitehoist.Call, granitehoist.Sink) (granitehoist.Usage, error){answers}},
+func newFixture() *fixture {
+	s := &fixture{
+		funds:  &fakeFunds{available: 10_000},
+		engine: &fakeProtocol{steps: []func(granitehoist.Call, granitehoist.Sink) (granitehoist.Usage, error){respondOK}},
+		plain:  &fakeProtocol{steps: []func(granitehoist.Call, granitehoist.Sink) (granitehoist.Usage, error){respondOK}},
 		ledger: bill.NewLedger(bill.LedgerSettings{Incarnation: "box-1"}),
 		store:  standin.NewStore(standin.StoreSettings{}),
 		view:   config.NewView().With(document(), 1),
@@ -187,8 +186,8 @@
 	return s
 }
 
-// answer is an answer of the gate.
-type answer struct {
+// gateResponse is a recorded response with the result code and fate in its body.
+type gateResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -196,7 +195,7 @@
 	fate   granitehoist.Fate
 }
 
-func (s *site) send(method, path, body string, headers ...string) answer {
+func (s *fixture) send(method, path, body string, headers ...string) gateResponse {
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("Authorization", "Bearer "+key)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -204,7 +203,7 @@
 	}
 	w := httptest.NewRecorder()
 	func() {
-		// The gate cuts a broken answer off by this panic, as net/http asks.
+		// The gate aborts an incomplete response with this panic, as net/http specifies.
 		defer func() {
 			if p := recover(); p != nil && p != http.ErrAbortHandler {
 				panic(p)
@@ -213,16 +212,16 @@
 		s.gate.ServeHTTP(w, r)
 	}()
 	s.gate.Wait()
-	t := answer{status: w.Code, header: w.Header(), body: w.Body.String(), code: granitehoist.Served, fate: granitehoist.Ran}
+	got := gateResponse{status: w.Code, header: w.Header(), body: w.Body.String(), code: granitehoist.Served, fate: granitehoist.Ran}
 	var failure gate.Failure
 	if json.Unmarshal(w.Body.Bytes(), &failure) == nil && failure.Error.Code != 0 {
-		t.code, t.fate = granitehoist.Code(failure.Error.Code), failure.Error.Fate
+		got.code, got.fate = granitehoist.Code(failure.Error.Code), failure.Error.Fate
 	}
-	return t
+	return got
 }
 
 const goodBody = `{"model":"m","messages":[{"role":"user","content":"hello"}]}`
 
-func (s *site) chat(body string, headers ...string) answer {
+func (s *fixture) chat(body string, headers ...string) gateResponse {
 	return s.send(http.MethodPost, "/v1/chat/completions", body, headers...)
 }
--- a/partner/gate/gate.go
+++ b/partner/gate/gate.go
@@ -14,40 +14,38 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// Gate serves the callers. It implements http.Handler and is safe for
-// concurrent use.
+// Gate is the HTTP handler for callers. It is safe for concurrent use.
 type Gate struct {
 	settings Settings
 	mux      *http.ServeMux
-	// attempts numbers the attempts of this run of the router.
+	// attempts counts the attempts of this incarnation; it is part of their ids.
 	attempts atomic.Uint64
 	unready  atomic.Bool
 	draining atomic.Bool
 	retries  *retrybudget.Budget
 	targets  targetCache
-	// suspects holds the evidence of this router against requests that crash upstreams,
-	// and prober finds out whether an upstream is down.
-	suspects *suspect.Table
-	prober   *exchange.Pool
-	// background counts the requests that are answered but whose cost is still
-	// being asked for.
+	// crashTable records the requests under which upstreams crashed. prober checks whether
+	// an upstream is down.
+	crashTable *suspect.Table
+	prober     *exchange.Pool
+	// background counts the requests that have been answered but whose cost is not settled.
 	background sync.WaitGroup
 }
 
 // New returns a gate. It panics if a required setting is missing.
 func New(s Settings) *Gate {
 	if !s.complete() {
-		panic("gate: a setting is missing")
+		panic("gate: a required field of Settings is missing")
 	}
 	s.Limits.setDefaults()
 	g := &Gate{
-		settings: s,
-		mux:      http.NewServeMux(),
-		retries:  newRetryBudget(),
-		suspects: suspect.New(suspect.Settings{}),
-		prober:   exchange.NewPool(exchange.Settings{}),
+		settings:   s,
+		mux:        http.NewServeMux(),
+		retries:    newRetryBudget(),
+		crashTable: suspect.New(suspect.Settings{}),
+		prober:     exchange.NewPool(exchange.Settings{}),
 	}
-	g.suspects.SetSecret(suspect.NewSecret(s.Random))
+	g.crashTable.SetSecret(suspect.NewSecret(s.Random))
 	g.mux.HandleFunc("POST "+pathChat, g.serveCompletion)
 	g.mux.HandleFunc("POST "+pathCompletions, g.serveCompletion)
 	g.mux.HandleFunc("GET "+pathModels, g.serveModels)
@@ -58,40 +56,41 @@
 	return g
 }
 
-// Paths that callers may use.
+// Paths of the API.
 const (
 	pathChat        = "/v1/chat/completions"
 	pathCompletions = "/v1/completions"
 	pathModels      = "/v1/models"
 	pathServices    = "/services/"
-	// PathHealth answers as long as the process runs, and PathReady while it
-	// takes requests.
+	// PathHealth responds with 200 while the process runs.
 	PathHealth = "/health"
-	PathReady  = "/ready"
+	// PathReady responds with 200 if the router is ready, and with 503 before the first
+	// document and during a stop.
+	PathReady = "/ready"
 )
 
-// Headers of requests and answers.
+// Headers of requests and responses.
 const (
-	// HeaderRequest is the request id; the gate makes one if the caller sends
-	// none, and every answer carries it.
+	// HeaderRequest is the request id. The gate generates one if the caller sends none, and
+	// every response has it.
 	HeaderRequest = "X-Request-Id"
-	// HeaderPriority is a number from 0 to 9; 9 is served first.
+	// HeaderPriority is a number from 0 to 9; larger numbers are served first.
 	HeaderPriority = "Granitehoist-Priority"
-	// HeaderDeadline is the time that the request may take, in milliseconds.
+	// HeaderDeadline is the timeout of the request in milliseconds.
 	HeaderDeadline = "Granitehoist-Deadline-Ms"
-	// HeaderOnce says "true" for a request that is not to be repeated.
+	// HeaderOnce is "true" for a request that is not to be repeated.
 	HeaderOnce = "Granitehoist-Once"
-	// HeaderBudget names a budget of the workspace other than the key's own.
+	// HeaderBudget names a budget of the workspace to use instead of the key's.
 	HeaderBudget = "Granitehoist-Budget"
-	// HeaderCode is the numbered result code of an answer.
+	// HeaderCode is the numbered result code of a response.
 	HeaderCode = "Granitehoist-Code"
 	// HeaderFate says whether the request ran.
 	HeaderFate = "Granitehoist-Fate"
 )
 
-// ServeHTTP implements http.Handler. Reading the body is bounded from here on,
-// so that a refusal that comes before the body is read is bounded too: the
-// standard library reads the remaining body before it answers.
+// ServeHTTP implements http.Handler. It sets the read deadline first, which also bounds
+// refusals that are sent before the body is read: net/http reads the rest of the body
+// before it responds.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	limits := g.settings.Limits
 	setReadDeadline(w, g.settings.Clock().Add(limits.ReadTimeout))
@@ -102,7 +101,7 @@
 	g.mux.ServeHTTP(w, r)
 }
 
-// headerSize returns the bytes of a request's line and headers.
+// headerSize returns the size of the request line and headers in bytes.
 func headerSize(r *http.Request) int {
 	size := len(r.Method) + len(r.RequestURI)
 	for name, values := range r.Header {
@@ -113,19 +112,18 @@
 	return size
 }
 
-// Unready makes PathReady answer 503, so that balancers leave the router. The
-// gate still takes requests.
+// Unready makes PathReady respond with 503, so that load balancers stop sending requests.
+// The gate still accepts requests.
 func (g *Gate) Unready() { g.unready.Store(true) }
 
-// Drain makes the gate unready and refuses new requests; those in progress
-// continue.
+// Drain makes the gate unready and refuses new requests. Requests in progress continue.
 func (g *Gate) Drain() { g.draining.Store(true) }
 
-// Wait returns when the cost of every answered request is settled. It is
-// called after the last request has been answered.
+// Wait blocks until the cost of each answered request is settled. It must be called after
+// the last request has been answered.
 func (g *Gate) Wait() { g.background.Wait() }
 
-// availability returns what decides whether the gate takes requests now.
+// availability returns the current state of the gate.
 func (g *Gate) availability() availability {
 	return availability{
 		unready:   g.unready.Load(),
--- a/partner/gate/gate_test.go
+++ b/partner/gate/gate_test.go
@@ -26,27 +26,27 @@
 type step = func(granitehoist.Call, granitehoist.Sink) (granitehoist.Usage, error)
 
 var _ = Describe("Gate", func() {
-	var s *site
-	BeforeEach(func() { s = newSite() })
+	var s *fixture
+	BeforeEach(func() { s = newFixture() })
 
-	// nothingSpent expects that no token was charged or kept and no upstream
-	// was called.
-	nothingSpent := func() {
+	// expectNothingSpent expects that no token was charged or is reserved, and that no
+	// upstream was called.
+	expectNothingSpent := func() {
 		GinkgoHelper()
-		left, reserved := s.funds.state()
-		Expect(left).To(Equal(granitehoist.Tokens(10_000)))
+		available, reserved := s.funds.state()
+		Expect(available).To(Equal(granitehoist.Tokens(10_000)))
 		Expect(reserved).To(BeZero())
 		Expect(s.ledger.Pending()).To(BeZero())
 		Expect(s.engine.count() + s.plain.count()).To(BeZero())
 	}
 
-	It("serves, settles to the reported use and makes one charge", func() {
-		t := s.chat(goodBody, gate.HeaderRequest, "mine")
-		Expect(t.status).To(Equal(http.StatusOK))
-		Expect(t.header.Get(gate.HeaderRequest)).To(Equal("mine"))
-		Expect(t.header.Get(gate.HeaderCode)).To(Equal("1"))
-		left, reserved := s.funds.state()
-		Expect(left).To(Equal(granitehoist.Tokens(9990)))
+	It("settles to the reported usage and records one charge", func() {
+		got := s.chat(goodBody, gate.HeaderRequest, "mine")
+		Expect(got.status).To(Equal(http.StatusOK))
+		Expect(got.header.Get(gate.HeaderRequest)).To(Equal("mine"))
+		Expect(got.header.Get(gate.HeaderCode)).To(Equal("1"))
+		available, reserved := s.funds.state()
+		Expect(available).To(Equal(granitehoist.Tokens(9990)))
 		Expect(reserved).To(BeZero())
 		charges := s.ledger.Next(10).Charges
 		Expect(charges).To(HaveLen(1))
@@ -55,7 +55,7 @@
 		Expect(charges[0].Budget).To(Equal(budgetID))
 	})
 
-	It("writes the bound of the output into the request", func() {
+	It("sets the maximum of output tokens in the request", func() {
 		s.chat(`{"model":"m","max_completion_tokens":7,"messages":[{"role":"user","content":"hello"}]}`)
 		Expect(string(s.engine.calls[0].Body)).To(ContainSubstring(`"max_tokens":7`))
 		Expect(string(s.engine.calls[0].Body)).NotTo(ContainSubstring("max_completion_tokens"))
@@ -65,20 +65,20 @@
 		Expect(string(s.engine.calls[2].Body)).To(ContainSubstring(`"max_tokens":100,`))
 	})
 
-	DescribeTable("refuses bad completions as not run and charges nothing",
+	DescribeTable("refuses an invalid completion as not run and charges nothing",
 		func(body string, code granitehoist.Code) {
-			t := s.chat(body)
-			Expect(t.code).To(Equal(code), t.body)
-			Expect(t.fate).To(Equal(granitehoist.NotRun))
-			Expect(t.status).To(Equal(code.Info().Status))
-			nothingSpent()
+			got := s.chat(body)
+			Expect(got.code).To(Equal(code), got.body)
+			Expect(got.fate).To(Equal(granitehoist.NotRun))
+			Expect(got.status).To(Equal(code.Info().Status))
+			expectNothingSpent()
 		},
-		Entry("no JSON", "hello", granitehoist.BadRequest),
-		Entry("nothing", "", granitehoist.BadRequest),
+		Entry("not JSON", "hello", granitehoist.BadRequest),
+		Entry("empty body", "", granitehoist.BadRequest),
 		Entry("a list", "[]", granitehoist.BadRequest),
 		Entry("null", "null", granitehoist.BadRequest),
 		Entry("no model", `{"messages":[{"role":"user","content":"x"}]}`, granitehoist.BadRequest),
-		Entry("model of wrong type", `{"model":3,"messages":[]}`, granitehoist.BadRequest),
+		Entry("model of the wrong type", `{"model":3,"messages":[]}`, granitehoist.BadRequest),
 		Entry("unknown model", `{"model":"z","messages":[{"role":"user","content":"x"}]}`, granitehoist.UnknownModel),
 		Entry("no messages", `{"model":"m","messages":[]}`, granitehoist.BadRequest),
 		Entry("neither messages nor prompt", `{"model":"m"}`, granitehoist.BadRequest),
@@ -86,43 +86,43 @@
 		Entry("prompt on the chat path", `{"model":"m","prompt":"x"}`, granitehoist.BadRequest),
 		Entry("negative tokens", `{"model":"m","max_tokens":-1,"messages":[{"role":"user","content":"x"}]}`, granitehoist.BadTokenCount),
 		Entry("zero tokens", `{"model":"m","max_tokens":0,"messages":[{"role":"user","content":"x"}]}`, granitehoist.BadTokenCount),
-		Entry("half a token", `{"model":"m","max_tokens":1.5,"messages":[{"role":"user","content":"x"}]}`, granitehoist.BadTokenCount),
-		Entry("absurd tokens", `{"model":"m","max_tokens":1e300,"messages":[{"role":"user","content":"x"}]}`, granitehoist.BadTokenCount),
-		Entry("tokens as text", `{"model":"m","max_tokens":"9","messages":[{"role":"user","content":"x"}]}`, granitehoist.BadTokenCount),
-		Entry("two bounds that differ", `{"model":"m","max_tokens":1,"max_completion_tokens":2,"messages":[{"role":"user","content":"x"}]}`, granitehoist.BadTokenCount),
+		Entry("fractional tokens", `{"model":"m","max_tokens":1.5,"messages":[{"role":"user","content":"x"}]}`, granitehoist.BadTokenCount),
+		Entry("too many tokens", `{"model":"m","max_tokens":1e300,"messages":[{"role":"user","content":"x"}]}`, granitehoist.BadTokenCount),
+		Entry("tokens as a string", `{"model":"m","max_tokens":"9","messages":[{"role":"user","content":"x"}]}`, granitehoist.BadTokenCount),
+		Entry("two different maximums", `{"model":"m","max_tokens":1,"max_completion_tokens":2,"messages":[{"role":"user","content":"x"}]}`, granitehoist.BadTokenCount),
 		Entry("too many choices", `{"model":"m","n":1000,"messages":[{"role":"user","content":"x"}]}`, granitehoist.BadTokenCount),
-		Entry("a field whose cost is unbounded", `{"model":"m","best_of":9,"messages":[{"role":"user","content":"x"}]}`, granitehoist.Unsupported),
-		Entry("a template of the caller's", `{"model":"m","chat_template":"x","messages":[{"role":"user","content":"x"}]}`, granitehoist.Unsupported),
-		Entry("the bound in capitals", `{"model":"m","MAX_TOKENS":9,"messages":[{"role":"user","content":"x"}]}`, granitehoist.Unsupported),
-		Entry("a picture", `{"model":"m","messages":[{"role":"user","content":[{"type":"image_url","image_url":{"url":"x"}}]}]}`, granitehoist.Unsupported),
+		Entry("a field with unbounded cost", `{"model":"m","best_of":9,"messages":[{"role":"user","content":"x"}]}`, granitehoist.Unsupported),
+		Entry("a chat template of the caller", `{"model":"m","chat_template":"x","messages":[{"role":"user","content":"x"}]}`, granitehoist.Unsupported),
+		Entry("max_tokens in capitals", `{"model":"m","MAX_TOKENS":9,"messages":[{"role":"user","content":"x"}]}`, granitehoist.Unsupported),
+		Entry("an image", `{"model":"m","messages":[{"role":"user","content":[{"type":"image_url","image_url":{"url":"x"}}]}]}`, granitehoist.Unsupported),
 		Entry("content of another type", `{"model":"m","messages":[{"role":"user","content":{"a":1}}]}`, granitehoist.Unsupported),
 		Entry("a body over the limit", `{"model":"m","messages":[{"role":"user","content":"`+strings.Repeat("x", 20_000)+`"}]}`, granitehoist.BodyTooLarge),
-		Entry("what a policy denies", `{"model":"m","messages":[{"role":"user","content":"`+strings.Repeat("x", 6000)+`"}]}`, granitehoist.PolicyDenied),
+		Entry("a request that a policy denies", `{"model":"m","messages":[{"role":"user","content":"`+strings.Repeat("x", 6000)+`"}]}`, granitehoist.PolicyDenied),
 	)
 
-	DescribeTable("refuses bad headers as not run",
+	DescribeTable("refuses invalid headers as not run",
 		func(code granitehoist.Code, headers ...string) {
-			t := s.chat(goodBody, headers...)
-			Expect(t.code).To(Equal(code), t.body)
-			Expect(t.fate).To(Equal(granitehoist.NotRun))
-			nothingSpent()
+			got := s.chat(goodBody, headers...)
+			Expect(got.code).To(Equal(code), got.body)
+			Expect(got.fate).To(Equal(granitehoist.NotRun))
+			expectNothingSpent()
 		},
 		Entry("headers over the limit", granitehoist.HeaderTooLarge, "X-Long", strings.Repeat("x", 40_000)),
 		Entry("no key", granitehoist.MissingKey, "Authorization", ""),
 		Entry("another scheme", granitehoist.MissingKey, "Authorization", "Basic eDp5"),
-		Entry("a wrong key", granitehoist.WrongKey, "Authorization", "Bearer nobody"),
+		Entry("an unknown key", granitehoist.WrongKey, "Authorization", "Bearer nobody"),
 		Entry("priority too high", granitehoist.BadHeader, gate.HeaderPriority, "10"),
-		Entry("priority of letters", granitehoist.BadHeader, gate.HeaderPriority, "high"),
+		Entry("priority not a number", granitehoist.BadHeader, gate.HeaderPriority, "high"),
 		Entry("deadline of zero", granitehoist.BadHeader, gate.HeaderDeadline, "0"),
-		Entry("deadline beyond all bounds", granitehoist.BadHeader, gate.HeaderDeadline, "99999999999999999999"),
-		Entry("once as a word", granitehoist.BadHeader, gate.HeaderOnce, "maybe"),
+		Entry("deadline too large", granitehoist.BadHeader, gate.HeaderDeadline, "99999999999999999999"),
+		Entry("once not a boolean", granitehoist.BadHeader, gate.HeaderOnce, "maybe"),
 		Entry("once without an id", granitehoist.BadHeader, gate.HeaderOnce, "true"),
 		Entry("an id with a space", granitehoist.BadHeader, gate.HeaderRequest, "a b"),
 		Entry("an id too long", granitehoist.BadHeader, gate.HeaderRequest, strings.Repeat("x", 200)),
-		Entry("a budget of nobody's", granitehoist.BudgetUnknown, gate.HeaderBudget, "winter"),
+		Entry("an unknown budget", granitehoist.BudgetUnknown, gate.HeaderBudget, "winter"),
 	)
 
-	DescribeTable("tells paths and methods that are not served",
+	DescribeTable("refuses unknown paths, methods and services",
 		func(method, path string, code granitehoist.Code) {
 			Expect(s.send(method, path, "").code).To(Equal(code))
 		},
@@ -132,42 +132,42 @@
 		Entry("an engine as a plain service", http.MethodGet, "/services/pool/x", granitehoist.UnknownService),
 	)
 
-	It("refuses when it has no documents yet", func() {
+	It("refuses requests before the first document", func() {
 		s.view = config.NewView()
 		Expect(s.chat(goodBody).code).To(Equal(granitehoist.NotReady))
 		Expect(s.send(http.MethodGet, gate.PathReady, "").status).To(Equal(http.StatusServiceUnavailable))
 		Expect(s.send(http.MethodGet, gate.PathHealth, "").status).To(Equal(http.StatusOK))
 	})
 
-	It("still serves after it said that it is not ready", func() {
+	It("still serves requests while not ready", func() {
 		s.gate.Unready()
 		Expect(s.send(http.MethodGet, gate.PathReady, "").status).To(Equal(http.StatusServiceUnavailable))
 		Expect(s.chat(goodBody).status).To(Equal(http.StatusOK))
 	})
 
-	It("refuses while it drains", func() {
+	It("refuses requests while draining", func() {
 		s.gate.Drain()
-		t := s.chat(goodBody)
-		Expect(t.code).To(Equal(granitehoist.Draining))
-		Expect(t.fate).To(Equal(granitehoist.NotRun))
+		got := s.chat(goodBody)
+		Expect(got.code).To(Equal(granitehoist.Draining))
+		Expect(got.fate).To(Equal(granitehoist.NotRun))
 		Expect(s.send(http.MethodGet, gate.PathReady, "").status).To(Equal(http.StatusServiceUnavailable))
 	})
 
-	It("lists models for a known key only", func() {
+	It("lists models only for a known key", func() {
 		Expect(s.send(http.MethodGet, "/v1/models", "").body).To(ContainSubstring(`"id":"m"`))
 		Expect(s.send(http.MethodGet, "/v1/models", "", "Authorization", "Bearer x").code).To(Equal(granitehoist.WrongKey))
 	})
 
-	Describe("when the budget does not pay", func() {
-		It("tells why and calls nobody", func() {
+	Describe("when the reservation fails", func() {
+		It("returns the reason and calls no upstream", func() {
 			s.funds.fail = granitehoist.Errorf(granitehoist.BudgetUnreachable, "")
-			t := s.chat(goodBody)
-			Expect(t.code).To(Equal(granitehoist.BudgetUnreachable))
-			Expect(t.fate).To(Equal(granitehoist.NotRun))
-			nothingSpent()
+			got := s.chat(goodBody)
+			Expect(got.code).To(Equal(granitehoist.BudgetUnreachable))
+			Expect(got.fate).To(Equal(granitehoist.NotRun))
+			expectNothingSpent()
 		})
 
-		It("leaves room in the ledger", func() {
+		It("releases the place in the ledger", func() {
 			s.funds.fail = granitehoist.Errorf(granitehoist.BudgetExhausted, "")
 			for range 10 {
 				s.chat(goodBody)
@@ -178,26 +178,26 @@
 	})
 
 	Describe("when upstreams fail", func() {
-		It("sends a refused request elsewhere and charges it once", func() {
-			s.engine.steps = []step{fails(granitehoist.UpstreamRefused), answers}
-			t := s.chat(goodBody)
-			Expect(t.status).To(Equal(http.StatusOK))
+		It("retries a refused request at another upstream and charges it once", func() {
+			s.engine.steps = []step{failWith(granitehoist.UpstreamRefused), respondOK}
+			got := s.chat(goodBody)
+			Expect(got.status).To(Equal(http.StatusOK))
 			Expect(s.engine.calls[0].Address).NotTo(Equal(s.engine.calls[1].Address))
 			Expect(s.engine.calls[0].Attempt).NotTo(Equal(s.engine.calls[1].Attempt))
-			left, reserved := s.funds.state()
-			Expect(left).To(Equal(granitehoist.Tokens(9990)))
+			available, reserved := s.funds.state()
+			Expect(available).To(Equal(granitehoist.Tokens(9990)))
 			Expect(reserved).To(BeZero())
 			Expect(s.ledger.Pending()).To(Equal(1))
 		})
 
-		It("sends nothing more to one that asked for rest", func() {
+		It("sends no requests to an upstream during its Retry-After", func() {
 			s.engine.steps = []step{func(granitehoist.Call, granitehoist.Sink) (granitehoist.Usage, error) {
 				refused := granitehoist.Errorf(granitehoist.UpstreamRefused, "")
 				refused.RetryAfter = time.Minute
 				return granitehoist.Usage{}, refused
-			}, answers}
+			}, respondOK}
 			Expect(s.chat(goodBody).status).To(Equal(http.StatusOK))
-			// For longer than one that fails is left out.
+			// Longer than an upstream that fails is excluded.
 			time.Sleep(700 * time.Millisecond)
 			for range 20 {
 				Expect(s.chat(goodBody).status).To(Equal(http.StatusOK))
@@ -207,22 +207,22 @@
 			}
 		})
 
-		It("says not run when all refused, and charges nothing", func() {
-			s.engine.steps = []step{fails(granitehoist.UpstreamRefused)}
-			t := s.chat(goodBody)
-			Expect(t.code).To(Equal(granitehoist.UpstreamRefused))
-			Expect(t.fate).To(Equal(granitehoist.NotRun))
-			left, _ := s.funds.state()
-			Expect(left).To(Equal(granitehoist.Tokens(10_000)))
+		It("reports not run if all upstreams refuse, and charges nothing", func() {
+			s.engine.steps = []step{failWith(granitehoist.UpstreamRefused)}
+			got := s.chat(goodBody)
+			Expect(got.code).To(Equal(granitehoist.UpstreamRefused))
+			Expect(got.fate).To(Equal(granitehoist.NotRun))
+			available, _ := s.funds.state()
+			Expect(available).To(Equal(granitehoist.Tokens(10_000)))
 			Expect(s.ledger.Pending()).To(BeZero())
 		})
 
-		It("charges a lost attempt what the engine says, beside the one that answered", func() {
-			s.engine.steps = []step{fails(granitehoist.UpstreamLost), answers}
-			s.engine.stopped = &granitehoist.Usage{Prompt: 4, Output: 1, Reported: true}
+		It("charges the reported cost of a lost attempt in addition to the successful one", func() {
+			s.engine.steps = []step{failWith(granitehoist.UpstreamLost), respondOK}
+			s.engine.stopUsage = &granitehoist.Usage{Prompt: 4, Output: 1, Reported: true}
 			Expect(s.chat(goodBody).status).To(Equal(http.StatusOK))
-			left, reserved := s.funds.state()
-			Expect(left).To(Equal(granitehoist.Tokens(9985)))
+			available, reserved := s.funds.state()
+			Expect(available).To(Equal(granitehoist.Tokens(9985)))
 			Expect(reserved).To(BeZero())
 			charges := s.ledger.Next(10).Charges
 			Expect(charges).To(HaveLen(1))
@@ -230,57 +230,57 @@
 			Expect(charges[0].Estimated).To(BeFalse())
 		})
 
-		It("charges nothing for a lost attempt that the engine never had", func() {
-			s.engine.steps = []step{fails(granitehoist.UpstreamLost)}
-			s.engine.stopped = &granitehoist.Usage{Reported: true}
+		It("charges nothing for a lost attempt that never reached the engine", func() {
+			s.engine.steps = []step{failWith(granitehoist.UpstreamLost)}
+			s.engine.stopUsage = &granitehoist.Usage{Reported: true}
 			Expect(s.chat(goodBody).fate).To(Equal(granitehoist.MayHaveRun))
 			Expect(s.ledger.Pending()).To(BeZero())
-			left, reserved := s.funds.state()
-			Expect(left).To(Equal(granitehoist.Tokens(10_000)))
+			available, reserved := s.funds.state()
+			Expect(available).To(Equal(granitehoist.Tokens(10_000)))
 			Expect(reserved).To(BeZero())
 		})
 
-		It("charges the bound, marked as estimated, when nobody can tell", func() {
-			s.engine.steps = []step{fails(granitehoist.UpstreamLost)}
-			t := s.chat(goodBody)
-			Expect(t.fate).To(Equal(granitehoist.MayHaveRun))
+		It("charges the bound, marked as estimated, if the engine reports no cost", func() {
+			s.engine.steps = []step{failWith(granitehoist.UpstreamLost)}
+			got := s.chat(goodBody)
+			Expect(got.fate).To(Equal(granitehoist.MayHaveRun))
 			charges := s.ledger.Next(10).Charges
 			Expect(charges).To(HaveLen(1))
 			Expect(charges[0].Estimated).To(BeTrue())
-			left, reserved := s.funds.state()
-			Expect(left + charges[0].Tokens).To(Equal(granitehoist.Tokens(10_000)))
+			available, reserved := s.funds.state()
+			Expect(available + charges[0].Tokens).To(Equal(granitehoist.Tokens(10_000)))
 			Expect(reserved).To(BeZero())
 		})
 
-		DescribeTable("never says not run after an attempt that may have run",
+		DescribeTable("never reports not run after an attempt that may have run",
 			func(retry step, upstreams int) {
 				document := document()
 				document.Upstreams = document.Upstreams[:upstreams]
 				document.Services = document.Services[:1]
 				s.view = config.NewView().With(document, 2)
-				s.engine.steps = []step{fails(granitehoist.UpstreamLost), retry}
-				s.engine.stopped = &granitehoist.Usage{Prompt: 4, Output: 1, Reported: true}
-				t := s.chat(goodBody)
-				Expect(t.code).To(Equal(granitehoist.UpstreamLost))
-				Expect(t.fate).To(Equal(granitehoist.MayHaveRun))
+				s.engine.steps = []step{failWith(granitehoist.UpstreamLost), retry}
+				s.engine.stopUsage = &granitehoist.Usage{Prompt: 4, Output: 1, Reported: true}
+				got := s.chat(goodBody)
+				Expect(got.code).To(Equal(granitehoist.UpstreamLost))
+				Expect(got.fate).To(Equal(granitehoist.MayHaveRun))
 				Expect(s.ledger.Next(10).Charges[0].Tokens).To(Equal(granitehoist.Tokens(5)))
 			},
-			Entry("when the retry is refused", fails(granitehoist.UpstreamRefused), 3),
-			Entry("when nothing is left to retry at", answers, 1),
+			Entry("if the retry is refused", failWith(granitehoist.UpstreamRefused), 3),
+			Entry("if there is no other upstream", respondOK, 1),
 		)
 
-		It("ends a broken stream with an error event and no end mark", func() {
-			s.engine.steps = []step{breaks}
-			s.engine.stopped = &granitehoist.Usage{Prompt: 4, Output: 1, Reported: true}
-			t := s.chat(`{"model":"m","stream":true,"messages":[{"role":"user","content":"hello"}]}`)
-			Expect(t.body).To(ContainSubstring(`"type":"upstream_cut"`))
-			Expect(t.body).To(ContainSubstring(`"fate":"may have run"`))
-			Expect(t.body).NotTo(ContainSubstring("[DONE]"))
+		It("ends an interrupted stream with an error event and no [DONE]", func() {
+			s.engine.steps = []step{failMidStream}
+			s.engine.stopUsage = &granitehoist.Usage{Prompt: 4, Output: 1, Reported: true}
+			got := s.chat(`{"model":"m","stream":true,"messages":[{"role":"user","content":"hello"}]}`)
+			Expect(got.body).To(ContainSubstring(`"type":"upstream_cut"`))
+			Expect(got.body).To(ContainSubstring(`"fate":"may have run"`))
+			Expect(got.body).NotTo(ContainSubstring("[DONE]"))
 			Expect(s.engine.count()).To(Equal(1))
 		})
 
-		It("bounds the retries of a service that fails", func() {
-			s.engine.steps = []step{fails(granitehoist.UpstreamRefused)}
+		It("limits the retries of a failing service", func() {
+			s.engine.steps = []step{failWith(granitehoist.UpstreamRefused)}
 			const requests = 200
 			for range requests {
 				s.chat(goodBody)
@@ -290,15 +290,15 @@
 	})
 
 	Describe("a plain service", func() {
-		It("passes method, path, query, body and status through", func() {
+		It("forwards method, path, query, headers, body and status", func() {
 			s.plain.steps = []step{func(_ granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 				_ = sink.Start(http.StatusTeapot, http.Header{"X-Own": {"1"}})
 				return granitehoist.Usage{}, sink.Write([]byte("own"))
 			}}
-			t := s.send(http.MethodPatch, "/services/desk/a%2Fb/c?x=1&y=%20", "body", "X-Mine", "2", gate.HeaderCode, "1", "Granitehoist_fate", "ran")
-			Expect(t.status).To(Equal(http.StatusTeapot))
-			Expect(t.body).To(Equal("own"))
-			Expect(t.header.Get("X-Own")).To(Equal("1"))
+			got := s.send(http.MethodPatch, "/services/desk/a%2Fb/c?x=1&y=%20", "body", "X-Mine", "2", gate.HeaderCode, "1", "Granitehoist_fate", "ran")
+			Expect(got.status).To(Equal(http.StatusTeapot))
+			Expect(got.body).To(Equal("own"))
+			Expect(got.header.Get("X-Own")).To(Equal("1"))
 			c := s.plain.calls[0]
 			Expect(c.Method).To(Equal(http.MethodPatch))
 			Expect(c.Path).To(Equal("/a%2Fb/c?x=1&y=%20"))
@@ -307,104 +307,104 @@
 			Expect(c.Header.Get("Authorization")).To(BeEmpty())
 			Expect(c.Header).NotTo(HaveKey("Granitehoist_fate"))
 			Expect(c.Header).NotTo(HaveKey(gate.HeaderCode))
-			left, _ := s.funds.state()
-			Expect(left).To(Equal(granitehoist.Tokens(9997)))
+			available, _ := s.funds.state()
+			Expect(available).To(Equal(granitehoist.Tokens(9997)))
 		})
 
-		DescribeTable("passes the same path through however the caller escaped its own part",
+		DescribeTable("forwards the same path however the prefix and service name are escaped",
 			func(path string) {
 				Expect(s.send(http.MethodGet, path, "").status).To(Equal(http.StatusOK))
 				Expect(s.plain.calls[0].Path).To(Equal("/x%2Fy?z=1"))
 			},
-			Entry("not at all", "/services/desk/x%2Fy?z=1"),
-			Entry("the service's name", "/services/d%65sk/x%2Fy?z=1"),
-			Entry("the prefix", "/%73ervices/desk/x%2Fy?z=1"),
+			Entry("nothing escaped", "/services/desk/x%2Fy?z=1"),
+			Entry("service name escaped", "/services/d%65sk/x%2Fy?z=1"),
+			Entry("prefix escaped", "/%73ervices/desk/x%2Fy?z=1"),
 		)
 
-		It("repeats a lost GET and no lost POST", func() {
-			s.plain.steps = []step{fails(granitehoist.UpstreamLost), answers}
+		It("retries a lost GET but not a lost POST", func() {
+			s.plain.steps = []step{failWith(granitehoist.UpstreamLost), respondOK}
 			Expect(s.send(http.MethodGet, "/services/desk/x", "").status).To(Equal(http.StatusOK))
 			s.plain.calls = nil
-			t := s.send(http.MethodPost, "/services/desk/x", "")
-			Expect(t.fate).To(Equal(granitehoist.MayHaveRun))
+			got := s.send(http.MethodPost, "/services/desk/x", "")
+			Expect(got.fate).To(Equal(granitehoist.MayHaveRun))
 			Expect(s.plain.count()).To(Equal(1))
 		})
 	})
 
-	Describe("a request not to be repeated", func() {
-		permit := func() answer {
+	Describe("a request that is not to be repeated", func() {
+		sendOnce := func() gateResponse {
 			return s.send(http.MethodPost, "/services/gate/permits", "p", gate.HeaderRequest, "permit-1")
 		}
 
-		It("runs once, and later callers are told that it ran", func() {
-			Expect(permit().status).To(Equal(http.StatusOK))
-			t := permit()
-			Expect(t.code).To(Equal(granitehoist.AlreadyRun))
-			Expect(t.fate).To(Equal(granitehoist.Ran))
+		It("runs once, and is then refused as already run", func() {
+			Expect(sendOnce().status).To(Equal(http.StatusOK))
+			got := sendOnce()
+			Expect(got.code).To(Equal(granitehoist.AlreadyRun))
+			Expect(got.fate).To(Equal(granitehoist.Ran))
 			Expect(s.plain.count()).To(Equal(1))
 			Expect(s.ledger.Pending()).To(Equal(1))
 		})
 
-		It("is not sent again after a lost answer", func() {
-			s.plain.steps = []step{fails(granitehoist.UpstreamLost), answers}
-			Expect(permit().fate).To(Equal(granitehoist.MayHaveRun))
-			Expect(permit().code).To(Equal(granitehoist.OnceUnsure))
+		It("is not sent again after a lost response", func() {
+			s.plain.steps = []step{failWith(granitehoist.UpstreamLost), respondOK}
+			Expect(sendOnce().fate).To(Equal(granitehoist.MayHaveRun))
+			Expect(sendOnce().code).To(Equal(granitehoist.OnceUnsure))
 			Expect(s.plain.count()).To(Equal(1))
 		})
 
-		It("may be tried again after all upstreams refused it", func() {
-			s.plain.steps = []step{fails(granitehoist.UpstreamRefused), fails(granitehoist.UpstreamRefused), answers}
-			t := permit()
-			Expect(t.fate).To(Equal(granitehoist.NotRun))
-			Expect(permit().status).To(Equal(http.StatusOK))
+		It("may be sent again after all upstreams refused it", func() {
+			s.plain.steps = []step{failWith(granitehoist.UpstreamRefused), failWith(granitehoist.UpstreamRefused), respondOK}
+			got := sendOnce()
+			Expect(got.fate).To(Equal(granitehoist.NotRun))
+			Expect(sendOnce().status).To(Equal(http.StatusOK))
 		})
 
 		It("is refused as not run while the store is down", func() {
 			s.store.Fail(standin.StoreFaults{Down: true})
-			t := permit()
-			Expect(t.code).To(Equal(granitehoist.OnceUnavailable))
-			Expect(t.fate).To(Equal(granitehoist.NotRun))
-			nothingSpent()
+			got := sendOnce()
+			Expect(got.code).To(Equal(granitehoist.OnceUnavailable))
+			Expect(got.fate).To(Equal(granitehoist.NotRun))
+			expectNothingSpent()
 		})
 
-		It("is marked for the transport", func() {
-			permit()
+		It("sets Call.Once", func() {
+			sendOnce()
 			Expect(s.plain.calls[0].Once).To(BeTrue())
 		})
 	})
 
-	It("tells a passed deadline as not run while it waits for room", func() {
+	It("reports not run if the deadline passes while the request is queued", func() {
 		release := make(chan struct{})
 		s.engine.steps = []step{func(c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 			<-release
-			return answers(c, sink)
+			return respondOK(c, sink)
 		}}
 		document := document()
 		for i := range document.Upstreams {
 			document.Upstreams[i].Concurrency = 1
 		}
 		s.view = config.NewView().With(document, 2)
-		finished := make(chan answer, 3)
+		finished := make(chan gateResponse, 3)
 		for range 3 {
 			go func() { finished <- s.chat(goodBody) }()
 		}
 		Eventually(s.engine.count).Should(Equal(3))
-		t := s.chat(goodBody, gate.HeaderDeadline, "20")
-		Expect(t.code).To(Equal(granitehoist.Overloaded))
-		Expect(t.fate).To(Equal(granitehoist.NotRun))
-		Expect(t.header.Get("Retry-After")).NotTo(BeEmpty())
+		got := s.chat(goodBody, gate.HeaderDeadline, "20")
+		Expect(got.code).To(Equal(granitehoist.Overloaded))
+		Expect(got.fate).To(Equal(granitehoist.NotRun))
+		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 		close(release)
 		for range 3 {
 			Expect((<-finished).status).To(Equal(http.StatusOK))
 		}
 	})
 
-	It("serves a request that waited while an upstream was added", func() {
+	It("serves a queued request at an upstream added meanwhile", func() {
 		const first, second = "http://127.0.0.1:1", "http://127.0.0.1:2"
 		release := map[string]chan struct{}{first: make(chan struct{}, 3), second: make(chan struct{}, 3)}
 		s.engine.steps = []step{func(c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 			<-release[c.Address]
-			return answers(c, sink)
+			return respondOK(c, sink)
 		}}
 		var view atomic.Pointer[config.View]
 		serve := func(serial granitehoist.Serial, upstreams int) {
@@ -418,7 +418,7 @@
 		serve(2, 1)
 		s.settings.View = view.Load
 		s.gate = gate.New(s.settings)
-		finished := make(chan answer, 3)
+		finished := make(chan gateResponse, 3)
 		chat := func() {
 			defer GinkgoRecover()
 			finished <- s.chat(goodBody)
@@ -426,12 +426,12 @@
 		go chat()
 		Eventually(s.engine.count).Should(Equal(1))
 		go chat()
-		Consistently(s.engine.count, "200ms").Should(Equal(1), "the second request waits")
+		Consistently(s.engine.count, "200ms").Should(Equal(1), "the second request is queued")
 		serve(3, 2)
 		go chat()
 		Eventually(s.engine.count).Should(Equal(2))
 
-		By("room at the new upstream")
+		By("freeing capacity at the new upstream")
 		release[second] <- struct{}{}
 		Expect((<-finished).status).To(Equal(http.StatusOK))
 		Eventually(s.engine.count).Should(Equal(3))
@@ -443,12 +443,12 @@
 		Expect(reserved).To(BeZero())
 	})
 
-	It("never tells a caller what lies behind an error", func() {
+	It("does not disclose the cause of an error to the caller", func() {
 		s.funds.fail = granitehoist.Wrap(granitehoist.BudgetUnreachable, errors.New("store at 10.0.0.1"), "")
 		Expect(s.chat(goodBody).body).NotTo(ContainSubstring("10.0.0.1"))
 	})
 
-	DescribeTable("answers a caller whose body does not arrive in time", func(key string, code string) {
+	DescribeTable("refuses a request whose body does not arrive in time", func(key string, code string) {
 		s.settings.Limits.ReadTimeout = 50 * time.Millisecond
 		server := httptest.NewServer(gate.New(s.settings))
 		defer server.Close()
@@ -462,17 +462,17 @@
 		defer func() { _ = response.Body.Close() }()
 		Expect(response.Header.Get(gate.HeaderCode)).To(Equal(code))
 		Expect(response.Header.Get(gate.HeaderFate)).To(Equal(string(granitehoist.NotRun)))
-		nothingSpent()
+		expectNothingSpent()
 	},
-		Entry("as slow", key, "1005"),
-		Entry("whose key is wrong, before the body is read", "nobody", "2002"),
+		Entry("valid key", key, "1005"),
+		Entry("unknown key, before the body is read", "nobody", "2002"),
 	)
 
-	It("lets an answer take longer than a body may", func() {
+	It("does not apply the read timeout to the response", func() {
 		s.settings.Limits.ReadTimeout = 50 * time.Millisecond
 		s.engine.steps = []step{func(c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 			time.Sleep(200 * time.Millisecond)
-			return answers(c, sink)
+			return respondOK(c, sink)
 		}}
 		server := httptest.NewServer(gate.New(s.settings))
 		defer server.Close()
@@ -485,7 +485,7 @@
 		Expect(response.StatusCode).To(Equal(http.StatusOK))
 	})
 
-	It("panics without its parts", func() {
+	It("panics without required settings", func() {
 		Expect(func() { gate.New(gate.Settings{}) }).To(Panic())
 	})
 })
--- a/partner/gate/identity.go
+++ b/partner/gate/identity.go
@@ -13,12 +13,12 @@
 
 const (
 	bearer = "Bearer "
-	// maxRequestID bounds a caller's request id in bytes.
+	// maxRequestID is the largest size of a caller's request id in bytes.
 	maxRequestID = 128
 )
 
-// identify returns the workspace that a request's key stands for. Its errors
-// are *Error with codes MissingKey and WrongKey.
+// identify returns the identity that the request's key belongs to. The error is a
+// *granitehoist.Error with code MissingKey or WrongKey.
 func identify(view *config.View, r *http.Request) (config.Identity, error) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearer)
 	if !ok {
@@ -31,8 +31,7 @@
 	return identity, nil
 }
 
-// requestID returns the caller's request id, or a new one if the caller sent
-// none or one that can't be used.
+// requestID returns the caller's request id, or a new one if it is missing or invalid.
 func (g *Gate) requestID(r *http.Request) granitehoist.RequestID {
 	id := r.Header.Get(HeaderRequest)
 	if validRequestID(id) {
@@ -41,8 +40,8 @@
 	return granitehoist.RequestID(granitehoist.NewID("r", g.settings.Random))
 }
 
-// validRequestID reports whether an id can be used in logs, store keys and attempt
-// ids without escaping.
+// validRequestID reports whether an id is usable in logs, store keys and attempt ids without
+// escaping.
 func validRequestID(id string) bool {
 	if id == "" || len(id) > maxRequestID {
 		return false
--- a/partner/gate/log.go
+++ b/partner/gate/log.go
@@ -11,28 +11,28 @@
 	"granitehoist.example/granitehoist"
 )
 
-// logAttempt writes the event "attempt", one for each attempt that failed.
+// logAttempt logs the event "attempt" for a failed attempt.
 func (g *Gate) logAttempt(req *request, id granitehoist.AttemptID, u granitehoist.Upstream, err error) {
 	g.settings.Log.Info("attempt",
-		zap.String("request", string(req.asked.id)),
+		zap.String("request", string(req.input.id)),
 		zap.String("attempt", string(id)),
 		zap.String("upstream", string(u)),
 		zap.Int("code", int(granitehoist.CodeOf(err))),
 		zap.Error(err))
 }
 
-// logResult writes the event "request", one for each request.
+// logResult logs the event "request", once for each request.
 func (g *Gate) logResult(req *request, err error) {
 	code := granitehoist.CodeOf(err)
 	fields := []zap.Field{
-		zap.String("request", string(req.asked.id)),
-		zap.String("workspace", string(req.asked.identity.Partner)+"/"+string(req.asked.identity.Workspace)),
+		zap.String("request", string(req.input.id)),
+		zap.String("workspace", string(req.input.identity.Partner)+"/"+string(req.input.identity.Workspace)),
 		zap.Int("code", int(code)),
 		zap.String("fate", string(code.Info().Fate)),
-		zap.Duration("took", g.settings.Clock().Sub(req.asked.began)),
+		zap.Duration("took", g.settings.Clock().Sub(req.input.startedAt)),
 	}
-	if req.asked.offer != nil {
-		fields = append(fields, zap.String("service", string(req.asked.offer.Name)))
+	if req.input.offer != nil {
+		fields = append(fields, zap.String("service", string(req.input.offer.Name)))
 	}
 	var e *granitehoist.Error
 	if errors.As(err, &e) {
--- a/partner/gate/metrics.go
+++ b/partner/gate/metrics.go
@@ -13,41 +13,41 @@
 	"granitehoist.example/granitehoist/partner/report"
 )
 
-// countResult counts a request by its result code.
+// countResult increments the counter of a result code.
 func (g *Gate) countResult(c granitehoist.Code) {
 	metrics.GetOrRegisterCounter("requests.code."+strconv.Itoa(int(c)), g.settings.Metrics).Inc(1)
 }
 
-// recordTime records a duration under a timer's name.
+// recordTime adds a duration to the timer with a name.
 func (g *Gate) recordTime(name string, d time.Duration) {
 	metrics.GetOrRegisterTimer(name, g.settings.Metrics).Update(d)
 }
 
-// recordPiece notes that a piece of an answer arrived: the first one ends the
-// time to the first token, each further one of a stream a gap between tokens.
-func (g *Gate) recordPiece(req *request) {
+// recordChunk records the arrival of a chunk of the response: the time to the first token
+// for the first one, and the time between tokens for later ones of a stream.
+func (g *Gate) recordChunk(req *request) {
 	now := g.settings.Clock()
 	p := &req.progress
-	if p.pieces == 0 {
-		took := now.Sub(req.asked.began)
+	if p.chunks == 0 {
+		took := now.Sub(req.input.startedAt)
 		g.recordTime("first_token", took)
 		p.counts.CountFirst(took)
 	} else if req.sink.stream {
-		gap := now.Sub(p.lastPiece)
+		gap := now.Sub(p.lastChunkAt)
 		g.recordTime("between_tokens", gap)
 		p.counts.CountBetween(gap)
 	}
-	p.pieces++
-	p.lastPiece = now
+	p.chunks++
+	p.lastChunkAt = now
 }
 
-// reportBurn enters a request into the burn report. A request that did not get
-// as far as a service is not entered.
+// reportBurn adds a request to the burn report, unless it was refused before its service was
+// known.
 func (g *Gate) reportBurn(req *request, err error) {
-	if g.settings.Burn == nil || req.asked.offer == nil {
+	if g.settings.Burn == nil || req.input.offer == nil {
 		return
 	}
 	counts := report.CountsOf(granitehoist.CodeOf(err)).Add(req.progress.counts)
-	key := report.Key{Service: req.asked.offer.Name, Workspace: req.asked.identity.Workspace, Zone: g.settings.Zone}
+	key := report.Key{Service: req.input.offer.Name, Workspace: req.input.identity.Workspace, Zone: g.settings.Zone}
 	g.settings.Burn.Add(key, counts, g.settings.Clock())
 }
--- a/partner/gate/prompt.go
+++ b/partner/gate/prompt.go
@@ -10,49 +10,48 @@
 	"granitehoist.example/granitehoist"
 )
 
-// chatMessage is one message by its fields.
+// chatMessage is a chat message as its undecoded fields.
 type chatMessage map[string]json.RawMessage
 
 type contentPart struct {
 	Type string `json:"type"`
 }
 
-// readPrompt checks that the prompt is text alone, whose tokens its bytes
-// bound.
+// readPrompt reads the prompt and checks that it is text only, whose bytes bound its tokens.
 func (c *completion) readPrompt() error {
 	messages, chat := c.fields["messages"]
 	prompt, plain := c.fields["prompt"]
 	switch {
 	case chat && plain:
-		return granitehoist.Errorf(granitehoist.BadRequest, "it has both \"messages\" and \"prompt\"")
+		return granitehoist.Errorf(granitehoist.BadRequest, "the body has both \"messages\" and \"prompt\"")
 	case chat:
 		return c.readMessages(messages)
 	case plain:
 		return c.readPlainPrompt(prompt)
 	}
-	return granitehoist.Errorf(granitehoist.BadRequest, "it has neither \"messages\" nor \"prompt\"")
+	return granitehoist.Errorf(granitehoist.BadRequest, "the body has neither \"messages\" nor \"prompt\"")
 }
 
-// plainPrefixBytes is the part of a plain prompt by which requests share an upstream, in
-// bytes of its JSON.
-const plainPrefixBytes = 1024
+// maxPlainPrefixBytes is the size of the part of a plain prompt, in its JSON encoding, that
+// is hashed for upstream affinity.
+const maxPlainPrefixBytes = 1024
 
-// readPlainPrompt reads a prompt that is one text.
+// readPlainPrompt reads a prompt that is a single string.
 func (c *completion) readPlainPrompt(raw json.RawMessage) error {
-	c.prefix = raw[:min(len(raw), plainPrefixBytes)]
+	c.prefix = raw[:min(len(raw), maxPlainPrefixBytes)]
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
-		return granitehoist.Errorf(granitehoist.Unsupported, "field \"prompt\" is one text")
+		return granitehoist.Errorf(granitehoist.Unsupported, "field \"prompt\" must be a single string")
 	}
 	c.textBytes = len(text)
 	return nil
 }
 
-// readMessages reads the messages of a chat.
+// readMessages reads the messages of a chat prompt.
 func (c *completion) readMessages(raw json.RawMessage) error {
 	var messages []chatMessage
 	if err := json.Unmarshal(raw, &messages); err != nil || len(messages) == 0 {
-		return granitehoist.Errorf(granitehoist.BadRequest, "field \"messages\" is a list of at least one message")
+		return granitehoist.Errorf(granitehoist.BadRequest, "field \"messages\" must be a non-empty list of messages")
 	}
 	c.messages = len(messages)
 	c.prefix = sharedPrefix(messages)
@@ -65,9 +64,9 @@
 	return nil
 }
 
-// sharedPrefix returns the part of a conversation that all its turns share: the
-// messages up to the first of the user. Conversations that share only a system
-// prompt differ in it, so that they don't all meet at one upstream
+// sharedPrefix returns the part of a conversation that all its turns have in common: the
+// contents up to and including the first user message. Conversations with the same system
+// prompt get different prefixes, so that they are spread over the upstreams
 // (docs/design/requests.md).
 func sharedPrefix(messages []chatMessage) []byte {
 	var shared []byte
@@ -80,8 +79,8 @@
 	return shared
 }
 
-// textBytes bounds the tokens of a message's text: the bytes of its content and
-// role, or, if it has parts or other fields, all its bytes.
+// textBytes returns an upper bound of the tokens of a message: the bytes of its content and
+// role, or, if it has content parts or other fields, the bytes of all fields.
 func (m chatMessage) textBytes() int {
 	var content, role string
 	simple := len(m) == 2 && json.Unmarshal(m["content"], &content) == nil && json.Unmarshal(m["role"], &role) == nil
@@ -95,8 +94,7 @@
 	return size
 }
 
-// checkContent refuses content whose tokens its bytes don't bound, such as a
-// picture.
+// checkContent rejects content whose bytes don't bound its tokens, such as an image.
 func checkContent(raw json.RawMessage) error {
 	var text string
 	if len(raw) == 0 || string(raw) == "null" || json.Unmarshal(raw, &text) == nil {
@@ -104,11 +102,11 @@
 	}
 	var parts []contentPart
 	if err := json.Unmarshal(raw, &parts); err != nil {
-		return fmt.Errorf("its content is neither text nor a list of parts")
+		return fmt.Errorf("content must be a string or a list of parts")
 	}
 	for _, part := range parts {
 		if part.Type != "text" {
-			return fmt.Errorf("a part of type %q", part.Type)
+			return fmt.Errorf("content part of type %q", part.Type)
 		}
 	}
 	return nil
--- a/partner/gate/read.go
+++ b/partner/gate/read.go
@@ -22,7 +22,7 @@
 	if err == nil {
 		err = g.readCompletion(w, r, req)
 	}
-	g.answer(w, r, req, err)
+	g.respond(w, r, req, err)
 }
 
 func (g *Gate) servePlain(w http.ResponseWriter, r *http.Request) {
@@ -30,32 +30,32 @@
 	if err == nil {
 		err = g.readPlain(w, r, req)
 	}
-	g.answer(w, r, req, err)
+	g.respond(w, r, req, err)
 }
 
-// begin reads what all requests have: the id, the key, the headers and the
-// budget. The request is never nil; its sink answers also after an error.
+// begin reads what all requests have in common: the id, key, headers and budget. The request
+// is never nil, so that an error can be sent to the caller.
 func (g *Gate) begin(w http.ResponseWriter, r *http.Request) (*request, error) {
-	req := &request{asked: asked{id: g.requestID(r), hasID: r.Header.Get(HeaderRequest) != "", began: g.settings.Clock()}}
-	req.sink = &sink{w: w, id: req.asked.id, onPiece: func() { g.recordPiece(req) }}
+	req := &request{input: callerRequest{id: g.requestID(r), hasID: r.Header.Get(HeaderRequest) != "", startedAt: g.settings.Clock()}}
+	req.sink = &sink{w: w, id: req.input.id, onChunk: func() { g.recordChunk(req) }}
 	if err := g.availability().refusal(); err != nil {
 		return req, err
 	}
 	view := g.settings.View()
 	var err error
-	if req.asked.identity, err = identify(view, r); err != nil {
+	if req.input.identity, err = identify(view, r); err != nil {
 		return req, err
 	}
-	if req.asked.options, err = parseOptions(r.Header, g.settings.Limits.RequestTimeout); err != nil {
+	if req.input.options, err = parseOptions(r.Header, g.settings.Limits.RequestTimeout); err != nil {
 		return req, err
 	}
-	req.decided.budget, err = budgetOf(view, req.asked.identity, req.asked.options.budget)
+	req.plan.budget, err = findBudget(view, req.input.identity, req.input.options.budget)
 	return req, err
 }
 
-// budgetOf returns the budget that pays: the one that the caller named, or the
-// key's. Its errors are *Error with code BudgetUnknown.
-func budgetOf(view *config.View, identity config.Identity, named string) (granitehoist.BudgetID, error) {
+// findBudget returns the budget to charge: the one that the caller named, or the key's. The
+// error is a *granitehoist.Error with code BudgetUnknown.
+func findBudget(view *config.View, identity config.Identity, named string) (granitehoist.BudgetID, error) {
 	name := named
 	if name == "" {
 		name = identity.Budget
@@ -77,50 +77,50 @@
 	if err != nil {
 		return err
 	}
-	offer, ok := g.settings.View().OfferOfModel(req.asked.identity.Partner, c.model)
+	offer, ok := g.settings.View().OfferOfModel(req.input.identity.Partner, c.model)
 	if !ok {
 		return granitehoist.Errorf(granitehoist.UnknownModel, "model %q", c.model)
 	}
 	if (r.URL.Path == pathChat) != (c.messages > 0) {
-		return granitehoist.Errorf(granitehoist.BadRequest, "%s takes \"messages\" and %s takes \"prompt\"", pathChat, pathCompletions)
+		return granitehoist.Errorf(granitehoist.BadRequest, "%s requires \"messages\" and %s requires \"prompt\"", pathChat, pathCompletions)
 	}
-	req.askCompletion(c, offer)
-	req.decideCompletion(c, r.URL.Path)
+	req.setCompletionInput(c, offer)
+	req.planCompletion(c, r.URL.Path)
 	return nil
 }
 
-// askCompletion notes what a completion asks for.
-func (r *request) askCompletion(c *completion, offer *config.Offer) {
-	r.asked.offer = offer
-	r.asked.model = c.model
-	r.asked.bodyBytes = c.bodyBytes
-	r.asked.maxOutput = c.choices * c.maxOutput(offer.Service)
-	r.asked.writeBody = func(p granitehoist.Priority) ([]byte, error) { return c.upstreamBody(offer.Service, p) }
+// setCompletionInput sets the input of a completion request.
+func (r *request) setCompletionInput(c *completion, offer *config.Offer) {
+	r.input.offer = offer
+	r.input.model = c.model
+	r.input.bodyBytes = c.bodyBytes
+	r.input.maxOutput = c.choices * c.maxOutput(offer.Service)
+	r.input.writeBody = func(p granitehoist.Priority) ([]byte, error) { return c.upstreamBody(offer.Service, p) }
 	r.sink.stream = c.stream
 }
 
-// decideCompletion decides how a completion is reserved, placed and sent. It may
-// be repeated unless its caller says otherwise: an answer that did not arrive has cost
-// tokens, which the budget pays, and changed nothing.
-func (r *request) decideCompletion(c *completion, path string) {
-	r.decided.bound = c.bound(r.asked.offer.Service)
-	r.decided.affinity = route.PrefixAffinity(c.prefix)
-	r.decided.once = r.asked.options.once
-	r.decided.repeatable = !r.decided.once
-	r.decided.call = granitehoist.Call{
+// planCompletion sets the plan of a completion request. Unless its caller excludes it, a
+// completion may be repeated after an attempt that may have run: this costs tokens of the
+// budget but has no side effects.
+func (r *request) planCompletion(c *completion, path string) {
+	r.plan.bound = c.bound(r.input.offer.Service)
+	r.plan.affinity = route.PrefixAffinity(c.prefix)
+	r.plan.once = r.input.options.once
+	r.plan.repeatable = !r.plan.once
+	r.plan.call = granitehoist.Call{
 		Method:    http.MethodPost,
 		Path:      path,
 		Header:    http.Header{"Content-Type": {"application/json"}},
 		Stream:    c.stream,
 		HideUsage: c.stream && !c.wantsUsage,
-		Once:      r.decided.once,
+		Once:      r.plan.once,
 	}
 }
 
 // readPlain reads a request to a plain service.
 func (g *Gate) readPlain(w http.ResponseWriter, r *http.Request, req *request) error {
 	name := granitehoist.Service(r.PathValue("service"))
-	offer, ok := g.settings.View().OfferOfService(req.asked.identity.Partner, name)
+	offer, ok := g.settings.View().OfferOfService(req.input.identity.Partner, name)
 	if !ok || offer.Kind != config.KindPlain {
 		return granitehoist.Errorf(granitehoist.UnknownService, "service %q", name)
 	}
@@ -128,65 +128,63 @@
 	if err != nil {
 		return err
 	}
-	req.asked.offer = offer
-	req.asked.bodyBytes = len(body)
-	req.asked.writeBody = func(granitehoist.Priority) ([]byte, error) { return body, nil }
-	req.decidePlain(r)
+	req.input.offer = offer
+	req.input.bodyBytes = len(body)
+	req.input.writeBody = func(granitehoist.Priority) ([]byte, error) { return body, nil }
+	req.planPlain(r)
 	return nil
 }
 
-// decidePlain decides how a request to a plain service is reserved and sent. Only
-// methods that HTTP calls safe may be repeated; the document may mark the others
-// of a service as once.
-func (r *request) decidePlain(from *http.Request) {
+// planPlain sets the plan of a request to a plain service. Only the safe methods of HTTP may
+// be repeated. The document may mark the other methods of a service as once.
+func (r *request) planPlain(from *http.Request) {
 	safe := from.Method == http.MethodGet || from.Method == http.MethodHead || from.Method == http.MethodOptions
-	offer := r.asked.offer
-	r.decided.bound = offer.Price
-	r.decided.once = r.asked.options.once || (offer.Once && !safe)
-	r.decided.repeatable = safe && !r.decided.once
-	r.decided.call = granitehoist.Call{
+	offer := r.input.offer
+	r.plan.bound = offer.Price
+	r.plan.once = r.input.options.once || (offer.Once && !safe)
+	r.plan.repeatable = safe && !r.plan.once
+	r.plan.call = granitehoist.Call{
 		Method: from.Method,
-		Path:   plainPath(from),
-		Header: callersHeader(from.Header),
-		Once:   r.decided.once,
+		Path:   upstreamPath(from),
+		Header: forwardedHeader(from.Header),
+		Once:   r.plan.once,
 	}
 }
 
-// ownHeaders begins the names of all headers of this interface but HeaderRequest.
-const ownHeaders = "Granitehoist-"
+// ownHeaderPrefix begins the names of all headers of the gate but HeaderRequest.
+const ownHeaderPrefix = "Granitehoist-"
 
-// callersHeader returns the part of a caller's header that a plain service gets:
-// all but what speaks to the gate itself. An underscore counts as a hyphen, since
-// services may take it for one.
-func callersHeader(h http.Header) http.Header {
+// forwardedHeader returns the headers that are forwarded to a plain service, which excludes
+// those addressed to the gate. Underscores in names match hyphens, since some services treat
+// both alike.
+func forwardedHeader(h http.Header) http.Header {
 	passed := upstream.CopyHeader(h, "Authorization", "Content-Length", "Host")
 	for name := range passed {
 		standard := textproto.CanonicalMIMEHeaderKey(strings.ReplaceAll(name, "_", "-"))
-		if standard == HeaderRequest || strings.HasPrefix(standard, ownHeaders) {
+		if standard == HeaderRequest || strings.HasPrefix(standard, ownHeaderPrefix) {
 			delete(passed, name)
 		}
 	}
 	return passed
 }
 
-// plainPath returns the path and query that a plain service gets: the caller's
-// without the prefix and the service's name, escaped as the caller wrote it. It
-// begins with a slash. The pattern that servePlain is registered under makes
-// sure of the two parts before it, which the caller may have escaped as well.
-func plainPath(r *http.Request) string {
-	const partsBefore = 3 // the empty one before the first slash, the prefix and the name
-	parts := strings.SplitN(r.URL.EscapedPath(), "/", partsBefore+1)
-	path := "/" + parts[partsBefore]
+// upstreamPath returns the path and query for a plain service: the caller's without the
+// prefix and the name of the service, with the caller's escaping. It begins with a slash. The
+// route pattern of servePlain ensures that both removed segments exist, which the caller may
+// have escaped as well.
+func upstreamPath(r *http.Request) string {
+	const leadingParts = 3 // the empty one before the first slash, the prefix and the name
+	parts := strings.SplitN(r.URL.EscapedPath(), "/", leadingParts+1)
+	path := "/" + parts[leadingParts]
 	if r.URL.RawQuery != "" {
 		path += "?" + r.URL.RawQuery
 	}
 	return path
 }
 
-// readBody reads a request's body within the size limit and the read deadline
-// that ServeHTTP has set. The deadline is lifted only when the body is
-// complete: the standard library reads the remaining body before it answers,
-// and would wait for a slow caller for ever.
+// readBody reads the body of a request within the size limit and the read deadline set by
+// ServeHTTP. It clears the deadline only after the whole body was read: net/http reads the
+// rest of the body before it responds, and would wait for a slow caller without limit.
 func (g *Gate) readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, g.settings.Limits.BodyBytes))
 	var tooLarge *http.MaxBytesError
@@ -200,17 +198,15 @@
 	return body, nil
 }
 
-// setReadDeadline bounds the reading of a request; the zero time lifts the
-// bound.
+// setReadDeadline sets the deadline for reading a request; the zero time clears it.
 func setReadDeadline(w http.ResponseWriter, at time.Time) {
-	// Every connection of net/http takes deadlines. A recorder of a test does not,
-	// and has nothing to wait for.
+	// Connections of net/http support deadlines; only test recorders don't.
 	_ = http.NewResponseController(w).SetReadDeadline(at)
 }
 
-// setWriteDeadline bounds the writing of an answer, so that a caller that does
-// not read holds no request.
+// setWriteDeadline sets the deadline for writing a response, so that a caller that does not
+// read can't keep the request open.
 func setWriteDeadline(w http.ResponseWriter, at time.Time) {
-	// As in setReadDeadline, only a recorder of a test takes none.
+	// As in setReadDeadline, only test recorders return an error.
 	_ = http.NewResponseController(w).SetWriteDeadline(at)
 }
--- a/partner/gate/refusals.go
+++ b/partner/gate/refusals.go
@@ -14,13 +14,12 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Failure is the body of an answer that is not Served. Its form is that of
-// OpenAI-compatible errors.
+// Failure is the body of an error response, in the format of OpenAI-compatible errors.
 type Failure struct {
 	Error FailureDetail `json:"error"`
 }
 
-// FailureDetail describes a failure.
+// FailureDetail describes the error of a request.
 type FailureDetail struct {
 	// Code is the numbered result code, and Type its name.
 	Code    int    `json:"code"`
@@ -32,8 +31,8 @@
 	Request granitehoist.RequestID `json:"request_id"`
 }
 
-// asError returns an error as *Error; one without a code is Internal, whose
-// fate is that the request may have run.
+// asError returns err as a *granitehoist.Error. An error without a code becomes Internal,
+// which means that the request may have run.
 func asError(err error) *granitehoist.Error {
 	var e *granitehoist.Error
 	if errors.As(err, &e) {
@@ -42,7 +41,7 @@
 	return granitehoist.Wrap(granitehoist.Internal, err, "")
 }
 
-// failure returns the body that describes an error to a caller.
+// failure returns the response body for an error.
 func failure(id granitehoist.RequestID, e *granitehoist.Error) Failure {
 	info := e.Code.Info()
 	return Failure{Error: FailureDetail{
@@ -55,7 +54,7 @@
 	}}
 }
 
-// refuse answers with an error. It is called only before any other answer.
+// refuse sends an error response. It must be called before anything else is written.
 func (g *Gate) refuse(w http.ResponseWriter, id granitehoist.RequestID, err error) {
 	e := asError(err)
 	info := e.Code.Info()
@@ -66,26 +65,25 @@
 	header.Set(HeaderCode, strconv.Itoa(int(info.Code)))
 	header.Set(HeaderFate, string(info.Fate))
 	if wait := retryAfter(e); wait > 0 {
-		header.Set("Retry-After", strconv.Itoa(wholeSeconds(wait)))
+		header.Set("Retry-After", strconv.Itoa(ceilSeconds(wait)))
 	}
 	w.WriteHeader(info.Status)
-	// It fails only if the caller has closed its connection.
+	// The write fails only if the caller has closed the connection.
 	_ = json.NewEncoder(w).Encode(failure(id, e))
 }
 
-// Times after which a refused caller may try again. They are advice in the
-// header Retry-After, which counts whole seconds.
+// Delays for the Retry-After header of refusals.
 const (
-	// upstreamRetryAfter is for a request that found no upstream, or none with room.
+	// upstreamRetryAfter applies if no upstream is available or none has capacity.
 	upstreamRetryAfter = time.Second
-	// billsRetryAfter is for a ledger that is full, which empties only when the store
-	// answers again.
-	billsRetryAfter = 10 * time.Second
+	// ledgerRetryAfter applies if the ledger is full, which lasts until the store responds
+	// again.
+	ledgerRetryAfter = 10 * time.Second
 )
 
-// retryAfter decides when a refused caller may try again; zero stands for no
-// advice. An error that carries its own time keeps it: budget.Agent sets one if
-// it can't fetch tokens now.
+// retryAfter returns the delay after which a refused caller may retry, zero for no advice. A
+// delay in the error itself takes precedence, such as that of budget.Agent if it can't
+// obtain tokens.
 func retryAfter(e *granitehoist.Error) time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
@@ -94,10 +92,10 @@
 	case granitehoist.NoUpstream, granitehoist.Overloaded:
 		return upstreamRetryAfter
 	case granitehoist.BillsFull:
-		return billsRetryAfter
+		return ledgerRetryAfter
 	}
 	return 0
 }
 
-// wholeSeconds rounds a time up to the seconds of the header Retry-After.
-func wholeSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+// ceilSeconds rounds d up to whole seconds, the unit of the Retry-After header.
+func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
--- a/partner/gate/request.go
+++ b/partner/gate/request.go
@@ -11,60 +11,59 @@
 	"granitehoist.example/granitehoist/partner/report"
 )
 
-// request is a caller's request on its way. One goroutine owns it until it is
-// answered; if an attempt's cost is unsettled then, the goroutine that asks for
-// it reads asked and decided, which no longer change.
+// request is the state of one request. The goroutine that serves it owns it until it is
+// answered. If the cost of an attempt is unsettled then, a background goroutine reads input
+// and plan, which no longer change.
 type request struct {
-	asked    asked
-	decided  decided
-	progress progress
-	// suspicion is the evidence against the request before its latest attempt.
-	suspicion suspicion
-	sink      *sink
+	input    callerRequest
+	plan     requestPlan
+	progress responseProgress
+	// crashes is the crash history of the request before its latest attempt.
+	crashes crashHistory
+	sink    *sink
 }
 
-// asked is what the caller sent.
-type asked struct {
+// callerRequest is the request as the caller sent it.
+type callerRequest struct {
 	id granitehoist.RequestID
-	// hasID says that the caller chose the id.
-	hasID    bool
-	began    time.Time
-	identity config.Identity
-	options  options
-	// offer is nil until the request has named a service.
+	// hasID is set if the caller chose the id.
+	hasID     bool
+	startedAt time.Time
+	identity  config.Identity
+	options   options
+	// offer is the requested service, nil until it is known.
 	offer *config.Offer
 	// model is empty for a plain service.
 	model granitehoist.Model
-	// bodyBytes is the size of the body as it arrived.
+	// bodyBytes is the size of the received body.
 	bodyBytes int
-	// maxOutput is the tokens that all choices may have together; zero for a
-	// plain service.
+	// maxOutput is the maximum output tokens of all choices together, zero for a plain
+	// service.
 	maxOutput granitehoist.Tokens
-	// writeBody returns the body for the upstream, which carries the priority.
+	// writeBody returns the body for the upstream with the given priority.
 	writeBody func(granitehoist.Priority) ([]byte, error)
 }
 
-// decided is what the router has decided about the request before its first
+// requestPlan is how the router reserves and sends the request, decided before the first
 // attempt.
-type decided struct {
+type requestPlan struct {
 	budget granitehoist.BudgetID
-	// bound is reserved for each attempt; no attempt costs more.
+	// bound is reserved for each attempt and is an upper bound of its cost.
 	bound granitehoist.Tokens
-	// affinity is the hash by which requests share an upstream; zero for none.
+	// affinity is the hash by which requests prefer the same upstream, zero for none.
 	affinity uint64
-	// once says that the request must not run twice.
+	// once means that the request must not run twice.
 	once bool
-	// repeatable says that the request may be sent again after an attempt that
-	// may have run.
+	// repeatable means that the request may be sent again after an attempt that may have run.
 	repeatable bool
 	priority   granitehoist.Priority
-	// call is what every attempt sends; the attempt adds its id and address.
+	// call is the call that each attempt sends with its own id and address.
 	call granitehoist.Call
 }
 
-// progress is what has happened to the answer.
-type progress struct {
-	pieces    int
-	lastPiece time.Time
-	counts    report.Counts
+// responseProgress is how much of the response has arrived.
+type responseProgress struct {
+	chunks      int
+	lastChunkAt time.Time
+	counts      report.Counts
 }
--- a/partner/gate/result.go
+++ b/partner/gate/result.go
@@ -11,10 +11,9 @@
 	"granitehoist.example/granitehoist/partner/route"
 )
 
-// overallError decides the result of several attempts for the caller:
-// once an attempt may have run, a later one that did not run changes nothing.
-// uncertain is the error of an earlier attempt that may have run, nil if there is
-// none, and last the newest error.
+// overallError returns the result of several attempts. uncertain is the error of an earlier
+// attempt that may have run, nil if there is none, and last is the newest error. An attempt
+// that did not run doesn't replace one that may have.
 func overallError(uncertain, last error) error {
 	if uncertain != nil && granitehoist.CodeOf(last).Info().Fate == granitehoist.NotRun {
 		return uncertain
@@ -22,19 +21,19 @@
 	return last
 }
 
-// finalError decides the result of a request whose caller has left. An error after
-// which the request may have run becomes CallerGone, since a caller that leaves
-// ends the attempt. The error of a request that did not run keeps its code.
-func finalError(err error, callerLeft bool) error {
-	if err == nil || !callerLeft || granitehoist.CodeOf(err).Info().Fate == granitehoist.NotRun {
+// finalError returns the result for a caller that may have disconnected, which cancels the
+// running attempt. An error after which the request may have run becomes CallerGone; the
+// error of a request that did not run keeps its code.
+func finalError(err error, disconnected bool) error {
+	if err == nil || !disconnected || granitehoist.CodeOf(err).Info().Fate == granitehoist.NotRun {
 		return err
 	}
 	return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 }
 
-// restAsked returns for how long the upstream of an attempt wants no requests: the time that
-// it named when it turned the attempt away, zero if it named none.
-func restAsked(err error) time.Duration {
+// requestedBackoff returns the time for which the upstream of a refused attempt asked for no
+// further requests, zero if it named none.
+func requestedBackoff(err error) time.Duration {
 	var e *granitehoist.Error
 	if !errors.As(err, &e) || e.Code != granitehoist.UpstreamRefused {
 		return 0
@@ -42,16 +41,15 @@
 	return e.RetryAfter
 }
 
-// upstreamResult decides how an attempt counts for its upstream in the choice of
-// later ones. A request that the upstream could not read is no failure of the
-// upstream, and an attempt that ended with its caller or its deadline counts
-// neither way.
-func upstreamResult(err error, ended bool) route.Result {
+// upstreamResult classifies an attempt for the selection of upstreams. A request that the
+// upstream rejects as malformed is no failure of the upstream. An attempt that ended because
+// of its caller or deadline counts neither way.
+func upstreamResult(err error, contextDone bool) route.Result {
 	code := granitehoist.CodeOf(err)
 	switch {
 	case err == nil, code == granitehoist.BadRequest:
 		return route.Good
-	case ended, code == granitehoist.CallerGone:
+	case contextDone, code == granitehoist.CallerGone:
 		return route.Unclear
 	}
 	return route.Bad
--- a/partner/gate/retry.go
+++ b/partner/gate/retry.go
@@ -11,48 +11,46 @@
 // maxAttempts bounds the attempts of one request, the first included.
 const maxAttempts = 3
 
-// attemptState is what decides whether another attempt may follow one that
-// failed.
+// attemptState is the input of decideRetry.
 type attemptState struct {
-	// made is the number of attempts so far.
-	made int
-	// code is the result of all attempts so far, as overallError returns it.
+	// attempts is the number of attempts so far.
+	attempts int
+	// code is that of overallError for the attempts so far.
 	code granitehoist.Code
-	// repeatable says that the request may run twice.
+	// repeatable means that the request may run twice.
 	repeatable bool
-	// answerStarted says that the caller has a part of an answer.
-	answerStarted bool
-	// ended says that the deadline has passed or the caller has left.
-	ended bool
+	// responseStarted means that the caller has received a part of the response.
+	responseStarted bool
+	// contextDone means that the deadline has passed or the caller has disconnected.
+	contextDone bool
 }
 
-// retryVerdict says whether another attempt may follow, and if not, why.
-type retryVerdict int
+// retryDecision says whether to retry, and if not, why.
+type retryDecision int
 
 const (
-	retryAllowed retryVerdict = iota
-	stopTooMany
-	stopAnswerStarted
-	stopEnded
-	stopCallersFault
+	retryAllowed retryDecision = iota
+	stopMaxAttempts
+	stopResponseStarted
+	stopContextDone
+	stopBadRequest
 	stopMayHaveRun
 )
 
-// decideRetry decides whether a request may be sent to another upstream. It may
-// as long as the caller waits, has no part of an answer and is not at fault;
-// after an attempt that may have run, only if the request may run twice.
-// The router's budget of retries and the reservation of a further attempt are
-// asked only after this rule, since asking takes from them.
-func decideRetry(s attemptState) retryVerdict {
+// decideRetry decides whether a request may be sent to another upstream. It may while the
+// caller waits, has received no part of the response and sent a valid request; after an
+// attempt that may have run, only if the request is repeatable. The retry budget and the
+// reservation are checked afterwards, since checking them consumes from them.
+func decideRetry(s attemptState) retryDecision {
 	switch {
-	case s.made >= maxAttempts:
-		return stopTooMany
-	case s.answerStarted:
-		return stopAnswerStarted
-	case s.ended:
-		return stopEnded
+	case s.attempts >= maxAttempts:
+		return stopMaxAttempts
+	case s.responseStarted:
+		return stopResponseStarted
+	case s.contextDone:
+		return stopContextDone
 	case s.code == granitehoist.BadRequest:
-		return stopCallersFault
+		return stopBadRequest
 	case s.code.Info().Fate != granitehoist.NotRun && !s.repeatable:
 		return stopMayHaveRun
 	}
@@ -60,22 +58,21 @@
 }
 
 const (
-	// retriesPerRequest bounds retries to a tenth of the requests of all services
-	// together, so that they add little load to a failing service.
+	// retriesPerRequest limits retries to a tenth of the requests of all services together,
+	// so that they add little load to a failing service.
 	retriesPerRequest = 0.1
-	// maxSavedRetries is the most retries that requests without a retry can save up.
-	maxSavedRetries = 20
-	// initialRetryPart is the part of maxSavedRetries that a router starts with: 10
-	// retries.
-	initialRetryPart = 0.5
+	// retryBudgetCapacity is the largest number of unused retries that accumulate.
+	retryBudgetCapacity = 20
+	// initialRetryFraction is the part of retryBudgetCapacity available at the start.
+	initialRetryFraction = 0.5
 )
 
-// newRetryBudget returns the retry budget of a router. It does not refill with
+// newRetryBudget returns the retry budget of a router. It is refilled by requests, not by
 // time.
 func newRetryBudget() *retrybudget.Budget {
 	return retrybudget.New(retrybudget.Settings{
 		PerRequest:  retriesPerRequest,
-		Capacity:    maxSavedRetries,
-		InitialPart: initialRetryPart,
+		Capacity:    retryBudgetCapacity,
+		InitialPart: initialRetryFraction,
 	})
 }
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -15,18 +15,18 @@
 	"granitehoist.example/granitehoist/partner/route"
 )
 
-// writeGrace is the time after a request's deadline in which its answer may still be
-// written.
-const writeGrace = 5 * time.Second
+// writeGracePeriod is the time after the deadline of a request in which its response may
+// still be written.
+const writeGracePeriod = 5 * time.Second
 
-// answer takes a request from policy to charge and answers it. If err is not nil,
-// reading the request failed, and answer only refuses it.
-func (g *Gate) answer(w http.ResponseWriter, r *http.Request, req *request, err error) {
+// respond processes a request and sends the response. If err is not nil, the request could
+// not be read and is refused.
+func (g *Gate) respond(w http.ResponseWriter, r *http.Request, req *request, err error) {
 	if err == nil {
-		timeout := req.asked.options.timeout
+		timeout := req.input.options.timeout
 		ctx, cancel := context.WithTimeout(r.Context(), timeout)
 		defer cancel()
-		setWriteDeadline(w, req.asked.began.Add(timeout+writeGrace))
+		setWriteDeadline(w, req.input.startedAt.Add(timeout+writeGracePeriod))
 		err = g.process(ctx, req)
 	}
 	err = finalError(err, r.Context().Err() != nil)
@@ -39,87 +39,87 @@
 		g.countResult(granitehoist.CodeOf(err))
 		req.sink.abort(asError(err))
 	default:
-		g.refuse(w, req.asked.id, err)
+		g.refuse(w, req.input.id, err)
 	}
 }
 
-// process asks the policies, makes room for the charge, reserves the tokens, sends
-// the request and settles what it cost. It is called once a request was read.
+// process evaluates the policies, reserves a place in the ledger and the tokens, sends the
+// request and settles its cost. The request must have been read.
 func (g *Gate) process(ctx context.Context, req *request) error {
-	if req.decided.once && !req.asked.hasID {
-		return granitehoist.Errorf(granitehoist.BadHeader, "a request not to be repeated needs a %s of the caller's", HeaderRequest)
+	if req.plan.once && !req.input.hasID {
+		return granitehoist.Errorf(granitehoist.BadHeader, "a request that is not to be repeated requires the header %s", HeaderRequest)
 	}
 	priority, err := g.settings.View().Decide(g.policyRequest(req))
 	if err != nil {
 		return err
 	}
-	req.decided.priority = priority
-	if req.decided.call.Body, err = req.asked.writeBody(priority); err != nil {
+	req.plan.priority = priority
+	if req.plan.call.Body, err = req.input.writeBody(priority); err != nil {
 		return granitehoist.Wrap(granitehoist.BadRequest, err, "")
 	}
-	if err := g.checkSuspicion(req); err != nil {
+	if err := g.checkCrashHistory(req); err != nil {
 		return err
 	}
 	if !g.settings.Ledger.ReserveRoom() {
 		return granitehoist.Errorf(granitehoist.BillsFull, "")
 	}
-	s := &spend{gate: g, request: req}
-	if err := s.reserve(ctx); err != nil {
+	cost := &costTracker{gate: g, request: req}
+	if err := cost.reserve(ctx); err != nil {
 		g.settings.Ledger.ReleaseRoom()
 		return err
 	}
-	err = g.execute(ctx, req, s)
-	s.finish()
+	err = g.execute(ctx, req, cost)
+	cost.finish()
 	return err
 }
 
-// policyRequest returns what the policies decide upon.
+// policyRequest returns the input of the policies.
 func (g *Gate) policyRequest(req *request) policy.Request {
 	return policy.Request{
-		Workspace:  req.asked.identity.Workspace,
-		Service:    req.asked.offer.Name,
-		Model:      req.asked.model,
-		Partner:    req.asked.identity.Partner,
-		Owner:      req.asked.offer.Owner,
+		Workspace:  req.input.identity.Workspace,
+		Service:    req.input.offer.Name,
+		Model:      req.input.model,
+		Partner:    req.input.identity.Partner,
+		Owner:      req.input.offer.Owner,
 		Zone:       g.settings.Zone,
-		Priority:   req.asked.options.priority,
-		PromptSize: req.asked.bodyBytes,
-		MaxOutput:  req.asked.maxOutput,
-		Budget:     req.decided.budget.Name(),
-		Time:       req.asked.began,
+		Priority:   req.input.options.priority,
+		PromptSize: req.input.bodyBytes,
+		MaxOutput:  req.input.maxOutput,
+		Budget:     req.plan.budget.Name(),
+		Time:       req.input.startedAt,
 	}
 }
 
-// execute sends the request, one attempt after the other, until one serves it
-// or no other may follow.
-func (g *Gate) execute(ctx context.Context, req *request, s *spend) error {
+// execute sends the request in successive attempts until one succeeds or no retry is
+// allowed.
+func (g *Gate) execute(ctx context.Context, req *request, cost *costTracker) error {
 	want := route.Want{
-		Service:  req.asked.offer.Name,
-		Targets:  g.targets.ofOffer(g.settings.View(), req.asked.offer),
-		Affinity: req.decided.affinity,
-		Priority: req.decided.priority,
+		Service:  req.input.offer.Name,
+		Targets:  g.targets.get(g.settings.View(), req.input.offer),
+		Affinity: req.plan.affinity,
+		Priority: req.plan.priority,
 		Tried:    map[granitehoist.Upstream]bool{},
 	}
 	g.retries.Earn(g.settings.Clock())
 	var binding *once.Binding
 	var uncertain error
 	for attempt := 1; ; attempt++ {
-		if err := g.checkSuspicion(req); err != nil {
-			return g.release(ctx, binding, overallError(uncertain, err))
+		if err := g.checkCrashHistory(req); err != nil {
+			return g.releaseBinding(ctx, binding, overallError(uncertain, err))
 		}
 		slot, err := g.settings.Table.Acquire(ctx, want, g.settings.Clock())
 		if err != nil {
-			return g.release(ctx, binding, overallError(uncertain, err))
+			return g.releaseBinding(ctx, binding, overallError(uncertain, err))
 		}
-		id := granitehoist.NewAttemptID(g.settings.Incarnation, g.attempts.Add(1), req.decided.budget, req.asked.id)
-		if req.decided.once && binding == nil {
+		id := granitehoist.NewAttemptID(g.settings.Incarnation, g.attempts.Add(1), req.plan.budget, req.input.id)
+		if req.plan.once && binding == nil {
 			binding, err = g.bind(ctx, req, id)
 			if err != nil {
 				slot.Done(route.Unclear, g.settings.Clock())
 				return err
 			}
 		}
-		err = g.send(ctx, req, s, slot, id)
+		err = g.send(ctx, req, cost, slot, id)
 		if err == nil {
 			g.finishBinding(ctx, req, binding)
 			return nil
@@ -128,48 +128,47 @@
 		if granitehoist.CodeOf(err).Info().Fate != granitehoist.NotRun {
 			uncertain = err
 		}
-		if !g.mayRetry(ctx, req, s, err, attempt) {
-			return g.release(ctx, binding, err)
+		if !g.acquireRetry(ctx, req, cost, err, attempt) {
+			return g.releaseBinding(ctx, binding, err)
 		}
 		want.Tried[slot.Upstream] = true
 	}
 }
 
-// send makes one attempt and settles what it cost.
-func (g *Gate) send(ctx context.Context, req *request, s *spend, slot *route.Slot, id granitehoist.AttemptID) error {
-	u, err := g.upstreamOf(req, slot.Upstream)
+// send makes one attempt and settles its cost.
+func (g *Gate) send(ctx context.Context, req *request, cost *costTracker, slot *route.Slot, id granitehoist.AttemptID) error {
+	u, err := g.findUpstream(req, slot.Upstream)
 	if err != nil {
 		slot.Done(route.Unclear, g.settings.Clock())
 		return err
 	}
-	call := req.decided.call
+	call := req.plan.call
 	call.Attempt = id
 	call.Address = u.Address
-	protocol := g.settings.Protocols[req.asked.offer.Kind]
+	protocol := g.settings.Protocols[req.input.offer.Kind]
 	usage, err := protocol.Do(ctx, call, req.sink)
-	g.noteEvidence(ctx, req, u, err)
+	g.recordCrashEvidence(ctx, req, u, err)
 	now := g.settings.Clock()
-	if asked := restAsked(err); asked > 0 {
-		slot.Rest(asked, now)
+	if backoff := requestedBackoff(err); backoff > 0 {
+		slot.Rest(backoff, now)
 	}
 	slot.Done(upstreamResult(err, ctx.Err() != nil), now)
-	s.attemptEnded(id, u, usage, err)
+	cost.attemptEnded(id, u, usage, err)
 	if err != nil {
 		g.logAttempt(req, id, u.Name, err)
 	}
 	return err
 }
 
-// upstreamOf returns an upstream that was chosen for a request. If the documents
-// changed while the request waited for room, it may be one that the request's own
-// offer lacks and that was added to the service since. Its error is NoUpstream, if
-// it was removed again.
-func (g *Gate) upstreamOf(req *request, name granitehoist.Upstream) (config.Upstream, error) {
-	if u, ok := req.asked.offer.Upstream(name); ok {
+// findUpstream returns the upstream that was chosen for a request. If the documents changed
+// while the request was queued, this may be one that was added to the service since and that
+// the request's own offer lacks. The error has code NoUpstream if it was removed again.
+func (g *Gate) findUpstream(req *request, name granitehoist.Upstream) (config.Upstream, error) {
+	if u, ok := req.input.offer.Upstream(name); ok {
 		return u, nil
 	}
-	service := req.asked.offer.Name
-	if offer, ok := g.settings.View().OfferOfService(req.asked.identity.Partner, service); ok {
+	service := req.input.offer.Name
+	if offer, ok := g.settings.View().OfferOfService(req.input.identity.Partner, service); ok {
 		if u, ok := offer.Upstream(name); ok {
 			return u, nil
 		}
@@ -177,20 +176,20 @@
 	return config.Upstream{}, granitehoist.Errorf(granitehoist.NoUpstream, "service %s", service)
 }
 
-// mayRetry reports whether the request may be sent to another upstream, and
-// takes what a further attempt costs: one retry of the router's budget of
-// retries and a reservation. If the reservation fails the caller gets the
-// result of the attempt, since that is why its request did not succeed.
-func (g *Gate) mayRetry(ctx context.Context, req *request, s *spend, err error, attempt int) bool {
-	verdict := decideRetry(attemptState{
-		made:          attempt,
-		code:          granitehoist.CodeOf(err),
-		repeatable:    req.decided.repeatable,
-		answerStarted: req.sink.started,
-		ended:         ctx.Err() != nil,
+// acquireRetry reports whether the request may be sent to another upstream. If so, it has
+// taken a retry from the retry budget and reserved the tokens of an attempt. If the
+// reservation fails the caller gets the error of the last attempt, which is the reason why
+// the request did not succeed.
+func (g *Gate) acquireRetry(ctx context.Context, req *request, cost *costTracker, err error, attempt int) bool {
+	decision := decideRetry(attemptState{
+		attempts:        attempt,
+		code:            granitehoist.CodeOf(err),
+		repeatable:      req.plan.repeatable,
+		responseStarted: req.sink.started,
+		contextDone:     ctx.Err() != nil,
 	})
-	if verdict != retryAllowed || !g.retries.Take(g.settings.Clock()) {
+	if decision != retryAllowed || !g.retries.Take(g.settings.Clock()) {
 		return false
 	}
-	return s.reserve(ctx) == nil
+	return cost.reserve(ctx) == nil
 }
--- a/partner/gate/settings.go
+++ b/partner/gate/settings.go
@@ -21,62 +21,61 @@
 	"granitehoist.example/granitehoist/partner/settings"
 )
 
-// Funds pays for requests; budget.Agent implements it.
+// Funds reserves and settles tokens of budgets. budget.Agent implements it.
 type Funds interface {
-	// Reserve sets tokens aside, waiting for them as long as the budget's split
-	// allows. Its errors are *Error.
+	// Reserve reserves tokens. It may wait for them, as the split of the budget allows. The
+	// error is a *granitehoist.Error.
 	Reserve(ctx context.Context, k granitehoist.BudgetID, bound granitehoist.Tokens) error
-	// Settle ends a reservation with the use.
+	// Settle ends a reservation of bound tokens, of which used were spent.
 	Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens)
 }
 
-// Settings configure a Gate: who the router is, the parts that a request
-// passes through, and the limits of one request. They are read only after New.
-// All fields but Burn and Limits are required.
+// Settings configure a Gate. They must not change after New. All fields but Burn and Limits
+// are required.
 type Settings struct {
-	// Zone is the router's availability zone, an input of the policies.
+	// Zone is the availability zone of the router, an input of the policies.
 	Zone granitehoist.AvailabilityZone
-	// Incarnation is this run of the router, a part of each attempt's id.
+	// Incarnation identifies this run of the router; it is part of each attempt id.
 	Incarnation granitehoist.Incarnation
 	// View returns the documents in force.
 	View func() *config.View
 	// Funds reserves the tokens of a request and settles them.
 	Funds Funds
-	// Ledger takes one charge for each request that may have run.
+	// Ledger receives one charge for each request that may have run.
 	Ledger *bill.Ledger
-	// Once binds the requests that are not to be repeated.
+	// Once binds requests that are not to be repeated.
 	Once *once.Registry
 	// Table chooses the upstream of each attempt.
 	Table *route.Table
 	// Protocols has an entry for each kind of service in the documents.
 	Protocols map[config.Kind]granitehoist.Protocol
 	Clock     granitehoist.Clock
-	// Random is the source of the request ids that the gate makes itself.
+	// Random is the source of the request ids that the gate generates.
 	Random  io.Reader
 	Log     *zap.Logger
 	Metrics metrics.Registry
-	// Burn takes the counts of the burn report; nil keeps none.
+	// Burn receives the counts of the burn report; nil disables it.
 	Burn   *report.Recorder
 	Limits Limits
 }
 
-// Limits bound what one request may use. Zero fields take the defaults of package
+// Limits bound the resources of one request. Zero fields take the defaults of package
 // settings.
 type Limits struct {
-	// BodyBytes bounds a request's body; zero stands for settings.DefaultBodyBytes.
+	// BodyBytes is the largest body; zero means settings.DefaultBodyBytes.
 	BodyBytes int64
-	// HeaderBytes bounds a request's line and headers; zero stands for
+	// HeaderBytes is the largest size of the request line and headers; zero means
 	// settings.DefaultHeaderBytes.
 	HeaderBytes int
-	// ReadTimeout bounds the time from the end of the headers to the end of the
-	// body; zero stands for settings.DefaultReadTimeout.
+	// ReadTimeout is the time from the end of the headers to the end of the body; zero means
+	// settings.DefaultReadTimeout.
 	ReadTimeout time.Duration
-	// RequestTimeout bounds a request whose caller names no deadline; zero
-	// stands for settings.DefaultRequest.
+	// RequestTimeout applies to requests without a deadline; zero means
+	// settings.DefaultRequest.
 	RequestTimeout time.Duration
 }
 
-// complete reports whether all required settings are there.
+// complete reports whether all required settings are set.
 func (s *Settings) complete() bool {
 	identified := s.Incarnation != ""
 	connected := s.View != nil && s.Funds != nil && s.Ledger != nil && s.Once != nil && s.Table != nil && s.Protocols != nil
--- a/partner/gate/sink.go
+++ b/partner/gate/sink.go
@@ -11,19 +11,18 @@
 	"granitehoist.example/granitehoist"
 )
 
-// sink passes an upstream's answer to the caller. It is used by the goroutine
+// sink forwards the response of an upstream to the caller. It is used only by the goroutine
 // that serves the request.
 type sink struct {
 	w  http.ResponseWriter
 	id granitehoist.RequestID
-	// stream says that each piece goes to the caller at once.
+	// stream means that each chunk is flushed to the caller.
 	stream bool
-	// started says that the caller has the status line; no other answer can be
-	// given then.
+	// started is set once the status line was sent; no error response is possible then.
 	started bool
-	// status is the upstream's HTTP status once started.
+	// status is the HTTP status of the upstream, valid once started.
 	status  int
-	onPiece func()
+	onChunk func()
 }
 
 // Start implements granitehoist.Sink.
@@ -42,9 +41,9 @@
 }
 
 // Write implements granitehoist.Sink.
-func (s *sink) Write(piece []byte) error {
-	s.onPiece()
-	if _, err := s.w.Write(piece); err != nil {
+func (s *sink) Write(chunk []byte) error {
+	s.onChunk()
+	if _, err := s.w.Write(chunk); err != nil {
 		return err
 	}
 	if s.stream {
@@ -53,17 +52,17 @@
 	return nil
 }
 
-// abort ends an answer that has begun and will not be complete. A stream gets an
-// error event and no end mark. Any other answer is cut off: net/http closes the
-// connection on this panic, so that the caller notices that a part is missing.
+// abort ends a response that was started and can't be completed. A stream gets an error event
+// and no [DONE]. For any other response the panic makes net/http close the connection, so
+// that the caller detects the truncation.
 func (s *sink) abort(e *granitehoist.Error) {
 	if !s.stream {
 		panic(http.ErrAbortHandler)
 	}
 	raw, err := json.Marshal(failure(s.id, e))
 	if err != nil {
-		panic("gate: failure does not encode: " + err.Error())
+		panic("gate: can't encode the error event: " + err.Error())
 	}
-	// It fails only if the caller has closed its connection.
+	// The write fails only if the caller has closed the connection.
 	_ = s.Write([]byte("data: " + string(raw) + "\n\n"))
 }
--- a/partner/gate/targets.go
+++ b/partner/gate/targets.go
@@ -10,29 +10,29 @@
 	"granitehoist.example/granitehoist/partner/route"
 )
 
-// targetCache holds the route targets of the offers of one view. Its zero value
-// is empty.
+// targetCache caches the route targets of the offers of one view. Its zero value is empty. It
+// is safe for concurrent use.
 type targetCache struct {
 	mu      sync.Mutex
 	view    *config.View
 	byOffer map[*config.Offer][]route.Target
 }
 
-// ofOffer returns an offer's upstreams: the same slice until the view changes, so
-// that route.Table compares no names.
-func (c *targetCache) ofOffer(v *config.View, offer *config.Offer) []route.Target {
+// get returns the targets of an offer. It returns the same slice until the view changes, so
+// that route.Table need not compare names.
+func (c *targetCache) get(v *config.View, offer *config.Offer) []route.Target {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.view != v {
 		c.view = v
 		c.byOffer = map[*config.Offer][]route.Target{}
 	}
-	prepared, ok := c.byOffer[offer]
+	targets, ok := c.byOffer[offer]
 	if !ok {
-		prepared = newTargets(offer)
-		c.byOffer[offer] = prepared
+		targets = newTargets(offer)
+		c.byOffer[offer] = targets
 	}
-	return prepared
+	return targets
 }
 
 func newTargets(offer *config.Offer) []route.Target {
--- a/partner/upstream/engine.go
+++ b/partner/upstream/engine.go
@@ -124,23 +124,23 @@
 	if len(body) > maxBodySize {
 		return granitehoist.Usage{}, granitehoist.Wrap(granitehoist.UpstreamBadAnswer, errTooLarge, "")
 	}
-	var answer engineResponse
-	if err := json.Unmarshal(body, &answer); err != nil {
+	var response engineResponse
+	if err := json.Unmarshal(body, &response); err != nil {
 		return granitehoist.Usage{}, granitehoist.Wrap(granitehoist.UpstreamBadAnswer, err, "")
 	}
-	if !answer.belongsTo(c.Attempt) {
+	if !response.belongsTo(c.Attempt) {
 		return granitehoist.Usage{}, granitehoist.Errorf(granitehoist.AnswerCrossed, "")
 	}
-	if len(answer.Choices) == 0 || !answer.finished() {
-		return answer.Usage.usage(), granitehoist.Errorf(granitehoist.UpstreamCut, "a choice has no finish reason")
+	if len(response.Choices) == 0 || !response.finished() {
+		return response.Usage.usage(), granitehoist.Errorf(granitehoist.UpstreamCut, "a choice has no finish reason")
 	}
 	if err := sink.Start(r.StatusCode, CopyHeader(r.Header, HeaderAttempt, "Content-Length")); err != nil {
-		return answer.Usage.usage(), granitehoist.Wrap(granitehoist.CallerGone, err, "")
+		return response.Usage.usage(), granitehoist.Wrap(granitehoist.CallerGone, err, "")
 	}
 	if err := sink.Write(body); err != nil {
-		return answer.Usage.usage(), granitehoist.Wrap(granitehoist.CallerGone, err, "")
+		return response.Usage.usage(), granitehoist.Wrap(granitehoist.CallerGone, err, "")
 	}
-	return answer.Usage.usage(), nil
+	return response.Usage.usage(), nil
 }
 
 // finished reports whether each choice has a finish reason.
