--- a/node/avoidedpeers.go
+++ b/node/avoidedpeers.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// avoidedPeers holds the nodes, by address, that are not asked for a while. The zero value
-// is ready. It is safe for concurrent use.
+// avoidedPeers holds the addresses of nodes that are temporarily not called. The zero
+// value is ready to use. It is safe for concurrent use.
 type avoidedPeers struct {
 	// mu guards until.
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-// add leaves a node out until a time.
+// add avoids a node until a time.
 func (a *avoidedPeers) add(address string, until time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -26,7 +26,8 @@
 	a.until[address] = until
 }
 
-// contains reports whether a node is left out now. It forgets the node if it is not.
+// contains reports whether a node is avoided at now, and removes it once its time is
+// over.
 func (a *avoidedPeers) contains(address string, now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/node/budgetroles.go
+++ b/node/budgetroles.go
@@ -10,27 +10,24 @@
 	"granitehoist.example/granitehoist/escrow"
 )
 
-// This file decides which node holds the prepaid tokens of a shard of the
-// workspaces, and which ones a node asks for them. In a small fleet every node takes
-// tokens from the record for itself. In a large one each shard has one holder, which
-// sees its whole demand and lends to all others. Holders are chosen by rendezvous
-// hashing, so that all nodes that know the same boxes choose the same ones without a
-// message, and the loss of a box moves only what it held. A wrong answer here costs
-// calls and time, never tokens.
+// In a small fleet every node takes tokens from the budget record in the store for
+// itself. In a large one each shard of the workspaces has one holder, which takes the
+// tokens and lends them to all others. Holders are selected by rendezvous hashing, so
+// that all nodes that know the same boxes select the same ones without coordination, and
+// the loss of a box moves only the shards that it held. Nodes that disagree cost calls
+// and time, but never tokens.
 
 const (
-	// rankedPerShard is the number of nodes that are ranked for a shard: the holder, and
-	// those that stand in for it, one after the other.
+	// rankedPerShard is the number of nodes ranked for a shard: the holder and its
+	// replacements, in order.
 	rankedPerShard = 3
-	// holderLinkPart is the part of the fastest link in the fleet that a holder's link has
-	// at least: links on the users' sites differ by a factor of ten or twenty, and a
-	// holder answers for the whole fleet.
-	holderLinkPart = 0.5
+	// minHolderLinkRatio is the minimum bandwidth of a holder's link relative to the
+	// fastest link in the fleet, since a holder serves the whole fleet.
+	minHolderLinkRatio = 0.5
 )
 
-// role returns this node's role for the tokens of a shard with the given ranked
-// nodes. A node whose view is not complete yet asks others, since in a fleet that is
-// still filling every node would be a holder.
+// role returns this node's role for the tokens of a shard with the given ranked nodes. A
+// node with an incomplete view borrows: in a starting fleet every node would be a holder.
 func (v fleetView) role(ranked []peerEntry) escrow.Role {
 	switch {
 	case !v.complete:
@@ -43,16 +40,16 @@
 	return escrow.Asks
 }
 
-// dividesRecord reports whether the fleet is so large that the record of the budgets
-// is divided.
+// dividesRecord reports whether the fleet is so large that the budget record is split
+// into shards.
 func (v fleetView) dividesRecord() bool { return v.complete && !v.isSmall() }
 
-// ranked returns the node that holds a shard and then those that stand in for it.
-// Nodes with links below holderLinkPart of the fastest are left out.
+// ranked returns the holder of a shard and then its replacements. Nodes with links slower
+// than minHolderLinkRatio of the fastest are excluded.
 func (v fleetView) ranked(shard escrow.Shard) []peerEntry {
 	var best []scoredPeer
 	for _, candidate := range v.holderCandidates() {
-		best = withScored(best, scoredPeer{entry: candidate, score: scoreOf(shard, candidate)})
+		best = insertScored(best, scoredPeer{entry: candidate, score: shardScore(shard, candidate)})
 	}
 	ranked := make([]peerEntry, 0, len(best))
 	for _, each := range best {
@@ -61,14 +58,14 @@
 	return ranked
 }
 
-// holderCandidates returns the nodes that may be holders.
+// holderCandidates returns the nodes that are eligible as holders.
 func (v fleetView) holderCandidates() []peerEntry {
 	all := append([]peerEntry{v.self}, v.others...)
 	fastest := 0.0
 	for _, entry := range all {
 		fastest = max(fastest, entry.LinkMbps)
 	}
-	return slices.DeleteFunc(all, func(e peerEntry) bool { return e.LinkMbps < holderLinkPart*fastest })
+	return slices.DeleteFunc(all, func(e peerEntry) bool { return e.LinkMbps < minHolderLinkRatio*fastest })
 }
 
 // scoredPeer is a node with its score for a shard.
@@ -77,12 +74,14 @@
 	score uint64
 }
 
-// scoreOf returns the score of a node for a shard. The lowest one holds it.
-func scoreOf(shard escrow.Shard, e peerEntry) uint64 { return mix(uint64(shard) ^ rankOf(e.Box)) }
+// shardScore returns the rendezvous hash of a node for a shard; the lowest one wins.
+func shardScore(shard escrow.Shard, e peerEntry) uint64 {
+	return mixBits(uint64(shard) ^ boxHash(e.Box))
+}
 
-// mix spreads the bits of a number (the finalizer of splitmix64), so that the scores
-// of one box for different shards are independent.
-func mix(x uint64) uint64 {
+// mixBits is the finalizer of splitmix64. It makes the scores of one box independent
+// across shards.
+func mixBits(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
@@ -90,21 +89,21 @@
 	return x ^ x>>31
 }
 
-// withScored adds a node to those with the lowest scores, of which it keeps
-// rankedPerShard.
-func withScored(best []scoredPeer, next scoredPeer) []scoredPeer {
+// insertScored inserts a node into best, ordered by score, and keeps the rankedPerShard
+// lowest.
+func insertScored(best []scoredPeer, next scoredPeer) []scoredPeer {
 	at, _ := slices.BinarySearchFunc(best, next, func(a, b scoredPeer) int { return cmp.Compare(a.score, b.score) })
 	best = slices.Insert(best, at, next)
 	return best[:min(len(best), rankedPerShard)]
 }
 
-// lenders returns the neighbours in the order in which this node asks them for a loan
-// of the tokens of a shard with the given ranked nodes: in a small fleet all of them
-// by rank, in a large one the holder and those that stand in for it.
+// lenders returns the neighbours that this node asks for a loan of a shard's tokens, in
+// order: in a small fleet all of them by box hash, in a large one the holder and its
+// replacements.
 func (v fleetView) lenders(ranked []peerEntry) []escrow.Lender {
 	if v.isSmall() {
 		others := slices.Clone(v.others)
-		slices.SortFunc(others, compareRank)
+		slices.SortFunc(others, compareBoxHash)
 		return lendersOf(others)
 	}
 	lenders := lendersOf(ranked)
--- /dev/null
+++ b/node/components.go
@@ -0,0 +1,115 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package node
+
+import (
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/balance"
+	"granitehoist.example/granitehoist/catalog"
+	"granitehoist.example/granitehoist/escrow"
+	"granitehoist.example/granitehoist/exchange"
+	"granitehoist.example/granitehoist/forward"
+	"granitehoist.example/granitehoist/internal/boottime"
+	"granitehoist.example/granitehoist/internal/linkmeter"
+)
+
+// components holds the parts of a node that serve requests. They are set once, by
+// newComponents; each guards its own state and is safe for concurrent use.
+type components struct {
+	// meter counts the bytes on the connections of callers and upstreams.
+	meter *linkmeter.Meter
+	// table holds the instances and selects among them.
+	table *balance.Table
+	// pool holds the connections to instances.
+	pool *exchange.Pool
+	// ledger holds the tokens that this node owns. syncer keeps it in step with the
+	// record in the store and with neighbours.
+	ledger *escrow.Ledger
+	syncer *escrow.Syncer
+	// forwarder serves requests, deadlines cancels those whose deadline has passed.
+	forwarder *forward.Forwarder
+	deadlines *boottime.Deadlines
+	// peers holds the neighbours and calls them.
+	peers *peers
+	// suspects holds the evidence against requests that crash instances.
+	suspects *suspects
+	// signals shares and logs what upstreams say of themselves.
+	signals *upstreamSignals
+	// limits fetches and issues the permits for upstreams with a rate limit.
+	limits *rateLimits
+}
+
+// newComponents builds the components of a node. current holds the configuration that
+// they use, self is the node's own entry.
+func newComponents(n *Node, self peerEntry, current *catalog.Current) *components {
+	c := &components{meter: &linkmeter.Meter{}, deadlines: &boottime.Deadlines{}}
+	c.signals = newUpstreamSignals(n)
+	c.limits = newRateLimits(n)
+	c.table = balance.New(balance.Settings{
+		Zone:         n.config.Zone,
+		Seed:         uint64(n.clock().UnixNano()),
+		Regions:      n.config.Regions,
+		LimitChanged: c.signals.onLimitChange,
+		LeavingNoted: c.signals.onLeaving,
+		RestNoted:    c.signals.onBackoff,
+	})
+	c.pool = exchange.NewPool(exchange.Settings{Clock: n.clock, Opened: n.counters.counter(metricConnections), Meter: c.meter})
+	c.peers = newPeers(peersSettings{
+		self:      self,
+		store:     n.adapter.Store,
+		clock:     n.clock,
+		log:       n.log,
+		bootstrap: n.config.First,
+		table:     c.table,
+	})
+	c.suspects = newSuspects(n, c.peers)
+	c.signals.connect(c.table, c.peers)
+	c.limits.connect(c.table, c.peers)
+	c.ledger = escrow.NewLedger(escrow.LedgerSettings{Incarnation: n.incarnation, Role: c.peers.role})
+	c.syncer = newSyncer(n, c.ledger, c.peers)
+	c.forwarder = forward.New(forward.Settings{
+		Catalog:   current,
+		Funds:     c.syncer,
+		Table:     c.table,
+		Pool:      c.pool,
+		Codec:     n.adapter.Codec,
+		Suspects:  c.suspects.table,
+		Evidence:  c.suspects.gate.opened,
+		Retry:     n.config.Retry,
+		Routers:   c.peers.routers,
+		Clock:     n.clock,
+		Deadlines: c.deadlines,
+		Log:       n.log,
+		Ended:     n.counters.countRequest,
+	})
+	return c
+}
+
+// newSyncer connects the ledger to the store and to the neighbours. The lenders are
+// looked up at each call, since they change with the fleet.
+func newSyncer(n *Node, ledger *escrow.Ledger, peers *peers) *escrow.Syncer {
+	return escrow.NewSyncer(escrow.SyncerSettings{
+		Box:     n.config.Box,
+		Ledger:  ledger,
+		Store:   n.adapter.Store,
+		Routers: peers.routers,
+		Divides: peers.dividesRecord,
+		Lenders: peers.lenders,
+		Caller:  peers,
+		Clock:   n.clock,
+		Log:     n.log,
+	})
+}
+
+// selfEntry returns the entry that a node publishes of itself, with the address at which
+// it takes calls from neighbours.
+func selfEntry(c *Config, incarnation granitehoist.Incarnation, address string) peerEntry {
+	return peerEntry{
+		Incarnation: incarnation,
+		Box:         c.Box,
+		Zone:        c.Zone,
+		Address:     address,
+		LinkMbps:    c.LinkMbps,
+	}
+}
--- a/node/config.go
+++ b/node/config.go
@@ -13,46 +13,46 @@
 	"granitehoist.example/granitehoist/forward"
 )
 
-// Config holds the settings of a node, as the platform's settings file and the
-// command line give them at its start. A node does not change it.
+// Config holds the settings of a node, from the platform's settings file and the command
+// line. A node does not change it.
 type Config struct {
 	Box  granitehoist.Box
 	Zone granitehoist.AvailabilityZone
-	// Regions holds the region of each availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[granitehoist.AvailabilityZone]granitehoist.Region
-	// IP and PeerPort are the address at which neighbours reach the node.
+	// IP and PeerPort form the address at which neighbours reach the node.
 	IP       string
 	PeerPort int
-	// Callers and Ready are the addresses, as IP:PORT, that callers and the
-	// platform's health checks reach.
+	// Callers and Ready are the listening addresses, as IP:PORT, for callers and for the
+	// platform's health checks.
 	Callers string
 	Ready   string
-	// LinkMbps is the rate of the box's link in Mbit/s, zero if it is not known.
+	// LinkMbps is the bandwidth of the box's network link in Mbit/s, zero if unknown.
 	LinkMbps float64
-	// Metrics is the address, as IP:PORT, at which the node serves its metrics;
-	// empty serves none.
+	// Metrics is the listening address, as IP:PORT, for metrics; if empty, none are
+	// served.
 	Metrics string
 	// Store is the address of the platform's store, as IP:PORT.
 	Store string
-	// Grace is the time from the order to stop until the platform kills the
+	// Grace is the time from the order to stop (SIGTERM) until the platform kills the
 	// process.
 	Grace time.Duration
-	// Memory is the size in bytes above which the platform kills the process;
-	// zero is no bound.
+	// Memory is the size in bytes above which the platform kills the process; zero means
+	// no limit.
 	Memory int64
 	Retry  forward.RetrySettings
-	// Clock returns the present time; nil means time.Now, which does not count while
+	// Clock returns the current time; nil means time.Now, which does not advance while
 	// the machine is suspended (package internal/boottime).
 	Clock granitehoist.Clock
-	// First says that all routers of the fleet start for the first time, so that
-	// the list of nodes in the store is empty or still filling.
+	// First says that the whole fleet starts for the first time, so that the node list in
+	// the store is empty or incomplete.
 	First bool
-	// LogDropped returns the number of log lines that were dropped so far. Nil
-	// leaves the metric out.
+	// LogDropped returns the number of log lines dropped so far. If nil, the metric is
+	// omitted.
 	LogDropped func() int64
 }
 
-// Check returns an error that names the first setting that is missing or wrong.
+// Check returns an error that names the first missing or invalid setting.
 func (c *Config) Check() error {
 	if c.Box == "" {
 		return eris.New("the box has no name")
--- a/node/configcopy.go
+++ b/node/configcopy.go
@@ -14,17 +14,17 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// configCopy is the node's copy of the operators' configuration. Only its
-// follower's goroutine puts a configuration in force; reading catalog needs no
-// lock. If a configuration can't be read, the last good one stays in force.
+// configCopy is the node's copy of the configuration. Only its follower's goroutine
+// activates a configuration; reading catalog needs no lock. A configuration that cannot
+// be decoded leaves the previous one active.
 type configCopy struct {
 	adapter *Adapter
-	// catalog holds the configuration in force, nothing before the first.
+	// catalog holds the active configuration, nothing before the first.
 	catalog *catalog.Current
-	// ledger and syncer are given the workspaces' budgets.
+	// ledger and syncer receive the budgets of the workspaces.
 	ledger *escrow.Ledger
 	syncer *escrow.Syncer
-	// table is told of the zones that are evacuated.
+	// table is told which availability zones are evacuated.
 	table    *balance.Table
 	clock    granitehoist.Clock
 	log      *zap.Logger
@@ -32,17 +32,17 @@
 }
 
 func newConfigCopy(n *Node, current *catalog.Current) *configCopy {
-	c := &configCopy{adapter: &n.adapter, catalog: current, ledger: n.parts.ledger, syncer: n.parts.syncer, table: n.parts.table, clock: n.clock, log: n.log}
-	c.follower = n.newFollower(follow.Settings{Prefix: n.adapter.ConfigPrefix, Changed: c.changed})
+	c := &configCopy{adapter: &n.adapter, catalog: current, ledger: n.components.ledger, syncer: n.components.syncer, table: n.components.table, clock: n.clock, log: n.log}
+	c.follower = n.newFollower(follow.Settings{Prefix: n.adapter.ConfigPrefix, Changed: c.applyEntries})
 	return c
 }
 
-// changed applies changed entries: first the evacuations, so that a router that starts
-// serves no request without them, then that of ConfigKey. If that is deleted, the last
-// configuration stays in force.
-func (c *configCopy) changed(entries []granitehoist.Entry, _ granitehoist.Version) {
+// applyEntries applies changed entries: first the evacuations, so that a starting router
+// serves no request without them, then ConfigKey. If that is deleted, the last
+// configuration stays active.
+func (c *configCopy) applyEntries(entries []granitehoist.Entry, _ granitehoist.Version) {
 	for _, e := range entries {
-		c.evacuate(e)
+		c.applyEvacuation(e)
 	}
 	for _, e := range entries {
 		if e.Key != c.adapter.ConfigKey || e.Deleted {
@@ -53,12 +53,13 @@
 			c.log.Error(event.ConfigBad, zap.Uint64("version", uint64(e.Version)), zap.Error(err))
 			continue
 		}
-		c.putInForce(snapshot)
+		c.activate(snapshot)
 	}
 }
 
-// evacuate begins or ends the evacuation of a zone, if the entry is about one.
-func (c *configCopy) evacuate(e granitehoist.Entry) {
+// applyEvacuation starts or ends the evacuation of an availability zone, if the entry is
+// about one.
+func (c *configCopy) applyEvacuation(e granitehoist.Entry) {
 	zone, found := c.adapter.EvacuatedZone(e.Key)
 	switch {
 	case !found:
@@ -77,9 +78,9 @@
 	return catalog.Build(document, e.Version)
 }
 
-// putInForce puts a configuration in force and gives the ledger its budgets. It
-// does nothing if the present one is as new (catalog.Current.Offer).
-func (c *configCopy) putInForce(snapshot *catalog.Snapshot) {
+// activate makes a configuration the active one and passes its budgets to the ledger. It
+// does nothing if the active one is as new (catalog.Current.Offer).
+func (c *configCopy) activate(snapshot *catalog.Snapshot) {
 	if !c.catalog.Offer(snapshot) {
 		return
 	}
--- a/node/storecalls.go
+++ b/node/countedstore.go
@@ -11,14 +11,14 @@
 	"granitehoist.example/granitehoist"
 )
 
-// countedStore counts the calls to a store by call and result.
+// countedStore wraps a store and counts its calls by method and result.
 type countedStore struct {
 	granitehoist.Store
 	count func(call, result string)
 }
 
-// countResult counts a call by its error. An error that is none of the store's own
-// counts as unknown: the store may have run the call or not.
+// countResult counts a call by its error. Any error other than the store's own counts as
+// unknown: the call may or may not have been executed.
 func (s *countedStore) countResult(call string, err error) {
 	result := "ok"
 	switch {
--- a/node/crashing_test.go
+++ b/node/crashing_test.go
@@ -16,23 +16,23 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// deadly is in the path of requests that crash each worker that runs them.
-const deadly = "deadly"
+// poison is in the path of requests that crash each worker that runs them.
+const poison = "deadly"
 
-// poolUnderAttack is a service whose workers are replaced as they crash.
-type poolUnderAttack struct {
-	site *site
-	// turn counts the requests of attack.
-	turn int
+// crashingPool is a service whose workers are replaced as they crash.
+type crashingPool struct {
+	site *testFleet
+	// requests counts the requests of attack.
+	requests int
 
 	// mu guards ended.
-	mu    sync.Mutex
-	ended int
+	mu      sync.Mutex
+	crashed int
 }
 
-// newPoolUnderAttack starts a number of workers.
-func newPoolUnderAttack(s *site, workers int) *poolUnderAttack {
-	p := &poolUnderAttack{site: s}
+// newCrashingPool starts a number of workers.
+func newCrashingPool(s *testFleet, workers int) *crashingPool {
+	p := &crashingPool{site: s}
 	for range workers {
 		p.add()
 	}
@@ -40,53 +40,53 @@
 }
 
 // add starts a worker that crashes when it runs a deadly request.
-func (p *poolUnderAttack) add() {
-	p.site.workerThat(func(a standin.Arrival) standin.WorkerAnswer {
-		if !strings.Contains(a.Target, deadly) {
+func (p *crashingPool) add() {
+	p.site.startWorkerFunc(func(a standin.Arrival) standin.WorkerAnswer {
+		if !strings.Contains(a.Target, poison) {
 			return standin.WorkerAnswer{Body: "answer"}
 		}
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.ended++
+		p.crashed++
 		return standin.WorkerAnswer{Cut: standin.Cut{Crash: true}, Delay: 20 * time.Millisecond}
 	})
 }
 
-// endings returns the number of workers that have crashed.
-func (p *poolUnderAttack) endings() int {
+// crashes returns the number of workers that have crashed.
+func (p *crashingPool) crashes() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ended
+	return p.crashed
 }
 
-// attack sends the deadly request to nodes in turn until one refuses it, and replaces the
+// sendUntilRefused sends the deadly request to nodes in turn until one refuses it, and replaces the
 // workers that crash.
-func (p *poolUnderAttack) attack(members []*member) {
+func (p *crashingPool) sendUntilRefused(members []*member) {
 	p.site.Eventually(func() int {
-		m := members[p.turn%len(members)]
-		p.turn++
-		before := p.endings()
-		got, err := m.ask("/once/"+deadly, fmt.Sprintf("attack-%d", p.turn))
+		m := members[p.requests%len(members)]
+		p.requests++
+		before := p.crashes()
+		got, err := m.ask("/once/"+poison, fmt.Sprintf("attack-%d", p.requests))
 		p.site.Expect(err).NotTo(HaveOccurred())
-		for range p.endings() - before {
+		for range p.crashes() - before {
 			p.add()
 		}
 		return got.status
 	}, stepTimeout).Should(Equal(http.StatusServiceUnavailable))
 }
 
-// TestStartHasEvidence checks that a router that starts beside others knows of a crash before
+// TestEvidenceReadBeforeServing checks that a router that starts beside others knows of a crash before
 // its first request is served. In upgrades beside a crashing request nearly each start of a
 // router was followed within 0.3 s by a crash that it counted as the first: it served what
 // came while it read the evidence, and 16 to 25 upstreams crashed where 15 are allowed.
-func TestStartHasEvidence(t *testing.T) {
+func TestEvidenceReadBeforeServing(t *testing.T) {
 	// The request and its scope.
 	const routers, starts, evidence = 3, 5, "2"
-	s := newScene(t, routers)
+	s := newTestFleet(t, routers)
 	s.configure(1, 1_000_000, "/a/", "/once/")
-	pool := newPoolUnderAttack(s, 3)
-	s.expectFleet("/a/x")
-	_, err := s.members[0].ask("/once/"+deadly, "first")
+	pool := newCrashingPool(s, 3)
+	s.awaitFleet("/a/x")
+	_, err := s.members[0].ask("/once/"+poison, "first")
 	s.Expect(err).NotTo(HaveOccurred())
 	pool.add()
 	for _, m := range s.members {
@@ -109,9 +109,9 @@
 // and the routers' own retries.
 func TestCrashingRequestIsRefused(t *testing.T) {
 	const routers, workers, arrivals, allowed = 3, 6, 15, 4
-	s := newScene(t, routers)
+	s := newTestFleet(t, routers)
 	s.configure(1, 1_000_000, "/once/")
-	pool := newPoolUnderAttack(s, workers)
+	pool := newCrashingPool(s, workers)
 	for _, m := range s.members {
 		s.Eventually(m.status("/once/x"), stepTimeout).Should(Equal(http.StatusOK))
 		s.Eventually(m.node.Routers, stepTimeout).Should(Equal(routers))
@@ -119,16 +119,16 @@
 	var last answer
 	for i := range arrivals {
 		m := s.members[i%routers]
-		before := pool.endings()
-		got, err := m.ask("/once/"+deadly, fmt.Sprintf("again-%d", i))
+		before := pool.crashes()
+		got, err := m.ask("/once/"+poison, fmt.Sprintf("again-%d", i))
 		s.Expect(err).NotTo(HaveOccurred())
 		last = got
-		for range pool.endings() - before {
+		for range pool.crashes() - before {
 			pool.add()
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	s.Expect(pool.endings()).To(BeNumerically("<=", allowed), "workers that crashed under %d arrivals", arrivals)
+	s.Expect(pool.crashes()).To(BeNumerically("<=", allowed), "workers that crashed under %d arrivals", arrivals)
 	s.Expect(last.status).To(Equal(http.StatusServiceUnavailable))
 	s.Expect(last.header.Get("Retry-After")).NotTo(BeEmpty())
 	for _, m := range s.members {
--- a/node/crashload_test.go
+++ b/node/crashload_test.go
@@ -22,93 +22,93 @@
 // crashLoad is a service of upstreams that crash under some requests, or all at once, and
 // are back a while later as new instances.
 type crashLoad struct {
-	site *site
-	// listens says that an upstream's address goes on to accept connections after a crash,
+	site *testFleet
+	// behindProxy says that an upstream's address goes on to accept connections after a crash,
 	// and resets them, as one does that has a proxy before it.
-	listens bool
+	behindProxy bool
 
 	// mu guards the fields below.
-	mu    sync.Mutex
-	slots []*crashSlot
-	lives int
+	mu      sync.Mutex
+	slots   []*upstreamSlot
+	started int
 	// crashes are when upstreams crashed under a deadly request, arrivals when one reached
 	// an upstream.
 	crashes, arrivals []time.Time
-	over              bool
+	stopped           bool
 }
 
-// crashSlot is one place of the service, with a life of an upstream at a time.
-type crashSlot struct {
-	front  *crashFront
+// upstreamSlot is one place of the service, with a life of an upstream at a time.
+type upstreamSlot struct {
+	proxy  *resettingProxy
 	worker *standin.Worker
 	down   bool
 }
 
 const (
-	// untilCrash is the time from the arrival of a deadly request to the crash, untilBack
+	// crashDelay is the time from the arrival of a deadly request to the crash, untilBack
 	// that from there to the start of the next life.
-	untilCrash = 60 * time.Millisecond
-	untilBack  = 2 * time.Second
+	crashDelay   = 60 * time.Millisecond
+	restartDelay = 2 * time.Second
 )
 
 // newCrashLoad starts the upstreams.
-func newCrashLoad(s *site, upstreams int, listens bool) *crashLoad {
-	l := &crashLoad{site: s, listens: listens}
+func newCrashLoad(s *testFleet, upstreams int, listens bool) *crashLoad {
+	l := &crashLoad{site: s, behindProxy: listens}
 	for range upstreams {
-		slot := &crashSlot{}
+		slot := &upstreamSlot{}
 		if listens {
-			slot.front = newCrashFront(s)
+			slot.proxy = newResettingProxy(s)
 		}
 		l.slots = append(l.slots, slot)
-		l.begin(slot)
+		l.startUpstream(slot)
 	}
-	s.atEnd(l.end)
+	s.cleanup(l.stop)
 	return l
 }
 
-// end keeps further lives from starting.
-func (l *crashLoad) end() {
+// stop keeps further lives from starting.
+func (l *crashLoad) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.over = true
+	l.stopped = true
 }
 
-// begin starts a life in a slot and announces it.
-func (l *crashLoad) begin(slot *crashSlot) {
+// startUpstream starts a life in a slot and announces it.
+func (l *crashLoad) startUpstream(slot *upstreamSlot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
+	if l.stopped {
 		return
 	}
 	if slot.worker != nil {
-		l.site.withdraw(slot.worker)
+		l.site.deleteWorkerEntry(slot.worker)
 	}
-	l.lives++
-	worker, err := standin.NewWorker(fmt.Sprintf("life-%d", l.lives), func(a standin.Arrival) standin.WorkerAnswer {
+	l.started++
+	worker, err := standin.NewWorker(fmt.Sprintf("life-%d", l.started), func(a standin.Arrival) standin.WorkerAnswer {
 		return l.answer(slot, a)
 	})
 	if err != nil {
 		return
 	}
-	l.site.atEnd(worker.Close)
+	l.site.cleanup(worker.Close)
 	slot.worker, slot.down = worker, false
 	address := worker.Address()
-	if slot.front != nil {
-		slot.front.set(address)
-		address = slot.front.address()
+	if slot.proxy != nil {
+		slot.proxy.setTarget(address)
+		address = slot.proxy.address()
 	}
-	l.site.announceAt(worker.Instance(), address)
+	l.site.announceAddress(worker.Instance(), address)
 }
 
 // answer answers a request, or crashes the upstream under it.
-func (l *crashLoad) answer(slot *crashSlot, a standin.Arrival) standin.WorkerAnswer {
-	if !strings.Contains(a.Target, deadly) {
+func (l *crashLoad) answer(slot *upstreamSlot, a standin.Arrival) standin.WorkerAnswer {
+	if !strings.Contains(a.Target, poison) {
 		return standin.WorkerAnswer{Body: "answer", Delay: 5 * time.Millisecond}
 	}
 	l.mu.Lock()
 	l.arrivals = append(l.arrivals, time.Now())
 	l.mu.Unlock()
-	time.AfterFunc(untilCrash, func() {
+	time.AfterFunc(crashDelay, func() {
 		if l.crash(slot) {
 			l.mu.Lock()
 			defer l.mu.Unlock()
@@ -119,31 +119,31 @@
 }
 
 // crash ends the life in a slot, and reports whether there was one.
-func (l *crashLoad) crash(slot *crashSlot) bool {
+func (l *crashLoad) crash(slot *upstreamSlot) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if slot.down || l.over {
+	if slot.down || l.stopped {
 		return false
 	}
 	slot.down = true
-	if slot.front != nil {
-		slot.front.set("")
+	if slot.proxy != nil {
+		slot.proxy.setTarget("")
 	}
 	slot.worker.Crash()
-	time.AfterFunc(untilBack, func() { l.begin(slot) })
+	time.AfterFunc(restartDelay, func() { l.startUpstream(slot) })
 	return true
 }
 
-// losePower ends all lives at once.
-func (l *crashLoad) losePower() {
+// crashAll ends all lives at once.
+func (l *crashLoad) crashAll() {
 	for _, slot := range l.slots {
 		l.crash(slot)
 	}
 }
 
-// late returns how many deadly requests reached an upstream 3 s after the third crash or
+// lateArrivals returns how many deadly requests reached an upstream 3 s after the third crash or
 // later, and how many crashed one in all.
-func (l *crashLoad) late() (late, crashes int) {
+func (l *crashLoad) lateArrivals() (late, crashes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.crashes) < 3 {
@@ -157,14 +157,14 @@
 	return late, len(l.crashes)
 }
 
-// announceAt announces an upstream at an address.
-func (s *site) announceAt(id, address string) {
+// announceAddress announces an upstream at an address.
+func (s *testFleet) announceAddress(id, address string) {
 	s.put("servers/"+id, []byte(fmt.Sprintf(`{"backend":"pool","address":%q,"zone":"hall","capacity":8,"phase":"ready"}`, address)))
 }
 
-// crashFront is an address that passes connections on to an upstream, and accepts and
+// resettingProxy is an address that passes connections on to an upstream, and accepts and
 // resets them while there is none.
-type crashFront struct {
+type resettingProxy struct {
 	listener net.Listener
 
 	// mu guards target and conns.
@@ -173,19 +173,19 @@
 	conns  map[net.Conn]struct{}
 }
 
-func newCrashFront(s *site) *crashFront {
+func newResettingProxy(s *testFleet) *resettingProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	s.Expect(err).NotTo(HaveOccurred())
-	f := &crashFront{listener: listener, conns: map[net.Conn]struct{}{}}
-	s.atEnd(func() { _ = listener.Close() })
+	f := &resettingProxy{listener: listener, conns: map[net.Conn]struct{}{}}
+	s.cleanup(func() { _ = listener.Close() })
 	go f.accept()
 	return f
 }
 
-func (f *crashFront) address() string { return f.listener.Addr().String() }
+func (f *resettingProxy) address() string { return f.listener.Addr().String() }
 
-// set changes the upstream; without one all connections are reset.
-func (f *crashFront) set(target string) {
+// setTarget changes the upstream; without one all connections are reset.
+func (f *resettingProxy) setTarget(target string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.target = target
@@ -197,7 +197,7 @@
 	}
 }
 
-func (f *crashFront) accept() {
+func (f *resettingProxy) accept() {
 	for {
 		c, err := f.listener.Accept()
 		if err != nil {
@@ -212,7 +212,7 @@
 }
 
 // serve passes one connection on until either side ends.
-func (f *crashFront) serve(c net.Conn, target string) {
+func (f *resettingProxy) serve(c net.Conn, target string) {
 	defer resetConn(c)
 	if target == "" {
 		return
@@ -236,8 +236,8 @@
 	_ = c.Close()
 }
 
-// tally counts the answers of one kind of request. It is safe for concurrent use.
-type tally struct {
+// responseCounts counts the answers of one kind of request. It is safe for concurrent use.
+type responseCounts struct {
 	mu             sync.Mutex
 	asked, served  int
 	lateAsked      int
@@ -246,8 +246,8 @@
 	otherResponses map[int]int
 }
 
-// note records an answer; one that was asked for late or later counts by itself as well.
-func (t *tally) note(status int, asked time.Time, late time.Duration) {
+// record records an answer; one that was asked for late or later counts by itself as well.
+func (t *responseCounts) record(status int, asked time.Time, late time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.asked++
@@ -268,8 +268,8 @@
 	}
 }
 
-// askBody sends a request with a body to a node and returns the status, 0 without one.
-func (m *member) askBody(client *http.Client, path, id, body string) int {
+// askWithBody sends a request with a body to a node and returns the status, 0 without one.
+func (m *member) askWithBody(client *http.Client, path, id, body string) int {
 	request, err := http.NewRequest(http.MethodPost, "http://"+m.config.Callers+path, strings.NewReader(body))
 	if err != nil {
 		return 0
@@ -291,9 +291,9 @@
 	return response.StatusCode
 }
 
-// callers sends requests from so many callers at once until a moment, each again pause
+// startCallers sends requests from so many startCallers at once until a moment, each again pause
 // after its answer. body returns the body of a request by its number.
-func (s *site) callers(count int, pause time.Duration, until time.Time, path string, body func(int) string, answers *tally, late time.Duration) *sync.WaitGroup {
+func (s *testFleet) startCallers(count int, pause time.Duration, until time.Time, path string, body func(int) string, answers *responseCounts, late time.Duration) *sync.WaitGroup {
 	var all sync.WaitGroup
 	answers.began = time.Now()
 	for caller := range count {
@@ -303,8 +303,8 @@
 			for n := 0; time.Now().Before(until); n++ {
 				m := s.members[(caller+n)%len(s.members)]
 				asked := time.Now()
-				status := m.askBody(client, path, fmt.Sprintf("%s-%d-%d", path, caller, n), body(caller*1_000_000+n))
-				answers.note(status, asked, late)
+				status := m.askWithBody(client, path, fmt.Sprintf("%s-%d-%d", path, caller, n), body(caller*1_000_000+n))
+				answers.record(status, asked, late)
 				time.Sleep(pause)
 			}
 		})
@@ -312,53 +312,53 @@
 	return &all
 }
 
-// crashScene is one load beside crashes.
-type crashScene struct {
-	listens, varied bool
-	// mostCrashes and mostLate bound the crashes, and the arrivals 3 s after the third.
-	mostCrashes, mostLate int
+// poisonScenario is one load beside crashes.
+type poisonScenario struct {
+	behindProxy, variedBodies bool
+	// maxCrashes and maxLateArrivals bound the crashes, and the arrivals 3 s after the third.
+	maxCrashes, maxLateArrivals int
 }
 
-// playDeadly plays a deadly request of four callers beside innocent ones.
-func playDeadly(t *testing.T, scene crashScene) {
+// runPoisonRequest plays a deadly request of four callers beside innocent ones.
+func runPoisonRequest(t *testing.T, scene poisonScenario) {
 	const routers, upstreams, lasts, settled = 6, 16, 12 * time.Second, 6 * time.Second
-	s := newScene(t, routers)
+	s := newTestFleet(t, routers)
 	s.configure(1, 1_000_000, "/a/", "/once/")
-	load := newCrashLoad(s, upstreams, scene.listens)
-	s.expectFleet("/a/x")
+	load := newCrashLoad(s, upstreams, scene.behindProxy)
+	s.awaitFleet("/a/x")
 	until := time.Now().Add(lasts)
 	unique := func(n int) string { return fmt.Sprint("question ", n) }
 	repeated := func(int) string { return "question" }
-	if scene.varied {
+	if scene.variedBodies {
 		repeated = unique
 	}
-	var attacks, innocents tally
-	attacking := s.callers(4, 10*time.Millisecond, until, "/once/"+deadly, repeated, &attacks, settled)
-	s.callers(12, 25*time.Millisecond, until, "/a/x", unique, &innocents, settled).Wait()
+	var attacks, innocents responseCounts
+	attacking := s.startCallers(4, 10*time.Millisecond, until, "/once/"+poison, repeated, &attacks, settled)
+	s.startCallers(12, 25*time.Millisecond, until, "/a/x", unique, &innocents, settled).Wait()
 	attacking.Wait()
-	late, crashes := load.late()
+	late, crashes := load.lateArrivals()
 	t.Logf("%d crashes, %d late arrivals, innocent %d of %d served, %d of %d later, %v", crashes, late,
 		innocents.served, innocents.asked, innocents.lateServed, innocents.lateAsked, innocents.otherResponses)
-	s.Expect(crashes).To(BeNumerically("<=", scene.mostCrashes), "crashes")
-	s.Expect(late).To(BeNumerically("<=", scene.mostLate), "late arrivals")
+	s.Expect(crashes).To(BeNumerically("<=", scene.maxCrashes), "crashes")
+	s.Expect(late).To(BeNumerically("<=", scene.maxLateArrivals), "late arrivals")
 	s.Expect(innocents.lateServed).To(BeNumerically(">=", innocents.lateAsked*95/100), "innocent requests")
 }
 
-// playPowerLosses plays an innocent request of many callers while all upstreams lose power
+// runPowerLosses plays an innocent request of many callers while all upstreams lose power
 // four times.
-func playPowerLosses(t *testing.T, listens bool) {
+func runPowerLosses(t *testing.T, listens bool) {
 	const routers, upstreams, callers, losses, between = 6, 16, 48, 4, 2500 * time.Millisecond
-	s := newScene(t, routers)
+	s := newTestFleet(t, routers)
 	s.configure(1, 1_000_000, "/a/", "/once/")
 	load := newCrashLoad(s, upstreams, listens)
-	s.expectFleet("/a/x")
-	after := losses*between + untilBack + time.Second
+	s.awaitFleet("/a/x")
+	after := losses*between + restartDelay + time.Second
 	until := time.Now().Add(after + 2*time.Second)
-	var popular tally
-	calling := s.callers(callers, 5*time.Millisecond, until, "/a/popular", func(int) string { return "question" }, &popular, after)
+	var popular responseCounts
+	calling := s.startCallers(callers, 5*time.Millisecond, until, "/a/popular", func(int) string { return "question" }, &popular, after)
 	for range losses {
 		time.Sleep(between)
-		load.losePower()
+		load.crashAll()
 	}
 	calling.Wait()
 	t.Logf("%d of %d served, %d of %d after the last loss, %v", popular.served, popular.asked, popular.lateServed, popular.lateAsked, popular.otherResponses)
@@ -366,32 +366,32 @@
 	s.Expect(popular.lateServed).To(Equal(popular.lateAsked), "popular requests after the upstreams are back")
 }
 
-// TestDeadlyAtRefusingAddresses is a crashing request of four callers at upstreams whose
+// TestPoisonRequestAtClosedAddresses is a crashing request of four callers at upstreams whose
 // addresses refuse connections after a crash.
-func TestDeadlyAtRefusingAddresses(t *testing.T) {
-	playDeadly(t, crashScene{mostCrashes: 8, mostLate: 9})
+func TestPoisonRequestAtClosedAddresses(t *testing.T) {
+	runPoisonRequest(t, poisonScenario{maxCrashes: 8, maxLateArrivals: 9})
 }
 
-// TestDeadlyBehindProxies is the same where something before each upstream goes on to
+// TestPoisonRequestBehindProxies is the same where something before each upstream goes on to
 // accept connections, and resets them. 132 upstreams ended in 20 s, and half of the innocent
 // requests beside them were not served: a crash counted only if the address refused
 // connections.
-func TestDeadlyBehindProxies(t *testing.T) {
-	playDeadly(t, crashScene{listens: true, mostCrashes: 8, mostLate: 9})
+func TestPoisonRequestBehindProxies(t *testing.T) {
+	runPoisonRequest(t, poisonScenario{behindProxy: true, maxCrashes: 8, maxLateArrivals: 9})
 }
 
-// TestDeadlyWithVariedBodies is the same with a body that differs in each request. 131
+// TestPoisonRequestWithVariedBodies is the same with a body that differs in each request. 131
 // upstreams ended in 20 s: evidence was kept for one content.
-func TestDeadlyWithVariedBodies(t *testing.T) {
-	playDeadly(t, crashScene{varied: true, mostCrashes: 24, mostLate: 9})
+func TestPoisonRequestWithVariedBodies(t *testing.T) {
+	runPoisonRequest(t, poisonScenario{variedBodies: true, maxCrashes: 24, maxLateArrivals: 9})
 }
 
-// TestPopularRequestSurvivesLossesOfPower is an innocent request that 48 callers send while
+// TestPopularRequestSurvivesPowerLoss is an innocent request that 48 callers send while
 // all upstreams lose power four times. It was refused everywhere for ten minutes: the
 // routers sent it again at once to upstreams that ended in the same moments, and within
 // 2 ms of one loss that made all the rounds of crashes that a refusal takes.
-func TestPopularRequestSurvivesLossesOfPower(t *testing.T) { playPowerLosses(t, false) }
+func TestPopularRequestSurvivesPowerLoss(t *testing.T) { runPowerLosses(t, false) }
 
-// TestPopularRequestSurvivesLossesBehindProxies is the same where the addresses go on to
+// TestPopularRequestSurvivesPowerLossBehindProxies is the same where the addresses go on to
 // accept connections.
-func TestPopularRequestSurvivesLossesBehindProxies(t *testing.T) { playPowerLosses(t, true) }
+func TestPopularRequestSurvivesPowerLossBehindProxies(t *testing.T) { runPowerLosses(t, true) }
--- a/node/doc.go
+++ b/node/doc.go
@@ -1,50 +1,49 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package node puts the parts of a router on the users' platform together: it
-// follows the configuration and the instances' announcements, serves callers,
-// keeps the prepaid tokens in step with the store, answers its neighbours, and
-// stops gracefully. Adapter holds all that depends on the platform. The
-// program granitehoist-edge runs one Node.
-//
-// State. A Node keeps nothing on disk; a new process reads everything again.
-//
-//   - The copies of the store: configCopy (the configuration in force) and
-//     instanceCopy (the instances, in balance.Table). Only the goroutine of their
-//     follower changes them.
-//   - suspects: what each neighbour has acknowledged of the crashes that this node saw
-//     under requests, under its own lock; the evidence itself is in a suspect.Table.
-//   - peers: the neighbours, by the list in the store and by their greetings,
-//     under its own lock.
-//   - Node.leaving, set by Stop, and Node.shedding, set by watchLink. Both are
-//     atomic.
-//   - The node's own entry in the store, boxes/BOX: only the router of that box
-//     writes it; it has no lease.
-//
-// The tokens are escrow.Ledger's, the connections exchange.Pool's, the requests
-// in progress forward.Forwarder's; each guards its own state.
-//
-// Rules. Each decision is a function or small type without calls and locks. It
-// stands with its constants and their reasons in the file of its subject:
-//
-//   - readiness.go: whether the balancer may send callers here;
-//   - shedding.go: whether this box sheds callers, since its link is nearly full;
+// Package node assembles the router that the program granitehoist-edge runs. A Node
+// follows the configuration and the upstreams' announcements in the store, serves
+// callers, keeps the prepaid token budgets in step with the store, answers the other
+// routers of the fleet (its neighbours) and stops gracefully. Adapter holds everything
+// that depends on the platform.
+//
+// # State
+//
+// A Node keeps nothing on disk; a new process reads everything again.
+//
+//   - configCopy and instanceCopy follow the store: the configuration, and the instances
+//     of the upstreams in balance.Table. Only the goroutine of their follower changes them.
+//   - peers holds the neighbours, from the list in the store and from their greetings.
+//   - suspects exchanges evidence against requests that crash upstreams; the evidence
+//     itself is in a suspect.Table.
+//   - upstreamSignals shares what upstreams say of themselves: rate limits, that they
+//     leave, and requests to back off.
+//   - rateLimits fetches and issues the permits for upstreams with a rate limit.
+//   - Node.stopping is set by Stop, Node.shedding by watchLink. Both are atomic.
+//   - The node's entry in the store, boxes/BOX, is written only by the router of that box
+//     and has no lease.
+//
+// Tokens are held by escrow.Ledger, connections by exchange.Pool and requests in progress
+// by forward.Forwarder; each guards its own state.
+//
+// # Decisions
+//
+// Each decision is a function or a small type without calls or locks, next to the
+// constants that it uses:
+//
+//   - readiness.go: whether the load balancer may send callers to this node;
+//   - shedding.go: whether the box sheds callers because its link is nearly full;
 //   - stop.go: the phases of a stop and when each ends;
-//   - relays.go: which nodes read from the store for the others;
-//   - budgetroles.go: which node holds the tokens of a shard for all, and which are
-//     asked for loans;
-//   - nodelist.go: whose list of nodes is relied on, and when it is read again;
-//   - neighbours.go: which neighbours count, and by which entry;
+//   - relays.go: which nodes read the store on behalf of the others;
+//   - budgetroles.go: which node holds the tokens of a shard, and which nodes lend;
+//   - nodelist.go: whose node list is trusted, and when it is read again;
+//   - neighbours.go: which neighbours are known, and by which entry;
 //   - instancecopy.go: when an instance counts as removed;
-//   - suspects.go: when this node pulls evidence against requests from
-//     neighbours, and when it counts itself as cut off from them;
-//   - permits.go: which node issues the permits for an upstream that names a limit, and
-//     which one stands in; limits.go tells all nodes of such a limit;
-//   - push.go: when what this node observed is sent to which neighbour again.
-//
-// It relies on forward, balance, escrow, exchange, catalog and follow for what
-// they do, on fleet for calls between nodes, and on internal/httpserver.
+//   - suspects.go: when evidence is pulled from neighbours, and when this node counts as
+//     cut off;
+//   - permits.go: which node issues the permits of an upstream, and which one replaces it;
+//   - push.go: when observations are sent to which neighbour, and when again.
 //
-// Begin reading at New and Start in node.go; then Stop in stop.go. For a line
-// of the log, look up its event in internal/event and search for that constant.
+// Begin reading at New and Start in node.go, then Stop in stop.go. To find the code behind
+// a log line, look up its event in internal/event and search for that constant.
 package node
--- a/node/docs_test.go
+++ b/node/docs_test.go
@@ -15,8 +15,8 @@
 	"granitehoist.example/granitehoist/node"
 )
 
-// rows returns the first column of the tables of a page, without its marks.
-func rows(page, heading string) []string {
+// tableNames returns the first column of the tables of a page, without its marks.
+func tableNames(page, heading string) []string {
 	raw, err := os.ReadFile("../docs/" + page)
 	Expect(err).NotTo(HaveOccurred())
 	_, text, found := strings.Cut(string(raw), heading)
@@ -30,10 +30,10 @@
 
 var _ = Describe("The pages", func() {
 	It("explain each metric and no other", func() {
-		Expect(rows("METRICS.md", "# Metrics")).To(ConsistOf(node.Metrics()))
+		Expect(tableNames("METRICS.md", "# Metrics")).To(ConsistOf(node.Metrics()))
 	})
 
 	It("explain each event of the log and no other", func() {
-		Expect(rows("OPERATIONS.md", "## Events of a node")).To(ConsistOf(event.All()))
+		Expect(tableNames("OPERATIONS.md", "## Events of a node")).To(ConsistOf(event.All()))
 	})
 })
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -21,10 +21,10 @@
 		return func() bool { return m.logs.FilterMessage(name).Len() == times }
 	}
 	// newServing returns a site with a worker in the zone, which all nodes use.
-	newServing := func(nodes int) (*site, *standin.Worker) {
-		s := newSite(nodes)
+	newServing := func(nodes int) (*testFleet, *standin.Worker) {
+		s := newSpecFleet(nodes)
 		s.configure(1, 100_000, "/a/")
-		w := s.worker(standin.WorkerAnswer{Body: "answer"})
+		w := s.startWorker(standin.WorkerAnswer{Body: "answer"})
 		for _, m := range s.members {
 			Eventually(m.status("/a/x")).Should(Equal(http.StatusOK))
 			Eventually(m.node.Routers).Should(Equal(nodes))
@@ -47,7 +47,7 @@
 		s.put(order, []byte(`{}`))
 		Eventually(knows(m, event.ZoneEvacuated, 1)).Should(BeTrue())
 		expectNothingSent(m, w)
-		s.remove(order)
+		s.deleteKey(order)
 		Eventually(knows(m, event.ZoneRestored, 1)).Should(BeTrue())
 		Expect(m.status("/a/x")()).To(Equal(http.StatusOK))
 	})
@@ -59,7 +59,7 @@
 		s.put(order, []byte(`{}`))
 		Eventually(knows(m, event.ZoneEvacuated, 1), 5*time.Second).Should(BeTrue())
 		expectNothingSent(m, w)
-		s.remove(order)
+		s.deleteKey(order)
 		Eventually(knows(m, event.ZoneRestored, 1), 5*time.Second).Should(BeTrue())
 	})
 
@@ -74,9 +74,9 @@
 
 var _ = Describe("Entries of another writer", func() {
 	It("name no worker, are logged once, and leave what others said", func() {
-		s := newSite(1)
+		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/a/")
-		w := s.worker(standin.WorkerAnswer{Body: "answer"})
+		w := s.startWorker(standin.WorkerAnswer{Body: "answer"})
 		m := s.members[0]
 		Eventually(m.status("/a/x")).Should(Equal(http.StatusOK))
 		bad := func() int { return m.logs.FilterMessage(event.UpstreamBad).Len() }
--- a/node/explain_test.go
+++ b/node/explain_test.go
@@ -23,8 +23,8 @@
 	// story tells a request in words, as operators get it from the log.
 	story := func(m *member, id string) string {
 		GinkgoHelper()
-		Eventually(m.text.String).Should(ContainSubstring("event=request request=" + id))
-		story, err := explain.Read(strings.NewReader(m.text.String()), granitehoist.RequestID(id))
+		Eventually(m.logText.String).Should(ContainSubstring("event=request request=" + id))
+		story, err := explain.Read(strings.NewReader(m.logText.String()), granitehoist.RequestID(id))
 		Expect(err).NotTo(HaveOccurred())
 		var words strings.Builder
 		Expect(story.Write(&words)).To(Succeed())
@@ -32,9 +32,9 @@
 	}
 
 	It("leads from a request that was refused for tokens to the store that was away", func() {
-		s := newSite(1)
+		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/stream/")
-		s.worker(standin.WorkerAnswer{Events: 2})
+		s.startWorker(standin.WorkerAnswer{Events: 2})
 		m := s.members[0]
 		Eventually(m.status("/stream/x")).Should(Equal(http.StatusOK))
 		m.store.Fail(standin.PlatformFaults{Refuse: http.StatusServiceUnavailable})
@@ -52,7 +52,7 @@
 	})
 
 	It("leads from a stream that went on elsewhere to the worker that broke off", func() {
-		s := newSite(1)
+		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/stream/")
 		m := s.members[0]
 		var breaks atomic.Int32
@@ -60,8 +60,8 @@
 			cut := a.ID == "r-broken" && breaks.Add(1) == 1
 			return standin.WorkerAnswer{Events: 6, Cut: standin.Cut{Set: cut, After: 3}}
 		}
-		s.workerThat(answers)
-		s.workerThat(answers)
+		s.startWorkerFunc(answers)
+		s.startWorkerFunc(answers)
 		Eventually(func() int { return m.logs.FilterMessage(event.Upstream).Len() }).Should(Equal(2))
 		Eventually(m.status("/stream/x")).Should(Equal(http.StatusOK))
 		got, err := m.ask("/stream/x", "r-broken", "Token-Usage", "100,30")
@@ -75,9 +75,9 @@
 	})
 
 	It("leads from a request that may have run to the upstream that gave no answer", func() {
-		s := newSite(1)
+		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/once/")
-		w := s.worker(standin.WorkerAnswer{Body: "answer", Cut: standin.Cut{Set: true}})
+		w := s.startWorker(standin.WorkerAnswer{Body: "answer", Cut: standin.Cut{Set: true}})
 		m := s.members[0]
 		Eventually(m.status("/once/x")).Should(Equal(http.StatusBadGateway))
 		before := len(w.Arrivals())
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -38,37 +38,37 @@
 	config *node.Config
 	store  *standin.PlatformStore
 	logs   *observer.ObservedLogs
-	// text holds the lines that the program would write.
-	text *logText
+	// logText holds the lines that the program would write.
+	logText *logBuffer
 }
 
-// logText collects log lines. It is safe for concurrent use.
-type logText struct {
+// logBuffer collects log lines. It is safe for concurrent use.
+type logBuffer struct {
 	mu    sync.Mutex
 	lines strings.Builder
 }
 
-func (t *logText) Write(line []byte) (int, error) {
+func (t *logBuffer) Write(line []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lines.Write(line)
 }
 
-func (t *logText) String() string {
+func (t *logBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lines.String()
 }
 
-// site is a fleet with the platform's store and workers, all over sockets. Its assertions
+// testFleet is a fleet with the platform's store and workers, all over sockets. Its assertions
 // fail the test that it belongs to.
-type site struct {
+type testFleet struct {
 	Gomega
-	store   *standin.Store
-	members []*member
-	workers int
-	// atEnd registers what ends with the test.
-	atEnd func(func())
+	store       *standin.Store
+	members     []*member
+	workerCount int
+	// cleanup registers what ends with the test.
+	cleanup func(func())
 	// clock is that of the nodes that are started; nil stands for time.Now.
 	clock granitehoist.Clock
 }
@@ -86,22 +86,22 @@
 	return fmt.Sprintf("127.%d.%d.%d", ownNetworks+pid/octet%ownNetworks, pid%octet, lastIP.Add(1))
 }
 
-// newSite starts a site of a spec, with nodes that have no configuration yet.
-func newSite(nodes int) *site {
-	return newSiteOf(Default, func(end func()) { DeferCleanup(end) }, nodes)
+// newSpecFleet starts a site of a spec, with nodes that have no configuration yet.
+func newSpecFleet(nodes int) *testFleet {
+	return startFleet(Default, func(end func()) { DeferCleanup(end) }, nodes)
 }
 
-// newScene starts a site as newSite does, of a test that may run beside others.
-func newScene(t *testing.T, nodes int) *site {
+// newTestFleet starts a site as newSite does, of a test that may run beside others.
+func newTestFleet(t *testing.T, nodes int) *testFleet {
 	t.Helper()
 	g := NewWithT(t)
 	g.SetDefaultEventuallyTimeout(stepTimeout)
-	return newSiteOf(g, t.Cleanup, nodes)
+	return startFleet(g, t.Cleanup, nodes)
 }
 
-// newSiteOf starts a site. What it starts is ended by the functions that it gives to atEnd.
-func newSiteOf(g Gomega, atEnd func(func()), nodes int) *site {
-	s := &site{Gomega: g, store: standin.NewStore(standin.StoreSettings{}), atEnd: atEnd}
+// startFleet starts a site. What it starts is ended by the functions that it gives to atEnd.
+func startFleet(g Gomega, atEnd func(func()), nodes int) *testFleet {
+	s := &testFleet{Gomega: g, store: standin.NewStore(standin.StoreSettings{}), cleanup: atEnd}
 	for range nodes {
 		s.members = append(s.members, s.start())
 	}
@@ -109,14 +109,14 @@
 }
 
 // start starts a node with a store front of its own.
-func (s *site) start() *member {
+func (s *testFleet) start() *member {
 	ip := nextIP()
 	front := &standin.PlatformStore{Store: s.store}
 	listener, err := net.Listen("tcp", ip+":8223")
 	s.Expect(err).NotTo(HaveOccurred())
 	server := &http.Server{Handler: front, ReadHeaderTimeout: stepTimeout}
 	go func() { _ = server.Serve(listener) }()
-	s.atEnd(func() { _ = server.Close() })
+	s.cleanup(func() { _ = server.Close() })
 	settings := fmt.Sprintf(`{"nodeName":"edge-%s","ipAddress":%q,"zone":"hall","listenAddrs":{"frontend":"%s:8227","ready":"%s:8220"},
 		"internalPortRange":[7340,7355],"bounds":{"gracePeriodS":4,"drainMs":500,"retryBudgetRatio":0.2,"retryWindowS":10,"budgetSlack":50},
 		"platform":{"address":%q}}`, ip, ip, ip, ip, listener.Addr().String())
@@ -125,18 +125,18 @@
 	config.Metrics = ip + ":9464"
 	config.Clock = s.clock
 	core, logs := observer.New(zapcore.InfoLevel)
-	text := &logText{}
+	text := &logBuffer{}
 	log := zap.New(zapcore.NewTee(core, logsink.NewLogger(text, zapcore.InfoLevel).Core()))
 	n, err := node.New(config, platform.NewAdapter(platform.StoreSettings{Address: config.Store, Watch: 300 * time.Millisecond, Timeout: 500 * time.Millisecond}), log)
 	s.Expect(err).NotTo(HaveOccurred())
 	n.Start()
-	m := &member{Gomega: s.Gomega, node: n, config: config, store: front, logs: logs, text: text}
-	s.atEnd(n.Stop)
+	m := &member{Gomega: s.Gomega, node: n, config: config, store: front, logs: logs, logText: text}
+	s.cleanup(n.Stop)
 	return m
 }
 
 // put writes a key, whatever its value was.
-func (s *site) put(key string, value any) {
+func (s *testFleet) put(key string, value any) {
 	raw, isRaw := value.([]byte)
 	if !isRaw {
 		var err error
@@ -154,7 +154,7 @@
 }
 
 // configure writes a configuration with the given routes of the pool.
-func (s *site) configure(revision int, reserved int, prefixes ...string) {
+func (s *testFleet) configure(revision int, reserved int, prefixes ...string) {
 	var routes []string
 	for i, prefix := range prefixes {
 		kind := "safe"
@@ -171,31 +171,33 @@
 		"tenants":[{"name":"kiosk","apiKeys":["a-key"],"reserved":%d}]}`, revision, strings.Join(routes, ","), reserved)))
 }
 
-// worker starts a worker and announces it.
-func (s *site) worker(answer standin.WorkerAnswer) *standin.Worker {
-	return s.workerThat(func(standin.Arrival) standin.WorkerAnswer { return answer })
+// startWorker starts a startWorker and announces it.
+func (s *testFleet) startWorker(answer standin.WorkerAnswer) *standin.Worker {
+	return s.startWorkerFunc(func(standin.Arrival) standin.WorkerAnswer { return answer })
 }
 
-// workerThat starts a worker that is asked for each answer, and announces it.
-func (s *site) workerThat(answers func(standin.Arrival) standin.WorkerAnswer) *standin.Worker {
-	s.workers++
-	id := fmt.Sprintf("i-%d", s.workers)
+// startWorkerFunc starts a worker that is asked for each answer, and announces it.
+func (s *testFleet) startWorkerFunc(answers func(standin.Arrival) standin.WorkerAnswer) *standin.Worker {
+	s.workerCount++
+	id := fmt.Sprintf("i-%d", s.workerCount)
 	w, err := standin.NewWorker(id, answers)
 	s.Expect(err).NotTo(HaveOccurred())
-	s.atEnd(w.Close)
+	s.cleanup(w.Close)
 	s.announce(w, "ready")
 	return w
 }
 
-func (s *site) announce(w *standin.Worker, phase string) {
+func (s *testFleet) announce(w *standin.Worker, phase string) {
 	s.put(platform.WorkersPrefix+w.Instance(), []byte(fmt.Sprintf(`{"backend":"pool","address":%q,"zone":"hall","capacity":8,"phase":%q}`, w.Address(), phase)))
 }
 
-// withdraw deletes the entry of a worker that goes on serving.
-func (s *site) withdraw(w *standin.Worker) { s.remove(platform.WorkersPrefix + w.Instance()) }
+// deleteWorkerEntry deletes the entry of a worker that goes on serving.
+func (s *testFleet) deleteWorkerEntry(w *standin.Worker) {
+	s.deleteKey(platform.WorkersPrefix + w.Instance())
+}
 
-// remove deletes a key.
-func (s *site) remove(key string) {
+// deleteKey deletes a key.
+func (s *testFleet) deleteKey(key string) {
 	entry, err := s.store.Get(context.Background(), key)
 	s.Expect(err).NotTo(HaveOccurred())
 	_, err = s.store.CompareAndSwap(context.Background(), granitehoist.Change{Key: key, Expect: entry.Version, Delete: true})
@@ -203,7 +205,7 @@
 }
 
 // keysUnder returns the keys that begin with a prefix.
-func (s *site) keysUnder(prefix string) []string {
+func (s *testFleet) keysUnder(prefix string) []string {
 	entries, _, err := s.store.List(context.Background(), prefix)
 	s.Expect(err).NotTo(HaveOccurred())
 	var keys []string
--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -26,34 +26,34 @@
 	decode func(raw []byte) (any, error)
 }
 
-// as returns the decoding into a type.
-func as[T any](raw []byte) (any, error) {
+// decodeAs returns the decoding into a type.
+func decodeAs[T any](raw []byte) (any, error) {
 	var message T
 	err := json.Unmarshal(raw, &message)
 	return message, err
 }
 
 var goldenMessages = []goldenMessage{
-	{"peer", as[peerEntry]},
-	{"greeting", as[greeting]},
-	{"greeting-limits", as[greeting]},
-	{"updates-question", as[updatesParams]},
-	{"updates", as[follow.PackedUpdate]},
-	{"updates-compressed", as[follow.PackedUpdate]},
-	{"lend-question", as[escrow.LendParams]},
-	{"lend", as[escrow.LendResult]},
-	{"repay-question", as[escrow.RepayParams]},
-	{"suspects", as[suspectNews]},
-	{"suspects-scope", as[suspectNews]},
-	{"suspect-refused", as[suspect.Record]},
-	{"suspect-secret", as[suspect.Secret]},
-	{"escrow", as[escrow.Record]},
-	{"escrow-divided", as[escrow.Record]},
-	{"limits", as[balance.News]},
-	{"limits-leaving", as[balance.News]},
-	{"greeting-leaving", as[greeting]},
-	{"permits-question", as[permitQuestion]},
-	{"permits", as[permitReply]},
+	{"peer", decodeAs[peerEntry]},
+	{"greeting", decodeAs[greeting]},
+	{"greeting-limits", decodeAs[greeting]},
+	{"updates-question", decodeAs[updatesParams]},
+	{"updates", decodeAs[follow.PackedUpdate]},
+	{"updates-compressed", decodeAs[follow.PackedUpdate]},
+	{"lend-question", decodeAs[escrow.LendParams]},
+	{"lend", decodeAs[escrow.LendResult]},
+	{"repay-question", decodeAs[escrow.RepayParams]},
+	{"suspects", decodeAs[suspectUpdate]},
+	{"suspects-scope", decodeAs[suspectUpdate]},
+	{"suspect-refused", decodeAs[suspect.Record]},
+	{"suspect-secret", decodeAs[suspect.Secret]},
+	{"escrow", decodeAs[escrow.Record]},
+	{"escrow-divided", decodeAs[escrow.Record]},
+	{"limits", decodeAs[balance.News]},
+	{"limits-leaving", decodeAs[balance.News]},
+	{"greeting-leaving", decodeAs[greeting]},
+	{"permits-question", decodeAs[permitsParams]},
+	{"permits", decodeAs[permitsResult]},
 }
 
 // goldenFile returns the content of a message's file.
@@ -66,8 +66,8 @@
 	return raw
 }
 
-// generic decodes JSON without a type.
-func generic(t *testing.T, raw []byte) any {
+// decodeUntyped decodes JSON without a type.
+func decodeUntyped(t *testing.T, raw []byte) any {
 	t.Helper()
 	var value any
 	if err := json.Unmarshal(raw, &value); err != nil {
@@ -76,15 +76,15 @@
 	return value
 }
 
-// withLaterFields returns a value with one more field in each of its objects, but for those
+// withUnknownFields returns a value with one more field in each of its objects, but for those
 // whose names are data: an object whose key has capital letters, digits or a hyphen.
-func withLaterFields(value any) any {
+func withUnknownFields(value any) any {
 	switch v := value.(type) {
 	case map[string]any:
 		changed := map[string]any{}
 		isData := false
 		for name, inside := range v {
-			changed[name] = withLaterFields(inside)
+			changed[name] = withUnknownFields(inside)
 			isData = isData || strings.ContainsAny(name, "-0123456789") || name == "kiosk"
 		}
 		if !isData && len(v) > 0 {
@@ -94,17 +94,17 @@
 	case []any:
 		var changed []any
 		for _, inside := range v {
-			changed = append(changed, withLaterFields(inside))
+			changed = append(changed, withUnknownFields(inside))
 		}
 		return changed
 	}
 	return value
 }
 
-// TestMessagesOfOtherVersions checks that the messages and records of an earlier version
+// TestMessageCompatibility checks that the messages and records of an earlier version
 // are read with all that they say and written in the same form, that fields of a later one
 // change nothing, and that a missing field is no error.
-func TestMessagesOfOtherVersions(t *testing.T) {
+func TestMessageCompatibility(t *testing.T) {
 	for _, m := range goldenMessages {
 		t.Run(m.file, func(t *testing.T) {
 			raw := goldenFile(t, m.file)
@@ -116,17 +116,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !reflect.DeepEqual(generic(t, again), generic(t, raw)) {
+			if !reflect.DeepEqual(decodeUntyped(t, again), decodeUntyped(t, raw)) {
 				t.Errorf("it is written as %s", again)
 			}
-			later, err := json.Marshal(withLaterFields(generic(t, raw)))
+			later, err := json.Marshal(withUnknownFields(decodeUntyped(t, raw)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got, err := m.decode(later); err != nil || !reflect.DeepEqual(got, message) {
 				t.Errorf("with later fields: %+v, %v", got, err)
 			}
-			fields, _ := generic(t, raw).(map[string]any)
+			fields, _ := decodeUntyped(t, raw).(map[string]any)
 			for name, value := range fields {
 				delete(fields, name)
 				lacking, err := json.Marshal(fields)
--- a/node/instancecopy.go
+++ b/node/instancecopy.go
@@ -13,25 +13,22 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// The three rules on the entries of the instances. The entries come from the store
-// or from a neighbour's copy of it, in the order of their versions: package follow
-// never replaces an entry by an older one.
+// The entries of the instances come from the store or from a neighbour's copy of it, in
+// order of their versions: package follow never replaces an entry by an older one.
 
-// entryRemovesInstance decides whether an instance counts as removed: when its
-// entry was deleted, or is missing in a newer list, which follow reports as a
-// deletion. An instance that does not answer is not removed; balance.Table sends
-// it no requests for a while. An entry that can't be read removes nothing either:
-// the last announcement that could be read stays.
-func entryRemovesInstance(e granitehoist.Entry) bool { return e.Deleted }
+// isInstanceRemoval decides whether an entry removes its instance: only if it was
+// deleted, or is missing in a newer list, which package follow reports as a deletion. An
+// instance that does not answer is not removed, and an entry that cannot be decoded
+// leaves the last valid one in force.
+func isInstanceRemoval(e granitehoist.Entry) bool { return e.Deleted }
 
-// repeatsAnnouncement decides whether an announcement equals the one before in all
-// but its version, so that it need not be passed on. Instances write their
-// entries again as a heartbeat: on tuul-hire-grown quiet-1 11,761 of 17,106 calls
-// to the store were watches that heartbeats woke (commit c1de361).
+// isHeartbeat decides whether an announcement differs from the one before only in its
+// version, so that it need not be passed on to other nodes. Instances rewrite their
+// entries as heartbeats.
 //
-// While an instance is cold the time that it remains so is shorter in each entry. That
-// is no news, but a longer one is: it has become cold again.
-func repeatsAnnouncement(before, after balance.Instance) bool {
+// The remaining time of a cold instance shrinks with each entry, which is no change. A
+// longer one is: the instance has become cold again.
+func isHeartbeat(before, after balance.Instance) bool {
 	before.Version = after.Version
 	if after.ColdFor > 0 && after.ColdFor <= before.ColdFor {
 		before.ColdFor = after.ColdFor
@@ -39,16 +36,15 @@
 	return before == after
 }
 
-// isNewsOfInstance decides whether an announcement is logged, of an instance that
-// the table has already: if its address changed, it began or stopped draining, became
-// cold or warm, or began a new life.
-func isNewsOfInstance(before, after balance.Instance) bool {
+// shouldLogInstance decides whether a new announcement of a known instance is logged: if
+// it moved, started or stopped draining, became cold or warm, or restarted.
+func shouldLogInstance(before, after balance.Instance) bool {
 	return before.Draining != after.Draining || before.Address != after.Address ||
 		(before.ColdFor > 0) != (after.ColdFor > 0) || before.Born != after.Born
 }
 
-// instanceCopy is the node's copy of the instances' announcements. Only its
-// follower's goroutine changes it; the instances themselves are in the table.
+// instanceCopy is the node's copy of the instances' announcements. Only its follower's
+// goroutine changes it; the instances are held by the table.
 type instanceCopy struct {
 	adapter  *Adapter
 	table    *balance.Table
@@ -59,27 +55,26 @@
 }
 
 func newInstanceCopy(n *Node) *instanceCopy {
-	c := &instanceCopy{adapter: &n.adapter, table: n.parts.table, pool: n.parts.pool, clock: n.clock, log: n.log}
-	c.follower = n.newFollower(follow.Settings{Prefix: n.adapter.InstancesPrefix, Changed: c.changed, Unchanged: c.same})
+	c := &instanceCopy{adapter: &n.adapter, table: n.components.table, pool: n.components.pool, clock: n.clock, log: n.log}
+	c.follower = n.newFollower(follow.Settings{Prefix: n.adapter.InstancesPrefix, Changed: c.applyEntries, Unchanged: c.isRepeated})
 	return c
 }
 
-// same reports whether an entry only repeats the announcement before it. Of entries
-// that can't be read only the first is news: their writer writes them again and again.
-func (c *instanceCopy) same(before, after granitehoist.Entry) bool {
-	old, errBefore := c.adapter.DecodeInstance(before)
-	now, errAfter := c.adapter.DecodeInstance(after)
+// isRepeated reports whether an entry only repeats the one before. One that cannot be
+// decoded is passed on only if the one before could be.
+func (c *instanceCopy) isRepeated(before, after granitehoist.Entry) bool {
+	instanceBefore, errBefore := c.adapter.DecodeInstance(before)
+	instanceAfter, errAfter := c.adapter.DecodeInstance(after)
 	if errBefore != nil || errAfter != nil {
 		return errBefore != nil && errAfter != nil
 	}
-	return repeatsAnnouncement(old, now)
+	return isHeartbeat(instanceBefore, instanceAfter)
 }
 
-// changed applies changed announcements; at is the store's version of the copy
-// after them.
-func (c *instanceCopy) changed(entries []granitehoist.Entry, at granitehoist.Version) {
+// applyEntries applies changed entries; at is the store version of the copy after them.
+func (c *instanceCopy) applyEntries(entries []granitehoist.Entry, at granitehoist.Version) {
 	for _, e := range entries {
-		if entryRemovesInstance(e) {
+		if isInstanceRemoval(e) {
 			c.remove(e.Key, at)
 			continue
 		}
@@ -92,11 +87,10 @@
 	}
 }
 
-// announce enters an instance in the table, which keeps the newer of two
-// announcements.
+// announce adds an instance to the table, which keeps the newer of two announcements.
 func (c *instanceCopy) announce(instance balance.Instance) {
 	before, known := c.table.Announce(instance, c.clock())
-	if known && !isNewsOfInstance(before, instance) {
+	if known && !shouldLogInstance(before, instance) {
 		return
 	}
 	c.log.Info(event.Upstream,
@@ -108,8 +102,8 @@
 		zap.Uint64("version", uint64(instance.Version)))
 }
 
-// remove takes an instance out of the table and closes the idle connections to
-// its address. It does nothing if the table does not have the instance.
+// remove removes an instance from the table and closes the idle connections to its
+// address. It does nothing if the table does not have the instance.
 func (c *instanceCopy) remove(key string, at granitehoist.Version) {
 	instance, known := c.table.Remove(c.adapter.InstanceID(key), c.clock())
 	if !known {
--- a/node/instancecopy_test.go
+++ b/node/instancecopy_test.go
@@ -13,10 +13,10 @@
 func expectChange(t *testing.T, after balance.Instance, repeats, news bool) {
 	t.Helper()
 	before := balance.Instance{ID: "i-1", Service: "pool", Address: "10.0.0.1:80", Version: 4}
-	if got := repeatsAnnouncement(before, after); got != repeats {
+	if got := isHeartbeat(before, after); got != repeats {
 		t.Fatalf("%+v repeats %v, not %v", after, got, repeats)
 	}
-	if got := isNewsOfInstance(before, after); got != news {
+	if got := shouldLogInstance(before, after); got != news {
 		t.Fatalf("%+v is news %v, not %v", after, got, news)
 	}
 }
@@ -41,7 +41,7 @@
 		expectChange(t, changed, false, true)
 	})
 	t.Run("only a deletion removes", func(t *testing.T) {
-		if entryRemovesInstance(granitehoist.Entry{Key: "servers/i-1", Version: 9}) || !entryRemovesInstance(granitehoist.Entry{Key: "servers/i-1", Version: 9, Deleted: true}) {
+		if isInstanceRemoval(granitehoist.Entry{Key: "servers/i-1", Version: 9}) || !isInstanceRemoval(granitehoist.Entry{Key: "servers/i-1", Version: 9, Deleted: true}) {
 			t.Fatal("removal does not follow the deletion")
 		}
 	})
--- a/node/large_test.go
+++ b/node/largefleet_test.go
@@ -18,9 +18,9 @@
 
 var _ = Describe("A large fleet", func() {
 	const nodes = 17
-	var s *site
+	var s *testFleet
 	BeforeEach(func() {
-		s = newSite(nodes)
+		s = newSpecFleet(nodes)
 		DeferCleanup(func() {
 			var stopping sync.WaitGroup
 			for _, m := range s.members {
@@ -29,7 +29,7 @@
 			stopping.Wait()
 		})
 		s.configure(1, 100_000_000, "/safe/")
-		s.worker(standin.WorkerAnswer{Body: "ok"})
+		s.startWorker(standin.WorkerAnswer{Body: "ok"})
 		for _, m := range s.members {
 			Eventually(m.ready).Should(Equal(http.StatusOK))
 			Eventually(m.node.Routers).Should(Equal(nodes))
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -14,23 +14,23 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// drainBound is the users' bound on the time for which a router may go on to send to an
+// leavingReaction is the users' bound on the time for which a router may go on to send to an
 // upstream after it has passed on an answer in which the upstream says that it leaves, as
 // the settings of the tests state it.
-const drainBound = 500 * time.Millisecond
+const leavingReaction = 500 * time.Millisecond
 
 // leavingWorker is a worker that says in each answer that it leaves while leaves is set.
 type leavingWorker struct {
 	*standin.Worker
-	leaves atomic.Bool
+	leaving atomic.Bool
 }
 
 // leavingWorker starts a worker that does not say yet that it leaves.
-func (s *site) leavingWorker() *leavingWorker {
+func (s *testFleet) leavingWorker() *leavingWorker {
 	w := &leavingWorker{}
-	w.Worker = s.workerThat(func(standin.Arrival) standin.WorkerAnswer {
+	w.Worker = s.startWorkerFunc(func(standin.Arrival) standin.WorkerAnswer {
 		answer := standin.WorkerAnswer{Body: "answer"}
-		if w.leaves.Load() {
+		if w.leaving.Load() {
 			answer.Leaving = []string{"1"}
 		}
 		return answer
@@ -38,10 +38,10 @@
 	return w
 }
 
-// sentTooLate returns how many requests reached a leaving upstream although their router
+// countSentTooLate returns how many requests reached a leaving upstream although their router
 // had passed on drainBound before that it leaves.
-func sentTooLate(all []exchanged) int {
-	said := func(e exchanged) bool { return e.got.header.Get("Server-Leaving") != "" }
+func countSentTooLate(all []sentRequest) int {
+	said := func(e sentRequest) bool { return e.got.header.Get("Server-Leaving") != "" }
 	// passedOn is when each node first passed on such an answer.
 	passedOn := map[int]time.Time{}
 	for _, e := range all {
@@ -52,47 +52,47 @@
 	}
 	late := 0
 	for _, e := range all {
-		if said(e) && e.sent.After(passedOn[e.member].Add(drainBound)) {
+		if said(e) && e.sent.After(passedOn[e.member].Add(leavingReaction)) {
 			late++
 		}
 	}
 	return late
 }
 
-// TestLeavingUpstreamIsSpared is the incident of an upstream that began to leave while the
+// TestLeavingUpstreamGetsNoRequests is the incident of an upstream that began to leave while the
 // store was away and went on to get requests. It said so in all its answers, which two
 // routers had passed on, but routers knew that an upstream leaves from its entry in the
 // store only, and no entry changed before the store was back, 13 s later: it got 22 further
 // requests, each a first choice for its low load. That none of the routers logged that it
 // drains ruled out news that was not passed on; 17 other live upstreams ruled out that there
 // was no choice.
-func TestLeavingUpstreamIsSpared(t *testing.T) {
+func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	t.Parallel()
-	s := newScene(t, 3)
+	s := newTestFleet(t, 3)
 	s.configure(1, 1_000_000, "/a/")
 	leaving := s.leavingWorker()
 	for range 3 {
-		s.worker(standin.WorkerAnswer{Body: "answer"})
+		s.startWorker(standin.WorkerAnswer{Body: "answer"})
 	}
-	s.expectFleet("/a/x")
+	s.awaitFleet("/a/x")
 	for _, m := range s.members {
 		m.store.Fail(standin.PlatformFaults{Hang: true})
 	}
-	leaving.leaves.Store(true)
-	all := s.loadEach("/a/x", 50*time.Millisecond, 4*time.Second)
-	s.Expect(statusesOf(all)).To(And(HaveLen(1), HaveKey(http.StatusOK)), "statuses")
-	s.Expect(sentTooLate(all)).To(BeZero(), "requests sent to the leaving upstream %s after its router knew", drainBound)
+	leaving.leaving.Store(true)
+	all := s.sendLoad("/a/x", 50*time.Millisecond, 4*time.Second)
+	s.Expect(countStatuses(all)).To(And(HaveLen(1), HaveKey(http.StatusOK)), "statuses")
+	s.Expect(countSentTooLate(all)).To(BeZero(), "requests sent to the leaving upstream %s after its router knew", leavingReaction)
 }
 
-// TestLeavingIsToldToAll checks that what one router heard reaches those that have sent the
+// TestLeavingReachesAllRouters checks that what one router heard reaches those that have sent the
 // upstream nothing, and one that starts later, while the store is away.
-func TestLeavingIsToldToAll(t *testing.T) {
+func TestLeavingReachesAllRouters(t *testing.T) {
 	t.Parallel()
-	s := newScene(t, 3)
+	s := newTestFleet(t, 3)
 	s.configure(1, 1_000_000, "/a/")
 	leaving := s.leavingWorker()
-	s.expectFleet("")
-	leaving.leaves.Store(true)
+	s.awaitFleet("")
+	leaving.leaving.Store(true)
 	s.Eventually(s.members[0].status("/a/x"), stepTimeout).Should(Equal(http.StatusOK))
 	s.members = append(s.members, s.start())
 	for _, m := range s.members {
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -17,86 +17,85 @@
 	"granitehoist.example/granitehoist/forward"
 )
 
-// The names of the metrics. docs/METRICS.md explains each.
+// Names of the metrics.
 const (
-	metricActive         = "active_requests"
-	metricRouters        = "routers"
-	metricConfig         = "config_version"
-	metricConfigAge      = "config_age_seconds"
-	metricInstancesAge   = "instances_age_seconds"
-	metricBudgetFree     = "budget_free"
-	metricBudgetSpent    = "budget_spent"
-	metricStoreRemaining = "budget_rest"
-	metricRequests       = "requests"
-	metricAttempts       = "attempts"
-	metricRefusals       = "refusals"
-	metricDuration       = "took_seconds"
-	metricFirstByte      = "first_seconds"
-	metricConnections    = "upstream_connections"
-	metricSuspects       = "suspects"
-	metricRefusedNow     = "suspects_refused"
-	metricUpstreamsOut   = "upstream_out"
-	metricLeaving        = "upstreams_leaving"
-	metricResting        = "upstreams_resting"
-	metricSpared         = "choices_sparing"
-	metricUpstreamLimit  = "upstream_limit"
-	metricPermits        = "permits"
-	metricStoreCalls     = "store_calls"
-	metricDropped        = "log_dropped"
+	metricActiveRequests   = "active_requests"
+	metricRouters          = "routers"
+	metricConfigVersion    = "config_version"
+	metricConfigAge        = "config_age_seconds"
+	metricInstancesAge     = "instances_age_seconds"
+	metricBudgetFree       = "budget_free"
+	metricBudgetSpent      = "budget_spent"
+	metricStoreRemaining   = "budget_rest"
+	metricRequests         = "requests"
+	metricAttempts         = "attempts"
+	metricRefusals         = "refusals"
+	metricDuration         = "took_seconds"
+	metricFirstByte        = "first_seconds"
+	metricConnections      = "upstream_connections"
+	metricSuspects         = "suspects"
+	metricSuspectsRefused  = "suspects_refused"
+	metricUpstreamsEjected = "upstream_out"
+	metricUpstreamsLeaving = "upstreams_leaving"
+	metricUpstreamsResting = "upstreams_resting"
+	metricAvoidedChoices   = "choices_sparing"
+	metricUpstreamLimit    = "upstream_limit"
+	metricPermits          = "permits"
+	metricStoreCalls       = "store_calls"
+	metricLogLinesDropped  = "log_dropped"
 )
 
 // Metrics returns the names of all metrics.
 func Metrics() []string {
 	return []string{
-		metricActive, metricRouters, metricConfig, metricConfigAge, metricInstancesAge, metricBudgetFree, metricBudgetSpent, metricStoreRemaining,
-		metricRequests, metricAttempts, metricRefusals, metricDuration, metricFirstByte, metricConnections, metricSuspects, metricRefusedNow, metricUpstreamsOut, metricLeaving, metricResting, metricSpared, metricUpstreamLimit, metricPermits, metricStoreCalls, metricDropped,
+		metricActiveRequests, metricRouters, metricConfigVersion, metricConfigAge, metricInstancesAge, metricBudgetFree, metricBudgetSpent, metricStoreRemaining,
+		metricRequests, metricAttempts, metricRefusals, metricDuration, metricFirstByte, metricConnections, metricSuspects, metricSuspectsRefused, metricUpstreamsEjected, metricUpstreamsLeaving, metricUpstreamsResting, metricAvoidedChoices, metricUpstreamLimit, metricPermits, metricStoreCalls, metricLogLinesDropped,
 	}
 }
 
 const (
-	// sampleSize is the number of values that a histogram keeps.
+	// sampleSize is the number of values in a histogram's sample.
 	sampleSize = 512
-	// sampleBias is the decay by which newer values are kept more often; 0.015 is
-	// the library's usual value, for about the last five minutes.
+	// sampleBias is the decay factor of the sample; the library's usual value of 0.015
+	// favours about the last five minutes.
 	sampleBias = 0.015
 )
 
-// counters holds the metrics that are counted as things happen. It is safe for
-// concurrent use.
+// counters holds the metrics that are updated by events. It is safe for concurrent use.
 type counters struct{ registry metrics.Registry }
 
 func newCounters() *counters { return &counters{registry: metrics.NewRegistry()} }
 
-// counter returns a function that counts events of a name.
+// counter returns a function that increments the counter of a name.
 func (c *counters) counter(name string) func() {
 	counter := metrics.GetOrRegisterCounter(name, c.registry)
 	return func() { counter.Inc(1) }
 }
 
-// count adds to the counter of a name with the labels that format and args give.
+// count adds by to the counter of a name with the labels that format and args give.
 func (c *counters) count(by int64, name, format string, args ...any) {
 	metrics.GetOrRegisterCounter(name+"{"+fmt.Sprintf(format, args...)+"}", c.registry).Inc(by)
 }
 
-// observe adds a time to the histogram of a name and service.
+// observe adds a duration to the histogram of a name and service.
 func (c *counters) observe(d time.Duration, name string, service granitehoist.Service) {
 	labelled := fmt.Sprintf("%s{service=%q}", name, service)
 	registered := c.registry.GetOrRegister(labelled, func() metrics.Histogram {
 		return metrics.NewHistogram(metrics.NewExpDecaySample(sampleSize, sampleBias))
 	})
-	// No counter has the name of a histogram, so that this is always a histogram.
+	// No counter has the name of a histogram, so the assertion always succeeds.
 	if histogram, ok := registered.(metrics.Histogram); ok {
 		histogram.Update(int64(d))
 	}
 }
 
-// noteStoreCall counts a call to the store.
-func (c *counters) noteStoreCall(call, result string) {
+// countStoreCall counts a call to the store.
+func (c *counters) countStoreCall(call, result string) {
 	c.count(1, metricStoreCalls, "call=%q,result=%q", call, result)
 }
 
-// noteRequest counts a request that has ended.
-func (c *counters) noteRequest(r forward.Report) {
+// countRequest counts a completed request.
+func (c *counters) countRequest(r forward.Report) {
 	c.count(1, metricRequests, "service=%q,code=\"%d\"", r.Service, int(r.Code))
 	c.count(int64(r.Attempts), metricAttempts, "service=%q", r.Service)
 	if r.Budget != escrow.Granted {
@@ -111,14 +110,12 @@
 	}
 }
 
-// serveMetrics writes the metrics as lines of name and value. partner/report
-// writes those of the other program under other names and forms, so that the two
-// share no code.
+// serveMetrics writes the metrics as lines of name and value.
 func (n *Node) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	lines := append(n.stateLines(n.clock()), n.counters.lines()...)
 	sort.Strings(lines)
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	// This fails if the reader has closed its connection; nobody misses the answer.
+	// The write fails if the client has closed its connection.
 	_, _ = w.Write([]byte(strings.Join(lines, "\n") + "\n"))
 }
 
@@ -147,31 +144,32 @@
 	return lines
 }
 
-// stateLines returns the metrics that show the node's state at now.
+// stateLines returns the metrics of the node's state at now.
 func (n *Node) stateLines(now time.Time) []string {
-	suspects, refused := n.parts.suspects.table.Counts(now)
+	suspects, refused := n.components.suspects.table.Counts(now)
 	lines := []string{
 		fmt.Sprintf("%s %d", metricSuspects, suspects),
-		fmt.Sprintf("%s %d", metricRefusedNow, refused),
-		fmt.Sprintf("%s %d", metricActive, n.parts.forwarder.Active()),
-		fmt.Sprintf("%s %d", metricRouters, n.parts.peers.routers()),
+		fmt.Sprintf("%s %d", metricSuspectsRefused, refused),
+		fmt.Sprintf("%s %d", metricActiveRequests, n.components.forwarder.Active()),
+		fmt.Sprintf("%s %d", metricRouters, n.components.peers.routers()),
 		fmt.Sprintf("%s %.3f", metricConfigAge, n.configs.follower.Age(now).Seconds()),
 		fmt.Sprintf("%s %.3f", metricInstancesAge, n.instances.follower.Age(now).Seconds()),
 	}
 	lines = append(lines, n.upstreamLines(now)...)
-	for _, limit := range n.parts.table.Limits(now) {
+	for _, limit := range n.components.table.Limits(now) {
 		lines = append(lines, fmt.Sprintf("%s{upstream=%q} %g", metricUpstreamLimit, limit.Upstream, float64(limit.Rate)))
 	}
 	if n.config.LogDropped != nil {
-		lines = append(lines, fmt.Sprintf("%s %d", metricDropped, n.config.LogDropped()))
+		lines = append(lines, fmt.Sprintf("%s %d", metricLogLinesDropped, n.config.LogDropped()))
 	}
 	return append(lines, n.configLines()...)
 }
 
-// upstreamLines returns the metrics of how many upstreams get no requests at now, and why.
+// upstreamLines returns the number of upstreams that get no requests at now, by reason,
+// and the selections that avoided an upstream.
 func (n *Node) upstreamLines(now time.Time) []string {
 	ejected, leaving, resting := 0, 0, 0
-	for _, status := range n.parts.table.Statuses(now) {
+	for _, status := range n.components.table.Statuses(now) {
 		if status.Ejected {
 			ejected++
 		}
@@ -182,26 +180,26 @@
 			resting++
 		}
 	}
-	spared := n.parts.table.Spared()
+	avoided := n.components.table.Spared()
 	return []string{
-		fmt.Sprintf("%s{reason=\"leaving\"} %d", metricSpared, spared.Leaving),
-		fmt.Sprintf("%s{reason=\"deferred\"} %d", metricSpared, spared.Deferred),
-		fmt.Sprintf("%s %d", metricUpstreamsOut, ejected),
-		fmt.Sprintf("%s %d", metricLeaving, leaving),
-		fmt.Sprintf("%s %d", metricResting, resting),
+		fmt.Sprintf("%s{reason=\"leaving\"} %d", metricAvoidedChoices, avoided.Leaving),
+		fmt.Sprintf("%s{reason=\"deferred\"} %d", metricAvoidedChoices, avoided.Deferred),
+		fmt.Sprintf("%s %d", metricUpstreamsEjected, ejected),
+		fmt.Sprintf("%s %d", metricUpstreamsLeaving, leaving),
+		fmt.Sprintf("%s %d", metricUpstreamsResting, resting),
 	}
 }
 
-// configLines returns the metrics of the configuration in force and of its
-// workspaces, none before the first configuration.
+// configLines returns the metrics of the active configuration and its workspaces, none
+// before the first configuration.
 func (n *Node) configLines() []string {
 	snapshot := n.configs.catalog.Get()
 	if snapshot == nil {
 		return nil
 	}
-	lines := []string{fmt.Sprintf("%s %d", metricConfig, snapshot.Version)}
+	lines := []string{fmt.Sprintf("%s %d", metricConfigVersion, snapshot.Version)}
 	for name := range snapshot.Workspaces() {
-		state := n.parts.ledger.State(name)
+		state := n.components.ledger.State(name)
 		lines = append(lines,
 			fmt.Sprintf("%s{workspace=%q} %d", metricBudgetFree, name, state.Free),
 			fmt.Sprintf("%s{workspace=%q} %d", metricBudgetSpent, name, state.Spent),
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -10,52 +10,46 @@
 	"granitehoist.example/granitehoist"
 )
 
-// peerEntry is what a node writes of itself, under its box's key in the store
-// and in greetings.
+// peerEntry describes a node, in the node list of the store and in greetings.
 type peerEntry struct {
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
 	Box         granitehoist.Box         `json:"box"`
-	// Zone is stored as "place", the name that earlier versions wrote.
+	// Zone is encoded as "place" for compatibility with earlier versions.
 	Zone granitehoist.AvailabilityZone `json:"place"`
-	// Address is where the node takes calls of its neighbours, as IP:PORT.
+	// Address is where the node takes calls from neighbours, as IP:PORT.
 	Address string `json:"address"`
-	// LinkMbps is the rate of the box's link in Mbit/s, zero if unknown.
+	// LinkMbps is the bandwidth of the box's link in Mbit/s, zero if unknown.
 	LinkMbps float64 `json:"link_mbps,omitempty"`
 }
 
-// peer returns the entry as the receiver of calls.
+// peer returns the address and incarnation of the node, for calls to it.
 func (e peerEntry) peer() granitehoist.Peer {
 	return granitehoist.Peer{Incarnation: e.Incarnation, Address: e.Address}
 }
 
-// This file decides which neighbours a node counts, and by which entry.
+// A neighbour is known from the first node list or greeting that names its box, and
+// removed only when a list lacks its box: one read from the store, or one that a relay
+// read a short while ago (canServeList). A neighbour that does not answer stays, since it
+// may be this node that is cut off. Entries have no lease: that of a dead box stays until
+// a router starts there again.
 //
-// A neighbour counts from the first list or greeting that names its box. It
-// counts as removed only when a list lacks its box: a list that this node read
-// from the store, or one that a relay read from the store a short while ago
-// (vouchesForList). A neighbour that does not answer stays, since it may be this
-// node that is cut off; calls to it end with their timeout. An entry has no
-// lease: a box that dies stays listed until a router starts there again and
-// writes its own entry.
-//
-// An entry that a box sent of itself replaces the one that this node has of it.
-// An entry that a third node passed on only adds a box that is missing: it may be
-// older than the one that this node has.
+// An entry that a node sent of itself replaces the known one. An entry passed on by a
+// third node only adds a missing box, since it may be older than the known one.
 
-// source says who sent an entry.
-type source int
+// entrySource says who sent an entry.
+type entrySource int
 
 // The sources of an entry.
 const (
-	// fromItself: the node that the entry describes sent it.
-	fromItself source = iota
-	// fromOther: a third node passed it on; its age is unknown.
-	fromOther
+	// sourceSelf: the node that the entry describes sent it.
+	sourceSelf entrySource = iota
+	// sourceThirdParty: a third node passed it on; its age is unknown.
+	sourceThirdParty
 )
 
-// withNeighbour returns others with an entry added or replaced. It returns others
-// itself if nothing changes, else a new slice.
-func withNeighbour(others []peerEntry, self granitehoist.Box, entry peerEntry, from source) []peerEntry {
+// upsertNeighbour returns others with an entry added or replaced. It returns others
+// itself if nothing changes, otherwise a new slice.
+func upsertNeighbour(others []peerEntry, self granitehoist.Box, entry peerEntry, from entrySource) []peerEntry {
 	if entry.Box == "" || entry.Box == self {
 		return others
 	}
@@ -63,7 +57,7 @@
 	switch {
 	case index < 0:
 		return append(slices.Clone(others), entry)
-	case from == fromOther || others[index] == entry:
+	case from == sourceThirdParty || others[index] == entry:
 		return others
 	}
 	changed := slices.Clone(others)
@@ -71,10 +65,10 @@
 	return changed
 }
 
-// listedByRelay returns the neighbours by the list that a relay sent. It
-// returns false if the relay did not vouch for its list, or if the list lacks
-// this node as it is now: the relay then read it before this node wrote its
-// entry, and this node has to read and write the store itself.
+// listedByRelay returns the neighbours in a relay's node list. It returns false if the
+// relay does not mark its list as fresh, or if the list lacks this node's current entry:
+// the relay then read it before the entry was written, and this node has to use the store
+// itself.
 func listedByRelay(reply greeting, self peerEntry) ([]peerEntry, bool) {
 	if !reply.Listed || !slices.Contains(reply.Others, self) {
 		return nil, false
@@ -88,33 +82,31 @@
 	return others, true
 }
 
-// listing is the list of nodes as read from the store.
-type listing struct {
+// nodeList is the list of nodes as read from the store.
+type nodeList struct {
 	others []peerEntry
 	// own is the entry of this node's box; its Version is zero if there is none.
 	own granitehoist.Entry
-	// current says that own is by this incarnation, so that nothing has to be
-	// written.
-	current bool
-	// unreadable holds the entries that do not decode. Their boxes are not
-	// counted as neighbours.
-	unreadable []unreadableEntry
+	// upToDate says that own is this incarnation's entry and need not be written.
+	upToDate bool
+	// malformed holds the entries that cannot be decoded; their boxes are ignored.
+	malformed []malformedEntry
 }
 
-// unreadableEntry is an entry of the list that does not decode.
-type unreadableEntry struct {
+// malformedEntry is an entry of the node list that cannot be decoded.
+type malformedEntry struct {
 	key string
 	err error
 }
 
-// newListing reads the entries under peersPrefix for the node self.
-func newListing(entries []granitehoist.Entry, self peerEntry) listing {
+// parseNodeList decodes the entries under peersPrefix, as seen by the node self.
+func parseNodeList(entries []granitehoist.Entry, self peerEntry) nodeList {
 	ownKey := peerKey(self.Box)
-	l := listing{own: granitehoist.Entry{Key: ownKey}}
+	l := nodeList{own: granitehoist.Entry{Key: ownKey}}
 	for _, e := range entries {
 		var entry peerEntry
 		if err := json.Unmarshal(e.Value, &entry); err != nil {
-			l.unreadable = append(l.unreadable, unreadableEntry{key: e.Key, err: err})
+			l.malformed = append(l.malformed, malformedEntry{key: e.Key, err: err})
 			continue
 		}
 		if e.Key != ownKey {
@@ -122,7 +114,7 @@
 			continue
 		}
 		l.own = e
-		l.current = entry == self
+		l.upToDate = entry == self
 	}
 	return l
 }
--- a/node/neighbours_test.go
+++ b/node/neighbours_test.go
@@ -23,29 +23,29 @@
 	}
 }
 
-// TestWithNeighbour checks which entry of a box counts, and that the entries
+// TestUpsertNeighbour checks which entry of a box counts, and that the entries
 // that were known are not changed in place.
-func TestWithNeighbour(t *testing.T) {
+func TestUpsertNeighbour(t *testing.T) {
 	a1, a2, b1 := entryOf("a", "a-1"), entryOf("a", "a-2"), entryOf("b", "b-1")
 	cases := []struct {
 		name   string
 		others []peerEntry
 		entry  peerEntry
-		from   source
+		from   entrySource
 		want   []peerEntry
 	}{
-		{"a new box by itself", []peerEntry{a1}, b1, fromItself, []peerEntry{a1, b1}},
-		{"a new box by another", []peerEntry{a1}, b1, fromOther, []peerEntry{a1, b1}},
-		{"a new incarnation by itself", []peerEntry{a1, b1}, a2, fromItself, []peerEntry{a2, b1}},
-		{"a new incarnation by another", []peerEntry{a1, b1}, a2, fromOther, []peerEntry{a1, b1}},
-		{"the same again", []peerEntry{a1}, a1, fromItself, []peerEntry{a1}},
-		{"this node itself", []peerEntry{a1}, entryOf("self", "s-0"), fromItself, []peerEntry{a1}},
-		{"an entry without a box", []peerEntry{a1}, peerEntry{Incarnation: "x"}, fromItself, []peerEntry{a1}},
+		{"a new box by itself", []peerEntry{a1}, b1, sourceSelf, []peerEntry{a1, b1}},
+		{"a new box by another", []peerEntry{a1}, b1, sourceThirdParty, []peerEntry{a1, b1}},
+		{"a new incarnation by itself", []peerEntry{a1, b1}, a2, sourceSelf, []peerEntry{a2, b1}},
+		{"a new incarnation by another", []peerEntry{a1, b1}, a2, sourceThirdParty, []peerEntry{a1, b1}},
+		{"the same again", []peerEntry{a1}, a1, sourceSelf, []peerEntry{a1}},
+		{"this node itself", []peerEntry{a1}, entryOf("self", "s-0"), sourceSelf, []peerEntry{a1}},
+		{"an entry without a box", []peerEntry{a1}, peerEntry{Incarnation: "x"}, sourceSelf, []peerEntry{a1}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			before := slices.Clone(c.others)
-			expectEntries(t, withNeighbour(c.others, "self", c.entry, c.from), c.want)
+			expectEntries(t, upsertNeighbour(c.others, "self", c.entry, c.from), c.want)
 			expectEntries(t, c.others, before)
 		})
 	}
@@ -82,60 +82,60 @@
 	return granitehoist.Entry{Key: peersPrefix + box, Version: version, Value: []byte(value)}
 }
 
-func expectOwn(t *testing.T, l listing, version granitehoist.Version, current bool) {
+func expectOwnEntry(t *testing.T, l nodeList, version granitehoist.Version, current bool) {
 	t.Helper()
-	if l.own.Version != version || l.current != current {
-		t.Fatalf("own entry of version %d, current %v; not %d, %v", l.own.Version, l.current, version, current)
+	if l.own.Version != version || l.upToDate != current {
+		t.Fatalf("own entry of version %d, current %v; not %d, %v", l.own.Version, l.upToDate, version, current)
 	}
 }
 
-// TestNewListing checks what a node reads from the list in the store.
-func TestNewListing(t *testing.T) {
+// TestParseNodeList checks what a node reads from the list in the store.
+func TestParseNodeList(t *testing.T) {
 	self := peerEntry{Box: "self", Incarnation: "s-2"}
 	neighbour := storeEntry("a", 3, `{"box":"a","incarnation":"a-1"}`)
 	t.Run("without an own entry", func(t *testing.T) {
-		l := newListing([]granitehoist.Entry{neighbour}, self)
-		expectOwn(t, l, 0, false)
+		l := parseNodeList([]granitehoist.Entry{neighbour}, self)
+		expectOwnEntry(t, l, 0, false)
 		expectEntries(t, l.others, []peerEntry{{Box: "a", Incarnation: "a-1"}})
 	})
 	t.Run("with that of an earlier incarnation", func(t *testing.T) {
 		old := storeEntry("self", 5, `{"box":"self","incarnation":"s-1"}`)
-		expectOwn(t, newListing([]granitehoist.Entry{neighbour, old}, self), 5, false)
+		expectOwnEntry(t, parseNodeList([]granitehoist.Entry{neighbour, old}, self), 5, false)
 	})
 	t.Run("with its own", func(t *testing.T) {
 		own := storeEntry("self", 6, `{"box":"self","incarnation":"s-2"}`)
-		l := newListing([]granitehoist.Entry{own}, self)
-		expectOwn(t, l, 6, true)
+		l := parseNodeList([]granitehoist.Entry{own}, self)
+		expectOwnEntry(t, l, 6, true)
 		expectEntries(t, l.others, nil)
 	})
 	t.Run("an entry that does not decode is reported and not counted", func(t *testing.T) {
-		l := newListing([]granitehoist.Entry{storeEntry("b", 7, "{"), neighbour}, self)
+		l := parseNodeList([]granitehoist.Entry{storeEntry("b", 7, "{"), neighbour}, self)
 		expectEntries(t, l.others, []peerEntry{{Box: "a", Incarnation: "a-1"}})
-		if len(l.unreadable) != 1 || l.unreadable[0].key != "boxes/b" || l.unreadable[0].err == nil {
-			t.Fatalf("unreadable %+v", l.unreadable)
+		if len(l.malformed) != 1 || l.malformed[0].key != "boxes/b" || l.malformed[0].err == nil {
+			t.Fatalf("unreadable %+v", l.malformed)
 		}
 	})
 }
 
-func expectVouches(t *testing.T, isRelay bool, age time.Duration, want bool) {
+func expectCanServeList(t *testing.T, isRelay bool, age time.Duration, want bool) {
 	t.Helper()
 	listedAt := time.Unix(1000, 0)
-	if got := vouchesForList(isRelay, listedAt, listedAt.Add(age)); got != want {
+	if got := canServeList(isRelay, listedAt, listedAt.Add(age)); got != want {
 		t.Fatalf("relay %v, list %v old: vouches %v, not %v", isRelay, age, got, want)
 	}
 }
 
-// TestVouchesForList checks who may pass a list on as that of the store.
-func TestVouchesForList(t *testing.T) {
-	t.Run("a relay with a new list", func(t *testing.T) { expectVouches(t, true, 0, true) })
-	t.Run("a relay after one list that failed", func(t *testing.T) { expectVouches(t, true, 16*time.Second, true) })
-	t.Run("a relay with an old list", func(t *testing.T) { expectVouches(t, true, 16*time.Second+1, false) })
-	t.Run("a node behind relays", func(t *testing.T) { expectVouches(t, false, 0, false) })
+// TestCanServeList checks who may pass a list on as that of the store.
+func TestCanServeList(t *testing.T) {
+	t.Run("a relay with a new list", func(t *testing.T) { expectCanServeList(t, true, 0, true) })
+	t.Run("a relay after one list that failed", func(t *testing.T) { expectCanServeList(t, true, 16*time.Second, true) })
+	t.Run("a relay with an old list", func(t *testing.T) { expectCanServeList(t, true, 16*time.Second+1, false) })
+	t.Run("a node behind relays", func(t *testing.T) { expectCanServeList(t, false, 0, false) })
 }
 
 func expectAttempt(t *testing.T, a listAttempt, pause time.Duration, first, again bool) {
 	t.Helper()
-	if got := a.pause(); got != pause {
+	if got := a.delay(); got != pause {
 		t.Fatalf("%+v: pause %v, not %v", a, got, pause)
 	}
 	if a.shouldGreet(false) != first || a.shouldGreet(true) != again {
@@ -147,11 +147,11 @@
 // greeted.
 func TestListAttempt(t *testing.T) {
 	t.Run("read and complete", func(t *testing.T) { expectAttempt(t, listAttempt{complete: true}, listInterval, true, false) })
-	t.Run("read while the fleet fills", func(t *testing.T) { expectAttempt(t, listAttempt{}, firstListPause, true, false) })
+	t.Run("read while the fleet fills", func(t *testing.T) { expectAttempt(t, listAttempt{}, bootstrapListDelay, true, false) })
 	t.Run("failed", func(t *testing.T) {
-		expectAttempt(t, listAttempt{failed: true, complete: true}, listRetryPause, true, true)
+		expectAttempt(t, listAttempt{failed: true, complete: true}, listRetryDelay, true, true)
 	})
-	t.Run("failed while the fleet fills", func(t *testing.T) { expectAttempt(t, listAttempt{failed: true}, listRetryPause, true, true) })
+	t.Run("failed while the fleet fills", func(t *testing.T) { expectAttempt(t, listAttempt{failed: true}, listRetryDelay, true, true) })
 }
 
 // TestListsNeeded checks after how many lists a view is complete.
@@ -180,7 +180,7 @@
 		expectEntries(t, reply.Others, others)
 	}
 	greet(true, a)
-	now = now.Add(listFreshFor)
+	now = now.Add(maxListAge)
 	greet(true, a)
 	now = now.Add(1)
 	greet(false, a)
--- a/node/node.go
+++ b/node/node.go
@@ -21,7 +21,7 @@
 
 // Node is one router process. Its methods are safe for concurrent use.
 type Node struct {
-	// config holds the settings at the start, live those that Reload may change.
+	// config holds the settings at the start, live those that Reload can change.
 	config      *Config
 	live        atomic.Pointer[liveSettings]
 	adapter     Adapter
@@ -30,24 +30,24 @@
 	incarnation granitehoist.Incarnation
 	counters    *counters
 
-	parts     *parts
-	configs   *configCopy
-	instances *instanceCopy
-	servers   *servers
-	// prober bounds the calls of the followers to a store that is away.
+	components *components
+	configs    *configCopy
+	instances  *instanceCopy
+	servers    *servers
+	// prober limits the calls that the followers make to an unreachable store.
 	prober follow.Prober
 
-	// leaving is set once, by Stop. shedding is set by watchLink only.
-	leaving  atomic.Bool
+	// stopping is set once, by Stop. shedding is set by watchLink only.
+	stopping atomic.Bool
 	shedding atomic.Bool
-	stopping sync.Once
+	stopOnce sync.Once
 	// cancel ends the goroutines that Start began.
 	cancel context.CancelFunc
 }
 
-// New opens the addresses of a node and builds its parts. Nothing is served
-// before Start. It returns an error if a setting is wrong or an address can't be
-// opened.
+// New opens the listening addresses of a node and builds its components; nothing is
+// served before Start. It returns an error if a setting is invalid or an address cannot
+// be opened.
 func New(c *Config, a Adapter, log *zap.Logger) (*Node, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -64,17 +64,17 @@
 		incarnation: granitehoist.Incarnation(granitehoist.NewID(string(c.Box)+"-", rand.Reader)),
 		counters:    newCounters(),
 	}
-	n.live.Store(liveOf(c))
-	n.adapter.Store = &countedStore{Store: a.Store, count: n.counters.noteStoreCall}
+	n.live.Store(newLiveSettings(c))
+	n.adapter.Store = &countedStore{Store: a.Store, count: n.counters.countStoreCall}
 	current := &catalog.Current{}
-	n.parts = newParts(n, selfEntry(c, n.incarnation, open.peers.Addr().String()), current)
+	n.components = newComponents(n, selfEntry(c, n.incarnation, open.peers.Addr().String()), current)
 	n.configs = newConfigCopy(n, current)
 	n.instances = newInstanceCopy(n)
 	n.servers = newServers(n, open)
 	return n, nil
 }
 
-// clockOf returns the clock of the settings.
+// clockOf returns the configured clock, or time.Now.
 func clockOf(c *Config) granitehoist.Clock {
 	if c.Clock == nil {
 		return time.Now
@@ -82,22 +82,19 @@
 	return c.Clock
 }
 
-// gatherChanges is the least time from one watch of the store to the next, so that
-// changes within it cost one call. It is a quarter of the 2 s in which the users'
-// pages want the routers to act on a configuration and on an upstream that leaves.
-// Commit c1de361 introduced it together with relays (16,656 to 2,626 calls); the
-// value was chosen, not measured on its own.
-const gatherChanges = 500 * time.Millisecond
+// minWatchInterval is the minimum time between two watches of the store, so that changes
+// within it cost one call. It is well below the time in which routers have to act on a
+// new configuration or a draining upstream.
+const minWatchInterval = 500 * time.Millisecond
 
-// newFollower returns a follower of a prefix. The settings hold the prefix and
-// what to do with changes; newFollower adds how the node reaches the store and
-// its neighbours.
+// newFollower returns a follower of the prefix in s. s also holds the callbacks for
+// changes; newFollower adds access to the store and to the neighbours.
 func (n *Node) newFollower(s follow.Settings) *follow.Follower {
 	s.Store = n.adapter.Store
-	s.MinWatchInterval = gatherChanges
-	s.Relays = n.parts.peers.relaysToAsk
-	s.Neighbours = n.parts.peers.neighboursToAsk
-	s.Ready = n.parts.peers.knowsRelays
+	s.MinWatchInterval = minWatchInterval
+	s.Relays = n.components.peers.relaysToAsk
+	s.Neighbours = n.components.peers.neighboursToAsk
+	s.Ready = n.components.peers.knowsRelays
 	s.Updates = n.askUpdates
 	s.Prober = &n.prober
 	s.Clock = n.clock
@@ -105,13 +102,13 @@
 	return follow.New(s)
 }
 
-// Routers returns the number of nodes in this one's list, itself included.
-func (n *Node) Routers() int { return n.parts.peers.routers() }
+// Routers returns the number of nodes in this node's list, itself included.
+func (n *Node) Routers() int { return n.components.peers.routers() }
 
-// Incarnation returns the id of this run.
+// Incarnation returns the id of this process run.
 func (n *Node) Incarnation() granitehoist.Incarnation { return n.incarnation }
 
-// Start begins to serve, on goroutines that end with Stop. It is called once.
+// Start starts serving, on goroutines that end with Stop. It must be called once.
 func (n *Node) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.cancel = cancel
@@ -122,15 +119,15 @@
 		zap.String("store", n.config.Store))
 	go n.configs.follower.Run(ctx)
 	go n.instances.follower.Run(ctx)
-	go n.parts.peers.run(ctx)
-	go n.parts.suspects.runStart(ctx)
-	go n.parts.suspects.runPush(ctx)
-	go n.parts.suspects.runKeeping(ctx)
-	go n.parts.statements.runPush(ctx)
-	go n.parts.limits.runPermits(ctx)
+	go n.components.peers.run(ctx)
+	go n.components.suspects.runStartGate(ctx)
+	go n.components.suspects.runPush(ctx)
+	go n.components.suspects.runStore(ctx)
+	go n.components.signals.runPush(ctx)
+	go n.components.limits.runPermits(ctx)
 	go n.watchLink(ctx)
 	go n.watchSuspensions(ctx)
-	go n.parts.syncer.Run(ctx)
+	go n.components.syncer.Run(ctx)
 	go n.serveCalls()
 	go n.serve(readyServer, n.servers.ready)
 	go n.serve(callersServer, n.servers.callers)
@@ -139,24 +136,24 @@
 	}
 }
 
-// serveCalls answers neighbours until Stop.
+// serveCalls serves calls from neighbours until Stop.
 func (n *Node) serveCalls() {
 	if err := n.servers.calls.Serve(n.servers.peers); err != nil {
-		n.serveFailed(neighboursServer)(err)
+		n.serveErrorLogger(neighboursServer)(err)
 	}
 }
 
 // serve runs one of the HTTP servers until Stop.
 func (n *Node) serve(name serverName, server *httpserver.Server) {
 	if err := server.Serve(); err != nil {
-		n.serveFailed(name)(err)
+		n.serveErrorLogger(name)(err)
 	}
 }
 
-// serveFailed returns the function that logs the failures of a server: that it
-// can't accept connections, or that a handler panicked. A panic is one line a
-// request; net/http waits longer after each failure to accept, up to 1 s.
-func (n *Node) serveFailed(name serverName) func(error) {
+// serveErrorLogger returns a function that logs errors of a server: a failure to accept
+// connections, or a panic in a handler. A panic is one line per request; net/http backs
+// off after each failure to accept, up to 1 s.
+func (n *Node) serveErrorLogger(name serverName) func(error) {
 	return func(err error) {
 		n.log.Warn(event.ServeFailed, zap.String("server", string(name)), zap.Error(err))
 	}
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -24,7 +24,7 @@
 
 var _ = Describe("A node", func() {
 	It("is not ready, and answers that nothing ran, before it has a configuration", func() {
-		s := newSite(1)
+		s := newSpecFleet(1)
 		m := s.members[0]
 		Eventually(func() bool { return reachable(m.config.Callers) }).Should(BeTrue())
 		Expect(m.ready()).To(Equal(http.StatusServiceUnavailable))
@@ -37,9 +37,9 @@
 	})
 
 	It("serves a stream end to end, with the worker's status, signature and bytes", func() {
-		s := newSite(1)
+		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/stream/")
-		s.worker(standin.WorkerAnswer{Events: 5})
+		s.startWorker(standin.WorkerAnswer{Events: 5})
 		m := s.members[0]
 		Eventually(m.status("/stream/x")).Should(Equal(http.StatusOK))
 		got, err := m.ask("/stream/x", "r-1", "Token-Usage", "100,50")
@@ -49,9 +49,9 @@
 	})
 
 	It("keeps the last good configuration when one can't be read", func() {
-		s := newSite(1)
+		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/a/")
-		s.worker(standin.WorkerAnswer{Body: "answer"})
+		s.startWorker(standin.WorkerAnswer{Body: "answer"})
 		m := s.members[0]
 		Eventually(m.status("/a/x")).Should(Equal(http.StatusOK))
 		s.put(platform.ConfigKey, []byte(`{"revision":2,"routes":[{"name":"r9","type":"sideways"}]}`))
@@ -61,17 +61,17 @@
 	})
 
 	It("sends nothing to a worker that drains or whose entry has gone", func() {
-		s := newSite(1)
+		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/a/")
-		first := s.worker(standin.WorkerAnswer{Body: "first"})
+		first := s.startWorker(standin.WorkerAnswer{Body: "first"})
 		m := s.members[0]
 		Eventually(m.status("/a/x")).Should(Equal(http.StatusOK))
-		second := s.worker(standin.WorkerAnswer{Body: "second"})
+		second := s.startWorker(standin.WorkerAnswer{Body: "second"})
 		s.announce(first, "draining")
 		Eventually(m.knowsDraining(first)).Should(BeTrue())
 		m.expectOnly("second", first)
-		third := s.worker(standin.WorkerAnswer{Body: "third"})
-		s.withdraw(second)
+		third := s.startWorker(standin.WorkerAnswer{Body: "third"})
+		s.deleteWorkerEntry(second)
 		Eventually(m.knowsRemoved(second)).Should(BeTrue())
 		m.expectOnly("third", first, second)
 		Expect(len(second.Arrivals())).To(BeNumerically(">=", sequentialRequests))
@@ -80,9 +80,9 @@
 
 	It("follows the configuration through a neighbour while the store turns it away", func() {
 		for _, fault := range []standin.PlatformFaults{{Refuse: http.StatusServiceUnavailable}, {Refuse: http.StatusTooManyRequests}, {Hang: true}} {
-			s := newSite(2)
+			s := newSpecFleet(2)
 			s.configure(1, 100_000, "/a/")
-			s.worker(standin.WorkerAnswer{Body: "answer"})
+			s.startWorker(standin.WorkerAnswer{Body: "answer"})
 			m := s.members[0]
 			Eventually(m.status("/a/x")).Should(Equal(http.StatusOK))
 			Eventually(s.members[1].status("/a/x")).Should(Equal(http.StatusOK))
@@ -95,7 +95,7 @@
 	})
 
 	It("learns of a new neighbour while the store turns it away", func() {
-		s := newSite(1)
+		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/a/")
 		m := s.members[0]
 		Eventually(m.ready).Should(Equal(http.StatusOK))
@@ -111,9 +111,9 @@
 	})
 
 	It("lists anew when the store has forgotten its history, and when a watch is deaf", func() {
-		s := newSite(1)
+		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/a/")
-		s.worker(standin.WorkerAnswer{Body: "answer"})
+		s.startWorker(standin.WorkerAnswer{Body: "answer"})
 		m := s.members[0]
 		Eventually(m.status("/a/x")).Should(Equal(http.StatusOK))
 		m.store.Fail(standin.PlatformFaults{Deaf: true})
@@ -125,9 +125,9 @@
 	})
 
 	It("never spends more than the budget over several nodes", func() {
-		s := newSite(3)
+		s := newSpecFleet(3)
 		s.configure(1, 3000, "/stream/")
-		s.worker(standin.WorkerAnswer{Events: 10})
+		s.startWorker(standin.WorkerAnswer{Events: 10})
 		for _, m := range s.members {
 			Eventually(m.status("/stream/x")).Should(Equal(http.StatusOK))
 		}
@@ -151,9 +151,9 @@
 	})
 
 	It("cuts no request at a planned stop, and returns its tokens", func() {
-		s := newSite(2)
+		s := newSpecFleet(2)
 		s.configure(1, 100_000, "/stream/")
-		s.worker(standin.WorkerAnswer{Events: 20, Gap: 20 * time.Millisecond})
+		s.startWorker(standin.WorkerAnswer{Events: 20, Gap: 20 * time.Millisecond})
 		m := s.members[0]
 		Eventually(m.status("/stream/x")).Should(Equal(http.StatusOK))
 		stopping := time.AfterFunc(200*time.Millisecond, m.node.Stop)
@@ -181,7 +181,7 @@
 	})
 
 	It("gives its tokens to a neighbour if it stops while the store does not answer it", func() {
-		s := newSite(2)
+		s := newSpecFleet(2)
 		s.configure(1, 100_000, "/stream/")
 		m, neighbour := s.members[0], s.members[1]
 		for _, each := range s.members {
@@ -198,9 +198,9 @@
 	})
 
 	It("serves its metrics", func() {
-		s := newSite(1)
+		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/a/")
-		s.worker(standin.WorkerAnswer{Body: "answer"})
+		s.startWorker(standin.WorkerAnswer{Body: "answer"})
 		m := s.members[0]
 		Eventually(m.status("/a/x")).Should(Equal(http.StatusOK))
 		response, err := http.Get("http://" + m.config.Metrics + "/metrics")
@@ -213,7 +213,7 @@
 	})
 
 	It("closes all its addresses when it has stopped", func() {
-		m := newSite(1).members[0]
+		m := newSpecFleet(1).members[0]
 		addresses := []string{m.config.Callers, m.config.Ready, m.config.Metrics}
 		for _, address := range addresses {
 			Eventually(func() bool { return reachable(address) }).Should(BeTrue())
--- a/node/permits.go
+++ b/node/permits.go
@@ -17,88 +17,86 @@
 	"granitehoist.example/granitehoist/throttle"
 )
 
-// The permits for an upstream are issued by the node that is ranked first for it, by
-// rendezvous hashing. A node asks it as soon as a request could have used a permit. If it
-// does not answer, the next in rank stands in, at a part of the rate. A node that reaches
-// neither, or that does not know the fleet yet, has no permits and sends nothing there.
+// Each upstream with a rate limit has one node that issues the permits for it, selected
+// by rendezvous hashing. If that node does not answer, the next in rank issues permits at
+// a fraction of the rate. A node that reaches neither, or does not know the fleet yet,
+// sends the upstream nothing.
 
-// methodPermits is the method by which a node asks another for permits.
+// methodPermits is the method by which a node requests permits from an issuer.
 const methodPermits = "limits.permits"
 
 const (
-	// permitTimeout bounds a question, connecting included: neighbours of one site answer
-	// in milliseconds, and no request waits longer for a permit on a route with a target
-	// of 0.5 s.
+	// permitTimeout bounds a call of methodPermits, connecting included. It is also the
+	// longest that a request with a latency target of 0.5 s may wait for a permit.
 	permitTimeout = 100 * time.Millisecond
-	// permitRetry is the time until the next question after one that nobody answered.
-	permitRetry = 200 * time.Millisecond
-	// permitPause is the least time between two rounds of questions, so that requests that
-	// come together share one.
-	permitPause = 2 * time.Millisecond
-	// avoidIssuer is how long an issuer that did not answer is left out. Chosen, not
-	// measured; as of a lender of tokens.
-	avoidIssuer = 1500 * time.Millisecond
-	// issuerShards is the number of groups of upstreams that have one issuer each: peers
-	// keeps the ranks of each group.
+	// permitRetryDelay is the delay before a failed call is retried.
+	permitRetryDelay = 200 * time.Millisecond
+	// minPermitInterval is the minimum time between two rounds of calls, so that
+	// simultaneous requests share one.
+	minPermitInterval = 2 * time.Millisecond
+	// issuerAvoidTime is how long an issuer that did not answer is avoided.
+	issuerAvoidTime = 1500 * time.Millisecond
+	// issuerShards is the number of groups of upstreams that share an issuer; peers
+	// caches the ranking of each group.
 	issuerShards = 256
 )
 
-// errNoIssuer says that this node knows nobody who issues permits.
+// errNoIssuer says that no issuer is known or reachable.
 var errNoIssuer = eris.New("node: no node to ask for permits")
 
-// permitQuestion asks an issuer for permits. An issuer of an older version does not serve
-// the method and counts as one that does not answer.
-type permitQuestion struct {
-	// StandsIn says that the node that is ranked before the asked one did not answer.
+// permitsParams holds the parameters of methodPermits. A node of an older version does
+// not serve the method and counts as unreachable.
+type permitsParams struct {
+	// StandsIn says that the node ranked before the called one did not answer.
 	StandsIn bool            `json:"stands_in,omitempty"`
 	Permits  []permitRequest `json:"permits"`
 }
 
-// permitRequest asks for permits for one upstream.
+// permitRequest requests permits for one upstream.
 type permitRequest struct {
-	// Limit is what the asking node believes of the limit.
+	// Limit is the rate limit as known to the caller.
 	Limit balance.LimitRecord `json:"limit"`
 	Count int                 `json:"count"`
-	// WithinMS is for how long the permits can be waited for, in milliseconds.
+	// WithinMS is how long the caller can wait for the permits, in milliseconds.
 	WithinMS float64 `json:"within_ms"`
 }
 
-// permitReply has an entry for each entry of the question, in its order.
-type permitReply struct {
+// permitsResult holds one grant per request, in the same order.
+type permitsResult struct {
 	Permits []permitGrant `json:"permits"`
 }
 
-// permitGrant is what the issuer says of one upstream.
+// permitGrant is the issuer's response for one upstream.
 type permitGrant struct {
-	// Count permits may be used DueMS milliseconds after the question.
+	// Count permits may be used DueMS milliseconds after the call began.
 	Count int     `json:"count,omitempty"`
 	DueMS float64 `json:"due_ms,omitempty"`
-	// RetryMS is when to ask again if Count is zero.
+	// RetryMS is the time after which to ask again, in milliseconds, if Count is zero.
 	RetryMS float64 `json:"retry_ms,omitempty"`
-	// Limit is what the issuer believes of the limit.
+	// Limit is the rate limit as known to the issuer.
 	Limit *balance.LimitRecord `json:"limit,omitempty"`
 }
 
-// runPermits fetches the permits that the table wants, until ctx ends.
-func (l *limits) runPermits(ctx context.Context) {
-	var questions sync.WaitGroup
-	defer questions.Wait()
+// runPermits fetches the permits that the table requests, until ctx ends.
+func (l *rateLimits) runPermits(ctx context.Context) {
+	var calls sync.WaitGroup
+	defer calls.Wait()
 	for ctx.Err() == nil {
 		now := l.clock()
 		requests, next := l.table.PermitRequests(now)
-		for issuer, requests := range l.byIssuer(requests, now) {
-			questions.Go(func() { l.fetch(ctx, issuer, requests) })
+		for issuer, requests := range l.groupByIssuer(requests, now) {
+			calls.Go(func() { l.fetch(ctx, issuer, requests) })
 		}
-		l.waitForWants(ctx, next, now)
+		l.waitForDemand(ctx, next, now)
 	}
 }
 
-// waitForWants waits until the table may want permits again: until it says so, or until
-// next if that is set.
-func (l *limits) waitForWants(ctx context.Context, next, now time.Time) {
+// waitForDemand waits until the table may need permits again: until it signals so, or
+// until next if that is set.
+func (l *rateLimits) waitForDemand(ctx context.Context, next, now time.Time) {
 	var due <-chan time.Time
 	if !next.IsZero() {
-		timer := time.NewTimer(max(permitPause, next.Sub(now)))
+		timer := time.NewTimer(max(minPermitInterval, next.Sub(now)))
 		defer timer.Stop()
 		due = timer.C
 	}
@@ -109,34 +107,34 @@
 	}
 }
 
-// issuer is whom a node asks for permits.
+// issuer is the node to ask for permits.
 type issuer struct {
 	peer granitehoist.Peer
-	// self says that it is this node, known that there is one at all.
+	// self says that it is this node, known that there is an issuer at all.
 	self, known bool
 	standsIn    bool
 }
 
-// byIssuer groups requests by the node that is asked.
-func (l *limits) byIssuer(requests []balance.PermitRequest, now time.Time) map[issuer][]balance.PermitRequest {
+// groupByIssuer groups requests by the node that is asked.
+func (l *rateLimits) groupByIssuer(requests []balance.PermitRequest, now time.Time) map[issuer][]balance.PermitRequest {
 	var groups map[issuer][]balance.PermitRequest
 	for _, r := range requests {
 		if groups == nil {
 			groups = map[issuer][]balance.PermitRequest{}
 		}
-		asked := l.issuerOf(r.Limit.Upstream, now)
-		groups[asked] = append(groups[asked], r)
+		target := l.issuerOf(r.Limit.Upstream, now)
+		groups[target] = append(groups[target], r)
 	}
 	return groups
 }
 
-// issuerOf returns whom this node asks for permits for an upstream: the node ranked first,
-// or the second while the first does not answer.
-func (l *limits) issuerOf(u granitehoist.Upstream, now time.Time) issuer {
+// issuerOf returns the node to ask for permits for an upstream: the first in rank, or the
+// second while the first is avoided.
+func (l *rateLimits) issuerOf(u granitehoist.Upstream, now time.Time) issuer {
 	ranked := l.peers.issuers(u)
 	for rank, entry := range ranked[:min(2, len(ranked))] {
 		candidate := issuer{peer: entry.peer(), self: entry.Box == l.peers.settings.self.Box, known: true, standsIn: rank > 0}
-		if candidate.self || !l.avoided.contains(entry.Address, now) {
+		if candidate.self || !l.avoidedIssuers.contains(entry.Address, now) {
 			return candidate
 		}
 	}
@@ -154,53 +152,52 @@
 	return p.rankedLocked(escrow.Shard(xxhash.Sum64String(string(u)) % issuerShards))
 }
 
-// fetch asks one node for permits and hands them to the table.
-func (l *limits) fetch(ctx context.Context, from issuer, requests []balance.PermitRequest) {
-	asked := l.clock()
-	question := questionOf(requests, from.standsIn)
-	reply, err := l.ask(ctx, from, question)
+// fetch requests permits from one node and passes them to the table.
+func (l *rateLimits) fetch(ctx context.Context, from issuer, requests []balance.PermitRequest) {
+	startedAt := l.clock()
+	params := newPermitsParams(requests, from.standsIn)
+	reply, err := l.ask(ctx, from, params)
 	now := l.clock()
 	if err != nil || len(reply.Permits) != len(requests) {
 		l.counters.count(int64(len(requests)), metricPermits, "result=%q", "failed")
-		l.avoided.add(from.peer.Address, now.Add(avoidIssuer))
+		l.avoidedIssuers.add(from.peer.Address, now.Add(issuerAvoidTime))
 		for _, r := range requests {
-			l.table.NotePermits(balance.PermitAnswer{Life: r.Limit.Life(), Retry: now.Add(permitRetry)})
+			l.table.NotePermits(balance.PermitAnswer{Life: r.Limit.Life(), Retry: now.Add(permitRetryDelay)})
 		}
 		return
 	}
 	for i, r := range requests {
-		l.take(r, reply.Permits[i], asked, now)
+		l.applyGrant(r, reply.Permits[i], startedAt, now)
 	}
 }
 
-// questionOf returns the message for requests.
-func questionOf(requests []balance.PermitRequest, standsIn bool) permitQuestion {
-	question := permitQuestion{StandsIn: standsIn}
+// newPermitsParams returns the parameters of a call for requests.
+func newPermitsParams(requests []balance.PermitRequest, standsIn bool) permitsParams {
+	params := permitsParams{StandsIn: standsIn}
 	for _, r := range requests {
-		question.Permits = append(question.Permits, permitRequest{Limit: r.Limit, Count: r.Count, WithinMS: inMilliseconds(r.Within)})
+		params.Permits = append(params.Permits, permitRequest{Limit: r.Limit, Count: r.Count, WithinMS: toMilliseconds(r.Within)})
 	}
-	return question
+	return params
 }
 
-// ask asks a node, which may be this one.
-func (l *limits) ask(ctx context.Context, to issuer, question permitQuestion) (permitReply, error) {
+// ask calls the issuer, which may be this node.
+func (l *rateLimits) ask(ctx context.Context, to issuer, params permitsParams) (permitsResult, error) {
 	switch {
 	case !to.known:
-		return permitReply{}, errNoIssuer
+		return permitsResult{}, errNoIssuer
 	case to.self:
-		return l.serveQuestion(ctx, question)
+		return l.servePermits(ctx, params)
 	}
 	ctx, cancel := context.WithTimeout(ctx, permitTimeout)
 	defer cancel()
-	var reply permitReply
-	err := l.peers.Call(ctx, to.peer, methodPermits, question, &reply)
+	var reply permitsResult
+	err := l.peers.Call(ctx, to.peer, methodPermits, params, &reply)
 	return reply, err
 }
 
-// take hands what an issuer said of one upstream to the table. Its times count from when
-// the question was asked, so that a reply that was long under way does not move a permit
-// beyond the time for which it was issued.
-func (l *limits) take(r balance.PermitRequest, g permitGrant, asked, now time.Time) {
+// applyGrant passes a grant to the table. Times count from the start of the call, so that
+// a slow response does not extend the validity of a permit.
+func (l *rateLimits) applyGrant(r balance.PermitRequest, g permitGrant, startedAt, now time.Time) {
 	if g.Limit != nil {
 		l.table.MergeLimits([]balance.LimitRecord{*g.Limit}, now)
 	}
@@ -209,59 +206,59 @@
 		result = "granted"
 	}
 	l.counters.count(int64(max(1, g.Count)), metricPermits, "result=%q", result)
-	due := asked.Add(duration(g.DueMS))
+	due := startedAt.Add(fromMilliseconds(g.DueMS))
 	l.table.NotePermits(balance.PermitAnswer{
 		Life:    r.Limit.Life(),
 		Count:   g.Count,
 		Due:     due,
 		Expires: due.Add(throttle.Validity),
-		Retry:   asked.Add(max(permitPause, duration(g.RetryMS))),
+		Retry:   startedAt.Add(max(minPermitInterval, fromMilliseconds(g.RetryMS))),
 	})
 }
 
-// serveQuestion issues permits to a node, which may be this one.
-func (l *limits) serveQuestion(_ context.Context, q permitQuestion) (permitReply, error) {
+// servePermits issues permits to a node, which may be this one.
+func (l *rateLimits) servePermits(_ context.Context, q permitsParams) (permitsResult, error) {
 	now := l.clock()
-	var reply permitReply
+	var reply permitsResult
 	for _, r := range q.Permits {
 		reply.Permits = append(reply.Permits, l.issue(r, q.StandsIn, now))
 	}
 	return reply, nil
 }
 
-// issue issues permits for one upstream. An upstream that this node does not know is
-// issued for by what the asking node believes.
-func (l *limits) issue(r permitRequest, standsIn bool, now time.Time) permitGrant {
+// issue issues permits for one upstream. If this node does not know the upstream's limit,
+// it uses that of the caller.
+func (l *rateLimits) issue(r permitRequest, standsIn bool, now time.Time) permitGrant {
 	l.table.MergeLimits([]balance.LimitRecord{r.Limit}, now)
 	limit, known := l.table.Limit(r.Limit.Life(), now)
 	if !known {
 		limit = r.Limit
 	}
 	if !limit.Limited {
-		return permitGrant{RetryMS: inMilliseconds(permitPause), Limit: &limit}
+		return permitGrant{RetryMS: toMilliseconds(minPermitInterval), Limit: &limit}
 	}
 	grant := l.issuer.Issue(throttle.Request{
 		Life:     throttle.Life{Upstream: limit.Upstream, Born: limit.Born},
 		Rate:     float64(limit.Rate),
 		Count:    r.Count,
-		Within:   duration(r.WithinMS),
+		Within:   fromMilliseconds(r.WithinMS),
 		StandsIn: standsIn,
 	}, now)
 	return permitGrant{
 		Count:   grant.Count,
-		DueMS:   inMilliseconds(grant.Due),
-		RetryMS: inMilliseconds(grant.Retry),
+		DueMS:   toMilliseconds(grant.Due),
+		RetryMS: toMilliseconds(grant.Retry),
 		Limit:   &limit,
 	}
 }
 
-// maxMessageTime bounds the times of messages, which are far below it.
-const maxMessageTime = time.Hour
+// maxMessageDuration bounds the durations accepted in messages.
+const maxMessageDuration = time.Hour
 
-// inMilliseconds and duration translate the times of messages; one that can't be counts as
-// the nearest that can.
-func inMilliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
+// toMilliseconds and fromMilliseconds convert the durations of messages. fromMilliseconds
+// limits its result to between 0 and maxMessageDuration.
+func toMilliseconds(d time.Duration) float64 { return d.Seconds() * 1000 }
 
-func duration(ms float64) time.Duration {
-	return time.Duration(min(max(0, ms), inMilliseconds(maxMessageTime)) * float64(time.Millisecond))
+func fromMilliseconds(ms float64) time.Duration {
+	return time.Duration(min(max(0, ms), toMilliseconds(maxMessageDuration)) * float64(time.Millisecond))
 }
--- a/node/push.go
+++ b/node/push.go
@@ -17,80 +17,77 @@
 )
 
 const (
-	// pushTimeout bounds one message, connecting included: neighbours of one site answer
-	// in milliseconds.
+	// pushTimeout bounds one message, connecting included. Neighbours in the same fleet
+	// answer within milliseconds.
 	pushTimeout = 200 * time.Millisecond
-	// maxPushes bounds the messages in progress.
+	// maxPushes bounds the number of messages in progress.
 	maxPushes = 32
-	// pushPause times the number of nodes is the least time between two messages to one
-	// neighbour, so that a node sends at most 500 messages a second however much there is
-	// to push: 2.2 s at 1,100 nodes, below the 3 s in which all nodes have to know of a
-	// crash.
-	pushPause = 2 * time.Millisecond
-	// minPushPause is the least such time in small fleets: far below the time in which
-	// callers retry.
-	minPushPause = 50 * time.Millisecond
-	// pushRetry is the time until a failed push is retried: a node that was cut off has to
-	// know within 3 s.
-	pushRetry = 700 * time.Millisecond
+	// pushDelayPerNode times the number of nodes is the minimum time between two messages
+	// to one neighbour, so that a node sends at most 500 messages per second.
+	pushDelayPerNode = 2 * time.Millisecond
+	// minPushDelay is that minimum in small fleets.
+	minPushDelay = 50 * time.Millisecond
+	// pushRetryDelay is the delay before a failed push is retried. All nodes have to
+	// learn of a crash within 3 s.
+	pushRetryDelay = 700 * time.Millisecond
 )
 
-// pusher sends every neighbour what this node has observed of one kind, until each has
-// acknowledged it. News is the message. It is safe for concurrent use, but pushAll is
-// called by one goroutine.
-type pusher[News any] struct {
+// pusher sends this node's observations of one kind to every neighbour until each has
+// acknowledged them. Message is the type sent. It is safe for concurrent use, except that
+// pushAll must be called by one goroutine.
+type pusher[Message any] struct {
 	peers  *peers
 	clock  granitehoist.Clock
 	method string
-	// after returns what was observed after a version, whether there is anything, and the
-	// version that it ends with.
-	after func(version uint64) (News, bool, uint64)
+	// changesAfter returns the observations made after a version, whether there are any,
+	// and the version that they reach.
+	changesAfter func(version uint64) (Message, bool, uint64)
 
-	// mu guards pushed.
-	mu     sync.Mutex
-	pushed map[granitehoist.Incarnation]pushState
+	// mu guards acknowledged.
+	mu           sync.Mutex
+	acknowledged map[granitehoist.Incarnation]pushProgress
 }
 
-// pushState is how far a neighbour has acknowledged what was pushed.
-type pushState struct {
-	// version is the version that it acknowledged.
+// pushProgress says how much a neighbour has acknowledged.
+type pushProgress struct {
+	// version is the latest version acknowledged.
 	version uint64
-	// retryAt is when the next push may be tried after one that failed.
+	// retryAt is the earliest time of the next push after a failed one.
 	retryAt time.Time
 }
 
-// pushResult is what came of one round.
+// pushResult counts the outcome of one round of pushes.
 type pushResult struct {
-	// called is the number of messages, failed that of those without an answer.
+	// called is the number of messages sent, failed that of messages without an answer.
 	called, failed int
 	// waiting is the number of neighbours whose retry is not due yet.
 	waiting int
 }
 
-// pause returns the least time until the next round, zero if nothing was sent and nothing
-// is to be retried. routers is the size of the fleet.
-func (r pushResult) pause(routers int) time.Duration {
+// delay returns the minimum time until the next round, zero if nothing was sent and no
+// retry is pending. routers is the size of the fleet.
+func (r pushResult) delay(routers int) time.Duration {
 	if r.called == 0 && r.waiting == 0 {
 		return 0
 	}
-	return max(minPushPause, time.Duration(routers)*pushPause)
+	return max(minPushDelay, time.Duration(routers)*pushDelayPerNode)
 }
 
-// pushAll pushes to all neighbours what they have not acknowledged, unless their retry is
-// not due yet.
-func (p *pusher[News]) pushAll(ctx context.Context, now time.Time) pushResult {
+// pushAll sends all neighbours what they have not acknowledged, except those whose retry
+// is not due yet.
+func (p *pusher[Message]) pushAll(ctx context.Context, now time.Time) pushResult {
 	var calls errgroup.Group
 	calls.SetLimit(maxPushes)
 	var result pushResult
 	var failed atomic.Int64
-	news := newsCache[News]{after: p.after}
+	cache := pendingCache[Message]{changesAfter: p.changesAfter}
 	neighbours := p.peers.view().others
-	p.dropFormerPeers(neighbours)
+	p.removeFormerPeers(neighbours)
 	for _, other := range neighbours {
-		state := p.stateOf(other.Incarnation)
-		pending := news.get(state.version)
+		state := p.progressOf(other.Incarnation)
+		pending := cache.get(state.version)
 		switch {
-		case !pending.any:
+		case !pending.nonEmpty:
 			continue
 		case now.Before(state.retryAt):
 			result.waiting++
@@ -104,88 +101,88 @@
 			return nil
 		})
 	}
-	// The functions return no error: a failed push is retried.
+	// A failed push is counted and retried, so the group never has an error.
 	_ = calls.Wait()
 	result.failed = int(failed.Load())
 	return result
 }
 
-// newsCache holds what one round pushes, by the version that a neighbour acknowledged:
-// most neighbours share one. It is used by one goroutine.
-type newsCache[News any] struct {
-	after func(version uint64) (News, bool, uint64)
-	news  map[uint64]observed[News]
+// pendingCache caches the messages of one round by acknowledged version, since most
+// neighbours share one. It is not safe for concurrent use.
+type pendingCache[Message any] struct {
+	changesAfter     func(version uint64) (Message, bool, uint64)
+	pendingByVersion map[uint64]pendingMessage[Message]
 }
 
-// observed is what this node saw, up to a version.
-type observed[News any] struct {
-	news    News
-	any     bool
-	version uint64
+// pendingMessage is the message for neighbours that acknowledged an earlier version.
+type pendingMessage[Message any] struct {
+	message  Message
+	nonEmpty bool
+	version  uint64
 }
 
-// get returns what the node saw after a version.
-func (c *newsCache[News]) get(version uint64) observed[News] {
-	if cached, found := c.news[version]; found {
+// get returns the message for neighbours that acknowledged a version.
+func (c *pendingCache[Message]) get(version uint64) pendingMessage[Message] {
+	if cached, found := c.pendingByVersion[version]; found {
 		return cached
 	}
-	if c.news == nil {
-		c.news = map[uint64]observed[News]{}
+	if c.pendingByVersion == nil {
+		c.pendingByVersion = map[uint64]pendingMessage[Message]{}
 	}
-	var o observed[News]
-	o.news, o.any, o.version = c.after(version)
-	c.news[version] = o
-	return o
+	var pending pendingMessage[Message]
+	pending.message, pending.nonEmpty, pending.version = c.changesAfter(version)
+	c.pendingByVersion[version] = pending
+	return pending
 }
 
-// push sends one neighbour what it lacks. Its error is that of the call.
-func (p *pusher[News]) push(ctx context.Context, to granitehoist.Peer, news observed[News]) error {
+// push sends one neighbour its pending message. Its error is that of the call.
+func (p *pusher[Message]) push(ctx context.Context, to granitehoist.Peer, pending pendingMessage[Message]) error {
 	ctx, cancel := context.WithTimeout(ctx, pushTimeout)
 	defer cancel()
-	var reply News
-	err := p.peers.Call(ctx, to, p.method, news.news, &reply)
+	var reply Message
+	err := p.peers.Call(ctx, to, p.method, pending.message, &reply)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.pushed == nil {
-		p.pushed = map[granitehoist.Incarnation]pushState{}
+	if p.acknowledged == nil {
+		p.acknowledged = map[granitehoist.Incarnation]pushProgress{}
 	}
-	state := p.pushed[to.Incarnation]
+	state := p.acknowledged[to.Incarnation]
 	if err != nil && !isUnknownMethod(err) {
-		// It may have taken the message; a second one changes nothing.
-		state.retryAt = p.clock().Add(pushRetry)
+		// The neighbour may have received the message; a duplicate has no effect.
+		state.retryAt = p.clock().Add(pushRetryDelay)
 	} else {
-		state = pushState{version: news.version}
+		state = pushProgress{version: pending.version}
 	}
-	p.pushed[to.Incarnation] = state
+	p.acknowledged[to.Incarnation] = state
 	return err
 }
 
-// isUnknownMethod reports whether a neighbour of an older version does not serve a method.
-// It will not do so before it restarts as another incarnation.
+// isUnknownMethod reports whether a neighbour of an older version lacks a method. It will
+// not gain it before it restarts as another incarnation.
 func isUnknownMethod(err error) bool {
 	var answer *jsonrpc2.Error
 	return errors.As(err, &answer) && answer.Code == jsonrpc2.CodeMethodNotFound
 }
 
-// stateOf returns the state of a neighbour, the zero state if nothing was pushed to it.
-func (p *pusher[News]) stateOf(i granitehoist.Incarnation) pushState {
+// progressOf returns the progress of a neighbour, zero if nothing was pushed to it.
+func (p *pusher[Message]) progressOf(i granitehoist.Incarnation) pushProgress {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.pushed[i]
+	return p.acknowledged[i]
 }
 
-// dropFormerPeers drops the state of incarnations that are no longer neighbours.
-func (p *pusher[News]) dropFormerPeers(neighbours []peerEntry) {
+// removeFormerPeers removes the progress of incarnations that are no longer neighbours.
+func (p *pusher[Message]) removeFormerPeers(neighbours []peerEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.pushed) <= len(neighbours) {
+	if len(p.acknowledged) <= len(neighbours) {
 		return
 	}
-	kept := map[granitehoist.Incarnation]pushState{}
+	remaining := map[granitehoist.Incarnation]pushProgress{}
 	for _, other := range neighbours {
-		if state, found := p.pushed[other.Incarnation]; found {
-			kept[other.Incarnation] = state
+		if state, found := p.acknowledged[other.Incarnation]; found {
+			remaining[other.Incarnation] = state
 		}
 	}
-	p.pushed = kept
+	p.acknowledged = remaining
 }
--- a/node/ratelimit_test.go
+++ b/node/ratelimit_test.go
@@ -21,13 +21,13 @@
 const (
 	// limitWindow is the time to which the users' bound on arrivals applies, and
 	// limitLearnt the time from the first answer that names a limit to its beginning.
-	limitWindow = 4 * time.Second
-	limitLearnt = 3 * time.Second
+	limitWindow     = 4 * time.Second
+	limitSettleTime = 3 * time.Second
 )
 
-// allowedInWindow is the most requests that an upstream may get in some limitWindow: one
+// maxAllowedArrivals is the most requests that an upstream may get in some limitWindow: one
 // and a half times what its limit allows, and 5.
-func allowedInWindow(perSecond float64) int {
+func maxAllowedArrivals(perSecond float64) int {
 	return int(1.5*perSecond*limitWindow.Seconds() + 5)
 }
 
@@ -43,14 +43,14 @@
 	a.times = append(a.times, t)
 }
 
-// worst returns the most arrivals in some limitWindow that begins limitLearnt after the
+// maxInWindow returns the most arrivals in some limitWindow that begins limitLearnt after the
 // first arrival or later.
-func (a *arrivalTimes) worst() int {
+func (a *arrivalTimes) maxInWindow() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	worst := 0
 	for i, begin := range a.times {
-		if begin.Sub(a.times[0]) < limitLearnt {
+		if begin.Sub(a.times[0]) < limitSettleTime {
 			continue
 		}
 		count := 0
@@ -64,8 +64,8 @@
 	return worst
 }
 
-// count returns the number of arrivals since a time.
-func (a *arrivalTimes) count(since time.Time) int {
+// countSince returns the number of arrivals since a time.
+func (a *arrivalTimes) countSince(since time.Time) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	count := 0
@@ -81,17 +81,17 @@
 // and keeps when requests reach it.
 type limitedWorker struct {
 	arrivalTimes
-	need atomic.Bool
+	limiting atomic.Bool
 }
 
 // limitedWorker starts a worker in need that names a limit.
-func (s *site) limitedWorker(limit string) *limitedWorker {
+func (s *testFleet) limitedWorker(limit string) *limitedWorker {
 	w := &limitedWorker{}
-	w.need.Store(true)
-	s.workerThat(func(standin.Arrival) standin.WorkerAnswer {
+	w.limiting.Store(true)
+	s.startWorkerFunc(func(standin.Arrival) standin.WorkerAnswer {
 		w.add(time.Now())
 		answer := standin.WorkerAnswer{Body: "answer"}
-		if w.need.Load() {
+		if w.limiting.Load() {
 			answer.RateLimit = []string{limit}
 		}
 		return answer
@@ -99,8 +99,8 @@
 	return w
 }
 
-// expectFleet waits until all nodes know each other, and each serves a path if one is given.
-func (s *site) expectFleet(path string) {
+// awaitFleet waits until all nodes know each other, and each serves a path if one is given.
+func (s *testFleet) awaitFleet(path string) {
 	for _, m := range s.members {
 		s.Eventually(m.node.Routers, stepTimeout).Should(Equal(len(s.members)))
 		if path != "" {
@@ -109,13 +109,13 @@
 	}
 }
 
-// knowsLimits returns a function that reports how many limits a node knows.
-func (m *member) knowsLimits() func() int {
+// knownLimits returns a function that reports how many limits a node knows.
+func (m *member) knownLimits() func() int {
 	return func() int { return strings.Count(m.metrics(), "upstream_limit{") }
 }
 
-// exchanged is one request of loadEach and what became of it.
-type exchanged struct {
+// sentRequest is one request of loadEach and what became of it.
+type sentRequest struct {
 	// member is the index of the node that got the request.
 	member int
 	sent   time.Time
@@ -129,18 +129,18 @@
 // the request of an id.
 func loadID(round, member int) string { return fmt.Sprintf("load-%d-%d", round, member) }
 
-func memberOf(id string) int {
+func memberIndex(id string) int {
 	_, number, _ := strings.Cut(strings.TrimPrefix(id, "load-"), "-")
 	// Every request of a load has such an id.
 	member, _ := strconv.Atoi(number)
 	return member
 }
 
-// loadEach sends each node of a site one request every pause, without waiting for answers,
+// sendLoad sends each node of a site one request every pause, without waiting for answers,
 // for a time, and returns all of them once they have ended.
-func (s *site) loadEach(path string, pause, lasts time.Duration) []exchanged {
+func (s *testFleet) sendLoad(path string, pause, lasts time.Duration) []sentRequest {
 	var mu sync.Mutex
-	var all []exchanged
+	var all []sentRequest
 	var callers sync.WaitGroup
 	for end, round := time.Now().Add(lasts), 0; time.Now().Before(end); round++ {
 		for i, m := range s.members {
@@ -152,7 +152,7 @@
 				}
 				mu.Lock()
 				defer mu.Unlock()
-				all = append(all, exchanged{member: i, sent: sent, got: got, took: time.Since(sent)})
+				all = append(all, sentRequest{member: i, sent: sent, got: got, took: time.Since(sent)})
 			})
 		}
 		time.Sleep(pause)
@@ -161,12 +161,12 @@
 	return all
 }
 
-// load sends requests as loadEach does, and returns how many got each status.
-func (s *site) load(path string, pause, lasts time.Duration) map[int]int {
-	return statusesOf(s.loadEach(path, pause, lasts))
+// sendLoadStatuses sends requests as loadEach does, and returns how many got each status.
+func (s *testFleet) sendLoadStatuses(path string, pause, lasts time.Duration) map[int]int {
+	return countStatuses(s.sendLoad(path, pause, lasts))
 }
 
-func statusesOf(all []exchanged) map[int]int {
+func countStatuses(all []sentRequest) map[int]int {
 	statuses := map[int]int{}
 	for _, e := range all {
 		statuses[e.got.status]++
@@ -174,47 +174,47 @@
 	return statuses
 }
 
-// TestNamedLimitIsKept is the incident of upstreams in need that were not spared. Each
+// TestRateLimitIsRespected is the incident of upstreams in need that were not spared. Each
 // named in its answers how many requests a second it takes from all routers together, 1.5
 // of them, and went on to get 3 a second: no router read the limit, so that each chose as
 // before among all upstreams, and the owner of a prefix kept its requests. 35 of 36
 // attempts at one of the upstreams came for a prefix that it owned and one of 57 was a
 // repeat, which ruled out that retries had gone there; that no state of a router held a
 // limit ruled out that each had kept the whole limit for itself.
-func TestNamedLimitIsKept(t *testing.T) {
+func TestRateLimitIsRespected(t *testing.T) {
 	t.Parallel()
 	const routers, others, perSecond = 3, 3, 1.6
-	s := newScene(t, routers)
+	s := newTestFleet(t, routers)
 	s.configure(1, 1_000_000, "/a/")
 	limited := s.limitedWorker(fmt.Sprint(perSecond))
 	for range others {
-		s.worker(standin.WorkerAnswer{Body: "answer"})
+		s.startWorker(standin.WorkerAnswer{Body: "answer"})
 	}
-	s.expectFleet("/a/x")
-	statuses := s.load("/a/x", 50*time.Millisecond, limitLearnt+limitWindow+time.Second)
+	s.awaitFleet("/a/x")
+	statuses := s.sendLoadStatuses("/a/x", 50*time.Millisecond, limitSettleTime+limitWindow+time.Second)
 	s.Expect(statuses).To(HaveLen(1), "statuses")
 	s.Expect(statuses).To(HaveKey(http.StatusOK))
-	s.Expect(limited.worst()).To(BeNumerically("<=", allowedInWindow(perSecond)), "requests in %s", limitWindow)
+	s.Expect(limited.maxInWindow()).To(BeNumerically("<=", maxAllowedArrivals(perSecond)), "requests in %s", limitWindow)
 }
 
-// TestLimitIsToldToAll checks that a limit that one router saw, and its end, reaches
+// TestRateLimitReachesAllRouters checks that a limit that one router saw, and its end, reaches
 // routers that have sent the upstream nothing, and one that starts later.
-func TestLimitIsToldToAll(t *testing.T) {
+func TestRateLimitReachesAllRouters(t *testing.T) {
 	t.Parallel()
-	s := newScene(t, 3)
+	s := newTestFleet(t, 3)
 	s.configure(1, 1_000_000, "/a/")
 	limited := s.limitedWorker("50")
-	s.expectFleet("")
+	s.awaitFleet("")
 	s.Eventually(s.members[0].status("/a/x"), stepTimeout).Should(Equal(http.StatusOK))
 	for _, m := range s.members {
-		s.Eventually(m.knowsLimits(), stepTimeout).Should(Equal(1))
+		s.Eventually(m.knownLimits(), stepTimeout).Should(Equal(1))
 	}
 	s.members = append(s.members, s.start())
-	s.Eventually(s.members[3].knowsLimits(), stepTimeout).Should(Equal(1))
-	limited.need.Store(false)
+	s.Eventually(s.members[3].knownLimits(), stepTimeout).Should(Equal(1))
+	limited.limiting.Store(false)
 	s.Eventually(s.members[1].status("/a/x"), stepTimeout).Should(Equal(http.StatusOK))
 	for _, m := range s.members {
-		s.Eventually(m.knowsLimits(), stepTimeout).Should(BeZero())
+		s.Eventually(m.knownLimits(), stepTimeout).Should(BeZero())
 	}
 }
 
@@ -227,27 +227,27 @@
 	const routers, workers, perSecond = 3, 2, 5.0
 	// started is for how long a router that issues permits keeps to a part of the rate.
 	const started = 10 * time.Second
-	s := newScene(t, routers)
+	s := newTestFleet(t, routers)
 	s.configure(1, 1_000_000, "/a/")
 	var limited []*limitedWorker
 	for range workers {
 		limited = append(limited, s.limitedWorker(fmt.Sprint(perSecond)))
 	}
-	s.expectFleet("")
-	s.load("/a/x", 75*time.Millisecond, started)
+	s.awaitFleet("")
+	s.sendLoadStatuses("/a/x", 75*time.Millisecond, started)
 	began := time.Now()
-	statuses := s.load("/a/x", 75*time.Millisecond, 2*limitWindow)
+	statuses := s.sendLoadStatuses("/a/x", 75*time.Millisecond, 2*limitWindow)
 	s.Expect(statuses).To(HaveLen(2), "statuses")
 	s.Expect(statuses).To(HaveKey(http.StatusTooManyRequests))
 	for _, w := range limited {
-		s.Expect(w.worst()).To(BeNumerically("<=", allowedInWindow(perSecond)))
-		s.Expect(w.count(began)).To(BeNumerically(">=", int(0.8*perSecond*2*limitWindow.Seconds())), "four fifths of the limit")
-		w.need.Store(false)
+		s.Expect(w.maxInWindow()).To(BeNumerically("<=", maxAllowedArrivals(perSecond)))
+		s.Expect(w.countSince(began)).To(BeNumerically(">=", int(0.8*perSecond*2*limitWindow.Seconds())), "four fifths of the limit")
+		w.limiting.Store(false)
 	}
 	// Only requests tell that the need is over.
-	s.load("/a/x", 75*time.Millisecond, 2*time.Second)
+	s.sendLoadStatuses("/a/x", 75*time.Millisecond, 2*time.Second)
 	for _, m := range s.members {
-		s.Eventually(m.knowsLimits(), stepTimeout).Should(BeZero())
+		s.Eventually(m.knownLimits(), stepTimeout).Should(BeZero())
 		s.Expect(m.status("/a/x")()).To(Equal(http.StatusOK))
 	}
 }
@@ -257,10 +257,10 @@
 // the caller can use.
 func TestRefusedForLimitsAtOnce(t *testing.T) {
 	t.Parallel()
-	s := newScene(t, 1)
+	s := newTestFleet(t, 1)
 	s.configure(1, 1_000_000, "/a/")
 	limited := s.limitedWorker("0")
-	s.expectFleet("")
+	s.awaitFleet("")
 	m := s.members[0]
 	refused := func() answer {
 		got, err := m.ask("/a/x", "refused")
@@ -268,35 +268,35 @@
 		return got
 	}
 	s.Eventually(func() int { return refused().status }, stepTimeout).Should(Equal(http.StatusTooManyRequests))
-	arrived, asked := limited.count(time.Time{}), time.Now()
+	arrived, asked := limited.countSince(time.Time{}), time.Now()
 	got := refused()
 	s.Expect(got.status).To(Equal(http.StatusTooManyRequests))
 	s.Expect(time.Since(asked)).To(BeNumerically("<", 400*time.Millisecond))
 	seconds, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	s.Expect(err).NotTo(HaveOccurred())
 	s.Expect(seconds).To(And(BeNumerically(">", 0), BeNumerically("<=", 4.0/3)))
-	s.Expect(limited.count(time.Time{})).To(Equal(arrived))
+	s.Expect(limited.countSince(time.Time{})).To(Equal(arrived))
 }
 
-// TestIssuerEnds checks that the permits for an upstream are issued by another router when
+// TestPermitIssuerFailover checks that the permits for an upstream are issued by another router when
 // the one that issued them has ended without a word: some requests go there, no more than
 // are allowed.
-func TestIssuerEnds(t *testing.T) {
+func TestPermitIssuerFailover(t *testing.T) {
 	t.Parallel()
 	const perSecond = 8.0
-	s := newScene(t, 3)
+	s := newTestFleet(t, 3)
 	s.configure(1, 1_000_000, "/a/")
 	limited := s.limitedWorker(fmt.Sprint(perSecond))
-	s.expectFleet("")
-	s.load("/a/x", 50*time.Millisecond, time.Second)
+	s.awaitFleet("")
+	s.sendLoadStatuses("/a/x", 50*time.Millisecond, time.Second)
 	// Whichever router issues, one of these two ends is its own.
 	for range 2 {
 		ended := s.members[0]
 		s.members = s.members[1:]
 		ended.node.Stop()
 		began := time.Now()
-		s.load("/a/x", 50*time.Millisecond, limitWindow)
-		s.Expect(limited.count(began)).To(BeNumerically(">=", 2), "requests in %s", limitWindow)
+		s.sendLoadStatuses("/a/x", 50*time.Millisecond, limitWindow)
+		s.Expect(limited.countSince(began)).To(BeNumerically(">=", 2), "requests in %s", limitWindow)
 	}
-	s.Expect(limited.worst()).To(BeNumerically("<=", allowedInWindow(perSecond)), "requests in %s", limitWindow)
+	s.Expect(limited.maxInWindow()).To(BeNumerically("<=", maxAllowedArrivals(perSecond)), "requests in %s", limitWindow)
 }
--- a/node/readiness.go
+++ b/node/readiness.go
@@ -5,49 +5,49 @@
 
 import "net/http"
 
-// readiness is whether a node can serve callers, or the first reason why not.
-// The platform's balancer asks for it once a second. After two answers without a
-// 200 it sends the node no new connections.
+// readiness says whether a node can serve callers, or the first reason why not. The
+// platform's load balancer checks it once a second and sends no new connections after two
+// failed checks.
 type readiness int
 
-// The verdicts on readiness.
+// The values of readiness.
 const (
-	// readyForCallers: new connections are welcome.
+	// readyForCallers: new connections are accepted.
 	readyForCallers readiness = iota
-	// notReadyLeaving: the process was ordered to stop.
-	notReadyLeaving
-	// notReadyShedding: the box's link is nearly full (shedding.go).
+	// notReadyStopping: the process was ordered to stop.
+	notReadyStopping
+	// notReadyShedding: the box sheds callers since its link is nearly full
+	// (shedding.go).
 	notReadyShedding
-	// notReadyNoConfig: no configuration was read yet.
+	// notReadyNoConfig: no configuration has been read yet.
 	notReadyNoConfig
-	// notReadyNoInstances: the list of instances was not read yet.
+	// notReadyNoInstances: the list of instances has not been read yet.
 	notReadyNoInstances
-	// notReadyNoEvidence: the evidence against requests that crash upstreams was not read
-	// yet.
+	// notReadyNoEvidence: the evidence against requests that crash upstreams has not been
+	// read yet.
 	notReadyNoEvidence
 )
 
-// readinessInputs is what readiness depends on.
+// readinessInputs holds what readiness depends on.
 type readinessInputs struct {
-	leaving  bool
+	stopping bool
 	shedding bool
-	// hasConfig says that a configuration is in force, however old. A node that
-	// loses the store stays ready with the last one.
+	// hasConfig says that a configuration is active, however old.
 	hasConfig bool
-	// hasInstances says that the list of instances was read once, from the store
-	// or from a neighbour, however long ago. It may be empty.
+	// hasInstances says that the list of instances, possibly empty, has been read once,
+	// from the store or from a neighbour.
 	hasInstances bool
-	// hasEvidence says that the evidence was read, or that its time is over.
+	// hasEvidence says that the evidence has been read, or that the wait for it is over.
 	hasEvidence bool
 }
 
-// readiness decides whether a node is ready. The age of its copies plays no
-// part: a node that has lost the store serves on with its last copies and the
-// tokens that it owns (docs/design/platform.md, "Start, stop, loss").
+// readiness decides whether a node is ready. The age of its data does not matter: a node
+// that has lost the store continues to serve with its last copies and the tokens that it
+// owns.
 func (s readinessInputs) readiness() readiness {
 	switch {
-	case s.leaving:
-		return notReadyLeaving
+	case s.stopping:
+		return notReadyStopping
 	case s.shedding:
 		return notReadyShedding
 	case !s.hasConfig:
@@ -61,33 +61,33 @@
 	}
 }
 
-// turnsCallersAway decides whether answers ask their callers to reconnect,
-// so that they reach another node: while this one stops or its link is nearly
-// full. A node that lacks a configuration or the list of instances does not: the
-// balancer sends callers to such a node only if no other one is ready.
-func (s readinessInputs) turnsCallersAway() bool { return s.leaving || s.shedding }
+// asksCallersToReconnect decides whether responses ask callers to reconnect, so that they
+// reach another node: while this one stops or its link is nearly full. A node without a
+// configuration or instances does not, since the load balancer sends it callers only if
+// no other node is ready.
+func (s readinessInputs) asksCallersToReconnect() bool { return s.stopping || s.shedding }
 
-// readinessInputs gathers what readiness depends on.
+// readinessInputs collects the current inputs of readiness.
 func (n *Node) readinessInputs() readinessInputs {
 	return readinessInputs{
-		leaving:      n.leaving.Load(),
+		stopping:     n.stopping.Load(),
 		shedding:     n.shedding.Load(),
 		hasConfig:    n.configs.catalog.Get() != nil,
 		hasInstances: n.instances.follower.HasCopy(),
-		hasEvidence:  n.parts.suspects.gate.isOpen(),
+		hasEvidence:  n.components.suspects.gate.isOpen(),
 	}
 }
 
 // Ready reports whether the node can serve callers.
 func (n *Node) Ready() bool { return n.readinessInputs().readiness() == readyForCallers }
 
-// turnsCallersAway reports whether answers ask their callers to reconnect.
-// It runs on the path of every request, so it reads no more than it needs.
-func (n *Node) turnsCallersAway() bool {
-	return readinessInputs{leaving: n.leaving.Load(), shedding: n.shedding.Load()}.turnsCallersAway()
+// asksCallersToReconnect reports whether responses ask callers to reconnect. It runs for
+// every request, so it reads no more than it needs.
+func (n *Node) asksCallersToReconnect() bool {
+	return readinessInputs{stopping: n.stopping.Load(), shedding: n.shedding.Load()}.asksCallersToReconnect()
 }
 
-// serveReady answers the platform's health checks.
+// serveReady serves the platform's health checks.
 func (n *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !n.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/node/readiness_test.go
+++ b/node/readiness_test.go
@@ -12,9 +12,9 @@
 	}
 }
 
-func expectTurnsAway(t *testing.T, s readinessInputs, want bool) {
+func expectAsksToReconnect(t *testing.T, s readinessInputs, want bool) {
 	t.Helper()
-	if got := s.turnsCallersAway(); got != want {
+	if got := s.asksCallersToReconnect(); got != want {
 		t.Fatalf("%+v: turns callers away %v, not %v", s, got, want)
 	}
 }
@@ -34,13 +34,13 @@
 		{"without a configuration", readinessInputs{hasInstances: true}, notReadyNoConfig, false},
 		{"without instances", readinessInputs{hasConfig: true}, notReadyNoInstances, false},
 		{"with a full link", readinessInputs{shedding: true, hasConfig: true, hasInstances: true}, notReadyShedding, true},
-		{"at a stop", readinessInputs{leaving: true, hasConfig: true, hasInstances: true}, notReadyLeaving, true},
-		{"at a stop with a full link", readinessInputs{leaving: true, shedding: true}, notReadyLeaving, true},
+		{"at a stop", readinessInputs{stopping: true, hasConfig: true, hasInstances: true}, notReadyStopping, true},
+		{"at a stop with a full link", readinessInputs{stopping: true, shedding: true}, notReadyStopping, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			expectReadiness(t, c.state, c.want)
-			expectTurnsAway(t, c.state, c.turnsAway)
+			expectAsksToReconnect(t, c.state, c.turnsAway)
 		})
 	}
 }
--- a/node/suspectnews_test.go
+++ b/node/refusedrequest_test.go
@@ -18,10 +18,10 @@
 var _ = Describe("A request that is refused because it crashes upstreams", func() {
 	// newServing returns a site whose nodes serve and know each other. Each is started
 	// once the one before is in the list, so that no list has to be read again.
-	newServing := func(nodes int) (*site, *poolUnderAttack) {
-		s := newSite(0)
+	newServing := func(nodes int) (*testFleet, *crashingPool) {
+		s := newSpecFleet(0)
 		s.configure(1, 1_000_000, "/once/")
-		pool := newPoolUnderAttack(s, 6)
+		pool := newCrashingPool(s, 6)
 		for i := range nodes {
 			s.members = append(s.members, s.start())
 			Eventually(func() int { return len(s.keysUnder("boxes/")) }).Should(Equal(i + 1))
@@ -33,21 +33,21 @@
 		return s, pool
 	}
 	// newRefusing returns a site whose nodes refuse the deadly request.
-	newRefusing := func(nodes int) (*site, *poolUnderAttack) {
+	newRefusing := func(nodes int) (*testFleet, *crashingPool) {
 		s, pool := newServing(nodes)
-		pool.attack(s.members)
+		pool.sendUntilRefused(s.members)
 		return s, pool
 	}
 
-	expectRefused := func(m *member, pool *poolUnderAttack) {
+	expectRefused := func(m *member, pool *crashingPool) {
 		GinkgoHelper()
-		before := pool.endings()
-		got, err := m.ask("/once/"+deadly, "refused")
+		before := pool.crashes()
+		got, err := m.ask("/once/"+poison, "refused")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
 		Expect(got.body).To(ContainSubstring(`"code":4004`))
-		Expect(pool.endings()).To(Equal(before))
+		Expect(pool.crashes()).To(Equal(before))
 	}
 	knows := func(m *member) func() bool { return func() bool { return m.metric("suspects_refused") == "1" } }
 
@@ -59,8 +59,8 @@
 		expectRefused(started, pool)
 		ends := 0
 		for _, m := range s.members {
-			Expect(m.text.String()).NotTo(ContainSubstring("a-key"))
-			Expect(m.text.String()).NotTo(ContainSubstring("question"))
+			Expect(m.logText.String()).NotTo(ContainSubstring("a-key"))
+			Expect(m.logText.String()).NotTo(ContainSubstring("question"))
 			ends += m.logs.FilterMessage(event.Suspect).Len()
 		}
 		Expect(ends).To(BeNumerically(">=", 3))
@@ -84,7 +84,7 @@
 			m.store.Fail(standin.PlatformFaults{Hang: true})
 		}
 		// The pool has workers enough, though no new one becomes known now.
-		pool.attack(s.members)
+		pool.sendUntilRefused(s.members)
 		for _, m := range s.members {
 			Eventually(knows(m)).Should(BeTrue())
 			expectRefused(m, pool)
@@ -97,16 +97,16 @@
 	})
 
 	It("is refused by a node that can reach no other, from the store", func() {
-		s := newSite(0)
+		s := newSpecFleet(0)
 		for _, box := range []string{"ghost-1", "ghost-2"} {
 			s.put("boxes/"+box, []byte(fmt.Sprintf(`{"incarnation":%q,"box":%q,"place":"hall","address":"127.0.0.1:9"}`, box, box)))
 		}
 		s.configure(1, 1_000_000, "/once/")
-		pool := newPoolUnderAttack(s, 6)
+		pool := newCrashingPool(s, 6)
 		m := s.start()
 		Eventually(m.status("/once/x")).Should(Equal(http.StatusOK))
 		Eventually(m.node.Routers).Should(Equal(3))
-		_, err := m.ask("/once/"+deadly, "first")
+		_, err := m.ask("/once/"+poison, "first")
 		Expect(err).NotTo(HaveOccurred())
 		lines := m.logs.FilterMessage(event.Suspect).All()
 		Expect(lines).To(HaveLen(1))
@@ -131,11 +131,11 @@
 var _ = Describe("A node whose machine was suspended", func() {
 	It("gives the final answer of a request whose time is over", func() {
 		clock := &standin.Clock{}
-		s := newSite(0)
+		s := newSpecFleet(0)
 		s.clock = clock.Now
 		m := s.start()
 		s.configure(1, 1_000_000, "/once/")
-		s.worker(standin.WorkerAnswer{Silent: true})
+		s.startWorker(standin.WorkerAnswer{Silent: true})
 		Eventually(func() int { return m.logs.FilterMessage(event.Upstream).Len() }).Should(Equal(1))
 		Eventually(m.ready).Should(Equal(http.StatusOK))
 		status := make(chan int, 1)
--- a/node/relays.go
+++ b/node/relays.go
@@ -12,60 +12,47 @@
 	"granitehoist.example/granitehoist"
 )
 
-// This file decides which nodes are relays. Relays read the configuration, the
-// instances and the list of nodes from the store; all others ask a relay, so that
-// the store's calls don't grow with the fleet. In a fleet of fewer than
-// largeFleet nodes every node is one. In a larger one there is a relay for each
-// routersPerRelay nodes, but no fewer than minRelays and no more than relaysPerZone
-// for each availability zone. They are those with the fastest links, then those whose
-// boxes have the lowest hash, taken from the zones in turn, so that all nodes that
-// know the same boxes choose the same relays without a message.
+// Relays read the configuration, the instances and the node list from the store; all
+// other nodes query a relay, so that the load on the store does not grow with the fleet.
+// In a fleet of fewer than largeFleet nodes every node is a relay. In a larger one there
+// is a relay for each routersPerRelay nodes, at least minRelays, and at most
+// relaysPerZone per availability zone. Relays are the nodes with the fastest links, ties
+// broken by the lowest hash of the box, taken from the zones in turn, so that all nodes
+// that know the same boxes select the same relays without coordination.
 //
-// The input is the node's view of the fleet, which is up to listInterval old,
-// or older while the store does not answer. Two nodes whose views differ may
-// choose different relays. That only costs calls to the store, since nothing
-// depends on a node being the only relay.
-//
-// Measured on tuul-hire-grown quiet-1 (87 boxes): 16,656 calls to the store
-// before and 2,626 with relays (commit c1de361, docs/design/platform.md).
+// Nodes with different views may select different relays. That only costs calls to the
+// store, since nothing depends on a node being the only relay.
 const (
-	// largeFleet is the number of nodes from which on only some are relays: the
-	// sites of 6 to 9 routers stay below it, those of 75 and 87 above. The value
-	// between was chosen, not measured; a single writer on the small sites was
-	// measured and earned less (docs/design/platform.md).
+	// largeFleet is the number of nodes from which on only some are relays.
 	largeFleet = 16
-	// relaysPerZone is two, so that a zone keeps a relay when one dies. Chosen,
-	// not measured against other numbers.
+	// relaysPerZone is two, so that a zone keeps a relay when one fails.
 	relaysPerZone = 2
-	// routersPerRelay bounds what the relays of a fleet cost: each makes two calls
-	// a second, which with ten relays for 17 routers were half of all calls of a
-	// day. Chosen, not measured against other numbers.
+	// routersPerRelay limits the number of relays, since each makes two calls to the
+	// store per second.
 	routersPerRelay = 15
-	// minRelays is how many a large fleet has at least: with a third of the nodes
-	// cut off from the store, all of four are in one case of a hundred, and then
-	// every node finds out for itself (package follow).
+	// minRelays is the minimum in a large fleet, so that a partial loss of the store
+	// rarely cuts off all relays at once.
 	minRelays = 4
 )
 
-// fleetView is the fleet as one node sees it at one moment. It does not change.
-// Its methods are the rules that give a node its roles: here and in
-// budgetroles.go.
+// fleetView is an immutable snapshot of the fleet as one node sees it. Its methods, here
+// and in budgetroles.go, assign the node's roles.
 type fleetView struct {
 	self peerEntry
-	// others holds the neighbours, one entry a box.
+	// others holds the neighbours, one entry per box.
 	others []peerEntry
-	// complete says that enough lists were read from the store for others to
-	// hold all neighbours (listsNeeded).
+	// complete says that enough lists were read from the store for others to hold all
+	// neighbours (listsNeeded).
 	complete bool
 }
 
 // size returns the number of nodes, this one included.
 func (v fleetView) size() int { return len(v.others) + 1 }
 
-// isSmall reports whether every node of the fleet reads from the store itself.
+// isSmall reports whether every node of the fleet reads the store itself.
 func (v fleetView) isSmall() bool { return v.size() < largeFleet }
 
-// relays returns the boxes that are relays.
+// relays returns the set of boxes that are relays.
 func (v fleetView) relays() map[granitehoist.Box]bool {
 	zones := v.zones()
 	limit := v.size()
@@ -83,8 +70,8 @@
 	return relays
 }
 
-// zones returns the nodes of each availability zone, the likeliest relay first, in
-// the order of these.
+// zones returns the nodes of each availability zone, in order of relay preference, with
+// the zones ordered by their first node.
 func (v fleetView) zones() [][]peerEntry {
 	byZone := map[granitehoist.AvailabilityZone][]peerEntry{}
 	for _, entry := range append([]peerEntry{v.self}, v.others...) {
@@ -92,26 +79,25 @@
 	}
 	zones := make([][]peerEntry, 0, len(byZone))
 	for _, entries := range byZone {
-		slices.SortFunc(entries, compareRelays)
+		slices.SortFunc(entries, compareRelayPreference)
 		zones = append(zones, entries)
 	}
-	slices.SortFunc(zones, func(a, b []peerEntry) int { return compareRelays(a[0], b[0]) })
+	slices.SortFunc(zones, func(a, b []peerEntry) int { return compareRelayPreference(a[0], b[0]) })
 	return zones
 }
 
-// compareRelays orders nodes by how likely they are relays.
-func compareRelays(a, b peerEntry) int {
-	return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), compareRank(a, b))
+// compareRelayPreference orders nodes by preference as relays: faster links first.
+func compareRelayPreference(a, b peerEntry) int {
+	return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), compareBoxHash(a, b))
 }
 
-// isRelay reports whether this node reads from the store itself. A node whose
-// view is not complete yet is no relay: in a fleet that is still filling, every
-// node would be one.
+// isRelay reports whether this node reads the store itself. It returns false while the
+// view is incomplete: otherwise every node of a starting fleet would be a relay.
 func (v fleetView) isRelay() bool { return v.complete && v.relays()[v.self.Box] }
 
-// relaysToAsk returns the relays that this node asks in place of the store, those
-// of its own availability zone first. It returns none if this node is a relay
-// itself, or if its view is not complete yet; it then reads from the store.
+// relaysToAsk returns the relays that this node queries instead of the store, those of
+// its own availability zone first. It returns none if this node is a relay or its view is
+// incomplete; the node then reads the store.
 func (v fleetView) relaysToAsk() []granitehoist.Peer {
 	var peers []granitehoist.Peer
 	for _, entry := range v.relayEntries() {
@@ -120,7 +106,7 @@
 	return peers
 }
 
-// relayEntries returns the entries of relaysToAsk.
+// relayEntries returns the node entries of relaysToAsk.
 func (v fleetView) relayEntries() []peerEntry {
 	if !v.complete {
 		return nil
@@ -142,8 +128,8 @@
 	return append(sameZone, otherZones...)
 }
 
-// rankOf orders boxes the same way on all nodes, without a relation to their
+// boxHash gives boxes an order that is the same on all nodes and unrelated to their
 // names.
-func rankOf(box granitehoist.Box) uint64 { return xxhash.Sum64String(string(box)) }
+func boxHash(box granitehoist.Box) uint64 { return xxhash.Sum64String(string(box)) }
 
-func compareRank(a, b peerEntry) int { return cmp.Compare(rankOf(a.Box), rankOf(b.Box)) }
+func compareBoxHash(a, b peerEntry) int { return cmp.Compare(boxHash(a.Box), boxHash(b.Box)) }
--- a/node/relays_test.go
+++ b/node/relays_test.go
@@ -13,8 +13,8 @@
 	"granitehoist.example/granitehoist/escrow"
 )
 
-// fleetOf returns the peers of each node of a fleet in three availability zones.
-func fleetOf(count int) []*peers {
+// newTestPeers returns the peers of each node of a fleet in three availability zones.
+func newTestPeers(count int) []*peers {
 	var entries []peerEntry
 	for i := range count {
 		entries = append(entries, peerEntry{
@@ -37,13 +37,13 @@
 // TestRelays checks that a small fleet speaks with the store itself, and that all nodes of
 // a large one agree on two a zone and ask those of their own zone first.
 func TestRelays(t *testing.T) {
-	for _, p := range fleetOf(9) {
-		if !p.isRelay() || p.role(some) != escrow.Shares || len(p.relaysToAsk()) > 0 || p.routers() != 9 {
-			t.Fatalf("%s: direct %v, role %v, relays %v, %d routers", p.settings.self.Box, p.isRelay(), p.role(some), p.relaysToAsk(), p.routers())
+	for _, p := range newTestPeers(9) {
+		if !p.isRelay() || p.role(testShard) != escrow.Shares || len(p.relaysToAsk()) > 0 || p.routers() != 9 {
+			t.Fatalf("%s: direct %v, role %v, relays %v, %d routers", p.settings.self.Box, p.isRelay(), p.role(testShard), p.relaysToAsk(), p.routers())
 		}
 	}
 	relays := map[granitehoist.Incarnation]granitehoist.AvailabilityZone{}
-	fleet := fleetOf(90)
+	fleet := newTestPeers(90)
 	for _, p := range fleet {
 		if p.isRelay() {
 			relays[p.settings.self.Incarnation] = p.settings.self.Zone
@@ -68,7 +68,7 @@
 func TestRelayCount(t *testing.T) {
 	for _, c := range []struct{ routers, relays int }{{9, 9}, {16, 4}, {30, 4}, {60, 4}, {75, 5}, {90, 6}, {300, 6}} {
 		t.Run(fmt.Sprint(c.routers), func(t *testing.T) {
-			v := fleetOf(c.routers)[0].view()
+			v := newTestPeers(c.routers)[0].view()
 			zones := map[granitehoist.AvailabilityZone]int{}
 			for _, entry := range append(slices.Clone(v.others), v.self) {
 				if v.relays()[entry.Box] {
@@ -83,10 +83,10 @@
 	}
 }
 
-// TestFirstStart checks that nobody takes itself for a relay before the list
+// TestNoRelayDuringBootstrap checks that nobody takes itself for a relay before the list
 // of nodes has had time to fill.
-func TestFirstStart(t *testing.T) {
-	p := newPeers(peersSettings{first: true})
+func TestNoRelayDuringBootstrap(t *testing.T) {
+	p := newPeers(peersSettings{bootstrap: true})
 	p.listsRead = 1
 	if p.isRelay() {
 		t.Fatal("a relay after one list of a first start")
@@ -97,10 +97,10 @@
 	}
 }
 
-// TestFastRelays checks that relays are the boxes with the fastest links, and that
+// TestRelaysHaveFastestLinks checks that relays are the boxes with the fastest links, and that
 // only such a box holds a shard's tokens, which all others ask first.
-func TestFastRelays(t *testing.T) {
-	fleet := fleetOf(90)
+func TestRelaysHaveFastestLinks(t *testing.T) {
+	fleet := newTestPeers(90)
 	fast := map[granitehoist.Box]bool{"edge-7": true, "edge-8": true, "edge-9": true, "edge-30": true, "edge-31": true, "edge-32": true}
 	for _, p := range fleet {
 		if fast[p.settings.self.Box] {
@@ -117,7 +117,7 @@
 		if p.isRelay() != fast[p.settings.self.Box] {
 			t.Fatalf("%s: direct %v", p.settings.self.Box, p.isRelay())
 		}
-		if p.role(some) == escrow.Holds {
+		if p.role(testShard) == escrow.Holds {
 			holders[p.settings.self.Incarnation] = fast[p.settings.self.Box]
 		}
 		if relays := p.relaysToAsk(); p.isRelay() == (len(relays) == 6) {
@@ -128,7 +128,7 @@
 		t.Fatalf("holders %v", holders)
 	}
 	for _, p := range fleet {
-		if first := p.lenders(some)[0].Incarnation; !holders[first] && p.role(some) != escrow.Holds {
+		if first := p.lenders(testShard)[0].Incarnation; !holders[first] && p.role(testShard) != escrow.Holds {
 			t.Fatalf("%s asks %v first, holders are %v", p.settings.self.Box, first, holders)
 		}
 	}
--- a/node/reload.go
+++ b/node/reload.go
@@ -5,34 +5,33 @@
 
 import "time"
 
-// liveSettings are the settings that a running node takes from a changed file. Each
-// is read when it is used, so that a change counts from then on.
+// liveSettings holds the settings that a running node can change. Each is read at every
+// use, so that a change takes effect at once.
 type liveSettings struct {
-	// grace is Config.Grace: the next stop is planned by it.
+	// grace is Config.Grace, used by the next stop.
 	grace time.Duration
-	// linkMbps is Config.LinkMbps, by which the node sheds callers. Neighbours have
-	// the one that it started with until it starts again.
+	// linkMbps is Config.LinkMbps, used for load shedding. Neighbours see the value from
+	// the start of the process.
 	linkMbps float64
 }
 
-func liveOf(c *Config) *liveSettings { return &liveSettings{grace: c.Grace, linkMbps: c.LinkMbps} }
+func newLiveSettings(c *Config) *liveSettings {
+	return &liveSettings{grace: c.Grace, linkMbps: c.LinkMbps}
+}
 
-// Reload puts those settings of c in force that a running node can change: Grace and
-// LinkMbps. It returns the names of the others that differ from those at the start:
-// addresses and names are known to neighbours and callers, the figures of the retry
-// budget would begin with full budgets, and the rest has served its purpose. They
-// take effect at the next start. An error says that c is not valid; then nothing
-// changes. It is safe for concurrent use.
+// Reload applies the settings of c that a running node can change, Grace and LinkMbps,
+// and returns the names of the other settings that differ from those at the start; they
+// need a restart. It returns an error and changes nothing if c is invalid. It is safe for
+// concurrent use.
 func (n *Node) Reload(c *Config) (waiting []string, err error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
-	n.live.Store(liveOf(c))
+	n.live.Store(newLiveSettings(c))
 	return needRestart(n.config, c), nil
 }
 
-// needRestart returns the names of the settings that differ and that a running
-// node can't change.
+// needRestart returns the names of the settings that differ and need a restart.
 func needRestart(started, changed *Config) []string {
 	var names []string
 	for _, setting := range []struct {
--- a/node/reload_test.go
+++ b/node/reload_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// startedConfig returns settings that Check allows.
-func startedConfig() *Config {
+// validConfig returns settings that Check allows.
+func validConfig() *Config {
 	return &Config{
 		Box: "edge-1", IP: "10.0.0.1", PeerPort: 7000, Callers: "10.0.0.1:80", Ready: "10.0.0.1:81",
 		Store: "10.0.0.9:82", Grace: 8 * time.Second, LinkMbps: 20,
@@ -35,9 +35,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			n := &Node{config: startedConfig()}
-			n.live.Store(liveOf(n.config))
-			changed := startedConfig()
+			n := &Node{config: validConfig()}
+			n.live.Store(newLiveSettings(n.config))
+			changed := validConfig()
 			c.change(changed)
 			waiting, err := n.Reload(changed)
 			if err != nil || !slices.Equal(waiting, c.waiting) {
@@ -49,8 +49,8 @@
 		})
 	}
 	t.Run("settings that are wrong change nothing", func(t *testing.T) {
-		n := &Node{config: startedConfig()}
-		n.live.Store(liveOf(n.config))
+		n := &Node{config: validConfig()}
+		n.live.Store(newLiveSettings(n.config))
 		if _, err := n.Reload(&Config{}); err == nil {
 			t.Fatal("no error")
 		}
--- a/node/roles_test.go
+++ b/node/roles_test.go
@@ -12,9 +12,9 @@
 	"granitehoist.example/granitehoist/escrow"
 )
 
-// viewOf returns the view that the first of the given boxes has of the others,
+// newTestView returns the view that the first of the given boxes has of the others,
 // all in one availability zone except those that zones names.
-func viewOf(complete bool, zones map[granitehoist.Box]granitehoist.AvailabilityZone, boxes ...granitehoist.Box) fleetView {
+func newTestView(complete bool, zones map[granitehoist.Box]granitehoist.AvailabilityZone, boxes ...granitehoist.Box) fleetView {
 	var entries []peerEntry
 	for _, box := range boxes {
 		entry := entryOf(box, granitehoist.Incarnation(box)+"-1")
@@ -27,36 +27,36 @@
 	return fleetView{self: entries[0], others: entries[1:], complete: complete}
 }
 
-// numbered returns the names of count boxes, by their rank.
-func numbered(count int) []granitehoist.Box {
+// boxesByRank returns the names of count boxes, by their rank.
+func boxesByRank(count int) []granitehoist.Box {
 	var boxes []granitehoist.Box
 	for i := range count {
 		boxes = append(boxes, granitehoist.Box(fmt.Sprint("edge-", i)))
 	}
-	slices.SortFunc(boxes, func(a, b granitehoist.Box) int { return compareRank(peerEntry{Box: a}, peerEntry{Box: b}) })
+	slices.SortFunc(boxes, func(a, b granitehoist.Box) int { return compareBoxHash(peerEntry{Box: a}, peerEntry{Box: b}) })
 	return boxes
 }
 
-// startingWith returns boxes with the one at index first, so that viewOf gives
+// moveToFront returns boxes with the one at index first, so that viewOf gives
 // its view.
-func startingWith(boxes []granitehoist.Box, index int) []granitehoist.Box {
+func moveToFront(boxes []granitehoist.Box, index int) []granitehoist.Box {
 	return append([]granitehoist.Box{boxes[index]}, slices.Delete(slices.Clone(boxes), index, index+1)...)
 }
 
-// roles is what a node does in the fleet.
-type roles struct {
+// expectedRoles is what a node does in the fleet.
+type expectedRoles struct {
 	relay bool
 	asked int
 	// tokens is its role for the tokens of the shard some.
 	tokens escrow.Role
 }
 
-// some is a shard.
-const some = escrow.Shard(7)
+// testShard is a shard.
+const testShard = escrow.Shard(7)
 
-func expectRoles(t *testing.T, v fleetView, want roles) {
+func expectRoles(t *testing.T, v fleetView, want expectedRoles) {
 	t.Helper()
-	got := roles{relay: v.isRelay(), asked: len(v.relaysToAsk()), tokens: v.role(v.ranked(some))}
+	got := expectedRoles{relay: v.isRelay(), asked: len(v.relaysToAsk()), tokens: v.role(v.ranked(testShard))}
 	if got != want {
 		t.Fatalf("%s of %d: %+v, not %+v", v.self.Box, v.size(), got, want)
 	}
@@ -65,30 +65,30 @@
 // TestRoles checks which nodes are relays, how many relays are asked and which node
 // holds a shard. Boxes are numbered by rank.
 func TestRoles(t *testing.T) {
-	small, large := numbered(largeFleet-1), numbered(largeFleet)
-	holder := slices.Index(large, viewOf(true, nil, large...).ranked(some)[0].Box)
+	small, large := boxesByRank(largeFleet-1), boxesByRank(largeFleet)
+	holder := slices.Index(large, newTestView(true, nil, large...).ranked(testShard)[0].Box)
 	other := (holder + 1) % 2
 	cases := []struct {
 		name     string
 		complete bool
 		boxes    []granitehoist.Box
-		want     roles
+		want     expectedRoles
 	}{
-		{"alone", true, numbered(1), roles{relay: true, tokens: escrow.Shares}},
-		{"small fleet, lowest rank", true, startingWith(small, 0), roles{relay: true, tokens: escrow.Shares}},
-		{"small fleet, highest rank", true, startingWith(small, 14), roles{relay: true, tokens: escrow.Shares}},
-		{"large fleet, the holder", true, startingWith(large, holder), roles{relay: holder < 2, asked: 2 * min(1, holder/2), tokens: escrow.Holds}},
-		{"large fleet, a relay", true, startingWith(large, other), roles{relay: true, tokens: escrow.Asks}},
-		{"small fleet, view not complete", false, startingWith(small, 0), roles{tokens: escrow.Asks}},
-		{"large fleet, view not complete", false, startingWith(large, holder), roles{tokens: escrow.Asks}},
+		{"alone", true, boxesByRank(1), expectedRoles{relay: true, tokens: escrow.Shares}},
+		{"small fleet, lowest rank", true, moveToFront(small, 0), expectedRoles{relay: true, tokens: escrow.Shares}},
+		{"small fleet, highest rank", true, moveToFront(small, 14), expectedRoles{relay: true, tokens: escrow.Shares}},
+		{"large fleet, the holder", true, moveToFront(large, holder), expectedRoles{relay: holder < 2, asked: 2 * min(1, holder/2), tokens: escrow.Holds}},
+		{"large fleet, a relay", true, moveToFront(large, other), expectedRoles{relay: true, tokens: escrow.Asks}},
+		{"small fleet, view not complete", false, moveToFront(small, 0), expectedRoles{tokens: escrow.Asks}},
+		{"large fleet, view not complete", false, moveToFront(large, holder), expectedRoles{tokens: escrow.Asks}},
 	}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { expectRoles(t, viewOf(c.complete, nil, c.boxes...), c.want) })
+		t.Run(c.name, func(t *testing.T) { expectRoles(t, newTestView(c.complete, nil, c.boxes...), c.want) })
 	}
 }
 
-// halls returns the boxes' availability zones, in turn of count.
-func halls(boxes []granitehoist.Box, count int) map[granitehoist.Box]granitehoist.AvailabilityZone {
+// assignZones returns the boxes' availability zones, in turn of count.
+func assignZones(boxes []granitehoist.Box, count int) map[granitehoist.Box]granitehoist.AvailabilityZone {
 	zones := map[granitehoist.Box]granitehoist.AvailabilityZone{}
 	for i, box := range boxes {
 		zones[box] = granitehoist.AvailabilityZone(fmt.Sprint("hall-", i%count))
@@ -105,12 +105,12 @@
 
 // TestRanked checks which nodes hold a shard's tokens and stand in for each other.
 func TestRanked(t *testing.T) {
-	boxes := numbered(60)
-	zones := halls(boxes, 3)
-	v := viewOf(true, zones, boxes...)
+	boxes := boxesByRank(60)
+	zones := assignZones(boxes, 3)
+	v := newTestView(true, zones, boxes...)
 	t.Run("all nodes agree", func(t *testing.T) {
 		for i := range boxes {
-			expectRanked(t, viewOf(true, zones, startingWith(boxes, i)...), some, v.ranked(some))
+			expectRanked(t, newTestView(true, zones, moveToFront(boxes, i)...), testShard, v.ranked(testShard))
 		}
 	})
 	t.Run("nobody stands twice", func(t *testing.T) {
@@ -134,8 +134,8 @@
 		}
 	})
 	t.Run("a box that leaves moves only what it held", func(t *testing.T) {
-		gone := v.ranked(some)[0].Box
-		left := viewOf(true, zones, slices.DeleteFunc(slices.Clone(boxes), func(b granitehoist.Box) bool { return b == gone })...)
+		gone := v.ranked(testShard)[0].Box
+		left := newTestView(true, zones, slices.DeleteFunc(slices.Clone(boxes), func(b granitehoist.Box) bool { return b == gone })...)
 		for shard := range escrow.Shard(256) {
 			if before := v.ranked(shard); !slices.Contains(boxesOf(before), gone) {
 				expectRanked(t, left, shard, before)
@@ -143,7 +143,7 @@
 		}
 	})
 	t.Run("boxes with slow links hold nothing", func(t *testing.T) {
-		v := viewOf(true, zones, boxes...)
+		v := newTestView(true, zones, boxes...)
 		for i := range v.others {
 			v.others[i].LinkMbps = 10
 		}
@@ -155,8 +155,8 @@
 		}
 	})
 	t.Run("a node alone holds all", func(t *testing.T) {
-		alone := viewOf(true, nil, "edge-0")
-		expectRanked(t, alone, some, []peerEntry{alone.self})
+		alone := newTestView(true, nil, "edge-0")
+		expectRanked(t, alone, testShard, []peerEntry{alone.self})
 	})
 }
 
@@ -170,27 +170,27 @@
 
 func expectLenders(t *testing.T, v fleetView, want []escrow.Lender) {
 	t.Helper()
-	if got := v.lenders(v.ranked(some)); !slices.Equal(got, want) {
+	if got := v.lenders(v.ranked(testShard)); !slices.Equal(got, want) {
 		t.Fatalf("%s asks %v, not %v", v.self.Box, got, want)
 	}
 }
 
 // TestLenders checks in which order neighbours are asked for a loan.
 func TestLenders(t *testing.T) {
-	t.Run("alone", func(t *testing.T) { expectLenders(t, viewOf(true, nil, "edge-0"), nil) })
+	t.Run("alone", func(t *testing.T) { expectLenders(t, newTestView(true, nil, "edge-0"), nil) })
 	t.Run("a small fleet: by rank", func(t *testing.T) {
-		boxes := numbered(4)
-		v := viewOf(true, nil, boxes[3], boxes[2], boxes[0], boxes[1])
+		boxes := boxesByRank(4)
+		v := newTestView(true, nil, boxes[3], boxes[2], boxes[0], boxes[1])
 		expectLenders(t, v, lendersOf([]peerEntry{v.others[1], v.others[2], v.others[0]}))
 	})
 	t.Run("a large fleet: the holder, then those that stand in, without oneself", func(t *testing.T) {
-		boxes := numbered(60)
-		ranked := viewOf(true, nil, boxes...).ranked(some)
+		boxes := boxesByRank(60)
+		ranked := newTestView(true, nil, boxes...).ranked(testShard)
 		all := lendersOf(ranked)
 		all[1].StandsIn, all[2].StandsIn = true, true
 		for i, box := range boxes {
 			want := slices.DeleteFunc(slices.Clone(all), func(l escrow.Lender) bool { return l.Incarnation == granitehoist.Incarnation(box)+"-1" })
-			expectLenders(t, viewOf(true, nil, startingWith(boxes, i)...), want)
+			expectLenders(t, newTestView(true, nil, moveToFront(boxes, i)...), want)
 		}
 	})
 }
@@ -200,7 +200,7 @@
 func BenchmarkRanked(b *testing.B) {
 	for _, routers := range []int{22, 87, 295, 1100} {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
-			v := viewOf(true, nil, numbered(routers)...)
+			v := newTestView(true, nil, boxesByRank(routers)...)
 			for i := range b.N {
 				v.ranked(escrow.Shard(i % 256))
 			}
--- a/node/servers.go
+++ b/node/servers.go
@@ -17,21 +17,19 @@
 )
 
 const (
-	// headerTimeout bounds how long a client may take for a request's header. The limit of
-	// the configuration (headerTimeoutMs, 3 s on today's sites) is not used here, since it
-	// is not read yet when the server starts.
+	// headerTimeout bounds the time for reading a request's header. The configuration's
+	// headerTimeoutMs is not used, since the configuration is not known yet when the
+	// server starts.
 	headerTimeout = 5 * time.Second
-	// idleTimeout is how long a connection may be idle. Callers use connections that were
-	// idle for up to four fifths of the configuration's limit (15 s on today's sites).
-	// This is longer than that limit, so that the router does not close a connection that
-	// a caller may still use.
+	// idleTimeout is how long a connection may be idle. It is longer than the
+	// configuration's idle limit, so that the router never closes a connection that a
+	// caller may still use.
 	idleTimeout = 90 * time.Second
-	// headerBytes bounds a request's header. It is the maxHeaderBytes of the
-	// configurations seen so far.
+	// headerBytes bounds the size of a request's header.
 	headerBytes = 16 << 10
 )
 
-// listeners holds the open addresses of a node.
+// listeners holds the open listeners of a node.
 type listeners struct {
 	callers net.Listener
 	ready   net.Listener
@@ -40,8 +38,8 @@
 	metrics net.Listener
 }
 
-// listen opens the addresses that the settings name. If one can't be opened,
-// those before it are closed.
+// listen opens the configured addresses. If one cannot be opened, it closes those opened
+// before and returns the error.
 func listen(c *Config) (listeners, error) {
 	var l listeners
 	if err := l.open(c); err != nil {
@@ -51,7 +49,7 @@
 	return l, nil
 }
 
-// open opens the addresses in turn and leaves those before a failure open.
+// open opens the addresses in turn. After a failure those opened before stay open.
 func (l *listeners) open(c *Config) error {
 	var err error
 	if l.callers, err = net.Listen("tcp", c.Callers); err != nil {
@@ -76,7 +74,7 @@
 func (l *listeners) close() {
 	for _, listener := range []net.Listener{l.callers, l.ready, l.peers, l.metrics} {
 		if listener != nil {
-			// No connection was accepted; nothing is lost if this fails.
+			// No connection was accepted yet, so a failure to close loses nothing.
 			_ = listener.Close()
 		}
 	}
@@ -93,45 +91,44 @@
 	neighboursServer serverName = "neighbours"
 )
 
-// servers holds what answers from outside: callers, health checks, neighbours
-// and readers of the metrics.
+// servers holds the servers for callers, health checks, neighbours and metrics.
 type servers struct {
 	callers *httpserver.Server
 	ready   *httpserver.Server
 	// metrics is nil if no metrics are served.
 	metrics *httpserver.Server
-	// calls answers the calls of neighbours on peers.
+	// calls serves the calls of neighbours on the listener peers.
 	calls *fleet.Server
 	peers net.Listener
 }
 
-// newServers returns the servers of a node on its open addresses.
+// newServers returns the servers of a node on its open listeners.
 func newServers(n *Node, l listeners) *servers {
 	s := &servers{peers: l.peers, calls: newCallServer(n)}
 	s.callers = httpserver.New(httpserver.Settings{
-		Handler:       n.adapter.Frontend(n.parts.forwarder, n.configs.catalog, n.clock, n.turnsCallersAway),
+		Handler:       n.adapter.Frontend(n.components.forwarder, n.configs.catalog, n.clock, n.asksCallersToReconnect),
 		HeaderTimeout: headerTimeout,
 		IdleTimeout:   idleTimeout,
 		HeaderBytes:   headerBytes,
-		Failed:        n.serveFailed(callersServer),
-	}, n.parts.meter.Listener(l.callers))
+		Failed:        n.serveErrorLogger(callersServer),
+	}, n.components.meter.Listener(l.callers))
 	s.ready = httpserver.New(httpserver.Settings{
 		Handler:       http.HandlerFunc(n.serveReady),
 		HeaderTimeout: headerTimeout,
-		Failed:        n.serveFailed(readyServer),
+		Failed:        n.serveErrorLogger(readyServer),
 	}, l.ready)
 	if l.metrics != nil {
 		s.metrics = httpserver.New(httpserver.Settings{
 			Handler:       http.HandlerFunc(n.serveMetrics),
 			HeaderTimeout: headerTimeout,
-			Failed:        n.serveFailed(metricsServer),
+			Failed:        n.serveErrorLogger(metricsServer),
 		}, l.metrics)
 	}
 	return s
 }
 
-// closeHTTP closes the HTTP servers, and with them the connections of callers
-// whose requests are still in progress.
+// closeHTTP closes the HTTP servers, and with them the connections of callers whose
+// requests are still in progress.
 func (s *servers) closeHTTP() {
 	s.callers.Close()
 	s.ready.Close()
@@ -140,21 +137,21 @@
 	}
 }
 
-// newCallServer returns the server of the calls between nodes.
+// newCallServer returns the server for calls between nodes.
 func newCallServer(n *Node) *fleet.Server {
 	return fleet.NewServer(fleet.ServerSettings{
 		Self: n.incarnation,
 		Methods: map[string]fleet.HandlerFunc{
 			methodUpdates:      fleet.Handle(n.serveUpdates),
-			escrow.MethodLend:  fleet.Handle(n.parts.syncer.ServeLend),
-			escrow.MethodRepay: fleet.Handle(n.parts.syncer.ServeRepay),
-			methodPushSuspects: fleet.Handle(n.parts.suspects.servePush),
-			methodPullSuspects: fleet.Handle(n.parts.suspects.servePull),
-			methodPushNews:     fleet.Handle(n.parts.statements.servePush),
-			methodPermits:      fleet.Handle(n.parts.limits.serveQuestion),
+			escrow.MethodLend:  fleet.Handle(n.components.syncer.ServeLend),
+			escrow.MethodRepay: fleet.Handle(n.components.syncer.ServeRepay),
+			methodPushSuspects: fleet.Handle(n.components.suspects.servePush),
+			methodPullSuspects: fleet.Handle(n.components.suspects.servePull),
+			methodPushSignals:  fleet.Handle(n.components.signals.servePush),
+			methodPermits:      fleet.Handle(n.components.limits.servePermits),
 		},
 		Greetings: map[string]fleet.HandlerFunc{
-			methodGreet: fleet.Handle(n.parts.peers.serveGreet),
+			methodGreet: fleet.Handle(n.components.peers.serveGreet),
 		},
 	})
 }
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -67,15 +67,15 @@
 	}
 }
 
-// frontendThatPanics is an Adapter.Frontend with a fault.
-func frontendThatPanics(*forward.Forwarder, *catalog.Current, granitehoist.Clock, func() bool) http.Handler {
+// panickingFrontend is an Adapter.Frontend with a fault.
+func panickingFrontend(*forward.Forwarder, *catalog.Current, granitehoist.Clock, func() bool) http.Handler {
 	return http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("no such route") })
 }
 
 // TestServeFailed checks that a panic of the callers' handler is one line of the
 // log that names the server and the panic.
 func TestServeFailed(t *testing.T) {
-	port := addressPort(t, freeAddress(t))
+	port := portOf(t, freeAddress(t))
 	config := &Config{
 		Box:      "edge-1",
 		IP:       "127.0.0.1",
@@ -92,7 +92,7 @@
 		ConfigPrefix:    "config/",
 		InstancesPrefix: "instances/",
 		Codec:           struct{ forward.Codec }{},
-		Frontend:        frontendThatPanics,
+		Frontend:        panickingFrontend,
 	}
 	n, err := New(config, adapter, logsink.NewLogger(sink, zapcore.WarnLevel))
 	if err != nil {
@@ -122,7 +122,7 @@
 	}
 }
 
-func addressPort(t *testing.T, address string) int {
+func portOf(t *testing.T, address string) int {
 	t.Helper()
 	resolved, err := net.ResolveTCPAddr("tcp", address)
 	if err != nil {
