--- a/node/shedding.go
+++ b/node/shedding.go
@@ -13,67 +13,60 @@
 	"granitehoist.example/granitehoist/internal/linkmeter"
 )
 
-// This file decides whether a box sheds its callers. The balancer gives each box
-// a share of the callers by a hash, so that one box may get many times the share
-// of another, and more than its link carries. Such a box reports that it is not
-// ready and asks its callers to reconnect, so that they reach other boxes.
+// The load balancer assigns callers to boxes by a hash, so that one box may get many
+// times the share of another and more traffic than its link carries. Such a box reports
+// that it is not ready and asks its callers to reconnect, so that they reach other boxes.
+// Refusing requests instead would not relieve the link, since their bodies would still
+// arrive.
 //
-// The inputs are readings of the bytes that passed over the callers' and the
-// upstreams' connections, one each linkInterval, and the link's rate from the
-// settings. Refusing requests early instead was not tried: their bodies would
-// still arrive.
-//
-// Measured on tuul-hire-grown quiet-1: a box received 1.17 of 1.25 MB/s for ten
-// seconds and served none of its requests; shedding at these bounds raised the
-// day from 0.598 to 0.666 (docs/design/platform.md, "Full links"). The bounds
-// themselves were not varied.
+// The load is measured as the bytes on the connections of callers and upstreams per
+// linkInterval, relative to the configured bandwidth of the link.
 const (
-	// shedAboveLoad is the load, as a share of the link's rate, above which a box begins
-	// to shed: below a full link, so that loans and calls to the store still pass.
+	// shedAboveLoad is the load, as a fraction of the link's bandwidth, above which a box
+	// starts to shed. It leaves room for loans and calls to the store.
 	shedAboveLoad = 0.82
-	// stopSheddingBelowLoad is the load, as a share of the link's rate, below which a box
-	// stops shedding: far enough below shedAboveLoad that the callers who return don't
-	// fill the link again at once.
+	// stopSheddingBelowLoad is the load, as a fraction of the link's bandwidth, below
+	// which a box stops shedding. The gap to shedAboveLoad keeps returning callers from
+	// filling the link again at once.
 	stopSheddingBelowLoad = 0.5
-	// minSheddingTime is the least time of shedding. The balancer asks once a
-	// second and takes a box out after two answers without a 200, so that a
-	// shorter time would not reach it.
+	// minSheddingTime is the minimum duration of shedding. The load balancer checks once
+	// a second and removes a box after two failed health checks, so that a shorter period
+	// would have no effect.
 	minSheddingTime = 3 * time.Second
-	// minSheddingPause is the least time from one shedding to the next: the balancer's two
-	// questions, one second apart.
-	minSheddingPause = 2 * time.Second
-	// linkInterval is the time between two readings of the link.
+	// minSheddingInterval is the minimum time from the end of shedding to the next start:
+	// two health checks of the load balancer.
+	minSheddingInterval = 2 * time.Second
+	// linkInterval is the time between two readings of the link meter.
 	linkInterval = 500 * time.Millisecond
-	// linkWindow is the number of intervals over which the load is averaged. Two are one
-	// second, so that a burst of a single interval does not shed.
-	linkWindow = 2
+	// linkWindowIntervals is the number of intervals over which the load is averaged, so
+	// that a burst within one interval does not cause shedding.
+	linkWindowIntervals = 2
 )
 
-// linkWatch decides whether a box sheds callers. The zero value never sheds,
-// since it has no capacity. It is not safe for concurrent use.
-type linkWatch struct {
-	// capacity is the link's rate in bytes a second; zero if the settings don't
-	// give it: the box then never sheds.
+// linkMonitor decides whether a box sheds callers. The zero value never sheds, since it
+// has no capacity. It is not safe for concurrent use.
+type linkMonitor struct {
+	// capacity is the link's bandwidth in bytes per second. If it is zero, the box never
+	// sheds.
 	capacity float64
-	// readings holds the last linkWindow readings.
+	// readings holds the last linkWindowIntervals readings.
 	readings []linkmeter.Reading
 	shedding bool
 	// changedAt is when shedding last changed.
 	changedAt time.Time
 }
 
-// observe adds a reading and reports whether the box should shed callers from the
-// reading's time on.
-func (w *linkWatch) observe(r linkmeter.Reading) bool {
+// observe adds a reading and reports whether the box sheds callers from then on.
+func (w *linkMonitor) observe(r linkmeter.Reading) bool {
 	w.readings = append(w.readings, r)
-	if len(w.readings) <= linkWindow || w.capacity <= 0 {
+	if len(w.readings) <= linkWindowIntervals || w.capacity <= 0 {
 		return w.shedding
 	}
 	load := r.Rate(w.readings[0]) / w.capacity
 	w.readings = w.readings[1:]
 	sinceChange := r.At.Sub(w.changedAt)
 	switch {
-	case !w.shedding && load > shedAboveLoad && sinceChange >= minSheddingPause:
+	case !w.shedding && load > shedAboveLoad && sinceChange >= minSheddingInterval:
 		w.shedding, w.changedAt = true, r.At
 	case w.shedding && load < stopSheddingBelowLoad && sinceChange >= minSheddingTime:
 		w.shedding, w.changedAt = false, r.At
@@ -82,17 +75,14 @@
 }
 
 const (
-	// bitsPerByte and bitsPerMbit turn the link's rate from Mbit/s into bytes a
-	// second.
+	// bitsPerByte and bitsPerMbit convert Mbit/s to bytes per second.
 	bitsPerByte = 8
-	// bitsPerMbit is a unit, see bitsPerByte.
 	bitsPerMbit = 1e6
 )
 
-// watchLink reads the meter each linkInterval and stores in n.shedding whether
-// this box sheds callers, until ctx ends.
+// watchLink reads the meter each linkInterval and updates n.shedding, until ctx ends.
 func (n *Node) watchLink(ctx context.Context) {
-	var watch linkWatch
+	var watch linkMonitor
 	ticker := time.NewTicker(linkInterval)
 	defer ticker.Stop()
 	for {
@@ -104,11 +94,11 @@
 		linkMbps := n.live.Load().linkMbps
 		watch.capacity = linkMbps * bitsPerMbit / bitsPerByte
 		before := watch.shedding
-		after := watch.observe(n.parts.meter.Read(n.clock()))
+		after := watch.observe(n.components.meter.Read(n.clock()))
 		if before == after {
 			continue
 		}
 		n.shedding.Store(after)
-		n.log.Warn(event.Shedding, zap.Bool("on", after), zap.Float64("link_mbps", linkMbps), zap.Int("active", n.parts.forwarder.Active()))
+		n.log.Warn(event.Shedding, zap.Bool("on", after), zap.Float64("link_mbps", linkMbps), zap.Int("active", n.components.forwarder.Active()))
 	}
 }
--- a/node/shedding_test.go
+++ b/node/shedding_test.go
@@ -10,9 +10,9 @@
 	"granitehoist.example/granitehoist/internal/linkmeter"
 )
 
-// loads plays rates, in parts of the capacity and one for each interval, and
+// observeLoads plays rates, in parts of the capacity and one for each interval, and
 // returns the decisions.
-func loads(w *linkWatch, parts ...float64) []bool {
+func observeLoads(w *linkMonitor, parts ...float64) []bool {
 	now := time.Unix(1000, 0)
 	var total float64
 	var decisions []bool
@@ -32,12 +32,12 @@
 	return parts
 }
 
-// TestLinkWatch checks when a box sheds callers.
-func TestLinkWatch(t *testing.T) {
+// TestLinkMonitor checks when a box sheds callers.
+func TestLinkMonitor(t *testing.T) {
 	const capacity = 1_250_000
 	t.Run("a full link sheds until it has room, for no less than the balancer takes to notice", func(t *testing.T) {
-		w := &linkWatch{capacity: capacity}
-		decisions := loads(w, append(repeat(0.95, 6), repeat(0.1, 10)...)...)
+		w := &linkMonitor{capacity: capacity}
+		decisions := observeLoads(w, append(repeat(0.95, 6), repeat(0.1, 10)...)...)
 		if !decisions[5] {
 			t.Fatal("a full link does not shed")
 		}
@@ -52,20 +52,20 @@
 		}
 	})
 	t.Run("a short burst and an unknown link shed nothing", func(t *testing.T) {
-		for _, on := range loads(&linkWatch{capacity: capacity}, 0.3, 0.3, 1, 0.3, 0.3, 0.3) {
+		for _, on := range observeLoads(&linkMonitor{capacity: capacity}, 0.3, 0.3, 1, 0.3, 0.3, 0.3) {
 			if on {
 				t.Fatal("shed after half a second of load")
 			}
 		}
-		for _, on := range loads(&linkWatch{}, repeat(1, 8)...) {
+		for _, on := range observeLoads(&linkMonitor{}, repeat(1, 8)...) {
 			if on {
 				t.Fatal("shed without a known link")
 			}
 		}
 	})
 	t.Run("a load between the bounds changes nothing", func(t *testing.T) {
-		w := &linkWatch{capacity: capacity}
-		decisions := loads(w, append(append(repeat(0.95, 6), repeat(0.6, 10)...), repeat(0.3, 8)...)...)
+		w := &linkMonitor{capacity: capacity}
+		decisions := observeLoads(w, append(append(repeat(0.95, 6), repeat(0.6, 10)...), repeat(0.3, 8)...)...)
 		if !decisions[15] || decisions[23] {
 			t.Fatalf("decisions %v", decisions)
 		}
--- a/node/startgate.go
+++ b/node/startgate.go
@@ -9,44 +9,43 @@
 	"time"
 )
 
-// A node that starts knows nothing of the requests that crash upstreams: each start of a
-// router under such a request ended one more of them. So it sends nothing before it has read
-// the evidence, for a bounded time, and is not ready until then.
+// A starting node has no evidence against requests that crash upstreams and would forward
+// such a request again. So it forwards nothing, and is not ready, until it has read the
+// evidence, for at most maxEvidenceWait.
 
-// evidenceWait bounds that time from the start on. A router that reaches its neighbours has
-// the evidence within some 0.1 s; half a second of an outage of the store beside a loss of
-// all routers is what the bound costs.
-const evidenceWait = 500 * time.Millisecond
+// maxEvidenceWait bounds the wait for evidence, in case neither the store nor the
+// neighbours answer.
+const maxEvidenceWait = 500 * time.Millisecond
 
-// startGate is open once a node may send requests. It is safe for concurrent use.
+// startGate is open once a node may forward requests. It is safe for concurrent use.
 type startGate struct {
 	opened chan struct{}
 	once   sync.Once
-	// lacking counts the sources that have not been read yet.
-	lacking atomic.Int32
+	// pendingSources is the number of sources not read yet.
+	pendingSources atomic.Int32
 }
 
-// newStartGate returns a gate that opens when so many sources have been read.
+// newStartGate returns a gate that opens when the given number of sources have been read.
 func newStartGate(sources int32) *startGate {
 	g := &startGate{opened: make(chan struct{})}
-	g.lacking.Store(sources)
+	g.pendingSources.Store(sources)
 	if sources == 0 {
 		g.open()
 	}
 	return g
 }
 
-// open opens the gate, whatever was read.
+// open opens the gate, whether or not all sources were read.
 func (g *startGate) open() { g.once.Do(func() { close(g.opened) }) }
 
-// read counts one source as read. It is called once for each.
-func (g *startGate) read() {
-	if g.lacking.Add(-1) == 0 {
+// sourceRead marks one source as read. It must be called once per source.
+func (g *startGate) sourceRead() {
+	if g.pendingSources.Add(-1) == 0 {
 		g.open()
 	}
 }
 
-// isOpen reports whether the node may send requests.
+// isOpen reports whether the node may forward requests.
 func (g *startGate) isOpen() bool {
 	select {
 	case <-g.opened:
--- a/node/startgate_test.go
+++ b/node/startgate_test.go
@@ -19,17 +19,17 @@
 	t.Run("both sources have to be read", func(t *testing.T) {
 		g := newStartGate(evidenceSources(false))
 		expect(t, g, false)
-		g.read()
+		g.sourceRead()
 		expect(t, g, false)
-		g.read()
+		g.sourceRead()
 		expect(t, g, true)
 	})
 	t.Run("its time opens it as well, and a source that is read later changes nothing", func(t *testing.T) {
 		g := newStartGate(evidenceSources(false))
 		g.open()
 		expect(t, g, true)
-		g.read()
-		g.read()
+		g.sourceRead()
+		g.sourceRead()
 		expect(t, g, true)
 	})
 }
--- a/node/suspectstore.go
+++ b/node/suspectstore.go
@@ -18,98 +18,99 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// What has to survive a restart of all nodes is in the store: the secret that keys the
-// digests, and the evidence against each request that is refused, under a lease of
-// suspect.DefaultBlock. A node writes what it saw itself, with two calls for a request that
-// is refused. Relays read the prefix when they start, the other nodes pull from relays.
+// The store holds what has to survive a restart of all nodes: the secret that keys the
+// digests, and the evidence against each refused request, under a lease of
+// suspect.DefaultBlock. Each node writes its own observations. Relays read the prefix
+// when they start, the other nodes pull from relays.
 const (
 	suspectsPrefix   = "suspects/"
 	suspectSecretKey = suspectsPrefix + "secret"
-	// refusedPrefix begins the keys of the evidence, each followed by the digest.
+	// refusedPrefix is the prefix of the evidence, followed by the digest of the request.
 	refusedPrefix = suspectsPrefix + "refused/"
-	// keepRetryPause is the time to the next attempt after a call to the store failed.
-	keepRetryPause = 500 * time.Millisecond
+	// storeRetryDelay is the delay before a failed call to the store is retried.
+	storeRetryDelay = 500 * time.Millisecond
 )
 
-// runKeeping loads what the store has, then writes what this node sees, until ctx ends.
-func (s *suspects) runKeeping(ctx context.Context) {
+// runStore loads the stored evidence, then writes this node's observations, until ctx
+// ends.
+func (s *suspects) runStore(ctx context.Context) {
 	s.loadAtStart(ctx)
-	s.gate.read()
-	kept := uint64(0)
+	s.gate.sourceRead()
+	storedVersion := uint64(0)
 	for ctx.Err() == nil {
-		records, version := s.table.ObservedAfter(kept)
-		if err := s.keepAll(ctx, records); err != nil {
-			s.logKeepFailed(err)
-			pause.For(ctx, keepRetryPause)
+		records, version := s.table.ObservedAfter(storedVersion)
+		if err := s.storeAll(ctx, records); err != nil {
+			s.logStoreFailed(err)
+			pause.For(ctx, storeRetryDelay)
 			continue
 		}
-		kept = version
+		storedVersion = version
 		if len(records) == suspect.MaxRecords {
 			continue
 		}
 		if s.cutOff.Swap(false) {
-			s.catchUp(ctx)
+			s.reloadFromStore(ctx)
 		}
-		waitFor(ctx, s.toKeep)
+		waitForWake(ctx, s.storeWake)
 	}
 }
 
-// loadAtStart loads what the store has, until it has or ctx ends.
+// loadAtStart loads the stored evidence, retrying until it succeeds or ctx ends.
 func (s *suspects) loadAtStart(ctx context.Context) {
 	for !s.peers.knowsRelays() && ctx.Err() == nil {
-		pause.For(ctx, startPoll)
+		pause.For(ctx, startPollInterval)
 	}
 	for try := 1; ctx.Err() == nil && !s.load(ctx, try); try++ {
-		pause.For(ctx, keepRetryPause)
+		pause.For(ctx, storeRetryDelay)
 	}
 }
 
-// catchUp reads the store again, for a node that the others can't reach.
-func (s *suspects) catchUp(ctx context.Context) {
-	if err := s.read(ctx); err != nil {
-		s.logKeepFailed(err)
+// reloadFromStore reads the store again, for a node that cannot be reached by the others.
+func (s *suspects) reloadFromStore(ctx context.Context) {
+	if err := s.readStore(ctx); err != nil {
+		s.logStoreFailed(err)
 	}
-	pause.For(ctx, keepRetryPause)
+	pause.For(ctx, storeRetryDelay)
 }
 
-// waitFor waits until c has something or ctx ends.
-func waitFor(ctx context.Context, c <-chan struct{}) {
+// waitForWake waits until c receives or ctx ends.
+func waitForWake(ctx context.Context, c <-chan struct{}) {
 	select {
 	case <-ctx.Done():
 	case <-c:
 	}
 }
 
-// relayLoads is the number of tries in which a node that is no relay asks relays only: 3
-// s, in which relays that start together with it have read the store.
-const relayLoads = 6
+// maxRelayLoads is the number of attempts in which a node that is no relay queries relays
+// only. By then relays that started at the same time have read the store.
+const maxRelayLoads = 6
 
-// load gets the secret and the evidence from relays or from the store, and reports whether
-// it did. try counts the calls.
+// load reads the secret and the evidence from relays or from the store, and reports
+// whether it succeeded. try is the number of the attempt, from 1.
 func (s *suspects) load(ctx context.Context, try int) bool {
 	relays := s.peers.view().relayEntries()
 	if len(relays) > 0 && s.pull(ctx, relays) > 0 && s.table.Secret() != nil {
 		return true
 	}
-	if len(relays) > 0 && try <= relayLoads {
+	if len(relays) > 0 && try <= maxRelayLoads {
 		return false
 	}
-	err := s.read(ctx)
+	err := s.readStore(ctx)
 	if err != nil {
-		s.logKeepFailed(err)
+		s.logStoreFailed(err)
 	}
 	return err == nil && s.table.Secret() != nil
 }
 
-// read reads the store, and writes a secret if there is none. If another
-// node wrote one meanwhile, the next read finds it.
-func (s *suspects) read(ctx context.Context) error {
+// readStore reads the evidence from the store, and writes a secret if there is none. If
+// another node writes one first, the next read returns it.
+func (s *suspects) readStore(ctx context.Context) error {
 	entries, _, err := s.store.List(ctx, suspectsPrefix)
 	if err != nil {
 		return err
 	}
 	for _, e := range entries {
-		if err := s.adopt(e); err != nil {
+		if err := s.applyEntry(e); err != nil {
 			s.log.Error(event.SuspectBad, zap.String("key", e.Key), zap.Error(err))
 		}
 	}
@@ -119,8 +120,9 @@
 	return s.writeSecret(ctx)
 }
 
-// adopt takes an entry of the store.
-func (s *suspects) adopt(e granitehoist.Entry) error {
+// applyEntry applies an entry of the store. It returns an error if the entry cannot be
+// decoded.
+func (s *suspects) applyEntry(e granitehoist.Entry) error {
 	if e.Key == suspectSecretKey {
 		var secret suspect.Secret
 		if err := json.Unmarshal(e.Value, &secret); err != nil {
@@ -137,8 +139,8 @@
 	return nil
 }
 
-// writeSecret writes a new secret where there is none. It is used only once the store
-// has taken it.
+// writeSecret writes a new secret unless there is one, and uses it only once it is
+// stored.
 func (s *suspects) writeSecret(ctx context.Context) error {
 	secret := suspect.NewSecret(rand.Reader)
 	value, err := json.Marshal(secret)
@@ -156,18 +158,18 @@
 	return nil
 }
 
-// keepAll writes those of the records that suffice to refuse a request, and deletes those
-// of requests that have succeeded since: a node that starts would refuse them until the
-// lease ends. The block of a scope lasts for seconds, less than a restart, and is not kept.
-func (s *suspects) keepAll(ctx context.Context, records []suspect.Record) error {
+// storeAll writes the records that suffice to refuse a request, and deletes those of
+// requests that have succeeded since, which a starting node would otherwise refuse until
+// the lease ends. The block of a scope is shorter than a restart and is not stored.
+func (s *suspects) storeAll(ctx context.Context, records []suspect.Record) error {
 	for _, r := range records {
 		var err error
 		switch {
 		case r.Scope:
 		case r.Enough():
-			err = s.keep(ctx, r)
+			err = s.storeRecord(ctx, r)
 		case r.IsCleared():
-			err = s.drop(ctx, r)
+			err = s.deleteRecord(ctx, r)
 		}
 		if err != nil {
 			return err
@@ -176,22 +178,22 @@
 	return nil
 }
 
-// drop deletes the record of a request, if there is one.
-func (s *suspects) drop(ctx context.Context, r suspect.Record) error {
+// deleteRecord deletes the stored record of a request, if there is one.
+func (s *suspects) deleteRecord(ctx context.Context, r suspect.Record) error {
 	entry, err := s.store.Get(ctx, refusedPrefix+r.Digest.String())
 	if err != nil || entry.Version == 0 {
 		return err
 	}
 	_, err = s.store.CompareAndSwap(ctx, granitehoist.Change{Key: entry.Key, Expect: entry.Version, Delete: true})
 	if errors.Is(err, granitehoist.ErrConflict) {
-		// Another node has deleted it, or written it anew after a later crash.
+		// Another node has deleted it, or rewritten it after a later crash.
 		return nil
 	}
 	return err
 }
 
-// keep writes a record under a lease, unless another node has written one.
-func (s *suspects) keep(ctx context.Context, r suspect.Record) error {
+// storeRecord writes a record under a lease, unless another node has written one.
+func (s *suspects) storeRecord(ctx context.Context, r suspect.Record) error {
 	value, err := json.Marshal(r)
 	if err != nil {
 		return err
--- a/node/suspectstore_test.go
+++ b/node/suspectstore_test.go
@@ -11,9 +11,9 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// TestKeptRefusals checks which evidence is in the store: that against requests that are
+// TestStoredEvidence checks which evidence is in the store: that against requests that are
 // refused, until they succeed.
-func TestKeptRefusals(t *testing.T) {
+func TestStoredEvidence(t *testing.T) {
 	ctx := context.Background()
 	refused := suspect.Record{Digest: suspect.Digest{1}, Crashes: []suspect.Crash{
 		{Life: "i-1", Round: 1, Early: 1}, {Life: "i-2", Round: 2, Early: 2}, {Life: "i-3", Round: 3, Early: 3},
@@ -41,7 +41,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := &suspects{store: standin.NewStore(standin.StoreSettings{})}
-			if err := s.keepAll(ctx, c.records); err != nil {
+			if err := s.storeAll(ctx, c.records); err != nil {
 				t.Fatal(err)
 			}
 			entries, _, err := s.store.List(ctx, refusedPrefix)
--- a/node/suspension.go
+++ b/node/suspension.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// suspensionInterval is how often a node looks whether the machine was suspended,
-	// and ends requests whose time passed meanwhile: half of the 0.5 s for which the
-	// users' pages let an answer be late. At 100 ms a router woke 20 times a second more
-	// than without, 61 for 41 a second at 31 routers of Dafatir grown.
+	// suspensionInterval is how often a node checks whether the machine was suspended,
+	// and cancels requests whose deadline passed meanwhile. A shorter interval would only
+	// add wakeups.
 	suspensionInterval = 250 * time.Millisecond
-	// loggedSuspension is the least one that is logged.
-	loggedSuspension = 50 * time.Millisecond
+	// minLoggedSuspension is the shortest suspension that is logged.
+	minLoggedSuspension = 50 * time.Millisecond
 )
 
-// watchSuspensions ends requests whose time is over by the node's clock, which counts
-// suspensions as timers do not, and logs each suspension, until ctx ends.
+// watchSuspensions cancels requests whose deadline has passed by the node's clock, which
+// advances during a suspension while timers do not, and logs each suspension, until ctx
+// ends.
 func (n *Node) watchSuspensions(ctx context.Context) {
 	ticker := time.NewTicker(suspensionInterval)
 	defer ticker.Stop()
-	steady, begin := time.Now(), n.clock()
+	monotonicStart, clockStart := time.Now(), n.clock()
 	logged := time.Duration(0)
 	for {
 		select {
@@ -36,9 +36,9 @@
 		case <-ticker.C:
 		}
 		now := n.clock()
-		n.parts.deadlines.Check(now)
-		suspended := now.Sub(begin) - time.Since(steady)
-		if suspended-logged >= loggedSuspension {
+		n.components.deadlines.Check(now)
+		suspended := now.Sub(clockStart) - time.Since(monotonicStart)
+		if suspended-logged >= minLoggedSuspension {
 			n.log.Warn(event.Woke, zap.Duration("suspended", suspended-logged))
 			logged = suspended
 		}
