--- a/node/config.go
+++ b/node/config.go
@@ -55,24 +55,24 @@
 // Check returns an error that names the first missing or invalid setting.
 func (c *Config) Check() error {
 	if c.Box == "" {
-		return eris.New("the box has no name")
+		return eris.New("the box name is missing")
 	}
 	if net.ParseIP(c.IP) == nil {
-		return eris.Errorf("IP address %q can't be read", c.IP)
+		return eris.Errorf("invalid IP address %q", c.IP)
 	}
 	addresses := []struct{ name, value string }{
 		{"callers", c.Callers}, {"ready", c.Ready}, {"store", c.Store},
 	}
 	for _, a := range addresses {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return eris.Wrapf(err, "address for %s", a.name)
+			return eris.Wrapf(err, "invalid address %q for %s", a.value, a.name)
 		}
 	}
 	if c.PeerPort <= 0 || c.PeerPort > maxPort {
-		return eris.Errorf("port for neighbours %d is out of range", c.PeerPort)
+		return eris.Errorf("port for neighbours %d is not in the range 1 to %d", c.PeerPort, maxPort)
 	}
 	if c.Grace <= 0 {
-		return eris.New("no time to stop in")
+		return eris.Errorf("grace period %s is not positive", c.Grace)
 	}
 	return nil
 }
--- a/node/crashing_test.go
+++ b/node/crashing_test.go
@@ -16,32 +16,32 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// poison is in the path of requests that crash each worker that runs them.
+// poison is part of the path of requests that crash every worker that runs them.
 const poison = "deadly"
 
 // crashingPool is a service whose workers are replaced as they crash.
 type crashingPool struct {
-	site *testFleet
-	// requests counts the requests of attack.
+	fleet *testFleet
+	// requests counts the requests of sendUntilRefused, which rotate over the nodes.
 	requests int
 
-	// mu guards ended.
+	// mu guards crashed, the number of workers that have crashed.
 	mu      sync.Mutex
 	crashed int
 }
 
-// newCrashingPool starts a number of workers.
+// newCrashingPool starts a pool of workers.
 func newCrashingPool(s *testFleet, workers int) *crashingPool {
-	p := &crashingPool{site: s}
+	p := &crashingPool{fleet: s}
 	for range workers {
 		p.add()
 	}
 	return p
 }
 
-// add starts a worker that crashes when it runs a deadly request.
+// add starts a worker that crashes when it runs a poison request.
 func (p *crashingPool) add() {
-	p.site.startWorkerFunc(func(a standin.Arrival) standin.WorkerAnswer {
+	p.fleet.startWorkerFunc(func(a standin.Arrival) standin.WorkerAnswer {
 		if !strings.Contains(a.Target, poison) {
 			return standin.WorkerAnswer{Body: "answer"}
 		}
@@ -59,15 +59,15 @@
 	return p.crashed
 }
 
-// sendUntilRefused sends the deadly request to nodes in turn until one refuses it, and replaces the
-// workers that crash.
+// sendUntilRefused sends the poison request to the nodes in turn until one refuses it,
+// and replaces the workers that crash.
 func (p *crashingPool) sendUntilRefused(members []*member) {
-	p.site.Eventually(func() int {
+	p.fleet.Eventually(func() int {
 		m := members[p.requests%len(members)]
 		p.requests++
 		before := p.crashes()
 		got, err := m.ask("/once/"+poison, fmt.Sprintf("attack-%d", p.requests))
-		p.site.Expect(err).NotTo(HaveOccurred())
+		p.fleet.Expect(err).NotTo(HaveOccurred())
 		for range p.crashes() - before {
 			p.add()
 		}
@@ -75,12 +75,10 @@
 	}, stepTimeout).Should(Equal(http.StatusServiceUnavailable))
 }
 
-// TestEvidenceReadBeforeServing checks that a router that starts beside others knows of a crash before
-// its first request is served. In upgrades beside a crashing request nearly each start of a
-// router was followed within 0.3 s by a crash that it counted as the first: it served what
-// came while it read the evidence, and 16 to 25 upstreams crashed where 15 are allowed.
+// TestEvidenceReadBeforeServing guards against a starting router that serves requests
+// before it has read the evidence of crashes, and so crashes another upstream.
 func TestEvidenceReadBeforeServing(t *testing.T) {
-	// The request and its scope.
+	// evidence counts the request and its scope.
 	const routers, starts, evidence = 3, 5, "2"
 	s := newTestFleet(t, routers)
 	s.configure(1, 1_000_000, "/a/", "/once/")
@@ -99,14 +97,8 @@
 	}
 }
 
-// TestCrashingRequestIsRefused is the incident of two requests that crashed 15 and 19
-// upstreams. A request that no upstream survives was repeated every 0.1 to 2 s, at other
-// routers and under a new id each time. Each router took it for a new request and sent it
-// on, since every bound on attempts (the route's number of attempts, the retry budget, the
-// upstreams already tried) covers one id. Each time it crashed an upstream and broke off
-// all that ran there. A request of the same workspace and size was present at each of the
-// 15 crashes, and none of its ids reached two upstreams, which ruled out unrelated crashes
-// and the routers' own retries.
+// TestCrashingRequestIsRefused guards against a request that crashes upstreams without
+// bound when it is repeated at other routers under new ids.
 func TestCrashingRequestIsRefused(t *testing.T) {
 	const routers, workers, arrivals, allowed = 3, 6, 15, 4
 	s := newTestFleet(t, routers)
--- a/node/crashload_test.go
+++ b/node/crashload_test.go
@@ -20,24 +20,24 @@
 )
 
 // crashLoad is a service of upstreams that crash under some requests, or all at once, and
-// are back a while later as new instances.
+// restart a while later as new instances.
 type crashLoad struct {
-	site *testFleet
-	// behindProxy says that an upstream's address goes on to accept connections after a crash,
-	// and resets them, as one does that has a proxy before it.
+	fleet *testFleet
+	// behindProxy says that an upstream's address still accepts connections after a
+	// crash, and resets them.
 	behindProxy bool
 
 	// mu guards the fields below.
 	mu      sync.Mutex
 	slots   []*upstreamSlot
 	started int
-	// crashes are when upstreams crashed under a deadly request, arrivals when one reached
-	// an upstream.
+	// crashes holds the times of crashes under a poison request, arrivals those at which
+	// one reached an upstream.
 	crashes, arrivals []time.Time
 	stopped           bool
 }
 
-// upstreamSlot is one place of the service, with a life of an upstream at a time.
+// upstreamSlot holds the current upstream of one of the service's addresses.
 type upstreamSlot struct {
 	proxy  *resettingProxy
 	worker *standin.Worker
@@ -45,18 +45,18 @@
 }
 
 const (
-	// crashDelay is the time from the arrival of a deadly request to the crash, untilBack
-	// that from there to the start of the next life.
+	// crashDelay is the time from the arrival of a poison request to the crash,
+	// restartDelay that from the crash to the restart.
 	crashDelay   = 60 * time.Millisecond
 	restartDelay = 2 * time.Second
 )
 
 // newCrashLoad starts the upstreams.
-func newCrashLoad(s *testFleet, upstreams int, listens bool) *crashLoad {
-	l := &crashLoad{site: s, behindProxy: listens}
+func newCrashLoad(s *testFleet, upstreams int, behindProxy bool) *crashLoad {
+	l := &crashLoad{fleet: s, behindProxy: behindProxy}
 	for range upstreams {
 		slot := &upstreamSlot{}
-		if listens {
+		if behindProxy {
 			slot.proxy = newResettingProxy(s)
 		}
 		l.slots = append(l.slots, slot)
@@ -66,14 +66,14 @@
 	return l
 }
 
-// stop keeps further lives from starting.
+// stop prevents further restarts.
 func (l *crashLoad) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stopped = true
 }
 
-// startUpstream starts a life in a slot and announces it.
+// startUpstream starts a new upstream in a slot and announces it.
 func (l *crashLoad) startUpstream(slot *upstreamSlot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +81,7 @@
 		return
 	}
 	if slot.worker != nil {
-		l.site.deleteWorkerEntry(slot.worker)
+		l.fleet.deleteWorkerEntry(slot.worker)
 	}
 	l.started++
 	worker, err := standin.NewWorker(fmt.Sprintf("life-%d", l.started), func(a standin.Arrival) standin.WorkerAnswer {
@@ -90,14 +90,14 @@
 	if err != nil {
 		return
 	}
-	l.site.cleanup(worker.Close)
+	l.fleet.cleanup(worker.Close)
 	slot.worker, slot.down = worker, false
 	address := worker.Address()
 	if slot.proxy != nil {
 		slot.proxy.setTarget(address)
 		address = slot.proxy.address()
 	}
-	l.site.announceAddress(worker.Instance(), address)
+	l.fleet.announceAddress(worker.Instance(), address)
 }
 
 // answer answers a request, or crashes the upstream under it.
@@ -118,7 +118,7 @@
 	return standin.WorkerAnswer{Silent: true}
 }
 
-// crash ends the life in a slot, and reports whether there was one.
+// crash crashes the upstream of a slot, and reports whether it was running.
 func (l *crashLoad) crash(slot *upstreamSlot) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,15 +134,15 @@
 	return true
 }
 
-// crashAll ends all lives at once.
+// crashAll crashes all upstreams at once.
 func (l *crashLoad) crashAll() {
 	for _, slot := range l.slots {
 		l.crash(slot)
 	}
 }
 
-// lateArrivals returns how many deadly requests reached an upstream 3 s after the third crash or
-// later, and how many crashed one in all.
+// lateArrivals returns how many poison requests reached an upstream more than 3 s after
+// the third crash, and the number of crashes.
 func (l *crashLoad) lateArrivals() (late, crashes int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,8 +162,8 @@
 	s.put("servers/"+id, []byte(fmt.Sprintf(`{"backend":"pool","address":%q,"zone":"hall","capacity":8,"phase":"ready"}`, address)))
 }
 
-// resettingProxy is an address that passes connections on to an upstream, and accepts and
-// resets them while there is none.
+// resettingProxy forwards connections to an upstream, and accepts and resets them while
+// there is none.
 type resettingProxy struct {
 	listener net.Listener
 
@@ -184,7 +184,7 @@
 
 func (f *resettingProxy) address() string { return f.listener.Addr().String() }
 
-// setTarget changes the upstream; without one all connections are reset.
+// setTarget changes the upstream. An empty target resets all connections.
 func (f *resettingProxy) setTarget(target string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -211,7 +211,7 @@
 	}
 }
 
-// serve passes one connection on until either side ends.
+// serve forwards one connection until either side closes it.
 func (f *resettingProxy) serve(c net.Conn, target string) {
 	defer resetConn(c)
 	if target == "" {
@@ -228,7 +228,7 @@
 	_, _ = io.Copy(c, upstream)
 }
 
-// resetConn resets a connection, which may have ended already.
+// resetConn closes a connection with a reset; it may be closed already.
 func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -236,7 +236,8 @@
 	_ = c.Close()
 }
 
-// responseCounts counts the answers of one kind of request. It is safe for concurrent use.
+// responseCounts counts the responses to one kind of request. It is safe for concurrent
+// use.
 type responseCounts struct {
 	mu             sync.Mutex
 	asked, served  int
@@ -246,7 +247,8 @@
 	otherResponses map[int]int
 }
 
-// record records an answer; one that was asked for late or later counts by itself as well.
+// record counts a response. Requests sent at least late after the beginning are also
+// counted separately.
 func (t *responseCounts) record(status int, asked time.Time, late time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -268,7 +270,8 @@
 	}
 }
 
-// askWithBody sends a request with a body to a node and returns the status, 0 without one.
+// askWithBody sends a request with a body to a node and returns the status, -1 after a
+// timeout and 0 after any other failure.
 func (m *member) askWithBody(client *http.Client, path, id, body string) int {
 	request, err := http.NewRequest(http.MethodPost, "http://"+m.config.Callers+path, strings.NewReader(body))
 	if err != nil {
@@ -291,8 +294,8 @@
 	return response.StatusCode
 }
 
-// startCallers sends requests from so many startCallers at once until a moment, each again pause
-// after its answer. body returns the body of a request by its number.
+// startCallers sends requests from count concurrent callers until a time, each with a
+// pause after every response. body returns the body of a request by its number.
 func (s *testFleet) startCallers(count int, pause time.Duration, until time.Time, path string, body func(int) string, answers *responseCounts, late time.Duration) *sync.WaitGroup {
 	var all sync.WaitGroup
 	answers.began = time.Now()
@@ -312,45 +315,46 @@
 	return &all
 }
 
-// poisonScenario is one load beside crashes.
+// poisonScenario is a load of poison requests with its bounds.
 type poisonScenario struct {
 	behindProxy, variedBodies bool
-	// maxCrashes and maxLateArrivals bound the crashes, and the arrivals 3 s after the third.
+	// maxCrashes bounds the crashes, maxLateArrivals the arrivals later than 3 s after
+	// the third crash.
 	maxCrashes, maxLateArrivals int
 }
 
-// runPoisonRequest plays a deadly request of four callers beside innocent ones.
-func runPoisonRequest(t *testing.T, scene poisonScenario) {
+// runPoisonRequest sends a poison request from four callers alongside regular requests.
+func runPoisonRequest(t *testing.T, scenario poisonScenario) {
 	const routers, upstreams, lasts, settled = 6, 16, 12 * time.Second, 6 * time.Second
 	s := newTestFleet(t, routers)
 	s.configure(1, 1_000_000, "/a/", "/once/")
-	load := newCrashLoad(s, upstreams, scene.behindProxy)
+	load := newCrashLoad(s, upstreams, scenario.behindProxy)
 	s.awaitFleet("/a/x")
 	until := time.Now().Add(lasts)
 	unique := func(n int) string { return fmt.Sprint("question ", n) }
 	repeated := func(int) string { return "question" }
-	if scene.variedBodies {
+	if scenario.variedBodies {
 		repeated = unique
 	}
-	var attacks, innocents responseCounts
-	attacking := s.startCallers(4, 10*time.Millisecond, until, "/once/"+poison, repeated, &attacks, settled)
-	s.startCallers(12, 25*time.Millisecond, until, "/a/x", unique, &innocents, settled).Wait()
-	attacking.Wait()
+	var poisoned, regular responseCounts
+	poisonCallers := s.startCallers(4, 10*time.Millisecond, until, "/once/"+poison, repeated, &poisoned, settled)
+	s.startCallers(12, 25*time.Millisecond, until, "/a/x", unique, &regular, settled).Wait()
+	poisonCallers.Wait()
 	late, crashes := load.lateArrivals()
-	t.Logf("%d crashes, %d late arrivals, innocent %d of %d served, %d of %d later, %v", crashes, late,
-		innocents.served, innocents.asked, innocents.lateServed, innocents.lateAsked, innocents.otherResponses)
-	s.Expect(crashes).To(BeNumerically("<=", scene.maxCrashes), "crashes")
-	s.Expect(late).To(BeNumerically("<=", scene.maxLateArrivals), "late arrivals")
-	s.Expect(innocents.lateServed).To(BeNumerically(">=", innocents.lateAsked*95/100), "innocent requests")
+	t.Logf("%d crashes, %d late arrivals, regular %d of %d served, %d of %d later, %v", crashes, late,
+		regular.served, regular.asked, regular.lateServed, regular.lateAsked, regular.otherResponses)
+	s.Expect(crashes).To(BeNumerically("<=", scenario.maxCrashes), "crashes")
+	s.Expect(late).To(BeNumerically("<=", scenario.maxLateArrivals), "late arrivals")
+	s.Expect(regular.lateServed).To(BeNumerically(">=", regular.lateAsked*95/100), "regular requests")
 }
 
-// runPowerLosses plays an innocent request of many callers while all upstreams lose power
-// four times.
-func runPowerLosses(t *testing.T, listens bool) {
+// runPowerLosses sends a regular request from many callers while all upstreams crash
+// together four times.
+func runPowerLosses(t *testing.T, behindProxy bool) {
 	const routers, upstreams, callers, losses, between = 6, 16, 48, 4, 2500 * time.Millisecond
 	s := newTestFleet(t, routers)
 	s.configure(1, 1_000_000, "/a/", "/once/")
-	load := newCrashLoad(s, upstreams, listens)
+	load := newCrashLoad(s, upstreams, behindProxy)
 	s.awaitFleet("/a/x")
 	after := losses*between + restartDelay + time.Second
 	until := time.Now().Add(after + 2*time.Second)
@@ -366,32 +370,28 @@
 	s.Expect(popular.lateServed).To(Equal(popular.lateAsked), "popular requests after the upstreams are back")
 }
 
-// TestPoisonRequestAtClosedAddresses is a crashing request of four callers at upstreams whose
-// addresses refuse connections after a crash.
+// TestPoisonRequestAtClosedAddresses guards against unbounded crashes where the addresses
+// of crashed upstreams refuse connections.
 func TestPoisonRequestAtClosedAddresses(t *testing.T) {
 	runPoisonRequest(t, poisonScenario{maxCrashes: 8, maxLateArrivals: 9})
 }
 
-// TestPoisonRequestBehindProxies is the same where something before each upstream goes on to
-// accept connections, and resets them. 132 upstreams ended in 20 s, and half of the innocent
-// requests beside them were not served: a crash counted only if the address refused
-// connections.
+// TestPoisonRequestBehindProxies guards against crashes that are not counted since a
+// proxy still accepts the connections.
 func TestPoisonRequestBehindProxies(t *testing.T) {
 	runPoisonRequest(t, poisonScenario{behindProxy: true, maxCrashes: 8, maxLateArrivals: 9})
 }
 
-// TestPoisonRequestWithVariedBodies is the same with a body that differs in each request. 131
-// upstreams ended in 20 s: evidence was kept for one content.
+// TestPoisonRequestWithVariedBodies guards against evidence that covers one request body
+// only.
 func TestPoisonRequestWithVariedBodies(t *testing.T) {
 	runPoisonRequest(t, poisonScenario{variedBodies: true, maxCrashes: 24, maxLateArrivals: 9})
 }
 
-// TestPopularRequestSurvivesPowerLoss is an innocent request that 48 callers send while
-// all upstreams lose power four times. It was refused everywhere for ten minutes: the
-// routers sent it again at once to upstreams that ended in the same moments, and within
-// 2 ms of one loss that made all the rounds of crashes that a refusal takes.
+// TestPopularRequestSurvivesPowerLoss guards against refusing a frequent regular request
+// after all upstreams crashed at once.
 func TestPopularRequestSurvivesPowerLoss(t *testing.T) { runPowerLosses(t, false) }
 
-// TestPopularRequestSurvivesPowerLossBehindProxies is the same where the addresses go on to
+// TestPopularRequestSurvivesPowerLossBehindProxies is the same with proxies that still
 // accept connections.
 func TestPopularRequestSurvivesPowerLossBehindProxies(t *testing.T) { runPowerLosses(t, true) }
--- a/node/docs_test.go
+++ b/node/docs_test.go
@@ -15,7 +15,8 @@
 	"granitehoist.example/granitehoist/node"
 )
 
-// tableNames returns the first column of the tables of a page, without its marks.
+// tableNames returns the names in the first column of the tables after a heading of a
+// page.
 func tableNames(page, heading string) []string {
 	raw, err := os.ReadFile("../docs/" + page)
 	Expect(err).NotTo(HaveOccurred())
@@ -28,12 +29,12 @@
 	return names
 }
 
-var _ = Describe("The pages", func() {
-	It("explain each metric and no other", func() {
+var _ = Describe("The documentation", func() {
+	It("describes exactly the existing metrics", func() {
 		Expect(tableNames("METRICS.md", "# Metrics")).To(ConsistOf(node.Metrics()))
 	})
 
-	It("explain each event of the log and no other", func() {
+	It("describes exactly the existing log events", func() {
 		Expect(tableNames("OPERATIONS.md", "## Events of a node")).To(ConsistOf(event.All()))
 	})
 })
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -14,13 +14,14 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-var _ = Describe("A zone that the operators evacuate", func() {
+var _ = Describe("An evacuated availability zone", func() {
 	const order = "op/evacuate/hall"
-	// knows reports whether a node has logged an event so many times.
+	// knows returns a function that reports whether a node has logged an event exactly
+	// the given number of times.
 	knows := func(m *member, name event.Name, times int) func() bool {
 		return func() bool { return m.logs.FilterMessage(name).Len() == times }
 	}
-	// newServing returns a site with a worker in the zone, which all nodes use.
+	// newServing returns a fleet with a worker in the zone, which all nodes use.
 	newServing := func(nodes int) (*testFleet, *standin.Worker) {
 		s := newSpecFleet(nodes)
 		s.configure(1, 100_000, "/a/")
@@ -41,7 +42,7 @@
 		Expect(w.Arrivals()).To(HaveLen(before))
 	}
 
-	It("gets nothing until that is withdrawn, and callers are refused at once", func() {
+	It("gets no requests until it is restored, and callers are refused at once", func() {
 		s, w := newServing(1)
 		m := s.members[0]
 		s.put(order, []byte(`{}`))
@@ -52,7 +53,7 @@
 		Expect(m.status("/a/x")()).To(Equal(http.StatusOK))
 	})
 
-	It("is known to a node that the store turns away, through a neighbour", func() {
+	It("is known through a neighbour to a node whose store fails", func() {
 		s, w := newServing(2)
 		m := s.members[0]
 		m.store.Fail(standin.PlatformFaults{Hang: true})
@@ -63,7 +64,7 @@
 		Eventually(knows(m, event.ZoneRestored, 1), 5*time.Second).Should(BeTrue())
 	})
 
-	It("is known to a node that starts, before it serves anything", func() {
+	It("is known to a starting node before it serves requests", func() {
 		s, w := newServing(1)
 		s.put(order, []byte(`{}`))
 		started := s.start()
@@ -72,8 +73,8 @@
 	})
 })
 
-var _ = Describe("Entries of another writer", func() {
-	It("name no worker, are logged once, and leave what others said", func() {
+var _ = Describe("Invalid entries of instances", func() {
+	It("add no worker, are logged once, and leave valid entries in force", func() {
 		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/a/")
 		w := s.startWorker(standin.WorkerAnswer{Body: "answer"})
--- a/node/explain_test.go
+++ b/node/explain_test.go
@@ -17,21 +17,21 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// These are the failures that docs/OPERATIONS.md leads from their id to their
-// cause, brought about over sockets.
+// These specs cause the failures described in docs/OPERATIONS.md and check that the log
+// explains them.
 var _ = Describe("The log of a node", func() {
-	// story tells a request in words, as operators get it from the log.
-	story := func(m *member, id string) string {
+	// describe returns the description of a request that operators get from the log.
+	describe := func(m *member, id string) string {
 		GinkgoHelper()
 		Eventually(m.logText.String).Should(ContainSubstring("event=request request=" + id))
-		story, err := explain.Read(strings.NewReader(m.logText.String()), granitehoist.RequestID(id))
+		description, err := explain.Read(strings.NewReader(m.logText.String()), granitehoist.RequestID(id))
 		Expect(err).NotTo(HaveOccurred())
 		var words strings.Builder
-		Expect(story.Write(&words)).To(Succeed())
+		Expect(description.Write(&words)).To(Succeed())
 		return words.String()
 	}
 
-	It("leads from a request that was refused for tokens to the store that was away", func() {
+	It("explains a request refused for lack of tokens by the unreachable store", func() {
 		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/stream/")
 		s.startWorker(standin.WorkerAnswer{Events: 2})
@@ -43,7 +43,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-		text := story(m, "r-refused")
+		text := describe(m, "r-refused")
 		Expect(text).To(ContainSubstring("needed at most 91000 tokens; the budget said unreachable"))
 		Expect(text).To(ContainSubstring("the last sync of the budgets failed"))
 		Expect(text).To(ContainSubstring("status 503"))
@@ -51,7 +51,7 @@
 		Expect(text).To(ContainSubstring(`the fate "not run"`))
 	})
 
-	It("leads from a stream that went on elsewhere to the worker that broke off", func() {
+	It("explains a stream resumed at another upstream by the worker that broke off", func() {
 		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/stream/")
 		m := s.members[0]
@@ -67,14 +67,14 @@
 		got, err := m.ask("/stream/x", "r-broken", "Token-Usage", "100,30")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(strings.Count(got.body, "id: ")).To(Equal(6))
-		text := story(m, "r-broken")
+		text := describe(m, "r-broken")
 		Expect(text).To(MatchRegexp(`attempt 1 was sent to upstream i-\d .*upstream_cut`))
 		Expect(text).To(ContainSubstring("the caller had events up to 3 by then"))
 		Expect(text).To(MatchRegexp(`attempt 2 was sent to upstream i-\d .*status 200`))
 		Expect(text).To(ContainSubstring("2 attempts, 6 events"))
 	})
 
-	It("leads from a request that may have run to the upstream that gave no answer", func() {
+	It("explains a request that may have run by the upstream that did not answer", func() {
 		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/once/")
 		w := s.startWorker(standin.WorkerAnswer{Body: "answer", Cut: standin.Cut{Set: true}})
@@ -85,7 +85,7 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.status).To(Equal(http.StatusBadGateway))
 		Expect(w.Arrivals()).To(HaveLen(before + 1))
-		text := story(m, "r-lost")
+		text := describe(m, "r-lost")
 		Expect(text).To(ContainSubstring("attempt 1 was sent to upstream i-1"))
 		Expect(text).To(ContainSubstring("upstream_cut"))
 		Expect(text).To(ContainSubstring("1 attempts"))
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -31,14 +31,14 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// member is one node of a fleet under test, with a store front of its own.
+// member is one node of a fleet under test, with its own store front end.
 type member struct {
 	Gomega
 	node   *node.Node
 	config *node.Config
 	store  *standin.PlatformStore
 	logs   *observer.ObservedLogs
-	// logText holds the lines that the program would write.
+	// logText holds the log lines as the program would write them.
 	logText *logBuffer
 }
 
@@ -60,38 +60,38 @@
 	return t.lines.String()
 }
 
-// testFleet is a fleet with the platform's store and workers, all over sockets. Its assertions
-// fail the test that it belongs to.
+// testFleet is a fleet with the platform's store and workers, connected over sockets. Its
+// assertions fail the test that it belongs to.
 type testFleet struct {
 	Gomega
 	store       *standin.Store
 	members     []*member
 	workerCount int
-	// cleanup registers what ends with the test.
+	// cleanup registers a function to run at the end of the test.
 	cleanup func(func())
-	// clock is that of the nodes that are started; nil stands for time.Now.
+	// clock is the clock of the nodes started; nil means time.Now.
 	clock granitehoist.Clock
 }
 
-// lastIP is the number of the last loopback address that a node of any test got,
-// so that no two use the same.
+// lastIP is the last loopback address assigned to a node of any test, so that no two
+// share one.
 var lastIP atomic.Int32
 
-// nextIP returns a loopback address that no other test uses, in this process or in
-// another run of the tests at the same time: the settings file fixes the ports, so
-// two processes need networks of their own.
+// nextIP returns a loopback address that no other test uses, in this or a concurrent
+// process: the settings file fixes the ports, so each process needs its own network.
 func nextIP() string {
 	const ownNetworks, octet = 64, 256
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", ownNetworks+pid/octet%ownNetworks, pid%octet, lastIP.Add(1))
 }
 
-// newSpecFleet starts a site of a spec, with nodes that have no configuration yet.
+// newSpecFleet starts a fleet for a Ginkgo spec, with nodes that have no configuration
+// yet.
 func newSpecFleet(nodes int) *testFleet {
 	return startFleet(Default, func(end func()) { DeferCleanup(end) }, nodes)
 }
 
-// newTestFleet starts a site as newSite does, of a test that may run beside others.
+// newTestFleet starts a fleet for a Go test, which may run in parallel with others.
 func newTestFleet(t *testing.T, nodes int) *testFleet {
 	t.Helper()
 	g := NewWithT(t)
@@ -99,7 +99,7 @@
 	return startFleet(g, t.Cleanup, nodes)
 }
 
-// startFleet starts a site. What it starts is ended by the functions that it gives to atEnd.
+// startFleet starts a fleet. It registers its clean-up with the given function.
 func startFleet(g Gomega, atEnd func(func()), nodes int) *testFleet {
 	s := &testFleet{Gomega: g, store: standin.NewStore(standin.StoreSettings{}), cleanup: atEnd}
 	for range nodes {
@@ -108,7 +108,7 @@
 	return s
 }
 
-// start starts a node with a store front of its own.
+// start starts a node with its own store front end.
 func (s *testFleet) start() *member {
 	ip := nextIP()
 	front := &standin.PlatformStore{Store: s.store}
@@ -135,7 +135,7 @@
 	return m
 }
 
-// put writes a key, whatever its value was.
+// put writes a key, whatever its current value.
 func (s *testFleet) put(key string, value any) {
 	raw, isRaw := value.([]byte)
 	if !isRaw {
@@ -153,7 +153,7 @@
 	}).Should(Succeed())
 }
 
-// configure writes a configuration with the given routes of the pool.
+// configure writes a configuration with a route to the pool for each prefix.
 func (s *testFleet) configure(revision int, reserved int, prefixes ...string) {
 	var routes []string
 	for i, prefix := range prefixes {
@@ -171,12 +171,13 @@
 		"tenants":[{"name":"kiosk","apiKeys":["a-key"],"reserved":%d}]}`, revision, strings.Join(routes, ","), reserved)))
 }
 
-// startWorker starts a startWorker and announces it.
+// startWorker starts a worker with a fixed answer and announces it.
 func (s *testFleet) startWorker(answer standin.WorkerAnswer) *standin.Worker {
 	return s.startWorkerFunc(func(standin.Arrival) standin.WorkerAnswer { return answer })
 }
 
-// startWorkerFunc starts a worker that is asked for each answer, and announces it.
+// startWorkerFunc starts a worker that calls a function for each answer, and announces
+// it.
 func (s *testFleet) startWorkerFunc(answers func(standin.Arrival) standin.WorkerAnswer) *standin.Worker {
 	s.workerCount++
 	id := fmt.Sprintf("i-%d", s.workerCount)
@@ -191,12 +192,12 @@
 	s.put(platform.WorkersPrefix+w.Instance(), []byte(fmt.Sprintf(`{"backend":"pool","address":%q,"zone":"hall","capacity":8,"phase":%q}`, w.Address(), phase)))
 }
 
-// deleteWorkerEntry deletes the entry of a worker that goes on serving.
+// deleteWorkerEntry deletes the entry of a worker, which continues to serve.
 func (s *testFleet) deleteWorkerEntry(w *standin.Worker) {
 	s.deleteKey(platform.WorkersPrefix + w.Instance())
 }
 
-// deleteKey deletes a key.
+// deleteKey deletes a key, which must exist, from the store.
 func (s *testFleet) deleteKey(key string) {
 	entry, err := s.store.Get(context.Background(), key)
 	s.Expect(err).NotTo(HaveOccurred())
@@ -204,7 +205,7 @@
 	s.Expect(err).NotTo(HaveOccurred())
 }
 
-// keysUnder returns the keys that begin with a prefix.
+// keysUnder returns the keys with a prefix.
 func (s *testFleet) keysUnder(prefix string) []string {
 	entries, _, err := s.store.List(context.Background(), prefix)
 	s.Expect(err).NotTo(HaveOccurred())
@@ -215,7 +216,7 @@
 	return keys
 }
 
-// metrics returns all metrics as the node serves them, empty if it does not.
+// metrics returns the metrics page of the node, empty if it cannot be read.
 func (m *member) metrics() string {
 	response, err := http.Get("http://" + m.config.Metrics + "/metrics")
 	if err != nil {
@@ -237,7 +238,8 @@
 	return ""
 }
 
-// knowsDraining reports whether the node has logged that a worker drains.
+// knowsDraining returns a function that reports whether the node has logged that a worker
+// drains.
 func (m *member) knowsDraining(w *standin.Worker) func() bool {
 	return func() bool {
 		lines := m.logs.FilterMessage(event.Upstream).FilterField(zap.String("upstream", w.Instance()))
@@ -245,18 +247,19 @@
 	}
 }
 
-// knowsRemoved reports whether the node has logged that a worker was removed.
+// knowsRemoved returns a function that reports whether the node has logged that a worker
+// was removed.
 func (m *member) knowsRemoved(w *standin.Worker) func() bool {
 	return func() bool {
 		return m.logs.FilterMessage(event.UpstreamGone).FilterField(zap.String("upstream", w.Instance())).Len() > 0
 	}
 }
 
-// sequentialRequests is how many requests expectOnly sends.
+// sequentialRequests is the number of requests that expectOnly sends.
 const sequentialRequests = 20
 
-// expectOnly sends requests that all have to get the given body, none of them
-// through the idle workers.
+// expectOnly sends requests and expects all responses to have the given body, and no
+// request at the idle workers.
 func (m *member) expectOnly(body string, idle ...*standin.Worker) {
 	GinkgoHelper()
 	before := map[string]int{}
@@ -273,14 +276,14 @@
 	}
 }
 
-// answer is what a client got.
+// answer is the response that a client received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// ask sends a request over a new connection.
+// ask sends a request over a new connection. header holds names and values in turn.
 func (m *member) ask(path, id string, header ...string) (answer, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+m.config.Callers+path, strings.NewReader("question"))
 	if err != nil {
@@ -303,7 +306,8 @@
 	return answer{response.StatusCode, response.Header, string(body)}, err
 }
 
-// status returns the status of a request, 0 if there was no answer.
+// status returns a function that sends a request and returns its status, 0 without a
+// response.
 func (m *member) status(path string) func() int {
 	return func() int {
 		got, err := m.ask(path, "probe")
@@ -323,7 +327,7 @@
 	return response.StatusCode
 }
 
-// reachable reports whether an address takes connections.
+// reachable reports whether an address accepts connections.
 func reachable(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
--- a/node/golden_test.go
+++ b/node/golden_test.go
@@ -17,16 +17,16 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// goldenMessage is a message between routers or a record in the store, with a file of it as
-// an earlier version wrote it. The files are never changed: a message that changes gets
-// one more.
+// goldenMessage is a message between routers or a record in the store, with a file of it
+// as an earlier version wrote it. Files must not be changed; a changed message needs an
+// additional file.
 type goldenMessage struct {
 	file string
-	// decode decodes a message into its type of this version.
+	// decode decodes a message into its current type.
 	decode func(raw []byte) (any, error)
 }
 
-// decodeAs returns the decoding into a type.
+// decodeAs decodes a message into a type.
 func decodeAs[T any](raw []byte) (any, error) {
 	var message T
 	err := json.Unmarshal(raw, &message)
@@ -66,7 +66,7 @@
 	return raw
 }
 
-// decodeUntyped decodes JSON without a type.
+// decodeUntyped decodes JSON into maps, slices and basic values.
 func decodeUntyped(t *testing.T, raw []byte) any {
 	t.Helper()
 	var value any
@@ -76,8 +76,9 @@
 	return value
 }
 
-// withUnknownFields returns a value with one more field in each of its objects, but for those
-// whose names are data: an object whose key has capital letters, digits or a hyphen.
+// withUnknownFields returns a value with an additional field in each of its objects,
+// except in those whose field names are data: names with a digit or a hyphen, or of a
+// workspace.
 func withUnknownFields(value any) any {
 	switch v := value.(type) {
 	case map[string]any:
@@ -101,9 +102,8 @@
 	return value
 }
 
-// TestMessageCompatibility checks that the messages and records of an earlier version
-// are read with all that they say and written in the same form, that fields of a later one
-// change nothing, and that a missing field is no error.
+// TestMessageCompatibility guards against messages and records that other versions cannot
+// exchange: lost or renamed fields, and errors on unknown or missing ones.
 func TestMessageCompatibility(t *testing.T) {
 	for _, m := range goldenMessages {
 		t.Run(m.file, func(t *testing.T) {
@@ -117,14 +117,14 @@
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(decodeUntyped(t, again), decodeUntyped(t, raw)) {
-				t.Errorf("it is written as %s", again)
+				t.Errorf("encoded again as %s", again)
 			}
 			later, err := json.Marshal(withUnknownFields(decodeUntyped(t, raw)))
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got, err := m.decode(later); err != nil || !reflect.DeepEqual(got, message) {
-				t.Errorf("with later fields: %+v, %v", got, err)
+				t.Errorf("with unknown fields: %+v, %v", got, err)
 			}
 			fields, _ := decodeUntyped(t, raw).(map[string]any)
 			for name, value := range fields {
--- a/node/largefleet_test.go
+++ b/node/largefleet_test.go
@@ -35,7 +35,7 @@
 			Eventually(m.node.Routers).Should(Equal(nodes))
 		}
 	})
-	served := func(members []*member) {
+	expectServed := func(members []*member) {
 		GinkgoHelper()
 		for _, m := range members {
 			Eventually(func() int {
@@ -47,11 +47,11 @@
 			}).Should(Equal(http.StatusOK))
 		}
 	}
-	// rows returns what each incarnation has been granted: by the record of all
-	// workspaces, with which that of a shard begins, and then by that of the shard.
-	// A node whose first lists were short has taken tokens as in a small fleet, so
-	// that the holder may need no more for a while.
-	rows := func() map[granitehoist.Incarnation]granitehoist.Tokens {
+	// grants returns the tokens granted to each incarnation, by the record of all
+	// workspaces, from which a shard's record starts, and then by that of the shard. A
+	// node with incomplete lists may have taken tokens as in a small fleet, so that the
+	// holder may need no more for a while.
+	grants := func() map[granitehoist.Incarnation]granitehoist.Tokens {
 		GinkgoHelper()
 		whole, err := s.store.Get(GinkgoT().Context(), escrow.RecordKey)
 		Expect(err).NotTo(HaveOccurred())
@@ -71,30 +71,30 @@
 		return granted
 	}
 
-	It("reads the store through relays, and goes on serving without it", func() {
-		served(s.members)
+	It("reads the store through relays, and continues to serve without it", func() {
+		expectServed(s.members)
 
-		By("letting few ask and the holder write")
-		calls, granted := s.store.Calls(), rows()
-		served(s.members)
+		By("having only relays read and the holder write")
+		calls, granted := s.store.Calls(), grants()
+		expectServed(s.members)
 		time.Sleep(2 * time.Second)
 		after := s.store.Calls()
 		Expect(after.Watches + after.Reads - calls.Watches - calls.Reads).To(BeNumerically("<", 3*nodes))
 		writers := 0
-		for incarnation, tokens := range rows() {
+		for incarnation, tokens := range grants() {
 			if tokens != granted[incarnation] {
 				writers++
 			}
 		}
 		Expect(writers).To(BeNumerically("<=", 1))
 
-		By("losing the store everywhere")
+		By("losing the store on all nodes")
 		for _, m := range s.members {
 			m.store.Fail(standin.PlatformFaults{Refuse: http.StatusServiceUnavailable})
 		}
-		served(s.members[:3])
+		expectServed(s.members[:3])
 
-		By("telling all of what changed after it")
+		By("passing on changes after the store is back")
 		for _, m := range s.members {
 			m.store.Fail(standin.PlatformFaults{})
 		}
--- a/node/leaving_test.go
+++ b/node/leaving_test.go
@@ -14,18 +14,18 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// leavingReaction is the users' bound on the time for which a router may go on to send to an
-// upstream after it has passed on an answer in which the upstream says that it leaves, as
-// the settings of the tests state it.
+// leavingReaction is how long a router may still send requests to an upstream after it
+// has forwarded a response that says that the upstream is leaving.
 const leavingReaction = 500 * time.Millisecond
 
-// leavingWorker is a worker that says in each answer that it leaves while leaves is set.
+// leavingWorker is a worker that says in each response that it is leaving while leaving
+// is set.
 type leavingWorker struct {
 	*standin.Worker
 	leaving atomic.Bool
 }
 
-// leavingWorker starts a worker that does not say yet that it leaves.
+// leavingWorker starts a worker that is not leaving yet.
 func (s *testFleet) leavingWorker() *leavingWorker {
 	w := &leavingWorker{}
 	w.Worker = s.startWorkerFunc(func(standin.Arrival) standin.WorkerAnswer {
@@ -38,34 +38,29 @@
 	return w
 }
 
-// countSentTooLate returns how many requests reached a leaving upstream although their router
-// had passed on drainBound before that it leaves.
+// countSentTooLate returns how many requests were sent to a leaving upstream more than
+// leavingReaction after their router had forwarded a response that says so.
 func countSentTooLate(all []sentRequest) int {
-	said := func(e sentRequest) bool { return e.got.header.Get("Server-Leaving") != "" }
-	// passedOn is when each node first passed on such an answer.
-	passedOn := map[int]time.Time{}
+	saysLeaving := func(e sentRequest) bool { return e.got.header.Get("Server-Leaving") != "" }
+	// forwardedAt holds the time at which each node first forwarded such a response.
+	forwardedAt := map[int]time.Time{}
 	for _, e := range all {
 		at := e.sent.Add(e.took)
-		if first, found := passedOn[e.member]; said(e) && (!found || at.Before(first)) {
-			passedOn[e.member] = at
+		if first, found := forwardedAt[e.member]; saysLeaving(e) && (!found || at.Before(first)) {
+			forwardedAt[e.member] = at
 		}
 	}
 	late := 0
 	for _, e := range all {
-		if said(e) && e.sent.After(passedOn[e.member].Add(leavingReaction)) {
+		if saysLeaving(e) && e.sent.After(forwardedAt[e.member].Add(leavingReaction)) {
 			late++
 		}
 	}
 	return late
 }
 
-// TestLeavingUpstreamGetsNoRequests is the incident of an upstream that began to leave while the
-// store was away and went on to get requests. It said so in all its answers, which two
-// routers had passed on, but routers knew that an upstream leaves from its entry in the
-// store only, and no entry changed before the store was back, 13 s later: it got 22 further
-// requests, each a first choice for its low load. That none of the routers logged that it
-// drains ruled out news that was not passed on; 17 other live upstreams ruled out that there
-// was no choice.
+// TestLeavingUpstreamGetsNoRequests guards against requests to an upstream that says in
+// its responses that it is leaving, while the store cannot report it.
 func TestLeavingUpstreamGetsNoRequests(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 3)
@@ -84,8 +79,8 @@
 	s.Expect(countSentTooLate(all)).To(BeZero(), "requests sent to the leaving upstream %s after its router knew", leavingReaction)
 }
 
-// TestLeavingReachesAllRouters checks that what one router heard reaches those that have sent the
-// upstream nothing, and one that starts later, while the store is away.
+// TestLeavingReachesAllRouters guards against a leaving upstream that is known only to
+// routers with requests there, while the store is unreachable.
 func TestLeavingReachesAllRouters(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 3)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -23,7 +23,7 @@
 )
 
 var _ = Describe("A node", func() {
-	It("is not ready, and answers that nothing ran, before it has a configuration", func() {
+	It("is not ready, and refuses requests as not run, before it has a configuration", func() {
 		s := newSpecFleet(1)
 		m := s.members[0]
 		Eventually(func() bool { return reachable(m.config.Callers) }).Should(BeTrue())
@@ -36,7 +36,7 @@
 		Eventually(m.ready).Should(Equal(http.StatusOK))
 	})
 
-	It("serves a stream end to end, with the worker's status, signature and bytes", func() {
+	It("serves a stream end to end, with the worker's status, seal and body", func() {
 		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/stream/")
 		s.startWorker(standin.WorkerAnswer{Events: 5})
@@ -48,7 +48,7 @@
 		Expect(strings.Count(got.body, "id: ")).To(Equal(5))
 	})
 
-	It("keeps the last good configuration when one can't be read", func() {
+	It("keeps the last valid configuration when one cannot be decoded", func() {
 		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/a/")
 		s.startWorker(standin.WorkerAnswer{Body: "answer"})
@@ -60,7 +60,7 @@
 		Expect(m.status("/a/x")()).To(Equal(http.StatusOK))
 	})
 
-	It("sends nothing to a worker that drains or whose entry has gone", func() {
+	It("sends nothing to a worker that drains or whose entry was deleted", func() {
 		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/a/")
 		first := s.startWorker(standin.WorkerAnswer{Body: "first"})
@@ -78,7 +78,7 @@
 		Expect(len(third.Arrivals())).To(BeNumerically(">=", sequentialRequests))
 	})
 
-	It("follows the configuration through a neighbour while the store turns it away", func() {
+	It("follows the configuration through a neighbour while the store fails", func() {
 		for _, fault := range []standin.PlatformFaults{{Refuse: http.StatusServiceUnavailable}, {Refuse: http.StatusTooManyRequests}, {Hang: true}} {
 			s := newSpecFleet(2)
 			s.configure(1, 100_000, "/a/")
@@ -94,7 +94,7 @@
 		}
 	})
 
-	It("learns of a new neighbour while the store turns it away", func() {
+	It("learns of a new neighbour while the store fails", func() {
 		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/a/")
 		m := s.members[0]
@@ -110,7 +110,7 @@
 		Eventually(m.node.Routers, 3*time.Second).Should(Equal(2))
 	})
 
-	It("lists anew when the store has forgotten its history, and when a watch is deaf", func() {
+	It("lists again when the store has lost its history, and when a watch misses changes", func() {
 		s := newSpecFleet(1)
 		s.configure(1, 100_000, "/a/")
 		s.startWorker(standin.WorkerAnswer{Body: "answer"})
@@ -124,7 +124,7 @@
 		Expect(m.logs.FilterMessage("history_gone").Len()).To(BeNumerically(">", 0))
 	})
 
-	It("never spends more than the budget over several nodes", func() {
+	It("never spends more than the budget across several nodes", func() {
 		s := newSpecFleet(3)
 		s.configure(1, 3000, "/stream/")
 		s.startWorker(standin.WorkerAnswer{Events: 10})
@@ -150,7 +150,7 @@
 		Expect(served).To(BeNumerically(">", 10))
 	})
 
-	It("cuts no request at a planned stop, and returns its tokens", func() {
+	It("completes all requests at a graceful stop, and returns its tokens", func() {
 		s := newSpecFleet(2)
 		s.configure(1, 100_000, "/stream/")
 		s.startWorker(standin.WorkerAnswer{Events: 20, Gap: 20 * time.Millisecond})
@@ -180,7 +180,7 @@
 		Expect(row.Net()).To(Equal(row.Spent))
 	})
 
-	It("gives its tokens to a neighbour if it stops while the store does not answer it", func() {
+	It("repays its tokens to a neighbour if it stops while the store fails", func() {
 		s := newSpecFleet(2)
 		s.configure(1, 100_000, "/stream/")
 		m, neighbour := s.members[0], s.members[1]
@@ -212,7 +212,7 @@
 		Expect(string(text)).To(ContainSubstring(`budget_free{workspace="kiosk"}`))
 	})
 
-	It("closes all its addresses when it has stopped", func() {
+	It("closes all its listeners when it has stopped", func() {
 		m := newSpecFleet(1).members[0]
 		addresses := []string{m.config.Callers, m.config.Ready, m.config.Metrics}
 		for _, address := range addresses {
--- a/node/nodelist.go
+++ b/node/nodelist.go
@@ -34,8 +34,8 @@
 
 // listsNeeded returns how many lists a node has to read from the store before its view of
 // the fleet is complete; bootstrap is Config.First.
-func listsNeeded(first bool) int {
-	if first {
+func listsNeeded(bootstrap bool) int {
+	if bootstrap {
 		return listsAtBootstrap
 	}
 	return listsAtStart
--- a/node/permits.go
+++ b/node/permits.go
@@ -42,7 +42,7 @@
 )
 
 // errNoIssuer says that no issuer is known or reachable.
-var errNoIssuer = eris.New("node: no node to ask for permits")
+var errNoIssuer = eris.New("node: no permit issuer is known or reachable")
 
 // permitsParams holds the parameters of methodPermits. A node of an older version does
 // not serve the method and counts as unreachable.
@@ -217,11 +217,11 @@
 }
 
 // servePermits issues permits to a node, which may be this one.
-func (l *rateLimits) servePermits(_ context.Context, q permitsParams) (permitsResult, error) {
+func (l *rateLimits) servePermits(_ context.Context, params permitsParams) (permitsResult, error) {
 	now := l.clock()
 	var reply permitsResult
-	for _, r := range q.Permits {
-		reply.Permits = append(reply.Permits, l.issue(r, q.StandsIn, now))
+	for _, r := range params.Permits {
+		reply.Permits = append(reply.Permits, l.issue(r, params.StandsIn, now))
 	}
 	return reply, nil
 }
--- a/node/ratelimit_test.go
+++ b/node/ratelimit_test.go
@@ -19,19 +19,19 @@
 )
 
 const (
-	// limitWindow is the time to which the users' bound on arrivals applies, and
-	// limitLearnt the time from the first answer that names a limit to its beginning.
+	// limitWindow is the period over which arrivals are bounded, and limitSettleTime the
+	// time from the first response with a rate limit until the bound applies.
 	limitWindow     = 4 * time.Second
 	limitSettleTime = 3 * time.Second
 )
 
-// maxAllowedArrivals is the most requests that an upstream may get in some limitWindow: one
-// and a half times what its limit allows, and 5.
+// maxAllowedArrivals is the maximum number of requests that an upstream may get in any
+// limitWindow: one and a half times its rate limit, plus 5.
 func maxAllowedArrivals(perSecond float64) int {
 	return int(1.5*perSecond*limitWindow.Seconds() + 5)
 }
 
-// arrivalTimes keeps when requests reached a worker. It is safe for concurrent use.
+// arrivalTimes records when requests reached a worker. It is safe for concurrent use.
 type arrivalTimes struct {
 	mu    sync.Mutex
 	times []time.Time
@@ -43,12 +43,12 @@
 	a.times = append(a.times, t)
 }
 
-// maxInWindow returns the most arrivals in some limitWindow that begins limitLearnt after the
-// first arrival or later.
+// maxInWindow returns the maximum number of arrivals in any limitWindow that starts at
+// least limitSettleTime after the first arrival.
 func (a *arrivalTimes) maxInWindow() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	worst := 0
+	most := 0
 	for i, begin := range a.times {
 		if begin.Sub(a.times[0]) < limitSettleTime {
 			continue
@@ -59,12 +59,12 @@
 				count++
 			}
 		}
-		worst = max(worst, count)
+		most = max(most, count)
 	}
-	return worst
+	return most
 }
 
-// countSince returns the number of arrivals since a time.
+// countSince returns the number of arrivals after a time.
 func (a *arrivalTimes) countSince(since time.Time) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -77,14 +77,14 @@
 	return count
 }
 
-// limitedWorker is a worker that names a limit in each answer for as long as need is set,
-// and keeps when requests reach it.
+// limitedWorker is a worker that states a rate limit in each response while limiting is
+// set, and records its arrivals.
 type limitedWorker struct {
 	arrivalTimes
 	limiting atomic.Bool
 }
 
-// limitedWorker starts a worker in need that names a limit.
+// limitedWorker starts a worker that states a rate limit.
 func (s *testFleet) limitedWorker(limit string) *limitedWorker {
 	w := &limitedWorker{}
 	w.limiting.Store(true)
@@ -99,7 +99,7 @@
 	return w
 }
 
-// awaitFleet waits until all nodes know each other, and each serves a path if one is given.
+// awaitFleet waits until all nodes know each other and serve path, unless it is empty.
 func (s *testFleet) awaitFleet(path string) {
 	for _, m := range s.members {
 		s.Eventually(m.node.Routers, stepTimeout).Should(Equal(len(s.members)))
@@ -109,35 +109,35 @@
 	}
 }
 
-// knownLimits returns a function that reports how many limits a node knows.
+// knownLimits returns a function that returns the number of rate limits known to a node.
 func (m *member) knownLimits() func() int {
 	return func() int { return strings.Count(m.metrics(), "upstream_limit{") }
 }
 
-// sentRequest is one request of loadEach and what became of it.
+// sentRequest is a request of sendLoad with its response.
 type sentRequest struct {
-	// member is the index of the node that got the request.
+	// member is the index of the node that received the request.
 	member int
 	sent   time.Time
-	// got is the answer; its status is 0 if there was none.
+	// got is the response; its status is 0 if there was none.
 	got answer
-	// took is the time to the end of the answer.
+	// took is the time until the end of the response.
 	took time.Duration
 }
 
-// loadID is the id of a request of loadEach, and memberOf the index of the node that got
-// the request of an id.
+// loadID returns the id of a request of sendLoad, and memberIndex the index of the node
+// that received the request of an id.
 func loadID(round, member int) string { return fmt.Sprintf("load-%d-%d", round, member) }
 
 func memberIndex(id string) int {
 	_, number, _ := strings.Cut(strings.TrimPrefix(id, "load-"), "-")
-	// Every request of a load has such an id.
+	// All requests of sendLoad have such an id.
 	member, _ := strconv.Atoi(number)
 	return member
 }
 
-// sendLoad sends each node of a site one request every pause, without waiting for answers,
-// for a time, and returns all of them once they have ended.
+// sendLoad sends each node one request every pause for a time, without waiting for
+// responses, and returns all requests once they have completed.
 func (s *testFleet) sendLoad(path string, pause, lasts time.Duration) []sentRequest {
 	var mu sync.Mutex
 	var all []sentRequest
@@ -161,7 +161,8 @@
 	return all
 }
 
-// sendLoadStatuses sends requests as loadEach does, and returns how many got each status.
+// sendLoadStatuses sends requests as sendLoad does, and returns the number of responses
+// by status.
 func (s *testFleet) sendLoadStatuses(path string, pause, lasts time.Duration) map[int]int {
 	return countStatuses(s.sendLoad(path, pause, lasts))
 }
@@ -174,13 +175,8 @@
 	return statuses
 }
 
-// TestRateLimitIsRespected is the incident of upstreams in need that were not spared. Each
-// named in its answers how many requests a second it takes from all routers together, 1.5
-// of them, and went on to get 3 a second: no router read the limit, so that each chose as
-// before among all upstreams, and the owner of a prefix kept its requests. 35 of 36
-// attempts at one of the upstreams came for a prefix that it owned and one of 57 was a
-// repeat, which ruled out that retries had gone there; that no state of a router held a
-// limit ruled out that each had kept the whole limit for itself.
+// TestRateLimitIsRespected guards against routers that together exceed the rate limit
+// that an upstream states in its responses.
 func TestRateLimitIsRespected(t *testing.T) {
 	t.Parallel()
 	const routers, others, perSecond = 3, 3, 1.6
@@ -197,8 +193,8 @@
 	s.Expect(limited.maxInWindow()).To(BeNumerically("<=", maxAllowedArrivals(perSecond)), "requests in %s", limitWindow)
 }
 
-// TestRateLimitReachesAllRouters checks that a limit that one router saw, and its end, reaches
-// routers that have sent the upstream nothing, and one that starts later.
+// TestRateLimitReachesAllRouters guards against a rate limit, or its end, that is known
+// only to routers with requests at the upstream.
 func TestRateLimitReachesAllRouters(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 3)
@@ -218,14 +214,12 @@
 	}
 }
 
-// TestAllUpstreamsLimited checks a service whose upstreams all name a limit, under four
-// times the load that they take: what they take is used, nobody gets more than is allowed,
-// and whoever can't be served is refused as not run, long before the deadline. Afterwards
-// everyone is served again.
+// TestAllUpstreamsLimited guards against exceeding or wasting the rate limits of a
+// service at four times the load, and against refusals that remain once the limits end.
 func TestAllUpstreamsLimited(t *testing.T) {
 	t.Parallel()
 	const routers, workers, perSecond = 3, 2, 5.0
-	// started is for how long a router that issues permits keeps to a part of the rate.
+	// started is how long a new issuer limits itself to a fraction of the rate.
 	const started = 10 * time.Second
 	s := newTestFleet(t, routers)
 	s.configure(1, 1_000_000, "/a/")
@@ -244,7 +238,7 @@
 		s.Expect(w.countSince(began)).To(BeNumerically(">=", int(0.8*perSecond*2*limitWindow.Seconds())), "four fifths of the limit")
 		w.limiting.Store(false)
 	}
-	// Only requests tell that the need is over.
+	// Routers learn of the end of the limits only from responses.
 	s.sendLoadStatuses("/a/x", 75*time.Millisecond, 2*time.Second)
 	for _, m := range s.members {
 		s.Eventually(m.knownLimits(), stepTimeout).Should(BeZero())
@@ -252,9 +246,8 @@
 	}
 }
 
-// TestRefusedForLimitsAtOnce checks the refusal of a request for which no permit can come in
-// time: at once or after a fifth of the route's target, as not run, with a Retry-After that
-// the caller can use.
+// TestRefusedForLimitsAtOnce guards against requests that wait although no permit can
+// come in time, and against refusals without a usable Retry-After.
 func TestRefusedForLimitsAtOnce(t *testing.T) {
 	t.Parallel()
 	s := newTestFleet(t, 1)
@@ -278,9 +271,8 @@
 	s.Expect(limited.countSince(time.Time{})).To(Equal(arrived))
 }
 
-// TestPermitIssuerFailover checks that the permits for an upstream are issued by another router when
-// the one that issued them has ended without a word: some requests go there, no more than
-// are allowed.
+// TestPermitIssuerFailover guards against an upstream that gets no requests, or too many,
+// after the issuer of its permits has stopped.
 func TestPermitIssuerFailover(t *testing.T) {
 	t.Parallel()
 	const perSecond = 8.0
@@ -289,7 +281,7 @@
 	limited := s.limitedWorker(fmt.Sprint(perSecond))
 	s.awaitFleet("")
 	s.sendLoadStatuses("/a/x", 50*time.Millisecond, time.Second)
-	// Whichever router issues, one of these two ends is its own.
+	// One of the two routers stopped is the issuer.
 	for range 2 {
 		ended := s.members[0]
 		s.members = s.members[1:]
--- a/node/readiness_test.go
+++ b/node/readiness_test.go
@@ -15,22 +15,22 @@
 func expectAsksToReconnect(t *testing.T, s readinessInputs, want bool) {
 	t.Helper()
 	if got := s.asksCallersToReconnect(); got != want {
-		t.Fatalf("%+v: turns callers away %v, not %v", s, got, want)
+		t.Fatalf("%+v: asks to reconnect %v, not %v", s, got, want)
 	}
 }
 
-// TestReadiness checks when a node is ready, and when its answers ask callers to
-// connect anew.
+// TestReadiness guards against a node that gets callers before it can serve them, or
+// keeps them while it stops or sheds.
 func TestReadiness(t *testing.T) {
 	cases := []struct {
-		name      string
-		state     readinessInputs
-		want      readiness
-		turnsAway bool
+		name            string
+		state           readinessInputs
+		want            readiness
+		asksToReconnect bool
 	}{
-		{"with both copies and the evidence", readinessInputs{hasConfig: true, hasInstances: true, hasEvidence: true}, readyForCallers, false},
-		{"with both copies only", readinessInputs{hasConfig: true, hasInstances: true}, notReadyNoEvidence, false},
-		{"at the start", readinessInputs{}, notReadyNoConfig, false},
+		{"with all data", readinessInputs{hasConfig: true, hasInstances: true, hasEvidence: true}, readyForCallers, false},
+		{"without evidence", readinessInputs{hasConfig: true, hasInstances: true}, notReadyNoEvidence, false},
+		{"at start", readinessInputs{}, notReadyNoConfig, false},
 		{"without a configuration", readinessInputs{hasInstances: true}, notReadyNoConfig, false},
 		{"without instances", readinessInputs{hasConfig: true}, notReadyNoInstances, false},
 		{"with a full link", readinessInputs{shedding: true, hasConfig: true, hasInstances: true}, notReadyShedding, true},
@@ -40,7 +40,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			expectReadiness(t, c.state, c.want)
-			expectAsksToReconnect(t, c.state, c.turnsAway)
+			expectAsksToReconnect(t, c.state, c.asksToReconnect)
 		})
 	}
 }
--- a/node/refusedrequest_test.go
+++ b/node/refusedrequest_test.go
@@ -15,9 +15,9 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-var _ = Describe("A request that is refused because it crashes upstreams", func() {
-	// newServing returns a site whose nodes serve and know each other. Each is started
-	// once the one before is in the list, so that no list has to be read again.
+var _ = Describe("A request refused for crashing upstreams", func() {
+	// newServing returns a fleet whose nodes serve and know each other. Each node starts
+	// once the one before is listed, so that no list has to be read again.
 	newServing := func(nodes int) (*testFleet, *crashingPool) {
 		s := newSpecFleet(0)
 		s.configure(1, 1_000_000, "/once/")
@@ -32,7 +32,7 @@
 		}
 		return s, pool
 	}
-	// newRefusing returns a site whose nodes refuse the deadly request.
+	// newRefusing returns a fleet whose nodes refuse the poison request.
 	newRefusing := func(nodes int) (*testFleet, *crashingPool) {
 		s, pool := newServing(nodes)
 		pool.sendUntilRefused(s.members)
@@ -51,7 +51,7 @@
 	}
 	knows := func(m *member) func() bool { return func() bool { return m.metric("suspects_refused") == "1" } }
 
-	It("is refused by a node that starts, and no log has its key or body", func() {
+	It("is refused by a starting node, and no log contains its key or body", func() {
 		s, pool := newRefusing(2)
 		started := s.start()
 		Eventually(started.ready).Should(Equal(http.StatusOK))
@@ -66,7 +66,7 @@
 		Expect(ends).To(BeNumerically(">=", 3))
 	})
 
-	It("is refused after a restart of all nodes, from the store", func() {
+	It("is refused after a restart of all nodes, by the evidence in the store", func() {
 		s, pool := newRefusing(2)
 		Eventually(func() int { return len(s.keysUnder("suspects/refused/")) }).Should(Equal(1))
 		for _, m := range s.members {
@@ -83,7 +83,7 @@
 		for _, m := range s.members {
 			m.store.Fail(standin.PlatformFaults{Hang: true})
 		}
-		// The pool has workers enough, though no new one becomes known now.
+		// No new worker becomes known while the store is down; the pool is large enough.
 		pool.sendUntilRefused(s.members)
 		for _, m := range s.members {
 			Eventually(knows(m)).Should(BeTrue())
@@ -96,7 +96,7 @@
 		Eventually(func() int { return len(s.keysUnder("suspects/refused/")) }).Should(Equal(1))
 	})
 
-	It("is refused by a node that can reach no other, from the store", func() {
+	It("is refused by a node that reaches no other, by the evidence in the store", func() {
 		s := newSpecFleet(0)
 		for _, box := range []string{"ghost-1", "ghost-2"} {
 			s.put("boxes/"+box, []byte(fmt.Sprintf(`{"incarnation":%q,"box":%q,"place":"hall","address":"127.0.0.1:9"}`, box, box)))
@@ -116,20 +116,20 @@
 		expectRefused(m, pool)
 	})
 
-	It("stays refused after a suspension, for the rest of its block", func() {
+	It("stays refused after a suspension, for the rest of the block", func() {
 		s, pool := newRefusing(1)
 		clock := &standin.Clock{}
 		s.clock = clock.Now
-		late := s.start()
-		Eventually(knows(late)).Should(BeTrue())
+		started := s.start()
+		Eventually(knows(started)).Should(BeTrue())
 		s.members[0].node.Stop()
 		clock.Suspend(time.Minute)
-		expectRefused(late, pool)
+		expectRefused(started, pool)
 	})
 })
 
-var _ = Describe("A node whose machine was suspended", func() {
-	It("gives the final answer of a request whose time is over", func() {
+var _ = Describe("A node on a suspended machine", func() {
+	It("answers a request whose deadline passed during the suspension", func() {
 		clock := &standin.Clock{}
 		s := newSpecFleet(0)
 		s.clock = clock.Now
--- a/node/relays_test.go
+++ b/node/relays_test.go
@@ -34,12 +34,12 @@
 	return all
 }
 
-// TestRelays checks that a small fleet speaks with the store itself, and that all nodes of
-// a large one agree on two a zone and ask those of their own zone first.
+// TestRelays guards against nodes of a large fleet that disagree on the relays or ask one
+// of another zone first, and against nodes of a small fleet that ask relays.
 func TestRelays(t *testing.T) {
 	for _, p := range newTestPeers(9) {
 		if !p.isRelay() || p.role(testShard) != escrow.Shares || len(p.relaysToAsk()) > 0 || p.routers() != 9 {
-			t.Fatalf("%s: direct %v, role %v, relays %v, %d routers", p.settings.self.Box, p.isRelay(), p.role(testShard), p.relaysToAsk(), p.routers())
+			t.Fatalf("%s: relay %v, role %v, relays %v, %d routers", p.settings.self.Box, p.isRelay(), p.role(testShard), p.relaysToAsk(), p.routers())
 		}
 	}
 	relays := map[granitehoist.Incarnation]granitehoist.AvailabilityZone{}
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestRelayCount checks how many relays fleets of three availability zones have, and
-// that no zone has two more than another.
+// TestRelayCount guards against a wrong number of relays and an uneven distribution over
+// three availability zones.
 func TestRelayCount(t *testing.T) {
 	for _, c := range []struct{ routers, relays int }{{9, 9}, {16, 4}, {30, 4}, {60, 4}, {75, 5}, {90, 6}, {300, 6}} {
 		t.Run(fmt.Sprint(c.routers), func(t *testing.T) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestNoRelayDuringBootstrap checks that nobody takes itself for a relay before the list
-// of nodes has had time to fill.
+// TestNoRelayDuringBootstrap guards against nodes that become relays before the node list
+// of a new fleet is complete.
 func TestNoRelayDuringBootstrap(t *testing.T) {
 	p := newPeers(peersSettings{bootstrap: true})
 	p.listsRead = 1
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestRelaysHaveFastestLinks checks that relays are the boxes with the fastest links, and that
-// only such a box holds a shard's tokens, which all others ask first.
+// TestRelaysHaveFastestLinks guards against relays and token holders on boxes with slow
+// links.
 func TestRelaysHaveFastestLinks(t *testing.T) {
 	fleet := newTestPeers(90)
 	fast := map[granitehoist.Box]bool{"edge-7": true, "edge-8": true, "edge-9": true, "edge-30": true, "edge-31": true, "edge-32": true}
@@ -115,7 +115,7 @@
 	holders := map[granitehoist.Incarnation]bool{}
 	for _, p := range fleet {
 		if p.isRelay() != fast[p.settings.self.Box] {
-			t.Fatalf("%s: direct %v", p.settings.self.Box, p.isRelay())
+			t.Fatalf("%s: relay %v", p.settings.self.Box, p.isRelay())
 		}
 		if p.role(testShard) == escrow.Holds {
 			holders[p.settings.self.Incarnation] = fast[p.settings.self.Box]
--- a/node/reload_test.go
+++ b/node/reload_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// validConfig returns settings that Check allows.
+// validConfig returns settings that Check accepts.
 func validConfig() *Config {
 	return &Config{
 		Box: "edge-1", IP: "10.0.0.1", PeerPort: 7000, Callers: "10.0.0.1:80", Ready: "10.0.0.1:81",
@@ -17,8 +17,8 @@
 	}
 }
 
-// TestReload checks which changed settings a running node takes, and which it names
-// as waiting for a restart.
+// TestReload guards against changed settings that are ignored, or not reported as needing
+// a restart.
 func TestReload(t *testing.T) {
 	cases := []struct {
 		name    string
@@ -31,7 +31,7 @@
 		{"the grace", func(c *Config) { c.Grace = 4 * time.Second }, nil, 4 * time.Second, 20},
 		{"the link", func(c *Config) { c.LinkMbps = 100 }, nil, 8 * time.Second, 100},
 		{"the store and the retries", func(c *Config) { c.Store, c.Retry.Slack = "10.0.0.8:82", 9 }, []string{"store", "retry"}, 8 * time.Second, 20},
-		{"whether it is the first start", func(c *Config) { c.First = true }, nil, 8 * time.Second, 20},
+		{"the first start of the fleet", func(c *Config) { c.First = true }, nil, 8 * time.Second, 20},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -44,18 +44,18 @@
 				t.Fatalf("waiting %v, error %v", waiting, err)
 			}
 			if live := n.live.Load(); live.grace != c.grace || live.linkMbps != c.mbps {
-				t.Fatalf("in force %+v", live)
+				t.Fatalf("active settings %+v", live)
 			}
 		})
 	}
-	t.Run("settings that are wrong change nothing", func(t *testing.T) {
+	t.Run("invalid settings change nothing", func(t *testing.T) {
 		n := &Node{config: validConfig()}
 		n.live.Store(newLiveSettings(n.config))
 		if _, err := n.Reload(&Config{}); err == nil {
 			t.Fatal("no error")
 		}
 		if live := n.live.Load(); live.grace != 8*time.Second {
-			t.Fatalf("in force %+v", live)
+			t.Fatalf("active settings %+v", live)
 		}
 	})
 }
--- a/node/roles_test.go
+++ b/node/roles_test.go
@@ -12,8 +12,8 @@
 	"granitehoist.example/granitehoist/escrow"
 )
 
-// newTestView returns the view that the first of the given boxes has of the others,
-// all in one availability zone except those that zones names.
+// newTestView returns the view that the first of the given boxes has of the others, all
+// in one availability zone except those in zones.
 func newTestView(complete bool, zones map[granitehoist.Box]granitehoist.AvailabilityZone, boxes ...granitehoist.Box) fleetView {
 	var entries []peerEntry
 	for _, box := range boxes {
@@ -27,7 +27,7 @@
 	return fleetView{self: entries[0], others: entries[1:], complete: complete}
 }
 
-// boxesByRank returns the names of count boxes, by their rank.
+// boxesByRank returns the names of count boxes, ordered by their hash.
 func boxesByRank(count int) []granitehoist.Box {
 	var boxes []granitehoist.Box
 	for i := range count {
@@ -37,21 +37,21 @@
 	return boxes
 }
 
-// moveToFront returns boxes with the one at index first, so that viewOf gives
-// its view.
+// moveToFront returns boxes with the one at index first, so that newTestView gives its
+// view.
 func moveToFront(boxes []granitehoist.Box, index int) []granitehoist.Box {
 	return append([]granitehoist.Box{boxes[index]}, slices.Delete(slices.Clone(boxes), index, index+1)...)
 }
 
-// expectedRoles is what a node does in the fleet.
+// expectedRoles holds the roles of a node in the fleet.
 type expectedRoles struct {
 	relay bool
 	asked int
-	// tokens is its role for the tokens of the shard some.
+	// tokens is its role for the tokens of testShard.
 	tokens escrow.Role
 }
 
-// testShard is a shard.
+// testShard is an arbitrary shard.
 const testShard = escrow.Shard(7)
 
 func expectRoles(t *testing.T, v fleetView, want expectedRoles) {
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestRoles checks which nodes are relays, how many relays are asked and which node
-// holds a shard. Boxes are numbered by rank.
+// TestRoles guards against wrong relays, relays to ask and token holders. Boxes are
+// numbered by rank.
 func TestRoles(t *testing.T) {
 	small, large := boxesByRank(largeFleet-1), boxesByRank(largeFleet)
 	holder := slices.Index(large, newTestView(true, nil, large...).ranked(testShard)[0].Box)
@@ -79,15 +79,15 @@
 		{"small fleet, highest rank", true, moveToFront(small, 14), expectedRoles{relay: true, tokens: escrow.Shares}},
 		{"large fleet, the holder", true, moveToFront(large, holder), expectedRoles{relay: holder < 2, asked: 2 * min(1, holder/2), tokens: escrow.Holds}},
 		{"large fleet, a relay", true, moveToFront(large, other), expectedRoles{relay: true, tokens: escrow.Asks}},
-		{"small fleet, view not complete", false, moveToFront(small, 0), expectedRoles{tokens: escrow.Asks}},
-		{"large fleet, view not complete", false, moveToFront(large, holder), expectedRoles{tokens: escrow.Asks}},
+		{"small fleet, incomplete view", false, moveToFront(small, 0), expectedRoles{tokens: escrow.Asks}},
+		{"large fleet, incomplete view", false, moveToFront(large, holder), expectedRoles{tokens: escrow.Asks}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) { expectRoles(t, newTestView(c.complete, nil, c.boxes...), c.want) })
 	}
 }
 
-// assignZones returns the boxes' availability zones, in turn of count.
+// assignZones assigns the boxes to count availability zones in turn.
 func assignZones(boxes []granitehoist.Box, count int) map[granitehoist.Box]granitehoist.AvailabilityZone {
 	zones := map[granitehoist.Box]granitehoist.AvailabilityZone{}
 	for i, box := range boxes {
@@ -103,7 +103,8 @@
 	}
 }
 
-// TestRanked checks which nodes hold a shard's tokens and stand in for each other.
+// TestRanked guards against nodes that disagree on the holder of a shard, and against
+// uneven or unstable assignments.
 func TestRanked(t *testing.T) {
 	boxes := boxesByRank(60)
 	zones := assignZones(boxes, 3)
@@ -113,7 +114,7 @@
 			expectRanked(t, newTestView(true, zones, moveToFront(boxes, i)...), testShard, v.ranked(testShard))
 		}
 	})
-	t.Run("nobody stands twice", func(t *testing.T) {
+	t.Run("no node is ranked twice", func(t *testing.T) {
 		for shard := range escrow.Shard(256) {
 			ranked := boxesOf(v.ranked(shard))
 			if slices.Sort(ranked); len(slices.Compact(ranked)) != rankedPerShard {
@@ -121,28 +122,28 @@
 			}
 		}
 	})
-	t.Run("shards are spread over the nodes", func(t *testing.T) {
+	t.Run("shards are distributed evenly", func(t *testing.T) {
 		held := map[granitehoist.Box]int{}
 		for shard := range escrow.Shard(6000) {
 			held[v.ranked(shard)[0].Box]++
 		}
-		// 100 for each in the mean; the standard deviation of a fair draw is 10.
+		// The mean is 100 shards per box, with a standard deviation of 10.
 		for _, box := range boxes {
 			if held[box] < 60 || held[box] > 140 {
 				t.Fatalf("%s holds %d", box, held[box])
 			}
 		}
 	})
-	t.Run("a box that leaves moves only what it held", func(t *testing.T) {
-		gone := v.ranked(testShard)[0].Box
-		left := newTestView(true, zones, slices.DeleteFunc(slices.Clone(boxes), func(b granitehoist.Box) bool { return b == gone })...)
+	t.Run("a removed box moves only its own shards", func(t *testing.T) {
+		removed := v.ranked(testShard)[0].Box
+		left := newTestView(true, zones, slices.DeleteFunc(slices.Clone(boxes), func(b granitehoist.Box) bool { return b == removed })...)
 		for shard := range escrow.Shard(256) {
-			if before := v.ranked(shard); !slices.Contains(boxesOf(before), gone) {
+			if before := v.ranked(shard); !slices.Contains(boxesOf(before), removed) {
 				expectRanked(t, left, shard, before)
 			}
 		}
 	})
-	t.Run("boxes with slow links hold nothing", func(t *testing.T) {
+	t.Run("boxes with slow links are excluded", func(t *testing.T) {
 		v := newTestView(true, zones, boxes...)
 		for i := range v.others {
 			v.others[i].LinkMbps = 10
@@ -154,7 +155,7 @@
 			}
 		}
 	})
-	t.Run("a node alone holds all", func(t *testing.T) {
+	t.Run("a single node holds all shards", func(t *testing.T) {
 		alone := newTestView(true, nil, "edge-0")
 		expectRanked(t, alone, testShard, []peerEntry{alone.self})
 	})
@@ -175,7 +176,7 @@
 	}
 }
 
-// TestLenders checks in which order neighbours are asked for a loan.
+// TestLenders guards against a wrong order of the neighbours that are asked for a loan.
 func TestLenders(t *testing.T) {
 	t.Run("alone", func(t *testing.T) { expectLenders(t, newTestView(true, nil, "edge-0"), nil) })
 	t.Run("a small fleet: by rank", func(t *testing.T) {
@@ -183,7 +184,7 @@
 		v := newTestView(true, nil, boxes[3], boxes[2], boxes[0], boxes[1])
 		expectLenders(t, v, lendersOf([]peerEntry{v.others[1], v.others[2], v.others[0]}))
 	})
-	t.Run("a large fleet: the holder, then those that stand in, without oneself", func(t *testing.T) {
+	t.Run("a large fleet: the holder, then its replacements, without the node itself", func(t *testing.T) {
 		boxes := boxesByRank(60)
 		ranked := newTestView(true, nil, boxes...).ranked(testShard)
 		all := lendersOf(ranked)
@@ -195,8 +196,8 @@
 	})
 }
 
-// BenchmarkRanked is the choice of the holder of a shard, made once for each shard
-// after the list of nodes has changed.
+// BenchmarkRanked measures the ranking of a shard, which is computed once per shard after
+// each change of the node list.
 func BenchmarkRanked(b *testing.B) {
 	for _, routers := range []int{22, 87, 295, 1100} {
 		b.Run(fmt.Sprintf("routers=%d", routers), func(b *testing.B) {
--- a/node/servers.go
+++ b/node/servers.go
@@ -53,19 +53,19 @@
 func (l *listeners) open(c *Config) error {
 	var err error
 	if l.callers, err = net.Listen("tcp", c.Callers); err != nil {
-		return eris.Wrap(err, "node: address for callers")
+		return eris.Wrap(err, "node: cannot listen for callers")
 	}
 	if l.ready, err = net.Listen("tcp", c.Ready); err != nil {
-		return eris.Wrap(err, "node: address for readiness")
+		return eris.Wrap(err, "node: cannot listen for health checks")
 	}
 	if l.peers, err = net.Listen("tcp", net.JoinHostPort(c.IP, strconv.Itoa(c.PeerPort))); err != nil {
-		return eris.Wrap(err, "node: address for neighbours")
+		return eris.Wrap(err, "node: cannot listen for neighbours")
 	}
 	if c.Metrics == "" {
 		return nil
 	}
 	if l.metrics, err = net.Listen("tcp", c.Metrics); err != nil {
-		return eris.Wrap(err, "node: address for metrics")
+		return eris.Wrap(err, "node: cannot listen for metrics")
 	}
 	return nil
 }
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -39,20 +39,20 @@
 	_ = listener.Close()
 }
 
-// TestListenFails checks that no address stays open when another can't be
+// TestListenFails guards against listeners that stay open when another address cannot be
 // opened.
 func TestListenFails(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = taken.Close() }()
-	port := taken.Addr().(*net.TCPAddr).Port
+	defer func() { _ = occupied.Close() }()
+	port := occupied.Addr().(*net.TCPAddr).Port
 	cases := []struct {
 		name string
 		set  func(*Config)
 	}{
-		{"ready", func(c *Config) { c.Ready = taken.Addr().String() }},
+		{"ready", func(c *Config) { c.Ready = occupied.Addr().String() }},
 		{"neighbours", func(c *Config) { c.IP, c.PeerPort = "127.0.0.1", port }},
 	}
 	for _, c := range cases {
@@ -60,20 +60,20 @@
 			config := &Config{Callers: freeAddress(t), Ready: freeAddress(t), IP: "127.0.0.1"}
 			c.set(config)
 			if _, err := listen(config); err == nil {
-				t.Fatal("an address that is taken could be opened")
+				t.Fatal("an address in use could be opened")
 			}
 			expectFree(t, config.Callers)
 		})
 	}
 }
 
-// panickingFrontend is an Adapter.Frontend with a fault.
+// panickingFrontend is an Adapter.Frontend whose handler panics.
 func panickingFrontend(*forward.Forwarder, *catalog.Current, granitehoist.Clock, func() bool) http.Handler {
 	return http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("no such route") })
 }
 
-// TestServeFailed checks that a panic of the callers' handler is one line of the
-// log that names the server and the panic.
+// TestServeFailed guards against a panic of the callers' handler that is not logged, or
+// not as one line with the server and the panic.
 func TestServeFailed(t *testing.T) {
 	port := portOf(t, freeAddress(t))
 	config := &Config{
--- a/node/shedding_test.go
+++ b/node/shedding_test.go
@@ -10,32 +10,33 @@
 	"granitehoist.example/granitehoist/internal/linkmeter"
 )
 
-// observeLoads plays rates, in parts of the capacity and one for each interval, and
-// returns the decisions.
-func observeLoads(w *linkMonitor, parts ...float64) []bool {
+// observeLoads feeds a monitor one reading per interval, with loads as fractions of the
+// capacity, and returns its decisions.
+func observeLoads(m *linkMonitor, fractions ...float64) []bool {
 	now := time.Unix(1000, 0)
 	var total float64
 	var decisions []bool
-	for _, part := range parts {
-		total += part * w.capacity * linkInterval.Seconds()
+	for _, fraction := range fractions {
+		total += fraction * m.capacity * linkInterval.Seconds()
 		now = now.Add(linkInterval)
-		decisions = append(decisions, w.observe(linkmeter.Reading{At: now, Received: int64(total)}))
+		decisions = append(decisions, m.observe(linkmeter.Reading{At: now, Received: int64(total)}))
 	}
 	return decisions
 }
 
-func repeat(part float64, times int) []float64 {
-	parts := make([]float64, times)
-	for i := range parts {
-		parts[i] = part
+func repeat(fraction float64, times int) []float64 {
+	fractions := make([]float64, times)
+	for i := range fractions {
+		fractions[i] = fraction
 	}
-	return parts
+	return fractions
 }
 
-// TestLinkMonitor checks when a box sheds callers.
+// TestLinkMonitor guards against a full link that does not shed, and against shedding
+// that is too short or flaps.
 func TestLinkMonitor(t *testing.T) {
 	const capacity = 1_250_000
-	t.Run("a full link sheds until it has room, for no less than the balancer takes to notice", func(t *testing.T) {
+	t.Run("a full link sheds until the load falls, for at least minSheddingTime", func(t *testing.T) {
 		w := &linkMonitor{capacity: capacity}
 		decisions := observeLoads(w, append(repeat(0.95, 6), repeat(0.1, 10)...)...)
 		if !decisions[5] {
@@ -51,7 +52,7 @@
 			t.Fatalf("shed for %d intervals of at least %d, then %v", shed, least, decisions)
 		}
 	})
-	t.Run("a short burst and an unknown link shed nothing", func(t *testing.T) {
+	t.Run("a short burst or an unknown bandwidth does not shed", func(t *testing.T) {
 		for _, on := range observeLoads(&linkMonitor{capacity: capacity}, 0.3, 0.3, 1, 0.3, 0.3, 0.3) {
 			if on {
 				t.Fatal("shed after half a second of load")
@@ -59,11 +60,11 @@
 		}
 		for _, on := range observeLoads(&linkMonitor{}, repeat(1, 8)...) {
 			if on {
-				t.Fatal("shed without a known link")
+				t.Fatal("shed without a known bandwidth")
 			}
 		}
 	})
-	t.Run("a load between the bounds changes nothing", func(t *testing.T) {
+	t.Run("a load between the thresholds changes nothing", func(t *testing.T) {
 		w := &linkMonitor{capacity: capacity}
 		decisions := observeLoads(w, append(append(repeat(0.95, 6), repeat(0.6, 10)...), repeat(0.3, 8)...)...)
 		if !decisions[15] || decisions[23] {
--- a/node/startgate_test.go
+++ b/node/startgate_test.go
@@ -5,7 +5,7 @@
 
 import "testing"
 
-// TestStartGate checks what opens the gate of a node that starts.
+// TestStartGate guards against a gate that opens before all evidence is read, or never.
 func TestStartGate(t *testing.T) {
 	expect := func(t *testing.T, g *startGate, open bool) {
 		t.Helper()
@@ -13,10 +13,10 @@
 			t.Errorf("open is %v, not %v", g.isOpen(), open)
 		}
 	}
-	t.Run("at the first start of the fleet there is nothing to read", func(t *testing.T) {
+	t.Run("open at the first start of the fleet", func(t *testing.T) {
 		expect(t, newStartGate(evidenceSources(true)), true)
 	})
-	t.Run("both sources have to be read", func(t *testing.T) {
+	t.Run("open after both sources are read", func(t *testing.T) {
 		g := newStartGate(evidenceSources(false))
 		expect(t, g, false)
 		g.sourceRead()
@@ -24,7 +24,7 @@
 		g.sourceRead()
 		expect(t, g, true)
 	})
-	t.Run("its time opens it as well, and a source that is read later changes nothing", func(t *testing.T) {
+	t.Run("open after the timeout, whatever is read later", func(t *testing.T) {
 		g := newStartGate(evidenceSources(false))
 		g.open()
 		expect(t, g, true)
--- a/node/stop_test.go
+++ b/node/stop_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// testGrace is the grace of today's sites.
+// testGrace is the grace period of the tested stops.
 const testGrace = 8 * time.Second
 
 var stopStart = time.Unix(1000, 0)
@@ -29,7 +29,8 @@
 	}
 }
 
-// TestStopPlan checks what a stop of 8 s does until when.
+// TestStopPlan guards against requests cut off early and a return of tokens that the
+// platform would kill.
 func TestStopPlan(t *testing.T) {
 	phases := []struct {
 		name   string
@@ -38,11 +39,11 @@
 		want   stopPhase
 	}{
 		{"at the order", 0, 0, phaseServe},
-		{"idle before 2.56 s", 2559 * time.Millisecond, 0, phaseServe},
-		{"idle from 2.56 s on", 2560 * time.Millisecond, 0, phaseReturn},
-		{"busy from 2.56 s on", 2560 * time.Millisecond, 1, phaseFinish},
-		{"busy before 7.6 s", 7599 * time.Millisecond, 3, phaseFinish},
-		{"busy from 7.6 s on", 7600 * time.Millisecond, 3, phaseReturn},
+		{"idle before the end of phaseServe", 2559 * time.Millisecond, 0, phaseServe},
+		{"idle after phaseServe", 2560 * time.Millisecond, 0, phaseReturn},
+		{"busy after phaseServe", 2560 * time.Millisecond, 1, phaseFinish},
+		{"busy before the end of phaseFinish", 7599 * time.Millisecond, 3, phaseFinish},
+		{"busy after phaseFinish", 7600 * time.Millisecond, 3, phaseReturn},
 		{"after the grace", 9 * time.Second, 1, phaseReturn},
 	}
 	for _, c := range phases {
@@ -52,9 +53,9 @@
 		name        string
 		after, want time.Duration
 	}{
-		{"early: the most that a return gets", 3 * time.Second, maxReturnTime},
-		{"late: what is left until 7.76 s", 7 * time.Second, 760 * time.Millisecond},
-		{"at the end: the least that a return gets", 7600 * time.Millisecond, minReturnTime},
+		{"early: the maximum time", 3 * time.Second, maxReturnTime},
+		{"late: the time left", 7 * time.Second, 760 * time.Millisecond},
+		{"at the end: the minimum time", 7600 * time.Millisecond, minReturnTime},
 		{"after the grace", 9 * time.Second, minReturnTime},
 	}
 	for _, c := range returns {
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -97,8 +97,8 @@
 // evidenceSources returns the number of sources that a starting node reads: the store or
 // relays, and neighbours, which also have evidence that does not suffice for a refusal
 // yet. At the first start of the fleet there are none.
-func evidenceSources(first bool) int32 {
-	if first {
+func evidenceSources(bootstrap bool) int32 {
+	if bootstrap {
 		return 0
 	}
 	return 2
--- a/node/suspects_test.go
+++ b/node/suspects_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// TestShouldPull checks when a node pulls evidence from its neighbours.
+// TestShouldPull guards against missing evidence after a start or a stall, and against
+// endless pulls.
 func TestShouldPull(t *testing.T) {
 	started := time.Unix(1000, 0)
 	at := func(after time.Duration) time.Time { return started.Add(after) }
@@ -17,14 +18,14 @@
 		in   pullInputs
 		want bool
 	}{
-		{"at the start", pullInputs{now: at(0), pulledAt: at(-pullInterval), roundAt: at(0)}, true},
-		{"at the first start of the fleet there is nothing to learn", pullInputs{bootstrap: true, now: at(0), pulledAt: at(-pullInterval), roundAt: at(0)}, false},
-		{"soon after it pulled", pullInputs{now: at(pullInterval / 2), pulledAt: at(0), roundAt: at(0)}, false},
-		{"again, while others may not have it in their list", pullInputs{now: at(pullInterval), pulledAt: at(0), roundAt: at(0)}, true},
-		{"no more once all have it in their list", pullInputs{now: at(pullPeriod), pulledAt: at(0), roundAt: at(pullPeriod)}, false},
-		{"after it was stalled", pullInputs{now: at(time.Hour), pulledAt: at(0), roundAt: at(time.Hour - stallThreshold)}, true},
-		{"after it was stalled at the first start", pullInputs{bootstrap: true, now: at(time.Hour), pulledAt: at(0), roundAt: at(time.Hour - stallThreshold)}, true},
-		{"in a long round of a busy machine", pullInputs{now: at(time.Hour), pulledAt: at(0), roundAt: at(time.Hour - stallThreshold + 1)}, false},
+		{"at start", pullInputs{now: at(0), pulledAt: at(-pullInterval), roundAt: at(0)}, true},
+		{"at the first start of the fleet", pullInputs{bootstrap: true, now: at(0), pulledAt: at(-pullInterval), roundAt: at(0)}, false},
+		{"shortly after a pull", pullInputs{now: at(pullInterval / 2), pulledAt: at(0), roundAt: at(0)}, false},
+		{"again while other nodes may not list it yet", pullInputs{now: at(pullInterval), pulledAt: at(0), roundAt: at(0)}, true},
+		{"not once all nodes list it", pullInputs{now: at(pullPeriod), pulledAt: at(0), roundAt: at(pullPeriod)}, false},
+		{"after a stall", pullInputs{now: at(time.Hour), pulledAt: at(0), roundAt: at(time.Hour - stallThreshold)}, true},
+		{"after a stall at the first start", pullInputs{bootstrap: true, now: at(time.Hour), pulledAt: at(0), roundAt: at(time.Hour - stallThreshold)}, true},
+		{"after a round just below the stall threshold", pullInputs{now: at(time.Hour), pulledAt: at(0), roundAt: at(time.Hour - stallThreshold + 1)}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/node/suspectstore_test.go
+++ b/node/suspectstore_test.go
@@ -11,8 +11,8 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// TestStoredEvidence checks which evidence is in the store: that against requests that are
-// refused, until they succeed.
+// TestStoredEvidence guards against storing evidence that does not suffice for a refusal,
+// and against keeping it after the request has succeeded.
 func TestStoredEvidence(t *testing.T) {
 	ctx := context.Background()
 	refused := suspect.Record{Digest: suspect.Digest{1}, Crashes: []suspect.Crash{
@@ -23,20 +23,20 @@
 		c.Cleared = true
 		cleared.Crashes = append(cleared.Crashes, c)
 	}
-	slight := suspect.Record{Digest: suspect.Digest{2}, Crashes: refused.Crashes[:1]}
+	insufficient := suspect.Record{Digest: suspect.Digest{2}, Crashes: refused.Crashes[:1]}
 	scope := suspect.Record{Digest: suspect.Digest{3}, Scope: true, Crashes: []suspect.Crash{{Life: "i-1", Round: 5, Early: 5}}}
 	cases := []struct {
 		name    string
 		records []suspect.Record
 		want    int
 	}{
-		{"one that is refused", []suspect.Record{refused}, 1},
-		{"one that is refused, twice", []suspect.Record{refused, refused}, 1},
-		{"none that is only suspect", []suspect.Record{slight}, 0},
-		{"none of a scope", []suspect.Record{scope}, 0},
-		{"none once it has succeeded", []suspect.Record{refused, cleared}, 0},
-		{"none that succeeded before it was written", []suspect.Record{cleared}, 0},
-		{"again after one more crash", []suspect.Record{refused, cleared, refused}, 1},
+		{"refused request", []suspect.Record{refused}, 1},
+		{"refused request written twice", []suspect.Record{refused, refused}, 1},
+		{"suspect request that is not refused", []suspect.Record{insufficient}, 0},
+		{"scope", []suspect.Record{scope}, 0},
+		{"refused request that succeeded later", []suspect.Record{refused, cleared}, 0},
+		{"request that succeeded before it was written", []suspect.Record{cleared}, 0},
+		{"refused again after another crash", []suspect.Record{refused, cleared, refused}, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
