--- a/node/docs_test.go
+++ b/node/docs_test.go
@@ -15,8 +15,9 @@
 	"granitehoist.example/granitehoist/node"
 )
 
-// rows returns the first column of the tables of a page, without its marks.
-func rows(page, heading string) []string {
+// tableNames returns the names in the first column of the tables after a heading of a
+// page.
+func tableNames(page, heading string) []string {
 	raw, err := os.ReadFile("../docs/" + page)
 	Expect(err).NotTo(HaveOccurred())
 	_, text, found := strings.Cut(string(raw), heading)
@@ -28,12 +29,12 @@
 	return names
 }
 
-var _ = Describe("The pages", func() {
-	It("explain each metric and no other", func() {
-		Expect(rows("METRICS.md", "# Metrics")).To(ConsistOf(node.Metrics()))
+var _ = Describe("The documentation", func() {
+	It("describes exactly the existing metrics", func() {
+		Expect(tableNames("METRICS.md", "# Metrics")).To(ConsistOf(node.Metrics()))
 	})
 
-	It("explain each event of the log and no other", func() {
-		Expect(rows("OPERATIONS.md", "## Events of a node")).To(ConsistOf(event.All()))
+	It("describes exactly the existing log events", func() {
+		Expect(tableNames("OPERATIONS.md", "## Events of a node")).To(ConsistOf(event.All()))
 	})
 })
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -31,92 +31,92 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// member is one node of a fleet under test, with a store front of its own.
+// member is one node of a fleet under test, with its own store front end.
 type member struct {
 	Gomega
 	node   *node.Node
 	config *node.Config
 	store  *standin.PlatformStore
 	logs   *observer.ObservedLogs
-	// text holds the lines that the program would write.
-	text *logText
+	// logText holds the log lines as the program would write them.
+	logText *logBuffer
 }
 
-// logText collects log lines. It is safe for concurrent use.
-type logText struct {
+// logBuffer collects log lines. It is safe for concurrent use.
+type logBuffer struct {
 	mu    sync.Mutex
 	lines strings.Builder
 }
 
-func (t *logText) Write(line []byte) (int, error) {
+func (t *logBuffer) Write(line []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lines.Write(line)
 }
 
-func (t *logText) String() string {
+func (t *logBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.lines.String()
 }
 
-// site is a fleet with the platform's store and workers, all over sockets. Its assertions
-// fail the test that it belongs to.
-type site struct {
+// testFleet is a fleet with the platform's store and workers, connected over sockets. Its
+// assertions fail the test that it belongs to.
+type testFleet struct {
 	Gomega
-	store   *standin.Store
-	members []*member
-	workers int
-	// atEnd registers what ends with the test.
-	atEnd func(func())
-	// clock is that of the nodes that are started; nil stands for time.Now.
+	store       *standin.Store
+	members     []*member
+	workerCount int
+	// cleanup registers a function to run at the end of the test.
+	cleanup func(func())
+	// clock is the clock of the nodes started; nil means time.Now.
 	clock granitehoist.Clock
 }
 
-// lastIP is the number of the last loopback address that a node of any test got,
-// so that no two use the same.
+// lastIP is the last loopback address assigned to a node of any test, so that no two
+// share one.
 var lastIP atomic.Int32
 
-// nextIP returns a loopback address that no other test uses, in this process or in
-// another run of the tests at the same time: the settings file fixes the ports, so
-// two processes need networks of their own.
+// nextIP returns a loopback address that no other test uses, in this or a concurrent
+// process: the settings file fixes the ports, so each process needs its own network.
 func nextIP() string {
 	const ownNetworks, octet = 64, 256
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.%d", ownNetworks+pid/octet%ownNetworks, pid%octet, lastIP.Add(1))
 }
 
-// newSite starts a site of a spec, with nodes that have no configuration yet.
-func newSite(nodes int) *site {
-	return newSiteOf(Default, func(end func()) { DeferCleanup(end) }, nodes)
+// newSpecFleet starts a fleet for a Ginkgo spec, with nodes that have no configuration
+// yet.
+func newSpecFleet(nodes int) *testFleet {
+	return startFleet(Default, func(end func()) { DeferCleanup(end) }, nodes)
 }
 
-// newScene starts a site as newSite does, of a test that may run beside others.
-func newScene(t *testing.T, nodes int) *site {
+// newTestFleet starts a fleet for a Go test, which may run in parallel with others.
+func newTestFleet(t *testing.T, nodes int) *testFleet {
 	t.Helper()
 	g := NewWithT(t)
 	g.SetDefaultEventuallyTimeout(stepTimeout)
-	return newSiteOf(g, t.Cleanup, nodes)
+	return startFleet(g, t.Cleanup, nodes)
 }
 
-// newSiteOf starts a site. What it starts is ended by the functions that it gives to atEnd.
-func newSiteOf(g Gomega, atEnd func(func()), nodes int) *site {
-	s := &site{Gomega: g, store: standin.NewStore(standin.StoreSettings{}), atEnd: atEnd}
+// startFleet starts a fleet. It registers its clean-up with the given function.
+func startFleet(g Gomega, atEnd func(func()), nodes int) *testFleet {
+	s := &testFleet{Gomega: g, store: standin.NewStore(standin.StoreSettings{}), cleanup: atEnd}
 	for range nodes {
 		s.members = append(s.members, s.start())
 	}
 	return s
 }
 
-// start starts a node with a store front of its own.
-func (s *site) start() *member {
+// start starts a node with its own store front end.
+func (s *testFleet) start() *member {
 	ip := nextIP()
 	front := &standin.PlatformStore{Store: s.store}
 	listener, err := net.Listen("tcp", ip+":8223")
 	s.Expect(err).NotTo(HaveOccurred())
 	server := &http.Server{Handler: front, ReadHeaderTimeout: stepTimeout}
 	go func() { _ = server.Serve(listener) }()
-	s.atEnd(func() { _ = server.Close() })
+	s.cleanup(func() { _ = server.Close() })
 	settings := fmt.Sprintf(`{"nodeName":"edge-%s","ipAddress":%q,"zone":"hall","listenAddrs":{"frontend":"%s:8227","ready":"%s:8220"},
 		"internalPortRange":[7340,7355],"bounds":{"gracePeriodS":4,"drainMs":500,"retryBudgetRatio":0.2,"retryWindowS":10,"budgetSlack":50},
 		"platform":{"address":%q}}`, ip, ip, ip, ip, listener.Addr().String())
@@ -125,18 +125,18 @@
 	config.Metrics = ip + ":9464"
 	config.Clock = s.clock
 	core, logs := observer.New(zapcore.InfoLevel)
-	text := &logText{}
+	text := &logBuffer{}
 	log := zap.New(zapcore.NewTee(core, logsink.NewLogger(text, zapcore.InfoLevel).Core()))
 	n, err := node.New(config, platform.NewAdapter(platform.StoreSettings{Address: config.Store, Watch: 300 * time.Millisecond, Timeout: 500 * time.Millisecond}), log)
 	s.Expect(err).NotTo(HaveOccurred())
 	n.Start()
-	m := &member{Gomega: s.Gomega, node: n, config: config, store: front, logs: logs, text: text}
-	s.atEnd(n.Stop)
+	m := &member{Gomega: s.Gomega, node: n, config: config, store: front, logs: logs, logText: text}
+	s.cleanup(n.Stop)
 	return m
 }
 
-// put writes a key, whatever its value was.
-func (s *site) put(key string, value any) {
+// put writes a key, whatever its current value.
+func (s *testFleet) put(key string, value any) {
 	raw, isRaw := value.([]byte)
 	if !isRaw {
 		var err error
@@ -153,8 +153,8 @@
 	}).Should(Succeed())
 }
 
-// configure writes a configuration with the given routes of the pool.
-func (s *site) configure(revision int, reserved int, prefixes ...string) {
+// configure writes a configuration with a route to the pool for each prefix.
+func (s *testFleet) configure(revision int, reserved int, prefixes ...string) {
 	var routes []string
 	for i, prefix := range prefixes {
 		kind := "safe"
@@ -171,39 +171,42 @@
 		"tenants":[{"name":"kiosk","apiKeys":["a-key"],"reserved":%d}]}`, revision, strings.Join(routes, ","), reserved)))
 }
 
-// worker starts a worker and announces it.
-func (s *site) worker(answer standin.WorkerAnswer) *standin.Worker {
-	return s.workerThat(func(standin.Arrival) standin.WorkerAnswer { return answer })
+// startWorker starts a worker with a fixed answer and announces it.
+func (s *testFleet) startWorker(answer standin.WorkerAnswer) *standin.Worker {
+	return s.startWorkerFunc(func(standin.Arrival) standin.WorkerAnswer { return answer })
 }
 
-// workerThat starts a worker that is asked for each answer, and announces it.
-func (s *site) workerThat(answers func(standin.Arrival) standin.WorkerAnswer) *standin.Worker {
-	s.workers++
-	id := fmt.Sprintf("i-%d", s.workers)
+// startWorkerFunc starts a worker that calls a function for each answer, and announces
+// it.
+func (s *testFleet) startWorkerFunc(answers func(standin.Arrival) standin.WorkerAnswer) *standin.Worker {
+	s.workerCount++
+	id := fmt.Sprintf("i-%d", s.workerCount)
 	w, err := standin.NewWorker(id, answers)
 	s.Expect(err).NotTo(HaveOccurred())
-	s.atEnd(w.Close)
+	s.cleanup(w.Close)
 	s.announce(w, "ready")
 	return w
 }
 
-func (s *site) announce(w *standin.Worker, phase string) {
+func (s *testFleet) announce(w *standin.Worker, phase string) {
 	s.put(platform.WorkersPrefix+w.Instance(), []byte(fmt.Sprintf(`{"backend":"pool","address":%q,"zone":"hall","capacity":8,"phase":%q}`, w.Address(), phase)))
 }
 
-// withdraw deletes the entry of a worker that goes on serving.
-func (s *site) withdraw(w *standin.Worker) { s.remove(platform.WorkersPrefix + w.Instance()) }
+// deleteWorkerEntry deletes the entry of a worker, which continues to serve.
+func (s *testFleet) deleteWorkerEntry(w *standin.Worker) {
+	s.deleteKey(platform.WorkersPrefix + w.Instance())
+}
 
-// remove deletes a key.
-func (s *site) remove(key string) {
+// deleteKey deletes a key, which must exist, from the store.
+func (s *testFleet) deleteKey(key string) {
 	entry, err := s.store.Get(context.Background(), key)
 	s.Expect(err).NotTo(HaveOccurred())
 	_, err = s.store.CompareAndSwap(context.Background(), granitehoist.Change{Key: key, Expect: entry.Version, Delete: true})
 	s.Expect(err).NotTo(HaveOccurred())
 }
 
-// keysUnder returns the keys that begin with a prefix.
-func (s *site) keysUnder(prefix string) []string {
+// keysUnder returns the keys with a prefix.
+func (s *testFleet) keysUnder(prefix string) []string {
 	entries, _, err := s.store.List(context.Background(), prefix)
 	s.Expect(err).NotTo(HaveOccurred())
 	var keys []string
@@ -213,7 +216,7 @@
 	return keys
 }
 
-// metrics returns all metrics as the node serves them, empty if it does not.
+// metrics returns the metrics page of the node, empty if it cannot be read.
 func (m *member) metrics() string {
 	response, err := http.Get("http://" + m.config.Metrics + "/metrics")
 	if err != nil {
@@ -235,7 +238,8 @@
 	return ""
 }
 
-// knowsDraining reports whether the node has logged that a worker drains.
+// knowsDraining returns a function that reports whether the node has logged that a worker
+// drains.
 func (m *member) knowsDraining(w *standin.Worker) func() bool {
 	return func() bool {
 		lines := m.logs.FilterMessage(event.Upstream).FilterField(zap.String("upstream", w.Instance()))
@@ -243,18 +247,19 @@
 	}
 }
 
-// knowsRemoved reports whether the node has logged that a worker was removed.
+// knowsRemoved returns a function that reports whether the node has logged that a worker
+// was removed.
 func (m *member) knowsRemoved(w *standin.Worker) func() bool {
 	return func() bool {
 		return m.logs.FilterMessage(event.UpstreamGone).FilterField(zap.String("upstream", w.Instance())).Len() > 0
 	}
 }
 
-// sequentialRequests is how many requests expectOnly sends.
+// sequentialRequests is the number of requests that expectOnly sends.
 const sequentialRequests = 20
 
-// expectOnly sends requests that all have to get the given body, none of them
-// through the idle workers.
+// expectOnly sends requests and expects all responses to have the given body, and no
+// request at the idle workers.
 func (m *member) expectOnly(body string, idle ...*standin.Worker) {
 	GinkgoHelper()
 	before := map[string]int{}
@@ -271,14 +276,14 @@
 	}
 }
 
-// answer is what a client got.
+// answer is the response that a client received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
 }
 
-// ask sends a request over a new connection.
+// ask sends a request over a new connection. header holds names and values in turn.
 func (m *member) ask(path, id string, header ...string) (answer, error) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+m.config.Callers+path, strings.NewReader("question"))
 	if err != nil {
@@ -301,7 +306,8 @@
 	return answer{response.StatusCode, response.Header, string(body)}, err
 }
 
-// status returns the status of a request, 0 if there was no answer.
+// status returns a function that sends a request and returns its status, 0 without a
+// response.
 func (m *member) status(path string) func() int {
 	return func() int {
 		got, err := m.ask(path, "probe")
@@ -321,7 +327,7 @@
 	return response.StatusCode
 }
 
-// reachable reports whether an address takes connections.
+// reachable reports whether an address accepts connections.
 func reachable(address string) bool {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
