--- a/partner/boxlist/boxlist.go
+++ b/partner/boxlist/boxlist.go
@@ -15,33 +15,35 @@
 	"granitehoist.example/granitehoist/internal/defaults"
 )
 
-// Path is where the platform serves the list.
+// Path is the URL path of the platform's list of boxes.
 const Path = "/v1/boxes"
 
-// List is the platform's answer.
+// List is the body of the platform's response.
 type List struct {
-	// Boxes has an entry for each listed box, true for one that is leaving.
+	// Boxes has an entry for each listed box; the value is true if the box is being
+	// decommissioned.
 	Boxes map[granitehoist.Box]bool `json:"boxes"`
 }
 
-// defaultTimeout bounds a call. It is the interval at which package partner/router reads
-// the list.
+// defaultTimeout bounds a call. It equals the polling interval of package partner/router,
+// so that a poll ends before the next one is due.
 const defaultTimeout = 2 * time.Second
 
-// idleTime closes connections that no call has used.
-const idleTime = time.Minute
+// idleConnTimeout is the time after which an unused connection is closed.
+const idleConnTimeout = time.Minute
 
 // Settings configure a Client.
 type Settings struct {
 	// Address is the base URL of the platform's service.
 	Address string
-	// Timeout bounds each call; zero stands for defaultTimeout.
+	// Timeout bounds each call; zero means 2 s.
 	Timeout time.Duration
-	// Client makes the calls; nil stands for a client of its own.
+	// Client sends the requests; nil means a new client with its own connections.
 	Client *http.Client
 }
 
-// Client reads the list. It implements granitehoist.Platform.
+// Client reads the platform's list of boxes. It implements granitehoist.Platform and is
+// safe for concurrent use.
 type Client struct {
 	settings Settings
 }
@@ -49,31 +51,31 @@
 // New returns a client. It panics if the address is empty.
 func New(s Settings) *Client {
 	if s.Address == "" {
-		panic("boxlist: no address")
+		panic("boxlist: Settings.Address is empty")
 	}
 	defaults.Set(&s.Timeout, defaultTimeout)
 	if s.Client == nil {
-		s.Client = &http.Client{Transport: &http.Transport{IdleConnTimeout: idleTime}}
+		s.Client = &http.Client{Transport: &http.Transport{IdleConnTimeout: idleConnTimeout}}
 	}
 	return &Client{settings: s}
 }
 
 // Boxes implements granitehoist.Platform. It returns granitehoist.ErrUnavailable
-// if the platform refuses the call with 429 or 503, and granitehoist.ErrUnknown
-// if no answer comes, the status is another one or the answer can't be decoded.
+// if the platform responds with status 429 or 503, and granitehoist.ErrUnknown
+// if there is no response, any other status, or a body that can't be decoded.
 func (c *Client) Boxes(ctx context.Context) (map[granitehoist.Box]bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.Timeout)
 	defer cancel()
 	call := sling.New().Client(c.settings.Client).Base(c.settings.Address).Get(Path)
 	request, err := call.Request()
 	if err != nil {
-		return nil, eris.Wrap(err, "boxlist: request can't be made")
+		return nil, eris.Wrap(err, "boxlist: invalid request")
 	}
 	var list List
 	response, err := call.Do(request.WithContext(ctx), &list, nil)
 	if response != nil {
-		if refusal := statusError(response.StatusCode); refusal != nil {
-			return nil, refusal
+		if statusErr := statusError(response.StatusCode); statusErr != nil {
+			return nil, statusErr
 		}
 	}
 	if err != nil {
@@ -82,7 +84,7 @@
 	return list.Boxes, nil
 }
 
-// statusError returns the error that a status stands for, nil for a success.
+// statusError maps an HTTP status to an error, nil for 200.
 func statusError(status int) error {
 	switch status {
 	case http.StatusOK:
@@ -90,5 +92,5 @@
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return granitehoist.ErrUnavailable
 	}
-	return eris.Wrapf(granitehoist.ErrUnknown, "boxlist: status %d", status)
+	return eris.Wrapf(granitehoist.ErrUnknown, "boxlist: unexpected status %d", status)
 }
--- a/partner/boxlist/boxlist_test.go
+++ b/partner/boxlist/boxlist_test.go
@@ -23,7 +23,7 @@
 	RunSpecs(t, "boxlist")
 }
 
-var _ = Describe("A client of the list of boxes", func() {
+var _ = Describe("Client", func() {
 	ctx := context.Background()
 	var store *standin.Store
 	var client *boxlist.Client
@@ -34,26 +34,26 @@
 		client = boxlist.New(boxlist.Settings{Address: server.URL, Timeout: time.Second})
 	})
 
-	It("lists boxes", func() {
+	It("returns the listed boxes", func() {
 		store.ListBox("b", true)
 		Expect(client.Boxes(ctx)).To(HaveKeyWithValue(granitehoist.Box("b"), true))
 	})
 
-	DescribeTable("tells a refusal from an answer that did not come",
+	DescribeTable("maps unavailability and missing responses to different errors",
 		func(faults standin.StoreFaults, want error) {
 			store.Fail(faults)
 			_, err := client.Boxes(ctx)
 			Expect(err).To(MatchError(want))
 		},
-		Entry("down", standin.StoreFaults{Down: true}, granitehoist.ErrUnavailable),
-		Entry("silent", standin.StoreFaults{Silent: true}, granitehoist.ErrUnknown),
-		Entry("slower than the timeout", standin.StoreFaults{Delay: 3 * time.Second}, granitehoist.ErrUnknown),
+		Entry("store down", standin.StoreFaults{Down: true}, granitehoist.ErrUnavailable),
+		Entry("no response", standin.StoreFaults{Silent: true}, granitehoist.ErrUnknown),
+		Entry("response after the timeout", standin.StoreFaults{Delay: 3 * time.Second}, granitehoist.ErrUnknown),
 	)
 
-	It("takes an odd answer for no list", func() {
-		odd := httptest.NewServer(http.NotFoundHandler())
-		defer odd.Close()
-		_, err := boxlist.New(boxlist.Settings{Address: odd.URL}).Boxes(ctx)
+	It("returns ErrUnknown for an unexpected status", func() {
+		notFound := httptest.NewServer(http.NotFoundHandler())
+		defer notFound.Close()
+		_, err := boxlist.New(boxlist.Settings{Address: notFound.URL}).Boxes(ctx)
 		Expect(err).To(MatchError(granitehoist.ErrUnknown))
 	})
 })
--- a/partner/boxlist/doc.go
+++ b/partner/boxlist/doc.go
@@ -3,12 +3,12 @@
 
 // Package boxlist reads the platform's list of boxes for 'granitehoist router'.
 //
-// The list is the only call of that router that the protocol of the platform's
-// store does not have, so it has a client of its own: one GET of Path at the
-// store's address. Package partner/router uses the answer twice: it sends no new
-// requests to upstreams whose box is leaving, and it stops waiting for a router
-// whose box is no longer listed.
+// The store's protocol has no call for this list, so Client gets it with a GET of
+// Path at the store's address. Package partner/router uses the list to send no new
+// requests to upstreams on boxes that are being decommissioned, and to stop waiting
+// for routers on boxes that are no longer listed.
 //
-// A Client holds its settings only and is safe for concurrent use. It relies on
-// the HTTP client that it is given. Begin reading at Client.Boxes.
+// A Client has no state besides its settings and is safe for concurrent use.
+//
+// Begin reading at Client.Boxes.
 package boxlist
