--- a/partner/settings/check.go
+++ b/partner/settings/check.go
@@ -12,26 +12,26 @@
 	"granitehoist.example/granitehoist/partner/budget"
 )
 
-// checker checks settings that were decoded, and collects their faults.
+// checker validates decoded settings and collects the faults that it finds.
 type checker struct {
 	*tomlfile.Checker
 }
 
-// add records a fault of a key, written as "table.name" or "name".
+// add records a fault of a key, given as "table.name" or, at the top level, "name".
 func (c checker) add(key, reason, remedy string) {
 	k := tomlfile.Key{Name: key}
-	if at := strings.LastIndex(key, "."); at >= 0 {
-		k = tomlfile.Key{Table: key[:at], Index: tomlfile.AnyTable, Name: key[at+1:]}
+	if dot := strings.LastIndex(key, "."); dot >= 0 {
+		k = tomlfile.Key{Table: key[:dot], Index: tomlfile.AnyTable, Name: key[dot+1:]}
 	}
 	c.Add(k, reason, remedy)
 }
 
-// router checks all settings. The keys in files are not read yet.
+// router checks all settings but the key files, which Load reads later.
 func (c checker) router(r *Router) {
-	c.present("partner", string(r.Partner))
-	c.present("region", string(r.Region))
-	c.present("place", string(r.Zone))
-	c.present("box", string(r.Box))
+	c.validName("partner", string(r.Partner))
+	c.validName("region", string(r.Region))
+	c.validName("place", string(r.Zone))
+	c.validName("box", string(r.Box))
 	c.url("store", r.Store)
 	c.address("listen.callers", r.Listen.Callers)
 	c.address("listen.peers", r.Listen.Peers)
@@ -42,20 +42,20 @@
 	}
 	for _, s := range r.Splits {
 		if _, ok := budget.NewSplit(s.Weigh); !ok {
-			c.add("split.weigh", fmt.Sprintf("%q is no weighting", s.Weigh), `use "refusals" or "overspend"`)
+			c.add("split.weigh", fmt.Sprintf("%q is not a weighting", s.Weigh), `use "refusals" or "overspend"`)
 		}
 	}
 	c.limits(r)
 }
 
-// trust checks the partners' public keys.
+// trust checks that the partners' public keys decode.
 func (c checker) trust(r *Router) {
 	if _, err := r.TrustedKeys(); err != nil {
 		c.add("trust.keys", err.Error(), `write public keys as "granitehoist keys partner" prints them`)
 	}
 }
 
-// limits checks the numbers and the level of the log.
+// limits checks the numeric settings and the log level.
 func (c checker) limits(r *Router) {
 	c.positive("limits.body_bytes", r.Limits.BodyBytes)
 	c.positive("limits.header_bytes", int64(r.Limits.HeaderBytes))
@@ -68,13 +68,13 @@
 	switch r.Log.Level {
 	case "debug", "info", "warn", "error":
 	default:
-		c.add("log.level", fmt.Sprintf("%q is no level", r.Log.Level), `use "debug", "info", "warn" or "error"`)
+		c.add("log.level", fmt.Sprintf("%q is not a log level", r.Log.Level), `use "debug", "info", "warn" or "error"`)
 	}
 }
 
-// present adds a fault if a name is empty or has a character that would be read
-// as a separator in the store's keys or in the log.
-func (c checker) present(key, value string) {
+// validName adds a fault if a name is empty or contains a character that separates
+// fields in store keys or in the log.
+func (c checker) validName(key, value string) {
 	if value == "" || strings.ContainsAny(value, "/ \t\"") {
 		c.add(key, fmt.Sprintf("%q is not a name", value), "write a name without spaces, slashes and quotes")
 	}
@@ -83,21 +83,21 @@
 // positive adds a fault if a value is zero or less.
 func (c checker) positive(key string, value int64) {
 	if value <= 0 {
-		c.add(key, "is not above zero", "use a value above zero, or leave it out")
+		c.add(key, "is not positive", "use a value above zero, or omit the key")
 	}
 }
 
-// url adds a fault if a value is no http or https URL.
+// url adds a fault if a value is not an http or https URL.
 func (c checker) url(key, value string) {
 	if !tomlfile.IsURL(value) {
-		c.add(key, fmt.Sprintf("%q is no address", value), `write it as "http://127.0.0.1:7000"`)
+		c.add(key, fmt.Sprintf("%q is not an http or https URL", value), `write it as "http://127.0.0.1:7000"`)
 	}
 }
 
-// address adds a fault if a value is no IP number and port.
+// address adds a fault if a value is not an IP address and port.
 func (c checker) address(key, value string) {
 	host, _, err := net.SplitHostPort(value)
 	if err != nil || net.ParseIP(host) == nil {
-		c.add(key, fmt.Sprintf("%q is no IP number and port", value), `write it as "127.0.0.1:8080"`)
+		c.add(key, fmt.Sprintf("%q is not an IP address and port", value), `write it as "127.0.0.1:8080"`)
 	}
 }
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -19,7 +19,7 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// Duration is a time.Duration written as "1.5s".
+// Duration is a time.Duration that is encoded as text such as "1.5s".
 type Duration time.Duration
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -34,11 +34,11 @@
 	return []byte(time.Duration(d).String()), nil
 }
 
-// Router is the settings of one router.
+// Router holds the settings of one router.
 type Router struct {
 	Partner granitehoist.Partner `toml:"partner"`
 	Region  granitehoist.Region  `toml:"region"`
-	// Zone is called place in settings files.
+	// Zone is the availability zone of the box.
 	Zone granitehoist.AvailabilityZone `toml:"place"`
 	Box  granitehoist.Box              `toml:"box"`
 	// Store is the base URL of the platform's store.
@@ -51,92 +51,92 @@
 	Log    Log     `toml:"log"`
 }
 
-// Listen holds the addresses that a router listens on, as IP number and port.
+// Listen holds the addresses that a router listens on, each an IP address and port.
 type Listen struct {
-	// Callers is for requests, Peers for other routers and Admin for operators.
+	// Callers serves API requests, Peers other routers and Admin operators.
 	Callers string `toml:"callers"`
 	Peers   string `toml:"peers"`
 	Admin   string `toml:"admin"`
 }
 
-// Trust holds the public keys with which a partner signs its documents.
+// Trust holds the public keys that verify a partner's signed documents.
 type Trust struct {
 	Partner granitehoist.Partner `toml:"partner"`
 	// Keys are Ed25519 public keys in base64.
 	Keys []string `toml:"keys"`
-	// Files hold further keys, one each; Load reads them. A relative path
-	// begins at the folder of the settings file.
+	// Files names files with one further key each, which Load reads. Relative paths
+	// are resolved against the directory of the settings file.
 	Files []string `toml:"files"`
 }
 
-// Split chooses how a partner's budgets are spread.
+// Split configures how a partner's budgets are divided among boxes.
 type Split struct {
 	Partner granitehoist.Partner `toml:"partner"`
 	// Weigh is "refusals" or "overspend".
 	Weigh budget.Weighting `toml:"weigh"`
-	// Wait bounds how long a request waits for tokens; unset takes the
-	// weighting's.
+	// Wait bounds how long a request waits for tokens; zero means the default of
+	// the weighting.
 	Wait Duration `toml:"wait"`
 }
 
-// Limits bound what one request may use. Unset values take the defaults.
+// Limits bounds sizes and durations of requests and of a planned stop. Zero values
+// are replaced by the defaults.
 type Limits struct {
 	BodyBytes   int64 `toml:"body_bytes"`
 	HeaderBytes int   `toml:"header_bytes"`
-	// ReadTimeout bounds the reading of a request.
+	// ReadTimeout bounds the time to read a request.
 	ReadTimeout Duration `toml:"read_timeout"`
-	// Request bounds a request whose caller names no deadline.
+	// Request is the timeout of a request whose caller sets no deadline.
 	Request Duration `toml:"request"`
-	// Drain bounds a planned stop.
+	// Drain is the timeout of a planned stop.
 	Drain Duration `toml:"drain"`
-	// Unready is how long a stopping router goes on taking requests after it
-	// said that it is not ready, so that a balancer can leave it first.
+	// Unready is the delay between reporting not ready and refusing requests in a
+	// planned stop, in which load balancers stop sending requests.
 	Unready Duration `toml:"unready"`
-	// Bills bounds the number of unconfirmed charges; zero stands for
+	// Bills bounds the number of unconfirmed charges; zero means
 	// bill.DefaultMaxPending.
 	Bills int `toml:"bills"`
 }
 
-// Budget tunes the messages about budgets.
+// Budget configures the exchange of budget reports and grants between routers.
 type Budget struct {
-	// Shards must be the same on all routers.
+	// Shards is the number of budget shards. It must be the same on all routers.
 	Shards int `toml:"shards"`
-	// Interval is the time between a box's messages about budgets.
+	// Interval is the time between two budget reports of a box.
 	Interval Duration `toml:"interval"`
-	// Gather is how long a report that no request waits for may wait, so that
-	// one store write serves many boxes; zero does not gather. A large fleet sets
-	// it to 10 s (docs/CAPACITY.md).
+	// Gather bounds how long a report that no request waits for may be delayed, so
+	// that one store write covers the reports of many boxes; zero disables the delay.
+	// 10 s suits a large fleet (docs/CAPACITY.md).
 	Gather Duration `toml:"gather"`
 }
 
-// Log tunes the log.
+// Log configures logging.
 type Log struct {
 	// Level is "debug", "info", "warn" or "error".
 	Level string `toml:"level"`
 }
 
-// Defaults of unset values.
+// Defaults that replace zero values.
 const (
-	// DefaultBodyBytes is 4 MiB.
+	// DefaultBodyBytes bounds a request's body, in bytes.
 	DefaultBodyBytes = 4 << 20
-	// DefaultHeaderBytes is 32 KiB.
+	// DefaultHeaderBytes bounds a request's headers, in bytes.
 	DefaultHeaderBytes = 32 << 10
-	// DefaultReadTimeout is chosen, not measured.
+	// DefaultReadTimeout bounds the time to read a request.
 	DefaultReadTimeout = Duration(10 * time.Second)
-	// DefaultRequest is chosen, not measured.
+	// DefaultRequest is the timeout of a request whose caller sets no deadline.
 	DefaultRequest = Duration(5 * time.Minute)
-	// defaultDrain is twice DefaultRequest, so that a stop waits for every request that
-	// names no deadline.
+	// defaultDrain exceeds DefaultRequest, so that a stop waits for every request
+	// without a deadline of its own.
 	defaultDrain = 2 * DefaultRequest
-	// defaultUnready is meant to be more than a balancer takes to see that a router is not
-	// ready.
+	// defaultUnready exceeds the usual health check interval of a load balancer.
 	defaultUnready = Duration(3 * time.Second)
-	// defaultLevel leaves out what only debugging needs.
+	// defaultLevel omits debug messages.
 	defaultLevel = "info"
 )
 
-// Load reads a settings file and the files of keys that it names. It returns
-// all faults of the settings at once, and an error if a file can't be read.
+// Load reads a settings file and the key files that it names. It returns all faults
+// of the settings at once, and an error if a file can't be read.
 func Load(file string) (*Router, tomlfile.Faults, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -156,11 +156,11 @@
 	return r, c.Faults(), nil
 }
 
-// readFiles adds the keys of the files to the keys. Relative paths begin at folder.
-func (t *Trust) readFiles(folder string) error {
+// readFiles appends the keys in Files to Keys. Relative paths are resolved against dir.
+func (t *Trust) readFiles(dir string) error {
 	for _, name := range t.Files {
 		if !filepath.IsAbs(name) {
-			name = filepath.Join(folder, name)
+			name = filepath.Join(dir, name)
 		}
 		key, err := os.ReadFile(name)
 		if err != nil {
@@ -171,8 +171,9 @@
 	return nil
 }
 
-// Parse reads the text of a settings file. file is used in faults only. It
-// returns all faults at once.
+// Parse decodes and validates the text of a settings file and fills in the defaults.
+// It returns all faults at once; file is the name that they report. Key files are not
+// read.
 func Parse(file string, text []byte) (*Router, tomlfile.Faults) {
 	var r Router
 	if faults := tomlfile.Decode(file, text, &r); len(faults) > 0 {
@@ -184,7 +185,7 @@
 	return &r, c.Faults()
 }
 
-// setDefaults fills in the unset values.
+// setDefaults replaces zero values by the defaults.
 func (r *Router) setDefaults() {
 	defaults.Set(&r.Limits.BodyBytes, DefaultBodyBytes)
 	defaults.Set(&r.Limits.HeaderBytes, DefaultHeaderBytes)
@@ -197,15 +198,15 @@
 	defaults.Set(&r.Log.Level, defaultLevel)
 }
 
-// TrustedKeys returns the public keys of each partner, or an error that names
-// the key that can't be read.
+// TrustedKeys returns the decoded public keys of each partner. The error names the
+// first key that is invalid.
 func (r *Router) TrustedKeys() (config.Trust, error) {
 	trust := config.Trust{}
 	for _, t := range r.Trust {
 		for i, text := range t.Keys {
 			raw, err := base64.StdEncoding.DecodeString(text)
 			if err != nil || len(raw) != ed25519.PublicKeySize {
-				return nil, fmt.Errorf("key %d of partner %q is no Ed25519 public key in base64", i+1, t.Partner)
+				return nil, fmt.Errorf("key %d of partner %q is not a base64 Ed25519 public key", i+1, t.Partner)
 			}
 			trust[t.Partner] = append(trust[t.Partner], ed25519.PublicKey(raw))
 		}
@@ -213,14 +214,14 @@
 	return trust, nil
 }
 
-// SplitOf returns the split of a budget, by its partner's weighting. A partner
-// without a [[split]] table has the zero Split.
+// SplitOf returns the split that the budget's partner has configured, or the zero
+// Split if the partner has no [[split]] table.
 func (r *Router) SplitOf(k granitehoist.BudgetID) budget.Split {
 	for _, s := range r.Splits {
 		if s.Partner != k.Partner() {
 			continue
 		}
-		// Parse has refused unknown weightings.
+		// Parse rejects unknown weightings.
 		split, _ := budget.NewSplit(s.Weigh)
 		if s.Wait > 0 {
 			split.Wait = time.Duration(s.Wait)
--- a/partner/settings/settings_test.go
+++ b/partner/settings/settings_test.go
@@ -14,7 +14,7 @@
 	"granitehoist.example/granitehoist/partner/settings"
 )
 
-const sound = `partner = "tuul"
+const validSettings = `partner = "tuul"
 region = "tuul"
 place = "gachuurt"
 box = "gachuurt-1"
@@ -34,39 +34,39 @@
 `
 
 var _ = Describe("Parse", func() {
-	It("reads a sound file and fills in the defaults", func() {
-		r, faults := settings.Parse("f", []byte(sound))
+	It("reads a valid file and fills in the defaults", func() {
+		r, faults := settings.Parse("f", []byte(validSettings))
 		Expect(faults).To(BeEmpty())
 		Expect(time.Duration(r.Limits.Drain)).To(Equal(90 * time.Second))
 		Expect(r.Limits.BodyBytes).To(Equal(int64(settings.DefaultBodyBytes)))
 		trust, err := r.TrustedKeys()
 		Expect(err).NotTo(HaveOccurred())
 		Expect(trust["tuul"]).To(HaveLen(1))
-		wide := r.SplitOf(granitehoist.NewBudgetID("tuul", "w", "b"))
-		other := r.SplitOf(granitehoist.NewBudgetID("lima", "w", "b"))
-		Expect(wide.Cover).To(BeNumerically(">", other.Cover))
+		weighted := r.SplitOf(granitehoist.NewBudgetID("tuul", "w", "b"))
+		unweighted := r.SplitOf(granitehoist.NewBudgetID("lima", "w", "b"))
+		Expect(weighted.Cover).To(BeNumerically(">", unweighted.Cover))
 	})
 
-	DescribeTable("tells file, line, key and remedy",
+	DescribeTable("reports the file, line and key of a fault",
 		func(old, changed, want string) {
-			Expect(sound).To(ContainSubstring(old))
-			_, faults := settings.Parse("f.toml", []byte(strings.Replace(sound, old, changed, 1)))
+			Expect(validSettings).To(ContainSubstring(old))
+			_, faults := settings.Parse("f.toml", []byte(strings.Replace(validSettings, old, changed, 1)))
 			Expect(faults.Error()).To(ContainSubstring(want))
 		},
-		Entry("wrong key", `[limits]`, "[limits]\ndrian = 1", "f.toml:17: limits.drian: no such key"),
-		Entry("no name", `box = "gachuurt-1"`, `box = ""`, "f.toml:4: box"),
-		Entry("a host name for an address", `"127.0.0.1:8081"`, `"localhost:8081"`, "f.toml:8: listen.peers"),
-		Entry("store", `"http://127.0.0.1:7000"`, `"7000"`, "f.toml:5: store"),
-		Entry("key", `aWlp`, `?`, "f.toml:12: trust.keys"),
-		Entry("weighting", `"refusals"`, `"luck"`, "f.toml:15: split.weigh"),
-		Entry("negative time", `"90s"`, `"-90s"`, "f.toml:17: limits.drain"),
-		Entry("no time", `"90s"`, `"long"`, "f.toml:17: "),
-		Entry("level", `[limits]`, "[log]\nlevel = \"loud\"\n[limits]", "f.toml:17: log.level"),
+		Entry("unknown key", `[limits]`, "[limits]\ndrian = 1", "f.toml:17: limits.drian: no such key"),
+		Entry("empty name", `box = "gachuurt-1"`, `box = ""`, "f.toml:4: box"),
+		Entry("host name instead of an IP address", `"127.0.0.1:8081"`, `"localhost:8081"`, "f.toml:8: listen.peers"),
+		Entry("store URL without a scheme", `"http://127.0.0.1:7000"`, `"7000"`, "f.toml:5: store"),
+		Entry("invalid public key", `aWlp`, `?`, "f.toml:12: trust.keys"),
+		Entry("unknown weighting", `"refusals"`, `"luck"`, "f.toml:15: split.weigh"),
+		Entry("negative duration", `"90s"`, `"-90s"`, "f.toml:17: limits.drain"),
+		Entry("invalid duration", `"90s"`, `"long"`, "f.toml:17: "),
+		Entry("unknown log level", `[limits]`, "[log]\nlevel = \"loud\"\n[limits]", "f.toml:17: log.level"),
 	)
 
-	It("tells all faults at once", func() {
-		broken := strings.NewReplacer(`box = "gachuurt-1"`, `box = ""`, `"refusals"`, `"luck"`).Replace(sound)
-		_, faults := settings.Parse("f", []byte(broken))
+	It("reports all faults at once", func() {
+		invalid := strings.NewReplacer(`box = "gachuurt-1"`, `box = ""`, `"refusals"`, `"luck"`).Replace(validSettings)
+		_, faults := settings.Parse("f", []byte(invalid))
 		Expect(faults).To(HaveLen(2))
 	})
 })
