--- a/partner/report/burn.go
+++ b/partner/report/burn.go
@@ -11,25 +11,25 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Burn is the burn of a fleet, as far as its routers could be asked.
+// Burn is the burn-rate report of a fleet, over the routers that could be reached.
 type Burn struct {
 	Rows []Row `json:"rows"`
-	// Asked lists the boxes whose counts are in Rows, and Unreached those whose
-	// counts are not.
+	// Asked lists the boxes whose counts are in Rows, Unreached those whose routers
+	// could not be reached.
 	Asked     []granitehoist.Box `json:"asked"`
 	Unreached []granitehoist.Box `json:"unreached"`
 }
 
-// Merge adds the rows of another router.
+// Merge adds the rows of another router; rows with equal keys are summed.
 func (b *Burn) Merge(rows []Row) {
-	index := map[Key]int{}
+	rowIndex := map[Key]int{}
 	for i, row := range b.Rows {
-		index[row.Key] = i
+		rowIndex[row.Key] = i
 	}
 	for _, row := range rows {
-		i, ok := index[row.Key]
+		i, ok := rowIndex[row.Key]
 		if !ok {
-			index[row.Key] = len(b.Rows)
+			rowIndex[row.Key] = len(b.Rows)
 			b.Rows = append(b.Rows, row)
 			continue
 		}
@@ -40,21 +40,22 @@
 	sortRows(b.Rows)
 }
 
-// Rate returns how fast a service level's allowance is used up: 1 uses it up
-// exactly, 20 is all bad. It is 0 without events.
+// Rate returns the burn rate of an error budget: the fraction of bad events divided by
+// the allowed fraction. At 1 the error budget is used up exactly; 20, the maximum, means
+// that all events are bad. It returns 0 if there are no events.
 func Rate(bad, all int) float64 {
 	if all == 0 {
 		return 0
 	}
-	return float64(bad) / float64(all) / slowAllowance
+	return float64(bad) / float64(all) / errorBudget
 }
 
-// WriteBurn writes the burn as text: a table for each window, and the boxes that
-// could not be asked.
+// WriteBurn writes the report as text: a table for each window, then the boxes that
+// could not be reached. It returns the first write error.
 func WriteBurn(w io.Writer, b Burn) error {
 	for i, window := range Windows {
 		table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		// The table only gathers these lines; Flush writes them and has the error.
+		// The tabwriter buffers these lines; Flush returns the write error.
 		fmt.Fprintf(table, "last %v\tworkspace\tplace\trequests\tfirst token\tbetween tokens\trefused\terrors\n", window)
 		for _, row := range b.Rows {
 			c := row.Windows[i]
--- a/partner/report/counts.go
+++ b/partner/report/counts.go
@@ -9,31 +9,30 @@
 	"granitehoist.example/granitehoist"
 )
 
-// The service levels: the users ask that 95 in 100 answers keep to each, as
-// docs/DEVELOPERS.md quotes from their first letter.
+// Service level objectives: 95 % of responses stay within each latency bound
+// (docs/DEVELOPERS.md).
 const (
-	// firstTokenLevel bounds the time from a request's arrival to the first piece
-	// of its answer.
-	firstTokenLevel = 1100 * time.Millisecond
-	// betweenLevel bounds the time between two pieces of a stream.
-	betweenLevel = 61 * time.Millisecond
-	// slowAllowance is the part of the answers that may be slower: 5 in 100.
-	slowAllowance = 0.05
+	// firstTokenObjective bounds the time from a request's arrival to its first token.
+	firstTokenObjective = 1100 * time.Millisecond
+	// tokenGapObjective bounds the time between two tokens of a stream.
+	tokenGapObjective = 61 * time.Millisecond
+	// errorBudget is the fraction of events that may miss an objective.
+	errorBudget = 0.05
 )
 
-// Counts are the requests of a key in some time.
+// Counts holds the event counts of a key over a period.
 type Counts struct {
-	// Requests have ended, whatever their result.
+	// Requests counts all ended requests, whatever their result.
 	Requests int `json:"requests"`
-	// First and Between count answers with a first token and gaps between
-	// tokens, and SlowFirst and SlowBetween those beyond the levels.
+	// First counts responses with a first token and Between gaps between tokens;
+	// SlowFirst and SlowBetween count those that missed the objective.
 	First       int `json:"first"`
 	SlowFirst   int `json:"slow_first"`
 	Between     int `json:"between"`
 	SlowBetween int `json:"slow_between"`
-	// Refused were not run for want of budget, room or upstreams; Errors ended
-	// with an upstream's or a router's failure. What the caller did wrong
-	// counts as neither.
+	// Refused counts requests rejected for lack of budget, capacity or upstreams,
+	// Errors those that failed in an upstream or a router. Client errors count as
+	// neither.
 	Refused int `json:"refused"`
 	Errors  int `json:"errors"`
 }
@@ -51,18 +50,18 @@
 	}
 }
 
-// CountFirst enters an answer whose first token took a time.
-func (c *Counts) CountFirst(took time.Duration) {
+// CountFirst records the time to the first token of a response.
+func (c *Counts) CountFirst(latency time.Duration) {
 	c.First++
-	if took > firstTokenLevel {
+	if latency > firstTokenObjective {
 		c.SlowFirst++
 	}
 }
 
-// CountBetween enters a gap between two tokens.
+// CountBetween records the time between two tokens.
 func (c *Counts) CountBetween(gap time.Duration) {
 	c.Between++
-	if gap > betweenLevel {
+	if gap > tokenGapObjective {
 		c.SlowBetween++
 	}
 }
@@ -70,24 +69,24 @@
 // Ranges of the result codes (docs/CODES.md): 30xx and 40xx are refusals, 50xx
 // and 60xx failures of upstreams and of the fleet.
 const (
-	// refusalCodes is the first code of a refusal.
-	refusalCodes = 3000
-	// failureCodes is the first code of a failure.
-	failureCodes = 5000
-	// documentCodes is the first code of operators' documents, which no request
-	// ends with.
-	documentCodes = 7000
+	// firstRefusalCode begins the range of refusals.
+	firstRefusalCode = 3000
+	// firstFailureCode begins the range of failures.
+	firstFailureCode = 5000
+	// firstDocumentCode begins the range of document errors, which requests never
+	// return.
+	firstDocumentCode = 7000
 )
 
-// CountsOf decides what one request's result counts as: a refusal, an error, or
-// neither where the caller was at fault or the request had run before.
+// CountsOf classifies the result of one request as a refusal, an error, or neither if
+// it is a success, a client error or a repeated request that was not run again.
 func CountsOf(code granitehoist.Code) Counts {
 	c := Counts{Requests: 1}
 	switch {
 	case code == granitehoist.AlreadyRun:
-	case code >= failureCodes && code < documentCodes:
+	case code >= firstFailureCode && code < firstDocumentCode:
 		c.Errors = 1
-	case code >= refusalCodes && code < failureCodes:
+	case code >= firstRefusalCode && code < firstFailureCode:
 		c.Refused = 1
 	}
 	return c
--- a/partner/report/metrics.go
+++ b/partner/report/metrics.go
@@ -13,15 +13,15 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// quantiles are those that are written of each timer: the median, the one of the service
-// levels, and one beyond.
+// quantiles lists the quantiles written for each timer; 0.95 is that of the service level
+// objectives.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
 const metricPrefix = "granitehoist_"
 
-// WriteMetrics writes a registry in the text form that collectors read. Timers
-// are in seconds. Other kinds than counters and timers are left out; the router
-// has none.
+// WriteMetrics writes the counters and timers of a registry in the Prometheus text
+// format, sorted by line. Timers are in seconds; metrics of other types are omitted. It
+// returns the first write error.
 func WriteMetrics(w io.Writer, registry metrics.Registry) error {
 	var lines []string
 	registry.Each(func(name string, metric any) {
@@ -41,23 +41,23 @@
 	return nil
 }
 
-// metricName turns a name of the registry into one that collectors take.
+// metricName replaces the characters of a registry name that metric names may not contain.
 func metricName(name string) string {
 	return strings.NewReplacer(".", "_", "-", "_").Replace(name)
 }
 
-const codeCounter = "requests.code."
+const codeCounterPrefix = "requests.code."
 
-// counterLine writes a counter; those of result codes become one metric with the
+// counterLine formats a counter. The counters of result codes become one metric with the
 // code as its label.
 func counterLine(name string, count int64) string {
-	if code, ok := strings.CutPrefix(name, codeCounter); ok {
+	if code, ok := strings.CutPrefix(name, codeCounterPrefix); ok {
 		return fmt.Sprintf("%srequests_total{code=%q} %d", metricPrefix, code, count)
 	}
 	return fmt.Sprintf("%s%s_total %d", metricPrefix, metricName(name), count)
 }
 
-// timerLines writes a timer, whose values are in nanoseconds, in seconds.
+// timerLines formats a timer as a summary, converting nanoseconds to seconds.
 func timerLines(name string, t metrics.Timer) []string {
 	base := metricPrefix + metricName(name) + "_seconds"
 	lines := []string{
--- a/partner/report/recorder.go
+++ b/partner/report/recorder.go
@@ -12,45 +12,44 @@
 )
 
 const (
-	// bucketLength is the shortest of Windows, so that each is a number of
-	// buckets.
+	// bucketLength divides each of Windows.
 	bucketLength = 5 * time.Minute
-	// bucketCount covers the longest of Windows, a day.
+	// bucketCount is the number of buckets in the longest of Windows, one day.
 	bucketCount = int64(24 * time.Hour / bucketLength)
-	// bucketSeconds is bucketLength in seconds of Unix time.
+	// bucketSeconds is bucketLength in seconds.
 	bucketSeconds = int64(bucketLength / time.Second)
-	// maxRecordedKeys bounds a recorder's memory. A key takes 18.6 KB (burn-memory in
-	// docs/CAPACITY.md), all of them 37 MB.
+	// maxRecordedKeys bounds a recorder's memory to 37 MB (docs/CAPACITY.md).
 	maxRecordedKeys = 2000
 )
 
-// Windows are those that a burn report is made for, shortest first.
+// Windows lists the periods that a burn-rate report covers, shortest first.
 var Windows = []time.Duration{5 * time.Minute, time.Hour, 6 * time.Hour, 24 * time.Hour}
 
-// Key is what burn is counted by.
+// Key identifies the requests that are counted together.
 type Key struct {
 	Service   granitehoist.Service          `json:"service"`
 	Workspace granitehoist.Workspace        `json:"workspace"`
 	Zone      granitehoist.AvailabilityZone `json:"place"`
 }
 
-// bucket holds the counts of one stretch of time.
+// bucket holds the counts of one interval of bucketLength.
 type bucket struct {
-	// number counts the stretches since 1970; a bucket is reused a day later.
+	// number is the number of intervals since the Unix epoch. Buckets form a ring and are
+	// reused after a day.
 	number int64
 	counts Counts
 }
 
-// Recorder keeps a router's counts of the last day. Its zero value is ready. It
-// is safe for concurrent use.
+// Recorder keeps a router's counts of the last day. The zero value is ready for use.
+// It is safe for concurrent use.
 type Recorder struct {
 	// mu guards keys.
 	mu   sync.Mutex
 	keys map[Key]*[bucketCount]bucket
 }
 
-// Add enters counts. A key beyond the first 2,000 is counted under the empty key,
-// so that the sums stay right.
+// Add adds counts to a key's bucket for the time now. Keys beyond the first 2,000 are counted
+// under the zero Key, so that totals stay correct.
 func (r *Recorder) Add(k Key, c Counts, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,13 +73,13 @@
 	b.counts = b.counts.Add(c)
 }
 
-// Row is the counts of a key over each of Windows.
+// Row holds the counts of a key for each of Windows.
 type Row struct {
 	Key     Key      `json:"key"`
 	Windows []Counts `json:"windows"`
 }
 
-// Rows returns the counts of all keys that had requests in the last day.
+// Rows returns the counts of all keys with requests in the last day, in order of keys.
 func (r *Recorder) Rows(now time.Time) []Row {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -98,20 +97,20 @@
 	return rows
 }
 
-// sumWindow sums the buckets that begin in a window.
+// sumWindow sums the buckets of the window that ends with the current bucket.
 func sumWindow(buckets *[bucketCount]bucket, window time.Duration, now time.Time) Counts {
-	last := now.Unix() / bucketSeconds
-	oldest := last - int64(window/bucketLength)
+	current := now.Unix() / bucketSeconds
+	before := current - int64(window/bucketLength)
 	var sum Counts
 	for _, b := range buckets {
-		if b.number > oldest && b.number <= last {
+		if b.number > before && b.number <= current {
 			sum = sum.Add(b.counts)
 		}
 	}
 	return sum
 }
 
-// sortRows puts rows in the order of their keys.
+// sortRows sorts rows by service, workspace and availability zone.
 func sortRows(rows []Row) {
 	sort.Slice(rows, func(i, j int) bool {
 		a, b := rows[i].Key, rows[j].Key
--- a/partner/report/report_test.go
+++ b/partner/report/report_test.go
@@ -20,7 +20,7 @@
 var key = report.Key{Service: "pool", Workspace: "kiosk", Zone: "gachuurt"}
 
 var _ = Describe("Recorder", func() {
-	It("counts each window apart, and forgets after a day", func() {
+	It("sums each window separately and drops counts after a day", func() {
 		var r report.Recorder
 		r.Add(key, report.Counts{Requests: 1}, now.Add(-25*time.Hour))
 		r.Add(key, report.Counts{Requests: 2}, now.Add(-5*time.Hour))
@@ -36,14 +36,14 @@
 		Expect(r.Rows(now.Add(48 * time.Hour))).To(BeEmpty())
 	})
 
-	It("reuses a bucket a day later without its old counts", func() {
+	It("resets a bucket that it reuses a day later", func() {
 		var r report.Recorder
 		r.Add(key, report.Counts{Requests: 5}, now)
 		r.Add(key, report.Counts{Requests: 1}, now.Add(24*time.Hour))
 		Expect(r.Rows(now.Add(24 * time.Hour))[0].Windows[3].Requests).To(Equal(1))
 	})
 
-	It("bounds its keys and loses no request", func() {
+	It("bounds the number of keys and loses no request", func() {
 		var r report.Recorder
 		for i := range 3000 {
 			k := key
@@ -61,23 +61,23 @@
 })
 
 var _ = Describe("CountsOf", func() {
-	DescribeTable("tells refusals and errors from what the caller did wrong",
+	DescribeTable("distinguishes refusals and errors from client errors",
 		func(code granitehoist.Code, refused, errors int) {
 			Expect(report.CountsOf(code)).To(Equal(report.Counts{Requests: 1, Refused: refused, Errors: errors}))
 		},
 		Entry("served", granitehoist.Served, 0, 0),
 		Entry("bad request", granitehoist.BadRequest, 0, 0),
-		Entry("denied", granitehoist.PolicyDenied, 0, 0),
-		Entry("exhausted", granitehoist.BudgetExhausted, 1, 0),
+		Entry("denied by policy", granitehoist.PolicyDenied, 0, 0),
+		Entry("budget exhausted", granitehoist.BudgetExhausted, 1, 0),
 		Entry("overloaded", granitehoist.Overloaded, 1, 0),
-		Entry("cut", granitehoist.UpstreamCut, 0, 1),
+		Entry("response cut off", granitehoist.UpstreamCut, 0, 1),
 		Entry("already run", granitehoist.AlreadyRun, 0, 0),
-		Entry("internal", granitehoist.Internal, 0, 1),
+		Entry("internal error", granitehoist.Internal, 0, 1),
 	)
 })
 
 var _ = Describe("Burn", func() {
-	It("adds up routers and names those that could not be asked", func() {
+	It("sums the counts of routers and lists unreached boxes", func() {
 		var a, b report.Recorder
 		a.Add(key, report.Counts{Requests: 50, First: 50, SlowFirst: 5}, now)
 		b.Add(key, report.Counts{Requests: 50, First: 50}, now)
@@ -91,7 +91,7 @@
 		Expect(text.String()).To(MatchRegexp(`pool\s+kiosk\s+gachuurt\s+100\s+1.00`))
 	})
 
-	It("is 1 when the allowance is used up exactly", func() {
+	It("has rate 1 when the error budget is used up exactly", func() {
 		Expect(report.Rate(5, 100)).To(BeNumerically("~", 1))
 		Expect(report.Rate(0, 0)).To(BeZero())
 	})
