--- a/measure/loads.go
+++ b/measure/loads.go
@@ -62,7 +62,7 @@
 	chargesHeld = 1800.0
 	// watchTime is how long one watch of the documents waits at the store.
 	watchTime = 20.0
-	// segmentCharges is the most charges of one segment: maxSegment batches of
+	// segmentCharges is the most charges of one segment: maxSegmentBatches batches of
 	// bill.MaxBatch charges each, as partner/bill/collector.go has them.
 	segmentCharges = 5000.0
 )
--- a/partner/bill/bill.go
+++ b/partner/bill/bill.go
@@ -12,12 +12,13 @@
 
 // Charge is the cost of one request.
 type Charge struct {
-	// Incarnation made the charge and Seq numbers its charges from 1.
+	// Incarnation identifies the router run that made the charge; Seq numbers its
+	// charges from 1.
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
 	Seq         uint64                   `json:"seq"`
 
 	Request granitehoist.RequestID `json:"request"`
-	// Attempts are those that may have run; Tokens is the sum of their costs.
+	// Attempts lists the attempts that may have run; Tokens is the sum of their costs.
 	Attempts []granitehoist.AttemptID `json:"attempts"`
 	Budget   granitehoist.BudgetID    `json:"budget"`
 	// Owner is the partner whose capacity served the request.
@@ -25,29 +26,30 @@
 	Service  granitehoist.Service  `json:"service"`
 	Upstream granitehoist.Upstream `json:"upstream"`
 	Tokens   granitehoist.Tokens   `json:"tokens"`
-	// Estimated says that the upstream reported no use, and that the reserved
-	// upper bound was charged.
+	// Estimated is set if the upstream reported no usage and the reserved upper bound
+	// was charged.
 	Estimated bool `json:"estimated,omitempty"`
-	// Orphan says that another router made the charge, from the upstream's record
-	// of an attempt whose incarnation died. It has no number, and does not count
-	// if the incarnation's own charge for the attempt is in the store too.
+	// Orphan is set if another router made the charge from the upstream's record of
+	// an attempt whose incarnation crashed. Such a charge has no Seq, and is ignored
+	// if the store also holds the incarnation's own charge for the attempt.
 	Orphan bool `json:"orphan,omitempty"`
-	// At is when the charge was made.
+	// At is the time of the charge.
 	At time.Time `json:"at"`
 }
 
-// Batch is consecutive charges of one incarnation, oldest first.
+// Batch holds consecutive charges of one incarnation, oldest first.
 type Batch struct {
 	Charges []Charge `json:"charges"`
 }
 
-// MethodCollect carries CollectParams to a collector and its CollectResult back.
+// MethodCollect is the method by which a router sends CollectParams to a collector; the
+// result is a CollectResult.
 const MethodCollect = "bill.collect"
 
-// CollectParams is a Batch in the form in which routers send it.
+// CollectParams is a Batch as encoded between routers.
 type CollectParams = pack.Message[Batch]
 
-// CollectResult confirms that a batch is in the store, in the segment of that key.
+// CollectResult confirms that a batch is in the store; Segment is the segment's key.
 type CollectResult struct {
 	Segment string `json:"segment"`
 }
--- a/partner/bill/bill_test.go
+++ b/partner/bill/bill_test.go
@@ -24,12 +24,12 @@
 	now = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
 )
 
-// fakeCaller hands batches to a collector and loses what it is told to.
+// fakeCaller passes batches to a collector and simulates lost calls and responses.
 type fakeCaller struct {
 	collector *bill.Collector
-	// loseAnswer and loseCall make a call fail after and before it acted.
-	loseAnswer, loseCall bool
-	calls                int
+	// loseResponse makes a call fail after it took effect, loseCall before.
+	loseResponse, loseCall bool
+	calls                  int
 }
 
 func (f *fakeCaller) Call(ctx context.Context, _ granitehoist.Peer, _ string, params, result any) error {
@@ -42,7 +42,7 @@
 		return err
 	}
 	collected, err := f.collector.Collect(ctx, b)
-	if err != nil || f.loseAnswer {
+	if err != nil || f.loseResponse {
 		return errors.New("lost")
 	}
 	*result.(*bill.CollectResult) = collected
@@ -60,7 +60,7 @@
 }
 
 var _ = Describe("Ledger", func() {
-	It("opens no more than it can hold", func() {
+	It("reserves no more than MaxPending charges", func() {
 		l := bill.NewLedger(bill.LedgerSettings{Incarnation: "b", MaxPending: 2})
 		Expect(l.ReserveRoom()).To(BeTrue())
 		Expect(l.ReserveRoom()).To(BeTrue())
@@ -68,12 +68,12 @@
 		l.ReleaseRoom()
 		Expect(l.ReserveRoom()).To(BeTrue())
 		l.Charge(bill.Charge{}, now)
-		Expect(l.ReserveRoom()).To(BeFalse(), "an unconfirmed charge keeps its room")
+		Expect(l.ReserveRoom()).To(BeFalse(), "an unconfirmed charge counts towards MaxPending")
 		l.Confirm(l.Next(1))
 		Expect(l.ReserveRoom()).To(BeTrue())
 	})
 
-	It("confirms a batch once, and only that", func() {
+	It("removes only the charges of a confirmed batch", func() {
 		l := bill.NewLedger(bill.LedgerSettings{Incarnation: "b"})
 		charge(l, "1", 1)
 		b := l.Next(10)
@@ -113,10 +113,10 @@
 		return len(charges), tokens
 	}
 
-	DescribeTable("brings each charge into the store once",
-		func(faults standin.StoreFaults, loseAnswer, loseCall bool) {
+	DescribeTable("stores each charge exactly once",
+		func(faults standin.StoreFaults, loseResponse, loseCall bool) {
 			store.Fail(faults)
-			caller.loseAnswer, caller.loseCall = loseAnswer, loseCall
+			caller.loseResponse, caller.loseCall = loseResponse, loseCall
 			for i := range 450 {
 				charge(ledger, fmt.Sprint(i), 2)
 			}
@@ -127,15 +127,15 @@
 			Expect(tokens).To(Equal(granitehoist.Tokens(900)))
 			Expect(ledger.Pending()).To(BeZero())
 		},
-		Entry("healthy", standin.StoreFaults{}, false, false),
-		Entry("the collector's answer is lost", standin.StoreFaults{}, true, false),
+		Entry("no faults", standin.StoreFaults{}, false, false),
+		Entry("the collector's response is lost", standin.StoreFaults{}, true, false),
 		Entry("the collector can't be reached", standin.StoreFaults{}, false, true),
-		Entry("the store loses answers", standin.StoreFaults{LoseEvery: 2}, false, false),
+		Entry("the store loses responses", standin.StoreFaults{LoseEvery: 2}, false, false),
 		Entry("the store drops writes", standin.StoreFaults{DropEvery: 2}, true, false),
-		Entry("all of it", standin.StoreFaults{LoseEvery: 3, DropEvery: 2}, true, false),
+		Entry("all faults together", standin.StoreFaults{LoseEvery: 3, DropEvery: 2}, true, false),
 	)
 
-	It("keeps the charges while the store is down", func() {
+	It("keeps charges while the store is down", func() {
 		store.Fail(standin.StoreFaults{Down: true})
 		charge(ledger, "1", 5)
 		Expect(sender.Flush(ctx)).NotTo(Succeed())
@@ -146,7 +146,7 @@
 		Expect(tokens).To(Equal(granitehoist.Tokens(5)))
 	})
 
-	It("gathers the batches of many boxes in few segments", func() {
+	It("writes the batches of many boxes to few segments", func() {
 		collector := newCollector(store, "box-3")
 		var group sync.WaitGroup
 		for i := range 64 {
@@ -164,7 +164,7 @@
 		Expect(store.Calls().Writes).To(BeNumerically("<=", 64))
 	})
 
-	It("tells of a segment that can't be read", func() {
+	It("returns an error for a corrupt segment", func() {
 		_, err := store.CompareAndSwap(ctx, granitehoist.Change{Key: bill.SegmentKey("tuul", "x", 1), Value: []byte("{}")})
 		Expect(err).NotTo(HaveOccurred())
 		_, err = bill.Read(ctx, store)
@@ -173,7 +173,7 @@
 })
 
 var _ = Describe("Merge", func() {
-	It("counts each charge once, in whatever segments it stands", func() {
+	It("returns each charge once if several segments hold it", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			n := rapid.IntRange(1, 20).Draw(t, "charges")
 			var segments []bill.Segment
@@ -188,21 +188,21 @@
 			seen := map[uint64]bool{}
 			for _, c := range bill.Merge(segments) {
 				if seen[c.Seq] {
-					t.Fatalf("charge %d twice", c.Seq)
+					t.Fatalf("charge %d returned twice", c.Seq)
 				}
 				seen[c.Seq] = true
 			}
 			for _, s := range segments {
 				for _, c := range s.Charges {
 					if !seen[c.Seq] {
-						t.Fatalf("charge %d lost", c.Seq)
+						t.Fatalf("charge %d missing", c.Seq)
 					}
 				}
 			}
 		})
 	})
 
-	It("is summed by budget, with what the partner served apart", func() {
+	It("is summed by budget, with tokens served by other partners separate", func() {
 		sums := bill.Summarise([]bill.Charge{
 			{Request: "1", Budget: "tuul/a/x", Owner: "tuul", Tokens: 5},
 			{Request: "2", Budget: "tuul/a/x", Owner: "lima", Tokens: 7, Estimated: true},
@@ -210,7 +210,7 @@
 		Expect(sums).To(Equal([]bill.Summary{{Budget: "tuul/a/x", Requests: 2, Charges: 2, Tokens: 12, Estimated: 7, Lent: 7}}))
 	})
 
-	It("makes one bill of a request that ran at two routers", func() {
+	It("combines the charges of a request that ran at two routers", func() {
 		bills := bill.Bills([]bill.Charge{
 			{Incarnation: "a", Seq: 1, Request: "r", Budget: "tuul/a/x", Tokens: 5},
 			{Incarnation: "b", Seq: 1, Request: "r", Budget: "tuul/a/x", Tokens: 7},
--- a/partner/bill/collector.go
+++ b/partner/bill/collector.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// MaxBatch bounds the charges that a box sends at once.
+	// MaxBatch bounds the number of charges in a batch.
 	MaxBatch = 500
-	// maxSegment bounds the batches of one segment, so that its 5,000 charges stay below
-	// granitehoist.MaxValueSize.
-	maxSegment = 10
+	// maxSegmentBatches bounds the batches of one segment, so that its 5,000 charges stay
+	// below granitehoist.MaxValueSize.
+	maxSegmentBatches = 10
 )
 
-// Collector writes batches into segments. Batches that arrive while a segment
-// is being written go into the next one together. It is safe for concurrent use.
+// Collector writes batches of charges to segments in the store. Batches that arrive
+// while a segment is being written share the next one. It is safe for concurrent use.
 type Collector struct {
 	settings CollectorSettings
 	group    *batch.Group[Batch, CollectResult]
-	// mu guards next, the number of the last segment.
-	mu   sync.Mutex
-	next uint64
+	// mu guards lastSegment, the number of the last segment.
+	mu          sync.Mutex
+	lastSegment uint64
 }
 
 // CollectorSettings configure a Collector.
@@ -39,29 +39,30 @@
 	Store       granitehoist.Store
 }
 
-// NewCollector returns a collector. It panics if a setting is missing.
+// NewCollector returns a collector. It panics if any of the settings is zero.
 func NewCollector(s CollectorSettings) *Collector {
 	if s.Region == "" || s.Incarnation == "" || s.Store == nil {
-		panic("bill: collector lacks a setting")
+		panic("bill: CollectorSettings incomplete")
 	}
 	c := &Collector{settings: s}
-	c.group = batch.New(batch.Settings[Batch, CollectResult]{Commit: c.commit, MaxItems: maxSegment})
+	c.group = batch.New(batch.Settings[Batch, CollectResult]{Commit: c.commit, MaxItems: maxSegmentBatches})
 	return c
 }
 
-// Collect puts a batch into a segment. After an error the batch may be in the
-// store or not, and must be sent again.
+// Collect writes a batch to a segment. An empty batch is not written and gives an empty
+// result; more than MaxBatch charges are an error. After any other error the batch may or
+// may not be in the store, and must be sent again.
 func (c *Collector) Collect(ctx context.Context, b Batch) (CollectResult, error) {
 	if len(b.Charges) == 0 {
 		return CollectResult{}, nil
 	}
 	if len(b.Charges) > MaxBatch {
-		return CollectResult{}, eris.Errorf("bill: batch of %d charges", len(b.Charges))
+		return CollectResult{}, eris.Errorf("bill: batch of %d charges exceeds %d", len(b.Charges), MaxBatch)
 	}
 	return c.group.Do(ctx, b)
 }
 
-// commit writes the charges of some batches as one segment.
+// commit writes the charges of several batches as one segment.
 func (c *Collector) commit(ctx context.Context, batches []Batch) ([]CollectResult, error) {
 	var charges []Charge
 	for _, b := range batches {
@@ -82,11 +83,11 @@
 	return results, nil
 }
 
-// nextKey returns a key that was not used before, not even by a write whose
-// outcome is unknown.
+// nextKey returns a fresh segment key. Keys of writes whose outcome is unknown are not
+// reused.
 func (c *Collector) nextKey() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.next++
-	return SegmentKey(c.settings.Region, c.settings.Incarnation, c.next)
+	c.lastSegment++
+	return SegmentKey(c.settings.Region, c.settings.Incarnation, c.lastSegment)
 }
--- a/partner/bill/ledger.go
+++ b/partner/bill/ledger.go
@@ -11,75 +11,75 @@
 	"granitehoist.example/granitehoist/internal/defaults"
 )
 
-// Ledger holds an incarnation's charges until they are confirmed. It is safe
-// for concurrent use and makes no calls.
+// Ledger holds an incarnation's charges until they are confirmed. It does no I/O and is
+// safe for concurrent use.
 type Ledger struct {
 	settings LedgerSettings
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// seq is the number of the last charge.
+	// seq is the sequence number of the last charge.
 	seq uint64
 	// pending holds the unconfirmed charges, oldest first.
 	pending []Charge
-	// open counts the requests that will each make a charge.
-	open int
+	// reserved counts the requests that hold a reservation.
+	reserved int
 }
 
 // LedgerSettings configure a Ledger.
 type LedgerSettings struct {
 	Incarnation granitehoist.Incarnation
-	// MaxPending bounds the unconfirmed charges, those that open requests will make
-	// included; zero stands for DefaultMaxPending.
+	// MaxPending bounds the sum of unconfirmed charges and reservations; zero means
+	// DefaultMaxPending.
 	MaxPending int
 }
 
-// DefaultMaxPending holds about half an hour of charges at 57 requests a second, the
-// rate of the busiest box in docs/CAPACITY.md, in some 40 MB.
+// DefaultMaxPending bounds a ledger to about 40 MB, half an hour of charges at 57 requests
+// per second (docs/CAPACITY.md).
 const DefaultMaxPending = 100_000
 
-// NewLedger returns an empty ledger. It panics if the settings have no
-// incarnation.
+// NewLedger returns an empty ledger. It panics if the incarnation is empty.
 func NewLedger(s LedgerSettings) *Ledger {
 	if s.Incarnation == "" {
-		panic("bill: ledger without incarnation")
+		panic("bill: LedgerSettings.Incarnation is empty")
 	}
 	defaults.Set(&s.MaxPending, DefaultMaxPending)
 	return &Ledger{settings: s}
 }
 
-// ReserveRoom makes room for the charge of one request. It returns false if
-// unconfirmed charges have reached the limit; the request must not run then. One
-// Charge or ReleaseRoom must follow each successful ReserveRoom.
+// ReserveRoom reserves capacity for the charge of one request. It returns false if
+// MaxPending is reached, and the request must then not run. Each successful ReserveRoom
+// must be followed by one Charge or ReleaseRoom.
 func (l *Ledger) ReserveRoom() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.open+len(l.pending) >= l.settings.MaxPending {
+	if l.reserved+len(l.pending) >= l.settings.MaxPending {
 		return false
 	}
-	l.open++
+	l.reserved++
 	return true
 }
 
-// ReleaseRoom gives up the room of a request that costs nothing.
+// ReleaseRoom releases the reservation of a request that makes no charge.
 func (l *Ledger) ReleaseRoom() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open--
+	l.reserved--
 }
 
-// Charge enters the charge of a request. It sets the incarnation, the number
-// and the time.
+// Charge appends the charge of a request and releases its reservation. It sets
+// Incarnation, Seq and At.
 func (l *Ledger) Charge(c Charge, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open--
+	l.reserved--
 	l.seq++
 	c.Incarnation, c.Seq, c.At = l.settings.Incarnation, l.seq, now
 	l.pending = append(l.pending, c)
 }
 
-// Next returns the oldest unconfirmed charges, no more than limit of them.
+// Next returns up to limit unconfirmed charges, oldest first. They stay in the ledger
+// until Confirm.
 func (l *Ledger) Next(limit int) Batch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,8 +87,7 @@
 	return Batch{Charges: append([]Charge(nil), l.pending[:n]...)}
 }
 
-// Confirm removes the charges of a batch that is in the store. Confirming a
-// batch again changes nothing.
+// Confirm removes the charges of a batch that is in the store. It is idempotent.
 func (l *Ledger) Confirm(b Batch) {
 	if len(b.Charges) == 0 {
 		return
--- a/partner/bill/segment.go
+++ b/partner/bill/segment.go
@@ -13,33 +13,32 @@
 	"granitehoist.example/granitehoist/internal/pack"
 )
 
-// segmentFormat is the format number of stored segments. A reader refuses all
-// others.
+// segmentFormat is the format version of stored segments; others are rejected.
 const segmentFormat = 1
 
-// Segment is a record of charges in the store.
+// Segment is a stored record of charges. ID is its store key.
 type Segment struct {
 	Format  int      `json:"format"`
 	ID      string   `json:"id"`
 	Charges []Charge `json:"charges"`
 }
 
-// keyPrefix begins the store's keys of segments.
+// keyPrefix begins the store keys of segments.
 const keyPrefix = "bills/"
 
-// SegmentKey returns the store's key of a collector's n-th segment.
+// SegmentKey returns the store key of a collector's n-th segment.
 func SegmentKey(r granitehoist.Region, collector granitehoist.Incarnation, n uint64) string {
 	return fmt.Sprintf("%s%s/%s/%08d", keyPrefix, r, collector, n)
 }
 
-// OrphanKey returns the store's key of the n-th segment of a dead incarnation's
-// orphans.
+// OrphanKey returns the store key of the n-th segment of charges for attempts of a
+// crashed incarnation.
 func OrphanKey(dead granitehoist.Incarnation, n int) string {
 	return fmt.Sprintf("%sorphans/%s/%04d", keyPrefix, dead, n)
 }
 
-// EncodeSegment returns the stored form of charges. It panics if there are
-// none.
+// EncodeSegment encodes charges as a segment with the given key. It panics if charges is
+// empty.
 func EncodeSegment(id string, charges []Charge) ([]byte, error) {
 	if len(charges) == 0 {
 		panic("bill: empty segment")
@@ -47,21 +46,21 @@
 	return pack.Pack(Segment{Format: segmentFormat, ID: id, Charges: charges})
 }
 
-// DecodeSegment reads a stored segment. A record that can't be read, or that has
-// no charges, is an error and never an empty segment.
+// DecodeSegment decodes a stored segment. It returns an error if the record is corrupt, of
+// another format or without charges.
 func DecodeSegment(e granitehoist.Entry) (Segment, error) {
 	var s Segment
 	if err := pack.Unpack(e.Value, &s); err != nil {
-		return s, eris.Wrapf(err, "bill: segment %s can't be read", e.Key)
+		return s, eris.Wrapf(err, "bill: segment %s can't be decoded", e.Key)
 	}
 	if s.Format != segmentFormat || len(s.Charges) == 0 {
-		return s, eris.Errorf("bill: segment %s has format %d and %d charges", e.Key, s.Format, len(s.Charges))
+		return s, eris.Errorf("bill: segment %s has format %d and %d charges, want format %d and at least 1", e.Key, s.Format, len(s.Charges), segmentFormat)
 	}
 	return s, nil
 }
 
-// Read returns all charges in the store, each once. It reads every segment there
-// is; one that can't be read is an error.
+// Read returns all charges in the store without duplicates. It reads every segment and
+// returns an error if one can't be decoded.
 func Read(ctx context.Context, s granitehoist.Store) ([]Charge, error) {
 	entries, _, err := s.List(ctx, keyPrefix)
 	if err != nil {
--- a/partner/bill/sender.go
+++ b/partner/bill/sender.go
@@ -16,28 +16,28 @@
 	Ledger    *Ledger
 	Collector *Collector
 	Caller    granitehoist.Caller
-	// RemoteCollector returns the region's collector, and false if it is this router or
-	// there is none.
+	// RemoteCollector returns the region's collector, and false if this router is the
+	// collector or none is known.
 	RemoteCollector func() (granitehoist.Peer, bool)
 	// Failed is called with each error; nil ignores them. The charges stay in the
 	// ledger and are sent again.
 	Failed func(error)
 }
 
-// DefaultInterval is the time between a box's batches. What a router that is killed leaves
-// unconfirmed is about as old.
+// DefaultInterval is the time between two flushes. It bounds the age of the charges that a
+// crash leaves unconfirmed while the store is reachable.
 const DefaultInterval = time.Second
 
-// Sender brings the charges of a Ledger into the store. It is safe for concurrent
-// use: a batch that is sent twice is counted once.
+// Sender writes the charges of a Ledger to the store. It is safe for concurrent use,
+// since a batch that is sent twice is counted once.
 type Sender struct {
 	settings SenderSettings
 }
 
-// NewSender returns a sender. It panics if a needed setting is missing.
+// NewSender returns a sender. It panics if any setting but Failed is nil.
 func NewSender(s SenderSettings) *Sender {
 	if s.Ledger == nil || s.Collector == nil || s.Caller == nil || s.RemoteCollector == nil {
-		panic("bill: sender lacks a setting")
+		panic("bill: SenderSettings incomplete")
 	}
 	if s.Failed == nil {
 		s.Failed = func(error) {}
@@ -45,7 +45,7 @@
 	return &Sender{settings: s}
 }
 
-// Run sends batches until ctx ends.
+// Run calls Flush every DefaultInterval until ctx ends.
 func (s *Sender) Run(ctx context.Context) {
 	ticker := time.NewTicker(DefaultInterval)
 	defer ticker.Stop()
@@ -61,8 +61,8 @@
 	}
 }
 
-// Flush sends all charges that are unconfirmed now, and returns the first
-// error.
+// Flush sends unconfirmed charges until none are left or a batch fails, and returns
+// that error.
 func (s *Sender) Flush(ctx context.Context) error {
 	for {
 		b := s.settings.Ledger.Next(MaxBatch)
@@ -76,10 +76,9 @@
 	}
 }
 
-// send sends a batch to the region's collector, or collects it here if that fails.
-// The error of the call is not reported: if this router's own try succeeds the
-// charges are safe, and if it fails its error says more. The batch may be in two
-// segments then; readers count it once.
+// send sends a batch to the region's collector and, if that fails, writes it through the
+// local one. The error of the remote call is dropped, since the local write decides. The
+// batch may then be in two segments; readers count it once.
 func (s *Sender) send(ctx context.Context, b Batch) error {
 	if peer, ok := s.settings.RemoteCollector(); ok {
 		params, err := pack.NewMessage(b)
@@ -95,7 +94,7 @@
 	return err
 }
 
-// ServeCollect serves MethodCollect for another router's sender.
+// ServeCollect handles MethodCollect calls of other routers.
 func (s *Sender) ServeCollect(ctx context.Context, p CollectParams) (CollectResult, error) {
 	b, err := p.Value()
 	if err != nil {
--- a/partner/bill/suite_test.go
+++ b/partner/bill/suite_test.go
@@ -12,13 +12,13 @@
 	. "github.com/onsi/gomega"
 )
 
-// stepTimeout is how long an eventual thing may take on a busy machine.
+// stepTimeout bounds each Eventually, with a margin for a loaded machine.
 const stepTimeout = 20 * time.Second
 
 func TestBill(t *testing.T) {
 	RegisterFailHandler(Fail)
 	SetDefaultEventuallyTimeout(stepTimeout)
-	// Properties are checked on the same cases each time.
+	// A fixed seed makes the property tests reproducible.
 	Expect(flag.Set("rapid.seed", "1")).To(Succeed())
 	RunSpecs(t, "bill")
 }
--- a/partner/bill/sum.go
+++ b/partner/bill/sum.go
@@ -9,8 +9,7 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Bill is the cost of one request id of a workspace, over all routers that
-// served it.
+// Bill is the cost of one request of a workspace, over all routers that served it.
 type Bill struct {
 	Request granitehoist.RequestID `json:"request"`
 	Budget  granitehoist.BudgetID  `json:"budget"`
@@ -18,56 +17,55 @@
 	Charges []Charge               `json:"charges"`
 }
 
-// billID is what makes charges one bill.
+// billID identifies the charges that form one bill.
 type billID struct {
 	partner   granitehoist.Partner
 	workspace granitehoist.Workspace
 	request   granitehoist.RequestID
 }
 
-// Bills returns one bill for each request id of a workspace, in the order of their
-// first charges. A caller that repeated a request at another router, while the
-// first still served it, therefore gets one bill for both executions.
+// Bills groups charges by workspace and request id, in order of their first charges. A
+// request that a caller retried at another router gets one bill for both executions.
 func Bills(charges []Charge) []Bill {
 	index := map[billID]int{}
 	var bills []Bill
 	for _, c := range charges {
 		id := billID{c.Budget.Partner(), c.Budget.Workspace(), c.Request}
-		at, ok := index[id]
+		i, ok := index[id]
 		if !ok {
-			at = len(bills)
-			index[id] = at
+			i = len(bills)
+			index[id] = i
 			bills = append(bills, Bill{Request: c.Request, Budget: c.Budget})
 		}
-		bills[at].Tokens += c.Tokens
-		bills[at].Charges = append(bills[at].Charges, c)
+		bills[i].Tokens += c.Tokens
+		bills[i].Charges = append(bills[i].Charges, c)
 	}
 	return bills
 }
 
-// Summary is what was charged to one budget.
+// Summary holds the totals charged to one budget.
 type Summary struct {
 	Budget granitehoist.BudgetID
-	// Requests is the number of bills, and Charges that of charges.
+	// Requests is the number of bills and Charges the number of charges.
 	Requests int
 	Charges  int
 	Tokens   granitehoist.Tokens
-	// Estimated is the part of Tokens that no upstream reported.
+	// Estimated is the part of Tokens from estimated charges.
 	Estimated granitehoist.Tokens
-	// Lent is the part that another partner's capacity served.
+	// Lent is the part of Tokens served on another partner's capacity.
 	Lent granitehoist.Tokens
 }
 
-// chargeID identifies a charge that is not an orphan's.
+// chargeID identifies a charge that an incarnation made itself (Charge.Orphan unset).
 type chargeID struct {
 	incarnation granitehoist.Incarnation
 	seq         uint64
 }
 
-// Merge returns each charge once, even if several segments hold it. A charge of an
-// incarnation is identified by incarnation and number, a charge of an orphan by its
-// attempt; it does not count if an incarnation charged the attempt itself. The
-// charges are in the order of incarnations and their numbers.
+// Merge returns the charges of all segments without duplicates, ordered by incarnation and
+// Seq. Charges are identified by incarnation and Seq, orphan charges by their attempt. An
+// orphan charge is dropped if the incarnation charged the attempt itself, or if it does not
+// name exactly one attempt.
 func Merge(segments []Segment) []Charge {
 	var charges []Charge
 	seen := map[chargeID]bool{}
@@ -99,7 +97,7 @@
 	return charges
 }
 
-// chargesOf returns the charges of orphans in the segments, or all others.
+// chargesOf returns the charges whose Orphan field equals orphans.
 func chargesOf(segments []Segment, orphans bool) []Charge {
 	var charges []Charge
 	for _, s := range segments {
@@ -112,7 +110,7 @@
 	return charges
 }
 
-// Summarise returns the sums by budget, in the order of their names.
+// Summarise returns the totals of each budget, ordered by budget id.
 func Summarise(charges []Charge) []Summary {
 	sums := map[granitehoist.BudgetID]*Summary{}
 	for _, c := range charges {
