--- a/partner/config/apply.go
+++ b/partner/config/apply.go
@@ -12,14 +12,14 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Current is the document of a partner as it stands in the store.
+// Current is a partner's document as stored, with the version of its store entry.
 type Current struct {
 	Signed  Signed               `json:"signed"`
 	Version granitehoist.Version `json:"version"`
 }
 
-// ReadCurrent returns a partner's document from the store; its version is zero
-// if there is none.
+// ReadCurrent reads a partner's document from the store. Version is zero if there is
+// none. Its errors are *granitehoist.Error with code StoreDown or DocumentBad.
 func ReadCurrent(ctx context.Context, s granitehoist.Store, p granitehoist.Partner) (Current, error) {
 	e, err := s.Get(ctx, storeKey(p))
 	if err != nil {
@@ -35,13 +35,14 @@
 	return c, nil
 }
 
-// readBackTries bounds the reads after a write whose answer was lost, until one succeeds.
-const readBackTries = 5
+// maxReadBacks bounds the attempts to read back a write whose outcome is unknown.
+const maxReadBacks = 5
 
-// Apply writes a signed document over the one that it names as previous. Its
-// errors are *Error: NotAuthorised, DocumentBad, DocumentConflict if another
-// document came between, StoreDown if nothing was written, and
-// DocumentUnsettled if it is not known whether it was.
+// Apply replaces the stored document whose ChangeID raw names as Previous by raw, the
+// JSON of a Signed. Applying the current document again changes nothing. Errors are
+// *granitehoist.Error with code NotAuthorised, DocumentBad, DocumentConflict if another
+// document was written first, StoreDown if nothing was written, or DocumentUnsettled if
+// the outcome of the write is unknown.
 func Apply(ctx context.Context, s granitehoist.Store, t Trust, raw []byte) (Signed, error) {
 	signed, _, err := t.verify(raw)
 	if err != nil {
@@ -64,36 +65,35 @@
 	case errors.Is(err, granitehoist.ErrUnavailable):
 		return signed, granitehoist.Wrap(granitehoist.StoreDown, err, "")
 	}
-	return signed, settle(ctx, s, signed)
+	return signed, resolveWrite(ctx, s, signed)
 }
 
-func conflict(current, ours Signed) error {
-	return granitehoist.Errorf(granitehoist.DocumentConflict, "serial %d stands in the store; this document is serial %d and follows another", current.Serial, ours.Serial)
+// conflict returns a DocumentConflict error that names both serials.
+func conflict(current, applied Signed) error {
+	return granitehoist.Errorf(granitehoist.DocumentConflict, "the store holds serial %d; this document has serial %d and does not follow it", current.Serial, applied.Serial)
 }
 
-// settle finds out whether a write that got no answer, or a conflict, took
-// effect. If the store still has the document before ours, that is not known: the
-// write may take effect seconds later (granitehoist.ErrUnknown), and another read
-// right away would not settle it.
-func settle(ctx context.Context, s granitehoist.Store, ours Signed) error {
-	current, err := readBack(ctx, s, ours.Partner)
+// resolveWrite determines whether a write that failed with a conflict or an unknown
+// outcome took effect. If the store still holds the previous document, the outcome stays
+// unknown, since the write may take effect seconds later (granitehoist.ErrUnknown).
+func resolveWrite(ctx context.Context, s granitehoist.Store, applied Signed) error {
+	current, err := readBack(ctx, s, applied.Partner)
 	switch {
 	case err != nil:
-		return unsettled(ours, err)
-	case current.Signed.ChangeID == ours.ChangeID, current.Signed.Previous == ours.ChangeID:
+		return unsettled(applied, err)
+	case current.Signed.ChangeID == applied.ChangeID, current.Signed.Previous == applied.ChangeID:
 		return nil
-	case current.Signed.Serial >= ours.Serial:
-		return conflict(current.Signed, ours)
+	case current.Signed.Serial >= applied.Serial:
+		return conflict(current.Signed, applied)
 	}
-	return unsettled(ours, nil)
+	return unsettled(applied, nil)
 }
 
-// readBack returns the result of the first read that succeeds, or the error of the
-// last of readBackTries.
+// readBack returns the first successful read, or the last error after maxReadBacks.
 func readBack(ctx context.Context, s granitehoist.Store, p granitehoist.Partner) (Current, error) {
 	var current Current
 	var err error
-	for range readBackTries {
+	for range maxReadBacks {
 		if current, err = ReadCurrent(ctx, s, p); err == nil {
 			return current, nil
 		}
@@ -101,8 +101,8 @@
 	return Current{}, err
 }
 
-// unsettled returns a DocumentUnsettled. cause is why the document could not be
-// read back, or nil.
-func unsettled(ours Signed, cause error) error {
-	return granitehoist.Wrap(granitehoist.DocumentUnsettled, cause, fmt.Sprintf("serial %d of partner %s", ours.Serial, ours.Partner))
+// unsettled returns a DocumentUnsettled error. cause is the error of reading the document
+// back, or nil.
+func unsettled(applied Signed, cause error) error {
+	return granitehoist.Wrap(granitehoist.DocumentUnsettled, cause, fmt.Sprintf("serial %d of partner %s", applied.Serial, applied.Partner))
 }
--- a/partner/config/config_test.go
+++ b/partner/config/config_test.go
@@ -24,7 +24,7 @@
 
 var ctx = context.Background()
 
-const sound = `partner = "tuul"
+const validDocument = `partner = "tuul"
 [[service]]
 name = "pool"
 kind = "engine"
@@ -51,7 +51,7 @@
 permit = "true"
 `
 
-// signer signs documents of a partner.
+// signer signs documents with a new key of a partner.
 type signer struct {
 	partner granitehoist.Partner
 	key     ed25519.PrivateKey
@@ -73,54 +73,54 @@
 }
 
 var _ = Describe("Parse", func() {
-	It("reads a sound document", func() {
-		d, err := config.Parse("f", []byte(sound))
+	It("reads a valid document", func() {
+		d, err := config.Parse("f", []byte(validDocument))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(d.Budgets[0].Tokens).To(Equal(granitehoist.Tokens(1000)))
 	})
 
-	DescribeTable("tells file, line, key and remedy",
+	DescribeTable("reports the file, line and key of a fault, with a remedy",
 		func(old, changed, want string) {
-			Expect(sound).To(ContainSubstring(old))
-			_, err := config.Parse("f.toml", []byte(strings.Replace(sound, old, changed, 1)))
+			Expect(validDocument).To(ContainSubstring(old))
+			_, err := config.Parse("f.toml", []byte(strings.Replace(validDocument, old, changed, 1)))
 			Expect(err).To(HaveOccurred())
 			Expect(err.Error()).To(ContainSubstring(want))
-			Expect(err.Error()).To(ContainSubstring("; "), "a remedy")
+			Expect(err.Error()).To(ContainSubstring("; "), "the fault has a remedy")
 		},
 		Entry("unknown key", `tokens = 1000`, "tokens = 1000\ntokes = 1", "f.toml:18: budget.tokes: no such key"),
 		Entry("wrong type", `tokens = 1000`, `tokens = "many"`, "f.toml:17: "),
-		Entry("no TOML", `[[workspace]]`, `[[workspace`, "f.toml:"),
+		Entry("invalid TOML", `[[workspace]]`, `[[workspace`, "f.toml:"),
 		Entry("negative tokens", `tokens = 1000`, `tokens = -1`, "f.toml:17: budget[0].tokens"),
-		Entry("absurd tokens", `tokens = 1000`, `tokens = 9000000000000000000`, "f.toml:17: budget[0].tokens"),
+		Entry("tokens above the maximum", `tokens = 1000`, `tokens = 9000000000000000000`, "f.toml:17: budget[0].tokens"),
 		Entry("unknown kind", `kind = "engine"`, `kind = "motor"`, "f.toml:4: service[0].kind"),
 		Entry("default above maximum", `default_output = 50`, `default_output = 500`, "service[0].default_output"),
-		Entry("address", `address = "http://127.0.0.1:1"`, `address = "here"`, "f.toml:11: upstream[0].address"),
-		Entry("service of an upstream", `service = "pool"`, `service = "lake"`, "f.toml:10: upstream[0].service"),
-		Entry("workspace of a budget", "[[budget]]\nworkspace = \"kiosk\"", "[[budget]]\nworkspace = \"desk\"", "budget[0].workspace"),
-		Entry("hash", `sha256 = "00`, `sha256 = "zz`, "key[0].sha256"),
+		Entry("address that is not a URL", `address = "http://127.0.0.1:1"`, `address = "here"`, "f.toml:11: upstream[0].address"),
+		Entry("unknown service of an upstream", `service = "pool"`, `service = "lake"`, "f.toml:10: upstream[0].service"),
+		Entry("unknown workspace of a budget", "[[budget]]\nworkspace = \"kiosk\"", "[[budget]]\nworkspace = \"desk\"", "budget[0].workspace"),
+		Entry("invalid hash of a key", `sha256 = "00`, `sha256 = "zz`, "key[0].sha256"),
 		Entry("policy that does not compile", `permit = "true"`, `permit = "workspace =="`, "f.toml:25: policy[0].permit"),
-		Entry("policy of a wrong type", `permit = "true"`, `permit = "1"`, "policy[0].permit"),
-		Entry("use", `use = "own"`, `use = "all"`, "policy[0].use"),
-		Entry("name", `name = "kiosk"`, `name = "Kiosk 1"`, "workspace[0].name"),
+		Entry("policy program of the wrong type", `permit = "true"`, `permit = "1"`, "policy[0].permit"),
+		Entry("unknown use", `use = "own"`, `use = "all"`, "policy[0].use"),
+		Entry("invalid name", `name = "kiosk"`, `name = "Kiosk 1"`, "workspace[0].name"),
 	)
 
-	It("tells all faults at once", func() {
-		broken := strings.NewReplacer(`kind = "engine"`, `kind = "motor"`, `tokens = 1000`, `tokens = -1`, `use = "own"`, `use = "all"`).Replace(sound)
-		_, err := config.Parse("f", []byte(broken))
+	It("reports all faults at once", func() {
+		faulty := strings.NewReplacer(`kind = "engine"`, `kind = "motor"`, `tokens = 1000`, `tokens = -1`, `use = "own"`, `use = "all"`).Replace(validDocument)
+		_, err := config.Parse("f", []byte(faulty))
 		Expect(err.(tomlfile.Faults)).To(HaveLen(3))
 	})
 })
 
 var _ = Describe("View", func() {
-	It("takes newer documents only", func() {
-		d, _ := config.Parse("f", []byte(sound))
+	It("ignores documents that are not newer", func() {
+		d, _ := config.Parse("f", []byte(validDocument))
 		v := config.NewView().With(d, 5)
 		Expect(v.With(d, 4)).To(BeIdenticalTo(v))
 		Expect(v.With(d, 5)).To(BeIdenticalTo(v))
 		Expect(v.With(d, 6).Serial("tuul")).To(Equal(granitehoist.Serial(6)))
 	})
 
-	It("asks both partners' policies on lent capacity", func() {
+	It("applies the policies of both partners to lent capacity", func() {
 		tuul := &config.Document{Partner: "tuul", Policies: []config.Policy{{Name: "own", Use: config.UseOwn, Permit: "true", Priority: "8"}}}
 		lima := &config.Document{Partner: "lima", Policies: []config.Policy{{Name: "lend", Use: config.UseLend, Permit: `workspace == "kiosk"`, Priority: "3"}}}
 		v := config.NewView().With(tuul, 1).With(lima, 1)
@@ -133,7 +133,7 @@
 		_, err = v.Decide(policy.Request{Partner: "tuul", Owner: "lima", Workspace: "club"})
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.PolicyDenied))
 		_, err = v.Decide(policy.Request{Partner: "lima", Owner: "tuul", Workspace: "kiosk"})
-		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.PolicyDenied), "tuul lends to nobody")
+		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.PolicyDenied), "tuul has no policy for lending")
 	})
 })
 
@@ -155,12 +155,12 @@
 			default:
 			}
 		}})
-		var running context.Context
-		running, cancel = context.WithCancel(ctx)
+		var runCtx context.Context
+		runCtx, cancel = context.WithCancel(ctx)
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			follower.Run(running)
+			follower.Run(runCtx)
 		}()
 		DeferCleanup(func() {
 			cancel()
@@ -177,113 +177,113 @@
 	}
 	serial := func() granitehoist.Serial { return follower.View().Serial("tuul") }
 
-	It("come into force", func() {
-		_, err := config.Apply(ctx, store, trust, tuul.sign(sound, 1, "c1", ""))
+	It("are put in force", func() {
+		_, err := config.Apply(ctx, store, trust, tuul.sign(validDocument, 1, "c1", ""))
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(serial).Should(Equal(granitehoist.Serial(1)))
 	})
 
-	It("never go back to an older one", func() {
-		write("config/tuul", tuul.sign(sound, 2, "c2", "c1"))
+	It("are never replaced by older ones", func() {
+		write("config/tuul", tuul.sign(validDocument, 2, "c2", "c1"))
 		Eventually(serial).Should(Equal(granitehoist.Serial(2)))
-		write("config/tuul", tuul.sign(sound, 1, "c1", ""))
-		write("config/tuul", tuul.sign(sound, 3, "c3", "c2"))
+		write("config/tuul", tuul.sign(validDocument, 1, "c1", ""))
+		write("config/tuul", tuul.sign(validDocument, 3, "c3", "c2"))
 		Eventually(serial).Should(Equal(granitehoist.Serial(3)))
 	})
 
-	DescribeTable("leave the last good one in force",
-		func(bad func() []byte, code granitehoist.Code) {
-			write("config/tuul", tuul.sign(sound, 1, "c1", ""))
+	DescribeTable("leave the last valid one in force",
+		func(invalid func() []byte, code granitehoist.Code) {
+			write("config/tuul", tuul.sign(validDocument, 1, "c1", ""))
 			Eventually(serial).Should(Equal(granitehoist.Serial(1)))
-			write("config/tuul", bad())
+			write("config/tuul", invalid())
 			var err error
 			Eventually(failed).Should(Receive(&err))
 			Expect(granitehoist.CodeOf(err)).To(Equal(code), err.Error())
 			Expect(serial()).To(Equal(granitehoist.Serial(1)))
 		},
-		Entry("when one can't be read", func() []byte { return []byte("{") }, granitehoist.DocumentBad),
+		Entry("when one can't be decoded", func() []byte { return []byte("{") }, granitehoist.DocumentBad),
 		Entry("when one has faults", func() []byte { return tuul.sign(`partner = "tuul"`+"\nx = 1", 2, "c", "c1") }, granitehoist.DocumentBad),
-		Entry("when the other partner signed it", func() []byte {
+		Entry("when one is signed by another partner", func() []byte {
 			forged := lima
 			forged.partner = "tuul"
-			return forged.sign(sound, 2, "c", "c1")
+			return forged.sign(validDocument, 2, "c", "c1")
 		}, granitehoist.NotAuthorised),
-		Entry("when it was changed after signing", func() []byte {
-			return []byte(strings.Replace(string(tuul.sign(sound, 2, "c", "c1")), "tokens = 1000", "tokens = 9000", 1))
+		Entry("when one was changed after signing", func() []byte {
+			return []byte(strings.Replace(string(tuul.sign(validDocument, 2, "c", "c1")), "tokens = 1000", "tokens = 9000", 1))
 		}, granitehoist.NotAuthorised),
-		Entry("when it stands under the other's key", func() []byte { return lima.sign(strings.Replace(sound, "tuul", "lima", 1), 2, "c", "c1") }, granitehoist.NotAuthorised),
+		Entry("when one is stored under another partner's key", func() []byte { return lima.sign(strings.Replace(validDocument, "tuul", "lima", 1), 2, "c", "c1") }, granitehoist.NotAuthorised),
 	)
 
-	It("go on being followed after the store was away", func() {
+	It("are followed again after a store outage", func() {
 		store.Fail(standin.StoreFaults{Down: true})
 		Eventually(failed).Should(Receive())
 		store.Fail(standin.StoreFaults{})
-		write("config/tuul", tuul.sign(sound, 1, "c1", ""))
+		write("config/tuul", tuul.sign(validDocument, 1, "c1", ""))
 		Eventually(serial).Should(Equal(granitehoist.Serial(1)))
 	})
 
 	Describe("Apply", func() {
-		It("refuses what the partner did not sign", func() {
+		It("rejects a document that its partner did not sign", func() {
 			forged := lima
 			forged.partner = "tuul"
-			_, err := config.Apply(ctx, store, trust, forged.sign(sound, 1, "c1", ""))
+			_, err := config.Apply(ctx, store, trust, forged.sign(validDocument, 1, "c1", ""))
 			Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.NotAuthorised))
 		})
 
-		It("tells the second of two racing operators of the conflict", func() {
-			_, err := config.Apply(ctx, store, trust, tuul.sign(sound, 1, "c1", ""))
+		It("returns a conflict to the second of two concurrent operators", func() {
+			_, err := config.Apply(ctx, store, trust, tuul.sign(validDocument, 1, "c1", ""))
 			Expect(err).NotTo(HaveOccurred())
-			_, err = config.Apply(ctx, store, trust, tuul.sign(sound, 1, "c2", ""))
+			_, err = config.Apply(ctx, store, trust, tuul.sign(validDocument, 1, "c2", ""))
 			Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.DocumentConflict))
 		})
 
-		It("takes the same document twice as one", func() {
-			raw := tuul.sign(sound, 1, "c1", "")
+		It("is idempotent", func() {
+			raw := tuul.sign(validDocument, 1, "c1", "")
 			for range 2 {
 				_, err := config.Apply(ctx, store, trust, raw)
 				Expect(err).NotTo(HaveOccurred())
 			}
 		})
 
-		DescribeTable("settles what the store does",
+		DescribeTable("reports the outcome of a write to a faulty store",
 			func(faults standin.StoreFaults, code granitehoist.Code) {
 				store.Fail(faults)
-				_, err := config.Apply(ctx, store, trust, tuul.sign(sound, 1, "c1", ""))
+				_, err := config.Apply(ctx, store, trust, tuul.sign(validDocument, 1, "c1", ""))
 				Expect(granitehoist.CodeOf(err)).To(Equal(code))
 			},
-			Entry("answer lost", standin.StoreFaults{LoseEvery: 1}, granitehoist.Served),
+			Entry("response lost", standin.StoreFaults{LoseEvery: 1}, granitehoist.Served),
 			Entry("write lost", standin.StoreFaults{DropEvery: 1}, granitehoist.DocumentUnsettled),
-			Entry("down", standin.StoreFaults{Down: true}, granitehoist.StoreDown),
+			Entry("store down", standin.StoreFaults{Down: true}, granitehoist.StoreDown),
 		)
 
-		DescribeTable("reads back a write whose answer was lost",
-			func(faults readFaults, code granitehoist.Code, reads int) {
+		DescribeTable("reads back a write whose response was lost",
+			func(faults faultyStore, code granitehoist.Code, reads int) {
 				faults.Store = store
-				_, err := config.Apply(ctx, &faults, trust, tuul.sign(sound, 1, "c1", ""))
+				_, err := config.Apply(ctx, &faults, trust, tuul.sign(validDocument, 1, "c1", ""))
 				Expect(granitehoist.CodeOf(err)).To(Equal(code))
 				Expect(faults.reads).To(Equal(reads))
 			},
-			Entry("once if the read succeeds", readFaults{}, granitehoist.Served, 1),
-			Entry("once if the read shows that nothing was written", readFaults{dropWrite: true}, granitehoist.DocumentUnsettled, 1),
-			Entry("again if the read failed", readFaults{fails: 4}, granitehoist.Served, 5),
-			Entry("no more than five times", readFaults{fails: 5}, granitehoist.DocumentUnsettled, 5),
+			Entry("once if the read succeeds", faultyStore{}, granitehoist.Served, 1),
+			Entry("once if the read shows that nothing was written", faultyStore{dropWrite: true}, granitehoist.DocumentUnsettled, 1),
+			Entry("again if the read failed", faultyStore{failReads: 4}, granitehoist.Served, 5),
+			Entry("no more than five times", faultyStore{failReads: 5}, granitehoist.DocumentUnsettled, 5),
 		)
 
-		It("lets exactly one of many racing operators win each serial", func() {
+		It("lets exactly one of many concurrent writers succeed per serial", func() {
 			results := make(chan error, 20)
 			for i := range cap(results) {
 				go func() {
-					_, err := config.Apply(ctx, store, trust, tuul.sign(sound, 1, fmt.Sprint("c", i), ""))
+					_, err := config.Apply(ctx, store, trust, tuul.sign(validDocument, 1, fmt.Sprint("c", i), ""))
 					results <- err
 				}()
 			}
-			won := 0
+			succeeded := 0
 			for range cap(results) {
 				if err := <-results; err == nil {
-					won++
+					succeeded++
 				}
 			}
-			Expect(won).To(Equal(1))
+			Expect(succeeded).To(Equal(1))
 		})
 	})
 })
--- a/partner/config/document.go
+++ b/partner/config/document.go
@@ -8,7 +8,7 @@
 	"granitehoist.example/granitehoist/internal/tomlfile"
 )
 
-// Document is what the operators of one partner decide, as they write it in TOML.
+// Document is the configuration of one partner, which operators write in TOML.
 type Document struct {
 	Partner    granitehoist.Partner `toml:"partner"`
 	Services   []Service            `toml:"service"`
@@ -19,8 +19,8 @@
 	Policies   []Policy             `toml:"policy"`
 }
 
-// Parse reads a document. file is used in faults only. Its error is of type
-// tomlfile.Faults and holds all faults of the document.
+// Parse decodes and validates a document. Its error is of type tomlfile.Faults and holds
+// all faults; file is the name that they report.
 func Parse(file string, text []byte) (*Document, error) {
 	var d Document
 	if faults := tomlfile.Decode(file, text, &d); len(faults) > 0 {
@@ -34,7 +34,7 @@
 	return &d, nil
 }
 
-// document checks the parts of a document in the order of what they refer to.
+// document checks all parts of a document. Parts that others refer to come first.
 func (c checker) document(d *Document) {
 	c.name("", 0, "partner", string(d.Partner))
 	services := c.services(d)
--- a/partner/config/readfaults_test.go
+++ b/partner/config/faultystore_test.go
@@ -9,22 +9,22 @@
 	"granitehoist.example/granitehoist"
 )
 
-// readFaults is a store whose write loses its answer, and whose reads after that
-// fail for a while.
-type readFaults struct {
+// faultyStore is a store whose writes return ErrUnknown, and whose first reads after a
+// write fail.
+type faultyStore struct {
 	granitehoist.Store
-	// dropWrite says that the write has no effect.
+	// dropWrite makes writes have no effect.
 	dropWrite bool
-	// fails is the number of reads after the write that fail.
-	fails int
-	wrote bool
+	// failReads is the number of reads after the write that fail.
+	failReads int
+	written   bool
 	// reads counts the reads after the write.
 	reads int
 }
 
 // CompareAndSwap implements granitehoist.Store.
-func (s *readFaults) CompareAndSwap(ctx context.Context, change granitehoist.Change) (granitehoist.Version, error) {
-	s.wrote = true
+func (s *faultyStore) CompareAndSwap(ctx context.Context, change granitehoist.Change) (granitehoist.Version, error) {
+	s.written = true
 	if !s.dropWrite {
 		if _, err := s.Store.CompareAndSwap(ctx, change); err != nil {
 			return 0, err
@@ -34,10 +34,10 @@
 }
 
 // Get implements granitehoist.Store.
-func (s *readFaults) Get(ctx context.Context, key string) (granitehoist.Entry, error) {
-	if s.wrote {
+func (s *faultyStore) Get(ctx context.Context, key string) (granitehoist.Entry, error) {
+	if s.written {
 		s.reads++
-		if s.reads <= s.fails {
+		if s.reads <= s.failReads {
 			return granitehoist.Entry{}, granitehoist.ErrUnavailable
 		}
 	}
--- a/partner/config/follower.go
+++ b/partner/config/follower.go
@@ -18,32 +18,30 @@
 	Store granitehoist.Store
 	Trust Trust
 	// Failed is called with each error of a document or of the store; nil ignores
-	// them.
+	// errors.
 	Failed func(error)
-	// Changed is called with each new view; nil ignores it.
+	// Changed is called with each new view; nil means no call.
 	Changed func(*View)
-	// Pause is the time before a failed call of the store is made again; zero
-	// stands for half a second.
+	// Pause is the time before a failed store call is retried; zero means 500 ms.
 	Pause time.Duration
 }
 
-// defaultPause keeps a router whose store fails to two calls a second.
+// defaultPause limits a router to two store calls per second during an outage.
 const defaultPause = 500 * time.Millisecond
 
-// Follower keeps a router's view of the documents in the store. A document that
-// can't be decoded, or that its partner did not sign, leaves the one before in
-// force. A follow.Follower without relays or neighbours follows the keys.
+// Follower watches the documents in the store and keeps a view of those in force. A
+// document that can't be decoded, or that its partner did not sign, leaves the previous one
+// in force. View may be called concurrently with Run.
 type Follower struct {
 	settings FollowerSettings
-	keys     *follow.Follower
+	watcher  *follow.Follower
 	view     atomic.Pointer[View]
 }
 
-// NewFollower returns a follower with an empty view. It panics if the settings
-// lack the store or the trusted keys.
+// NewFollower returns a follower with an empty view. It panics if Store or Trust is nil.
 func NewFollower(s FollowerSettings) *Follower {
 	if s.Store == nil || s.Trust == nil {
-		panic("config: follower lacks a setting")
+		panic("config: FollowerSettings.Store or Trust is nil")
 	}
 	if s.Failed == nil {
 		s.Failed = func(error) {}
@@ -54,10 +52,10 @@
 	defaults.Set(&s.Pause, defaultPause)
 	f := &Follower{settings: s}
 	f.view.Store(NewView())
-	f.keys = follow.New(follow.Settings{
+	f.watcher = follow.New(follow.Settings{
 		Store:    s.Store,
 		Prefix:   keyPrefix,
-		Changed:  func(changed []granitehoist.Entry, _ granitehoist.Version) { f.take(changed) },
+		Changed:  func(changed []granitehoist.Entry, _ granitehoist.Version) { f.apply(changed) },
 		Failed:   s.Failed,
 		Pause:    s.Pause,
 		MaxPause: s.Pause,
@@ -70,10 +68,11 @@
 
 // Run lists the documents and then watches for changes until ctx ends. Only one
 // Run may be in progress. Failed and Changed are called on its goroutine.
-func (f *Follower) Run(ctx context.Context) { f.keys.Run(ctx) }
+func (f *Follower) Run(ctx context.Context) { f.watcher.Run(ctx) }
 
-// take puts documents in force that are newer than those of the view.
-func (f *Follower) take(entries []granitehoist.Entry) {
+// apply puts documents in force that are valid and newer than those of the view. Deleted
+// entries are ignored.
+func (f *Follower) apply(entries []granitehoist.Entry) {
 	view := f.View()
 	next := view
 	for _, e := range entries {
--- a/partner/config/policy.go
+++ b/partner/config/policy.go
@@ -9,24 +9,24 @@
 	"granitehoist.example/granitehoist/partner/policy"
 )
 
-// Use says which requests a policy decides on.
+// Use selects the requests that a policy applies to.
 type Use string
 
 // The uses of a policy.
 const (
-	// UseOwn is for requests of the partner's own workspaces, on any capacity.
+	// UseOwn selects requests of the partner's own workspaces, on any capacity.
 	UseOwn Use = "own"
-	// UseLend is for requests of other partners' workspaces on the partner's
+	// UseLend selects requests of other partners' workspaces on the partner's
 	// capacity.
 	UseLend Use = "lend"
 )
 
-// Policy is the source of a policy and its use.
+// Policy is the source of an access policy and the requests that it applies to.
 type Policy struct {
 	Name string `toml:"name"`
 	Use  Use    `toml:"use"`
 	// Permit and Priority are CEL programs; package policy lists their inputs. An
-	// empty Priority stands for the default.
+	// empty Priority means the default priority.
 	Permit   string `toml:"permit"`
 	Priority string `toml:"priority"`
 }
@@ -43,9 +43,9 @@
 		c.name("policy", i, "name", p.Name)
 		c.unique(seen, "policy", i, "name", p.Name)
 		if p.Use != UseOwn && p.Use != UseLend {
-			c.add("policy", i, "use", fmt.Sprintf("%q is no use", p.Use), `use "own" or "lend"`)
+			c.add("policy", i, "use", fmt.Sprintf("%q is not a use", p.Use), `use "own" or "lend"`)
 		}
-		// All errors of policy.New are faults of the source.
+		// policy.New returns only *policy.Fault errors.
 		_, err := policy.New(p.source())
 		if fault, ok := err.(*policy.Fault); ok {
 			c.add("policy", i, fault.Program, fault.Reason, "correct the program; docs/OPERATIONS.md lists its inputs")
--- a/partner/config/service.go
+++ b/partner/config/service.go
@@ -21,20 +21,20 @@
 	KindPlain Kind = "plain"
 )
 
-// Service is a group of upstreams of one kind.
+// Service is a named group of interchangeable upstreams of one kind.
 type Service struct {
 	Name granitehoist.Service `toml:"name"`
 	Kind Kind                 `toml:"kind"`
-	// Models lists what an engine service offers.
+	// Models lists the models that an engine service offers.
 	Models []granitehoist.Model `toml:"models"`
-	// MaxOutput bounds the output tokens of one answer. DefaultOutput is the bound
-	// of a request that names none. Both are for engines only.
+	// MaxOutput bounds the output tokens of one response. DefaultOutput is the bound of
+	// a request that sets none. Both apply to engines only.
 	MaxOutput     granitehoist.Tokens `toml:"max_output"`
 	DefaultOutput granitehoist.Tokens `toml:"default_output"`
-	// Price is what one call of a plain service costs, in tokens.
+	// Price is the cost of one call of a plain service, in tokens.
 	Price granitehoist.Tokens `toml:"price"`
-	// Once says that no call of a plain service but GET, HEAD and OPTIONS may be
-	// repeated, whether the caller marks it or not.
+	// Once forbids repeating calls of a plain service other than GET, HEAD and
+	// OPTIONS, even if the caller did not mark them as not repeatable.
 	Once bool `toml:"once"`
 }
 
@@ -42,22 +42,22 @@
 type Upstream struct {
 	Name    granitehoist.Upstream `toml:"name"`
 	Service granitehoist.Service  `toml:"service"`
-	// Zone is called place in documents.
+	// Zone is the availability zone of the upstream.
 	Zone granitehoist.AvailabilityZone `toml:"place"`
 	// Address is an http or https URL.
 	Address string `toml:"address"`
 	// Box, if set, is the upstream's name in the platform's list of boxes.
 	Box granitehoist.Box `toml:"box"`
-	// Concurrency bounds the requests that one router has in progress there;
-	// zero stands for DefaultConcurrency.
+	// Concurrency bounds the concurrent requests of one router to the upstream; zero
+	// means DefaultConcurrency.
 	Concurrency int `toml:"concurrency"`
 }
 
-// DefaultConcurrency is the Concurrency of an upstream that names none.
+// DefaultConcurrency replaces a zero Upstream.Concurrency.
 const DefaultConcurrency = 32
 
-// services checks the services and returns their names. A model may belong to one
-// service only.
+// services checks the services and returns their names. No two services may offer the
+// same model.
 func (c checker) services(d *Document) map[string]bool {
 	services := map[string]bool{}
 	models := map[string]bool{}
@@ -70,13 +70,13 @@
 		case KindPlain:
 			c.tokens("service", i, "price", s.Price, 0)
 		default:
-			c.add("service", i, "kind", fmt.Sprintf("%q is no kind", s.Kind), `use "engine" or "plain"`)
+			c.add("service", i, "kind", fmt.Sprintf("%q is not a kind of service", s.Kind), `use "engine" or "plain"`)
 		}
 	}
 	return services
 }
 
-// engine checks what only an engine service has.
+// engine checks the fields that only engine services use.
 func (c checker) engine(i int, s Service, models map[string]bool) {
 	if len(s.Models) == 0 {
 		c.add("service", i, "models", "an engine service offers no model", "name at least one model")
@@ -101,10 +101,10 @@
 			c.add("upstream", i, "service", fmt.Sprintf("no service %q in this document", u.Service), "name one of its services")
 		}
 		if !tomlfile.IsURL(u.Address) {
-			c.add("upstream", i, "address", fmt.Sprintf("%q is no address", u.Address), `write it as "http://127.0.0.1:9001"`)
+			c.add("upstream", i, "address", fmt.Sprintf("%q is not an http or https URL", u.Address), `write it as "http://127.0.0.1:9001"`)
 		}
 		if u.Concurrency < 0 {
-			c.add("upstream", i, "concurrency", "is negative", "use 1 or more, or leave it out")
+			c.add("upstream", i, "concurrency", "is negative", "use 1 or more, or omit the key")
 		}
 	}
 }
--- a/partner/config/signed.go
+++ b/partner/config/signed.go
@@ -10,35 +10,34 @@
 	"granitehoist.example/granitehoist"
 )
 
-// keyPrefix begins the store's keys of documents. Each partner has one.
+// keyPrefix begins the store keys of documents. Each partner has one document.
 const keyPrefix = "config/"
 
-// storeKey returns the store's key of a partner's document.
+// storeKey returns the store key of a partner's document.
 func storeKey(p granitehoist.Partner) string { return keyPrefix + string(p) }
 
-// Signed is a document as the store has it.
+// Signed is a signed document, as stored.
 type Signed struct {
 	Partner granitehoist.Partner `json:"partner"`
 	// Text is the TOML document.
 	Text string `json:"text"`
-	// Serial grows with each document of the partner. It is part of what is
-	// signed, so an old document can't be put in force again by anyone
-	// without the partner's key.
+	// Serial increases with each document of the partner. The signature covers it, which
+	// prevents replay of old documents.
 	Serial granitehoist.Serial `json:"serial"`
-	// ChangeID is unique to the write, so that a write whose answer was lost
-	// is recognised when it is read back; Previous is the one before, so that
-	// it is recognised even after another write followed.
+	// ChangeID is unique to the write and identifies it when it is read back after a
+	// lost response. Previous is the ChangeID of the document that this one replaces,
+	// which identifies the earlier write after one more write.
 	ChangeID string `json:"change_id"`
 	Previous string `json:"previous,omitempty"`
-	// Signature is by the partner's key over signedBytes.
+	// Signature is the Ed25519 signature over signedBytes by a key of the partner.
 	Signature []byte `json:"signature"`
 }
 
-// signatureDomain begins what is signed, so that no signature over something else
-// can pass for one over a document.
+// signatureDomain prefixes the signed bytes for domain separation: a signature made for
+// another purpose is not valid for a document.
 const signatureDomain = "granitehoist document v1\n"
 
-// signedBytes returns what the signature covers: all fields but the signature.
+// signedBytes returns the bytes that the signature covers: all fields but Signature.
 func (s Signed) signedBytes() []byte {
 	s.Signature = nil
 	raw, err := json.Marshal(s)
@@ -48,30 +47,30 @@
 	return append([]byte(signatureDomain), raw...)
 }
 
-// Sign sets the signature. It panics if the key has a wrong length.
+// Sign sets Signature. It panics if the length of key is invalid.
 func (s *Signed) Sign(key ed25519.PrivateKey) {
 	s.Signature = ed25519.Sign(key, s.signedBytes())
 }
 
-// Trust holds the public keys of each partner.
+// Trust holds the trusted public keys of each partner.
 type Trust map[granitehoist.Partner][]ed25519.PublicKey
 
-// verify checks a stored document's signature and reads it. It returns an
-// error with code NotAuthorised or DocumentBad.
+// verify decodes a signed document, checks its signature and parses its text. Errors have
+// code NotAuthorised or DocumentBad.
 func (t Trust) verify(raw []byte) (Signed, *Document, error) {
 	var s Signed
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return s, nil, granitehoist.Wrap(granitehoist.DocumentBad, err, "the stored record can't be read")
 	}
 	if !t.signedBy(s) {
-		return s, nil, granitehoist.Errorf(granitehoist.NotAuthorised, "no trusted key of partner %q made the signature", s.Partner)
+		return s, nil, granitehoist.Errorf(granitehoist.NotAuthorised, "the signature does not match any trusted key of partner %q", s.Partner)
 	}
 	d, err := Parse(storeKey(s.Partner), []byte(s.Text))
 	if err != nil {
 		return s, nil, granitehoist.Errorf(granitehoist.DocumentBad, "%v", err)
 	}
 	if d.Partner != s.Partner {
-		return s, nil, granitehoist.Errorf(granitehoist.DocumentBad, "the document is of partner %q and its record of %q", d.Partner, s.Partner)
+		return s, nil, granitehoist.Errorf(granitehoist.DocumentBad, "the document names partner %q but its record names %q", d.Partner, s.Partner)
 	}
 	return s, d, nil
 }
--- a/partner/config/view.go
+++ b/partner/config/view.go
@@ -12,21 +12,21 @@
 	"granitehoist.example/granitehoist/partner/policy"
 )
 
-// KeyHash is the SHA-256 of a caller's key.
+// KeyHash is the SHA-256 hash of a caller's API key.
 type KeyHash [sha256.Size]byte
 
-// HashKey returns the hash of a caller's key.
+// HashKey returns the hash of a caller's API key.
 func HashKey(key string) KeyHash { return sha256.Sum256([]byte(key)) }
 
 // Identity is the workspace that a caller's key acts for.
 type Identity struct {
 	Partner   granitehoist.Partner
 	Workspace granitehoist.Workspace
-	// Budget is the name of the budget that pays when the caller names none.
+	// Budget is the name of the budget that is charged if the caller names none.
 	Budget string
 }
 
-// Offer is a service with its owner and upstreams.
+// Offer is a service with its owner and upstreams. It is immutable.
 type Offer struct {
 	Service
 	Owner     granitehoist.Partner
@@ -40,14 +40,13 @@
 	return u, ok
 }
 
-// View is the documents in force, indexed for requests. It never changes and is
-// safe for concurrent use.
+// View is an immutable index of the documents in force. It is safe for concurrent use.
 type View struct {
 	partners map[granitehoist.Partner]*partnerView
 }
 
-// partnerView is one partner's document, indexed. Views share those of the
-// partners whose documents did not change.
+// partnerView is the index of one partner's document. Views share the indexes of partners
+// whose documents did not change.
 type partnerView struct {
 	serial   granitehoist.Serial
 	document *Document
@@ -65,9 +64,9 @@
 	return &View{partners: map[granitehoist.Partner]*partnerView{}}
 }
 
-// With returns a view that has the document at the serial, and all other
-// partners' documents as before. A serial that is not newer than the one in
-// force returns the same view. It panics if the document has faults.
+// With returns a view in which d, with the given serial, replaces its partner's document.
+// It returns v itself if the serial is not newer than the one in force. It panics if the
+// document has faults.
 func (v *View) With(d *Document, serial granitehoist.Serial) *View {
 	if serial <= v.Serial(d.Partner) {
 		return v
@@ -80,8 +79,8 @@
 	return next
 }
 
-// newPartnerView indexes a document. It panics if the document has faults, which
-// Parse would have found.
+// newPartnerView indexes a document. It panics if the document has faults that Parse
+// reports.
 func newPartnerView(d *Document, serial granitehoist.Serial) *partnerView {
 	p := &partnerView{
 		serial:   serial,
@@ -95,7 +94,7 @@
 		var hash KeyHash
 		raw, err := hex.DecodeString(k.SHA256)
 		if err != nil {
-			panic("config: view of a document with faults: " + err.Error())
+			panic("config: document has faults: " + err.Error())
 		}
 		copy(hash[:], raw)
 		p.keys[hash] = Identity{Partner: d.Partner, Workspace: k.Workspace, Budget: k.Budget}
@@ -108,12 +107,12 @@
 	return p
 }
 
-// addPolicies compiles the policies, in the order of the document.
+// addPolicies compiles the policies in document order.
 func (p *partnerView) addPolicies(d *Document) {
 	for _, source := range d.Policies {
 		compiled, err := policy.New(source.source())
 		if err != nil {
-			panic("config: view of a document with faults: " + err.Error())
+			panic("config: document has faults: " + err.Error())
 		}
 		if source.Use == UseLend {
 			p.lend = append(p.lend, compiled)
@@ -123,7 +122,7 @@
 	}
 }
 
-// addOffers gives each service its upstreams and indexes the models.
+// addOffers indexes services and models and assigns the upstreams to their services.
 func (p *partnerView) addOffers(d *Document) {
 	for _, s := range d.Services {
 		offer := &Offer{Service: s, Owner: d.Partner, byName: map[granitehoist.Upstream]Upstream{}}
@@ -142,7 +141,7 @@
 	}
 }
 
-// Serial returns the serial of a partner's document, zero if it has none.
+// Serial returns the serial of a partner's document, zero if there is none.
 func (v *View) Serial(p granitehoist.Partner) granitehoist.Serial {
 	if partner, ok := v.partners[p]; ok {
 		return partner.serial
@@ -179,7 +178,7 @@
 	return tokens, ok
 }
 
-// Budgets returns the names of all budgets, in order.
+// Budgets returns the ids of all budgets in ascending order.
 func (v *View) Budgets() []granitehoist.BudgetID {
 	var ids []granitehoist.BudgetID
 	for _, p := range v.partners {
@@ -191,8 +190,8 @@
 	return ids
 }
 
-// OfferOfService returns the service of a name: the caller's own partner's, or, if it
-// has none, the first by partner name that another partner has.
+// OfferOfService returns the service with the given name, and false if there is none. The
+// caller's partner takes precedence, then other partners in order of their names.
 func (v *View) OfferOfService(caller granitehoist.Partner, s granitehoist.Service) (*Offer, bool) {
 	for _, p := range v.partnersFrom(caller) {
 		if offer, ok := p.offers[s]; ok {
@@ -202,8 +201,8 @@
 	return nil, false
 }
 
-// OfferOfModel returns the engine service that offers a model, with the same
-// preference as OfferOfService.
+// OfferOfModel returns the engine service that offers a model, with the precedence of
+// OfferOfService.
 func (v *View) OfferOfModel(caller granitehoist.Partner, m granitehoist.Model) (*Offer, bool) {
 	for _, p := range v.partnersFrom(caller) {
 		if offer, ok := p.models[m]; ok {
@@ -213,7 +212,7 @@
 	return nil, false
 }
 
-// Offers returns all services in the order that the caller's partner sees.
+// Offers returns all services, those of the caller's partner first, then by partner name.
 func (v *View) Offers(caller granitehoist.Partner) []*Offer {
 	var offers []*Offer
 	for _, p := range v.partnersFrom(caller) {
@@ -224,8 +223,7 @@
 	return offers
 }
 
-// partnersFrom returns the partners with a document, the caller's first and
-// then by name.
+// partnersFrom returns the partners with a document, the caller's first, then by name.
 func (v *View) partnersFrom(caller granitehoist.Partner) []*partnerView {
 	partners := make([]*partnerView, 0, len(v.partners))
 	for _, p := range v.partners {
@@ -241,9 +239,9 @@
 	return partners
 }
 
-// Decide asks the policies of the caller's partner and, where the capacity
-// belongs to another partner, that partner's policies for lending. All must
-// permit; the priority is the lowest of theirs.
+// Decide evaluates the policies of the caller's partner and, if the capacity belongs to
+// another partner, that partner's lending policies. Both must permit the request; the lower
+// priority applies.
 func (v *View) Decide(r policy.Request) (granitehoist.Priority, error) {
 	var own, lend policy.Set
 	if p, ok := v.partners[r.Partner]; ok {
@@ -256,9 +254,9 @@
 	if err != nil || r.Owner == r.Partner {
 		return priority, err
 	}
-	lent, err := lend.Decide(r)
+	lendPriority, err := lend.Decide(r)
 	if err != nil {
 		return 0, err
 	}
-	return min(priority, lent), nil
+	return min(priority, lendPriority), nil
 }
--- a/partner/config/workspace.go
+++ b/partner/config/workspace.go
@@ -12,30 +12,31 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Workspace is a customer of the partner.
+// Workspace is a customer of a partner.
 type Workspace struct {
 	Name granitehoist.Workspace `toml:"name"`
 }
 
-// Key lets a caller act for a workspace. The document has only the key's hash.
+// Key is an API key that authenticates callers of a workspace. The document holds only
+// its hash.
 type Key struct {
 	Workspace granitehoist.Workspace `toml:"workspace"`
-	// Budget names the budget that pays when the caller names none.
+	// Budget names the budget that is charged if the caller names none.
 	Budget string `toml:"budget"`
-	// SHA256 is the hexadecimal SHA-256 of the key.
+	// SHA256 is the SHA-256 hash of the key, in hexadecimal.
 	SHA256 string `toml:"sha256"`
 }
 
-// Budget is prepaid tokens of a workspace.
+// Budget is an amount of prepaid tokens of a workspace.
 type Budget struct {
 	Workspace granitehoist.Workspace `toml:"workspace"`
 	Name      string                 `toml:"name"`
-	// Tokens is the total ever prepaid; a top-up raises it.
+	// Tokens is the cumulative amount prepaid; a top-up increases it.
 	Tokens granitehoist.Tokens `toml:"tokens"`
 }
 
-// budgets checks the budgets, given the names of the workspaces, and returns them
-// as "workspace/name".
+// budgets checks the budgets, given the names of the workspaces, and returns the set of
+// their names in the form "workspace/name".
 func (c checker) budgets(d *Document, workspaces map[string]bool) map[string]bool {
 	budgets := map[string]bool{}
 	for i, b := range d.Budgets {
@@ -49,7 +50,7 @@
 	return budgets
 }
 
-// keys checks the callers' keys, given the names of the workspaces and budgets.
+// keys checks the API keys, given the names of the workspaces and budgets.
 func (c checker) keys(d *Document, workspaces, budgets map[string]bool) {
 	seen := map[string]bool{}
 	for i, k := range d.Keys {
@@ -61,7 +62,7 @@
 		}
 		raw, err := hex.DecodeString(k.SHA256)
 		if err != nil || len(raw) != sha256.Size {
-			c.add("key", i, "sha256", "is no SHA-256", "write the 64 hexadecimal digits that \"granitehoist keys caller\" prints")
+			c.add("key", i, "sha256", "is not a hexadecimal SHA-256 hash", "write the 64 hexadecimal digits that \"granitehoist keys caller\" prints")
 		}
 		c.unique(seen, "key", i, "sha256", strings.ToLower(k.SHA256))
 	}
--- a/partner/settings/check.go
+++ b/partner/settings/check.go
@@ -76,7 +76,7 @@
 // fields in store keys or in the log.
 func (c checker) validName(key, value string) {
 	if value == "" || strings.ContainsAny(value, "/ \t\"") {
-		c.add(key, fmt.Sprintf("%q is not a name", value), "write a name without spaces, slashes and quotes")
+		c.add(key, fmt.Sprintf("%q is not a valid name", value), "write a name without spaces, slashes and quotes")
 	}
 }
 
