--- a/partner/router/admin.go
+++ b/partner/router/admin.go
@@ -14,24 +14,28 @@
 	"granitehoist.example/granitehoist/partner/report"
 )
 
-// Paths that operators use.
+// URL paths of the admin server.
 const (
-	// PathDocuments is followed by a partner: GET answers the state of
-	// its document, PUT applies one.
+	// PathDocuments is followed by a partner: GET returns the state of its document,
+	// PUT applies a signed document.
 	PathDocuments = "/admin/documents/"
-	PathBudgets   = "/admin/budgets"
-	// PathBills takes form=charges, form=requests or, for sums, none.
-	PathBills   = "/admin/bills"
+	// PathBudgets returns the state of every budget.
+	PathBudgets = "/admin/budgets"
+	// PathBills returns bills: charges with form=charges, bills by request with
+	// form=requests, and totals by budget without form.
+	PathBills = "/admin/bills"
+	// PathMembers returns the members of the fleet.
 	PathMembers = "/admin/members"
-	// PathOrphans is followed by the incarnation of a dead router; POST settles
-	// its attempts.
+	// PathOrphans is followed by the incarnation of a crashed router; POST charges its
+	// attempts.
 	PathOrphans = "/admin/orphans/"
+	// PathMetrics returns this router's metrics in the Prometheus text format.
 	PathMetrics = "/metrics"
-	// PathBurn answers the burn of the whole fleet.
+	// PathBurn returns the burn-rate report of the whole fleet.
 	PathBurn = "/admin/burn"
 )
 
-// adminHandler returns the handler for operators and collectors of metrics.
+// adminHandler returns the handler of the admin server.
 func (r *Router) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathDocuments+"{partner}", r.serveDocument)
@@ -45,7 +49,7 @@
 	return mux
 }
 
-// AdminError is the body of a refusal.
+// AdminError is the JSON body of an error response.
 type AdminError struct {
 	Code    int               `json:"code"`
 	Name    string            `json:"name"`
@@ -53,8 +57,8 @@
 	Fate    granitehoist.Fate `json:"fate"`
 }
 
-// writeError refuses with an error's numbered code. The cause below it is not
-// shown.
+// writeError responds with the code, status and message of an error. Its wrapped cause is
+// not disclosed.
 func writeError(w http.ResponseWriter, err error) {
 	code := granitehoist.CodeOf(err)
 	info := code.Info()
@@ -66,18 +70,17 @@
 	writeJSON(w, info.Status, AdminError{Code: int(code), Name: info.Name, Message: message, Fate: info.Fate})
 }
 
-// writeJSON answers with a value.
+// writeJSON responds with a value as indented JSON.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
-	// The values are the package's own and encode; a write fails only if the reader has
-	// closed its connection.
+	// All values passed here can be encoded; a write fails only if the client is gone.
 	_ = encoder.Encode(value)
 }
 
-// serveBudgets lists the state of every budget, from the store's pages.
+// serveBudgets returns the state of every budget, as recorded in the store.
 func (r *Router) serveBudgets(w http.ResponseWriter, req *http.Request) {
 	states, err := budget.ReadStates(req.Context(), r.settings.Store, r.settings.Router.Budget.Shards, r.settings.Clock())
 	if err != nil {
@@ -87,7 +90,7 @@
 	writeJSON(w, http.StatusOK, states.Of(r.View().Budgets(), r.prepaid))
 }
 
-// serveBills lists the charges in the store: as sums, by request, or one by one.
+// serveBills returns the charges in the store: in total, by request, or individually.
 func (r *Router) serveBills(w http.ResponseWriter, req *http.Request) {
 	charges, err := bill.Read(req.Context(), r.settings.Store)
 	if err != nil {
@@ -110,6 +113,6 @@
 
 func (r *Router) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
-	// It fails only if the reader has closed its connection.
+	// A write fails only if the client is gone.
 	_ = report.WriteMetrics(w, r.metrics)
 }
--- a/partner/router/bench_test.go
+++ b/partner/router/bench_test.go
@@ -22,7 +22,7 @@
 	"granitehoist.example/granitehoist/trial"
 )
 
-// forwarder is the baseline: it sends a body on and copies the answer back.
+// forwarder is the baseline of BenchmarkRequest, a minimal reverse proxy.
 func forwarder(target string) http.Handler {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -43,20 +43,20 @@
 	})
 }
 
-var ids atomic.Uint64
+var requestIDs atomic.Uint64
 
 const benchBody = `{"model":"granite-8b","max_tokens":8,"messages":[{"role":"user","content":"%d what is the way to the next lock, and when does it close?"}]}`
 
-// request sends one question and returns how long the answer took.
+// request sends one chat completion and returns its latency.
 func request(client *http.Client, address string, n int) (time.Duration, error) {
 	r, err := http.NewRequest(http.MethodPost, address+"/v1/chat/completions", strings.NewReader(fmt.Sprintf(benchBody, n)))
 	if err != nil {
 		return 0, err
 	}
-	// The engine runs an attempt once, and the router sends an id of its own.
-	r.Header.Set("X-Request-Id", strconv.FormatUint(ids.Add(1), 36))
+	// Each request has a fresh id, since an engine runs the same id only once.
+	r.Header.Set("X-Request-Id", strconv.FormatUint(requestIDs.Add(1), 36))
 	r.Header.Set("Authorization", "Bearer "+trial.Key("lock-kiosks"))
-	begin := time.Now()
+	start := time.Now()
 	response, err := client.Do(r)
 	if err != nil {
 		return 0, err
@@ -68,11 +68,11 @@
 	if response.StatusCode != http.StatusOK {
 		return 0, fmt.Errorf("status %d", response.StatusCode)
 	}
-	return time.Since(begin), nil
+	return time.Since(start), nil
 }
 
-// drive sends b.N questions from some clients and reports the latencies.
-func drive(b *testing.B, address string, clients int) {
+// runLoad sends b.N requests from concurrent clients and reports latencies and throughput.
+func runLoad(b *testing.B, address string, clients int) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}
 	defer client.CloseIdleConnections()
 	for i := range 50 {
@@ -87,13 +87,13 @@
 	for c := range clients {
 		group.Go(func() {
 			for i := c; i < b.N; i += clients {
-				took, err := request(client, address, i)
+				latency, err := request(client, address, i)
 				if err != nil {
 					b.Error(err)
 					return
 				}
 				mu.Lock()
-				_ = latencies.RecordValue(int64(took))
+				_ = latencies.RecordValue(int64(latency))
 				mu.Unlock()
 			}
 		})
@@ -105,21 +105,21 @@
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "requests/s")
 }
 
-// BenchmarkRequest compares a request through a router with one through a bare
-// forwarder, to the same kind of engine, which answers at once.
+// BenchmarkRequest compares requests sent directly to an engine, through a minimal proxy
+// and through a router. The engine responds without delay.
 func BenchmarkRequest(b *testing.B) {
 	for _, clients := range []int{1, 32} {
 		b.Run(fmt.Sprintf("direct/clients=%d", clients), func(b *testing.B) {
 			engine := httptest.NewServer(standin.NewEngine(standin.EngineSettings{}).Handler())
 			defer engine.Close()
-			drive(b, engine.URL, clients)
+			runLoad(b, engine.URL, clients)
 		})
 		b.Run(fmt.Sprintf("forwarder/clients=%d", clients), func(b *testing.B) {
 			engine := httptest.NewServer(standin.NewEngine(standin.EngineSettings{}).Handler())
 			defer engine.Close()
 			server := httptest.NewServer(forwarder(engine.URL))
 			defer server.Close()
-			drive(b, server.URL, clients)
+			runLoad(b, server.URL, clients)
 		})
 		b.Run(fmt.Sprintf("router/clients=%d", clients), func(b *testing.B) {
 			site, err := trial.NewSite(context.Background(), trial.SiteSettings{})
@@ -127,7 +127,7 @@
 				b.Fatal(err)
 			}
 			defer site.Close()
-			drive(b, "http://"+site.Routers[0].CallersAddress(), clients)
+			runLoad(b, "http://"+site.Routers[0].CallersAddress(), clients)
 		})
 	}
 }
--- a/partner/router/build.go
+++ b/partner/router/build.go
@@ -21,21 +21,20 @@
 	"granitehoist.example/granitehoist/partner/upstream"
 )
 
-// build makes the parts, in the order in which they need each other, and
-// connects them.
+// build constructs the router's components in order of their dependencies.
 func (r *Router) build() {
 	engines := upstream.NewEngine()
-	r.parts.client = fleet.NewClient(fleet.ClientSettings{})
+	r.components.client = fleet.NewClient(fleet.ClientSettings{})
 	r.buildStoreView()
 	r.buildBudget()
 	r.buildBills()
 	r.buildOrphans(engines)
 	r.buildGate(engines)
-	r.servers.build(r.parts.gate, r.adminHandler(), time.Duration(r.settings.Router.Limits.ReadTimeout), func(err error) { r.logFailure("callers", err) })
+	r.servers.build(r.components.gate, r.adminHandler(), time.Duration(r.settings.Router.Limits.ReadTimeout), func(err error) { r.logFailure("callers", err) })
 	r.buildPeers()
 }
 
-// buildStoreView makes the followers of the documents and of the fleet.
+// buildStoreView constructs the document follower and the fleet registry.
 func (r *Router) buildStoreView() {
 	s := r.settings
 	r.store.members = fleet.NewRegistry(fleet.RegistrySettings{Self: r.self, Store: s.Store})
@@ -49,8 +48,8 @@
 	})
 }
 
-// buildBudget makes the agent over the tokens that this router holds and the
-// pages that it keeps for its region.
+// buildBudget constructs the agent for the tokens that this router holds and the budget
+// shards that it keeps for its region.
 func (r *Router) buildBudget() {
 	s := r.settings
 	keeper := budget.NewKeeper(budget.KeeperSettings{
@@ -60,11 +59,11 @@
 		Split:   s.Router.SplitOf,
 		Gather:  time.Duration(s.Router.Budget.Gather),
 	})
-	r.parts.agent = budget.NewAgent(budget.AgentSettings{
+	r.components.agent = budget.NewAgent(budget.AgentSettings{
 		Box:          r.self.Box,
 		Purse:        budget.NewPurse(budget.PurseSettings{Incarnation: r.self.Incarnation, Split: s.Router.SplitOf}),
 		Keeper:       keeper,
-		Caller:       r.parts.client,
+		Caller:       r.components.client,
 		RemoteKeeper: r.remoteKeeper,
 		Peers:        r.budgetPeers,
 		Clock:        s.Clock,
@@ -74,23 +73,23 @@
 	})
 }
 
-// buildBills makes the ledger of charges and the sender to their collector, which
-// any router may be.
+// buildBills constructs the ledger of charges, their sender, and a collector in case this
+// router has that role.
 func (r *Router) buildBills() {
 	s := r.settings
-	r.parts.ledger = bill.NewLedger(bill.LedgerSettings{Incarnation: r.self.Incarnation, MaxPending: s.Router.Limits.Bills})
-	r.parts.sender = bill.NewSender(bill.SenderSettings{
-		Ledger:          r.parts.ledger,
+	r.components.ledger = bill.NewLedger(bill.LedgerSettings{Incarnation: r.self.Incarnation, MaxPending: s.Router.Limits.Bills})
+	r.components.sender = bill.NewSender(bill.SenderSettings{
+		Ledger:          r.components.ledger,
 		Collector:       bill.NewCollector(bill.CollectorSettings{Region: r.self.Region, Incarnation: r.self.Incarnation, Store: s.Store}),
-		Caller:          r.parts.client,
+		Caller:          r.components.client,
 		RemoteCollector: r.remoteCollector,
 		Failed:          r.failureLogger("bill_failed"),
 	})
 }
 
-// buildOrphans makes the settler of the charges of dead routers.
+// buildOrphans constructs the component that charges the attempts of crashed routers.
 func (r *Router) buildOrphans(engines granitehoist.Protocol) {
-	r.parts.orphans = orphan.New(orphan.Settings{
+	r.components.orphans = orphan.New(orphan.Settings{
 		Region:  r.self.Region,
 		Store:   r.settings.Store,
 		Shards:  r.settings.Router.Budget.Shards,
@@ -99,19 +98,19 @@
 	})
 }
 
-// buildGate makes what serves callers.
+// buildGate constructs the handler of callers' requests.
 func (r *Router) buildGate(engines granitehoist.Protocol) {
 	s := r.settings
-	r.parts.table = route.NewTable(route.Settings{})
-	r.parts.burn = &report.Recorder{}
-	r.parts.gate = gate.New(gate.Settings{
+	r.components.table = route.NewTable(route.Settings{})
+	r.components.burn = &report.Recorder{}
+	r.components.gate = gate.New(gate.Settings{
 		Zone:        r.self.Zone,
 		Incarnation: r.self.Incarnation,
 		View:        r.View,
-		Funds:       r.parts.agent,
-		Ledger:      r.parts.ledger,
+		Funds:       r.components.agent,
+		Ledger:      r.components.ledger,
 		Once:        once.New(once.Settings{Store: s.Store}),
-		Table:       r.parts.table,
+		Table:       r.components.table,
 		Protocols: map[config.Kind]granitehoist.Protocol{
 			config.KindEngine: engines,
 			config.KindPlain:  upstream.NewPlain(),
@@ -120,12 +119,12 @@
 		Random:  s.Random,
 		Log:     s.Log,
 		Metrics: r.metrics,
-		Burn:    r.parts.burn,
+		Burn:    r.components.burn,
 		Limits:  r.gateLimits(),
 	})
 }
 
-// gateLimits returns the limits of the file; zeros take the defaults of the gate.
+// gateLimits converts the configured limits; the gate replaces zeros by its defaults.
 func (r *Router) gateLimits() gate.Limits {
 	limits := r.settings.Router.Limits
 	return gate.Limits{
@@ -136,19 +135,19 @@
 	}
 }
 
-// buildPeers makes the server of the calls that other routers make.
+// buildPeers constructs the server of calls from other routers.
 func (r *Router) buildPeers() {
 	r.servers.peers = fleet.NewServer(fleet.ServerSettings{Self: r.self.Incarnation, Methods: map[string]fleet.HandlerFunc{
-		budget.MethodSync:   fleet.Handle(r.parts.agent.ServeSync),
-		budget.MethodBorrow: fleet.Handle(r.parts.agent.ServeBorrow),
-		bill.MethodCollect:  fleet.Handle(r.parts.sender.ServeCollect),
+		budget.MethodSync:   fleet.Handle(r.components.agent.ServeSync),
+		budget.MethodBorrow: fleet.Handle(r.components.agent.ServeBorrow),
+		bill.MethodCollect:  fleet.Handle(r.components.sender.ServeCollect),
 		methodSerials:       fleet.Handle(r.serveSerials),
 		methodBurn:          fleet.Handle(r.serveBurnRows),
 	}})
 }
 
-// prepaid returns what was prepaid on a budget by the documents in force, the
-// serial of that document, and false if no document has the budget.
+// prepaid returns the prepaid tokens of a budget by the documents in force, the serial of
+// its partner's document, and false if the budget is unknown.
 func (r *Router) prepaid(k granitehoist.BudgetID) (granitehoist.Tokens, granitehoist.Serial, bool) {
 	view := r.View()
 	tokens, ok := view.Prepaid(k)
--- a/partner/router/burn.go
+++ b/partner/router/burn.go
@@ -13,26 +13,28 @@
 	"granitehoist.example/granitehoist/partner/report"
 )
 
+// methodBurn is the method by which routers request each other's burn counts.
 const methodBurn = "report.burn"
 
+// burnResult is the result of methodBurn.
 type burnResult struct {
 	Rows []report.Row `json:"rows"`
 }
 
-// serveBurnRows answers another router with the burn at this one.
+// serveBurnRows handles methodBurn.
 func (r *Router) serveBurnRows(context.Context, struct{}) (burnResult, error) {
-	return burnResult{Rows: r.parts.burn.Rows(r.settings.Clock())}, nil
+	return burnResult{Rows: r.components.burn.Rows(r.settings.Clock())}, nil
 }
 
-// memberBurn is the burn at one router.
+// memberBurn holds the burn counts of one router.
 type memberBurn struct {
 	rows []report.Row
-	// reached is false if the router could not be asked.
+	// reached is false if the call to the router failed.
 	reached bool
 }
 
-// serveBurn asks every router of the view, all at once. Those that can't be
-// asked are named.
+// serveBurn merges the burn counts of all routers in the fleet view, which it queries
+// concurrently. The report lists the boxes of unreached routers.
 func (r *Router) serveBurn(w http.ResponseWriter, req *http.Request) {
 	members := r.store.members.View().Members()
 	burns := make([]memberBurn, len(members))
@@ -53,11 +55,12 @@
 	writeJSON(w, http.StatusOK, burn)
 }
 
+// burnAt returns the burn counts of one router.
 func (r *Router) burnAt(ctx context.Context, m fleet.Member) memberBurn {
 	if m.Incarnation == r.self.Incarnation {
-		return memberBurn{r.parts.burn.Rows(r.settings.Clock()), true}
+		return memberBurn{r.components.burn.Rows(r.settings.Clock()), true}
 	}
 	var result burnResult
-	err := r.parts.client.Call(ctx, m.Peer(), methodBurn, struct{}{}, &result)
+	err := r.components.client.Call(ctx, m.Peer(), methodBurn, struct{}{}, &result)
 	return memberBurn{result.Rows, err == nil}
 }
--- a/partner/router/documents.go
+++ b/partner/router/documents.go
@@ -14,18 +14,19 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// DocumentState lists where a partner's document is in force.
+// DocumentState tells at which boxes a partner's document is in force.
 type DocumentState struct {
 	Partner granitehoist.Partner `json:"partner"`
-	// Current is what stands in the store.
+	// Current is the stored document.
 	Current config.Current `json:"current"`
-	// InForce lists the boxes that serve by it and Waiting those that do not or
-	// can't be asked. The document is accepted when Waiting is empty.
+	// InForce lists the boxes that apply it and Waiting those that do not yet or can't
+	// be reached. The document is accepted when it is stored and Waiting is empty.
 	InForce  []granitehoist.Box `json:"in_force"`
 	Waiting  []granitehoist.Box `json:"waiting"`
 	Accepted bool               `json:"accepted"`
 }
 
+// serveDocument returns the state of a partner's document.
 func (r *Router) serveDocument(w http.ResponseWriter, req *http.Request) {
 	state, err := r.documentState(req.Context(), granitehoist.Partner(req.PathValue("partner")))
 	if err != nil {
@@ -35,8 +36,8 @@
 	writeJSON(w, http.StatusOK, state)
 }
 
-// serveApply writes a signed document to the store. It answers 200 when every
-// router serves by it and 202 before.
+// serveApply writes a signed document to the store. The status is 200 if every router
+// already applies it, otherwise 202.
 func (r *Router) serveApply(w http.ResponseWriter, req *http.Request) {
 	raw, err := io.ReadAll(http.MaxBytesReader(w, req.Body, granitehoist.MaxValueSize))
 	if err != nil {
@@ -60,20 +61,22 @@
 	writeJSON(w, status, state)
 }
 
+// methodSerials is the method by which routers request each other's serials.
 const methodSerials = "config.serials"
 
+// serialsResult is the result of methodSerials.
 type serialsResult struct {
 	Serials map[granitehoist.Partner]granitehoist.Serial `json:"serials"`
 }
 
-// serveSerials answers another router with the serials in force at this one.
+// serveSerials handles methodSerials with the serials in force at this router.
 func (r *Router) serveSerials(context.Context, struct{}) (serialsResult, error) {
 	return serialsResult{Serials: r.View().Serials()}, nil
 }
 
-// documentState asks every router that may serve, by a list read from the
-// store after the document. The order matters: a router that enters itself
-// later reads this document or a newer one.
+// documentState queries every router that may be serving. It lists the routers after it
+// reads the document, because a router that registers later reads this document or a
+// newer one.
 func (r *Router) documentState(ctx context.Context, p granitehoist.Partner) (DocumentState, error) {
 	current, err := config.ReadCurrent(ctx, r.settings.Store, p)
 	if err != nil {
@@ -81,22 +84,22 @@
 	}
 	members, err := r.servingMembers(ctx)
 	if err != nil {
-		return DocumentState{}, granitehoist.Wrap(granitehoist.StoreDown, err, "the list of routers")
+		return DocumentState{}, granitehoist.Wrap(granitehoist.StoreDown, err, "the list of routers can't be read")
 	}
 	return newDocumentState(p, current, r.serialsAt(ctx, members, p)), nil
 }
 
-// memberSerial is the serial of one partner's document in force at a router.
+// memberSerial holds the serial of a partner's document in force at one router.
 type memberSerial struct {
 	box granitehoist.Box
 	// serial is zero if the router has no document of the partner or can't be
-	// asked.
+	// reached.
 	serial granitehoist.Serial
 }
 
-// newDocumentState decides whether a document is accepted: it stands in the
-// store, and every router that may serve has it, or a newer one, in force. One
-// that can't be asked counts as serving by an older one.
+// newDocumentState decides whether a document is accepted: it is in the store, and every
+// router that may be serving has it or a newer one in force. A router that can't be
+// reached counts as waiting.
 func newDocumentState(p granitehoist.Partner, current config.Current, serials []memberSerial) DocumentState {
 	state := DocumentState{Partner: p, Current: current, InForce: []granitehoist.Box{}, Waiting: []granitehoist.Box{}}
 	for _, m := range serials {
@@ -110,7 +113,7 @@
 	return state
 }
 
-// serialsAt asks routers for the serial of a partner's document, all at once.
+// serialsAt queries routers concurrently for the serial of a partner's document.
 func (r *Router) serialsAt(ctx context.Context, members []fleet.Member, p granitehoist.Partner) []memberSerial {
 	serials := make([]memberSerial, len(members))
 	var group sync.WaitGroup
@@ -121,14 +124,14 @@
 	return serials
 }
 
-// serialAt returns the serial in force at a router, zero if it can't be asked:
-// its box is then listed as waiting, which is all that an operator can use.
+// serialAt returns the serial in force at a router, zero if the call fails; the box is then
+// listed as waiting.
 func (r *Router) serialAt(ctx context.Context, m fleet.Member, p granitehoist.Partner) granitehoist.Serial {
 	if m.Incarnation == r.self.Incarnation {
 		return r.View().Serial(p)
 	}
 	var result serialsResult
-	if err := r.parts.client.Call(ctx, m.Peer(), methodSerials, struct{}{}, &result); err != nil {
+	if err := r.components.client.Call(ctx, m.Peer(), methodSerials, struct{}{}, &result); err != nil {
 		return 0
 	}
 	return result.Serials[p]
--- a/partner/router/leaving.go
+++ b/partner/router/leaving.go
@@ -11,13 +11,12 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// leavingInterval is the time between looks at the platform's list of boxes.
-// The users ask that an upstream gets no new requests a few seconds after it
-// starts to leave.
+// leavingInterval is the polling interval of the platform's list of boxes. It bounds how
+// long new requests go to an upstream after the platform lists its box as leaving.
 const leavingInterval = 2 * time.Second
 
-// watchLeaving keeps new requests from upstreams whose boxes the platform lists
-// as leaving. While the list can't be read, the last one stays in use.
+// watchLeaving polls the platform's list of boxes until ctx ends and stops new requests to
+// upstreams on leaving boxes. While the list can't be read, the last one stays in use.
 func (r *Router) watchLeaving(ctx context.Context) {
 	if r.settings.Platform == nil {
 		return
@@ -28,7 +27,7 @@
 		boxes, err := r.settings.Platform.Boxes(ctx)
 		switch {
 		case err == nil:
-			r.parts.table.SetLeaving(leavingUpstreams(r.View().Offers(r.self.Partner), boxes))
+			r.components.table.SetLeaving(leavingUpstreams(r.View().Offers(r.self.Partner), boxes))
 		case ctx.Err() == nil:
 			r.logFailure("leaving_failed", err)
 		}
@@ -40,9 +39,9 @@
 	}
 }
 
-// leavingUpstreams decides which upstreams get no new requests: those whose
-// document names a box that the platform lists as leaving. boxes is the
-// platform's list, which lags; its value is true for a box that leaves.
+// leavingUpstreams returns the upstreams that get no new requests: those on boxes that the
+// platform lists as leaving. boxes is the platform's list, which may be stale; its value is
+// true for a leaving box.
 func leavingUpstreams(offers []*config.Offer, boxes map[granitehoist.Box]bool) map[granitehoist.Upstream]bool {
 	leaving := map[granitehoist.Upstream]bool{}
 	for _, offer := range offers {
--- a/partner/router/mayserve.go
+++ b/partner/router/mayserve.go
@@ -10,28 +10,27 @@
 	"granitehoist.example/granitehoist/fleet"
 )
 
-// servingEvidence is the input of the rule whether a router that entered itself may
-// still serve.
+// servingEvidence holds what is known about whether registered routers are still serving.
 type servingEvidence struct {
-	// live holds the routers whose lease stood when the view was read.
+	// live holds the routers whose lease was valid when the view was read.
 	live map[granitehoist.Incarnation]bool
-	// boxes is the platform's list; empty if there is none.
+	// boxes is the platform's list of boxes, empty if there is none.
 	boxes map[granitehoist.Box]bool
 }
 
-// mayServe decides whether a router that entered itself may still serve. A lease
-// that has ended proves nothing: the router may be cut off from the store and
-// serve nevertheless. Only a box that the platform has stopped listing can't
-// serve any more. An empty list counts as no list.
+// mayServe reports whether a registered router may still be serving. An expired lease is
+// no proof that it is not, since a router that is partitioned from the store goes on
+// serving. Only a router whose lease has expired and whose box is no longer listed is known
+// to have stopped. An empty list counts as no list.
 func (e servingEvidence) mayServe(m fleet.Member) bool {
 	_, listed := e.boxes[m.Box]
 	return e.live[m.Incarnation] || listed || len(e.boxes) == 0
 }
 
-// servingMembers returns the routers that may serve, and removes the entries of the
-// others.
+// servingMembers returns the routers that may be serving, and removes the registrations of
+// the others.
 func (r *Router) servingMembers(ctx context.Context) ([]fleet.Member, error) {
-	entered, err := fleet.Serving(ctx, r.settings.Store)
+	registered, err := fleet.Serving(ctx, r.settings.Store)
 	if err != nil {
 		return nil, err
 	}
@@ -42,23 +41,23 @@
 	if err != nil {
 		return nil, err
 	}
-	seen := servingEvidence{live: map[granitehoist.Incarnation]bool{}, boxes: boxes}
+	evidence := servingEvidence{live: map[granitehoist.Incarnation]bool{}, boxes: boxes}
 	for _, m := range r.store.members.View().Members() {
-		seen.live[m.Incarnation] = true
+		evidence.live[m.Incarnation] = true
 	}
 	var members []fleet.Member
-	for _, m := range entered {
-		if seen.mayServe(m) {
+	for _, m := range registered {
+		if evidence.mayServe(m) {
 			members = append(members, m)
 			continue
 		}
-		// If this fails, the next call finds the entry and removes it.
+		// If the removal fails, the next call tries again.
 		_ = fleet.Withdraw(ctx, r.settings.Store, m)
 	}
 	return members, nil
 }
 
-// platformBoxes returns the platform's list, empty without a platform.
+// platformBoxes returns the platform's list of boxes, empty without a platform.
 func (r *Router) platformBoxes(ctx context.Context) (map[granitehoist.Box]bool, error) {
 	if r.settings.Platform == nil {
 		return map[granitehoist.Box]bool{}, nil
@@ -66,14 +65,14 @@
 	return r.settings.Platform.Boxes(ctx)
 }
 
-// withdraw removes a router that has stopped from those that may serve.
-func (r *Router) withdraw(ctx context.Context, dead granitehoist.Incarnation) error {
-	entered, err := fleet.Serving(ctx, r.settings.Store)
+// withdraw removes the registration of a router that has stopped, if there is one.
+func (r *Router) withdraw(ctx context.Context, stopped granitehoist.Incarnation) error {
+	registered, err := fleet.Serving(ctx, r.settings.Store)
 	if err != nil {
 		return err
 	}
-	for _, m := range entered {
-		if m.Incarnation == dead {
+	for _, m := range registered {
+		if m.Incarnation == stopped {
 			return fleet.Withdraw(ctx, r.settings.Store, m)
 		}
 	}
--- a/partner/router/orphans.go
+++ b/partner/router/orphans.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// orphanInterval is the time between looks for routers that died.
+	// orphanInterval is the time between two scans for crashed routers.
 	orphanInterval = 30 * time.Second
-	// maxOrphanRounds bounds how often one dead router is settled: an engine that could
-	// not be reached at first is asked again, for ten minutes.
+	// maxOrphanRounds bounds the rounds in which the attempts of one crashed router are
+	// charged. Rounds repeat for ten minutes, because engines may be unreachable at first.
 	maxOrphanRounds = 20
 )
 
-// settleOrphans charges the attempts of the region's dead routers while this
-// router has that role.
+// settleOrphans charges the attempts of the region's crashed routers whenever this router
+// has that role, until ctx ends.
 func (r *Router) settleOrphans(ctx context.Context) {
 	rounds := map[granitehoist.Incarnation]int{}
 	ticker := time.NewTicker(orphanInterval)
@@ -37,7 +37,7 @@
 		if !r.hasRole(orphanRole) {
 			continue
 		}
-		silent, err := r.parts.orphans.Silent(ctx, r.settings.Clock())
+		silent, err := r.components.orphans.Silent(ctx, r.settings.Clock())
 		if err != nil {
 			r.logFailure("orphan_failed", err)
 			continue
@@ -50,7 +50,7 @@
 	}
 }
 
-// settleOne charges the ended attempts of one dead router and logs what it did.
+// settleOne charges the ended attempts of one crashed router and logs the result.
 func (r *Router) settleOne(ctx context.Context, dead granitehoist.Incarnation) {
 	result, err := r.SettleOrphans(ctx, dead, false)
 	if err != nil {
@@ -66,15 +66,15 @@
 	}
 }
 
-// SettleOrphans charges the attempts of a dead router. If stop is set, those
-// that still run are ended, so that the router must have stopped for certain. It
-// may be repeated, and charges nothing twice.
+// SettleOrphans charges the attempts of a crashed router. If stop is set, attempts that
+// still run are aborted first, so the router must be known to have stopped. It is
+// idempotent: no attempt is charged twice.
 func (r *Router) SettleOrphans(ctx context.Context, dead granitehoist.Incarnation, stop bool) (orphan.Result, error) {
-	return r.parts.orphans.Settle(ctx, dead, stop, r.settings.Clock())
+	return r.components.orphans.Settle(ctx, dead, stop, r.settings.Clock())
 }
 
-// serveOrphans settles the attempts of a router that an operator has found
-// stopped. A router that still renews its lease is refused.
+// serveOrphans charges the attempts of a router that an operator declares stopped, and
+// removes its registration. It fails with RouterLive if the router still renews its lease.
 func (r *Router) serveOrphans(w http.ResponseWriter, req *http.Request) {
 	dead := granitehoist.Incarnation(req.PathValue("incarnation"))
 	for _, m := range r.store.members.View().Members() {
--- a/partner/router/roles.go
+++ b/partner/router/roles.go
@@ -8,36 +8,39 @@
 	"granitehoist.example/granitehoist/partner/budget"
 )
 
-// Roles that one router of a region has at a time, by rendezvous hashing over
-// the view; a shard's keeper has the key of its page as its role. Two routers
-// whose views differ may both act, which costs conflicts at the store only.
+// Roles are assigned to one router of a region by rendezvous hashing over the fleet view.
+// The role of a budget shard's keeper is the key of the shard's page. Routers with different
+// views may hold a role at the same time, which only causes conflicts at the store.
 const (
 	collectorRole = "bill/collector"
 	orphanRole    = "orphan/settler"
 )
 
-// remoteKeeper returns the other router that keeps a shard's page.
+// remoteKeeper returns the keeper of a budget shard, and false if it is this router or
+// unknown.
 func (r *Router) remoteKeeper(s budget.Shard) (granitehoist.Peer, bool) {
-	return r.otherWithRole(budget.PageKey(r.self.Region, s))
+	return r.remoteHolder(budget.PageKey(r.self.Region, s))
 }
 
-// remoteCollector returns the other router that collects bills.
-func (r *Router) remoteCollector() (granitehoist.Peer, bool) { return r.otherWithRole(collectorRole) }
+// remoteCollector returns the collector of charges, and false if it is this router or
+// unknown.
+func (r *Router) remoteCollector() (granitehoist.Peer, bool) { return r.remoteHolder(collectorRole) }
 
-// otherWithRole returns the other router of the region that has a role, and false if
-// it is this one or the view has none.
-func (r *Router) otherWithRole(role string) (granitehoist.Peer, bool) {
+// remoteHolder returns the router of the region that holds a role, and false if it is this
+// router or unknown.
+func (r *Router) remoteHolder(role string) (granitehoist.Peer, bool) {
 	m, ok := r.store.members.View().Holder(r.self.Region, role)
 	return m.Peer(), ok && m.Incarnation != r.self.Incarnation
 }
 
-// hasRole reports whether this router has a role.
+// hasRole reports whether this router holds a role.
 func (r *Router) hasRole(role string) bool {
 	m, ok := r.store.members.View().Holder(r.self.Region, role)
 	return ok && m.Incarnation == r.self.Incarnation
 }
 
-// budgetPeers returns the routers that this one may borrow from.
+// budgetPeers returns the other routers of the region, from which this one may borrow
+// tokens.
 func (r *Router) budgetPeers() []granitehoist.Peer {
 	var peers []granitehoist.Peer
 	for _, m := range r.store.members.View().Region(r.self.Region) {
--- a/partner/router/router.go
+++ b/partner/router/router.go
@@ -27,49 +27,49 @@
 
 // Settings configure a Router. Router and Store are required.
 type Settings struct {
-	// Router is the file of the box. It is not changed after New.
+	// Router holds the settings of the box. They must not be changed after New.
 	Router *settings.Router
 	// Store is the platform's store.
 	Store granitehoist.Store
-	// Platform has the list of boxes. If it is nil, leaving upstreams get requests
-	// until they refuse, and no router is taken to be removed.
+	// Platform provides the list of boxes. If it is nil, upstreams on leaving boxes get
+	// requests until they reject them, and no router is considered removed.
 	Platform granitehoist.Platform
-	// Clock gives the time; nil stands for time.Now.
+	// Clock returns the current time; nil means time.Now.
 	Clock granitehoist.Clock
-	// Random makes identifiers; nil stands for the system's source.
+	// Random is the source of identifiers; nil means crypto/rand.Reader.
 	Random io.Reader
-	// Log takes the events; nil discards them.
+	// Log receives log events; nil discards them.
 	Log *zap.Logger
 }
 
-// Router is one router process: its servers, its view of the store and the
-// parts that serve requests. New, Start and Stop or Kill are called in this
-// order by one goroutine; the other methods are safe for concurrent use.
+// Router is one router process: its servers, its view of the store and the components
+// that serve requests. One goroutine must call New, Start, and Stop or Kill in this order;
+// the other methods are safe for concurrent use.
 type Router struct {
 	settings Settings
-	// trust is the keys of Settings.Router, decoded.
+	// trust holds the decoded public keys of Settings.Router.
 	trust config.Trust
-	// self is the router's own entry in the fleet; it is not changed after New.
-	self    fleet.Member
-	metrics metrics.Registry
-	servers servers
-	store   storeView
-	parts   parts
-	// cancel ends the loops; nil before Start.
-	cancel context.CancelFunc
-	loops  sync.WaitGroup
+	// self is the router's entry in the fleet, immutable after New.
+	self       fleet.Member
+	metrics    metrics.Registry
+	servers    servers
+	store      storeView
+	components components
+	// cancel ends the goroutines that Start runs; nil before Start.
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-// storeView is what the router follows in the platform's store. Each part
-// guards its own state.
+// storeView holds the components that follow the platform's store. Each guards its own
+// state.
 type storeView struct {
 	documents *config.Follower
 	members   *fleet.Registry
 }
 
-// parts serve requests, pay for them and charge them. Each guards its own
+// components holds the components that serve and charge requests. Each guards its own
 // state.
-type parts struct {
+type components struct {
 	client  *fleet.Client
 	agent   *budget.Agent
 	ledger  *bill.Ledger
@@ -80,13 +80,13 @@
 	orphans *orphan.Settler
 }
 
-// New opens the addresses of a router, builds its parts and answers other
-// routers. Callers and operators are served from Start on. It panics if the
-// settings lack the router or the store; its errors name the address or the
-// key that can't be used.
+// New opens the listeners of a router, builds its components and begins to serve other
+// routers. Callers and operators are served from Start on. It panics if Settings.Router or
+// Settings.Store is nil. Its errors name the address that can't be opened or the key that
+// is invalid.
 func New(s Settings) (*Router, error) {
 	if s.Router == nil || s.Store == nil {
-		panic("router: a setting is missing")
+		panic("router: Settings.Router or Settings.Store is nil")
 	}
 	s.setDefaults()
 	trust, err := s.Router.TrustedKeys()
@@ -106,11 +106,11 @@
 		Peers:       r.servers.peersListener.Addr().String(),
 	}
 	r.build()
-	r.loops.Go(r.servePeers)
+	r.goroutines.Go(r.servePeers)
 	return r, nil
 }
 
-// setDefaults fills in the fields that may be nil.
+// setDefaults replaces optional fields that are nil by their defaults.
 func (s *Settings) setDefaults() {
 	if s.Clock == nil {
 		s.Clock = time.Now
@@ -123,22 +123,23 @@
 	}
 }
 
-// logFailure logs a failed step. The router goes on, and most steps are tried again.
+// logFailure logs an error that does not stop the router; most operations are retried.
 func (r *Router) logFailure(event string, err error) {
 	r.settings.Log.Warn(event, zap.Error(err))
 }
 
+// failureLogger returns a function that logs errors under an event name.
 func (r *Router) failureLogger(event string) func(error) {
 	return func(err error) { r.logFailure(event, err) }
 }
 
-// CallersAddress returns the address that callers reach.
+// CallersAddress returns the listen address for callers.
 func (r *Router) CallersAddress() string { return r.servers.callersListener.Addr().String() }
 
-// AdminAddress returns the address that operators reach.
+// AdminAddress returns the listen address for operators.
 func (r *Router) AdminAddress() string { return r.servers.adminListener.Addr().String() }
 
-// Incarnation returns the id of this run.
+// Incarnation returns the id of this run of the router.
 func (r *Router) Incarnation() granitehoist.Incarnation { return r.self.Incarnation }
 
 // Partner returns the partner that runs the router.
--- a/partner/router/router_test.go
+++ b/partner/router/router_test.go
@@ -34,13 +34,13 @@
 tokens = 1000
 `
 
-// cutStore is a store that one router can be cut off from.
-type cutStore struct {
+// partitionedStore is a store whose Watch and RenewLease fail once cut is closed.
+type partitionedStore struct {
 	granitehoist.Store
 	cut chan struct{}
 }
 
-func (s cutStore) isCut() bool {
+func (s partitionedStore) isCut() bool {
 	select {
 	case <-s.cut:
 		return true
@@ -49,7 +49,7 @@
 	}
 }
 
-func (s cutStore) Watch(ctx context.Context, prefix string, after granitehoist.Version, wait time.Duration) ([]granitehoist.Entry, granitehoist.Version, error) {
+func (s partitionedStore) Watch(ctx context.Context, prefix string, after granitehoist.Version, wait time.Duration) ([]granitehoist.Entry, granitehoist.Version, error) {
 	if s.isCut() {
 		return nil, 0, granitehoist.ErrUnavailable
 	}
@@ -60,7 +60,7 @@
 	return entries, version, err
 }
 
-func (s cutStore) RenewLease(ctx context.Context, id granitehoist.LeaseID) error {
+func (s partitionedStore) RenewLease(ctx context.Context, id granitehoist.LeaseID) error {
 	if s.isCut() {
 		return granitehoist.ErrUnavailable
 	}
@@ -119,9 +119,9 @@
 		}
 	}
 
-	// enrolled waits until so many routers have entered themselves: a document is
-	// accepted without those that have not.
-	enrolled := func(routers int) {
+	// waitRegistered waits until the given number of routers are registered, since
+	// routers that are not do not delay the acceptance of a document.
+	waitRegistered := func(routers int) {
 		GinkgoHelper()
 		Eventually(func() ([]granitehoist.Entry, error) {
 			entries, _, err := store.List(context.Background(), "serving/")
@@ -129,35 +129,35 @@
 		}).Should(HaveLen(routers))
 	}
 
-	It("says accepted when every router has the document in force", func() {
+	It("reports a document accepted when every router has it in force", func() {
 		a, b := start("a", store), start("b", store)
-		enrolled(2)
+		waitRegistered(2)
 		status, _ := apply(a, signed(1, ""))
 		Expect(status).To(BeElementOf(http.StatusOK, http.StatusAccepted))
 		Eventually(accepted(a)).Should(BeTrue())
 		Expect(b.View().Serial("tuul")).To(Equal(granitehoist.Serial(1)))
 	})
 
-	It("is pending while a router that lost its lease may serve", func() {
+	It("does not accept a document while a router with an expired lease may be serving", func() {
 		cut := make(chan struct{})
-		a, b := start("a", store), start("b", cutStore{store, cut})
-		enrolled(2)
+		a, b := start("a", store), start("b", partitionedStore{store, cut})
+		waitRegistered(2)
 		apply(a, signed(1, ""))
 		Eventually(accepted(a)).Should(BeTrue())
 		close(cut)
 		time.Sleep(50 * time.Millisecond)
 		offset.Store(int64(time.Minute))
 		_, state := apply(a, signed(2, "c1"))
-		Expect(b.View().Serial("tuul")).To(Equal(granitehoist.Serial(1)), "it serves by the older document")
+		Expect(b.View().Serial("tuul")).To(Equal(granitehoist.Serial(1)), "it still applies the older document")
 		Expect(state.Accepted).To(BeFalse())
 		Consistently(accepted(a), "200ms").Should(BeFalse())
 
-		By("the platform's word that its box is gone")
+		By("removing its box from the platform's list")
 		store.ListBox("a", false)
 		Eventually(accepted(a)).Should(BeTrue())
 	})
 
-	It("gives a racing operator the conflict, with its code", func() {
+	It("returns the conflict code to a concurrent operator", func() {
 		a := start("a", store)
 		apply(a, signed(1, ""))
 		other := signed(1, "")
@@ -170,7 +170,7 @@
 		Expect(granitehoist.Code(refusal.Code)).To(Equal(granitehoist.DocumentConflict))
 	})
 
-	It("writes its metrics for collectors", func() {
+	It("serves its metrics", func() {
 		a := start("a", store)
 		_, err := http.Get("http://" + a.CallersAddress() + "/nothing")
 		Expect(err).NotTo(HaveOccurred())
@@ -182,7 +182,7 @@
 		Expect(string(text)).To(ContainSubstring(`granitehoist_requests_total{code="1009"} 1`))
 	})
 
-	It("leaves no entry after a planned stop", func() {
+	It("removes its store entries in a planned stop", func() {
 		a := start("a", store)
 		Eventually(func() int {
 			entries, _, _ := store.List(context.Background(), "serving/")
@@ -196,7 +196,7 @@
 		}
 	})
 
-	It("tells an address that is taken", func() {
+	It("names an address that is in use", func() {
 		a := start("a", store)
 		_, err := router.New(router.Settings{Store: store, Router: &settings.Router{Listen: settings.Listen{Callers: a.CallersAddress(), Peers: "127.0.0.1:0", Admin: "127.0.0.1:0"}, Budget: settings.Budget{Shards: 1}}})
 		Expect(err).To(MatchError(ContainSubstring("callers' address")))
--- a/partner/router/rules_test.go
+++ b/partner/router/rules_test.go
@@ -12,17 +12,17 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-var _ = Describe("evidence", func() {
+var _ = Describe("servingEvidence", func() {
 	member := fleet.Member{Box: "a", Incarnation: "a-1"}
 	live := map[granitehoist.Incarnation]bool{"a-1": true}
 
-	DescribeTable("decides whether a router may still serve",
+	DescribeTable("decides whether a router may still be serving",
 		func(e servingEvidence, want bool) { Expect(e.mayServe(member)).To(Equal(want)) },
-		Entry("its lease stands and its box is not listed", servingEvidence{live: live, boxes: map[granitehoist.Box]bool{"b": false}}, true),
-		Entry("its lease has ended and its box is listed", servingEvidence{boxes: map[granitehoist.Box]bool{"a": false}}, true),
-		Entry("its lease has ended and its box is leaving", servingEvidence{boxes: map[granitehoist.Box]bool{"a": true}}, true),
-		Entry("its lease has ended and there is no list", servingEvidence{}, true),
-		Entry("its lease has ended and the list has other boxes only", servingEvidence{boxes: map[granitehoist.Box]bool{"b": false}}, false),
+		Entry("valid lease, box not listed", servingEvidence{live: live, boxes: map[granitehoist.Box]bool{"b": false}}, true),
+		Entry("expired lease, box listed", servingEvidence{boxes: map[granitehoist.Box]bool{"a": false}}, true),
+		Entry("expired lease, box leaving", servingEvidence{boxes: map[granitehoist.Box]bool{"a": true}}, true),
+		Entry("expired lease, no list", servingEvidence{}, true),
+		Entry("expired lease, only other boxes listed", servingEvidence{boxes: map[granitehoist.Box]bool{"b": false}}, false),
 	)
 })
 
@@ -36,11 +36,11 @@
 			Expect(state.Waiting).To(ConsistOf(waiting))
 			Expect(len(state.InForce) + len(state.Waiting)).To(Equal(len(serials)))
 		},
-		Entry("in force everywhere", stored, true, nil, memberSerial{"a", 3}, memberSerial{"b", 3}),
-		Entry("a newer one in force", stored, true, nil, memberSerial{"a", 4}),
-		Entry("an older one in force at a router", stored, false, []granitehoist.Box{"b"}, memberSerial{"a", 3}, memberSerial{"b", 2}),
-		Entry("a router that can't be asked", stored, false, []granitehoist.Box{"b"}, memberSerial{"a", 3}, memberSerial{"b", 0}),
-		Entry("nothing stored", config.Current{}, false, nil, memberSerial{"a", 0}),
+		Entry("in force at all routers", stored, true, nil, memberSerial{"a", 3}, memberSerial{"b", 3}),
+		Entry("newer document in force", stored, true, nil, memberSerial{"a", 4}),
+		Entry("older document in force at one router", stored, false, []granitehoist.Box{"b"}, memberSerial{"a", 3}, memberSerial{"b", 2}),
+		Entry("unreachable router", stored, false, []granitehoist.Box{"b"}, memberSerial{"a", 3}, memberSerial{"b", 0}),
+		Entry("no stored document", config.Current{}, false, nil, memberSerial{"a", 0}),
 	)
 })
 
@@ -51,8 +51,8 @@
 		func(boxes map[granitehoist.Box]bool, want map[granitehoist.Upstream]bool) {
 			Expect(leavingUpstreams(offers, boxes)).To(Equal(want))
 		},
-		Entry("no box leaves", map[granitehoist.Box]bool{"a": false, "b": false}, map[granitehoist.Upstream]bool{}),
-		Entry("a box leaves", map[granitehoist.Box]bool{"a": true, "b": false}, map[granitehoist.Upstream]bool{"u1": true}),
-		Entry("a box is not listed", map[granitehoist.Box]bool{"": true}, map[granitehoist.Upstream]bool{}),
+		Entry("no box leaving", map[granitehoist.Box]bool{"a": false, "b": false}, map[granitehoist.Upstream]bool{}),
+		Entry("one box leaving", map[granitehoist.Box]bool{"a": true, "b": false}, map[granitehoist.Upstream]bool{"u1": true}),
+		Entry("upstream without a box", map[granitehoist.Box]bool{"": true}, map[granitehoist.Upstream]bool{}),
 	)
 })
--- a/partner/router/start.go
+++ b/partner/router/start.go
@@ -12,18 +12,19 @@
 	"granitehoist.example/granitehoist/internal/pause"
 )
 
-// Start begins to serve callers and operators, and to follow the store.
+// Start begins to serve callers and operators and to follow the store, in goroutines that
+// end with Stop or Kill.
 func (r *Router) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
-	r.loops.Go(func() { r.follow(ctx) })
-	r.loops.Go(func() { r.refresh(ctx) })
-	r.loops.Go(func() { r.parts.agent.Run(ctx) })
-	r.loops.Go(func() { r.parts.sender.Run(ctx) })
-	r.loops.Go(func() { r.settleOrphans(ctx) })
-	r.loops.Go(func() { r.watchLeaving(ctx) })
-	r.loops.Go(func() { r.serve("callers", r.servers.callers) })
-	r.loops.Go(func() { r.serve("admin", r.servers.admin) })
+	r.goroutines.Go(func() { r.follow(ctx) })
+	r.goroutines.Go(func() { r.refresh(ctx) })
+	r.goroutines.Go(func() { r.components.agent.Run(ctx) })
+	r.goroutines.Go(func() { r.components.sender.Run(ctx) })
+	r.goroutines.Go(func() { r.settleOrphans(ctx) })
+	r.goroutines.Go(func() { r.watchLeaving(ctx) })
+	r.goroutines.Go(func() { r.serve("callers", r.servers.callers) })
+	r.goroutines.Go(func() { r.serve("admin", r.servers.admin) })
 	r.settings.Log.Info("started",
 		zap.String("incarnation", string(r.self.Incarnation)),
 		zap.String("callers", r.CallersAddress()),
@@ -31,12 +32,12 @@
 		zap.String("admin", r.AdminAddress()))
 }
 
-// enrollPause is the time between tries to enter the router in the store.
-const enrollPause = 500 * time.Millisecond
+// enrollRetryInterval is the time between attempts to register the router in the store.
+const enrollRetryInterval = 500 * time.Millisecond
 
-// follow enters the router among those that may serve, and only then reads the
-// documents; before that it has none and serves nothing. An operator who asks
-// whether a document is accepted thus waits for every router that may serve.
+// follow registers the router and only then begins to read the documents. Without
+// documents it serves no requests, so every router that may be serving is registered and
+// is counted when an operator asks whether a document is accepted.
 func (r *Router) follow(ctx context.Context) {
 	for {
 		err := r.store.members.Enroll(ctx)
@@ -47,7 +48,7 @@
 			return
 		}
 		r.logFailure("fleet_failed", err)
-		pause.For(ctx, enrollPause)
+		pause.For(ctx, enrollRetryInterval)
 		if ctx.Err() != nil {
 			return
 		}
@@ -55,8 +56,8 @@
 	r.store.documents.Run(ctx)
 }
 
-// refresh keeps the router's entry and its view of the others. While the store
-// does not answer, the last view stays in use.
+// refresh periodically renews the router's entry and its view of the fleet. While the
+// store is unavailable, the last view stays in use.
 func (r *Router) refresh(ctx context.Context) {
 	ticker := time.NewTicker(r.store.members.Interval())
 	defer ticker.Stop()
--- a/partner/router/stop.go
+++ b/partner/router/stop.go
@@ -13,41 +13,41 @@
 	"granitehoist.example/granitehoist/internal/pause"
 )
 
-// Stop ends the router without cutting a request. It makes the router unready
-// but serves on until balancers have seen that, then refuses new requests as not
-// run, waits for those in progress, gives its tokens back and brings its charges
-// into the store. If ctx ends first it goes on with the next step at once; the
-// error joins those of all steps that failed.
+// Stop shuts the router down gracefully. It reports not ready and serves on until load
+// balancers have noticed, rejects new requests, waits for those in progress, returns its
+// tokens and writes its charges to the store. If ctx ends first, each remaining step is
+// cut short. The error joins those of all failed steps.
 func (r *Router) Stop(ctx context.Context) error {
 	r.settings.Log.Info("stopping")
-	undone := stopSteps{log: r.settings.Log}
-	r.parts.gate.Unready()
+	failures := stopFailures{log: r.settings.Log}
+	r.components.gate.Unready()
 	r.store.members.Leave()
-	undone.add("leave", r.store.members.Refresh(ctx))
-	// Balancers need time to see that the router is not ready.
+	failures.add("leave", r.store.members.Refresh(ctx))
+	// Load balancers need time to notice that the router is not ready.
 	pause.For(ctx, time.Duration(r.settings.Router.Limits.Unready))
-	r.parts.gate.Drain()
-	// If ctx ends first the requests in progress are cut.
-	undone.add("requests", r.servers.callers.Shutdown(ctx))
-	r.parts.gate.Wait()
+	r.components.gate.Drain()
+	// If ctx ends first, the requests in progress are aborted.
+	failures.add("requests", r.servers.callers.Shutdown(ctx))
+	r.components.gate.Wait()
 	if r.cancel != nil {
 		r.cancel()
 	}
-	undone.add("tokens", r.parts.agent.Close(ctx))
-	undone.add("bills", r.parts.sender.Flush(ctx))
-	undone.add("entry", r.store.members.Remove(ctx))
+	failures.add("tokens", r.components.agent.Close(ctx))
+	failures.add("bills", r.components.sender.Flush(ctx))
+	failures.add("entry", r.store.members.Remove(ctx))
 	r.close()
-	r.settings.Log.Info("stopped", zap.Int("charges_left", r.parts.ledger.Pending()))
-	return errors.Join(undone.errs...)
+	r.settings.Log.Info("stopped", zap.Int("charges_left", r.components.ledger.Pending()))
+	return errors.Join(failures.errs...)
 }
 
-// stopSteps collects the steps of a stop that failed.
-type stopSteps struct {
+// stopFailures logs and collects the errors of the steps of a stop.
+type stopFailures struct {
 	log  *zap.Logger
 	errs []error
 }
 
-func (s *stopSteps) add(name string, err error) {
+// add records the error of a step; nil is ignored.
+func (s *stopFailures) add(name string, err error) {
 	if err == nil {
 		return
 	}
@@ -55,8 +55,8 @@
 	s.errs = append(s.errs, err)
 }
 
-// Kill ends the router at once, as a crash would: nothing is given back and no
-// charge is sent. It may be called after Stop, and then does nothing.
+// Kill stops the router at once, like a crash: no tokens are returned and no charges are
+// sent. After Stop it has no effect.
 func (r *Router) Kill() {
 	if r.cancel != nil {
 		r.cancel()
@@ -65,11 +65,11 @@
 	r.close()
 }
 
-// close ends the other servers and waits for the loops. The callers' server is
-// closed by then.
+// close closes the remaining servers and waits for the background goroutines. The
+// callers' server must be closed already.
 func (r *Router) close() {
 	r.servers.admin.Close()
 	r.servers.peers.Close()
-	r.parts.client.Close()
-	r.loops.Wait()
+	r.components.client.Close()
+	r.goroutines.Wait()
 }
