--- a/partner/bill/segment.go
+++ b/partner/bill/segment.go
@@ -33,8 +33,8 @@
 
 // OrphanKey returns the store key of the n-th segment of charges for attempts of a
 // crashed incarnation.
-func OrphanKey(dead granitehoist.Incarnation, n int) string {
-	return fmt.Sprintf("%sorphans/%s/%04d", keyPrefix, dead, n)
+func OrphanKey(crashed granitehoist.Incarnation, n int) string {
+	return fmt.Sprintf("%sorphans/%s/%04d", keyPrefix, crashed, n)
 }
 
 // EncodeSegment encodes charges as a segment with the given key. It panics if charges is
--- a/partner/router/documents.go
+++ b/partner/router/documents.go
@@ -14,7 +14,7 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// DocumentState tells at which boxes a partner's document is in force.
+// DocumentState reports the boxes at which a partner's document is in force.
 type DocumentState struct {
 	Partner granitehoist.Partner `json:"partner"`
 	// Current is the stored document.
--- a/partner/router/mayserve.go
+++ b/partner/router/mayserve.go
@@ -65,14 +65,14 @@
 	return r.settings.Platform.Boxes(ctx)
 }
 
-// withdraw removes the registration of a router that has stopped, if there is one.
-func (r *Router) withdraw(ctx context.Context, stopped granitehoist.Incarnation) error {
+// withdraw removes the registration of a crashed router, if there is one.
+func (r *Router) withdraw(ctx context.Context, crashed granitehoist.Incarnation) error {
 	registered, err := fleet.Serving(ctx, r.settings.Store)
 	if err != nil {
 		return err
 	}
 	for _, m := range registered {
-		if m.Incarnation == stopped {
+		if m.Incarnation == crashed {
 			return fleet.Withdraw(ctx, r.settings.Store, m)
 		}
 	}
--- a/partner/router/orphans.go
+++ b/partner/router/orphans.go
@@ -42,24 +42,24 @@
 			r.logFailure("orphan_failed", err)
 			continue
 		}
-		for _, dead := range silent {
-			if rounds[dead]++; rounds[dead] <= maxOrphanRounds {
-				r.settleOne(ctx, dead)
+		for _, crashed := range silent {
+			if rounds[crashed]++; rounds[crashed] <= maxOrphanRounds {
+				r.settleOne(ctx, crashed)
 			}
 		}
 	}
 }
 
 // settleOne charges the ended attempts of one crashed router and logs the result.
-func (r *Router) settleOne(ctx context.Context, dead granitehoist.Incarnation) {
-	result, err := r.SettleOrphans(ctx, dead, false)
+func (r *Router) settleOne(ctx context.Context, crashed granitehoist.Incarnation) {
+	result, err := r.SettleOrphans(ctx, crashed, false)
 	if err != nil {
 		r.logFailure("orphan_failed", err)
 		return
 	}
 	if result.Charged > 0 {
 		r.settings.Log.Info("orphans_charged",
-			zap.String("dead", string(dead)),
+			zap.String("dead", string(crashed)),
 			zap.Int("charged", result.Charged),
 			zap.Int("running", result.Running),
 			zap.Int("unreached", len(result.Unreached)))
@@ -69,23 +69,23 @@
 // SettleOrphans charges the attempts of a crashed router. If stop is set, attempts that
 // still run are aborted first, so the router must be known to have stopped. It is
 // idempotent: no attempt is charged twice.
-func (r *Router) SettleOrphans(ctx context.Context, dead granitehoist.Incarnation, stop bool) (orphan.Result, error) {
-	return r.components.orphans.Settle(ctx, dead, stop, r.settings.Clock())
+func (r *Router) SettleOrphans(ctx context.Context, crashed granitehoist.Incarnation, stop bool) (orphan.Result, error) {
+	return r.components.orphans.Settle(ctx, crashed, stop, r.settings.Clock())
 }
 
 // serveOrphans charges the attempts of a router that an operator declares stopped, and
 // removes its registration. It fails with RouterLive if the router still renews its lease.
 func (r *Router) serveOrphans(w http.ResponseWriter, req *http.Request) {
-	dead := granitehoist.Incarnation(req.PathValue("incarnation"))
+	crashed := granitehoist.Incarnation(req.PathValue("incarnation"))
 	for _, m := range r.store.members.View().Members() {
-		if m.Incarnation == dead {
-			writeError(w, granitehoist.Errorf(granitehoist.RouterLive, "%s", dead))
+		if m.Incarnation == crashed {
+			writeError(w, granitehoist.Errorf(granitehoist.RouterLive, "%s", crashed))
 			return
 		}
 	}
-	result, err := r.SettleOrphans(req.Context(), dead, true)
+	result, err := r.SettleOrphans(req.Context(), crashed, true)
 	if err == nil {
-		err = r.withdraw(req.Context(), dead)
+		err = r.withdraw(req.Context(), crashed)
 	}
 	if err != nil {
 		writeError(w, granitehoist.Wrap(granitehoist.StoreDown, err, ""))
