--- a/standin/answering.go
+++ b/standin/activeanswer.go
@@ -14,21 +14,21 @@
 	"granitehoist.example/granitehoist/partner/upstream"
 )
 
-// answering is one answer in progress. Its fields do not change but for plan,
-// which a resumption clears; engine.mu guards the execution.
-type answering struct {
+// activeAnswer is an answer that is being sent. Its fields don't change except faults, which
+// are cleared when its stream is resumed. engine.mu guards execution.
+type activeAnswer struct {
 	engine    *Engine
 	execution *Execution
-	plan      plan
+	faults    requestFaults
 	request   *CompletionRequest
 	id        string
 	chat      bool
 	words     []string
 }
 
-// next waits for the next word's time and counts it. It returns false when the
-// attempt has been ended or its reader has closed the connection.
-func (a *answering) next(i int, r *http.Request) bool {
+// produceNext waits for the delay of the i-th word and counts the word as output. It returns
+// false if the attempt was cancelled or the caller closed the connection.
+func (a *activeAnswer) produceNext(i int, r *http.Request) bool {
 	delay := a.engine.settings.TokenDelay
 	if i == 0 {
 		delay = a.engine.settings.FirstDelay
@@ -39,15 +39,15 @@
 	return r.Context().Err() == nil && a.engine.produce(a.execution)
 }
 
-// produced returns the words that were counted.
-func (a *answering) produced() granitehoist.Tokens {
+// outputTokens returns the number of tokens generated so far.
+func (a *activeAnswer) outputTokens() granitehoist.Tokens {
 	a.engine.mu.Lock()
 	defer a.engine.mu.Unlock()
 	return a.execution.Output
 }
 
-func (a *answering) usage() *upstream.EngineUsage {
-	if a.plan.noUsage {
+func (a *activeAnswer) usage() *upstream.EngineUsage {
+	if a.faults.noUsage {
 		return nil
 	}
 	a.engine.mu.Lock()
@@ -55,40 +55,40 @@
 	return a.execution.usage()
 }
 
-var finishStop = "stop"
+var finishReasonStop = "stop"
 
-// complete sends the answer as one body.
-func (a *answering) complete(w http.ResponseWriter, r *http.Request) {
+// complete sends the answer as a single body.
+func (a *activeAnswer) complete(w http.ResponseWriter, r *http.Request) {
 	for i := range a.words {
-		if !a.next(i, r) {
+		if !a.produceNext(i, r) {
 			panic(http.ErrAbortHandler)
 		}
-		if a.plan.cut && i == len(a.words)/2 {
+		if a.faults.cut && i == len(a.words)/2 {
 			panic(http.ErrAbortHandler)
 		}
 	}
-	c := Choice{FinishReason: &finishStop}
+	c := Choice{FinishReason: &finishReasonStop}
 	text := strings.Join(a.words, " ")
 	if a.chat {
 		c.Message = &ChatMessage{Role: "assistant", Content: ChatContent(text)}
 	} else {
 		c.Text = text
 	}
-	reply(w, Completion{ID: a.id, Object: "completion", Model: a.request.Model, Choices: []Choice{c}, Usage: a.usage()}, nil)
+	writeJSON(w, Completion{ID: a.id, Object: "completion", Model: a.request.Model, Choices: []Choice{c}, Usage: a.usage()}, nil)
 }
 
-// stream sends the events of the answer from a word on, at the engine's pace for
-// words that were not produced before.
-func (a *answering) stream(w http.ResponseWriter, r *http.Request, from int) {
+// stream sends the answer as events, beginning with the word at index from. Only words that
+// were not generated before are delayed and counted.
+func (a *activeAnswer) stream(w http.ResponseWriter, r *http.Request, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i, word := range a.words {
 		if i < from {
 			continue
 		}
-		if granitehoist.Tokens(i) >= a.produced() && !a.next(i, r) {
+		if granitehoist.Tokens(i) >= a.outputTokens() && !a.produceNext(i, r) {
 			panic(http.ErrAbortHandler)
 		}
-		if a.plan.cut && i == len(a.words)/2 {
+		if a.faults.cut && i == len(a.words)/2 {
 			a.engine.hold(a)
 			panic(http.ErrAbortHandler)
 		}
@@ -102,21 +102,21 @@
 			c.Text = word
 		}
 		if i == len(a.words)-1 {
-			c.FinishReason = &finishStop
+			c.FinishReason = &finishReasonStop
 		}
 		a.send(w, Completion{ID: a.id, Object: "chunk", Model: a.request.Model, Choices: []Choice{c}})
 	}
-	if a.request.StreamOptions.IncludeUsage && !a.plan.noUsage {
+	if a.request.StreamOptions.IncludeUsage && !a.faults.noUsage {
 		a.send(w, Completion{ID: a.id, Object: "chunk", Model: a.request.Model, Choices: []Choice{}, Usage: a.usage()})
 	}
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// send writes one event.
-func (a *answering) send(w http.ResponseWriter, c Completion) {
+// send writes and flushes one event.
+func (a *activeAnswer) send(w http.ResponseWriter, c Completion) {
 	raw, err := json.Marshal(c)
 	if err != nil {
-		panic("standin: answer does not encode: " + err.Error())
+		panic("standin: encode completion: " + err.Error())
 	}
 	fmt.Fprintf(w, "data: %s\n\n", raw)
 	if f, ok := w.(http.Flusher); ok {
--- a/standin/clock.go
+++ b/standin/clock.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Clock is the clock of a machine that a test suspends: its time leaps, while timers and
-// the steady clock notice nothing. The zero value works. It is safe for concurrent use.
+// Clock simulates the wall clock of a machine that is suspended: wall time jumps ahead,
+// while timers and the monotonic clock don't. The zero value is ready to use. It is safe
+// for concurrent use.
 type Clock struct {
-	mu   sync.Mutex
-	leap time.Duration
+	mu     sync.Mutex
+	offset time.Duration
 }
 
-// Now returns the present time, suspensions included, without a reading of the steady
-// clock.
+// Now returns the current time including suspensions, without a monotonic clock reading.
 func (c *Clock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Round(0).Add(c.leap)
+	return time.Now().Round(0).Add(c.offset)
 }
 
-// Suspend lets the time leap, as if the machine had been suspended for d.
+// Suspend moves the clock forward as if the machine had been suspended for d.
 func (c *Clock) Suspend(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leap += d
+	c.offset += d
 }
--- a/standin/completion.go
+++ b/standin/completion.go
@@ -13,7 +13,7 @@
 	"granitehoist.example/granitehoist/partner/upstream"
 )
 
-// CompletionRequest is what an engine reads of a request.
+// CompletionRequest holds the fields of a completion request that an Engine reads.
 type CompletionRequest struct {
 	Model         string        `json:"model"`
 	Prompt        string        `json:"prompt"`
@@ -25,15 +25,15 @@
 	} `json:"stream_options"`
 }
 
-// ChatMessage is one message of a chat, of the caller or of the engine, or a
-// piece of one in a stream, which has no role.
+// ChatMessage is a chat message of the caller or the engine or, without a role, a part of
+// one in a stream.
 type ChatMessage struct {
 	Role    string      `json:"role,omitempty"`
 	Content ChatContent `json:"content"`
 }
 
-// ChatContent is the text of a message. Callers send it as text or as a list of
-// parts, of which those of type "text" count.
+// ChatContent is the text of a message. It decodes from a string or from a list of parts,
+// of which only those of type "text" are used.
 type ChatContent string
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -59,19 +59,19 @@
 	return nil
 }
 
-// What the engine's stand-in counts.
+// The token counts and answer lengths of an Engine.
 const (
-	// messageTokens is what a chat message costs beyond its text.
+	// messageTokens is the number of tokens of a chat message besides its text.
 	messageTokens = 4
-	// bytesPerToken is the bytes of text that make a token.
+	// bytesPerToken is the number of bytes of text per token.
 	bytesPerToken = 4
-	// leastWords and moreWords make answers of 4 to 31 words.
-	leastWords = 4
-	// moreWords is the number of different lengths.
-	moreWords = 28
+	// minWords is the number of words of the shortest answer.
+	minWords = 4
+	// wordCounts is the number of different answer lengths.
+	wordCounts = 28
 )
 
-// prompt returns the text that the answer depends on, and its tokens.
+// prompt returns the text of the prompt and its number of tokens.
 func (c *CompletionRequest) prompt() (string, granitehoist.Tokens) {
 	text := c.Prompt
 	tokens := 0
@@ -83,18 +83,19 @@
 	return text, granitehoist.Tokens(max(1, tokens))
 }
 
-// Cost returns what an engine counts for a prompt of one chat message.
+// Cost returns the tokens that an Engine reports for a prompt of one chat message, input
+// and output, with at most limit output tokens.
 func Cost(prompt string, limit int) granitehoist.Tokens {
 	request := CompletionRequest{Messages: []ChatMessage{{Content: ChatContent(prompt)}}}
 	_, tokens := request.prompt()
 	return tokens + granitehoist.Tokens(len(Answer(prompt, limit)))
 }
 
-// Answer returns the words that an engine answers to a prompt: one token each,
-// at most limit. It depends on nothing else, so a caller can check it.
+// Answer returns the words of an Engine's answer to a prompt, one token each and at most
+// limit. It is deterministic, so callers can check answers.
 func Answer(prompt string, limit int) []string {
 	seed := xxhash.Sum64String(prompt)
-	count := min(limit, leastWords+int(seed%moreWords))
+	count := min(limit, minWords+int(seed%wordCounts))
 	words := make([]string, count)
 	for i := range words {
 		words[i] = fmt.Sprintf("w%04x", (seed>>(i%48))&0xffff)
@@ -102,8 +103,8 @@
 	return words
 }
 
-// Choice is the one choice of a Completion: text, a message, or the next piece
-// of a streamed message.
+// Choice is the single choice of a Completion: text, a message, or a delta of a streamed
+// message.
 type Choice struct {
 	Index        int          `json:"index"`
 	Text         string       `json:"text,omitempty"`
@@ -112,7 +113,7 @@
 	FinishReason *string      `json:"finish_reason"`
 }
 
-// Completion is an engine's answer, or one event of a streamed answer.
+// Completion is the answer of an Engine, or one event of a streamed answer.
 type Completion struct {
 	ID      string                `json:"id"`
 	Object  string                `json:"object"`
--- a/standin/content_test.go
+++ b/standin/completion_test.go
@@ -12,8 +12,8 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-var _ = Describe("The engine's stand-in", func() {
-	It("reads a message whose content is a list of parts", func() {
+var _ = Describe("ChatMessage", func() {
+	It("decodes content from text or from a list of parts, and no other type", func() {
 		var m standin.ChatMessage
 		Expect(json.Unmarshal([]byte(`{"role":"user","content":[{"type":"text","text":"which "},{"type":"image_url"},{"type":"text","text":"lock?"}]}`), &m)).To(Succeed())
 		Expect(m.Content).To(Equal(standin.ChatContent("which lock?")))
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,20 +1,18 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package standin holds small stand-ins of the systems around the routers: the
-// platform's store, a model engine and a plain service as the partner router
-// calls them, and a worker of the users' platform, which granitehoist-edge
-// calls. They run in process for trials and tests, or as processes of their own
-// ('granitehoist standin'), and fail on command. Each keeps books of what it
-// did, against which the routers are judged.
+// Package standin provides fakes of the systems around the routers: the platform's
+// store, a model engine and a plain service for 'granitehoist router', and a worker of the
+// platform for granitehoist-edge. They run in process or as separate processes
+// ('granitehoist standin'), inject faults on request and record what they executed, so
+// that tests can check the routers against the records.
 //
-// Each stand-in owns its books and faults, guards them by its own lock and may
-// be called at any time by any goroutine; its faults hold for the requests that
-// begin after Fail. The package relies on partner/upstream for the engines'
-// messages and on partner/boxlist for the list of boxes. No router runs it:
-// 'granitehoist standin', packages trial and measure, and tests do.
+// Each fake guards its records and faults by its own lock and is safe for concurrent use.
+// Faults apply to requests that begin after the call of Fail. The package uses
+// partner/upstream for the engines' messages and partner/boxlist for the list of boxes. No
+// router uses it; 'granitehoist standin', packages trial and measure, and tests do.
 //
-// Begin reading at Store, which both routers use and PlatformStore serves; at
-// Engine and Plain for the partner router; and at Worker, whose WorkerAnswer lists
-// the failures that a test can script, for granitehoist-edge.
+// Begin reading at Store, which PlatformStore serves to both routers; at Engine and Plain
+// for the partners' router; and at Worker, whose WorkerAnswer lists the faults that a test
+// can script, for granitehoist-edge.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -14,57 +14,57 @@
 	"granitehoist.example/granitehoist/partner/upstream"
 )
 
-// EngineSettings configure an Engine. The zero value works.
+// EngineSettings configure an Engine. The zero value adds no delays.
 type EngineSettings struct {
-	// TokenDelay is the time for one output token.
+	// TokenDelay is the time per output token after the first.
 	TokenDelay time.Duration
-	// FirstDelay is the time to the first token.
+	// FirstDelay is the time to the first output token.
 	FirstDelay time.Duration
 }
 
-// EngineFaults are the failures that an Engine shows on command. A count n
-// lets every n-th request fail; zero lets none.
+// EngineFaults are the faults that an Engine injects. A count n affects every n-th request;
+// zero affects none.
 type EngineFaults struct {
-	// RefuseEvery answers status 503 and does not run the request.
+	// RefuseEvery returns status 503 without running the request.
 	RefuseEvery int
-	// CutEvery ends the connection in the middle of an answer. The stream can be
-	// resumed unless Forget is set.
+	// CutEvery closes the connection in the middle of an answer. A stream can be resumed
+	// unless Forget is set.
 	CutEvery int
-	// Forget ends the attempt of a cut stream, so that nothing can resume it.
+	// Forget ends the attempt of an interrupted stream, so that it can't be resumed.
 	Forget bool
-	// CrossEvery gives the answer the id of another attempt.
+	// CrossEvery returns the answer with the id of another request.
 	CrossEvery int
-	// NoUsageEvery leaves the usage out.
+	// NoUsageEvery omits the usage.
 	NoUsageEvery int
-	// Leaving refuses every request.
+	// Leaving refuses every request with status 503.
 	Leaving bool
 }
 
-// Engine is a stand-in of a model engine. Its answer to a prompt is Answer. See
-// NewEngine; it is safe for concurrent use.
+// Engine is a fake model engine, which answers a prompt with Answer. Use NewEngine. It is
+// safe for concurrent use.
 type Engine struct {
 	settings EngineSettings
 
-	// mu guards the fields below it and every Execution in books.
-	mu       sync.Mutex
-	faults   EngineFaults
-	requests int
-	books    map[granitehoist.AttemptID]*Execution
+	// mu guards the fields below it and every Execution in executions.
+	mu         sync.Mutex
+	faults     EngineFaults
+	requests   int
+	executions map[granitehoist.AttemptID]*Execution
 }
 
-// NewEngine returns an engine.
+// NewEngine returns an engine without faults.
 func NewEngine(s EngineSettings) *Engine {
-	return &Engine{settings: s, books: map[granitehoist.AttemptID]*Execution{}}
+	return &Engine{settings: s, executions: map[granitehoist.AttemptID]*Execution{}}
 }
 
-// Fail sets the failures from now on.
+// Fail replaces the faults for requests that begin after the call.
 func (e *Engine) Fail(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// Handler serves the engine's protocol.
+// Handler returns the HTTP handler of the engine's protocol.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
@@ -75,32 +75,32 @@
 	return mux
 }
 
-// serveCompletion runs a request and answers it as one body or as a stream. The
-// attempt ends with the connection, unless its stream is held for a resumption.
+// serveCompletion runs a request and sends the answer as one body or as a stream. The
+// attempt ends with the connection, unless its stream can be resumed.
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var request CompletionRequest
-	if !read(w, r, &request) {
+	if !decodeBody(w, r, &request) {
 		return
 	}
 	attempt := granitehoist.AttemptID(r.Header.Get(upstream.HeaderAttempt))
 	prompt, tokens := request.prompt()
-	x, p := e.begin(attempt, prompt, tokens)
+	x, p := e.startExecution(attempt, prompt, tokens)
 	if x == nil {
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return
 	}
-	defer e.end(x)
-	shown := string(attempt)
+	defer e.endExecution(x)
+	answerID := string(attempt)
 	if p.cross {
-		shown = "of-another-request"
+		answerID = "of-another-request"
 	}
 	w.Header().Set(upstream.HeaderAttempt, string(attempt))
-	a := answering{
+	a := activeAnswer{
 		engine:    e,
 		execution: x,
-		plan:      p,
+		faults:    p,
 		request:   &request,
-		id:        "cmpl-" + shown,
+		id:        "cmpl-" + answerID,
 		chat:      strings.Contains(r.URL.Path, "chat"),
 		words:     Answer(prompt, request.MaxTokens),
 	}
@@ -111,8 +111,8 @@
 	}
 }
 
-// serveResume continues a cut stream after the events that the reader has. Words
-// that were counted are not counted again.
+// serveResume continues an interrupted stream after the events that the caller has
+// received. Tokens that were counted before are not counted again.
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	attempt := granitehoist.AttemptID(r.Header.Get(upstream.HeaderAttempt))
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
@@ -121,42 +121,41 @@
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	defer e.end(a.execution)
+	defer e.endExecution(a.execution)
 	w.Header().Set(upstream.HeaderAttempt, string(attempt))
 	a.stream(w, r, from)
 }
 
-// serveCancel ends an attempt and tells its cost. An attempt that it does not
-// know is entered as ended without cost, so that a request that is still on
-// its way does not run.
+// serveCancel ends an attempt and returns its usage. An unknown attempt is recorded as ended
+// without usage, so that a request that arrives later does not run.
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	var request upstream.CancelRequest
-	if !read(w, r, &request) {
+	if !decodeBody(w, r, &request) {
 		return
 	}
 	e.mu.Lock()
-	x, ok := e.books[request.ID]
+	x, ok := e.executions[request.ID]
 	if !ok {
 		x = &Execution{Attempt: request.ID}
-		e.books[request.ID] = x
+		e.executions[request.ID] = x
 	}
 	x.Ended = true
 	record := upstream.AttemptRecord{ID: x.Attempt, Ended: true, Usage: x.usage()}
 	e.mu.Unlock()
-	reply(w, record, nil)
+	writeJSON(w, record, nil)
 }
 
-// serveAttempts lists the attempts whose ids begin with a prefix, which names the
+// serveAttempts lists the attempts whose ids begin with a prefix, which identifies the
 // router that sent them.
 func (e *Engine) serveAttempts(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get("prefix")
 	var list upstream.AttemptList
 	e.mu.Lock()
-	for id, x := range e.books {
+	for id, x := range e.executions {
 		if strings.HasPrefix(string(id), prefix) {
 			list.Attempts = append(list.Attempts, upstream.AttemptRecord{ID: id, Ended: x.Ended, Usage: x.usage()})
 		}
 	}
 	e.mu.Unlock()
-	reply(w, list, nil)
+	writeJSON(w, list, nil)
 }
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -14,69 +14,68 @@
 	"granitehoist.example/granitehoist/partner/upstream"
 )
 
-// PlainFaults are the failures that a Plain service shows on command. A count
-// n lets every n-th request fail; zero lets none.
+// PlainFaults are the faults that a Plain service injects. A count n affects every n-th
+// request; zero affects none.
 type PlainFaults struct {
-	// LoseEvery runs the request and ends the connection without an answer.
+	// LoseEvery runs the request and closes the connection without an answer.
 	LoseEvery int
-	// CrossEvery answers with the id of another attempt.
+	// CrossEvery returns the answer with the id of another request.
 	CrossEvery int
-	// Delay is added before each answer.
+	// Delay is added before each answer. Zero adds none.
 	Delay time.Duration
 }
 
-// Plain is a stand-in of a plain service. It runs each request and answers
-// what it was sent. See NewPlain; it is safe for concurrent use.
+// Plain is a fake plain service, which echoes each request. Use NewPlain. It is safe for
+// concurrent use.
 type Plain struct {
 	// mu guards the fields below it.
 	mu       sync.Mutex
 	faults   PlainFaults
 	requests int
-	// runs counts the executions by path and body, attempts by attempt.
+	// runs counts the executions by path and body, attempts by attempt id.
 	runs     map[string]int
 	attempts map[granitehoist.AttemptID]int
 }
 
-// NewPlain returns a service.
+// NewPlain returns a service without faults.
 func NewPlain() *Plain {
 	return &Plain{runs: map[string]int{}, attempts: map[granitehoist.AttemptID]int{}}
 }
 
-// Fail sets the failures from now on.
+// Fail replaces the faults for requests that begin after the call.
 func (p *Plain) Fail(f PlainFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-// Runs returns how often each path with its body was executed.
+// Runs returns the number of executions for each path and body, joined by a space.
 func (p *Plain) Runs() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.runs)
 }
 
-// Attempts returns how often each attempt was executed.
+// Attempts returns the number of executions for each attempt id.
 func (p *Plain) Attempts() map[granitehoist.AttemptID]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.attempts)
 }
 
-// PlainAnswer is the body of an answer.
+// PlainAnswer is the body of a Plain service's answer.
 type PlainAnswer struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   string `json:"body"`
 }
 
-// Handler serves the service.
+// Handler returns the HTTP handler of the service.
 func (p *Plain) Handler() http.Handler {
 	return http.HandlerFunc(p.serve)
 }
 
-// serve runs a request and answers what it was sent, or fails as the faults say:
-// the request has run in each case.
+// serve counts a request as run and then echoes it or injects a fault.
 func (p *Plain) serve(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, granitehoist.MaxValueSize))
 	if err != nil {
@@ -95,15 +94,15 @@
 		attempt = "of-another-request"
 	}
 	w.Header().Set(upstream.HeaderAttempt, string(attempt))
-	reply(w, PlainAnswer{Method: r.Method, Path: r.URL.Path, Body: string(body)}, nil)
+	writeJSON(w, PlainAnswer{Method: r.Method, Path: r.URL.Path, Body: string(body)}, nil)
 }
 
-// run counts one execution.
-func (p *Plain) run(what string, attempt granitehoist.AttemptID) (faults PlainFaults, lose, cross bool) {
+// run counts one execution and returns the faults to inject.
+func (p *Plain) run(pathAndBody string, attempt granitehoist.AttemptID) (faults PlainFaults, lose, cross bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests++
-	p.runs[what]++
+	p.runs[pathAndBody]++
 	p.attempts[attempt]++
 	return p.faults, isEveryNth(p.faults.LoseEvery, p.requests), isEveryNth(p.faults.CrossEvery, p.requests)
 }
--- a/standin/platformmessages.go
+++ b/standin/platformmessages.go
@@ -10,7 +10,7 @@
 	"granitehoist.example/granitehoist"
 )
 
-// The messages of the users' protocol.
+// The messages of the protocol of the platform's store.
 type (
 	platformItem struct {
 		PrivateKey  string `json:"privateKey"`
@@ -38,26 +38,25 @@
 		Lease uint64 `json:"lease,omitempty"`
 		TTLMs int64  `json:"ttl_ms"`
 	}
-	platformWritten struct {
+	transactionResult struct {
 		ModRevision uint64         `json:"modRevision,omitempty"`
 		Entries     []platformItem `json:"entries,omitempty"`
 	}
 )
 
-func itemOf(e granitehoist.Entry) platformItem {
+func newItem(e granitehoist.Entry) platformItem {
 	return platformItem{PrivateKey: e.Key, Data: e.Value, ModRevision: uint64(e.Version), Gone: e.Deleted}
 }
 
-func itemsOf(entries []granitehoist.Entry) []platformItem {
+func newItems(entries []granitehoist.Entry) []platformItem {
 	items := make([]platformItem, 0, len(entries))
 	for _, e := range entries {
-		items = append(items, itemOf(e))
+		items = append(items, newItem(e))
 	}
 	return items
 }
 
-// changes returns the changes of a transaction, one for each key that it expects
-// something of.
+// changes converts a transaction to one change for each of its preconditions.
 func (t platformTransaction) changes() []granitehoist.Change {
 	var changes []granitehoist.Change
 	for _, expected := range t.ExpectedRevision {
@@ -76,7 +75,7 @@
 	return changes
 }
 
-// lease returns the lease of an item, empty if it has none.
+// lease returns the lease id of an item, or "" if it has none.
 func (i platformItem) lease() granitehoist.LeaseID {
 	if i.Lease == 0 {
 		return ""
--- a/standin/platformstore.go
+++ b/standin/platformstore.go
@@ -15,41 +15,41 @@
 	"granitehoist.example/granitehoist/internal/pause"
 )
 
-// PlatformStore serves the protocol of the users' store from a Store. Several
-// may serve the same Store, each with its own failures. It implements
-// http.Handler, and its methods are safe for concurrent use.
+// PlatformStore serves a Store by the HTTP protocol of the platform's store. Several may
+// serve the same Store with different faults. It implements http.Handler, and its methods
+// are safe for concurrent use.
 type PlatformStore struct {
 	// Store holds the keys.
 	Store *Store
-	// PageItems bounds the items of a page of a list; zero stands for
-	// smallPage.
+	// PageItems is the maximum number of items on a page of a list; zero means
+	// testPageItems.
 	PageItems int
 
 	mu     sync.Mutex
 	faults PlatformFaults
 }
 
-// PlatformFaults are the failures that a PlatformStore shows on command.
+// PlatformFaults are the faults that a PlatformStore injects.
 type PlatformFaults struct {
-	// Refuse answers every call with that status, if set.
+	// Refuse, unless zero, is the status of the response to every call.
 	Refuse int
-	// Hang answers no call.
+	// Hang leaves every call without a response.
 	Hang bool
-	// HistoryFrom is the oldest version from which a watch can go on; a watch
-	// from an older one gets 410.
+	// HistoryFrom is the oldest version from which a watch can continue. A watch from an
+	// older version gets status 410.
 	HistoryFrom granitehoist.Version
-	// Deaf watches report no change; their connection ends after their wait.
+	// Deaf makes watches report no changes and lose their connection after the wait.
 	Deaf bool
 }
 
-// Fail sets the failures.
+// Fail replaces the faults for calls that begin afterwards.
 func (p *PlatformStore) Fail(f PlatformFaults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults = f
 }
 
-func (p *PlatformStore) failing() PlatformFaults {
+func (p *PlatformStore) currentFaults() PlatformFaults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.faults
@@ -57,7 +57,7 @@
 
 // ServeHTTP implements http.Handler.
 func (p *PlatformStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	faults := p.failing()
+	faults := p.currentFaults()
 	switch {
 	case faults.Hang:
 		<-r.Context().Done()
@@ -86,66 +86,63 @@
 	}
 }
 
-// refuse answers with what an error of the Store stands for.
-func (p *PlatformStore) refuse(w http.ResponseWriter, err error) {
+// writeError writes the status for an error of the Store.
+func (p *PlatformStore) writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, granitehoist.ErrUnknown):
-		// The connection ends without an answer.
+		// The connection closes without a response.
 		panic(http.ErrAbortHandler)
 	case errors.Is(err, granitehoist.ErrNoLease):
 		w.WriteHeader(http.StatusNotFound)
 	case errors.Is(err, granitehoist.ErrUnavailable):
 		w.WriteHeader(http.StatusServiceUnavailable)
 	default:
-		// A value that is too large is the only other error.
+		// The other errors are invalid changes.
 		w.WriteHeader(http.StatusBadRequest)
 	}
 }
 
-// get answers one key; a key that does not exist is 404.
+// get returns the entry of a key, or status 404 if the key does not exist.
 func (p *PlatformStore) get(w http.ResponseWriter, r *http.Request) {
 	entry, err := p.Store.Get(r.Context(), r.URL.Query().Get("privateKey"))
 	switch {
 	case err != nil:
-		p.refuse(w, err)
+		p.writeError(w, err)
 	case entry.Version == 0:
 		w.WriteHeader(http.StatusNotFound)
 	default:
-		reply(w, itemOf(entry), nil)
+		writeJSON(w, newItem(entry), nil)
 	}
 }
 
 const (
-	// smallPage is the number of items on a page of a list in tests, so few that
-	// they turn pages.
-	smallPage = 5
-	// platformPage is the number of items on a page of the users' store, by their
-	// page on its protocol.
-	platformPage = 500
-	// platformPageBytes bounds the values on a page of the users' store, by the
-	// same page.
+	// testPageItems is a small page size, so that lists in tests have several pages.
+	testPageItems = 5
+	// platformPageItems is the page size of the platform's store, in items.
+	platformPageItems = 500
+	// platformPageBytes is the maximum total size of the values on a page of the
+	// platform's store.
 	platformPageBytes = 1 << 20
 )
 
-// list answers one page of the keys under a prefix. sinceRevision is the last key
-// of the page before.
+// list returns one page of the entries under a prefix. sinceRevision is the last key of the
+// previous page.
 func (p *PlatformStore) list(w http.ResponseWriter, r *http.Request) {
 	entries, at, err := p.Store.List(r.Context(), r.URL.Query().Get("pathPrefix"))
 	if err != nil {
-		p.refuse(w, err)
+		p.writeError(w, err)
 		return
 	}
 	items := p.PageItems
 	if items == 0 {
-		items = smallPage
+		items = testPageItems
 	}
 	page, more := pageAfter(entries, r.URL.Query().Get("sinceRevision"), items)
-	reply(w, platformRange{Entries: itemsOf(page), More: more, At: uint64(at)}, nil)
+	writeJSON(w, platformRange{Entries: newItems(page), More: more, At: uint64(at)}, nil)
 }
 
-// pageAfter returns the entries of one page, which begins behind a key, and
-// whether more follow. entries are sorted by key. A page has at least one entry
-// if there is one.
+// pageAfter returns the page of entries that begins after a key, and whether more entries
+// follow. entries must be sorted by key. A page has at least one entry if any is left.
 func pageAfter(entries []granitehoist.Entry, after string, items int) ([]granitehoist.Entry, bool) {
 	var page []granitehoist.Entry
 	size := 0
@@ -163,8 +160,8 @@
 	return page, false
 }
 
-// watch answers the changes under a prefix since a version, as soon as there are
-// some or with none after the wait.
+// watch returns the changes under a prefix since a version as soon as there are any, or
+// none after the wait.
 func (p *PlatformStore) watch(w http.ResponseWriter, r *http.Request, faults PlatformFaults) {
 	query := r.URL.Query()
 	revision, revisionErr := strconv.ParseUint(query.Get("sinceRevision"), 10, 64)
@@ -185,17 +182,17 @@
 	}
 	entries, at, err := p.Store.Watch(r.Context(), query.Get("pathPrefix"), since, wait)
 	if err != nil {
-		p.refuse(w, err)
+		p.writeError(w, err)
 		return
 	}
-	reply(w, platformEvents{Events: itemsOf(entries), At: uint64(at)}, nil)
+	writeJSON(w, platformEvents{Events: newItems(entries), At: uint64(at)}, nil)
 }
 
-// write serves transactions that expect something of each key that they write, which is
-// all that the project makes.
+// write runs a transaction. It rejects transactions without a precondition for each
+// written key.
 func (p *PlatformStore) write(w http.ResponseWriter, r *http.Request) {
 	var transaction platformTransaction
-	if !read(w, r, &transaction) {
+	if !decodeBody(w, r, &transaction) {
 		return
 	}
 	if len(transaction.ExpectedRevision) != len(transaction.Put)+len(transaction.Delete) {
@@ -206,51 +203,51 @@
 	version, err := p.Store.CompareAndSwapAll(r.Context(), changes)
 	switch {
 	case errors.Is(err, granitehoist.ErrConflict):
-		p.answerConflict(w, r, changes)
+		p.writeConflict(w, r, changes)
 	case err != nil:
-		p.refuse(w, err)
+		p.writeError(w, err)
 	default:
-		reply(w, platformWritten{ModRevision: uint64(version)}, nil)
+		writeJSON(w, transactionResult{ModRevision: uint64(version)}, nil)
 	}
 }
 
-// answerConflict answers with the states that the keys have instead.
-func (p *PlatformStore) answerConflict(w http.ResponseWriter, r *http.Request, changes []granitehoist.Change) {
+// writeConflict writes the current entries of the keys of a failed transaction.
+func (p *PlatformStore) writeConflict(w http.ResponseWriter, r *http.Request, changes []granitehoist.Change) {
 	var items []platformItem
 	for _, change := range changes {
 		current, err := p.Store.Get(r.Context(), change.Key)
 		if err != nil {
-			p.refuse(w, err)
+			p.writeError(w, err)
 			return
 		}
-		items = append(items, itemOf(current))
+		items = append(items, newItem(current))
 	}
 	w.WriteHeader(http.StatusPreconditionFailed)
-	reply(w, platformWritten{Entries: items}, nil)
+	writeJSON(w, transactionResult{Entries: items}, nil)
 }
 
-// grantLease answers the number of a new lease.
+// grantLease grants a lease and returns its number.
 func (p *PlatformStore) grantLease(w http.ResponseWriter, r *http.Request) {
 	var lease platformLease
-	if !read(w, r, &lease) {
+	if !decodeBody(w, r, &lease) {
 		return
 	}
 	id, err := p.Store.GrantLease(r.Context(), time.Duration(lease.TTLMs)*time.Millisecond)
 	if err != nil {
-		p.refuse(w, err)
+		p.writeError(w, err)
 		return
 	}
 	number, err := strconv.ParseUint(string(id), 10, 64)
 	if err != nil {
-		panic("standin: a lease of the store has no number: " + string(id))
+		panic("standin: lease id is not a number: " + string(id))
 	}
-	reply(w, platformLease{Lease: number, TTLMs: lease.TTLMs}, nil)
+	writeJSON(w, platformLease{Lease: number, TTLMs: lease.TTLMs}, nil)
 }
 
 func (p *PlatformStore) renewLease(w http.ResponseWriter, r *http.Request, id granitehoist.LeaseID) {
 	if err := p.Store.RenewLease(r.Context(), id); err != nil {
-		p.refuse(w, err)
+		p.writeError(w, err)
 		return
 	}
-	reply(w, platformLease{}, nil)
+	writeJSON(w, platformLease{}, nil)
 }
--- a/standin/store.go
+++ b/standin/store.go
@@ -16,9 +16,9 @@
 	"granitehoist.example/granitehoist/internal/defaults"
 )
 
-// Store is a stand-in of the platform's store and of its list of boxes, in
-// memory. It implements granitehoist.Store and granitehoist.Platform, and is safe
-// for concurrent use. Its zero value is not usable; see NewStore.
+// Store is an in-memory fake of the platform's store and of its list of boxes. It
+// implements granitehoist.Store and granitehoist.Platform and is safe for concurrent use.
+// The zero value is not usable; use NewStore.
 type Store struct {
 	now   granitehoist.Clock
 	watch time.Duration
@@ -26,7 +26,7 @@
 	// mu guards the fields below it.
 	mu      sync.Mutex
 	version granitehoist.Version
-	// entries has deleted keys too, so that watches report them.
+	// entries includes deleted keys, so that watches report deletions.
 	entries map[string]storedEntry
 	leases  map[granitehoist.LeaseID]storedLease
 	boxes   map[granitehoist.Box]bool
@@ -36,21 +36,21 @@
 	calls   StoreCalls
 }
 
-// storedEntry is an entry with the lease that it ends with, if any.
+// storedEntry is an entry with the lease that it is bound to, if any.
 type storedEntry struct {
 	granitehoist.Entry
 	lease granitehoist.LeaseID
 }
 
-// StoreSettings configure a Store. The zero value works.
+// StoreSettings configure a Store. The zero value is ready to use.
 type StoreSettings struct {
-	// Clock ends leases; nil stands for time.Now.
+	// Clock determines when leases expire; nil means time.Now.
 	Clock granitehoist.Clock
-	// Watch is the longest wait of a watch; zero stands for 20 seconds.
+	// Watch is the maximum wait of a watch; zero means 20 seconds.
 	Watch time.Duration
 }
 
-// defaultStoreWatch is as long as the longest watch that 'granitehoist router' asks for.
+// defaultStoreWatch is the longest wait that 'granitehoist router' requests.
 const defaultStoreWatch = 20 * time.Second
 
 // NewStore returns an empty store.
@@ -69,7 +69,7 @@
 	}
 }
 
-// ListBox enters a box in the list of boxes.
+// ListBox adds a box to the list of boxes, or updates whether it is leaving.
 func (s *Store) ListBox(b granitehoist.Box, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,15 +78,15 @@
 
 // Boxes implements granitehoist.Platform.
 func (s *Store) Boxes(ctx context.Context) (map[granitehoist.Box]bool, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	defer s.mu.Unlock()
 	return maps.Clone(s.boxes), nil
 }
 
-// put stores an entry under the present version and wakes the watches. The caller
-// holds the lock.
+// put stores an entry with the current version and wakes all watches. The caller must hold
+// the lock.
 func (s *Store) put(key string, e storedEntry) {
 	e.Key = key
 	e.Version = s.version
@@ -97,7 +97,7 @@
 
 // Get implements granitehoist.Store.
 func (s *Store) Get(ctx context.Context, key string) (granitehoist.Entry, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return granitehoist.Entry{}, err
 	}
 	defer s.mu.Unlock()
@@ -111,17 +111,18 @@
 
 // List implements granitehoist.Store.
 func (s *Store) List(ctx context.Context, prefix string) ([]granitehoist.Entry, granitehoist.Version, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return nil, 0, err
 	}
 	defer s.mu.Unlock()
 	s.calls.Reads++
-	live := slices.DeleteFunc(s.newer(prefix, 0), func(e granitehoist.Entry) bool { return e.Deleted })
+	live := slices.DeleteFunc(s.changedSince(prefix, 0), func(e granitehoist.Entry) bool { return e.Deleted })
 	return live, s.version, nil
 }
 
-// newer returns the entries under a prefix with a version above after, by key.
-func (s *Store) newer(prefix string, after granitehoist.Version) []granitehoist.Entry {
+// changedSince returns the entries under a prefix with a version above after, sorted by
+// key and including deletions. The caller must hold the lock.
+func (s *Store) changedSince(prefix string, after granitehoist.Version) []granitehoist.Entry {
 	var found []granitehoist.Entry
 	for key, e := range s.entries {
 		if strings.HasPrefix(key, prefix) && e.Version > after {
@@ -139,7 +140,7 @@
 
 // CompareAndSwapAll implements granitehoist.Store.
 func (s *Store) CompareAndSwapAll(ctx context.Context, changes []granitehoist.Change) (granitehoist.Version, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return 0, err
 	}
 	defer s.mu.Unlock()
@@ -154,14 +155,14 @@
 	return version, err
 }
 
-// change makes a write of all changes, if all of them may be made. The caller holds the
-// lock.
+// change applies all changes, or none if check rejects any of them. The caller must hold
+// the lock.
 func (s *Store) change(changes []granitehoist.Change) (granitehoist.Version, error) {
 	if len(changes) > granitehoist.MaxChanges {
-		return 0, fmt.Errorf("standin: write of %d changes", len(changes))
+		return 0, fmt.Errorf("standin: write of %d changes, more than %d", len(changes), granitehoist.MaxChanges)
 	}
 	for _, c := range changes {
-		if err := s.allows(c); err != nil {
+		if err := s.check(c); err != nil {
 			return 0, err
 		}
 	}
@@ -173,9 +174,9 @@
 	return s.version, nil
 }
 
-// allows returns why a change may not be made, nil if its key has the expected version
-// and its lease is there. The caller holds the lock.
-func (s *Store) allows(c granitehoist.Change) error {
+// check returns an error if the key does not have the expected version, the value is too
+// large or the lease does not exist. The caller must hold the lock.
+func (s *Store) check(c granitehoist.Change) error {
 	var current granitehoist.Version
 	if e, ok := s.entries[c.Key]; ok && !e.Deleted {
 		current = e.Version
@@ -184,7 +185,7 @@
 		return granitehoist.ErrConflict
 	}
 	if len(c.Value) > granitehoist.MaxValueSize {
-		return fmt.Errorf("standin: value of %d bytes", len(c.Value))
+		return fmt.Errorf("standin: value of %q has %d bytes, more than %d", c.Key, len(c.Value), granitehoist.MaxValueSize)
 	}
 	if _, ok := s.leases[c.Lease]; c.Lease != "" && !ok {
 		return granitehoist.ErrNoLease
@@ -200,11 +201,11 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		if err := s.enter(ctx); err != nil {
+		if err := s.beginCall(ctx); err != nil {
 			return nil, 0, err
 		}
 		s.calls.Watches++
-		found, version, changed := s.newer(prefix, after), s.version, s.changed
+		found, version, changed := s.changedSince(prefix, after), s.version, s.changed
 		s.mu.Unlock()
 		if len(found) > 0 {
 			return found, version, nil
--- a/standin/storefaults.go
+++ b/standin/storefaults.go
@@ -11,53 +11,52 @@
 	"granitehoist.example/granitehoist/internal/pause"
 )
 
-// StoreFaults are the failures that a Store shows after Store.Fail.
+// StoreFaults are the faults that a Store injects.
 type StoreFaults struct {
-	// Down refuses every call.
+	// Down makes every call fail with ErrUnavailable.
 	Down bool
-	// Silent answers no call: calls fail with an unknown outcome and have no
-	// effect.
+	// Silent makes every call fail with ErrUnknown and without effect.
 	Silent bool
-	// LoseEvery makes every n-th write lose its answer after it took effect; zero
-	// loses none.
+	// LoseEvery makes every n-th write return ErrUnknown after it took effect; zero
+	// affects none.
 	LoseEvery int
-	// DropEvery makes every n-th write lose its answer and have no effect; zero
-	// drops none.
+	// DropEvery makes every n-th write return ErrUnknown without effect; zero affects
+	// none.
 	DropEvery int
-	// Delay is added to each call.
+	// Delay is added to the start of each call.
 	Delay time.Duration
 }
 
-// StoreCalls counts the calls of a Store. Lease calls count as writes. A watch
-// counts once more each time that a write wakes it.
+// StoreCalls holds the numbers of calls of a Store. Lease calls count as writes. A watch
+// counts again each time that a write wakes it.
 type StoreCalls struct {
 	Reads, Writes, Watches int
 }
 
-// Fail replaces the failures from now on.
+// Fail replaces the faults for calls that begin afterwards.
 func (s *Store) Fail(f StoreFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Faults returns the failures that are set.
+// Faults returns the current faults.
 func (s *Store) Faults() StoreFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Calls returns the counts of calls.
+// Calls returns the numbers of calls so far.
 func (s *Store) Calls() StoreCalls {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// enter begins a call: it delays and refuses it as the faults say. If it returns
-// no error the store is locked, and the caller unlocks it.
-func (s *Store) enter(ctx context.Context) error {
+// beginCall applies the faults to a call and expires leases. If it returns nil, it holds the
+// lock, which the caller must release.
+func (s *Store) beginCall(ctx context.Context) error {
 	s.mu.Lock()
 	if delay := s.faults.Delay; delay > 0 {
 		s.mu.Unlock()
@@ -79,5 +78,5 @@
 	return nil
 }
 
-// isEveryNth reports whether a count is a multiple of n; it never is if n is zero.
+// isEveryNth reports whether count is a multiple of n. It returns false if n is zero.
 func isEveryNth(n, count int) bool { return n > 0 && count%n == 0 }
--- a/standin/storeleases.go
+++ b/standin/storeleases.go
@@ -11,29 +11,29 @@
 	"granitehoist.example/granitehoist"
 )
 
-// storedLease is a lease and the time at which it ends.
+// storedLease is a lease with its expiry time.
 type storedLease struct {
-	ttl  time.Duration
-	ends time.Time
+	ttl     time.Duration
+	expires time.Time
 }
 
-// GrantLease implements granitehoist.Store. The id is a decimal number, as in the
-// users' protocol.
+// GrantLease implements granitehoist.Store. The id is a decimal number, as in the protocol
+// of the platform's store.
 func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (granitehoist.LeaseID, error) {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return "", err
 	}
 	defer s.mu.Unlock()
 	s.calls.Writes++
 	s.version++
 	id := granitehoist.LeaseID(strconv.FormatUint(uint64(s.version), 10))
-	s.leases[id] = storedLease{ttl: ttl, ends: s.now().Add(ttl)}
+	s.leases[id] = storedLease{ttl: ttl, expires: s.now().Add(ttl)}
 	return id, nil
 }
 
 // RenewLease implements granitehoist.Store.
 func (s *Store) RenewLease(ctx context.Context, id granitehoist.LeaseID) error {
-	if err := s.enter(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
@@ -42,17 +42,16 @@
 	if !ok {
 		return granitehoist.ErrNoLease
 	}
-	lease.ends = s.now().Add(lease.ttl)
+	lease.expires = s.now().Add(lease.ttl)
 	s.leases[id] = lease
 	return nil
 }
 
-// expire removes the leases that have ended, and deletes their keys. The caller
-// holds the lock.
+// expire removes expired leases and deletes their keys. The caller must hold the lock.
 func (s *Store) expire() {
 	now := s.now()
 	for id, lease := range s.leases {
-		if now.Before(lease.ends) {
+		if now.Before(lease.expires) {
 			continue
 		}
 		delete(s.leases, id)
--- a/standin/storeserver.go
+++ b/standin/storeserver.go
@@ -12,29 +12,30 @@
 	"granitehoist.example/granitehoist/partner/boxlist"
 )
 
-// Handler serves what 'granitehoist router' needs of the platform: the store's
-// protocol as PlatformStore speaks it, and the list of boxes at boxlist.Path.
-// GET /calls answers StoreCalls.
+// Handler returns an HTTP handler of the platform's services for 'granitehoist router': the
+// protocol of PlatformStore and the list of boxes at boxlist.Path. GET /calls returns the
+// StoreCalls.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/", &PlatformStore{Store: s, PageItems: platformPage})
+	mux.Handle("/", &PlatformStore{Store: s, PageItems: platformPageItems})
 	mux.HandleFunc("GET "+boxlist.Path, s.serveBoxes)
-	mux.HandleFunc("GET /calls", func(w http.ResponseWriter, _ *http.Request) { reply(w, s.Calls(), nil) })
+	mux.HandleFunc("GET /calls", func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, s.Calls(), nil) })
 	return mux
 }
 
 func (s *Store) serveBoxes(w http.ResponseWriter, r *http.Request) {
 	boxes, err := s.Boxes(r.Context())
-	reply(w, boxlist.List{Boxes: boxes}, err)
+	writeJSON(w, boxlist.List{Boxes: boxes}, err)
 }
 
-// maxBody bounds what is read of a request, in bytes: a value of the largest
-// size is a third larger in base64.
-const maxBody = 2 * granitehoist.MaxValueSize
+// maxBodyBytes limits the size of a request body. Base64 makes the largest value a third
+// larger.
+const maxBodyBytes = 2 * granitehoist.MaxValueSize
 
-// read decodes a JSON body, and answers 400 and returns false if it can't.
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
-	body := http.MaxBytesReader(w, r.Body, maxBody)
+// decodeBody decodes a JSON body into a pointer. If it can't, it responds with status 400
+// and returns false.
+func decodeBody(w http.ResponseWriter, r *http.Request, into any) bool {
+	body := http.MaxBytesReader(w, r.Body, maxBodyBytes)
 	if err := json.NewDecoder(body).Decode(into); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -42,12 +43,13 @@
 	return true
 }
 
-// reply answers a value as JSON, or an error of the store by its status.
-func reply(w http.ResponseWriter, value any, err error) {
+// writeJSON responds with a value as JSON or, if err is not nil, with its status: 503 for
+// ErrUnavailable and 500 for any other error.
+func writeJSON(w http.ResponseWriter, value any, err error) {
 	switch {
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
-		// A reader that closed its connection is no failure of the stand-in.
+		// An error means that the caller closed its connection.
 		_ = json.NewEncoder(w).Encode(value)
 	case errors.Is(err, granitehoist.ErrUnavailable):
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/standin/suite_test.go
+++ b/standin/suite_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// stepTimeout is how long an eventual thing may take on a busy machine.
+// stepTimeout bounds each Eventually assertion, with a margin for a loaded machine.
 const stepTimeout = 20 * time.Second
 
 func TestStandin(t *testing.T) {
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -12,11 +12,11 @@
 	"sync"
 )
 
-// Worker is a stand-in of one of the users' workers. It serves HTTP/1.1 over
-// real sockets and shows, request by request, the failures that WorkerAnswer names.
+// Worker is a fake of a worker of the platform. It serves HTTP/1.1 over TCP and injects the
+// faults of a WorkerAnswer into each response. It is safe for concurrent use.
 type Worker struct {
 	instance string
-	answer   func(Arrival) WorkerAnswer
+	respond  func(Arrival) WorkerAnswer
 	listener net.Listener
 
 	// mu guards the fields below it.
@@ -27,54 +27,56 @@
 	done     sync.WaitGroup
 }
 
-// Arrival is a request as it reached a Worker.
+// Arrival is a request as received by a Worker.
 type Arrival struct {
-	// Number counts the arrivals at this worker from 1; Conn numbers its
-	// connection.
+	// Number is the number of the request at this worker, Conn that of its connection,
+	// both from 1.
 	Number, Conn int
 	ID           string
 	Target       string
 	Host         string
 	Header       http.Header
 	Body         []byte
-	// After is the event after which the stream is to go on.
+	// After is the number of the last event that the caller has received; the stream
+	// resumes after it.
 	After int
 }
 
-// NewWorker starts a worker on loopback. answer is asked about each request.
+// NewWorker starts a worker on a loopback port. It calls answer for each request, from
+// several goroutines at once. It returns an error if it can't listen.
 func NewWorker(instance string, answer func(Arrival) WorkerAnswer) (*Worker, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Worker{instance: instance, answer: answer, listener: listener, conns: map[net.Conn]struct{}{}}
+	w := &Worker{instance: instance, respond: answer, listener: listener, conns: map[net.Conn]struct{}{}}
 	w.done.Go(w.accept)
 	return w, nil
 }
 
-// Address returns the worker's IP and port.
+// Address returns the worker's address as IP:PORT.
 func (w *Worker) Address() string { return w.listener.Addr().String() }
 
-// Instance returns the worker's id.
+// Instance returns the worker's instance id.
 func (w *Worker) Instance() string { return w.instance }
 
-// Arrivals returns the requests that have reached the worker.
+// Arrivals returns the requests that the worker has received.
 func (w *Worker) Arrivals() []Arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Arrival(nil), w.arrivals...)
 }
 
-// Open returns the number of connections that are open.
+// Open returns the number of open connections.
 func (w *Worker) Open() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.conns)
 }
 
-// Close ends the worker and its connections.
+// Close stops the worker, closes its connections and waits for their goroutines.
 func (w *Worker) Close() {
-	// accept ends with the listener; one that was closed before is no failure.
+	// Closing the listener stops accept. It may have been closed before.
 	_ = w.listener.Close()
 	w.mu.Lock()
 	for c := range w.conns {
@@ -85,10 +87,9 @@
 	w.done.Wait()
 }
 
-// Crash ends the worker as Close does, but does not wait for its connections. Each is
-// reset.
+// Crash stops the worker and resets its connections. It does not wait for their goroutines.
 func (w *Worker) Crash() {
-	// accept ends with the listener; one that was closed before is no failure.
+	// Closing the listener stops accept. It may have been closed before.
 	_ = w.listener.Close()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,7 +100,7 @@
 	}
 }
 
-// accept serves each connection on a goroutine of its own, until Close.
+// accept serves each connection on its own goroutine until the listener is closed.
 func (w *Worker) accept() {
 	for {
 		conn, err := w.listener.Accept()
@@ -115,10 +116,10 @@
 	}
 }
 
-// serve answers the requests of a connection one after the other.
+// serve answers the requests of a connection in sequence.
 func (w *Worker) serve(conn net.Conn, number int) {
 	defer func() {
-		// The connection is thrown away; Close may have closed it already.
+		// Close may have closed it already.
 		_ = conn.Close()
 		w.mu.Lock()
 		delete(w.conns, conn)
@@ -130,8 +131,8 @@
 		if err != nil {
 			return
 		}
-		arrival := w.arrivalOf(request, number)
-		answer := w.answer(arrival)
+		arrival := w.newArrival(request, number)
+		answer := w.respond(arrival)
 		if !answer.Early {
 			if arrival.Body, err = io.ReadAll(request.Body); err != nil {
 				return
@@ -140,20 +141,19 @@
 		w.mu.Lock()
 		w.arrivals = append(w.arrivals, arrival)
 		w.mu.Unlock()
-		if !w.write(conn, arrival, answer) {
+		if !w.writeAnswer(conn, arrival, answer) {
 			return
 		}
 		if answer.Early {
-			// A body that breaks off shows at the next request of the connection.
+			// A truncated body makes the next ReadRequest fail.
 			_, _ = io.Copy(io.Discard, request.Body)
 		}
 	}
 }
 
-// arrivalOf returns a request as it arrived, without its body.
-func (w *Worker) arrivalOf(r *http.Request, conn int) Arrival {
-	// A request without the header, or with one that is no number, is not
-	// resumed: its stream begins at the first event.
+// newArrival returns the Arrival of a request, without its body.
+func (w *Worker) newArrival(r *http.Request, conn int) Arrival {
+	// Without a valid number the stream begins at the first event.
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	w.mu.Lock()
 	number := len(w.arrivals) + 1
--- a/standin/workeranswer.go
+++ b/standin/workeranswer.go
@@ -14,64 +14,61 @@
 	"time"
 )
 
-// WorkerAnswer tells a Worker what to do with a request. The zero value is answered
-// 200 with an empty body.
+// WorkerAnswer describes a Worker's response to a request. The zero value is status 200
+// with an empty body.
 type WorkerAnswer struct {
-	// Status of the answer; zero stands for 200.
+	// Status is the HTTP status; zero means 200.
 	Status int
 	Body   string
-	// Events makes the answer a stream of that many events.
+	// Events, unless zero, makes the response a stream of that many events.
 	Events int
-	// Gap is the pause before each event, Delay that before the head.
+	// Gap is the delay before each event, Delay that before the head.
 	Gap, Delay time.Duration
-	// Cut breaks the answer off.
+	// Cut truncates the response.
 	Cut Cut
-	// Silent never answers.
+	// Silent sends nothing and waits for the router to close the connection.
 	Silent bool
-	// SurplusBefore is sent before the answer, SurplusAfter behind it: bytes
-	// that belong to no answer.
+	// SurplusBefore and SurplusAfter are bytes sent before and after the response, which
+	// are not part of it.
 	SurplusBefore, SurplusAfter string
-	// Unframed gives no length, and ends the connection with the answer.
+	// Unframed omits the length; closing the connection ends the response.
 	Unframed bool
-	// Early answers before the body has been read.
+	// Early responds before the request body has been read.
 	Early bool
-	// NotRun says that the request was not run.
+	// NotRun marks the response as that of a request that did not run.
 	NotRun bool
-	// Crossed gives the id of another request.
+	// Crossed sends the id of another request.
 	Crossed bool
-	// NoSeal leaves the worker's signature out.
+	// NoSeal omits the Response-Seal header.
 	NoSeal bool
-	// RateLimit holds the values of the header that names how many requests a second the
-	// worker takes from all routers together; nil names none.
+	// RateLimit holds the values of the Server-Limit header, the worker's rate limit over
+	// all routers in requests per second; nil omits it.
 	RateLimit []string
-	// Leaving and RetryAfter hold the values of the headers by which the worker says that
-	// it is about to end, and how many seconds it wants nothing; nil says neither.
+	// Leaving and RetryAfter hold the values of the headers Server-Leaving and Retry-After;
+	// nil omits the header.
 	Leaving, RetryAfter []string
 }
 
-// Cut says whether and where an answer breaks off. The zero value leaves the
-// answer complete.
+// Cut says whether and where a response is truncated. The zero value leaves it complete.
 type Cut struct {
-	// Set breaks the answer off.
+	// Set truncates the response and closes the connection.
 	Set bool
-	// After is the bytes of a body, or the number of the last event of a stream,
-	// that are sent before.
+	// After is the number of bytes of a body, or of events of a stream, that are sent.
 	After int
-	// Within sends half of the next event too.
+	// Within also sends half of the next event.
 	Within bool
-	// Clean ends the connection with a FIN in place of a reset.
+	// Clean closes the connection with a FIN instead of a reset.
 	Clean bool
-	// Crash ends the whole worker, after the event After of a stream and before any
-	// answer that is no stream: its address refuses connections then.
+	// Crash stops the whole worker, so that its address refuses connections: after
+	// event After of a stream, or before a response that is no stream.
 	Crash bool
 }
 
-// write gives an answer and reports whether the connection goes on.
-func (w *Worker) write(conn net.Conn, arrival Arrival, a WorkerAnswer) bool {
+// writeAnswer writes a response and reports whether the connection stays open.
+func (w *Worker) writeAnswer(conn net.Conn, arrival Arrival, a WorkerAnswer) bool {
 	time.Sleep(a.Delay)
 	if a.Silent {
-		// The worker waits for the router to end the connection, by close or
-		// by reset.
+		// Wait until the router closes or resets the connection.
 		_, _ = io.Copy(io.Discard, conn)
 		return false
 	}
@@ -99,11 +96,11 @@
 	if _, err := io.WriteString(conn, w.head(arrival, a, framing)+body); err != nil {
 		return false
 	}
-	return w.end(conn, a)
+	return w.finishAnswer(conn, a)
 }
 
-// end finishes an answer and reports whether the connection goes on.
-func (w *Worker) end(conn net.Conn, a WorkerAnswer) bool {
+// finishAnswer completes a response and reports whether the connection stays open.
+func (w *Worker) finishAnswer(conn net.Conn, a WorkerAnswer) bool {
 	if a.Cut.Set && !a.Cut.Clean {
 		reset(conn)
 	}
@@ -117,16 +114,15 @@
 	return err == nil
 }
 
-// reset makes the closing of a connection a reset.
+// reset makes Close reset the connection instead of sending a FIN.
 func reset(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
-		// If this fails the connection ends with a FIN, and the test that asked
-		// for a reset sees that.
+		// On an error the connection closes with a FIN.
 		_ = tcp.SetLinger(0)
 	}
 }
 
-// head returns the status line and header of an answer.
+// head returns the status line and header of a response.
 func (w *Worker) head(arrival Arrival, a WorkerAnswer, framing string) string {
 	status := a.Status
 	if status == 0 {
@@ -157,11 +153,10 @@
 	return head.String()
 }
 
-// StreamEvent returns the n-th event of a request's stream.
+// StreamEvent returns the n-th event, from 1, of the stream of the request with this id.
 func StreamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", n, id, n) }
 
-// writeStream gives the events of a stream and reports whether the connection
-// goes on.
+// writeStream writes the events of a stream and reports whether the connection stays open.
 func (w *Worker) writeStream(conn net.Conn, arrival Arrival, a WorkerAnswer) bool {
 	framing := "Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n"
 	if a.Unframed {
@@ -179,13 +174,12 @@
 		event := StreamEvent(arrival.ID, n)
 		if a.Cut.Set && n > a.Cut.After {
 			if a.Cut.Within {
-				// The connection is cut next, whether this reached the router or
-				// not.
-				_ = w.piece(conn, a, event[:len(event)/2])
+				// The connection closes next, so an error is ignored.
+				_ = w.writeChunk(conn, a, event[:len(event)/2])
 			}
-			return w.end(conn, a)
+			return w.finishAnswer(conn, a)
 		}
-		if err := w.piece(conn, a, event); err != nil {
+		if err := w.writeChunk(conn, a, event); err != nil {
 			return false
 		}
 	}
@@ -195,11 +189,11 @@
 	if _, err := io.WriteString(conn, "0\r\n\r\n"); err != nil {
 		return false
 	}
-	return w.end(conn, a)
+	return w.finishAnswer(conn, a)
 }
 
-// piece sends text as one chunk, or as it is if the answer is unframed.
-func (w *Worker) piece(conn net.Conn, a WorkerAnswer, text string) error {
+// writeChunk sends text as one chunk, or unchanged if the response is unframed.
+func (w *Worker) writeChunk(conn net.Conn, a WorkerAnswer, text string) error {
 	if !a.Unframed {
 		text = fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 	}
