--- a/soak/attack_test.go
+++ b/soak/attack_test.go
@@ -19,46 +19,45 @@
 )
 
 const (
-	// fragileWorkers is the number of workers of the service that is attacked, which
-	// are replaced as they crash, and replaceAfter the time that this takes.
-	fragileWorkers = 3
-	replaceAfter   = 300 * time.Millisecond
-	// attackPause is the time between two arrivals of the request that crashes workers.
-	attackPause = 100 * time.Millisecond
-	// mostEndings is how many workers may crash under it while processes are killed,
-	// frozen and started anew, and the store is silent: each of the processes may have
-	// to learn by itself (3 rounds), and one of them once more after a restart in which
-	// neither the store nor another process answered.
-	mostEndings = 3 * (nodeCount + 1)
+	// fragileWorkerCount is the number of workers of the attacked service. A crashed
+	// worker is replaced after replaceDelay.
+	fragileWorkerCount = 3
+	replaceDelay       = 300 * time.Millisecond
+	// attackInterval is the time between two requests that crash workers.
+	attackInterval = 100 * time.Millisecond
+	// maxCrashes bounds the crashed workers under faults: each process may need 3 crashes
+	// to detect the request, and one of them 3 more after a restart without access to
+	// the store and the other processes.
+	maxCrashes = 3 * (nodeCount + 1)
 )
 
-// attack is a request that crashes each worker that runs it, and is repeated.
+// attack repeats a request that crashes each worker that runs it.
 type attack struct {
 	fleet *fleet
 
-	// mu guards the fields below.
+	// mu guards the fields below it.
 	mu      sync.Mutex
 	started int
-	// over says that the test ends, so that no worker is started any more.
-	over bool
-	// endings counts the workers that crashed, arrivals the requests sent.
-	endings, arrivals int
+	// stopped is set at the end of the test, after which no worker is started.
+	stopped bool
+	// crashes is the number of crashed workers, requests that of requests sent.
+	crashes, requests int
 }
 
-// newAttack starts the workers.
+// newAttack starts the workers of the attacked service.
 func newAttack(f *fleet) *attack {
 	a := &attack{fleet: f}
-	for range fragileWorkers {
-		a.add()
+	for range fragileWorkerCount {
+		a.addWorker()
 	}
 	return a
 }
 
-// add starts a worker that crashes under any request.
-func (a *attack) add() {
+// addWorker starts and announces a worker that crashes on any request.
+func (a *attack) addWorker() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.over {
+	if a.stopped {
 		return
 	}
 	a.started++
@@ -66,8 +65,8 @@
 	w, err := standin.NewWorker(id, func(standin.Arrival) standin.WorkerAnswer {
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		a.endings++
-		time.AfterFunc(replaceAfter, a.add)
+		a.crashes++
+		time.AfterFunc(replaceDelay, a.addWorker)
 		return standin.WorkerAnswer{Cut: standin.Cut{Crash: true}, Delay: 10 * time.Millisecond}
 	})
 	if err != nil {
@@ -81,25 +80,24 @@
 	}
 }
 
-// run sends the request to one process after the other until stop is closed.
+// run sends the request to random processes until stop is closed.
 func (a *attack) run(random *rand.Rand, stop <-chan struct{}) {
-	client := &http.Client{Timeout: deadline, Transport: &http.Transport{DisableKeepAlives: true}}
+	client := &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(attackPause):
+		case <-time.After(attackInterval):
 		}
 		a.mu.Lock()
-		a.arrivals++
-		id := fmt.Sprintf("attack-%d", a.arrivals)
+		a.requests++
+		id := fmt.Sprintf("attack-%d", a.requests)
 		a.mu.Unlock()
 		a.send(client, a.fleet.processes[random.IntN(len(a.fleet.processes))], id)
 	}
 }
 
-// send sends the request once. What its caller gets does not matter here: a process may
-// be away.
+// send sends the request once. It ignores the result, since the process may be down.
 func (a *attack) send(client *http.Client, p *process, id string) {
 	request, err := http.NewRequest(http.MethodPost, "http://"+p.ip+":8227/fragile/x", strings.NewReader("deadly"))
 	if err != nil {
@@ -118,16 +116,16 @@
 	_ = response.Body.Close()
 }
 
-// judge ends the attack and checks how many workers crashed.
-func (a *attack) judge() {
+// stopAndCheck stops the replacement of workers and checks the number of crashes.
+func (a *attack) stopAndCheck() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.over = true
-	if a.endings == 0 {
+	a.stopped = true
+	if a.crashes == 0 {
 		a.fleet.t.Error("the attack has reached no worker")
 	}
-	if a.endings > mostEndings {
-		a.fleet.t.Errorf("%d workers crashed under %d arrivals of one request", a.endings, a.arrivals)
+	if a.crashes > maxCrashes {
+		a.fleet.t.Errorf("%d workers crashed under %d arrivals of one request", a.crashes, a.requests)
 	}
-	a.fleet.t.Logf("%d workers crashed under %d arrivals of one request", a.endings, a.arrivals)
+	a.fleet.t.Logf("%d workers crashed under %d arrivals of one request", a.crashes, a.requests)
 }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,21 +1,19 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package soak holds a test that plays seeded series of faults against real
-// processes of granitehoist-edge: signals, and proxies before the store and the
-// upstreams that delay, silence, mute for good and reset connections, overlapping each other. It
-// judges what callers got by what the upstreams ran.
+// Package soak contains fault-injection tests of granitehoist-edge processes. They inject
+// overlapping faults, chosen at random from a seed: signals to processes, and proxies in
+// front of the store and the upstreams that slow down, stall, blackhole or reset
+// connections. They then check the responses against the executions at the upstreams.
 //
-// Each seed has a fleet of its own, which owns its processes, stand-ins and proxies
-// and ends them with the test; the fleet's lists do not change after newFleet, and
-// each process, proxy and book has its own lock. The package relies on standin for
-// the store and the upstreams, and on the built program for all else. No program
-// runs it. Begin reading at TestSoak; judge has the promises that are checked.
+// Each seed has its own fleet of processes, fakes and proxies, which end with the test. The
+// lists of a fleet don't change once its faults begin; each process, proxy and record has
+// its own lock. The package uses standin for the store and the upstreams, and the built
+// program for the routers. Begin reading at TestSoak; fleet.check has the invariants.
 //
-// CI plays a few seeds. SOAK_SEEDS=FROM-TO chooses others:
+// By default the tests run a few seeds. SOAK_SEEDS=FROM-TO selects others:
 //
 //	SOAK_SEEDS=1-50 go test -timeout 30m ./soak
 //
-// A seed that fails is printed with the logs of its processes and belongs into
-// docs/FINDINGS.md.
+// For a seed that fails, the test prints the logs of its processes.
 package soak
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// proxyMode is what a proxy does with the bytes of its connections.
+// proxyMode is the fault that a proxy injects into its connections.
 type proxyMode int
 
 const (
-	// pass: bytes go through at once.
-	pass proxyMode = iota
-	// delay: each piece waits for delayTime.
-	delay
-	// silence: no byte goes through, and no connection ends.
-	silence
-	// reset: all connections are reset, new ones as well.
+	// forward passes bytes on without a fault.
+	forward proxyMode = iota
+	// slow delays each read by slowDelay.
+	slow
+	// stall holds back all bytes and keeps connections open.
+	stall
+	// reset resets all connections, including new ones.
 	reset
-	// mute: the connections that are open go silent for good, and new ones work.
-	mute
+	// blackhole discards all further bytes of the open connections. New ones work.
+	blackhole
 )
 
-// faultyModes is the number of modes after pass.
-const faultyModes = int(mute)
+// faultModeCount is the number of modes other than forward.
+const faultModeCount = int(blackhole)
 
-// delayTime is how long a delaying proxy holds each piece.
-const delayTime = 120 * time.Millisecond
+// slowDelay is the delay of each read in the mode slow.
+const slowDelay = 120 * time.Millisecond
 
-// proxy passes connections on to an address with the fault of its mode.
+// proxy is a TCP proxy that injects the fault of its mode.
 type proxy struct {
 	listener net.Listener
 	target   string
@@ -39,8 +39,8 @@
 	mu    sync.Mutex
 	mode  proxyMode
 	conns map[net.Conn]struct{}
-	// muted are the connections that have gone silent for good.
-	muted map[net.Conn]struct{}
+	// blackholed holds the connections whose bytes are discarded.
+	blackholed map[net.Conn]struct{}
 }
 
 func newProxy(address, target string) (*proxy, error) {
@@ -48,15 +48,15 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &proxy{listener: listener, target: target, conns: map[net.Conn]struct{}{}, muted: map[net.Conn]struct{}{}}
+	p := &proxy{listener: listener, target: target, conns: map[net.Conn]struct{}{}, blackholed: map[net.Conn]struct{}{}}
 	go p.accept()
 	return p, nil
 }
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes the mode. A reset ends all connections, mute silences them.
-func (p *proxy) set(mode proxyMode) {
+// setMode changes the mode and applies reset and blackhole to the open connections.
+func (p *proxy) setMode(mode proxyMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
@@ -64,14 +64,14 @@
 		switch mode {
 		case reset:
 			abort(c)
-		case mute:
-			p.muted[c] = struct{}{}
-		case pass, delay, silence:
+		case blackhole:
+			p.blackholed[c] = struct{}{}
+		case forward, slow, stall:
 		}
 	}
 }
 
-// abort resets a connection. An error means that it has ended already.
+// abort resets a connection. An error means that it is already closed.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -79,17 +79,17 @@
 	_ = c.Close()
 }
 
-func (p *proxy) present() proxyMode {
+func (p *proxy) currentMode() proxyMode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-func (p *proxy) isMuted(c net.Conn) bool {
+func (p *proxy) isBlackholed(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	_, muted := p.muted[c]
-	return muted
+	_, discarded := p.blackholed[c]
+	return discarded
 }
 
 func (p *proxy) accept() {
@@ -102,9 +102,9 @@
 	}
 }
 
-// serve connects a client with the target until both directions have ended.
+// serve copies bytes between a client and the target until both directions have ended.
 func (p *proxy) serve(client net.Conn) {
-	if p.present() == reset {
+	if p.currentMode() == reset {
 		abort(client)
 		return
 	}
@@ -116,40 +116,39 @@
 	p.mu.Lock()
 	p.conns[client], p.conns[server] = struct{}{}, struct{}{}
 	p.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { p.copy(server, client) })
-	both.Go(func() { p.copy(client, server) })
-	both.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { p.copy(server, client) })
+	copies.Go(func() { p.copy(client, server) })
+	copies.Wait()
 	p.mu.Lock()
 	for _, c := range []net.Conn{client, server} {
 		delete(p.conns, c)
-		delete(p.muted, c)
+		delete(p.blackholed, c)
 	}
 	p.mu.Unlock()
-	// Both directions have ended, so an error of Close changes nothing.
+	// Both directions have ended, so an error of Close doesn't matter.
 	_ = client.Close()
 	_ = server.Close()
 }
 
-// copy passes bytes on in one direction. In the mode silence it waits until the
-// mode changes.
+// copy copies bytes in one direction and applies the current mode to each read.
 func (p *proxy) copy(to, from net.Conn) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
-		for p.present() == silence {
+		for p.currentMode() == stall {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if p.isMuted(from) {
+		if p.isBlackholed(from) {
 			if err != nil {
-				// Nobody hears of the end in time; this only frees the other side.
+				// The error is not forwarded as such; abort ends the other direction.
 				abort(to)
 				return
 			}
 			continue
 		}
-		if p.present() == delay {
-			time.Sleep(delayTime)
+		if p.currentMode() == slow {
+			time.Sleep(slowDelay)
 		}
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
@@ -158,7 +157,7 @@
 		}
 		if err != nil {
 			if tcp, ok := to.(*net.TCPConn); ok {
-				// An error means that the other direction has ended too.
+				// An error means that the other direction has ended.
 				_ = tcp.CloseWrite()
 			}
 			return
@@ -167,7 +166,7 @@
 }
 
 func (p *proxy) close() {
-	// The listener is thrown away; accept ends with it.
+	// Closing the listener stops accept.
 	_ = p.listener.Close()
-	p.set(reset)
+	p.setMode(reset)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,33 +19,35 @@
 )
 
 const (
-	// seedsVariable names the seeds to play, as FROM-TO.
+	// seedsVariable is the environment variable with the seeds to run, as FROM-TO.
 	seedsVariable = "SOAK_SEEDS"
-	callers       = 6
-	// faultTime is how long faults are played.
-	faultTime = 5 * time.Second
-	// series is the number of faults that are played at the same time.
-	series = 3
-	// recoveryTime bounds the time until all routers are ready.
-	recoveryTime = 12 * time.Second
-	// deadline is the time that a request has.
-	deadline = 2 * time.Second
+	callerCount   = 6
+	// faultDuration is the time during which faults are injected.
+	faultDuration = 5 * time.Second
+	// concurrentFaults is the number of faults that are active at the same time.
+	concurrentFaults = 3
+	// recoveryTimeout bounds the time until all routers are ready.
+	recoveryTimeout = 12 * time.Second
+	// requestTimeout is the deadline that callers send with a request.
+	requestTimeout = 2 * time.Second
 )
 
-// TestSoak plays the seeds.
+// TestSoak guards against repeated executions of unsafe requests, false refusals, wrong
+// responses and overspent budgets under faults.
 func TestSoak(t *testing.T) {
-	from, to := seeds(t, 1, 2)
-	binary := build(t, "..")
+	from, to := seedRange(t, 1, 2)
+	binary := buildProgram(t, "..")
 	for seed := from; seed <= to; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, newFleet(t, binary, firstBlock+seed%100, scarceBudget), seed, plan{faults: faultTime})
+			runScenario(t, newFleet(t, binary, firstBlock+seed%100, smallBudget), seed, scenario{faultDuration: faultDuration})
 		})
 	}
 }
 
-// seeds returns the first and the last seed to play.
-func seeds(t *testing.T, first, last int) (from, to int) {
+// seedRange returns the first and last seed to run: the arguments, unless seedsVariable is
+// set.
+func seedRange(t *testing.T, first, last int) (from, to int) {
 	t.Helper()
 	from, to = first, last
 	if value := os.Getenv(seedsVariable); value != "" {
@@ -56,8 +58,8 @@
 	return from, to
 }
 
-// build builds the program from a folder with the project's sources.
-func build(t *testing.T, sources string) string {
+// buildProgram builds granitehoist-edge from a source folder and returns the binary's path.
+func buildProgram(t *testing.T, sources string) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "granitehoist-edge")
 	command := exec.Command("go", "build", "-o", binary, "./cmd/granitehoist-edge")
@@ -68,40 +70,42 @@
 	return binary
 }
 
-// plan is what is played beside the callers.
-type plan struct {
-	// faults is how long faults are played.
-	faults time.Duration
-	// work, if set, is planned work that runs beside the faults.
+// scenario is what runs concurrently with the callers.
+type scenario struct {
+	// faultDuration is the time during which faults are injected.
+	faultDuration time.Duration
+	// work, if not nil, runs concurrently with the faults.
 	work func()
 }
 
-// firstBlock numbers the loopback addresses of the first seed.
+// firstBlock is the lowest third octet of the loopback addresses of TestSoak.
 const firstBlock = 80
 
-// play runs callers and faults against the site of one seed and judges the answers.
-func play(t *testing.T, f *fleet, seed int, p plan) {
+// runScenario runs callers and faults against a fleet and checks the responses.
+func runScenario(t *testing.T, f *fleet, seed int, s scenario) {
 	attack := newAttack(f)
-	f.awaitReady(recoveryTime)
+	f.awaitReady(recoveryTimeout)
 	results := &outcomes{answers: map[string]int{}}
 	stop := make(chan struct{})
-	var calling, failing sync.WaitGroup
-	for i := range callers {
-		calling.Go(func() { f.sendRequests(i, rand.New(rand.NewPCG(uint64(seed), uint64(i))), results, stop) })
+	var clients, faults sync.WaitGroup
+	for i := range callerCount {
+		clients.Go(func() { f.runCaller(i, rand.New(rand.NewPCG(uint64(seed), uint64(i))), results, stop) })
 	}
-	calling.Go(func() { attack.run(rand.New(rand.NewPCG(uint64(seed), 200)), stop) })
-	for i := range series {
-		failing.Go(func() { f.playFaults(rand.New(rand.NewPCG(uint64(seed), uint64(100+i))), time.Now().Add(p.faults)) })
+	clients.Go(func() { attack.run(rand.New(rand.NewPCG(uint64(seed), 200)), stop) })
+	for i := range concurrentFaults {
+		faults.Go(func() {
+			f.injectFaults(rand.New(rand.NewPCG(uint64(seed), uint64(100+i))), time.Now().Add(s.faultDuration))
+		})
 	}
-	if p.work != nil {
-		failing.Go(p.work)
+	if s.work != nil {
+		faults.Go(s.work)
 	}
-	failing.Wait()
-	f.awaitReady(recoveryTime)
+	faults.Wait()
+	f.awaitReady(recoveryTimeout)
 	close(stop)
-	calling.Wait()
-	f.judge(results)
-	attack.judge()
+	clients.Wait()
+	f.check(results)
+	attack.stopAndCheck()
 	if t.Failed() {
 		for _, p := range f.processes {
 			t.Logf("log of %s:\n%s", p.ip, p.log.String())
@@ -109,29 +113,29 @@
 	}
 }
 
-// playFaults plays one fault after the other.
-func (f *fleet) playFaults(random *rand.Rand, until time.Time) {
+// injectFaults injects random faults in sequence.
+func (f *fleet) injectFaults(random *rand.Rand, until time.Time) {
 	for time.Now().Before(until) {
-		lasting := time.Duration(200+random.IntN(900)) * time.Millisecond
+		duration := time.Duration(200+random.IntN(900)) * time.Millisecond
 		p := f.processes[random.IntN(len(f.processes))]
 		switch random.IntN(6) {
 		case 0:
-			f.restart(p, syscall.SIGTERM, lasting/4)
+			f.restart(p, syscall.SIGTERM, duration/4)
 		case 1:
-			f.restart(p, syscall.SIGKILL, lasting/4)
+			f.restart(p, syscall.SIGKILL, duration/4)
 		case 2:
 			p.signal(syscall.SIGSTOP)
-			time.Sleep(lasting)
+			time.Sleep(duration)
 			p.signal(syscall.SIGCONT)
 		case 3, 4:
-			p.store.set(proxyMode(1 + random.IntN(faultyModes)))
-			time.Sleep(lasting)
-			p.store.set(pass)
+			p.store.setMode(proxyMode(1 + random.IntN(faultModeCount)))
+			time.Sleep(duration)
+			p.store.setMode(forward)
 		case 5:
 			w := f.workers[random.IntN(len(f.workers))]
-			w.set(proxyMode(1 + random.IntN(faultyModes)))
-			time.Sleep(lasting)
-			w.set(pass)
+			w.setMode(proxyMode(1 + random.IntN(faultModeCount)))
+			time.Sleep(duration)
+			w.setMode(forward)
 		}
 	}
 }
@@ -155,25 +159,25 @@
 	}
 }
 
-// outcomes holds what the callers got.
+// outcomes records the responses that the callers got.
 type outcomes struct {
 	mu sync.Mutex
-	// answers holds the last status of each request, 0 for none.
+	// answers holds the status of each request, or 0 without a complete response.
 	answers map[string]int
-	// tokens is the sum of what the answers cost, served the number of answers
-	// with status 200.
+	// tokens is the total cost of the responses, served the number of responses with
+	// status 200.
 	tokens int
 	served int
-	// mismatch describes the answers with a wrong body.
+	// mismatch describes the responses with a wrong body.
 	mismatch []string
 }
 
-// sendRequests sends requests until stop is closed. It stays with one process and
-// its connections until a request gets no answer, then goes on to the next process.
-func (f *fleet) sendRequests(caller int, random *rand.Rand, results *outcomes, stop <-chan struct{}) {
-	client := &http.Client{Timeout: deadline + time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
+// runCaller sends requests until stop is closed. It switches to the next process when a
+// request gets no complete response.
+func (f *fleet) runCaller(caller int, random *rand.Rand, results *outcomes, stop <-chan struct{}) {
+	client := &http.Client{Timeout: requestTimeout + time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
-	at := caller
+	target := caller
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
@@ -182,39 +186,39 @@
 		}
 		kind := []string{"safe", "once", "stream"}[random.IntN(3)]
 		id := fmt.Sprintf("%s-%d-%d", kind, caller, n)
-		status := f.ask(client, f.processes[at%len(f.processes)], kind, id, results)
+		status := f.sendRequest(client, f.processes[target%len(f.processes)], kind, id, results)
 		if status == 0 {
-			at++
+			target++
 		}
 		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
 	}
 }
 
-// ask sends one request and returns the status of its answer, 0 if the answer is
+// sendRequest sends one request and returns the status of the response, or 0 if it is
 // missing or incomplete.
-func (f *fleet) ask(client *http.Client, p *process, kind, id string, results *outcomes) int {
+func (f *fleet) sendRequest(client *http.Client, p *process, kind, id string, results *outcomes) int {
 	request, err := http.NewRequest(http.MethodPost, "http://"+p.ip+":8227/"+kind+"/x", strings.NewReader("question"))
 	if err != nil {
 		return 0
 	}
-	// The client must not send a request again by itself.
+	// With GetBody net/http may send the request a second time.
 	request.GetBody = nil
 	request.Host = "h.example"
 	for name, value := range map[string]string{
-		"Attempt-Id": id, "Authorization": "Token a-key", "Deadline-Ms": fmt.Sprint(deadline.Milliseconds()), "Kind": kind,
-		"Token-Usage": fmt.Sprintf("%d,%d", prompt, events*perEvent),
+		"Attempt-Id": id, "Authorization": "Token a-key", "Deadline-Ms": fmt.Sprint(requestTimeout.Milliseconds()), "Kind": kind,
+		"Token-Usage": fmt.Sprintf("%d,%d", promptTokens, eventsPerStream*tokensPerEvent),
 	} {
 		request.Header.Set(name, value)
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		results.note(id, 0, 0, "")
+		results.record(id, 0, 0, "")
 		return 0
 	}
-	// A failure to close a body that has been read can't change it.
+	// An error of Close doesn't matter once the body has been read.
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	got := strings.Count(string(body), "id: ")
+	eventCount := strings.Count(string(body), "id: ")
 	status := response.StatusCode
 	if err != nil {
 		status = 0
@@ -223,32 +227,32 @@
 	wantBody := "run of " + id
 	switch {
 	case status != http.StatusOK:
-	case kind == "stream" && got != events:
-		wrong = fmt.Sprintf("%s has %d events", id, got)
+	case kind == "stream" && eventCount != eventsPerStream:
+		wrong = fmt.Sprintf("%s has %d events", id, eventCount)
 	case kind != "stream" && string(body) != wantBody:
 		wrong = fmt.Sprintf("%s got %q", id, body)
 	}
-	results.note(id, status, got, wrong)
+	results.record(id, status, eventCount, wrong)
 	return status
 }
 
-func (l *outcomes) note(id string, status, got int, wrong string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.answers[id] = status
-	if status == http.StatusOK || got > 0 {
-		l.tokens += prompt + got*perEvent
+func (o *outcomes) record(id string, status, eventCount int, wrong string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.answers[id] = status
+	if status == http.StatusOK || eventCount > 0 {
+		o.tokens += promptTokens + eventCount*tokensPerEvent
 	}
 	if status == http.StatusOK {
-		l.served++
+		o.served++
 	}
 	if wrong != "" {
-		l.mismatch = append(l.mismatch, wrong)
+		o.mismatch = append(o.mismatch, wrong)
 	}
 }
 
-// judge compares what the callers got with what the workers ran.
-func (f *fleet) judge(results *outcomes) {
+// check compares the responses with the executions at the workers.
+func (f *fleet) check(results *outcomes) {
 	f.runCounts.mu.Lock()
 	defer f.runCounts.mu.Unlock()
 	results.mu.Lock()
@@ -256,8 +260,8 @@
 	if results.served == 0 {
 		f.t.Error("nothing was served")
 	}
-	if results.tokens > f.reserved {
-		f.t.Errorf("%d tokens were handed out of a budget of %d", results.tokens, f.reserved)
+	if results.tokens > f.prepaidTokens {
+		f.t.Errorf("%d tokens were handed out of a budget of %d", results.tokens, f.prepaidTokens)
 	}
 	for _, wrong := range results.mismatch {
 		f.t.Error(wrong)
@@ -270,8 +274,8 @@
 		}
 		refused := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 		if once && refused && runs > 0 {
-			f.t.Errorf("%s was told %d and ran", id, status)
+			f.t.Errorf("%s got status %d but ran", id, status)
 		}
 	}
-	f.t.Logf("%d requests, %d served, %d of %d tokens", len(results.answers), results.served, results.tokens, f.reserved)
+	f.t.Logf("%d requests, %d served, %d of %d tokens", len(results.answers), results.served, results.tokens, f.prepaidTokens)
 }
--- a/soak/upgrade_test.go
+++ b/soak/upgrade_test.go
@@ -17,55 +17,53 @@
 )
 
 const (
-	// upgradeFromVariable names the commits from which to upgrade, separated by commas.
+	// upgradeFromVariable is the environment variable with the commits to upgrade from,
+	// separated by commas.
 	upgradeFromVariable = "SOAK_UPGRADE_FROM"
-	// lastLanding is the version that runs when an upgrade begins: the newest one that
-	// was released before this one. Whoever releases the next moves it on.
-	lastLanding = "28684e9952883a00c561d97ed38c306c41f9b277"
-	// upgradeTime is how long faults are played beside an upgrade: about the time in
-	// which eight processes are replaced.
-	upgradeTime = 14 * time.Second
-	// upgradeBlock numbers the loopback addresses of the first seed, beside those of
-	// TestSoak.
+	// previousRelease is the commit of the last release, from which upgrades start by
+	// default. Update it with each release.
+	previousRelease = "28684e9952883a00c561d97ed38c306c41f9b277"
+	// upgradeDuration is the time during which faults are injected. It covers the
+	// replacement of eight processes.
+	upgradeDuration = 14 * time.Second
+	// upgradeBlock is the lowest third octet of the loopback addresses of TestUpgrade.
 	upgradeBlock = 10
-	// replacePause is the time from the end of a process to the start of the next one.
+	// replacePause is the time from the exit of a process to the start of its successor.
 	replacePause = 100 * time.Millisecond
 )
 
-// TestUpgrade replaces the program box by box while callers go on and faults are played:
-// half of the boxes get the present version, go back to the earlier one, and then all are
-// upgraded. All promises hold throughout, whichever versions run side by side.
+// TestUpgrade guards against violations of the invariants of TestSoak while two versions run
+// side by side, in a rolling upgrade with a rollback of half of the boxes.
 func TestUpgrade(t *testing.T) {
-	from, to := seeds(t, 1, 1)
-	commits := []string{lastLanding}
+	from, to := seedRange(t, 1, 1)
+	commits := []string{previousRelease}
 	if value := os.Getenv(upgradeFromVariable); value != "" {
 		commits = strings.Split(value, ",")
 	}
-	present := build(t, "..")
+	current := buildProgram(t, "..")
 	for _, commit := range commits {
-		earlier := buildCommit(t, commit)
+		previous := buildCommit(t, commit)
 		for seed := from; seed <= to; seed++ {
 			t.Run(fmt.Sprintf("from %.7s, seed %d", commit, seed), func(t *testing.T) {
 				t.Parallel()
 				block := upgradeBlock + seed%60
-				f := newFleet(t, earlier, block, plentyBudget)
-				f.addWorker("i-limited", fmt.Sprintf("127.%d.%d.%d:0", ownNetwork(), block, 100+workerCount), f.limitedAnswer)
-				play(t, f, seed, plan{faults: upgradeTime, work: func() { f.upgrade(earlier, present) }})
+				f := newFleet(t, previous, block, largeBudget)
+				f.addWorker("i-limited", fmt.Sprintf("127.%d.%d.%d:0", loopbackOctet(), block, 100+workerCount), f.limitedAnswer)
+				runScenario(t, f, seed, scenario{faultDuration: upgradeDuration, work: func() { f.upgrade(previous, current) }})
 			})
 		}
 	}
 }
 
-// limitedAnswer is the answer of a worker that names a limit, which earlier versions do
-// not read.
+// limitedAnswer is the answer of a worker with a rate limit.
 func (f *fleet) limitedAnswer(a standin.Arrival) standin.WorkerAnswer {
-	answer := f.runCounts.answer(a)
+	answer := f.runCounts.respond(a)
 	answer.RateLimit = []string{"10"}
 	return answer
 }
 
-// buildCommit builds the program of an earlier commit. A clone without that commit can't
-// play the upgrade, which the test says.
+// buildCommit builds the program from a commit. It skips the test if the clone doesn't have
+// the commit.
 func buildCommit(t *testing.T, commit string) string {
 	t.Helper()
 	sources := t.TempDir()
@@ -76,19 +74,20 @@
 	if out, err := exec.Command("tar", "-xf", archive, "-C", sources).CombinedOutput(); err != nil {
 		t.Fatalf("unpack %s: %v\n%s", commit, err, out)
 	}
-	return build(t, sources)
+	return buildProgram(t, sources)
 }
 
-// upgrade replaces the program: half of the boxes forth and back again, then all forth.
-func (f *fleet) upgrade(earlier, present string) {
+// upgrade replaces the program of half of the processes, rolls it back, and then replaces
+// it on all processes.
+func (f *fleet) upgrade(previous, current string) {
 	half := f.processes[:len(f.processes)/2]
 	for _, p := range half {
-		f.replace(p, present, syscall.SIGTERM, replacePause)
+		f.replace(p, current, syscall.SIGTERM, replacePause)
 	}
 	for _, p := range half {
-		f.replace(p, earlier, syscall.SIGTERM, replacePause)
+		f.replace(p, previous, syscall.SIGTERM, replacePause)
 	}
 	for _, p := range f.processes {
-		f.replace(p, present, syscall.SIGTERM, replacePause)
+		f.replace(p, current, syscall.SIGTERM, replacePause)
 	}
 }
