--- a/codes.go
+++ b/codes.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Code is the numbered result of a request, told to the caller. The numbers
-// are stable: 1 is success, 10xx what the caller sent, 20xx permission, 30xx
-// budgets, 40xx overload and choice of upstream, 50xx upstreams, 60xx the
-// fleet itself, 70xx operators' documents. docs/CODES.md lists them.
+// Code is the numbered result of a request, as returned to the caller. The numbers are
+// stable: 1 is success, 10xx invalid requests, 20xx permissions, 30xx budgets, 40xx overload
+// and choice of an upstream, 50xx upstreams, 60xx the fleet itself, 70xx operators'
+// documents. docs/CODES.md lists them.
 type Code int
 
-// The result codes. For the fate, HTTP status, advice and message of each see
-// codeTable, which docs/CODES.md repeats.
+// The result codes. codeTable and docs/CODES.md have the fate, HTTP status, advice and
+// message of each.
 const (
 	Served Code = 1
 
@@ -69,29 +69,29 @@
 type Fate string
 
 const (
-	// NotRun is said only if no byte of the request can have reached an upstream,
-	// or the upstream said that it did not run it.
+	// NotRun means that no byte of the request can have reached an upstream, or that the
+	// upstream reported that it did not run the request.
 	NotRun Fate = "not run"
-	// Ran says that an upstream ran the request.
+	// Ran means that an upstream ran the request.
 	Ran Fate = "ran"
-	// MayHaveRun says that the router can't know.
+	// MayHaveRun means that the outcome is unknown to the router.
 	MayHaveRun Fate = "may have run"
 )
 
-// Advice tells the caller what to do next.
+// Advice is the action that a result code recommends to the caller.
 type Advice string
 
 const (
-	// AdviceNone says that nothing remains to be done.
+	// AdviceNone means that no action is needed.
 	AdviceNone Advice = "none"
-	// AdviceFix is for requests that would be refused again as they are.
+	// AdviceFix is for requests that would be refused again unless they are changed.
 	AdviceFix Advice = "change the request"
 	// AdviceRetryLater is for requests that did not run and may be served later.
 	AdviceRetryLater Advice = "retry later"
-	// AdviceRetryNow is for requests that did not run and that another router, or this
-	// one, may serve now.
+	// AdviceRetryNow is for requests that did not run and may be retried at once, at this
+	// or another router.
 	AdviceRetryNow Advice = "retry at once"
-	// AdviceSameID is for changes that are stored and not yet in force.
+	// AdviceSameID is for changes that are stored but not in force yet.
 	AdviceSameID Advice = "ask again with the same request id"
 	// AdviceCheck is for requests that may have run: a retry may run them twice.
 	AdviceCheck Advice = "check what happened before a retry"
@@ -100,23 +100,23 @@
 // CodeInfo describes a Code.
 type CodeInfo struct {
 	Code Code
-	// Name is the code's name in answers, logs and metrics.
+	// Name is the code's name in responses, logs and metrics.
 	Name string
-	// Fate is what the code says of the request's execution.
+	// Fate says whether the request was executed.
 	Fate Fate
-	// Status is the HTTP status of the answer.
+	// Status is the HTTP status of the response.
 	Status int
-	// Advice is what the caller should do next.
+	// Advice is the recommended action of the caller.
 	Advice Advice
-	// Message is a sentence for callers, to which an Error adds its detail.
+	// Message is the text for callers, to which an Error appends its detail.
 	Message string
 }
 
-// statusCallerGone is customary for a client that closed its connection; net/http
-// has no name for it. It stands in logs only, as nobody is left to read it.
+// statusCallerGone is the non-standard status 499 for a client that closed its connection.
+// It only appears in logs, since the client can't receive it.
 const statusCallerGone = 499
 
-// codeTable is what callers are told of each code, by number. It does not change.
+// codeTable describes all codes in the order of their numbers. It is never modified.
 var codeTable = []CodeInfo{
 	{Served, "served", Ran, http.StatusOK, AdviceNone, "the whole answer was given"},
 	{BadRequest, "bad_request", NotRun, http.StatusBadRequest, AdviceFix, "the request body can't be read"},
@@ -163,7 +163,7 @@
 	{DocumentUnsettled, "document_unsettled", MayHaveRun, http.StatusAccepted, AdviceCheck, "the store's answer was lost and could not be read back"},
 }
 
-// codeIndex is codeTable by code. It does not change.
+// codeIndex maps each code to its entry in codeTable. It is never modified.
 var codeIndex = func() map[Code]CodeInfo {
 	index := make(map[Code]CodeInfo, len(codeTable))
 	for _, info := range codeTable {
@@ -172,50 +172,49 @@
 	return index
 }()
 
-// Codes returns the descriptions of all result codes, by number. The caller may
-// change the result.
+// Codes returns the descriptions of all result codes in the order of their numbers. The
+// caller may modify the result.
 func Codes() []CodeInfo {
 	return append([]CodeInfo(nil), codeTable...)
 }
 
-// Info returns the description of a code. It panics for a number that is not
-// in the table.
+// Info returns the description of a code. It panics for an unknown code.
 func (c Code) Info() CodeInfo {
 	info, ok := codeIndex[c]
 	if !ok {
-		panic(fmt.Sprintf("granitehoist: no such code: %d", int(c)))
+		panic(fmt.Sprintf("granitehoist: unknown result code %d", int(c)))
 	}
 	return info
 }
 
-// String returns the name of the code.
+// String returns the name of the code. It panics for an unknown code.
 func (c Code) String() string { return c.Info().Name }
 
-// Error is a result that is not Served.
+// Error is a result other than Served.
 type Error struct {
 	// Code is the numbered result.
 	Code Code
-	// Detail says in plain words what was wrong in this case.
+	// Detail describes this failure in a few words for callers.
 	Detail string
-	// RetryAfter, if above zero, is the time after which a retry may succeed.
+	// RetryAfter, if positive, is the time after which a retry may succeed.
 	RetryAfter time.Duration
-	// Cause, if any, is the error that led to this one. It may be logged and is
-	// never told to callers.
+	// Cause, if not nil, is the underlying error. It may be logged and is never sent to
+	// callers.
 	Cause error
 }
 
-// Errorf returns an Error with a formatted detail.
+// Errorf returns an Error with a detail formatted as by fmt.Sprintf.
 func Errorf(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap returns an Error with a cause, which may be nil and is not told to callers.
+// Wrap returns an Error with a cause, which is not sent to callers. cause may be nil, and
 // detail may be empty.
 func Wrap(code Code, cause error, detail string) *Error {
 	return &Error{Code: code, Detail: detail, Cause: cause}
 }
 
-// Error returns the number, the name and the detail.
+// Error returns the number, name, message and cause. It must not be sent to callers.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("%d %s: %s", int(e.Code), e.Code, e.Message())
 	if e.Cause != nil {
@@ -224,7 +223,7 @@
 	return text
 }
 
-// Message returns what callers are told: the table's sentence and the detail.
+// Message returns the text for callers: the message of the code and the detail.
 func (e *Error) Message() string {
 	if e.Detail == "" {
 		return e.Code.Info().Message
@@ -232,11 +231,11 @@
 	return e.Code.Info().Message + ": " + e.Detail
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, which may be nil.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// CodeOf returns the code of an error: Served for nil, and Internal for an
-// error that is no *Error.
+// CodeOf returns the code of an error: Served for nil, and Internal for an error that
+// doesn't wrap an *Error.
 func CodeOf(err error) Code {
 	if err == nil {
 		return Served
--- a/codes_test.go
+++ b/codes_test.go
@@ -15,24 +15,24 @@
 	"granitehoist.example/granitehoist"
 )
 
-// codesPage returns the table of docs/CODES.md as the code has it.
-func codesPage() string {
-	var page strings.Builder
-	page.WriteString("| number | name | fate | HTTP status | advice | message |\n| --- | --- | --- | --- | --- | --- |\n")
+// codesMarkdown returns the table of docs/CODES.md generated from the code.
+func codesMarkdown() string {
+	var table strings.Builder
+	table.WriteString("| number | name | fate | HTTP status | advice | message |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, info := range granitehoist.Codes() {
-		fmt.Fprintf(&page, "| %d | %s | %s | %d | %s | %s |\n", info.Code, info.Name, info.Fate, info.Status, info.Advice, info.Message)
+		fmt.Fprintf(&table, "| %d | %s | %s | %d | %s | %s |\n", info.Code, info.Name, info.Fate, info.Status, info.Advice, info.Message)
 	}
-	return page.String()
+	return table.String()
 }
 
 var _ = Describe("Codes", func() {
-	It("stand in docs/CODES.md as in the code", func() {
+	It("match the table of docs/CODES.md", func() {
 		page, err := os.ReadFile("docs/CODES.md")
 		Expect(err).NotTo(HaveOccurred())
-		Expect(string(page)).To(ContainSubstring(codesPage()))
+		Expect(string(page)).To(ContainSubstring(codesMarkdown()))
 	})
 
-	It("have one number and one name each", func() {
+	It("have unique numbers and names", func() {
 		names := map[string]bool{}
 		numbers := map[granitehoist.Code]bool{}
 		for _, info := range granitehoist.Codes() {
@@ -42,11 +42,11 @@
 		}
 	})
 
-	It("panic for a number that is not in the table", func() {
+	It("panic in Info if they are unknown", func() {
 		Expect(func() { granitehoist.Code(9999).Info() }).To(Panic())
 	})
 
-	DescribeTable("are read off an error",
+	DescribeTable("are returned by CodeOf",
 		func(err error, code granitehoist.Code) { Expect(granitehoist.CodeOf(err)).To(Equal(code)) },
 		Entry("nil", nil, granitehoist.Served),
 		Entry("another error", errors.New("other"), granitehoist.Internal),
@@ -54,7 +54,7 @@
 		Entry("a wrapped Error", fmt.Errorf("while: %w", granitehoist.Errorf(granitehoist.WrongKey, "")), granitehoist.WrongKey),
 	)
 
-	It("keep the cause from callers", func() {
+	It("do not reveal the cause of an error to callers", func() {
 		err := granitehoist.Wrap(granitehoist.StoreDown, errors.New("secret address"), "")
 		Expect(err.Message()).NotTo(ContainSubstring("secret"))
 		Expect(err.Error()).To(ContainSubstring("secret"))
@@ -62,7 +62,7 @@
 })
 
 var _ = Describe("BudgetID", func() {
-	It("gives back its parts", func() {
+	It("returns its parts", func() {
 		id := granitehoist.NewBudgetID("tuul", "kiosk", "a/b")
 		Expect(id.Partner()).To(Equal(granitehoist.Partner("tuul")))
 		Expect(id.Workspace()).To(Equal(granitehoist.Workspace("kiosk")))
--- a/docs_test.go
+++ b/docs_test.go
@@ -18,14 +18,14 @@
 	. "github.com/onsi/gomega"
 )
 
-// sourceTree is what the pages may name: the packages below this directory,
-// their files, and the declarations of each.
+// sourceTree holds what the documentation may refer to: the files and the declarations of
+// the packages below this directory.
 type sourceTree struct {
 	files map[string]bool
-	// names holds, by package, what each declares: functions, types, values,
-	// and methods and fields as "Type.Member".
-	names map[string]map[string]bool
-	text  strings.Builder
+	// names holds the declarations of each package: functions, types, values, and methods
+	// and fields as "Type.Member".
+	names  map[string]map[string]bool
+	source strings.Builder
 }
 
 func readSourceTree() *sourceTree {
@@ -54,21 +54,21 @@
 	if err != nil {
 		return err
 	}
-	t.text.Write(raw)
+	t.source.Write(raw)
 	name := strings.TrimSuffix(parsed.Name.Name, "_test")
 	if t.names[name] == nil {
 		t.names[name] = map[string]bool{}
 	}
-	declared(parsed, t.names[name])
+	addDeclarations(parsed, t.names[name])
 	return nil
 }
 
-// declared adds the names that a file declares.
-func declared(f *ast.File, names map[string]bool) {
+// addDeclarations adds the names that a file declares to names.
+func addDeclarations(f *ast.File, names map[string]bool) {
 	for _, decl := range f.Decls {
 		switch d := decl.(type) {
 		case *ast.FuncDecl:
-			names[receiver(d)+d.Name.Name] = true
+			names[receiverPrefix(d)+d.Name.Name] = true
 		case *ast.GenDecl:
 			for _, spec := range d.Specs {
 				addSpec(spec, names)
@@ -77,8 +77,8 @@
 	}
 }
 
-// receiver returns "Type." for a method and nothing for a function.
-func receiver(d *ast.FuncDecl) string {
+// receiverPrefix returns "Type." for a method and "" for a function.
+func receiverPrefix(d *ast.FuncDecl) string {
 	if d.Recv == nil {
 		return ""
 	}
@@ -122,23 +122,24 @@
 }
 
 var (
-	// linkPattern is a link of Markdown; its target is the first group.
+	// linkPattern matches a Markdown link; the first group is the target.
 	linkPattern = regexp.MustCompile(`\]\(([^)#\s]+)(?:#[^)]*)?\)`)
-	// filePattern is a path of a Go file, a script or a settings file.
+	// filePattern matches the path of a Go file, a script or a settings file.
 	filePattern = regexp.MustCompile("`((?:[a-z][a-z0-9_-]*/)+[a-z0-9_-]+\\.(?:go|sh|toml))`")
-	// namePattern is a name of a package's declaration, such as `pool.New` or
-	// `pool.Pool.Do`, and namedCall one of its own, such as `pool.pick()`.
-	namePattern = regexp.MustCompile("`([a-z]+)\\.([A-Z]\\w*(?:\\.\\w+)?)(?:\\(\\))?`")
-	namedCall   = regexp.MustCompile("`([a-z]+)\\.([a-z]\\w*(?:\\.\\w+)?)\\(\\)`")
-	// testPattern is the name of a test that a table of docs/ARCHITECTURE.md or
-	// docs/FINDINGS.md refers to.
-	testPattern = regexp.MustCompile(`test "([^"]+)"`)
-	// wordPattern is the first cell of a row of the glossary.
-	wordPattern = regexp.MustCompile(`(?m)^\| ([a-z][a-z ,]*) \|`)
+	// exportedNamePattern matches an exported declaration with its package, such as
+	// `pool.New` or `pool.Pool.Do`; unexportedNamePattern matches an unexported function or
+	// method, such as `pool.pick()`.
+	exportedNamePattern   = regexp.MustCompile("`([a-z]+)\\.([A-Z]\\w*(?:\\.\\w+)?)(?:\\(\\))?`")
+	unexportedNamePattern = regexp.MustCompile("`([a-z]+)\\.([a-z]\\w*(?:\\.\\w+)?)\\(\\)`")
+	// testTitlePattern matches a reference to a test by its title, as in the tables of
+	// docs/ARCHITECTURE.md and docs/FINDINGS.md.
+	testTitlePattern = regexp.MustCompile(`test "([^"]+)"`)
+	// glossaryPattern matches the first cell of a row of the glossary.
+	glossaryPattern = regexp.MustCompile(`(?m)^\| ([a-z][a-z ,]*) \|`)
 )
 
-// pages returns the documents that are held against the code.
-func pages() []string {
+// documents returns the paths of the documents that are checked against the code.
+func documents() []string {
 	GinkgoHelper()
 	list, err := filepath.Glob("docs/*.md")
 	Expect(err).NotTo(HaveOccurred())
@@ -147,73 +148,73 @@
 	return slices.Concat([]string{"README.md"}, list, notes)
 }
 
-func readPage(page string) string {
+func readDocument(document string) string {
 	GinkgoHelper()
-	raw, err := os.ReadFile(page)
+	raw, err := os.ReadFile(document)
 	Expect(err).NotTo(HaveOccurred())
 	return string(raw)
 }
 
-// allMatches returns the groups of each match of a pattern in a page.
-func allMatches(pattern *regexp.Regexp, page string) [][]string {
+// allMatches returns the groups of each match of a pattern in a document.
+func allMatches(pattern *regexp.Regexp, document string) [][]string {
 	GinkgoHelper()
-	return pattern.FindAllStringSubmatch(readPage(page), -1)
+	return pattern.FindAllStringSubmatch(readDocument(document), -1)
 }
 
-var _ = Describe("The pages", func() {
-	It("link only to files that exist", func() {
-		for _, page := range pages() {
-			for _, link := range allMatches(linkPattern, page) {
+var _ = Describe("The documentation", func() {
+	It("links only to existing files", func() {
+		for _, document := range documents() {
+			for _, link := range allMatches(linkPattern, document) {
 				if strings.Contains(link[1], "://") {
 					continue
 				}
-				Expect(filepath.Join(filepath.Dir(page), link[1])).To(Or(BeAnExistingFile(), BeADirectory()), page)
+				Expect(filepath.Join(filepath.Dir(document), link[1])).To(Or(BeAnExistingFile(), BeADirectory()), document)
 			}
 		}
 	})
 
-	It("have a line on each package in docs/ARCHITECTURE.md", func() {
-		page := readPage("docs/ARCHITECTURE.md")
+	It("mentions each package in docs/ARCHITECTURE.md", func() {
+		document := readDocument("docs/ARCHITECTURE.md")
 		for file := range readSourceTree().files {
 			folder := filepath.Dir(file)
 			if filepath.Ext(file) == ".go" && folder != "." {
-				Expect(page).To(ContainSubstring("`"+folder), folder)
+				Expect(document).To(ContainSubstring("`"+folder), folder)
 			}
 		}
 	})
 
-	It("name only files that exist", func() {
+	It("names only existing files", func() {
 		tree := readSourceTree()
-		for _, page := range pages() {
-			for _, file := range allMatches(filePattern, page) {
-				Expect(tree.files[file[1]]).To(BeTrue(), "%s names %s", page, file[0])
+		for _, document := range documents() {
+			for _, file := range allMatches(filePattern, document) {
+				Expect(tree.files[file[1]]).To(BeTrue(), "%s names %s", document, file[0])
 			}
 		}
 	})
 
-	It("name only declarations that exist", func() {
+	It("names only existing declarations", func() {
 		tree := readSourceTree()
-		for _, page := range pages() {
-			for _, name := range slices.Concat(allMatches(namePattern, page), allMatches(namedCall, page)) {
+		for _, document := range documents() {
+			for _, name := range slices.Concat(allMatches(exportedNamePattern, document), allMatches(unexportedNamePattern, document)) {
 				if names, known := tree.names[name[1]]; known {
-					Expect(names[name[2]]).To(BeTrue(), "%s names %s", page, name[0])
+					Expect(names[name[2]]).To(BeTrue(), "%s names %s", document, name[0])
 				}
 			}
 		}
 	})
 
-	It("name only tests that exist", func() {
-		text := readSourceTree().text.String()
-		for _, page := range pages() {
-			for _, test := range allMatches(testPattern, page) {
-				Expect(strings.Contains(text, `"`+test[1])).To(BeTrue(), "%s names %s", page, test[0])
+	It("names only existing tests", func() {
+		text := readSourceTree().source.String()
+		for _, document := range documents() {
+			for _, test := range allMatches(testTitlePattern, document) {
+				Expect(strings.Contains(text, `"`+test[1])).To(BeTrue(), "%s names %s", document, test[0])
 			}
 		}
 	})
 
-	It("explain in the glossary only words that the code uses", func() {
-		text := strings.ToLower(readSourceTree().text.String())
-		for _, row := range allMatches(wordPattern, "docs/GLOSSARY.md") {
+	It("explains only words in the glossary that the code uses", func() {
+		text := strings.ToLower(readSourceTree().source.String())
+		for _, row := range allMatches(glossaryPattern, "docs/GLOSSARY.md") {
 			for _, word := range strings.Split(row[1], ", ") {
 				Expect(strings.Contains(text, word)).To(BeTrue(), "the code does not use the glossary's word %q", word)
 			}
--- a/ids.go
+++ b/ids.go
@@ -15,7 +15,7 @@
 // Partner names one of the organisations that share the fleet.
 type Partner string
 
-// Region names a set of availability zones that is cut off, or reachable, as a whole.
+// Region names a set of availability zones that a network partition separates as a whole.
 type Region string
 
 // AvailabilityZone names an availability zone.
@@ -24,71 +24,68 @@
 // Box names a machine that runs one router.
 type Box string
 
-// Incarnation names one run of a router process. A box has a new incarnation
-// each time its router starts; an incarnation is never used twice.
+// Incarnation identifies one run of a router process. Each start of the router on a box has
+// a new, unique incarnation.
 type Incarnation string
 
-// Workspace names a customer of a partner. Workspace names are unique within
-// their partner only.
+// Workspace names the customer to whom a budget and a key belong. Names are unique within a
+// partner.
 type Workspace string
 
-// Service names a group of upstreams that offer the same thing.
+// Service names a group of interchangeable upstreams.
 type Service string
 
-// Model names a language model as callers write it.
+// Model is the name of a language model in callers' requests.
 type Model string
 
-// Upstream names one back end of a service.
+// Upstream names one model engine or plain service (a back end).
 type Upstream string
 
-// RequestID names a request of a caller. All attempts of one request share it.
+// RequestID identifies a caller's request. All attempts of a request share it.
 type RequestID string
 
-// AttemptID names one sending of a request to one upstream.
+// AttemptID identifies one attempt of a request at an upstream.
 type AttemptID string
 
-// Serial numbers the documents of one partner, from 1. A later document has a
-// larger one.
+// Serial is the sequence number of a partner's document, from 1. Later documents have larger
+// ones.
 type Serial uint64
 
-// Tokens counts prepaid tokens. It is the unit of every budget and charge.
+// Tokens is a number of prepaid tokens, the unit of budgets and charges.
 type Tokens int64
 
-// Priority orders requests that wait for the same upstream; a larger number is
-// served first.
+// Priority orders requests that wait for the same upstream; larger ones are served first.
 type Priority int
 
-// The range of a Priority. The priority classes of the users' platform are 0 to 9
-// as well, but 0 is their most urgent; package platform turns them round.
+// The range of a Priority. The platform's priority classes have the same range, but 0 is the
+// most urgent; package platform converts them.
 const (
 	// MinPriority is served last.
 	MinPriority Priority = 0
-	// DefaultPriority is that of a request for which nobody chose one.
+	// DefaultPriority applies to requests without a configured priority.
 	DefaultPriority Priority = 5
 	// MaxPriority is served first.
 	MaxPriority Priority = 9
 )
 
-// BudgetID names a prepaid budget across the fleet, as
-// "partner/workspace/name".
+// BudgetID identifies a prepaid budget across the fleet as "partner/workspace/name".
 type BudgetID string
 
 const (
-	// idSeparator stands between the parts of a BudgetID. Partners and workspaces
-	// have none in their names.
+	// idSeparator separates the parts of a BudgetID. Names of partners and workspaces
+	// don't contain it.
 	idSeparator = "/"
 	// budgetPartCount is the number of parts of a BudgetID.
 	budgetPartCount = 3
 )
 
-// NewBudgetID returns the fleet-wide name of a workspace's budget. name is unique
-// within the workspace.
+// NewBudgetID returns the id of a workspace's budget. name must be unique within the
+// workspace; p and w must not contain a slash.
 func NewBudgetID(p Partner, w Workspace, name string) BudgetID {
 	return BudgetID(string(p) + idSeparator + string(w) + idSeparator + name)
 }
 
-// Partner returns the partner that owns the budget, or "" if the id is not
-// of the form that NewBudgetID makes.
+// Partner returns the partner that owns the budget, or "" if the id has no slash.
 func (b BudgetID) Partner() Partner {
 	p, _, ok := strings.Cut(string(b), idSeparator)
 	if !ok {
@@ -97,8 +94,7 @@
 	return Partner(p)
 }
 
-// Workspace returns the workspace that owns the budget, or "" if the id is
-// not of the form that NewBudgetID makes.
+// Workspace returns the workspace that owns the budget, or "" if the id is malformed.
 func (b BudgetID) Workspace() Workspace {
 	parts := strings.SplitN(string(b), idSeparator, budgetPartCount)
 	if len(parts) < budgetPartCount {
@@ -107,8 +103,7 @@
 	return Workspace(parts[1])
 }
 
-// Name returns the budget's name within its workspace, or "" if the id is not
-// of the form that NewBudgetID makes.
+// Name returns the budget's name within its workspace, or "" if the id is malformed.
 func (b BudgetID) Name() string {
 	parts := strings.SplitN(string(b), idSeparator, budgetPartCount)
 	if len(parts) < budgetPartCount {
@@ -117,42 +112,39 @@
 	return parts[2]
 }
 
-// Parts of an AttemptID, in their order: the incarnation, a number, the hash of
-// the budget, the request. Numbers and hashes have no dots; incarnations and
-// requests may.
+// The format of an AttemptID: the incarnation, a number, the hash of the budget and the
+// request id, separated by dots. Incarnations and request ids may contain dots.
 const (
 	attemptSeparator = "."
-	// partsAfterIncarnation is the number of parts after the first.
+	// partsAfterIncarnation is the number of parts that follow the incarnation.
 	partsAfterIncarnation = 3
-	// numberBase writes numbers and hashes with digits and lower-case letters, the
-	// shortest form that strconv offers.
+	// numberBase is the base of numbers and hashes, the largest that strconv supports.
 	numberBase = 36
 )
 
-// NewAttemptID names the n-th attempt of an incarnation. An upstream's record of
-// the attempt therefore tells whom to charge, even after the incarnation has
-// ended. n must not repeat within an incarnation.
+// NewAttemptID returns the id of the n-th attempt of an incarnation. It contains the hash of
+// the budget, so that an attempt recorded by an upstream can be charged after the
+// incarnation has ended. n must be unique within the incarnation.
 func NewAttemptID(i Incarnation, n uint64, b BudgetID, r RequestID) AttemptID {
 	parts := []string{string(i), strconv.FormatUint(n, numberBase), BudgetHash(b), string(r)}
 	return AttemptID(strings.Join(parts, attemptSeparator))
 }
 
-// BudgetHash returns the short name of a budget in an AttemptID: a hash of 64
-// bits, from which the budget can't be read back.
+// BudgetHash returns the 64-bit hash of a budget's id, as it appears in an AttemptID.
 func BudgetHash(b BudgetID) string {
 	return strconv.FormatUint(xxhash.Sum64String(string(b)), numberBase)
 }
 
-// AttemptParts is what an AttemptID says of its attempt.
+// AttemptParts holds the parsed parts of an AttemptID.
 type AttemptParts struct {
-	// BudgetHash is the BudgetHash of the budget that pays for it.
+	// BudgetHash is the hash of the budget that is charged for the attempt.
 	BudgetHash string
-	// Request is the request that it serves.
+	// Request is the id of the request.
 	Request RequestID
 }
 
-// Parts returns the parts of the id of an attempt of i, and false if the id is not
-// one that NewAttemptID makes for i.
+// Parts parses the id of an attempt of incarnation i. It returns false if the id is malformed
+// or belongs to another incarnation.
 func (a AttemptID) Parts(i Incarnation) (AttemptParts, bool) {
 	remaining, ok := strings.CutPrefix(string(a), AttemptPrefix(i))
 	parts := strings.SplitN(remaining, attemptSeparator, partsAfterIncarnation)
@@ -162,16 +154,15 @@
 	return AttemptParts{BudgetHash: parts[1], Request: RequestID(parts[2])}, true
 }
 
-// AttemptPrefix returns what the ids of all attempts of an incarnation begin with.
+// AttemptPrefix returns the common prefix of the ids of all attempts of an incarnation.
 func AttemptPrefix(i Incarnation) string { return string(i) + attemptSeparator }
 
-// randomIDBytes is the random part of an identifier, 96 bits: two of them are not expected
-// to be equal in the life of a fleet.
+// randomIDBytes is the size of the random part of an identifier; 96 bits make collisions
+// negligible.
 const randomIDBytes = 12
 
-// NewID returns a random identifier with the given prefix: randomIDBytes of random
-// as hexadecimal digits. It panics if random fails, since no safe identifier can be
-// made then. It is safe for concurrent use if random is, as crypto/rand.Reader is.
+// NewID returns prefix followed by randomIDBytes bytes of random in hexadecimal. It panics if
+// random fails. It is safe for concurrent use if random is, as crypto/rand.Reader is.
 func NewID(prefix string, random io.Reader) string {
 	var raw [randomIDBytes]byte
 	if _, err := io.ReadFull(random, raw[:]); err != nil {
--- a/layout_test.go
+++ b/layout_test.go
@@ -14,12 +14,11 @@
 	. "github.com/onsi/gomega"
 )
 
-// partnerPackages is the import path below which the packages of the partners'
-// router are.
+// partnerPackages is the import path prefix of the packages of the partners' router.
 const partnerPackages = "granitehoist.example/granitehoist/partner/"
 
-// importsOf returns what the Go files of a directory import, tests left out.
-func importsOf(directory string) []string {
+// packageImports returns the imports of the Go files of a directory without its tests.
+func packageImports(directory string) []string {
 	GinkgoHelper()
 	files, err := filepath.Glob(filepath.Join(directory, "*.go"))
 	Expect(err).NotTo(HaveOccurred())
@@ -42,7 +41,7 @@
 
 var _ = DescribeTable("A package of the edge router imports none of the partners' router",
 	func(directory string) {
-		Expect(importsOf(directory)).NotTo(ContainElement(HavePrefix(partnerPackages)))
+		Expect(packageImports(directory)).NotTo(ContainElement(HavePrefix(partnerPackages)))
 	},
 	Entry(nil, "node"),
 	Entry(nil, "forward"),
--- a/suite_test.go
+++ b/suite_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// stepTimeout bounds a step of a test, also while the computer is busy.
+// stepTimeout bounds each Eventually assertion, with a margin for a loaded machine.
 const stepTimeout = 20 * time.Second
 
 func TestGranitehoist(t *testing.T) {
