--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -141,7 +141,7 @@
 		}
 		if p.isBlackholed(from) {
 			if err != nil {
-				// The error is not forwarded as such; abort ends the other direction.
+				// This only releases the other side's connection.
 				abort(to)
 				return
 			}
