--- a/explain/boxstate.go
+++ b/explain/boxstate.go
@@ -5,23 +5,22 @@
 
 import "granitehoist.example/granitehoist/internal/event"
 
-// boxState holds the latest lines of a box that bear on its requests, as of the
-// lines read so far. A field is nil until there was such a line.
+// boxState holds the latest log lines of a box that affect its requests. A field is
+// nil until such a line has been read.
 type boxState struct {
-	// config is the line of the configuration in force.
+	// config is the line of the active configuration.
 	config *Line
-	// stores says, by prefix, whether the store was lost or regained.
+	// stores holds the last store_lost or store_regained line of each key prefix.
 	stores map[string]*Line
-	// sync is the last sync of the budgets that failed, nil after one that
-	// brought tokens.
-	sync *Line
-	// restart is the last start of the router or order to stop it.
-	restart *Line
-	// upstreams holds the latest announcement of each instance.
+	// failedSync is the last failed budget sync, nil once a later grant succeeded.
+	failedSync *Line
+	// startStop is the last start or stop line of the router.
+	startStop *Line
+	// upstreams holds the latest upstream or upstream_gone line of each instance.
 	upstreams map[string]*Line
-	// unreachable is the end of the request if it was refused because the store
-	// gave no answer, while no call to the store had failed yet. It is nil again
-	// once a later line says which call failed, or that the store answered.
+	// unreachable is the request line of a refusal because the store did not answer,
+	// logged before any call to the store had failed. It is reset by the line of the
+	// call that failed, or of one that succeeded.
 	unreachable *Line
 }
 
@@ -29,31 +28,31 @@
 	return &boxState{stores: map[string]*Line{}, upstreams: map[string]*Line{}}
 }
 
-// note keeps a line that later requests may depend on. A start ends what was
-// known: the lines before it are of a process that has ended.
-func (b *boxState) note(l *Line) {
+// update records a line that affects later requests. A start line discards the state
+// of the previous process.
+func (b *boxState) update(l *Line) {
 	switch l.Event {
 	case event.ConfigInForce:
 		b.config = l
 	case event.StoreLost, event.StoreRegained:
 		b.stores[l.Get("prefix")] = l
 	case event.BudgetSyncFailed:
-		b.sync = l
+		b.failedSync = l
 	case event.BudgetGrant:
-		b.sync, b.unreachable = nil, nil
+		b.failedSync, b.unreachable = nil, nil
 	case event.Start:
 		*b = *newBoxState()
-		b.restart = l
+		b.startStop = l
 	case event.Stop:
-		b.restart = l
+		b.startStop = l
 	case event.Upstream, event.UpstreamGone:
 		b.upstreams[l.Get("upstream")] = l
 	}
 }
 
-// longestLost returns the line since which the store has been lost for the
-// longest time, of all prefixes; nil if it is lost for none.
-func (b *boxState) longestLost() *Line {
+// longestOutage returns the store_lost line of the longest outage that still lasts,
+// over all prefixes; nil if there is none.
+func (b *boxState) longestOutage() *Line {
 	var longest *Line
 	for _, l := range b.stores {
 		if l.Event == event.StoreLost && (longest == nil || l.At < longest.At) {
--- a/explain/budget.go
+++ b/explain/budget.go
@@ -17,57 +17,56 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// ErrNoBudget says that the log has no line of the workspace's budget.
+// ErrNoBudget is returned for a log without a line about the workspace's budget.
 var ErrNoBudget = eris.New("explain: the log has no line of this workspace's budget")
 
-// budgetStep is the time that one row of Budget's table covers: an outage of the users'
-// standard days fills several.
-const budgetStep = 2 * time.Second
+// rowInterval is the time that one row of the table of Budget.Write covers.
+const rowInterval = 2 * time.Second
 
-// Budget is what a log tells of one workspace's prepaid tokens. ReadBudget makes
-// one. All amounts are in tokens.
+// Budget summarises the log lines about one workspace's prepaid tokens. ReadBudget
+// returns one. All amounts are in tokens.
 type Budget struct {
 	Workspace granitehoist.Workspace
-	// Prepaid is the total in force at the end of the log, Rest what the store had
-	// left of it when a record was last written.
+	// Prepaid is the prepaid total at the end of the log, Rest the tokens left in the
+	// store after the last write of the record.
 	Prepaid, Rest granitehoist.Tokens
-	// Used is what ended requests were charged. The log has no end of a request that
-	// was in progress when its router died.
+	// Used is what finished requests were charged. It lacks requests that were in
+	// progress when their router died.
 	Used granitehoist.Tokens
 
-	takers map[string]*taker
-	// borrowed holds the sum of the loans of each lender to each borrower's process,
-	// and repaid the same of what was given back.
+	holders map[string]*holder
+	// borrowed holds the total lent by each lender to each borrowing process, and
+	// repaid the total paid back.
 	borrowed, repaid map[transfer]granitehoist.Tokens
-	steps            map[time.Duration]*budgetRow
+	rows             map[time.Duration]*budgetRow
 	restAt           time.Duration
 }
 
-// taker is a router's process that took tokens from the record.
-type taker struct {
+// holder is a router process to which the store granted tokens.
+type holder struct {
 	box               string
 	granted, returned granitehoist.Tokens
-	// ended says that the box has started another process since.
+	// ended is set if the box has started another process since.
 	ended bool
 }
 
-// transfer names the two ends of loans. from is an incarnation as the log names it,
+// transfer identifies lender and borrower of loans: from is an incarnation as logged,
 // to the process that logged it.
 type transfer struct{ from, to string }
 
-// budgetRow is what happened in one step.
+// budgetRow counts the requests of one rowInterval.
 type budgetRow struct {
 	served  int
 	used    granitehoist.Tokens
 	refused map[string]int
 }
 
-// ReadBudget reads a log and collects what it tells of a workspace's prepaid tokens.
-// It returns ErrNoBudget if no line is of them, and an error if log can't be read or
-// has a line above maxLineBytes.
+// ReadBudget reads a log and collects the lines about a workspace's prepaid tokens. It
+// returns ErrNoBudget if there are none, and an error if log can't be read or has a
+// line longer than maxLineBytes.
 func ReadBudget(log io.Reader, workspace granitehoist.Workspace) (*Budget, error) {
 	b := &Budget{
-		Workspace: workspace, takers: map[string]*taker{}, steps: map[time.Duration]*budgetRow{},
+		Workspace: workspace, holders: map[string]*holder{}, rows: map[time.Duration]*budgetRow{},
 		borrowed: map[transfer]granitehoist.Tokens{}, repaid: map[transfer]granitehoist.Tokens{},
 	}
 	starts := map[string]int{}
@@ -81,51 +80,52 @@
 		process := processName(line.Box, starts[line.Box])
 		switch {
 		case line.Event == event.Start:
-			b.end(process)
+			b.markEnded(process)
 			starts[line.Box]++
 		case line.Get("workspace") == string(workspace):
-			b.note(&line, process)
+			b.add(&line, process)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, eris.Wrap(err, "explain: log")
 	}
-	if len(b.steps) == 0 && len(b.takers) == 0 {
+	if len(b.rows) == 0 && len(b.holders) == 0 {
 		return nil, ErrNoBudget
 	}
 	return b, nil
 }
 
-// processName names the process of a box after so many starts in the log.
+// processName returns a name for the process of a box after a number of starts in the
+// log.
 func processName(box string, starts int) string { return fmt.Sprintf("%s/%d", box, starts) }
 
-// end notes that a process has ended.
-func (b *Budget) end(process string) {
-	if t, ok := b.takers[process]; ok {
+// markEnded records that a process has ended.
+func (b *Budget) markEnded(process string) {
+	if t, ok := b.holders[process]; ok {
 		t.ended = true
 	}
 }
 
-// note adds a line of the workspace.
-func (b *Budget) note(l *Line, process string) {
+// add evaluates a line about the workspace that a process logged.
+func (b *Budget) add(l *Line, process string) {
 	switch l.Event {
 	case event.BudgetGrant:
-		b.noteGrant(l, process)
+		b.addGrant(l, process)
 	case event.BudgetLoan:
-		b.noteTransfer(b.borrowed, transfer{from: l.Get("lender"), to: process}, l)
+		b.addTransfer(b.borrowed, transfer{from: l.Get("lender"), to: process}, l)
 	case event.BudgetRepaid:
-		b.noteTransfer(b.repaid, transfer{from: l.Get("to"), to: process}, l)
+		b.addTransfer(b.repaid, transfer{from: l.Get("to"), to: process}, l)
 	case event.Request:
-		b.noteRequest(l)
+		b.addRequest(l)
 	}
 }
 
-// noteGrant adds what a line of a written record says of the budget.
-func (b *Budget) noteGrant(l *Line, process string) {
-	t, ok := b.takers[process]
+// addGrant adds a line about a written budget record.
+func (b *Budget) addGrant(l *Line, process string) {
+	t, ok := b.holders[process]
 	if !ok {
-		t = &taker{box: l.Box}
-		b.takers[process] = t
+		t = &holder{box: l.Box}
+		b.holders[process] = t
 	}
 	t.granted, t.returned = tokens(l, "granted"), tokens(l, "returned")
 	if l.At >= b.restAt {
@@ -133,22 +133,23 @@
 	}
 }
 
-// noteTransfer keeps the largest total between two ends.
-func (b *Budget) noteTransfer(totals map[transfer]granitehoist.Tokens, between transfer, l *Line) {
+// addTransfer records the total of a loan or repayment line. Totals only grow, so the
+// largest is kept.
+func (b *Budget) addTransfer(totals map[transfer]granitehoist.Tokens, between transfer, l *Line) {
 	totals[between] = max(totals[between], tokens(l, "total"))
 }
 
-// noteRequest adds what the end of a request says of the budget.
-func (b *Budget) noteRequest(l *Line) {
+// addRequest counts a finished request.
+func (b *Budget) addRequest(l *Line) {
 	outcome := l.Get("budget")
 	if outcome == "" {
 		return
 	}
-	at := l.At.Truncate(budgetStep)
-	row, ok := b.steps[at]
+	at := l.At.Truncate(rowInterval)
+	row, ok := b.rows[at]
 	if !ok {
 		row = &budgetRow{refused: map[string]int{}}
-		b.steps[at] = row
+		b.rows[at] = row
 	}
 	if outcome != "granted" {
 		row.refused[outcome]++
@@ -162,34 +163,34 @@
 // tokens returns the value of a key; see Line.Number.
 func tokens(l *Line, key string) granitehoist.Tokens { return granitehoist.Tokens(l.Number(key)) }
 
-// Write prints the totals, who took tokens from the records, who lent them, and a
-// table over time. Its error is that of w.
+// Write prints the totals, the processes with grants, the lenders, and a table over
+// time. It returns the first error of w.
 func (b *Budget) Write(w io.Writer) error {
 	p := printer{w: w}
 	p.line("budget of %s: prepaid %d, the store had %d left, used %d (%s)", b.Workspace, b.Prepaid, b.Rest, b.Used, percent(b.Used, b.Prepaid))
 	p.line("taken from the store:")
-	for _, name := range slices.Sorted(maps.Keys(b.takers)) {
-		t := b.takers[name]
+	for _, name := range slices.Sorted(maps.Keys(b.holders)) {
+		t := b.holders[name]
 		state := "at the end of the log"
 		if t.ended {
 			state = "by a process that has ended: what it had left is lost"
 		}
 		p.line("  %-24s %10d, of which %d returned, %s", t.box, t.granted, t.returned, state)
 	}
-	p.line("lent by (less what came back):")
+	p.line("lent by (net of repayments):")
 	lent := b.lentBy()
 	for _, lender := range slices.Sorted(maps.Keys(lent)) {
 		p.line("  %-48s %10d", lender, lent[lender])
 	}
 	p.line("from     served       used  refused")
-	for _, at := range slices.Sorted(maps.Keys(b.steps)) {
-		row := b.steps[at]
-		p.line("%6.0f s %6d %10d  %s", at.Seconds(), row.served, row.used, countsOf(row.refused))
+	for _, at := range slices.Sorted(maps.Keys(b.rows)) {
+		row := b.rows[at]
+		p.line("%6.0f s %6d %10d  %s", at.Seconds(), row.served, row.used, formatCounts(row.refused))
 	}
 	return p.err
 }
 
-// lentBy returns what each lender lent and did not get back.
+// lentBy returns each lender's loans net of repayments.
 func (b *Budget) lentBy() map[string]granitehoist.Tokens {
 	lent := map[string]granitehoist.Tokens{}
 	for between, total := range b.borrowed {
@@ -201,8 +202,8 @@
 	return lent
 }
 
-// countsOf returns counts by outcome in words.
-func countsOf(refused map[string]int) string {
+// formatCounts returns the counts by outcome as text.
+func formatCounts(refused map[string]int) string {
 	text := ""
 	for _, outcome := range slices.Sorted(maps.Keys(refused)) {
 		text += fmt.Sprintf("%s %d  ", outcome, refused[outcome])
@@ -210,7 +211,7 @@
 	return text
 }
 
-// percent returns the part in percent; of nothing it is unknown.
+// percent formats part as a percentage of all; it is unknown if all is not positive.
 func percent(part, all granitehoist.Tokens) string {
 	if all <= 0 {
 		return "prepaid total unknown"
@@ -218,7 +219,7 @@
 	return fmt.Sprintf("%.1f %%", 100*float64(part)/float64(all))
 }
 
-// printer writes lines until the first error, which it keeps.
+// printer writes lines until the first error, which it stores in err.
 type printer struct {
 	w   io.Writer
 	err error
--- a/explain/budget_test.go
+++ b/explain/budget_test.go
@@ -13,7 +13,7 @@
 	"granitehoist.example/granitehoist/explain"
 )
 
-var _ = Describe("The books of a budget", func() {
+var _ = Describe("Budget", func() {
 	const log = `  0.1 edge-1 ts=2026-01-01T00:00:00Z level=info event=start box=edge-1 incarnation=edge-1-a
   1.0 edge-1 ts=2026-01-01T00:00:01Z level=info event=budget_grant workspace=kiosk granted=4000 returned=0 spent=0 idle=4000 rest=96000 prepaid=100000 version=4
   1.5 edge-2 ts=2026-01-01T00:00:01Z level=info event=budget_loan workspace=kiosk lender=edge-1-a total=900
@@ -24,7 +24,7 @@
   3.0 edge-1 ts=2026-01-01T00:00:03Z level=info event=start box=edge-1 incarnation=edge-1-b
   4.0 edge-1 ts=2026-01-01T00:00:04Z level=info event=budget_grant workspace=kiosk granted=500 returned=100 spent=0 idle=400 rest=95600 prepaid=100000 version=9
 `
-	tell := func(workspace granitehoist.Workspace) string {
+	render := func(workspace granitehoist.Workspace) string {
 		GinkgoHelper()
 		budget, err := explain.ReadBudget(strings.NewReader(log), workspace)
 		Expect(err).NotTo(HaveOccurred())
@@ -33,23 +33,23 @@
 		return text.String()
 	}
 
-	It("names what was prepaid, is left and was used", func() {
-		Expect(tell("kiosk")).To(ContainSubstring("prepaid 100000, the store had 95600 left, used 700 (0.7 %)"))
+	It("reports the prepaid, remaining and used tokens", func() {
+		Expect(render("kiosk")).To(ContainSubstring("prepaid 100000, the store had 95600 left, used 700 (0.7 %)"))
 	})
-	It("tells which process took tokens and has ended", func() {
-		Expect(tell("kiosk")).To(MatchRegexp(`edge-1 +4000, of which 0 returned, by a process that has ended`))
-		Expect(tell("kiosk")).To(MatchRegexp(`edge-1 +500, of which 100 returned, at the end of the log`))
+	It("reports grants by process and whether it has ended", func() {
+		Expect(render("kiosk")).To(MatchRegexp(`edge-1 +4000, of which 0 returned, by a process that has ended`))
+		Expect(render("kiosk")).To(MatchRegexp(`edge-1 +500, of which 100 returned, at the end of the log`))
 	})
-	It("tells who lent, less what came back", func() {
-		Expect(tell("kiosk")).To(MatchRegexp(`edge-1-a +700\n`))
+	It("reports loans net of repayments", func() {
+		Expect(render("kiosk")).To(MatchRegexp(`edge-1-a +700\n`))
 	})
-	It("counts over time what was served and refused, of that workspace alone", func() {
-		Expect(tell("kiosk")).To(MatchRegexp(`0 s +1 +700 *\n +2 s +0 +0 +unreachable 1 +\n`))
+	It("counts served and refused requests of that workspace over time", func() {
+		Expect(render("kiosk")).To(MatchRegexp(`0 s +1 +700 *\n +2 s +0 +0 +unreachable 1 +\n`))
 	})
-	It("tells of a workspace whose prepaid total no line names", func() {
-		Expect(tell("desk")).To(ContainSubstring("prepaid total unknown"))
+	It("reports an unknown prepaid total if no line has one", func() {
+		Expect(render("desk")).To(ContainSubstring("prepaid total unknown"))
 	})
-	It("fails for a workspace of which there is no line", func() {
+	It("fails for a workspace without a line", func() {
 		_, err := explain.ReadBudget(strings.NewReader(log), "nobody")
 		Expect(err).To(MatchError(explain.ErrNoBudget))
 	})
--- a/explain/cause.go
+++ b/explain/cause.go
@@ -14,13 +14,13 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// lateFailureTime is how long after a refusal a failed call to the store can have
-// been under way at the refusal: the bound of a call for the budgets.
-const lateFailureTime = escrow.DefaultTimeout
+// lateFailureWindow is how long after a refusal a call that was in progress at the
+// refusal can fail: the timeout of a budget call.
+const lateFailureWindow = escrow.DefaultTimeout
 
-// addLateFailure tells which call to the store failed soon after the request was
-// refused for want of its answer. A conflict is no such failure, since the store
-// answers with it.
+// addLateFailure adds the store call that failed soon after the request was refused
+// because the store did not answer. A version conflict is an answer of the store and
+// not counted.
 func (s *Story) addLateFailure(l *Line, box *boxState) {
 	if box.unreachable == nil || (l.Event != event.BudgetSyncFailed && l.Event != event.StoreLost) {
 		return
@@ -29,49 +29,47 @@
 	if strings.Contains(cause, granitehoist.ErrConflict.Error()) {
 		return
 	}
-	if l.At-box.unreachable.At <= lateFailureTime {
+	if l.At-box.unreachable.At <= lateFailureWindow {
 		s.add(l, "  %s later the router logged %s: %s", secondsBetween(box.unreachable, l), l.Event, cause)
 	}
 	box.unreachable = nil
 }
 
-// readSince decides whether the record of the budgets was read between a failed
-// sync and the end of a request, which tells the age of its reading in rest_age.
-// The failure says nothing of the request then. A request whose router never read
-// the record has no age.
-func readSince(failure, request *Line) bool {
+// recordReadSince reports whether the budget record was read between a failed sync and
+// the end of a request, in which case the failure did not cause its outcome. The
+// request's rest_age is the age of that reading, zero if there was none.
+func recordReadSince(failure, request *Line) bool {
 	age := time.Duration(request.Number("rest_age") * float64(time.Second))
 	return age > 0 && age < request.At-failure.At
 }
 
-// isLargerThanTotal decides whether a request was refused because it can cost more
-// than the whole prepaid total. Its budget was not asked then, and the line has
-// the outcome that stands for no question.
-func isLargerThanTotal(request *Line) bool {
+// exceedsPrepaid reports whether a request was refused because its maximum cost exceeds
+// the prepaid total. The budget is not consulted for it, and the logged outcome is
+// granted.
+func exceedsPrepaid(request *Line) bool {
 	exhausted := strconv.Itoa(int(granitehoist.BudgetExhausted))
 	return request.Get("code") == exhausted && request.Get("budget") == escrow.Granted.String()
 }
 
-// outcomeMeaning returns what an outcome of the budget says of its cause, empty
-// for one that this version does not know.
+// outcomeMeaning describes the cause of a budget outcome; it is empty for an unknown
+// outcome.
 func outcomeMeaning(outcome string) string {
 	switch outcome {
 	case escrow.Exhausted.String():
 		return "too few tokens were left in the store and at all routers"
 	case escrow.Scarce.String():
-		return "too few tokens could be had here, though other routers may have held enough"
+		return "this router could not obtain enough tokens, though other routers may have held enough"
 	case escrow.Withheld.String():
 		return "the budget is almost spent and the request is large for what is left"
 	case escrow.Unreachable.String():
-		return "neither the store nor a lender in touch with it answered in time"
+		return "neither the store nor a lender connected to it answered in time"
 	}
 	return ""
 }
 
-// closedByRouter returns why the router itself ended an attempt whose error says
-// that it closed the connection, and nothing for any other error. Such an error
-// reads like a fault of the network, but an upstream that breaks a connection off
-// leaves another one.
+// closedByRouter returns why the router itself closed the connection of an attempt,
+// empty if the error is another one than net.ErrClosed. A connection that the upstream
+// closes fails with another error.
 func closedByRouter(cause string) string {
 	switch {
 	case !strings.Contains(cause, net.ErrClosed.Error()):
--- a/explain/doc.go
+++ b/explain/doc.go
@@ -1,18 +1,17 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package explain tells the story of one request from the log lines of nodes:
-// what the router knew when it decided, which attempts it made, what the caller
-// got, and which lost dependencies caused it.
+// Package explain explains the outcome of one request, or the use of one budget, from
+// the log lines of routers: the state on which the router decided, the attempts, the
+// result that the caller got, and the failed dependencies that caused it.
 //
-// 'granitehoist explain' runs it on a log from its standard input; granitehoist-edge
-// writes the lines. The package keeps no state between stories, and a Story is used
-// by one goroutine at a time. It relies on the names of events (internal/event), on
-// the keys of their lines as package forward and others write them, and on the
-// root package's result codes and package escrow's outcomes: a key that is renamed
-// there is no longer found here.
+// Read returns the Story of a request and ReadBudget the Budget of a workspace; both
+// are safe for use by one goroutine at a time. 'granitehoist explain' and
+// 'granitehoist explain-budget' run them on the log of granitehoist-edge. The package
+// depends on the event names of internal/event, on the keys that package forward and
+// others log, on the result codes of the root package and on the outcomes of package
+// escrow.
 //
-// Read collects: boxState keeps what each box logged of its dependencies up to the
-// line at hand, sentences.go turns the lines of the request into facts, and cause.go
-// decides what the lines around them say of its cause. Begin reading at Read.
+// boxState tracks the dependencies of each box line by line, facts.go turns the lines
+// of the request into facts, and cause.go derives their cause. Begin reading at Read.
 package explain
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -15,30 +15,29 @@
 	"granitehoist.example/granitehoist"
 )
 
-// ErrNoRequest says that the log has no line of the request.
+// ErrNoRequest is returned for a log without a line about the request.
 var ErrNoRequest = eris.New("explain: the log has no line of this request")
 
-// maxLineBytes bounds a line of the log in bytes; a longer one fails Read: lines of nodes
-// have some hundred bytes.
+// maxLineBytes bounds a line of the log in bytes; Read fails for a longer one.
 const maxLineBytes = 1 << 20
 
-// Story is what a log tells of one request. Read makes one.
+// Story holds the facts of a log about one request, in order of time. Read returns one.
 type Story struct {
-	Request   granitehoist.RequestID
-	sentences []sentence
+	Request granitehoist.RequestID
+	facts   []fact
 }
 
-// sentence is one fact of a story, with the time (Line.At) and box of the line
-// that it was read from.
-type sentence struct {
+// fact is one sentence with the time (Line.At) and box of the line that it was read
+// from.
+type fact struct {
 	at   time.Duration
 	box  string
 	text string
 }
 
-// Read reads a log and collects the story of one request. It skips lines without
-// an event. It returns ErrNoRequest if no line names the request, and an
-// error if log can't be read or has a line above maxLineBytes.
+// Read reads a log and collects the facts about one request. It skips lines without an
+// event. It returns ErrNoRequest if no line has the request, and an error if log can't
+// be read or has a line longer than maxLineBytes.
 func Read(log io.Reader, request granitehoist.RequestID) (*Story, error) {
 	story := &Story{Request: request}
 	boxes := map[string]*boxState{}
@@ -54,7 +53,7 @@
 			box = newBoxState()
 			boxes[line.Box] = box
 		}
-		box.note(&line)
+		box.update(&line)
 		story.addLateFailure(&line, box)
 		if line.Get("request") == string(request) {
 			story.addLine(&line, box)
@@ -63,21 +62,21 @@
 	if err := scanner.Err(); err != nil {
 		return nil, eris.Wrap(err, "explain: log")
 	}
-	if len(story.sentences) == 0 {
+	if len(story.facts) == 0 {
 		return nil, ErrNoRequest
 	}
-	sort.SliceStable(story.sentences, func(i, j int) bool { return story.sentences[i].at < story.sentences[j].at })
+	sort.SliceStable(story.facts, func(i, j int) bool { return story.facts[i].at < story.facts[j].at })
 	return story, nil
 }
 
-// Write prints the story, one line for each fact, with the time in seconds since
-// the first fact and the box. Its error is that of w.
+// Write prints one line for each fact, with the time in seconds since the first fact
+// and the box. It returns the first error of w.
 func (s *Story) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "request %s\n", s.Request); err != nil {
 		return err
 	}
-	for _, t := range s.sentences {
-		if _, err := fmt.Fprintf(w, "%9.3f s  %-22s %s\n", (t.at - s.sentences[0].at).Seconds(), t.box, t.text); err != nil {
+	for _, t := range s.facts {
+		if _, err := fmt.Fprintf(w, "%9.3f s  %-22s %s\n", (t.at - s.facts[0].at).Seconds(), t.box, t.text); err != nil {
 			return err
 		}
 	}
--- a/explain/sentences.go
+++ b/explain/facts.go
@@ -12,12 +12,12 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// add adds a fact that was read from a line.
+// add appends a fact read from a line.
 func (s *Story) add(l *Line, format string, args ...any) {
-	s.sentences = append(s.sentences, sentence{l.At, l.Box, fmt.Sprintf(format, args...)})
+	s.facts = append(s.facts, fact{l.At, l.Box, fmt.Sprintf(format, args...)})
 }
 
-// addLine adds what a line of the request says.
+// addLine adds the facts of a line about the request.
 func (s *Story) addLine(l *Line, box *boxState) {
 	switch l.Event {
 	case event.Attempt:
@@ -27,13 +27,13 @@
 	}
 }
 
-// addAttempt adds one attempt, and whether its upstream's entry was deleted by
-// then.
+// addAttempt adds one attempt, and whether its upstream's entry had been deleted
+// before.
 func (s *Story) addAttempt(l *Line, box *boxState) {
 	s.add(l, "attempt %s was sent to upstream %s (entry of version %s, %s of this router's requests there, home %s): %s after %s",
 		l.Get("attempt"), l.Get("upstream"), l.Get("entry"), l.Get("load"), l.Get("home"), attemptOutcome(l), seconds(l.Number("took")))
 	if up, ok := box.upstreams[l.Get("upstream")]; ok && up.Event == event.UpstreamGone {
-		s.add(l, "  the upstream's entry had gone %s before", secondsBetween(up, l))
+		s.add(l, "  the upstream's entry had been deleted %s before", secondsBetween(up, l))
 	}
 	if closer := closedByRouter(l.Get("error")); closer != "" {
 		s.add(l, "  the router closed this connection itself: %s", closer)
@@ -42,10 +42,10 @@
 		s.add(l, "  the upstream said that it takes %s requests a second from all routers together", limit)
 	}
 	if l.Get("leaving") == "true" {
-		s.add(l, "  the upstream said that it is about to end")
+		s.add(l, "  the upstream announced that it is shutting down")
 	}
 	if rest := l.Number("rest"); rest > 0 {
-		s.add(l, "  the upstream asked this router for rest, %s without requests", seconds(rest))
+		s.add(l, "  the upstream asked this router to back off for %s", seconds(rest))
 	}
 	if after := l.Number("after"); after > 0 {
 		s.add(l, "  the caller had events up to %.0f by then", after)
@@ -59,8 +59,8 @@
 	return "status " + l.Get("status")
 }
 
-// addOutcome adds how the request ended, and what the box had when it decided: the
-// configuration, the budget, and an order to stop.
+// addOutcome adds the result of the request and the state of the box at the decision:
+// the configuration, the budget, and whether the router was stopping.
 func (s *Story) addOutcome(l *Line, box *boxState) {
 	s.add(l, "the request on route %s of workspace %q, service %s, was decided under configuration %s", l.Get("route"), l.Get("workspace"), l.Get("service"), l.Get("config"))
 	if box.config != nil && box.config.Get("version") != l.Get("config") {
@@ -68,7 +68,7 @@
 	}
 	switch {
 	case l.Get("bound") == "":
-	case isLargerThanTotal(l):
+	case exceedsPrepaid(l):
 		s.add(l, "  it needed at most %s tokens, more than the whole prepaid total, so the budget was not asked", l.Get("bound"))
 	default:
 		s.add(l, "  it needed at most %s tokens; the budget said %s", l.Get("bound"), l.Get("budget"))
@@ -79,22 +79,22 @@
 	if l.Get("budget") != "" && l.Get("budget") != "granted" {
 		s.addBudgetCause(l, box)
 	}
-	s.addSuspicion(l)
+	s.addCrashEvidence(l)
 	if waited := l.Number("permit_wait"); waited > 0 {
-		s.add(l, "  every upstream that it may use rested or names how many requests a second it takes from all routers together; it waited %s for a permit or for the end of a rest", seconds(waited))
+		s.add(l, "  every eligible upstream was in back-off or has a request rate limit shared by all routers; it waited %s for a permit or for the end of a back-off", seconds(waited))
 	}
-	s.add(l, "it ended with %s after %s; %s attempts, %s events; to the caller it has %s", codeText(l.Get("code")), seconds(l.Number("took")), l.Get("attempts"), l.Get("events"), fateText(l.Get("fate")))
+	s.add(l, "it ended with %s after %s; %s attempts, %s events; reported to the caller with %s", codeText(l.Get("code")), seconds(l.Number("took")), l.Get("attempts"), l.Get("events"), fateText(l.Get("fate")))
 	if detail := l.Get("detail"); detail != "" {
 		s.add(l, "  in detail: %s", detail)
 	}
-	if box.restart != nil && box.restart.Event == event.Stop {
-		s.add(l, "  the router had been told to stop %s before", secondsBetween(box.restart, l))
+	if box.startStop != nil && box.startStop.Event == event.Stop {
+		s.add(l, "  the router had been told to stop %s before", secondsBetween(box.startStop, l))
 	}
 }
 
-// addSuspicion tells the evidence against the request: how many upstreams crashed while it
-// may have been running there, and whether it was refused for that.
-func (s *Story) addSuspicion(l *Line) {
+// addCrashEvidence adds how many upstreams crashed while the request may have been
+// running there, and whether it was refused for that.
+func (s *Story) addCrashEvidence(l *Line) {
 	if left := l.Number("scope_left"); left > 0 {
 		s.add(l, "  upstreams crashed in %s rounds under requests of its workspace on its route, whatever their bodies; all of these are refused for another %s", l.Get("scope_round"), seconds(left))
 	}
@@ -107,31 +107,31 @@
 	}
 }
 
-// addBudgetCause tells why the request got no tokens: what the router owned, how
-// old its reading of the store was, and whether the store answered.
+// addBudgetCause adds why the request got no tokens: the tokens the router owned, the
+// age of its copy of the record, and whether the store answered.
 func (s *Story) addBudgetCause(l *Line, box *boxState) {
 	if meaning := outcomeMeaning(l.Get("budget")); meaning != "" {
 		s.add(l, "  %s means that %s", l.Get("budget"), meaning)
 	}
 	s.add(l, "  the router owned %s free tokens; the store had %s left, as read %s before", l.Get("free"), l.Get("rest"), seconds(l.Number("rest_age")))
-	silent := l.Number("silent")
-	if silent > 0 {
-		s.add(l, "  the store had not answered calls for the budgets for %s", seconds(silent))
+	unansweredFor := l.Number("silent")
+	if unansweredFor > 0 {
+		s.add(l, "  the store had not answered calls for the budgets for %s", seconds(unansweredFor))
 	}
-	if silent <= 0 && l.Get("budget") == escrow.Unreachable.String() {
+	if unansweredFor <= 0 && l.Get("budget") == escrow.Unreachable.String() {
 		s.add(l, "  no call for the budgets had failed yet, but none was answered in time either")
 		box.unreachable = l
 	}
-	if box.sync != nil && !readSince(box.sync, l) {
-		s.add(l, "  the last sync of the budgets failed %s before: %s", secondsBetween(box.sync, l), box.sync.Get("error"))
+	if box.failedSync != nil && !recordReadSince(box.failedSync, l) {
+		s.add(l, "  the last sync of the budgets failed %s before: %s", secondsBetween(box.failedSync, l), box.failedSync.Get("error"))
 	}
-	if lost := box.longestLost(); lost != nil {
+	if lost := box.longestOutage(); lost != nil {
 		s.add(l, "  the store had not answered for %s: %s", secondsBetween(lost, l), lost.Get("error"))
 	}
 }
 
-// codeText returns a result code with its message, or the code alone if this version
-// does not have it or it is no number.
+// codeText returns a result code with its message, or the code alone if it is unknown
+// or not a number.
 func codeText(number string) string {
 	n, err := strconv.Atoi(number)
 	if err != nil {
--- a/explain/line.go
+++ b/explain/line.go
@@ -11,11 +11,11 @@
 
 // Line is one log line of key=value pairs. It is not changed after Parse.
 type Line struct {
-	// Box is the node that wrote the line, empty if the log does not say.
+	// Box is the box that wrote the line, empty if the log does not have it.
 	Box string
-	// At orders the lines of all boxes. It is the time that the reader of the log
-	// put before the line if there is one, else the box's own clock, since 1970. It
-	// is zero for a line that has neither.
+	// At orders the lines of all boxes. It is the time that the log collector prefixed
+	// to the line, else the box's own time since the Unix epoch, and zero for a line
+	// with neither.
 	At time.Duration
 	// Event is the name of the event.
 	Event  string
@@ -25,8 +25,8 @@
 // Get returns the value of a key, empty if the line has none.
 func (l *Line) Get(key string) string { return l.fields[key] }
 
-// Number returns the value of a key as a number. It returns 0 if the line has no
-// such key or the value is no number: a key that a line lacks counts as 0.
+// Number returns the value of a key as a number, 0 if the line has no such key or the
+// value is not a number.
 func (l *Line) Number(key string) float64 {
 	value, err := strconv.ParseFloat(l.fields[key], 64)
 	if err != nil {
@@ -35,8 +35,8 @@
 	return value
 }
 
-// Parse reads a log line. A reader may have put a time in seconds and the name
-// of the box before it. It returns false for a line without an event.
+// Parse parses a log line, which may have a time in seconds and the name of the box as
+// a prefix. It returns false for a line without an event.
 func Parse(text string) (Line, bool) {
 	l := Line{fields: map[string]string{}}
 	start := strings.Index(text, "ts=")
@@ -48,23 +48,22 @@
 	if l.Event == "" {
 		return Line{}, false
 	}
-	l.readOrigin(strings.Fields(text[:start]))
+	l.parsePrefix(strings.Fields(text[:start]))
 	return l, true
 }
 
-// readOrigin sets Box and At from the words before the pairs: a time in seconds
-// and the name of the box, or the name alone, followed by a colon.
-func (l *Line) readOrigin(words []string) {
+// parsePrefix sets Box and At from the words before the pairs: a time in seconds and
+// the name of the box, or the name alone, followed by a colon.
+func (l *Line) parsePrefix(words []string) {
 	if len(words) >= 2 {
-		// Words that don't begin with a time are not of that form; the box's own
-		// clock is used then.
+		// If the first word is not a time, the box's own time is used.
 		if seconds, err := strconv.ParseFloat(words[0], 64); err == nil {
 			l.Box = words[1]
 			l.At = time.Duration(seconds * float64(time.Second))
 			return
 		}
 	}
-	// Without a time that can be read the line comes first in its story.
+	// At stays zero if ts can't be parsed, which sorts the line first.
 	if at, err := time.Parse(time.RFC3339Nano, l.fields["ts"]); err == nil {
 		l.At = time.Duration(at.UnixNano())
 	}
@@ -87,13 +86,13 @@
 	}
 }
 
-// cutValue returns the value at the beginning of text and what follows it. A quote
-// that does not end is taken as part of a plain value.
+// cutValue returns the value at the beginning of text and what follows it. An
+// unterminated quote is part of an unquoted value.
 func cutValue(text string) (value, remaining string) {
 	if strings.HasPrefix(text, "\"") {
 		quoted, err := strconv.QuotedPrefix(text)
 		if err == nil {
-			// QuotedPrefix returns only what Unquote takes.
+			// Unquote can't fail on what QuotedPrefix returns.
 			value, _ = strconv.Unquote(quoted)
 			return value, text[len(quoted):]
 		}
