--- a/internal/batch/batch.go
+++ b/internal/batch/batch.go
@@ -1,14 +1,13 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package batch lets many callers share one slow operation, for example a write to
-// the store: the items that arrive while an operation is in progress are committed
-// together by the next one.
+// Package batch combines concurrent calls into batches for a slow operation, for example
+// a write to the store: items that arrive while an operation is in progress are
+// committed together by the next one.
 //
-// The partner router (granitehoist router) runs it, for the reports of budgets and
-// the charges of bills. A Group owns the items that wait, under its lock, and one
-// goroutine that commits while there are any. It relies on Commit to return: a
-// Commit that hangs delays every later item. Begin reading at Group.Do.
+// The partner router (granitehoist router) uses it for budget reports and charges. A
+// Group holds the queued items under its lock and runs one goroutine while there are
+// any. A Commit that hangs blocks all later items. Begin reading at Group.Do.
 package batch
 
 import (
@@ -19,16 +18,16 @@
 
 // Settings configure a Group.
 type Settings[In, Out any] struct {
-	// Commit does the operation for all items of a batch and returns one result
-	// for each item, in order; fewer results without an error cause a panic. Every
-	// caller of the batch gets its error. Only one Commit runs at a time, and its
-	// context does not end with those of the callers.
+	// Commit runs the operation for a batch and returns one result for each item, in
+	// order; fewer results without an error cause a panic. Its error is returned to every
+	// caller of the batch. Only one Commit runs at a time, and its context is not
+	// cancelled with those of the callers.
 	Commit func(ctx context.Context, items []In) ([]Out, error)
-	// MaxItems bounds the items of one batch; zero stands for no bound.
+	// MaxItems limits the items of one batch; zero sets no limit.
 	MaxItems int
-	// Linger is how long an item waits for others; zero does not wait.
+	// Linger is how long a batch waits for more items; zero does not wait.
 	Linger time.Duration
-	// Urgent, if set, reports whether an item ends the wait of its batch.
+	// Urgent, if set, reports whether an item ends the linger time of its batch.
 	Urgent func(item In) bool
 }
 
@@ -37,18 +36,17 @@
 type Group[In, Out any] struct {
 	settings Settings[In, Out]
 
-	// mu guards waiting and busy.
+	// mu guards waiting and draining.
 	mu      sync.Mutex
 	waiting []*call[In, Out]
-	// busy says that a goroutine runs drain.
-	busy bool
-	// hurry ends a wait for others. It holds one signal, so an urgent item that
-	// arrives between two waits shortens the next one.
-	hurry chan struct{}
+	// draining is set while a goroutine runs drain.
+	draining bool
+	// urgent ends the linger time. It buffers one signal, so an urgent item that arrives
+	// between two batches shortens the next linger time.
+	urgent chan struct{}
 }
 
-// call is an item with the caller that waits for its result. result and err may be
-// read once done is closed.
+// call is an item with its result. result and err are valid once done is closed.
 type call[In, Out any] struct {
 	item   In
 	result Out
@@ -59,9 +57,9 @@
 // New returns a Group. It panics if the settings have no Commit.
 func New[In, Out any](s Settings[In, Out]) *Group[In, Out] {
 	if s.Commit == nil {
-		panic("batch: no commit")
+		panic("batch: Settings.Commit is nil")
 	}
-	return &Group[In, Out]{settings: s, hurry: make(chan struct{}, 1)}
+	return &Group[In, Out]{settings: s, urgent: make(chan struct{}, 1)}
 }
 
 // Do adds an item to the next batch and waits for its result. It returns the error
@@ -70,18 +68,18 @@
 	c := &call[In, Out]{item: item, done: make(chan struct{})}
 	g.mu.Lock()
 	g.waiting = append(g.waiting, c)
-	lead := !g.busy
-	g.busy = true
+	start := !g.draining
+	g.draining = true
 	g.mu.Unlock()
 	if g.settings.Urgent != nil && g.settings.Urgent(item) {
 		select {
-		case g.hurry <- struct{}{}:
+		case g.urgent <- struct{}{}:
 		default:
-			// A signal is waiting already; one is enough.
+			// A signal is already pending.
 		}
 	}
-	if lead {
-		// The batches outlive the caller that started them.
+	if start {
+		// Batches must not be cancelled with the caller that started the goroutine.
 		go g.drain(context.WithoutCancel(ctx))
 	}
 	select {
@@ -93,11 +91,11 @@
 	}
 }
 
-// drain commits the waiting items until there are none.
+// drain commits batches until no item is waiting.
 func (g *Group[In, Out]) drain(ctx context.Context) {
 	for {
 		g.linger()
-		calls := g.take()
+		calls := g.nextBatch()
 		if len(calls) == 0 {
 			return
 		}
@@ -105,7 +103,7 @@
 	}
 }
 
-// linger waits for more items, until one is urgent.
+// linger waits for the linger time or until an urgent item arrives.
 func (g *Group[In, Out]) linger() {
 	if g.settings.Linger <= 0 {
 		return
@@ -114,26 +112,25 @@
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-g.hurry:
+	case <-g.urgent:
 	}
 }
 
-// take removes the items of the next batch from those that wait, the oldest first.
-// If there are none, the goroutine that called it must end: the next Do starts
-// another.
-func (g *Group[In, Out]) take() []*call[In, Out] {
+// nextBatch removes and returns the oldest waiting items. If there are none, the caller
+// must return from drain: the next Do starts a new goroutine.
+func (g *Group[In, Out]) nextBatch() []*call[In, Out] {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	calls := g.waiting
-	if most := g.settings.MaxItems; most > 0 && len(calls) > most {
-		calls = calls[:most]
+	if limit := g.settings.MaxItems; limit > 0 && len(calls) > limit {
+		calls = calls[:limit]
 	}
 	g.waiting = g.waiting[len(calls):]
-	g.busy = len(calls) > 0
+	g.draining = len(calls) > 0
 	return calls
 }
 
-// commit does the operation for the items of a batch and hands out the results.
+// commit runs the operation for a batch and delivers the results.
 func (g *Group[In, Out]) commit(ctx context.Context, calls []*call[In, Out]) {
 	items := make([]In, len(calls))
 	for i, c := range calls {
@@ -149,7 +146,7 @@
 	}
 }
 
-// Waiting returns the number of items that no batch has taken yet.
+// Waiting returns the number of items that are not yet in a batch.
 func (g *Group[In, Out]) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/batch/batch_test.go
+++ b/internal/batch/batch_test.go
@@ -16,7 +16,7 @@
 )
 
 var _ = Describe("Group", func() {
-	It("commits what arrives meanwhile together, each with its own result", func() {
+	It("commits items that arrive during a commit together, each with its own result", func() {
 		entered, release := make(chan struct{}, 10), make(chan struct{})
 		var sizes []int
 		g := batch.New(batch.Settings[int, int]{Commit: func(_ context.Context, items []int) ([]int, error) {
@@ -47,7 +47,7 @@
 		Expect(sizes).To(Equal([]int{1, 6, 3}))
 	})
 
-	It("gives an error to every caller and goes on", func() {
+	It("returns an error to every caller and continues", func() {
 		fail := true
 		g := batch.New(batch.Settings[int, int]{Commit: func(_ context.Context, items []int) ([]int, error) {
 			if fail {
@@ -61,7 +61,7 @@
 		Expect(g.Do(context.Background(), 1)).To(Equal(1))
 	})
 
-	It("does not hold a caller beyond its context", func() {
+	It("returns to a caller when its context ends", func() {
 		release := make(chan struct{})
 		g := batch.New(batch.Settings[int, int]{Commit: func(_ context.Context, items []int) ([]int, error) {
 			<-release
@@ -74,7 +74,7 @@
 		close(release)
 	})
 
-	It("lingers for others until one is urgent", func() {
+	It("lingers until an urgent item arrives", func() {
 		g := batch.New(batch.Settings[int, int]{
 			Commit: func(_ context.Context, items []int) ([]int, error) { return items, nil },
 			Linger: time.Hour,
--- a/internal/batch/suite_test.go
+++ b/internal/batch/suite_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// stepTimeout bounds a step of a test, also while the computer is busy.
+// stepTimeout bounds each wait of a test.
 const stepTimeout = 20 * time.Second
 
 func TestBatch(t *testing.T) {
--- a/internal/boottime/clock.go
+++ b/internal/boottime/clock.go
@@ -13,48 +13,47 @@
 )
 
 const (
-	// noticed is the shortest suspension that counts, and the smallest jump of the time of
-	// day that makes the Clock look for one. It is above the difference of two clocks that
-	// are read in turn, and below the shortest timeout of the router (20 ms, forward's
-	// minRetryTime).
-	noticed = 5 * time.Millisecond
-	// lookAgain is how often the Clock looks for a suspension that the time of day hides,
-	// because it was set back by the same amount.
-	lookAgain = time.Second
+	// minSuspension is the shortest suspension that is detected, and the smallest drift of
+	// the wall clock that triggers a check. It exceeds the error of reading two clocks one
+	// after the other, and is below the router's shortest timeout (forward's minRetryTime).
+	minSuspension = 5 * time.Millisecond
+	// checkInterval is how often the Clock checks for a suspension that no drift shows,
+	// because the wall clock was set back by the same amount.
+	checkInterval = time.Second
 )
 
-// Clock tells the time, suspensions included. New returns one that works. It is safe for
-// concurrent use.
+// Clock is a clock that includes the time the machine was suspended. It is created by
+// New and safe for concurrent use.
 type Clock struct {
 	system system
-	// begin is the time of day at the start, startBoot the reading of boot then.
-	begin     time.Time
+	// start is the wall time at the creation of the Clock, startBoot the boot time then.
+	start     time.Time
 	startBoot time.Duration
 
 	state atomic.Pointer[state]
-	// looking lets one goroutine look for a suspension at a time.
-	looking sync.Mutex
+	// checking serialises checks for a suspension.
+	checking sync.Mutex
 }
 
 // system reads the system's clocks.
 type system struct {
-	// now returns the time of day, without a reading of the steady clock, and the
-	// steady time since the start, both of one moment.
-	now func() (day time.Time, steady time.Duration)
-	// boot returns the time since the machine was started, suspensions included.
+	// now returns the wall time, without a monotonic reading, and the monotonic time
+	// since the start, read at the same moment.
+	now func() (wall time.Time, monotonic time.Duration)
+	// boot returns the time since the machine booted, suspensions included.
 	boot func() (time.Duration, error)
 }
 
-// state is what a Clock found when it last looked for a suspension. It does not change.
+// state is the result of the last check for a suspension. It is immutable.
 type state struct {
-	// suspended is how long the machine was suspended since the start.
+	// suspended is the total time the machine was suspended since the start.
 	suspended time.Duration
-	// drift is how far the time of day had moved against the steady clock, and looked
-	// the steady time then.
-	drift, looked time.Duration
+	// drift is the drift of the wall clock against the monotonic clock, and checkedAt the
+	// monotonic time, both at that check.
+	drift, checkedAt time.Duration
 }
 
-// New returns a Clock that begins at the present time of day. The error says that the
+// New returns a Clock that starts at the current wall time. It returns an error if the
 // system has no CLOCK_BOOTTIME.
 func New() (*Clock, error) {
 	start := time.Now()
@@ -67,19 +66,19 @@
 	})
 }
 
-// newClock is New for the clocks of any system.
+// newClock returns a Clock that reads the given system's clocks.
 func newClock(system system) (*Clock, error) {
 	boot, err := system.boot()
 	if err != nil {
 		return nil, eris.Wrap(err, "boottime: CLOCK_BOOTTIME")
 	}
-	day, steady := system.now()
-	c := &Clock{system: system, begin: day.Add(-steady), startBoot: boot - steady}
+	wall, monotonic := system.now()
+	c := &Clock{system: system, start: wall.Add(-monotonic), startBoot: boot - monotonic}
 	c.state.Store(&state{})
 	return c, nil
 }
 
-// readBoottime returns the time since the machine was started.
+// readBoottime returns the time since the machine booted.
 func readBoottime() (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
@@ -88,34 +87,34 @@
 	return time.Duration(t.Nano()), nil
 }
 
-// Now returns the present time. It never goes back, and does not jump when the time of
-// day is set. A suspension moves the time of day against the steady clock, which shows
-// in one reading of the system's clock; only then, and each lookAgain, CLOCK_BOOTTIME is
-// read too, which costs a call to the system.
+// Now returns the current time. It never goes back, and does not jump when the wall
+// clock is set. To save the system call, CLOCK_BOOTTIME is read only if the wall clock
+// has drifted against the monotonic clock, as it does by a suspension, and once in each
+// checkInterval.
 func (c *Clock) Now() time.Time {
-	day, steady := c.system.now()
-	drift := day.Sub(c.begin) - steady
+	wall, monotonic := c.system.now()
+	drift := wall.Sub(c.start) - monotonic
 	s := c.state.Load()
-	if (drift-s.drift).Abs() >= noticed || steady-s.looked >= lookAgain {
-		s = c.look(steady, drift)
+	if (drift-s.drift).Abs() >= minSuspension || monotonic-s.checkedAt >= checkInterval {
+		s = c.check(monotonic, drift)
 	}
-	return c.begin.Add(steady + s.suspended)
+	return c.start.Add(monotonic + s.suspended)
 }
 
-// look looks for a suspension. The steady clock is read again after CLOCK_BOOTTIME, so
-// that a delay between the two readings is not mistaken for a suspension.
-func (c *Clock) look(steady, drift time.Duration) *state {
-	c.looking.Lock()
-	defer c.looking.Unlock()
+// check looks for a suspension. The monotonic clock is read again after CLOCK_BOOTTIME,
+// so that a delay between the two readings is not mistaken for a suspension.
+func (c *Clock) check(monotonic, drift time.Duration) *state {
+	c.checking.Lock()
+	defer c.checking.Unlock()
 	found := *c.state.Load()
 	boot, err := c.system.boot()
 	_, after := c.system.now()
-	// CLOCK_BOOTTIME could be read at the start. If it fails now, what was found so far
-	// stays, and the next look tries again.
-	if suspended := boot - c.startBoot - after; err == nil && suspended >= found.suspended+noticed {
+	// If CLOCK_BOOTTIME can't be read, the last known suspension time stays and the next
+	// check tries again.
+	if suspended := boot - c.startBoot - after; err == nil && suspended >= found.suspended+minSuspension {
 		found.suspended = suspended
 	}
-	found.drift, found.looked = drift, steady
+	found.drift, found.checkedAt = drift, monotonic
 	c.state.Store(&found)
 	return &found
 }
--- a/internal/boottime/clock_test.go
+++ b/internal/boottime/clock_test.go
@@ -12,30 +12,30 @@
 	. "github.com/onsi/gomega"
 )
 
-// machine is a machine whose clocks a test moves.
-type machine struct {
-	day          time.Time
-	steady, boot time.Duration
+// fakeMachine is a machine with clocks that a test controls.
+type fakeMachine struct {
+	wall            time.Time
+	monotonic, boot time.Duration
 	// reads counts the readings of CLOCK_BOOTTIME.
 	reads int
 	err   error
-	// between, if set, is called between a reading of CLOCK_BOOTTIME and what follows.
-	between func()
+	// afterBootRead, if set, is called after each reading of CLOCK_BOOTTIME.
+	afterBootRead func()
 }
 
-func newMachine() *machine {
-	return &machine{day: time.Unix(1_000_000, 0), boot: time.Hour}
+func newMachine() *fakeMachine {
+	return &fakeMachine{wall: time.Unix(1_000_000, 0), boot: time.Hour}
 }
 
-func (m *machine) clock() *Clock {
+func (m *fakeMachine) clock() *Clock {
 	GinkgoHelper()
 	c, err := newClock(system{
-		now: func() (time.Time, time.Duration) { return m.day, m.steady },
+		now: func() (time.Time, time.Duration) { return m.wall, m.monotonic },
 		boot: func() (time.Duration, error) {
 			m.reads++
 			boot := m.boot
-			if m.between != nil {
-				m.between()
+			if m.afterBootRead != nil {
+				m.afterBootRead()
 			}
 			return boot, m.err
 		},
@@ -44,22 +44,22 @@
 	return c
 }
 
-// run lets the machine run.
-func (m *machine) run(d time.Duration) {
+// run advances all clocks.
+func (m *fakeMachine) run(d time.Duration) {
 	m.suspend(d)
-	m.steady += d
+	m.monotonic += d
 }
 
-// suspend suspends the machine.
-func (m *machine) suspend(d time.Duration) {
-	m.day = m.day.Add(d)
+// suspend advances the clocks that count suspensions.
+func (m *fakeMachine) suspend(d time.Duration) {
+	m.wall = m.wall.Add(d)
 	m.boot += d
 }
 
-// set sets the time of day.
-func (m *machine) set(by time.Duration) { m.day = m.day.Add(by) }
+// setWall moves the wall clock.
+func (m *fakeMachine) setWall(by time.Duration) { m.wall = m.wall.Add(by) }
 
-var _ = Describe("The clock", func() {
+var _ = Describe("Clock", func() {
 	It("counts a suspension at the first reading after it", func() {
 		m := newMachine()
 		c := m.clock()
@@ -73,44 +73,44 @@
 		Expect(c.Now().Sub(begin)).To(Equal(5011 * time.Millisecond))
 	})
 
-	It("does not follow the time of day when that is set", func() {
+	It("does not jump when the wall clock is set", func() {
 		m := newMachine()
 		c := m.clock()
 		begin := c.Now()
-		m.set(2 * time.Second)
+		m.setWall(2 * time.Second)
 		Expect(c.Now()).To(Equal(begin))
-		m.set(-5 * time.Second)
+		m.setWall(-5 * time.Second)
 		m.run(time.Second)
 		Expect(c.Now().Sub(begin)).To(Equal(time.Second))
 	})
 
-	It("counts a suspension beside a setting of the time of day", func() {
+	It("counts a suspension while the wall clock is set", func() {
 		m := newMachine()
 		c := m.clock()
 		begin := c.Now()
 		m.suspend(4 * time.Second)
-		m.set(-2 * time.Second)
+		m.setWall(-2 * time.Second)
 		Expect(c.Now().Sub(begin)).To(Equal(4 * time.Second))
 	})
 
-	It("counts a suspension that the time of day hides, within a second", func() {
+	It("detects within a second a suspension that the wall clock does not show", func() {
 		m := newMachine()
 		c := m.clock()
 		begin := c.Now()
 		m.suspend(4 * time.Second)
-		m.set(-4 * time.Second)
-		m.run(lookAgain)
-		Expect(c.Now().Sub(begin)).To(Equal(4*time.Second + lookAgain))
+		m.setWall(-4 * time.Second)
+		m.run(checkInterval)
+		Expect(c.Now().Sub(begin)).To(Equal(4*time.Second + checkInterval))
 	})
 
-	It("takes a wait between two readings for no suspension", func() {
+	It("does not mistake a delay between two readings for a suspension", func() {
 		m := newMachine()
 		c := m.clock()
 		begin := c.Now()
-		m.between = func() { m.run(time.Second) }
-		m.set(time.Second)
+		m.afterBootRead = func() { m.run(time.Second) }
+		m.setWall(time.Second)
 		c.Now()
-		m.between = nil
+		m.afterBootRead = nil
 		m.run(2 * time.Second)
 		Expect(c.Now().Sub(begin)).To(Equal(3 * time.Second))
 	})
@@ -125,28 +125,28 @@
 		Expect(m.reads).To(Equal(2))
 	})
 
-	It("keeps what it knows if CLOCK_BOOTTIME can't be read any more", func() {
+	It("keeps the known suspension time if CLOCK_BOOTTIME can't be read any more", func() {
 		m := newMachine()
 		c := m.clock()
 		begin := c.Now()
 		m.suspend(time.Second)
 		c.Now()
 		m.err = errors.New("gone")
-		m.run(2 * lookAgain)
-		Expect(c.Now().Sub(begin)).To(Equal(time.Second + 2*lookAgain))
+		m.run(2 * checkInterval)
+		Expect(c.Now().Sub(begin)).To(Equal(time.Second + 2*checkInterval))
 	})
 
-	It("says at its making that the system has no CLOCK_BOOTTIME", func() {
+	It("fails at creation if the system has no CLOCK_BOOTTIME", func() {
 		_, err := newClock(system{boot: func() (time.Duration, error) { return 0, errors.New("no such clock") }})
 		Expect(err).To(MatchError(ContainSubstring("no such clock")))
 	})
 
-	It("of this machine agrees with its steady clock", func() {
+	It("agrees with the monotonic clock of this machine", func() {
 		c, err := New()
 		Expect(err).NotTo(HaveOccurred())
-		begin, steady := c.Now(), time.Now()
+		begin, started := c.Now(), time.Now()
 		time.Sleep(30 * time.Millisecond)
-		Expect(c.Now().Sub(begin)).To(BeNumerically("~", time.Since(steady), 10*time.Millisecond))
+		Expect(c.Now().Sub(begin)).To(BeNumerically("~", time.Since(started), 10*time.Millisecond))
 	})
 })
 
--- a/internal/boottime/deadlines.go
+++ b/internal/boottime/deadlines.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// Deadlines cancels contexts whose deadline has passed by a clock that counts suspensions.
-// After a suspension the contexts' own timers fire late by its length; Check cancels what is
-// due by then. The zero value works. It is
-// safe for concurrent use.
+// Deadlines cancels contexts whose deadline has passed by a clock that counts
+// suspensions. The contexts' own timers fire late by the length of a suspension; Check
+// cancels those that are due. The zero value is ready to use. It is safe for concurrent
+// use.
 type Deadlines struct {
 	// mu guards pending.
 	mu      sync.Mutex
@@ -25,29 +25,29 @@
 	cancel   context.CancelFunc
 }
 
-// With returns a context that ends left after now, or earlier with its parent. The
-// returned function has to be called once the context is no longer needed.
-func (d *Deadlines) With(parent context.Context, left time.Duration, now time.Time) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithTimeout(parent, left)
-	p := &pending{deadline: now.Add(left), cancel: cancel}
+// With returns a context that ends at now plus timeout, or earlier with its parent. The
+// returned function must be called once the context is no longer needed.
+func (d *Deadlines) With(parent context.Context, timeout time.Duration, now time.Time) (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(parent, timeout)
+	p := &pending{deadline: now.Add(timeout), cancel: cancel}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.pending == nil {
 		d.pending = map[*pending]struct{}{}
 	}
 	d.pending[p] = struct{}{}
-	return ctx, func() { d.end(p) }
+	return ctx, func() { d.release(p) }
 }
 
-// end ends a context that is no longer needed.
-func (d *Deadlines) end(p *pending) {
+// release cancels a context and removes it from pending.
+func (d *Deadlines) release(p *pending) {
 	p.cancel()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.pending, p)
 }
 
-// Check ends the contexts whose deadlines have passed now.
+// Check cancels the contexts whose deadline is not after now.
 func (d *Deadlines) Check(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/boottime/deadlines_test.go
+++ b/internal/boottime/deadlines_test.go
@@ -14,7 +14,7 @@
 var _ = Describe("Deadlines", func() {
 	now := time.Unix(1_000_000, 0)
 
-	It("end a context whose time passed while its timer stood still", func() {
+	It("cancels a context whose deadline passed during a suspension", func() {
 		var d Deadlines
 		ctx, cancel := d.With(context.Background(), time.Hour, now)
 		defer cancel()
@@ -24,7 +24,7 @@
 		Expect(ctx.Err()).To(MatchError(context.Canceled))
 	})
 
-	It("end a context on time without a check", func() {
+	It("ends a context on time without a check", func() {
 		var d Deadlines
 		ctx, cancel := d.With(context.Background(), time.Millisecond, now)
 		defer cancel()
@@ -32,7 +32,7 @@
 		Expect(ctx.Err()).To(MatchError(context.DeadlineExceeded))
 	})
 
-	It("keep nothing of a context that is no longer needed", func() {
+	It("releases a context that is no longer needed", func() {
 		var d Deadlines
 		_, cancel := d.With(context.Background(), time.Hour, now)
 		cancel()
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,16 +1,16 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package event names the lines that an edge router (granitehoist-edge) writes to
-// its log. Package explain reads them by these names, and docs/OPERATIONS.md
-// explains each; a test of package node compares that page with All. The package
+// Package event defines the names of the log events of an edge router
+// (granitehoist-edge). Package explain finds lines by these names. docs/OPERATIONS.md
+// describes each event; a test of package node compares that page with All. The package
 // holds no state.
 package event
 
 // Name is the name of an event, the value of the key "event" of a log line.
 type Name = string
 
-// The events of a process. Package node logs them, but for the two of a reload
+// Process events. Package node logs them, except Reload and ReloadFailed
 // (cmd/granitehoist-edge) and LogDropped (internal/logsink).
 const (
 	Start        Name = "start"
@@ -25,17 +25,16 @@
 	Woke         Name = "woke"
 )
 
-// The events of a request. Package forward logs them.
+// Request events, logged by package forward.
 const (
 	Request Name = "request"
 	Attempt Name = "attempt"
 	Suspect Name = "suspect"
 )
 
-// The events of the copies of the store, of the fleet and of the budgets. Package
-// node logs those of the configuration, the upstreams, the link and the peers,
-// package follow those from StoreLost to RelayLost, and package escrow those of the
-// budgets.
+// Events of the configuration, the upstreams, the store, the fleet and the budgets.
+// Package follow logs those from StoreLost to RelayLost, package escrow those of the
+// budgets, and package node the others.
 const (
 	ConfigInForce     Name = "config_in_force"
 	ConfigBad         Name = "config_bad"
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -1,13 +1,12 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package eventstream cuts a text/event-stream into complete events and reads their
-// ids. The edge router (package forward) passes streams on event by event with it,
-// so that a stream which breaks off can continue at another upstream after the last
-// complete one.
+// Package eventstream splits a text/event-stream into complete events and reads their
+// ids. The edge router (package forward) relays streams event by event with it, so that
+// a stream that fails can be resumed at another upstream after the last complete event.
 //
-// A Splitter owns the bytes of the event that is still incomplete and belongs to one
-// stream and one goroutine. Begin reading at Splitter.Add.
+// A Splitter buffers the bytes of the incomplete event of one stream and is used by one
+// goroutine. Begin reading at Splitter.Add.
 package eventstream
 
 import (
@@ -17,23 +16,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// Splitter collects the bytes of a stream. The zero value works. It is not safe for
-// concurrent use.
+// Splitter splits the bytes of a stream into events. The zero value is ready to use. It
+// is not safe for concurrent use.
 type Splitter struct {
 	// incomplete holds the bytes after the last complete event.
 	incomplete []byte
 }
 
-// MaxEventBytes bounds the bytes that are held of an incomplete event.
+// MaxEventBytes limits the buffered bytes of an incomplete event.
 const MaxEventBytes = 1 << 20
 
-// ErrTooLong says that an incomplete event is larger than MaxEventBytes.
+// ErrTooLong is returned if an incomplete event is larger than MaxEventBytes.
 var ErrTooLong = eris.New("eventstream: event too long")
 
 // Event is one complete event.
 type Event struct {
-	// Raw holds its bytes, the closing empty line included. It is valid until the
-	// next call of the Splitter.
+	// Raw holds the bytes of the event, with the empty line that ends it. It is valid
+	// until the next call of the Splitter.
 	Raw []byte
 	// ID is the event's id if HasID is set. An id that is not an integer is
 	// ignored; of several the last counts.
@@ -41,11 +40,11 @@
 	HasID bool
 }
 
-// Add appends bytes of the stream and returns the events that they complete. It
-// returns ErrTooLong, and no events, if what follows them is too long; the stream
-// can't be used then.
-func (s *Splitter) Add(piece []byte) ([]Event, error) {
-	s.incomplete = append(s.incomplete, piece...)
+// Add appends bytes of the stream and returns the events that they complete. It returns
+// ErrTooLong, and no events, if the incomplete event after them exceeds MaxEventBytes;
+// the Splitter must not be used after that.
+func (s *Splitter) Add(chunk []byte) ([]Event, error) {
+	s.incomplete = append(s.incomplete, chunk...)
 	var events []Event
 	remaining := s.incomplete
 	for {
@@ -67,7 +66,7 @@
 func (s *Splitter) Incomplete() []byte { return s.incomplete }
 
 // endOfEvent returns the index after the first empty line, -1 if there is none. Lines
-// end in LF or CRLF; an empty line whose two ends differ is not seen as one.
+// end in LF or CRLF; an LF followed by a CRLF, or the reverse, does not end an event.
 func endOfEvent(b []byte) int {
 	lf := bytes.Index(b, []byte("\n\n"))
 	crlf := bytes.Index(b, []byte("\r\n\r\n"))
@@ -80,7 +79,7 @@
 	return lf + len("\n\n")
 }
 
-// parse reads the id of an event.
+// parse returns the event of raw with its id.
 func parse(raw []byte) Event {
 	event := Event{Raw: raw}
 	for line := range bytes.SplitSeq(raw, []byte("\n")) {
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -12,22 +12,22 @@
 	"granitehoist.example/granitehoist/internal/eventstream"
 )
 
-// TestPieces checks that the cut of a stream into pieces changes nothing.
+// TestPieces checks that the result does not depend on the chunks of a stream.
 func TestPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOf(rapid.SampledFrom([]byte("id: 1\n\r\nx:"))).Draw(t, "text")
 		var splitter eventstream.Splitter
 		var joined bytes.Buffer
-		for rest := text; len(rest) > 0; {
-			n := rapid.IntRange(1, len(rest)).Draw(t, "piece")
-			events, err := splitter.Add(rest[:n])
+		for remaining := text; len(remaining) > 0; {
+			n := rapid.IntRange(1, len(remaining)).Draw(t, "piece")
+			events, err := splitter.Add(remaining[:n])
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, event := range events {
 				joined.Write(event.Raw)
 			}
-			rest = rest[n:]
+			remaining = remaining[n:]
 		}
 		joined.Write(splitter.Incomplete())
 		if !bytes.Equal(joined.Bytes(), text) {
@@ -36,7 +36,7 @@
 	})
 }
 
-// TestIDs reads the ids of events.
+// TestIDs checks that only the id field sets the id of an event.
 func TestIDs(t *testing.T) {
 	var splitter eventstream.Splitter
 	events, err := splitter.Add([]byte("weight-versions: 3\nid: 12\ndata: x\n\ndata: no id\n\nid: 13"))
--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -3,12 +3,11 @@
 
 // Package httpserver runs an HTTP server on a listener that is already open.
 //
-// A Server owns its listener and the connections that it accepted. It keeps no
-// other state, relies on net/http alone, and is safe for concurrent use. It is
-// run by both routers (packages node and partner/router) and by the stand-ins of
-// command granitehoist. The two routers drain differently: node keeps its
-// listeners open and refuses what arrives until its requests have ended, then
-// calls Close; partner/router calls Shutdown, which closes the listener first.
+// A Server owns its listener and the accepted connections, and is safe for concurrent
+// use. Both routers (packages node and partner/router) and the stand-ins of command
+// granitehoist run it. The routers drain differently: node keeps its listeners open and
+// refuses new requests until those in progress have ended, then calls Close;
+// partner/router calls Shutdown, which closes the listener first.
 //
 // Begin reading at New.
 package httpserver
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -16,26 +16,24 @@
 // Settings configure a Server.
 type Settings struct {
 	Handler http.Handler
-	// HeaderTimeout bounds the reading of a request's header; zero sets no bound.
+	// HeaderTimeout limits the reading of a request's header; zero sets no limit.
 	HeaderTimeout time.Duration
-	// IdleTimeout bounds how long a connection stays open without a request;
-	// zero sets no bound.
+	// IdleTimeout limits how long a connection stays open without a request; zero sets
+	// no limit.
 	IdleTimeout time.Duration
-	// HeaderBytes bounds a request's header in bytes; zero stands for the
-	// bound of net/http.
+	// HeaderBytes limits a request's header in bytes; zero selects the default of
+	// net/http.
 	HeaderBytes int
-	// Failed is called with each line that net/http logs by itself: a panic of
-	// Handler with its stack, a connection that can't be accepted, a response
-	// whose header Handler wrote twice. A panic with http.ErrAbortHandler cuts the
-	// connection on purpose and is not among them. Failed is called from several
-	// goroutines. Nil writes the lines to the standard error.
+	// Failed is called with each error that net/http logs, such as a panic of Handler
+	// with its stack, or a connection that can't be accepted. A panic with
+	// http.ErrAbortHandler, which aborts a connection on purpose, is not logged. Failed
+	// must be safe for concurrent use. If it is nil, errors go to standard error.
 	Failed func(error)
 }
 
-// maxFailureBytes bounds a line that Failed gets; the rest of it is cut off: net/http
-// writes up to 64 KB of a panic's stack, of which the beginning holds the frames next to
-// the panic.
-const maxFailureBytes = 4 << 10
+// maxErrorBytes limits the message that Failed gets. net/http logs up to 64 KB of stack
+// for a panic; its beginning has the frames next to the panic.
+const maxErrorBytes = 4 << 10
 
 // Server is an HTTP server with its listener.
 type Server struct {
@@ -43,8 +41,7 @@
 	listener net.Listener
 }
 
-// New returns a server that takes its connections from listener. It accepts none
-// before Serve.
+// New returns a server for the connections of listener. It accepts none before Serve.
 func New(s Settings, listener net.Listener) *Server {
 	server := &http.Server{
 		Handler:           s.Handler,
@@ -53,19 +50,19 @@
 		MaxHeaderBytes:    s.HeaderBytes,
 	}
 	if s.Failed != nil {
-		server.ErrorLog = log.New(failureWriter(s.Failed), "", 0)
+		server.ErrorLog = log.New(errorWriter(s.Failed), "", 0)
 	}
 	return &Server{http: server, listener: listener}
 }
 
-// failureWriter passes the lines of a log.Logger on as errors.
-type failureWriter func(error)
+// errorWriter passes the lines of a log.Logger on as errors.
+type errorWriter func(error)
 
 // Write implements io.Writer. A log.Logger calls it once for each line.
-func (f failureWriter) Write(line []byte) (int, error) {
+func (f errorWriter) Write(line []byte) (int, error) {
 	message := bytes.TrimSuffix(line, []byte("\n"))
-	if len(message) > maxFailureBytes {
-		message = message[:maxFailureBytes]
+	if len(message) > maxErrorBytes {
+		message = message[:maxErrorBytes]
 	}
 	f(errors.New(string(message)))
 	return len(line), nil
@@ -86,8 +83,8 @@
 // error.
 func (s *Server) Shutdown(ctx context.Context) error {
 	err := s.http.Shutdown(ctx)
-	// Connections that are still open belong to requests that ran out of time; if
-	// there are none, this only closes the listener of a server that never served.
+	// Close ends the connections still open when ctx ended, and closes the listener of a
+	// server that never served.
 	s.Close()
 	return err
 }
@@ -95,10 +92,8 @@
 // Close closes the listener and all connections at once, requests in progress
 // included. A server that was closed before Serve accepts nothing.
 func (s *Server) Close() {
-	// The connections are being given up: an error in closing them leaves nothing
-	// to do.
+	// An error of closing a connection can't be handled any further.
 	_ = s.http.Close()
-	// If Serve ran, the listener is closed by now and this fails; if it did not,
-	// this closes it.
+	// If Serve ran, the listener is already closed and this error is expected.
 	_ = s.listener.Close()
 }
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -15,7 +15,7 @@
 	"granitehoist.example/granitehoist/internal/httpserver"
 )
 
-// stepTimeout bounds a step of a test, also while the computer is busy.
+// stepTimeout bounds each wait of a test.
 const stepTimeout = 20 * time.Second
 
 func listen(t *testing.T) net.Listener {
@@ -27,15 +27,15 @@
 	return listener
 }
 
-// serve runs a server and returns what Serve will return.
+// serve runs a server and returns a channel with the result of Serve.
 func serve(server *httpserver.Server) <-chan error {
 	result := make(chan error, 1)
 	go func() { result <- server.Serve() }()
 	return result
 }
 
-// failOn returns a Settings.Failed of a server that logs nothing.
-func failOn(t *testing.T) func(error) {
+// failOnError returns a Settings.Failed that fails the test.
+func failOnError(t *testing.T) func(error) {
 	return func(err error) { t.Errorf("the server logged %v", err) }
 }
 
@@ -51,13 +51,13 @@
 	}
 }
 
-// TestServer checks that a server answers until it is closed, and that being
-// closed is no failure.
+// TestServer checks that a server answers until it is closed, and that Serve returns no
+// error for a closed server.
 func TestServer(t *testing.T) {
 	t.Run("answers until Close", func(t *testing.T) {
 		listener := listen(t)
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
-		server := httpserver.New(httpserver.Settings{Handler: handler, HeaderTimeout: stepTimeout, Failed: failOn(t)}, listener)
+		server := httpserver.New(httpserver.Settings{Handler: handler, HeaderTimeout: stepTimeout, Failed: failOnError(t)}, listener)
 		result := serve(server)
 		response, err := http.Get("http://" + listener.Addr().String())
 		if err != nil {
@@ -84,34 +84,34 @@
 	})
 }
 
-// request is a request in progress: its handler runs until release is closed.
-type request struct {
+// blockedRequest is a request in progress whose handler returns when release is closed.
+type blockedRequest struct {
 	server  *httpserver.Server
 	served  <-chan error
 	address string
 	release chan struct{}
-	// answered gets nil if the answer arrived.
-	answered chan error
+	// result gets the client's error, nil for a response.
+	result chan error
 }
 
-// begin starts a server and returns a request whose handler runs.
-func begin(t *testing.T) request {
+// startRequest starts a server and returns a request whose handler is running.
+func startRequest(t *testing.T) blockedRequest {
 	t.Helper()
 	listener := listen(t)
-	r := request{address: listener.Addr().String(), release: make(chan struct{}), answered: make(chan error, 1)}
+	r := blockedRequest{address: listener.Addr().String(), release: make(chan struct{}), result: make(chan error, 1)}
 	entered := make(chan struct{})
 	handler := http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(entered)
 		<-r.release
 	})
-	r.server = httpserver.New(httpserver.Settings{Handler: handler, Failed: failOn(t)}, listener)
+	r.server = httpserver.New(httpserver.Settings{Handler: handler, Failed: failOnError(t)}, listener)
 	r.served = serve(r.server)
 	go func() {
 		response, err := http.Get("http://" + r.address)
 		if err == nil {
 			err = response.Body.Close()
 		}
-		r.answered <- err
+		r.result <- err
 	}()
 	select {
 	case <-entered:
@@ -121,7 +121,7 @@
 	return r
 }
 
-// awaitClosed waits until an address takes no connection.
+// awaitClosed waits until an address refuses connections.
 func awaitClosed(t *testing.T, address string) {
 	t.Helper()
 	for end := time.Now().Add(stepTimeout); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -129,35 +129,35 @@
 		if err != nil {
 			return
 		}
-		_ = c.Close() // only that it opened matters
+		_ = c.Close() // the connection itself is not used
 	}
 	t.Fatal("the address is still open")
 }
 
-// TestShutdown checks that a drain refuses connections, waits for requests and
-// cuts those that outlast its context.
+// TestShutdown checks that a drain refuses connections, waits for requests and aborts
+// those still running when its context ends.
 func TestShutdown(t *testing.T) {
 	t.Run("waits for requests with its listener closed", func(t *testing.T) {
-		r := begin(t)
+		r := startRequest(t)
 		drained := make(chan error, 1)
 		go func() { drained <- r.server.Shutdown(context.Background()) }()
 		awaitClosed(t, r.address)
 		close(r.release)
-		if err := <-r.answered; err != nil {
+		if err := <-r.result; err != nil {
 			t.Fatalf("the request in progress ended with %v", err)
 		}
 		expectNil(t, drained)
 		expectNil(t, r.served)
 	})
-	t.Run("cuts requests when its context ends", func(t *testing.T) {
-		r := begin(t)
+	t.Run("aborts requests when its context ends", func(t *testing.T) {
+		r := startRequest(t)
 		defer close(r.release)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		if err := r.server.Shutdown(ctx); !errors.Is(err, context.Canceled) {
 			t.Fatalf("Shutdown returned %v", err)
 		}
-		if err := <-r.answered; err == nil {
+		if err := <-r.result; err == nil {
 			t.Fatal("the request in progress was answered")
 		}
 		expectNil(t, r.served)
@@ -173,9 +173,10 @@
 	})
 }
 
-// expectFailure runs a server whose handler panics with a value, and checks that
-// the caller gets no answer and Failed gets want lines, each with the text.
-func expectFailure(t *testing.T, value any, want int, text string) {
+// expectErrors runs a server whose handler panics with a value, and checks that the
+// client gets no response and Failed is called want times with an error that contains
+// text.
+func expectErrors(t *testing.T, value any, want int, text string) {
 	t.Helper()
 	listener := listen(t)
 	failures := make(chan error, 2)
@@ -192,7 +193,7 @@
 	}
 	server.Close()
 	expectNil(t, result)
-	// net/http logs before it closes the connection, so that all lines are there.
+	// net/http logs before it closes the connection, so all errors have arrived.
 	if len(failures) != want {
 		t.Fatalf("%d lines, not %d", len(failures), want)
 	}
@@ -204,10 +205,10 @@
 	}
 }
 
-// TestFailed checks that a panic of the handler is reported, except one that cuts
-// the connection on purpose, and that a long line is cut.
+// TestFailed checks that a panic of the handler is reported, except http.ErrAbortHandler,
+// and that a long message is truncated.
 func TestFailed(t *testing.T) {
-	t.Run("a panic", func(t *testing.T) { expectFailure(t, "no such shard", 1, "no such shard") })
-	t.Run("a connection cut on purpose", func(t *testing.T) { expectFailure(t, http.ErrAbortHandler, 0, "") })
-	t.Run("a long line", func(t *testing.T) { expectFailure(t, strings.Repeat("x", 8<<10), 1, "xxx") })
+	t.Run("a panic", func(t *testing.T) { expectErrors(t, "no such shard", 1, "no such shard") })
+	t.Run("an aborted connection", func(t *testing.T) { expectErrors(t, http.ErrAbortHandler, 0, "") })
+	t.Run("a long message", func(t *testing.T) { expectErrors(t, strings.Repeat("x", 8<<10), 1, "xxx") })
 }
--- a/internal/linkmeter/linkmeter.go
+++ b/internal/linkmeter/linkmeter.go
@@ -1,13 +1,13 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package linkmeter counts the bytes that pass over the connections of a process, to
-// tell how much of its box's link they take. Bytes of headers below TCP and of
+// Package linkmeter counts the bytes sent and received over the connections of a
+// process, to measure the load of the box's network link. TCP/IP headers and
 // retransmissions are not counted.
 //
-// The edge router granitehoist-edge runs it: package node wraps its listeners,
-// package exchange its connections, and node/shedding.go reads the rates. A Meter
-// owns two counters that need no lock. Begin reading at Meter.Conn.
+// In granitehoist-edge, package node wraps its listeners, package exchange wraps its
+// connections, and node/shedding.go reads the rates. A Meter has two atomic counters.
+// Begin reading at Meter.Conn.
 package linkmeter
 
 import (
@@ -21,20 +21,20 @@
 // nil Meter counts nothing. It is safe for concurrent use.
 type Meter struct{ received, sent atomic.Int64 }
 
-// Reading is what a Meter has counted up to a time.
+// Reading holds the counts of a Meter at one time.
 type Reading struct {
 	At time.Time
 	// Received and Sent are bytes.
 	Received, Sent int64
 }
 
-// Read returns what has been counted so far. It panics on a nil Meter.
+// Read returns the current counts. It panics on a nil Meter.
 func (m *Meter) Read(now time.Time) Reading {
 	return Reading{At: now, Received: m.received.Load(), Sent: m.sent.Load()}
 }
 
-// Rate returns the bytes a second from an earlier reading to this one in the busier
-// direction, zero if no time has passed: links carry both directions at once.
+// Rate returns the bytes per second since an earlier reading, zero if no time has passed.
+// Links are full duplex, so it is the rate of the busier direction.
 func (r Reading) Rate(earlier Reading) float64 {
 	seconds := r.At.Sub(earlier.At).Seconds()
 	if seconds <= 0 {
@@ -43,7 +43,7 @@
 	return float64(max(r.Received-earlier.Received, r.Sent-earlier.Sent)) / seconds
 }
 
-// Conn returns a connection whose bytes m counts as they are read and written.
+// Conn returns c with its bytes counted by m.
 func (m *Meter) Conn(c net.Conn) net.Conn {
 	if m == nil {
 		return c
@@ -51,7 +51,7 @@
 	return &conn{Conn: c, meter: m}
 }
 
-// Listener returns a listener whose connections' bytes m counts.
+// Listener returns l with the bytes of accepted connections counted by m.
 func (m *Meter) Listener(l net.Listener) net.Listener {
 	if m == nil {
 		return l
@@ -94,8 +94,8 @@
 	return n, err
 }
 
-// SyscallConn implements syscall.Conn. It returns EINVAL if the counted connection
-// has no SyscallConn. Bytes read through it are not counted.
+// SyscallConn implements syscall.Conn. It returns EINVAL if the wrapped connection has
+// no SyscallConn. Bytes read through it are not counted.
 func (c *conn) SyscallConn() (syscall.RawConn, error) {
 	inner, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/linkmeter/linkmeter_test.go
+++ b/internal/linkmeter/linkmeter_test.go
@@ -12,8 +12,7 @@
 	"granitehoist.example/granitehoist/internal/linkmeter"
 )
 
-// TestMeter checks that both directions of accepted and made connections are
-// counted.
+// TestMeter checks that both directions of accepted connections are counted.
 func TestMeter(t *testing.T) {
 	var meter linkmeter.Meter
 	plain, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/logsink/logger.go
+++ b/internal/logsink/logger.go
@@ -11,10 +11,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// NewLogger returns a logger that writes each event of the given level or above as
-// one line of key=value pairs. The name of a logger appears as the key "box", the
-// message as the key "event". It calls w from all goroutines that log, so w must be
-// safe for concurrent use.
+// NewLogger returns a logger that writes each event of at least the given level as one
+// line of key=value pairs. The logger's name is the value of the key "box", the message
+// that of "event". w must be safe for concurrent use.
 func NewLogger(w io.Writer, minLevel zapcore.LevelEnabler) *zap.Logger {
 	encoding := zap.NewProductionEncoderConfig()
 	encoding.MessageKey = "event"
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -13,24 +13,24 @@
 	"granitehoist.example/granitehoist/internal/logsink"
 )
 
-// stopped is a writer that takes nothing until it is let go.
-type stopped struct {
+// blockedWriter blocks in Write until release is closed.
+type blockedWriter struct {
 	mu      sync.Mutex
 	text    strings.Builder
 	release chan struct{}
 }
 
-func (s *stopped) Write(p []byte) (int, error) {
-	<-s.release
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.text.Write(p)
+func (b *blockedWriter) Write(p []byte) (int, error) {
+	<-b.release
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.text.Write(p)
 }
 
-// TestStoppedReader checks that a reader which has stopped holds nobody up, and
-// that what was dropped is reported when it reads again.
+// TestStoppedReader checks that Write does not block while the reader is stopped, and
+// that dropped lines are reported when it reads again.
 func TestStoppedReader(t *testing.T) {
-	writer := &stopped{release: make(chan struct{})}
+	writer := &blockedWriter{release: make(chan struct{})}
 	sink := logsink.New(writer, 4)
 	began := time.Now()
 	for range 1000 {
@@ -54,6 +54,6 @@
 		}
 	}
 	if reported != sink.Dropped() {
-		t.Fatalf("%d lines were dropped and %d told: %q", sink.Dropped(), reported, writer.text.String())
+		t.Fatalf("%d lines were dropped and %d reported: %q", sink.Dropped(), reported, writer.text.String())
 	}
 }
--- a/internal/pack/pack.go
+++ b/internal/pack/pack.go
@@ -1,13 +1,12 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package pack turns values into compressed JSON (zstd) and back, for records in the
-// store and for messages between routers. Both the edge router (package follow) and
-// the partner router (budgets and bills) use it; what one release packs the next
-// must read.
+// Package pack encodes values as JSON compressed with zstd, for records in the store and
+// messages between routers. Both the edge router (package follow) and the partner router
+// (budgets and bills) use it. The format must stay readable by the next release.
 //
-// The package owns one encoder and one decoder, made at the start of the process and
-// safe for concurrent use. Begin reading at Pack.
+// The package has one global encoder and one global decoder, both safe for concurrent
+// use. Begin reading at Pack.
 package pack
 
 import (
@@ -17,21 +16,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// windowSize is how far back the compression looks, in bytes. Records are small, and a
-// small window costs little memory.
+// windowSize is the compression window in bytes. Records are small, and a small window
+// saves memory.
 const windowSize = 64 << 10
 
-// maxUnpacked bounds the bytes that a packed record may grow to, so that a bad one can't
-// fill the memory.
-const maxUnpacked = 64 << 20
+// maxUnpackedBytes limits the decompressed size of a record, so that a malformed record
+// can't exhaust memory.
+const maxUnpackedBytes = 64 << 20
 
 var (
 	encoder = newEncoder()
 	decoder = newDecoder()
 )
 
-// newEncoder returns the encoder. Its settings are constants, so an error is one of
-// the program.
+// newEncoder returns the encoder. It panics on an error, since the options are constant.
 func newEncoder() *zstd.Encoder {
 	e, err := zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithWindowSize(windowSize), zstd.WithLowerEncoderMem(true))
 	if err != nil {
@@ -40,41 +38,39 @@
 	return e
 }
 
-// newDecoder returns the decoder. Its settings are constants, so an error is one of
-// the program.
+// newDecoder returns the decoder. It panics on an error, since the options are constant.
 func newDecoder() *zstd.Decoder {
-	d, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxUnpacked), zstd.WithDecoderConcurrency(0), zstd.WithDecoderLowmem(true))
+	d, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(maxUnpackedBytes), zstd.WithDecoderConcurrency(0), zstd.WithDecoderLowmem(true))
 	if err != nil {
 		panic("pack: decoder: " + err.Error())
 	}
 	return d
 }
 
-// Pack returns a value as compressed JSON. It returns an error if the value has no
-// JSON form. The same value gives the same bytes.
+// Pack returns a value as compressed JSON. It returns an error if json.Marshal fails.
+// Equal values give equal bytes.
 func Pack(value any) ([]byte, error) {
 	raw, err := json.Marshal(value)
 	if err != nil {
-		return nil, eris.Wrap(err, "pack: can't be encoded")
+		return nil, eris.Wrap(err, "pack: encode JSON")
 	}
 	return encoder.EncodeAll(raw, nil), nil
 }
 
-// Unpack decodes what Pack returned into value, a pointer. It returns an error for
-// anything else and for more than maxUnpacked bytes of JSON; value may then hold a
-// part of it.
+// Unpack decodes the result of Pack into value, a pointer. It returns an error for other
+// input and for more than maxUnpackedBytes of JSON; value may then be partly set.
 func Unpack(packed []byte, value any) error {
 	raw, err := decoder.DecodeAll(packed, nil)
 	if err != nil {
-		return eris.Wrap(err, "pack: can't be decompressed")
+		return eris.Wrap(err, "pack: decompress")
 	}
 	if err := json.Unmarshal(raw, value); err != nil {
-		return eris.Wrap(err, "pack: can't be decoded")
+		return eris.Wrap(err, "pack: decode JSON")
 	}
 	return nil
 }
 
-// Message is a value of type T as routers send it to each other.
+// Message is a packed value of type T in a message between routers.
 type Message[T any] struct {
 	Packed []byte `json:"packed"`
 }
@@ -85,8 +81,7 @@
 	return Message[T]{Packed: packed}, err
 }
 
-// Value unpacks the message. It returns the errors of Unpack; the zero message is
-// one.
+// Value unpacks the message. It returns the errors of Unpack, also for the zero Message.
 func (m Message[T]) Value() (T, error) {
 	var value T
 	err := Unpack(m.Packed, &value)
--- a/internal/pack/pack_test.go
+++ b/internal/pack/pack_test.go
@@ -15,7 +15,7 @@
 	"granitehoist.example/granitehoist/internal/pack"
 )
 
-// stepTimeout bounds a step of a test, also while the computer is busy.
+// stepTimeout bounds each wait of a test.
 const stepTimeout = 20 * time.Second
 
 func TestPack(t *testing.T) {
@@ -37,32 +37,32 @@
 }
 
 var _ = Describe("Pack", func() {
-	It("gives back what was packed, in less room", func() {
+	It("round-trips a value in fewer bytes", func() {
 		packed, err := pack.Pack(sample(1000))
 		Expect(err).NotTo(HaveOccurred())
-		var back record
-		Expect(pack.Unpack(packed, &back)).To(Succeed())
-		Expect(back).To(Equal(sample(1000)))
-		Expect(len(packed)).To(BeNumerically("<", len(strings.Join(back.Names, ""))))
+		var unpacked record
+		Expect(pack.Unpack(packed, &unpacked)).To(Succeed())
+		Expect(unpacked).To(Equal(sample(1000)))
+		Expect(len(packed)).To(BeNumerically("<", len(strings.Join(unpacked.Names, ""))))
 	})
 
-	It("is the same for the same value", func() {
+	It("is deterministic", func() {
 		a, _ := pack.Pack(sample(10))
 		b, _ := pack.Pack(sample(10))
 		Expect(a).To(Equal(b))
 	})
 
-	DescribeTable("does not read",
+	DescribeTable("rejects",
 		func(raw []byte) {
-			var back record
-			Expect(pack.Unpack(raw, &back)).NotTo(Succeed())
+			var unpacked record
+			Expect(pack.Unpack(raw, &unpacked)).NotTo(Succeed())
 		},
-		Entry("nothing", []byte{}),
+		Entry("empty input", []byte{}),
 		Entry("plain JSON", []byte(`{"names":[]}`)),
-		Entry("half a frame", half()),
+		Entry("a truncated frame", truncated()),
 	)
 
-	It("carries messages", func() {
+	It("round-trips messages", func() {
 		m, err := pack.NewMessage(sample(3))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(m.Value()).To(Equal(sample(3)))
@@ -71,12 +71,12 @@
 	})
 })
 
-func half() []byte {
+func truncated() []byte {
 	packed, _ := pack.Pack(sample(100))
 	return packed[:len(packed)/2]
 }
 
-// BenchmarkPack packs and reads a small and a large record.
+// BenchmarkPack packs and unpacks a small and a large record.
 func BenchmarkPack(b *testing.B) {
 	for _, n := range []int{10, 1000} {
 		b.Run(fmt.Sprintf("names=%d", n), func(b *testing.B) {
@@ -87,8 +87,8 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				var back record
-				if err := pack.Unpack(packed, &back); err != nil {
+				var unpacked record
+				if err := pack.Unpack(packed, &unpacked); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,8 +1,8 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package pause waits for a time without outlasting a context. Both routers use
-// it between tries. It holds no state.
+// Package pause provides a sleep that ends with a context. Both routers use it between
+// retries. It holds no state.
 package pause
 
 import (
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -11,8 +11,8 @@
 	"granitehoist.example/granitehoist/internal/pause"
 )
 
-// lasted returns how long a pause took.
-func lasted(ctx context.Context, d time.Duration) time.Duration {
+// elapsed returns how long a pause took.
+func elapsed(ctx context.Context, d time.Duration) time.Duration {
 	began := time.Now()
 	pause.For(ctx, d)
 	return time.Since(began)
@@ -21,19 +21,19 @@
 func TestFor(t *testing.T) {
 	t.Run("waits", func(t *testing.T) {
 		const d = 30 * time.Millisecond
-		if got := lasted(context.Background(), d); got < d {
+		if got := elapsed(context.Background(), d); got < d {
 			t.Fatalf("waited %v of %v", got, d)
 		}
 	})
 	t.Run("ends with the context", func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		if got := lasted(ctx, time.Hour); got > time.Minute {
+		if got := elapsed(ctx, time.Hour); got > time.Minute {
 			t.Fatalf("waited %v", got)
 		}
 	})
-	t.Run("returns at once for no time", func(t *testing.T) {
-		if got := lasted(context.Background(), -time.Hour); got > time.Minute {
+	t.Run("returns at once for a negative duration", func(t *testing.T) {
+		if got := elapsed(context.Background(), -time.Hour); got > time.Minute {
 			t.Fatalf("waited %v", got)
 		}
 	})
--- a/internal/tomlfile/checker.go
+++ b/internal/tomlfile/checker.go
@@ -9,21 +9,21 @@
 	"strings"
 )
 
-// AnyTable as the Index of a Key stands for all tables of its name.
+// AnyTable is the Index of a Key that refers to all tables of its name.
 const AnyTable = -1
 
 // Key is the position of a value in a file.
 type Key struct {
 	// Table is the name of the table, empty for the keys before the first.
 	Table string
-	// Index counts the [[Table]] headings from 0. It is AnyTable for a table
-	// that the file has once, and for a fault that concerns all of them.
+	// Index counts the [[Table]] headings from 0. It is AnyTable for a [Table], and for
+	// a fault of all tables of the name.
 	Index int
 	// Name is the key within the table.
 	Name string
 }
 
-// String returns the key as faults show it: "table[index].name", "table.name"
+// String returns the key in the form used in faults: "table[index].name", "table.name"
 // or "name".
 func (k Key) String() string {
 	switch {
@@ -35,7 +35,7 @@
 	return fmt.Sprintf("%s[%d].%s", k.Table, k.Index, k.Name)
 }
 
-// Checker collects the faults of a file that Decode has read without one.
+// Checker collects the faults of a file that Decode has read without a fault.
 type Checker struct {
 	file   string
 	lines  []string
@@ -47,7 +47,7 @@
 	return &Checker{file: file, lines: strings.Split(string(text), "\n")}
 }
 
-// Faults returns what was added, nil if nothing was.
+// Faults returns the added faults, nil if there are none.
 func (c *Checker) Faults() Faults { return c.faults }
 
 // Add records that the value of a key is wrong.
@@ -55,8 +55,8 @@
 	c.faults = append(c.faults, Fault{File: c.file, Line: c.line(k), Key: k.String(), Reason: reason, Remedy: remedy})
 }
 
-// line returns the line of a key, counting from 1. It is the line of the table's
-// heading if the key is not written, and zero if the heading is not either.
+// line returns the line of a key, counting from 1. It is the line of the table's heading
+// if the key is missing, and zero if the heading is missing too.
 func (c *Checker) line(k Key) int {
 	table, index, heading := "", 0, 0
 	for i, raw := range c.lines {
--- a/internal/tomlfile/decode.go
+++ b/internal/tomlfile/decode.go
@@ -10,12 +10,12 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// noKey is the Key of a fault that concerns the file and no single key.
+// noKey is the Key of a fault of the whole file.
 const noKey = "(file)"
 
-// Decode reads TOML strictly into target, a pointer. It returns a fault for each
-// key that target does not have, or one for text that is not TOML or has a value
-// of the wrong type. file is used in faults only.
+// Decode strictly decodes TOML into target, a pointer. It returns a fault for each key
+// that target does not have, or one fault for invalid TOML or a value of the wrong type.
+// file is used only in faults.
 func Decode(file string, text []byte, target any) Faults {
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := decoder.Decode(target)
@@ -46,7 +46,7 @@
 	return faults
 }
 
-// wrongValue returns the fault of text that is not TOML or has the wrong type.
+// wrongValue returns the fault of invalid TOML or a value of the wrong type.
 func wrongValue(file string, e *toml.DecodeError) Fault {
 	line, _ := e.Position()
 	key := strings.Join(e.Key(), ".")
--- a/internal/tomlfile/doc.go
+++ b/internal/tomlfile/doc.go
@@ -1,15 +1,14 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package tomlfile reads the TOML files that people write and reports all that
-// is wrong with one at once, each fault with its line and what to write instead.
+// Package tomlfile reads TOML files written by operators and reports all faults of a file
+// at once, each with its line and a remedy.
 //
-// It owns no state. A Checker belongs to one reading of one file and is not safe
-// for concurrent use.
+// It has no global state. A Checker is used for one file and is not safe for concurrent
+// use.
 //
-// Packages partner/config, for the partners' documents, and partner/settings,
-// for a router's settings file, rely on it, so both 'granitehoist router' and
-// 'granitehoist check' run it. granitehoist-edge reads no TOML.
+// Packages partner/config (partners' documents) and partner/settings (a router's
+// settings file) use it, and with them 'granitehoist router' and 'granitehoist check'.
 //
 // Begin reading at Decode, then at Checker.
 package tomlfile
--- a/internal/tomlfile/fault.go
+++ b/internal/tomlfile/fault.go
@@ -8,29 +8,29 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
-	// File is the path as it was given.
+	// File is the path as given by the caller.
 	File string
-	// Line counts from 1; zero where it is not known.
+	// Line counts from 1; zero if unknown.
 	Line int
 	// Key is the table and key, such as "budget[2].tokens".
 	Key string
-	// Reason says what is wrong and Remedy what to write instead.
+	// Reason describes the error, and Remedy how to correct it.
 	Reason string
 	Remedy string
 }
 
-// String returns one line with all parts.
+// String returns the fault as one line of text.
 func (f Fault) String() string {
-	where := f.File
+	position := f.File
 	if f.Line > 0 {
-		where = fmt.Sprintf("%s:%d", f.File, f.Line)
+		position = fmt.Sprintf("%s:%d", f.File, f.Line)
 	}
-	return fmt.Sprintf("%s: %s: %s; %s", where, f.Key, f.Reason, f.Remedy)
+	return fmt.Sprintf("%s: %s: %s; %s", position, f.Key, f.Reason, f.Remedy)
 }
 
-// Faults is all that is wrong with a file.
+// Faults is a list of faults. It implements error.
 type Faults []Fault
 
 // Error returns one line for each fault.
