--- a/cmd/granitehoist-edge/main.go
+++ b/cmd/granitehoist-edge/main.go
@@ -1,17 +1,17 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Command granitehoist-edge runs a router on the users' platform until SIGTERM or
-// SIGINT. It takes its settings from the file that the platform names and writes
-// its log to the standard output, one line of key=value pairs an event.
+// Command granitehoist-edge runs an edge router on the platform until SIGTERM or SIGINT.
+// It reads its settings from the file given by the platform and logs to standard output,
+// one line of key=value pairs per event.
 //
-// The program owns the process: signals, the memory limit and the log's queue.
-// All else is package node's, by way of package platform. Begin reading at run,
-// then at node.New.
+// The command handles signals, the memory limit and the log queue; package node
+// implements the router, on the adapters of package platform. Begin reading at run, then
+// at node.New.
 package main
 
-// The platform loads its library into the program, which has to be linked with
-// the system's C library for it.
+// The platform loads its library into the program, which therefore has to be linked with
+// the system's C library.
 
 // #include <stdlib.h>
 import "C"
@@ -36,25 +36,24 @@
 )
 
 const (
-	// logLines is the number of log lines that wait for a slow reader of the log; those
-	// beyond are dropped and counted (log_dropped).
-	logLines = 2048
-	// logFlush bounds the writing of the lines that still wait when the process ends: it
-	// has to fit between the end of a stop, at 97 % of the grace (node/stop.go,
-	// returnShare), and the platform's SIGKILL.
-	logFlush = 100 * time.Millisecond
-	// memoryShare is the share of the process's memory limit (limits.memoryMb in the
-	// settings file; above it the platform kills the process) that Go's memory limit gets,
-	// above which the garbage collector runs more often. The remainder is for bytes that
-	// have arrived and are not read yet: the platform counts them as well.
+	// logQueueLines is the number of log lines queued for a slow reader; further lines are
+	// dropped and counted (log_dropped).
+	logQueueLines = 2048
+	// logFlushTimeout limits the writing of queued log lines at exit. It must fit between
+	// the end of the drain (returnShare of the grace period, node/stop.go) and the
+	// platform's SIGKILL.
+	logFlushTimeout = 100 * time.Millisecond
+	// memoryShare is the Go memory limit as a share of limits.memoryMb in the settings
+	// file, above which the platform kills the process. The rest is for socket buffers,
+	// which the platform counts as well.
 	memoryShare = 0.6
-	// signalQueue is the number of signals that wait while one is handled: a signal beyond
-	// it is lost, and a stop needs one only.
+	// signalQueue is the number of queued signals; further ones are dropped, and one is
+	// enough for a stop.
 	signalQueue = 4
 )
 
-// main reads the command line and runs the router. It exits with 1 if the
-// settings or an address can't be used.
+// main parses the command line and runs the router. It exits with 1 if the settings are
+// invalid or an address can't be bound.
 func main() {
 	app := kingpin.New("granitehoist-edge", "Run a router on the platform until SIGTERM.")
 	file := app.Flag("settings", "The settings file.").Envar(platform.SettingsVariable).Required().String()
@@ -66,8 +65,8 @@
 	}
 }
 
-// run serves with the settings in file until a signal to stop, and returns when
-// the router has stopped. metricsPort is the port of the metrics, zero for none.
+// run runs the router with the settings in file until SIGTERM or SIGINT, and returns when
+// it has stopped. metricsPort is the port of the metrics, zero for none.
 func run(file string, metricsPort int) error {
 	config, err := platform.ReadSettings(file)
 	if err != nil {
@@ -77,8 +76,8 @@
 		config.Metrics = fmt.Sprintf("%s:%d", config.IP, metricsPort)
 	}
 	limitMemory(config)
-	sink := logsink.New(os.Stdout, logLines)
-	defer sink.Close(logFlush)
+	sink := logsink.New(os.Stdout, logQueueLines)
+	defer sink.Close(logFlushTimeout)
 	config.LogDropped = sink.Dropped
 	log := logsink.NewLogger(sink, zapcore.InfoLevel)
 	clock, err := boottime.New()
@@ -103,28 +102,27 @@
 	return nil
 }
 
-// limitMemory tells the runtime how much memory the process may use.
+// limitMemory sets Go's memory limit, if the configuration has one.
 func limitMemory(c *node.Config) {
 	if c.Memory > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(c.Memory)))
 	}
 }
 
-// reload reads the settings file again after SIGHUP and puts in force what a running
-// process can change: the memory, and what node.Node.Reload names. The log tells which
-// other settings differ and wait for a restart. A file that can't be read changes
-// nothing.
+// reload reads the settings file again after SIGHUP and applies what can be changed at run
+// time: the memory limit and the settings that node.Node.Reload applies. It logs the other
+// changed settings, which need a restart. An invalid file changes nothing.
 func reload(n *node.Node, file string, log *zap.Logger) {
 	config, err := platform.ReadSettings(file)
 	if err != nil {
 		log.Error(event.ReloadFailed, zap.Error(err))
 		return
 	}
-	waiting, err := n.Reload(config)
+	needRestart, err := n.Reload(config)
 	if err != nil {
 		log.Error(event.ReloadFailed, zap.Error(err))
 		return
 	}
 	limitMemory(config)
-	log.Info(event.Reload, zap.String("file", file), zap.Strings("waiting_for_restart", waiting))
+	log.Info(event.Reload, zap.String("file", file), zap.Strings("waiting_for_restart", needRestart))
 }
--- a/cmd/granitehoist/check.go
+++ b/cmd/granitehoist/check.go
@@ -17,12 +17,12 @@
 	"granitehoist.example/granitehoist/partner/settings"
 )
 
-// newCheck returns the command that checks files without a router.
+// newCheck returns the command that validates files without a running router.
 func newCheck(app *kingpin.Application, out io.Writer) command {
-	clause := app.Command("check", "Check settings files and partners' documents, and tell all faults at once.")
-	files := clause.Arg("file", "Files to check; a file with a [listen] table is taken as a router's settings.").Required().Strings()
+	clause := app.Command("check", "Validate settings files and partners' documents, and print all faults of each.")
+	files := clause.Arg("file", "Files to validate; a file with a [listen] table is validated as a router's settings.").Required().Strings()
 	return command{clause, func(context.Context) error {
-		sound := true
+		valid := true
 		for _, file := range *files {
 			faults, err := checkFile(file)
 			if err != nil {
@@ -34,9 +34,9 @@
 			if len(faults) == 0 {
 				fmt.Fprintf(out, "%s: sound\n", file)
 			}
-			sound = sound && len(faults) == 0
+			valid = valid && len(faults) == 0
 		}
-		if !sound {
+		if !valid {
 			return failed{}
 		}
 		return nil
@@ -60,7 +60,7 @@
 	return nil, err
 }
 
-// isSettings reports whether a file is a router's settings and no document: only
+// isSettings reports whether a file is a router's settings and not a document: only
 // settings have a [listen] table.
 func isSettings(text string) bool {
 	for line := range strings.Lines(text) {
--- a/cmd/granitehoist/documents.go
+++ b/cmd/granitehoist/documents.go
@@ -19,35 +19,35 @@
 	"granitehoist.example/granitehoist/partner/router"
 )
 
-// acceptancePause is the time between two checks whether a document is accepted.
-const acceptancePause = 200 * time.Millisecond
+// acceptancePollInterval is the interval of checks whether a document is accepted.
+const acceptancePollInterval = 200 * time.Millisecond
 
-// applyRun is one run of the command apply.
-type applyRun struct {
+// applyCommand holds the arguments of the command apply.
+type applyCommand struct {
 	operator operator
 	out      io.Writer
-	// file is the document and keyFile the partner's secret key.
+	// file is the path of the document, keyFile that of the partner's secret key.
 	file, keyFile string
-	// wait bounds the wait for acceptance.
+	// wait limits the wait for acceptance.
 	wait time.Duration
 }
 
-// newApply returns the command that puts a document in force.
+// newApply returns the command that signs and applies a document.
 func newApply(app *kingpin.Application, out io.Writer) command {
-	clause := app.Command("apply", "Sign a partner's document and put it in force.")
+	clause := app.Command("apply", "Sign a partner's document and apply it.")
 	o := newOperator(clause)
 	keyFile := clause.Flag("key", "File of the partner's secret key.").Required().String()
-	wait := clause.Flag("wait", "How long to wait until every router has it in force.").Default("10s").Duration()
+	wait := clause.Flag("wait", "How long to wait until every router has applied it.").Default("10s").Duration()
 	file := clause.Arg("file", "The document.").Required().String()
 	return command{clause, func(ctx context.Context) error {
-		a := applyRun{operator: o, out: out, file: *file, keyFile: *keyFile, wait: *wait}
+		a := applyCommand{operator: o, out: out, file: *file, keyFile: *keyFile, wait: *wait}
 		return a.run(ctx)
 	}}
 }
 
-// run signs the document as the one that follows the present one, hands it to a
-// router and waits until it is accepted.
-func (a applyRun) run(ctx context.Context) error {
+// run signs the document as the successor of the current one, sends it to a router and
+// waits until it is accepted.
+func (a applyCommand) run(ctx context.Context) error {
 	text, err := os.ReadFile(a.file)
 	if err != nil {
 		return err
@@ -79,19 +79,19 @@
 	return a.waitAccepted(ctx, signed, state)
 }
 
-// waitAccepted asks the router until the document is accepted, that is, in force on
-// every router that may serve. If that takes longer than a.wait, it prints
-// "pending" and fails.
-func (a applyRun) waitAccepted(ctx context.Context, signed config.Signed, state router.DocumentState) error {
-	limit := time.After(a.wait)
+// waitAccepted polls the router until the document is accepted, that is, applied by every
+// router that may serve. If that takes longer than a.wait, it prints "pending" and
+// fails.
+func (a applyCommand) waitAccepted(ctx context.Context, signed config.Signed, state router.DocumentState) error {
+	timeout := time.After(a.wait)
 	for !state.Accepted {
 		select {
-		case <-limit:
+		case <-timeout:
 			fmt.Fprintf(a.out, "serial=%d state=pending in_force=%d waiting=%s\n", signed.Serial, len(state.InForce), joinBoxes(state.Waiting))
 			return failed{}
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(acceptancePause):
+		case <-time.After(acceptancePollInterval):
 		}
 		var err error
 		if state, err = a.operator.document(ctx, signed.Partner); err != nil {
@@ -105,14 +105,14 @@
 // documentPath returns the admin path of a partner's document.
 func documentPath(p granitehoist.Partner) string { return router.PathDocuments + string(p) }
 
-// document returns a partner's document and where it is in force.
+// document returns a partner's document and the boxes that have applied it.
 func (o operator) document(ctx context.Context, p granitehoist.Partner) (router.DocumentState, error) {
 	var state router.DocumentState
 	err := o.call(ctx, o.base().Get(documentPath(p)), &state)
 	return state, err
 }
 
-// joinBoxes returns the names of boxes with commas between them.
+// joinBoxes returns the names of boxes separated by commas.
 func joinBoxes(boxes []granitehoist.Box) string {
 	names := make([]string, len(boxes))
 	for i, b := range boxes {
@@ -123,7 +123,7 @@
 
 // newShow returns the command that shows a document.
 func newShow(app *kingpin.Application, out io.Writer) command {
-	clause := app.Command("show", "Show a partner's document and where it is in force.")
+	clause := app.Command("show", "Show a partner's document and the boxes that have applied it.")
 	o := newOperator(clause)
 	partner := clause.Arg("partner", "The partner.").Required().String()
 	return command{clause, func(ctx context.Context) error {
--- a/cmd/granitehoist/explain.go
+++ b/cmd/granitehoist/explain.go
@@ -16,7 +16,7 @@
 
 // newExplain returns the command that explains a request.
 func newExplain(app *kingpin.Application, out io.Writer) command {
-	clause := app.Command("explain", "Tell the story of one request from the nodes' log lines on standard input.")
+	clause := app.Command("explain", "Explain the outcome of one request from the routers' log lines on standard input.")
 	id := clause.Arg("request", "The request's id.").Required().String()
 	return command{clause, func(context.Context) error {
 		story, err := explain.Read(os.Stdin, granitehoist.RequestID(*id))
@@ -29,7 +29,7 @@
 
 // newExplainBudget returns the command that explains a workspace's budget.
 func newExplainBudget(app *kingpin.Application, out io.Writer) command {
-	clause := app.Command("explain-budget", "Tell where a workspace's prepaid tokens went, from the nodes' log lines on standard input.")
+	clause := app.Command("explain-budget", "Explain the use of a workspace's prepaid tokens from the routers' log lines on standard input.")
 	workspace := clause.Arg("workspace", "The workspace's name.").Required().String()
 	return command{clause, func(context.Context) error {
 		budget, err := explain.ReadBudget(os.Stdin, granitehoist.Workspace(*workspace))
--- a/cmd/granitehoist/keys.go
+++ b/cmd/granitehoist/keys.go
@@ -22,17 +22,17 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// secretFileMode lets nobody but the owner read a secret key.
+// secretFileMode makes a secret key readable by its owner only.
 const secretFileMode = 0o600
 
-// newKeysPartner returns the command that makes a partner's key pair.
+// newKeysPartner returns the command that generates a partner's key pair.
 func newKeysPartner(app *kingpin.Application, out io.Writer) command {
-	clause := keysCommand(app).Command("partner", "Make a key with which a partner signs its documents. The secret goes to a file, the public key to standard output.")
+	clause := keysCommand(app).Command("partner", "Generate the key pair with which a partner signs its documents. The secret key goes to a file, the public key to standard output.")
 	file := clause.Flag("out", "File of the secret key; it must not exist.").Required().String()
 	return command{clause, func(context.Context) error {
 		public, private, err := ed25519.GenerateKey(rand.Reader)
 		if err != nil {
-			return eris.Wrap(err, "key")
+			return eris.Wrap(err, "generate key")
 		}
 		if err := writeSecret(*file, private); err != nil {
 			return err
@@ -52,9 +52,9 @@
 	return errors.Join(err, secret.Close())
 }
 
-// newKeysCaller returns the command that makes a key for callers.
+// newKeysCaller returns the command that generates a key for callers.
 func newKeysCaller(app *kingpin.Application, out io.Writer) command {
-	clause := keysCommand(app).Command("caller", "Make a key for callers of a workspace, and the hash that goes into the document.")
+	clause := keysCommand(app).Command("caller", "Generate a key for callers of a workspace, and its hash for the document.")
 	return command{clause, func(context.Context) error {
 		key := granitehoist.NewID("gh-", rand.Reader)
 		hash := config.HashKey(key)
@@ -69,7 +69,7 @@
 	if clause := app.GetCommand(name); clause != nil {
 		return clause
 	}
-	return app.Command(name, "Make keys.")
+	return app.Command(name, "Generate keys.")
 }
 
 // readSecret reads a partner's secret key, as writeSecret wrote it.
--- a/cmd/granitehoist/main.go
+++ b/cmd/granitehoist/main.go
@@ -1,8 +1,8 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Command granitehoist runs a router, the stand-ins, a trial of the whole
-// system, and the operators' tools.
+// Command granitehoist runs a partner router, the stand-ins of external systems, an
+// end-to-end test on loopback, and the operators' tools.
 package main
 
 import (
@@ -33,21 +33,23 @@
 	run    func(ctx context.Context) error
 }
 
-// failed ends the program with status 1 after the command has printed why.
+// failed is returned by a command that has already printed its error. The program then
+// exits with status 1.
 type failed struct{}
 
 // Error implements error.
 func (failed) Error() string { return "failed" }
 
-// main runs the chosen command until it ends or SIGTERM or SIGINT stops it. The exit status is 1 if the command returns an error.
+// main runs the selected command until it returns or is stopped by SIGTERM or SIGINT. The
+// exit status is 1 if the command returns an error.
 func main() {
 	app, commands := newApp(os.Stdout)
-	chosen, err := app.Parse(os.Args[1:])
+	selected, err := app.Parse(os.Args[1:])
 	app.FatalIfError(err, "")
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer cancel()
 	for _, c := range commands {
-		if c.clause.FullCommand() != chosen {
+		if c.clause.FullCommand() != selected {
 			continue
 		}
 		if err := c.run(ctx); err != nil {
@@ -93,12 +95,12 @@
 	}}
 }
 
-// newLog returns a log that writes one line of key=value pairs an event to
-// standard error.
+// newLog returns a logger that writes one line of key=value pairs per event to standard
+// error. It returns an error for an unknown level.
 func newLog(level string) (*zap.Logger, error) {
-	var least zapcore.Level
-	if err := least.UnmarshalText([]byte(level)); err != nil {
+	var minLevel zapcore.Level
+	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 		return nil, eris.Wrap(err, "log level")
 	}
-	return logsink.NewLogger(zapcore.Lock(os.Stderr), least), nil
+	return logsink.NewLogger(zapcore.Lock(os.Stderr), minLevel), nil
 }
--- a/cmd/granitehoist/measure.go
+++ b/cmd/granitehoist/measure.go
@@ -12,9 +12,9 @@
 	"granitehoist.example/granitehoist/measure"
 )
 
-// newMeasureCapacity returns the command that measures the costs of the roles.
+// newMeasureCapacity returns the command that measures the cost of each role of a router.
 func newMeasureCapacity(app *kingpin.Application, out io.Writer) command {
-	parent := app.Command("measure", "Measure what the parts of a router cost.")
-	clause := parent.Command("capacity", "Slopes of the costs of each role, and the loads at full and at small size.")
+	parent := app.Command("measure", "Measure the cost of the parts of a router.")
+	clause := parent.Command("capacity", "Print the measured slopes, and the load of each role for a full and a small fleet.")
 	return command{clause, func(context.Context) error { return measure.Capacity(out, measure.Sizes) }}
 }
--- a/cmd/granitehoist/operator.go
+++ b/cmd/granitehoist/operator.go
@@ -28,59 +28,59 @@
 const (
 	// defaultAdmin is the admin address of the first router of examples/site.
 	defaultAdmin = "http://127.0.0.1:8082"
-	// operatorTimeout bounds one call. Some answers read all records of a kind from the
-	// store, so it is longer than a request's.
+	// operatorTimeout limits one call. Some calls read all records of a kind from the
+	// store, so it is longer than the timeout of a request.
 	operatorTimeout = 30 * time.Second
 )
 
-// operator calls a router's admin address.
+// operator is a client of a router's admin address.
 type operator struct {
 	address *string
 }
 
-// newOperator adds the flag that names the router to a command.
+// newOperator adds the flag router to a command and returns a client for its value.
 func newOperator(clause *kingpin.CmdClause) operator {
 	return operator{clause.Flag("router", "Admin address of any router.").Default(defaultAdmin).String()}
 }
 
-// call sends a request and decodes the answer into result. Its error says what
-// the router answered, or that it did not.
+// call sends a request and decodes the response into result. It returns the router's
+// error, or why there was no response.
 func (o operator) call(ctx context.Context, s *sling.Sling, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	request, err := s.Request()
 	if err != nil {
-		return eris.Wrap(err, "request")
+		return eris.Wrap(err, "build request")
 	}
-	var refusal router.AdminError
-	response, err := s.Do(request.WithContext(ctx), result, &refusal)
+	var adminErr router.AdminError
+	response, err := s.Do(request.WithContext(ctx), result, &adminErr)
 	switch {
-	case refusal.Code != 0:
-		return eris.Errorf("%d %s: %s", refusal.Code, refusal.Name, refusal.Message)
+	case adminErr.Code != 0:
+		return eris.Errorf("%d %s: %s", adminErr.Code, adminErr.Name, adminErr.Message)
 	case err != nil:
-		return eris.Wrap(err, "router")
+		return eris.Wrap(err, "call router")
 	case response.StatusCode >= http.StatusBadRequest:
 		return eris.Errorf("router answered status %d", response.StatusCode)
 	}
 	return nil
 }
 
-// base returns the beginning of a request to the router.
+// base returns a request builder with the router's address.
 func (o operator) base() *sling.Sling { return sling.New().Base(*o.address) }
 
 // tablePadding is the number of spaces between two columns.
 const tablePadding = 2
 
-// newTable returns a table with a line of column names.
+// newTable returns a table with a header line.
 func newTable(out io.Writer, columns ...string) *tabwriter.Writer {
 	table := tabwriter.NewWriter(out, 0, 0, tablePadding, ' ', 0)
 	fmt.Fprintln(table, strings.Join(columns, "\t"))
 	return table
 }
 
-// newBudgets returns the command that shows where the tokens are.
+// newBudgets returns the command that shows the allocation of tokens.
 func newBudgets(app *kingpin.Application, out io.Writer) command {
-	clause := app.Command("budget", "Look at budgets.").Command("show", "Show where the tokens of each budget are.")
+	clause := app.Command("budget", "Inspect budgets.").Command("show", "Show the allocation of each budget's tokens.")
 	o := newOperator(clause)
 	return command{clause, func(ctx context.Context) error {
 		var budgets []budget.Overview
@@ -95,9 +95,9 @@
 	}}
 }
 
-// newBills returns the command that shows what was charged.
+// newBills returns the command that shows the charges.
 func newBills(app *kingpin.Application, out io.Writer) command {
-	clause := app.Command("bills", "Show what was charged to each budget.")
+	clause := app.Command("bills", "Show the charges of each budget.")
 	o := newOperator(clause)
 	return command{clause, func(ctx context.Context) error {
 		var bills []bill.Summary
@@ -112,7 +112,7 @@
 	}}
 }
 
-// byRegion writes amounts as "region:amount", in the order of the regions.
+// byRegion formats amounts as "region:amount", sorted by region.
 func byRegion(amounts map[granitehoist.Region]granitehoist.Tokens) string {
 	parts := make([]string, 0, len(amounts))
 	for region, tokens := range amounts {
@@ -122,9 +122,9 @@
 	return strings.Join(parts, " ")
 }
 
-// newSettle returns the command that charges the attempts of a dead router.
+// newSettle returns the command that charges the attempts of a terminated router.
 func newSettle(app *kingpin.Application, out io.Writer) command {
-	clause := app.Command("settle", "Charge the attempts of a router that is known to be gone, and end those that still run.")
+	clause := app.Command("settle", "Charge the attempts of a router that is known to have terminated, and end those still running.")
 	o := newOperator(clause)
 	incarnation := clause.Arg("incarnation", "The router's incarnation, as its log lines name it.").Required().String()
 	return command{clause, func(ctx context.Context) error {
@@ -137,7 +137,7 @@
 	}}
 }
 
-// newReportBurn returns the command that shows the service-level burn.
+// newReportBurn returns the command that shows the error budget burn rates.
 func newReportBurn(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("report", "Reports on the fleet.").Command("burn", "Service-level burn by service, workspace and availability zone over several windows.")
 	o := newOperator(clause)
--- a/cmd/granitehoist/router.go
+++ b/cmd/granitehoist/router.go
@@ -18,13 +18,13 @@
 
 // newRouter returns the command that runs a router.
 func newRouter(app *kingpin.Application) command {
-	clause := app.Command("router", "Run a router until it is told to stop by SIGTERM or SIGINT.")
+	clause := app.Command("router", "Run a router until SIGTERM or SIGINT.")
 	file := clause.Flag("settings", "The router's settings file.").Required().String()
 	return command{clause, func(ctx context.Context) error { return runRouter(ctx, *file) }}
 }
 
-// runRouter starts a router, waits until ctx ends and stops it within the drain
-// limit of its settings.
+// runRouter runs a router until ctx ends, then stops it within the drain limit of its
+// settings.
 func runRouter(ctx context.Context, file string) error {
 	parsed, faults, err := settings.Load(file)
 	if err != nil {
@@ -54,24 +54,22 @@
 	return r.Stop(stopping)
 }
 
-// Limits of the calls to the platform's store. The times are longer than those of
-// granitehoist-edge, the defaults of platform.StoreSettings.
+// Limits of calls to the platform's store. The times are longer than the defaults of
+// platform.StoreSettings, which granitehoist-edge uses.
 const (
-	// storeTimeout bounds a call.
+	// storeTimeout limits one call.
 	storeTimeout = 2 * time.Second
-	// storeWatch is the longest wait of a watch: it sets the number of calls of a router
-	// while nothing changes.
+	// storeWatch is the long-poll time of a watch. It sets the call rate of an idle router.
 	storeWatch = 20 * time.Second
-	// storeWatchGrace is added to it for the round trip.
+	// storeWatchGrace is added to storeWatch for the round trip.
 	storeWatchGrace = 5 * time.Second
-	// storeIdleConns serves requests that are to run once, each of which makes a write.
+	// storeIdleConns allows concurrent writes of requests that must run once.
 	storeIdleConns = 8
-	// storeIdleTime is longer than the interval of every regular call.
+	// storeIdleTime exceeds the interval of every periodic call.
 	storeIdleTime = time.Minute
 )
 
-// newStoreClient returns the connections that the store and the list of boxes
-// share.
+// newStoreClient returns the HTTP client shared by the store and the list of boxes.
 func newStoreClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: storeIdleConns, IdleConnTimeout: storeIdleTime}}
 }
--- a/cmd/granitehoist/try.go
+++ b/cmd/granitehoist/try.go
@@ -13,15 +13,15 @@
 	"granitehoist.example/granitehoist/trial"
 )
 
-// newTry returns the command that runs a trial and prints its verdict.
+// newTry returns the command that runs an end-to-end test and prints its result.
 func newTry(app *kingpin.Application, out io.Writer) command {
-	clause := app.Command("try", "Run the whole system on loopback with stand-ins, send a mixed load and judge it. Exits with 1 if a promise was broken.")
+	clause := app.Command("try", "Run the whole system on loopback with stand-ins, send a mixed load and verify the results. Exits with 1 if a guarantee was violated.")
 	requests := clause.Flag("requests", "Number of requests.").Default("500").Int()
 	seed := clause.Flag("seed", "Seed of the load.").Default("1").Uint64()
-	listen := clause.Flag("listen", "Callers' address of the first router, such as 127.0.0.1:8080.").String()
+	listen := clause.Flag("listen", "Listen address for callers of the first router, such as 127.0.0.1:8080.").String()
 	hold := clause.Flag("hold", "Keep the routers serving for this long after the load.").Duration()
-	calm := clause.Flag("calm", "Leave out the stand-ins' failures.").Bool()
-	kill := clause.Flag("kill", "Kill a router halfway, and send requests to engines only.").Bool()
+	calm := clause.Flag("calm", "Disable fault injection in the stand-ins.").Bool()
+	kill := clause.Flag("kill", "Kill a router halfway through the load, and send requests to engines only.").Bool()
 	stops := clause.Flag("stops", "Number of planned stops of routers during the load.").Int()
 	verbose := clause.Flag("verbose", "Write the routers' log to standard error.").Bool()
 	return command{clause, func(ctx context.Context) error {
