--- a/measure/capacity.go
+++ b/measure/capacity.go
@@ -9,8 +9,8 @@
 	"text/tabwriter"
 )
 
-// Capacity measures the slopes and writes them as a table, then the loads of
-// each role at each size.
+// Capacity measures all slopes and writes them as a table, followed by a table of the
+// loads of each role for each size. It returns the error of out.
 func Capacity(out io.Writer, sizes []FleetSize) error {
 	slopes := Slopes()
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
--- a/measure/capacity_test.go
+++ b/measure/capacity_test.go
@@ -15,8 +15,8 @@
 	"granitehoist.example/granitehoist/measure"
 )
 
-// pageRows returns the cells of the rows of docs/CAPACITY.md, by first cell
-// and by the table that they stand in.
+// pageRows returns the rows of the tables in docs/CAPACITY.md, by the first cell of the
+// table's header and the first cell of the row.
 func pageRows() map[string]map[string][]string {
 	GinkgoHelper()
 	page, err := os.ReadFile("../docs/CAPACITY.md")
@@ -43,7 +43,7 @@
 	return tables
 }
 
-// number reads the number that a cell begins with.
+// number parses the number at the beginning of a cell.
 func number(cell string) float64 {
 	GinkgoHelper()
 	value, err := strconv.ParseFloat(strings.Fields(cell)[0], 64)
@@ -52,7 +52,7 @@
 }
 
 var _ = Describe("docs/CAPACITY.md", func() {
-	It("has the loads that follow from its own slopes", func() {
+	It("has loads that match its slopes", func() {
 		tables := pageRows()
 		var slopes []measure.Slope
 		for name, cells := range tables["slope"] {
@@ -65,7 +65,7 @@
 				cells := tables[size.Name][l.Role]
 				Expect(cells).To(HaveLen(5), size.Name+" "+l.Role)
 				for i, want := range []float64{100 * l.Cores, l.Memory / 1e6, l.Bytes / 1e3, l.Writes, l.Reads} {
-					// Slopes are rounded to a tenth and cells to two or three digits.
+					// The tolerance covers the rounding of slopes and cells on the page.
 					Expect(number(cells[i])).To(BeNumerically("~", want, 0.006+want/50), fmt.Sprint(size.Name, " ", l.Role, " ", i))
 				}
 			}
--- a/measure/doc.go
+++ b/measure/doc.go
@@ -1,16 +1,15 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package measure measures what the parts of a partner router cost in memory,
-// time and bytes, at two sizes each, and works out from these slopes what each
-// role of a router costs at the size of a fleet. The results stand in
-// docs/CAPACITY.md, whose sums a test works out again.
+// Package measure is a capacity model of the partner router. It measures the cost of the
+// router's parts in memory, processor time and bytes at two sizes each, fits a line to
+// them, and computes the load of each role of a router for a given fleet size.
+// docs/CAPACITY.md has the results; a test recomputes its loads.
 //
-// It holds no state between calls and needs no locks: each measurement builds
-// what it measures, such as a purse with 14,000 budgets. It relies on the
-// packages below partner/ and on the store's stand-in in the same process.
-// 'granitehoist measure capacity' runs it; no router does.
+// The package has no state: each measurement builds its own data, such as a
+// budget.Purse with 14,000 budgets, and uses the packages below partner/ and a stand-in
+// for the store in the same process. 'granitehoist measure capacity' runs it.
 //
-// Begin reading at Slopes, which names every measurement, and Loads, which has
-// the sums.
+// Begin reading at Slopes, which lists the measurements, and Loads, which computes the
+// loads.
 package measure
--- a/measure/subjects.go
+++ b/measure/samples.go
@@ -22,15 +22,14 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// capacityStart is the present time of all measurements.
-var capacityStart = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
+// sampleTime is the current time in all measurements.
+var sampleTime = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-func capacityID(i int) granitehoist.BudgetID {
+func sampleID(i int) granitehoist.BudgetID {
 	return granitehoist.NewBudgetID("tuul", granitehoist.Workspace(fmt.Sprintf("workspace-%03d", i%540)), fmt.Sprintf("season-%05d", i))
 }
 
-// must returns the value of a call that can't fail with what is measured here, and
-// panics if it does.
+// must returns value, and panics if err is not nil.
 func must[T any](value T, err error) T {
 	if err != nil {
 		panic("measure: " + err.Error())
@@ -38,8 +37,7 @@
 	return value
 }
 
-// newRandom returns a source of bytes and numbers that differ for each i and
-// are the same in each run.
+// newRandom returns a random source seeded with i.
 func newRandom(i int) *rand.ChaCha8 {
 	var seed [32]byte
 	binary.LittleEndian.PutUint64(seed[:], uint64(i))
@@ -47,135 +45,133 @@
 }
 
 const (
-	// leastAmount and amounts bound the amounts in messages: eight digits, as the balances
-	// of large budgets have.
-	leastAmount = 10_000_000
-	// amounts is the number of different amounts.
-	amounts = 1 << 24
+	// minAmount is the smallest sample amount: eight digits, like the balances of large
+	// budgets.
+	minAmount = 10_000_000
+	// amountRange is the number of different sample amounts.
+	amountRange = 1 << 24
 )
 
-// varied returns amounts with as many digits as real ones, which compress as
-// badly.
-func varied(i int) granitehoist.Tokens {
-	return leastAmount + granitehoist.Tokens(newRandom(i).Uint64()%amounts)
+// sampleAmount returns a pseudo-random amount, which compresses as little as a real one.
+func sampleAmount(i int) granitehoist.Tokens {
+	return minAmount + granitehoist.Tokens(newRandom(i).Uint64()%amountRange)
 }
 
-func capacityReplies(n int) []budget.Reply {
+func sampleReplies(n int) []budget.Reply {
 	replies := make([]budget.Reply, n)
 	for i := range replies {
-		v := varied(i)
-		replies[i] = budget.Reply{Budget: capacityID(i), Granted: v, Target: v % 99_991, Left: 9 * v}
+		v := sampleAmount(i)
+		replies[i] = budget.Reply{Budget: sampleID(i), Granted: v, Target: v % 99_991, Left: 9 * v}
 	}
 	return replies
 }
 
-// capacityAsks returns what a box sends to a keeper to ask about n budgets.
-func capacityAsks(n int) budget.SyncParams {
+// sampleAsks returns a message of a box to a keeper with n asks.
+func sampleAsks(n int) budget.SyncParams {
 	asks := make([]budget.Ask, n)
 	for i := range asks {
-		v := varied(i)
+		v := sampleAmount(i)
 		totals := budget.Totals{Granted: v, Returned: v / 7, Spent: v / 3}
-		asks[i] = budget.Ask{Budget: capacityID(i), Totals: totals, Want: v + v%8191, Need: v, Least: v, Rate: float64(v) / 7919, Largest: v % 9973}
+		asks[i] = budget.Ask{Budget: sampleID(i), Totals: totals, Want: v + v%8191, Need: v, Least: v, Rate: float64(v) / 7919, Largest: v % 9973}
 	}
-	return budget.SyncParams{Box: "box", Incarnation: capacityIncarnation(0), Asks: asks}
+	return budget.SyncParams{Box: "box", Incarnation: sampleIncarnation(0), Asks: asks}
 }
 
-func capacityIncarnation(i int) granitehoist.Incarnation {
+func sampleIncarnation(i int) granitehoist.Incarnation {
 	return granitehoist.Incarnation(fmt.Sprintf("zaisan-hall-%04d-0123456789abcdef01234567", i))
 }
 
-func capacityPurse(n int) *budget.Purse {
+func samplePurse(n int) *budget.Purse {
 	p := budget.NewPurse(budget.PurseSettings{Incarnation: "box"})
-	p.Apply(nil, capacityReplies(n), capacityStart)
+	p.Apply(nil, sampleReplies(n), sampleTime)
 	return p
 }
 
-// packedBytes is the size of a value as routers pack it for messages and the store.
+// packedBytes returns the packed size of a value.
 func packedBytes(value any) float64 { return float64(len(must(pack.Pack(value)))) }
 
-// messageBytes is the size of a packed message between routers, in base64.
-func messageBytes(value any) float64 { return packedBytes(value) * base64Growth }
+// messageBytes returns the size of a packed message between routers, in base64.
+func messageBytes(value any) float64 { return packedBytes(value) * base64Overhead }
 
-// rowsPerAccount is the boxes that draw on one budget in a capacity page.
+// rowsPerAccount is the number of boxes that use one budget in a sample page.
 const rowsPerAccount = 10
 
-// capacityPage returns a page with n rows.
-func capacityPage(n int) *budget.Page {
+// samplePage returns a page with n rows.
+func samplePage(n int) *budget.Page {
 	page := budget.NewPage()
 	for i := range n {
-		id := capacityID(i / rowsPerAccount)
+		id := sampleID(i / rowsPerAccount)
 		a := page.Accounts[id]
 		if a == nil {
-			a = &budget.PageAccount{Received: 1 << 40, Limit: 1 << 40, Elsewhere: 1 << 40, ReportedAt: capacityStart.Unix(), Rows: map[granitehoist.Incarnation]budget.Row{}}
+			a = &budget.PageAccount{Received: 1 << 40, Limit: 1 << 40, Elsewhere: 1 << 40, ReportedAt: sampleTime.Unix(), Rows: map[granitehoist.Incarnation]budget.Row{}}
 			page.Accounts[id] = a
 		}
-		box := capacityIncarnation(i % rowsPerAccount)
-		v := varied(i)
+		box := sampleIncarnation(i % rowsPerAccount)
+		v := sampleAmount(i)
 		a.Rows[box] = budget.Row{Totals: budget.Totals{Granted: v, Returned: v / 7, Spent: v / 3}, Rate: float64(v) / 7919, Largest: v % 9973}
-		page.Members[box] = budget.Member{Box: "zaisan-hall-0001", Seen: capacityStart.Unix()}
+		page.Members[box] = budget.Member{Box: "zaisan-hall-0001", Seen: sampleTime.Unix()}
 	}
 	return page
 }
 
-// pageWriteTime is what one write of a page with n rows takes the keeper, the
-// store's own time included.
+// pageWriteTime returns the keeper's time in nanoseconds for one write of a page with n
+// rows, including the time of the store.
 func pageWriteTime(n int) float64 {
 	store := standin.NewStore(standin.StoreSettings{})
 	key := budget.PageKey("tuul", 0)
-	page := must(pack.Pack(capacityPage(n)))
+	page := must(pack.Pack(samplePage(n)))
 	must(store.CompareAndSwap(context.Background(), granitehoist.Change{Key: key, Value: page}))
 	keeper := budget.NewKeeper(budget.KeeperSettings{Region: "tuul", Store: store, Prepaid: func(granitehoist.BudgetID) (granitehoist.Tokens, granitehoist.Serial, bool) {
 		return 1 << 40, 1, true
 	}})
-	totals := capacityPage(1).Accounts[capacityID(0)].Rows[capacityIncarnation(0)].Totals
+	totals := samplePage(1).Accounts[sampleID(0)].Rows[sampleIncarnation(0)].Totals
 	return nanoseconds(func() {
 		totals.Spent++
-		ask := budget.Ask{Budget: capacityID(0), Totals: totals, Want: totals.Granted, Need: totals.Granted, Least: totals.Granted}
-		params := budget.SyncParams{Box: "zaisan-hall-0001", Incarnation: capacityIncarnation(0), Asks: []budget.Ask{ask}}
-		must(keeper.SyncAll(context.Background(), 0, []budget.SyncParams{params}, capacityStart))
+		ask := budget.Ask{Budget: sampleID(0), Totals: totals, Want: totals.Granted, Need: totals.Granted, Least: totals.Granted}
+		params := budget.SyncParams{Box: "zaisan-hall-0001", Incarnation: sampleIncarnation(0), Asks: []budget.Ask{ask}}
+		must(keeper.SyncAll(context.Background(), 0, []budget.SyncParams{params}, sampleTime))
 	})
 }
 
-// capacityCharge returns the i-th charge of a router, with ids as long as real
-// ones.
-func capacityCharge(i int) bill.Charge {
+// sampleCharge returns the i-th charge of a router, with IDs of realistic length.
+func sampleCharge(i int) bill.Charge {
 	return bill.Charge{
-		Incarnation: capacityIncarnation(0),
+		Incarnation: sampleIncarnation(0),
 		Seq:         uint64(i),
 		Request:     granitehoist.RequestID(granitehoist.NewID("r", newRandom(i))),
-		Attempts:    []granitehoist.AttemptID{granitehoist.NewAttemptID(capacityIncarnation(0), uint64(i), capacityID(i%500), granitehoist.RequestID(granitehoist.NewID("r", newRandom(i))))},
-		Budget:      capacityID(i % 500),
+		Attempts:    []granitehoist.AttemptID{granitehoist.NewAttemptID(sampleIncarnation(0), uint64(i), sampleID(i%500), granitehoist.RequestID(granitehoist.NewID("r", newRandom(i))))},
+		Budget:      sampleID(i % 500),
 		Owner:       "tuul",
 		Service:     "granite-pool",
 		Upstream:    granitehoist.Upstream(fmt.Sprintf("granite-pool-%d", i%100)),
 		Tokens:      granitehoist.Tokens(100 + i*7%900),
-		At:          capacityStart.Add(time.Duration(i) * 17 * time.Millisecond),
+		At:          sampleTime.Add(time.Duration(i) * 17 * time.Millisecond),
 	}
 }
 
-func capacityLedger(n int) *bill.Ledger {
+func sampleLedger(n int) *bill.Ledger {
 	l := bill.NewLedger(bill.LedgerSettings{Incarnation: "box", MaxPending: n})
 	for i := range n {
 		l.ReserveRoom()
-		l.Charge(capacityCharge(i), capacityStart)
+		l.Charge(sampleCharge(i), sampleTime)
 	}
 	return l
 }
 
-// batchBytes is a batch of n charges as it is packed for a message or a segment.
+// batchBytes returns the packed size of a batch of n charges.
 func batchBytes(n int) float64 {
 	var b bill.Batch
 	for i := range n {
-		b.Charges = append(b.Charges, capacityCharge(i))
+		b.Charges = append(b.Charges, sampleCharge(i))
 	}
 	return packedBytes(b)
 }
 
-// capacityDocument returns a document with n budgets and a key for each.
-func capacityDocument(n int) *config.Document {
+// sampleDocument returns a document with n budgets and a key for each.
+func sampleDocument(n int) *config.Document {
 	d := &config.Document{Partner: "tuul"}
 	for i := range n {
-		id := capacityID(i)
+		id := sampleID(i)
 		hash := config.HashKey(string(id))
 		d.Budgets = append(d.Budgets, config.Budget{Workspace: id.Workspace(), Name: id.Name(), Tokens: 1 << 30})
 		d.Keys = append(d.Keys, config.Key{Workspace: id.Workspace(), Budget: id.Name(), SHA256: fmt.Sprintf("%x", hash)})
@@ -183,61 +179,61 @@
 	return d
 }
 
-// documentBytes is the TOML text of a document with n budgets and keys.
+// documentBytes returns the size of the TOML text of a document with n budgets and keys.
 func documentBytes(n int) float64 {
 	total := 0
-	for _, b := range capacityDocument(n).Budgets {
+	for _, b := range sampleDocument(n).Budgets {
 		total += len(fmt.Sprintf("[[budget]]\nworkspace = %q\nname = %q\ntokens = %d\n", b.Workspace, b.Name, b.Tokens))
 		total += len(fmt.Sprintf("[[key]]\nworkspace = %q\nbudget = %q\nsha256 = %q\n", b.Workspace, b.Name, fmt.Sprintf("%064d", 0)))
 	}
 	return float64(total)
 }
 
-// burnMemory is what a router's burn report takes for n services, workspaces
-// and availability zones.
+// burnMemory returns the memory of a router's burn report for n keys.
 func burnMemory(n int) float64 {
 	return heapOf(func() any {
 		var r report.Recorder
 		for i := range n {
-			r.Add(report.Key{Service: "granite-pool", Workspace: granitehoist.Workspace(fmt.Sprint(i))}, report.Counts{Requests: 1}, capacityStart)
+			r.Add(report.Key{Service: "granite-pool", Workspace: granitehoist.Workspace(fmt.Sprint(i))}, report.Counts{Requests: 1}, sampleTime)
 		}
 		return &r
 	})
 }
 
-// memberBytes is the list of n members in the store.
+// memberBytes returns the size of a list of n members in the store.
 func memberBytes(n int) float64 {
 	var members []fleet.Member
 	for i := range n {
-		members = append(members, fleet.Member{Box: "zaisan-hall-0001", Incarnation: capacityIncarnation(i), Partner: "tuul", Region: "tuul", Zone: "zaisan-hall", Peers: "10.100.200.100:8081"})
+		members = append(members, fleet.Member{Box: "zaisan-hall-0001", Incarnation: sampleIncarnation(i), Partner: "tuul", Region: "tuul", Zone: "zaisan-hall", Peers: "10.100.200.100:8081"})
 	}
 	return float64(len(must(json.Marshal(members))))
 }
 
-// choiceTime is what one choice among n upstreams takes, for an affinity that
-// differs each time.
+// choiceTime returns the time in nanoseconds of one choice among n upstreams, each with a
+// different affinity.
 func choiceTime(n int) float64 {
 	table := route.NewTable(route.Settings{})
-	want := route.Want{Service: "s", Targets: capacityTargets(n)}
+	want := route.Want{Service: "s", Targets: sampleTargets(n)}
 	source := newRandom(n)
 	return nanoseconds(func() {
 		want.Affinity = source.Uint64()
-		slot := must(table.Acquire(context.Background(), want, capacityStart))
-		slot.Done(route.Good, capacityStart)
+		slot := must(table.Acquire(context.Background(), want, sampleTime))
+		slot.Done(route.Good, sampleTime)
 	})
 }
 
-// choiceMemory is what a router keeps of n upstreams after its first choice.
+// choiceMemory returns the memory of a router's table of n upstreams after its first
+// choice.
 func choiceMemory(n int) float64 {
-	targets := capacityTargets(n)
+	targets := sampleTargets(n)
 	return heapOf(func() any {
 		table := route.NewTable(route.Settings{})
 		want := route.Want{Service: "s", Targets: targets, Affinity: 1}
-		return must(table.Acquire(context.Background(), want, capacityStart))
+		return must(table.Acquire(context.Background(), want, sampleTime))
 	})
 }
 
-func capacityTargets(n int) []route.Target {
+func sampleTargets(n int) []route.Target {
 	targets := make([]route.Target, n)
 	for i := range targets {
 		targets[i] = route.Target{Name: granitehoist.Upstream(fmt.Sprintf("granite-pool-%05d", i)), Concurrency: 32}
--- a/measure/slopes.go
+++ b/measure/slopes.go
@@ -10,24 +10,22 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// Slope is a cost that grows by a step with each more of a thing, measured at
-// two sizes.
+// Slope is a linear cost model, measured at two sizes.
 type Slope struct {
-	// Name is what grows, such as "purse-memory".
+	// Name identifies the cost, such as "purse-memory".
 	Name string
-	// Unit is the unit of the cost, such as "B" or "ns", and Per the thing.
+	// Unit is the unit of the cost, such as "B" or "ns", and Per what the size counts.
 	Unit, Per string
-	// Small and Large are the sizes at which it was measured.
+	// Small and Large are the measured sizes.
 	Small, Large int
-	// Step is the cost of one more and Base the cost of none.
+	// Step is the cost per unit of size, and Base the cost at size zero.
 	Step, Base float64
 }
 
-// At returns the cost at a size.
+// At returns the estimated cost at a size.
 func (s Slope) At(size float64) float64 { return s.Base + s.Step*size }
 
-// measured returns the slope with its step and base, from the cost at both
-// sizes.
+// measured returns s with Step and Base computed from the cost at both sizes.
 func (s Slope) measured(cost func(n int) float64) Slope {
 	atSmall, atLarge := cost(s.Small), cost(s.Large)
 	s.Step = (atLarge - atSmall) / float64(s.Large-s.Small)
@@ -35,8 +33,8 @@
 	return s
 }
 
-// heapOf returns the heap bytes that what build returns takes. It collects
-// garbage twice, since finalizers of the first run free more.
+// heapOf returns the heap bytes held by the result of build. It runs the garbage collector
+// twice, since finalizers of the first run release more memory.
 func heapOf(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -50,42 +48,42 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// leastTime is how long a duration is measured for.
-const leastTime = 100 * time.Millisecond
+// minMeasureTime is the minimum total time of a duration measurement.
+const minMeasureTime = 100 * time.Millisecond
 
-// nanoseconds returns the mean time of do.
+// nanoseconds returns the mean time of one call of do, after a warm-up call.
 func nanoseconds(do func()) float64 {
 	do()
 	begin := time.Now()
 	runs := 0
-	for time.Since(begin) < leastTime {
+	for time.Since(begin) < minMeasureTime {
 		do()
 		runs++
 	}
 	return float64(time.Since(begin).Nanoseconds()) / float64(runs)
 }
 
-// Slopes measures all costs that docs/CAPACITY.md is worked out from.
+// Slopes measures all costs used by Loads.
 func Slopes() []Slope {
 	return []Slope{
 		Slope{Name: "purse-memory", Unit: "B", Per: "budget", Small: 1000, Large: 14000}.measured(func(n int) float64 {
-			return heapOf(func() any { return capacityPurse(n) })
+			return heapOf(func() any { return samplePurse(n) })
 		}),
 		Slope{Name: "purse-round", Unit: "ns", Per: "budget", Small: 1000, Large: 14000}.measured(func(n int) float64 {
-			p := capacityPurse(n)
-			return nanoseconds(func() { p.Asks(capacityStart) })
+			p := samplePurse(n)
+			return nanoseconds(func() { p.Asks(sampleTime) })
 		}),
-		Slope{Name: "ask-bytes", Unit: "B", Per: "ask", Small: 9, Large: 90}.measured(func(n int) float64 { return messageBytes(capacityAsks(n)) }),
-		Slope{Name: "reply-bytes", Unit: "B", Per: "reply", Small: 9, Large: 90}.measured(func(n int) float64 { return messageBytes(capacityReplies(n)) }),
-		Slope{Name: "page-bytes", Unit: "B", Per: "row", Small: 200, Large: 2000}.measured(func(n int) float64 { return packedBytes(capacityPage(n)) }),
+		Slope{Name: "ask-bytes", Unit: "B", Per: "ask", Small: 9, Large: 90}.measured(func(n int) float64 { return messageBytes(sampleAsks(n)) }),
+		Slope{Name: "reply-bytes", Unit: "B", Per: "reply", Small: 9, Large: 90}.measured(func(n int) float64 { return messageBytes(sampleReplies(n)) }),
+		Slope{Name: "page-bytes", Unit: "B", Per: "row", Small: 200, Large: 2000}.measured(func(n int) float64 { return packedBytes(samplePage(n)) }),
 		Slope{Name: "page-write", Unit: "ns", Per: "row", Small: 200, Large: 2000}.measured(pageWriteTime),
 		Slope{Name: "charge-memory", Unit: "B", Per: "charge", Small: 10000, Large: 100000}.measured(func(n int) float64 {
-			return heapOf(func() any { return capacityLedger(n) })
+			return heapOf(func() any { return sampleLedger(n) })
 		}),
 		Slope{Name: "batch-bytes", Unit: "B", Per: "charge", Small: 50, Large: 500}.measured(batchBytes),
 		Slope{Name: "segment-bytes", Unit: "B", Per: "charge", Small: 500, Large: 5000}.measured(batchBytes),
 		Slope{Name: "view-memory", Unit: "B", Per: "budget", Small: 1000, Large: 14000}.measured(func(n int) float64 {
-			d := capacityDocument(n)
+			d := sampleDocument(n)
 			return heapOf(func() any { return config.NewView().With(d, 1) })
 		}),
 		Slope{Name: "document-bytes", Unit: "B", Per: "budget", Small: 100, Large: 1000}.measured(documentBytes),
