--- a/trial/call.go
+++ b/trial/call.go
@@ -19,84 +19,84 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// Outcome is what the caller of one request was told.
+// Outcome is the result of one request as its caller saw it.
 type Outcome struct {
 	ID     granitehoist.RequestID
 	Budget granitehoist.BudgetID
-	// Cost is what one execution costs.
+	// Cost is the cost of one execution.
 	Cost granitehoist.Tokens
-	// Once says that the request must not be repeated.
+	// Once is set if the request must not be executed more than once.
 	Once bool
-	// Code is of the last answer; Fates are of all answers, since a request not
-	// to be repeated is sent twice.
+	// Code is that of the last response. Fates are those of all responses: a request with
+	// Once is sent twice.
 	Code  granitehoist.Code
 	Fates []granitehoist.Fate
-	// Answered says that an answer with a result came, and Correct that it was
-	// complete and the request's own.
+	// Answered is set if a response with a result was received, and Correct if it was
+	// complete and belonged to the request.
 	Answered, Correct bool
-	// Broken says that a stream ended with an error in place of its end mark.
+	// Broken is set if a stream ended with an error instead of its end marker.
 	Broken bool
-	// Failed is an error of the connection to the router.
+	// Failed is the error of the connection to the router, if any.
 	Failed error
-	// Killed says that the connection failed, or the answer ended early,
-	// because the router was killed.
+	// Killed is set if the connection failed, or the response ended early, because the
+	// router was killed.
 	Killed bool
 }
 
-// call is one request of the load on its way to the routers.
+// call is one request of the load.
 type call struct {
 	outcome Outcome
-	shape   shape
+	kind    requestKind
 	prompt  string
-	// address is of the router that the request was sent to last.
+	// address is that of the router to which the request was last sent.
 	address string
-	// endedEarly says that its answer ended without an end mark.
-	endedEarly bool
+	// truncated is set if the response ended without an end marker.
+	truncated bool
 }
 
-// newCall returns the i-th request of the load. Its prompt or body begins with its
-// id, by which it is found in the books of the stand-ins.
-func newCall(i int, s shape) *call {
+// newCall returns the i-th request of the load. Its prompt or body begins with its ID, by
+// which Site.executions finds it.
+func newCall(i int, k requestKind) *call {
 	id := fmt.Sprintf("trial-%06d", i)
-	budget := granitehoist.NewBudgetID(s.partner, s.workspace, budgetName)
+	budget := granitehoist.NewBudgetID(k.partner, k.workspace, budgetName)
 	prompt := fmt.Sprintf("%s %s what is the way?", id, budget)
 	cost := granitehoist.Tokens(plainPrice)
-	if s.model != "" {
+	if k.model != "" {
 		cost = standin.Cost(prompt, maxOutput)
 	}
 	return &call{
-		outcome: Outcome{ID: granitehoist.RequestID(id), Budget: budget, Cost: cost, Once: s.once},
-		shape:   s,
+		outcome: Outcome{ID: granitehoist.RequestID(id), Budget: budget, Cost: cost, Once: k.once},
+		kind:    k,
 		prompt:  prompt,
 	}
 }
 
-// plainPath is asked for at plain services, which answer it back.
+// plainPath is the path of requests to plain services, which echo it.
 const plainPath = "/berths"
 
 // request builds the HTTP request to the router at an address.
 func (c *call) request(address string) (*http.Request, error) {
 	base := sling.New().Base("http://"+address).
-		Set("Authorization", "Bearer "+Key(c.shape.workspace)).
+		Set("Authorization", "Bearer "+Key(c.kind.workspace)).
 		Set(gate.HeaderRequest, string(c.outcome.ID))
-	if c.shape.model != "" {
+	if c.kind.model != "" {
 		body := map[string]any{
-			"model":      c.shape.model,
+			"model":      c.kind.model,
 			"max_tokens": maxOutput,
-			"stream":     c.shape.stream,
+			"stream":     c.kind.stream,
 			"messages":   []standin.ChatMessage{{Role: "user", Content: standin.ChatContent(c.prompt)}},
 		}
 		return base.Post("/v1/chat/completions").BodyJSON(body).Request()
 	}
 	base = base.Body(strings.NewReader(c.prompt))
-	path := "/services/" + string(c.shape.service) + plainPath
-	if c.shape.once {
+	path := "/services/" + string(c.kind.service) + plainPath
+	if c.kind.once {
 		return base.Set(gate.HeaderOnce, "true").Post(path).Request()
 	}
 	return base.Get(path).Request()
 }
 
-// send makes the request and notes the answer in the outcome.
+// send sends the request and records the response in the outcome.
 func (c *call) send(ctx context.Context, client *http.Client, address string) {
 	c.address = address
 	request, err := c.request(address)
@@ -109,17 +109,17 @@
 		c.outcome.Failed = err
 		return
 	}
-	// A failure to close an answer that has been read can't change it.
+	// The body has been read, so an error of Close doesn't matter.
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		c.noteFailure(response.Body)
+		c.recordFailure(response.Body)
 		return
 	}
-	c.noteAnswer(response.Body)
+	c.recordResponse(response.Body)
 }
 
-// noteFailure notes the error that a router answered.
-func (c *call) noteFailure(body io.Reader) {
+// recordFailure records the error response of a router.
+func (c *call) recordFailure(body io.Reader) {
 	var failure gate.Failure
 	if err := json.NewDecoder(body).Decode(&failure); err != nil {
 		c.outcome.Failed = err
@@ -127,72 +127,71 @@
 	}
 	c.outcome.Fates = append(c.outcome.Fates, failure.Error.Fate)
 	if c.outcome.Answered && failure.Error.Fate == granitehoist.Ran {
-		// The second sending of a request that was answered already.
+		// The second response says that the first request was executed.
 		return
 	}
 	c.outcome.Code = granitehoist.Code(failure.Error.Code)
 }
 
-// noteAnswer notes a successful answer, and whether it is complete and the
-// request's own.
-func (c *call) noteAnswer(body io.Reader) {
-	a := c.read(body)
-	c.endedEarly = !a.ended
-	if a.failure != nil {
-		c.outcome.Code = granitehoist.Code(a.failure.Error.Code)
-		c.outcome.Fates = append(c.outcome.Fates, a.failure.Error.Fate)
+// recordResponse records a successful response, and whether it is complete and belongs to
+// the request.
+func (c *call) recordResponse(body io.Reader) {
+	b := c.read(body)
+	c.truncated = !b.complete
+	if b.failure != nil {
+		c.outcome.Code = granitehoist.Code(b.failure.Error.Code)
+		c.outcome.Fates = append(c.outcome.Fates, b.failure.Error.Fate)
 		c.outcome.Broken = true
 		return
 	}
 	c.outcome.Code = granitehoist.Served
 	c.outcome.Fates = append(c.outcome.Fates, granitehoist.Ran)
 	c.outcome.Answered = true
-	c.outcome.Correct = a.ended && a.text == c.expected()
+	c.outcome.Correct = b.complete && b.text == c.expected()
 }
 
-// expected returns the text that the stand-ins answer to the request.
+// expected returns the text with which the stand-ins respond to the request.
 func (c *call) expected() string {
-	if c.shape.model == "" {
+	if c.kind.model == "" {
 		return plainPath + " " + c.prompt
 	}
 	return strings.Join(standin.Answer(c.prompt, maxOutput), " ")
 }
 
-// answer is a successful answer as far as it came.
-type answer struct {
+// responseBody is the decoded body of a successful response, as far as it was received.
+type responseBody struct {
 	text string
-	// ended says that the answer came to its end.
-	ended bool
-	// failure is the error that stands in place of a stream's end mark.
+	// complete is set if the end of the response was received.
+	complete bool
+	// failure is the error that a stream ended with instead of its end marker.
 	failure *gate.Failure
 }
 
-// read reads the body of a successful answer in the form that the request asked
-// for.
-func (c *call) read(body io.Reader) answer {
+// read decodes the body of a successful response in the format of the request.
+func (c *call) read(body io.Reader) responseBody {
 	switch {
-	case c.shape.model == "":
+	case c.kind.model == "":
 		var plain standin.PlainAnswer
 		err := json.NewDecoder(body).Decode(&plain)
-		return answer{text: plain.Path + " " + plain.Body, ended: err == nil}
-	case c.shape.stream:
+		return responseBody{text: plain.Path + " " + plain.Body, complete: err == nil}
+	case c.kind.stream:
 		return readStream(body)
 	default:
 		return readCompletion(body)
 	}
 }
 
-func readCompletion(body io.Reader) answer {
+func readCompletion(body io.Reader) responseBody {
 	var completion standin.Completion
 	if err := json.NewDecoder(body).Decode(&completion); err != nil || len(completion.Choices) != 1 || completion.Choices[0].Message == nil {
-		return answer{}
+		return responseBody{}
 	}
-	return answer{text: string(completion.Choices[0].Message.Content), ended: true}
+	return responseBody{text: string(completion.Choices[0].Message.Content), complete: true}
 }
 
-// readStream reads the events of a stream up to its end mark, or to the error
-// that stands in its place.
-func readStream(body io.Reader) answer {
+// readStream reads the events of a stream up to its end marker, or the error that replaces
+// it.
+func readStream(body io.Reader) responseBody {
 	var text strings.Builder
 	scanner := bufio.NewScanner(body)
 	for scanner.Scan() {
@@ -201,11 +200,11 @@
 			continue
 		}
 		if data == "[DONE]" {
-			return answer{text: text.String(), ended: true}
+			return responseBody{text: text.String(), complete: true}
 		}
 		var failure gate.Failure
 		if err := json.Unmarshal([]byte(data), &failure); err == nil && failure.Error.Code != 0 {
-			return answer{failure: &failure}
+			return responseBody{failure: &failure}
 		}
 		var event standin.Completion
 		if err := json.Unmarshal([]byte(data), &event); err != nil || len(event.Choices) != 1 || event.Choices[0].Delta == nil {
@@ -213,5 +212,5 @@
 		}
 		text.WriteString(string(event.Choices[0].Delta.Content))
 	}
-	return answer{text: text.String()}
+	return responseBody{text: text.String()}
 }
--- a/trial/documents.go
+++ b/trial/documents.go
@@ -10,47 +10,47 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// The partners, which are also the regions of today.
+// The partners. Each has one region of the same name.
 const (
 	Tuul = "tuul"
 	Lima = "lima"
 )
 
-// partners are those of the site.
+// partners lists the partners of a site.
 var partners = []granitehoist.Partner{Tuul, Lima}
 
-// Models offered by the partners.
+// The models of the partners' engines.
 const (
 	TuulModel = "granite-8b"
 	LimaModel = "asistente-7b"
 )
 
 const (
-	// budgetName is the name of each workspace's one budget.
+	// budgetName is the name of the single budget of each workspace.
 	budgetName = "season"
-	// smallBudget is what the workspace that runs out has, in tokens.
+	// smallBudget is the budget of the workspace that runs out of tokens.
 	smallBudget = 2500
-	// largeBudget is what the others have, in tokens.
+	// largeBudget is the budget of the other workspaces, in tokens.
 	largeBudget = 50_000_000
-	// plainPrice is what a request to a plain service costs, in tokens.
+	// plainPrice is the price of a request to a plain service, in tokens.
 	plainPrice = 3
-	// maxOutput bounds an engine's answer, in tokens.
+	// maxOutput limits an engine's output, in tokens.
 	maxOutput = 64
 )
 
-// Key returns the trial's key of a workspace. A real key is random.
+// Key returns the key of a workspace, which is not random as a real one is.
 func Key(w granitehoist.Workspace) string { return "trial-key-" + string(w) }
 
-// addCustomer adds a workspace with one budget and one key.
-func addCustomer(d *config.Document, w granitehoist.Workspace, tokens granitehoist.Tokens) {
+// addWorkspace adds a workspace with one budget and one key.
+func addWorkspace(d *config.Document, w granitehoist.Workspace, tokens granitehoist.Tokens) {
 	hash := config.HashKey(Key(w))
 	d.Workspaces = append(d.Workspaces, config.Workspace{Name: w})
 	d.Budgets = append(d.Budgets, config.Budget{Workspace: w, Name: budgetName, Tokens: tokens})
 	d.Keys = append(d.Keys, config.Key{Workspace: w, Budget: budgetName, SHA256: hex.EncodeToString(hash[:])})
 }
 
-// tuulDocument returns the document of a partner whose workspaces cover a large
-// budget, one that runs out, and one that a policy denies.
+// tuulDocument returns the document of a partner with workspaces of a large budget, a
+// budget that runs out, and a budget whose requests a policy denies.
 func tuulDocument() *config.Document {
 	d := &config.Document{
 		Partner: Tuul,
@@ -63,15 +63,14 @@
 			{Name: "to-partner", Use: config.UseLend, Permit: `service == "granite-pool"`, Priority: "priority < 4 ? priority : 4"},
 		},
 	}
-	addCustomer(d, "lock-kiosks", largeBudget)
-	addCustomer(d, "booking-clerks", largeBudget)
-	addCustomer(d, "boat-club", smallBudget)
-	addCustomer(d, "archive", largeBudget)
+	addWorkspace(d, "lock-kiosks", largeBudget)
+	addWorkspace(d, "booking-clerks", largeBudget)
+	addWorkspace(d, "boat-club", smallBudget)
+	addWorkspace(d, "archive", largeBudget)
 	return d
 }
 
-// limaDocument returns the document of a partner whose plain service must not be
-// repeated.
+// limaDocument returns the document of a partner whose plain service is not idempotent.
 func limaDocument() *config.Document {
 	d := &config.Document{
 		Partner: Lima,
@@ -84,8 +83,8 @@
 			{Name: "to-partner", Use: config.UseLend, Permit: `service == "asistente" && workspace == "lock-kiosks"`, Priority: "3"},
 		},
 	}
-	addCustomer(d, "drivers", largeBudget)
-	addCustomer(d, "dispatch", largeBudget)
-	addCustomer(d, "accountants", largeBudget)
+	addWorkspace(d, "drivers", largeBudget)
+	addWorkspace(d, "dispatch", largeBudget)
+	addWorkspace(d, "accountants", largeBudget)
 	return d
 }
--- a/trial/books.go
+++ b/trial/executions.go
@@ -10,36 +10,36 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// engineFaults are the failures of the engines of each pool: they refuse, cut
-// and cross answers. The numbers are primes, so that the failures meet in
-// changing ways; they are chosen, not measured.
+// engineFaults are the faults injected into the engines of each pool: refused requests,
+// aborted responses, responses with the ID of another attempt, and missing usage. The
+// periods are distinct primes, so that faults coincide in varying combinations.
 var engineFaults = [enginesPerPool]standin.EngineFaults{
 	{RefuseEvery: 11},
 	{CutEvery: 13},
 	{CrossEvery: 17, NoUsageEvery: 19},
 }
 
-// storeFaults let the store take a write now and then and lose its answer.
+// storeFaults lets the store apply every seventh write without a response.
 var storeFaults = standin.StoreFaults{LoseEvery: 7}
 
-// disturb lets the stand-ins fail now and then.
-func (s *Site) disturb() {
+// injectFaults enables the faults of the store and the engines.
+func (s *Site) injectFaults() {
 	s.Store.Fail(storeFaults)
 	for i, engine := range s.engines {
 		engine.Fail(engineFaults[i%enginesPerPool])
 	}
 }
 
-// books returns what the stand-ins executed, by the request id that every
-// prompt and body begins with.
-func (s *Site) books() map[granitehoist.RequestID]Executions {
-	books := map[granitehoist.RequestID]Executions{}
+// executions returns the executions recorded by the stand-ins, by the request ID with
+// which every prompt and body begins.
+func (s *Site) executions() map[granitehoist.RequestID]Executions {
+	executions := map[granitehoist.RequestID]Executions{}
 	add := func(text string, runs int, tokens granitehoist.Tokens) {
 		id, _, _ := strings.Cut(text, " ")
-		x := books[granitehoist.RequestID(id)]
+		x := executions[granitehoist.RequestID(id)]
 		x.Runs += runs
 		x.Tokens += tokens
-		books[granitehoist.RequestID(id)] = x
+		executions[granitehoist.RequestID(id)] = x
 	}
 	for _, e := range s.engines {
 		for _, x := range e.Books() {
@@ -47,15 +47,15 @@
 		}
 	}
 	for _, p := range s.plain {
-		for what, runs := range p.Runs() {
-			_, text, _ := strings.Cut(what, " ")
+		for request, runs := range p.Runs() {
+			_, text, _ := strings.Cut(request, " ")
 			add(text, runs, granitehoist.Tokens(runs)*plainPrice)
 		}
 	}
-	return books
+	return executions
 }
 
-// prepaid returns what each budget of the site has.
+// prepaid returns the prepaid tokens of each budget.
 func (s *Site) prepaid() map[granitehoist.BudgetID]granitehoist.Tokens {
 	prepaid := map[granitehoist.BudgetID]granitehoist.Tokens{}
 	for partner, d := range s.documents {
--- a/trial/judge.go
+++ b/trial/judge.go
@@ -12,36 +12,36 @@
 	"granitehoist.example/granitehoist/partner/bill"
 )
 
-// Verdict is what a trial has shown.
+// Verdict is the result of a run.
 type Verdict struct {
 	Requests, Served, Refused, NotRun int
-	// Billed is the requests that the store has a charge of.
+	// Billed is the number of requests with a charge in the store.
 	Billed int
-	// Overspend is the tokens that upstreams counted beyond what was prepaid.
+	// Overspend is the tokens that upstreams counted in excess of the prepaid ones.
 	Overspend granitehoist.Tokens
-	// FalseRefusals is the requests refused for their budget that a single
-	// counter, fed the same arrivals and actual costs, would have paid for.
+	// FalseRefusals is the number of requests refused for their budget that a single
+	// central counter with the same arrivals and actual costs would have admitted.
 	FalseRefusals int
-	// Crossed is answers that were not the request's own or not complete.
+	// Crossed is the number of responses that belonged to another request or were
+	// incomplete.
 	Crossed int
-	// Doubled is executions of requests not to be repeated beyond the first,
-	// and attempts charged more than once.
+	// Doubled is the number of repeated executions of requests with Outcome.Once, and of
+	// attempts charged more than once.
 	Doubled int
-	// Lost is requests whose caller got no answer at all, and executed
-	// requests without a charge or with another than the upstream counted.
+	// Lost is the number of requests without a response, plus that of requests whose
+	// charge does not match the tokens that upstreams counted.
 	Lost int
-	// Untrue is requests whose caller was told that they did not run, and that
-	// did.
+	// Untrue is the number of requests that were reported as not run, but ran.
 	Untrue int
-	// Cut is answers that broke off, whose callers were told so.
+	// Cut is the number of responses that ended early with an error or a closed connection.
 	Cut int
-	// Stops is planned stops during the load, and StopsFailed those that left
-	// something undone.
+	// Stops is the number of planned stops during the load, StopsFailed that of
+	// failed ones.
 	Stops, StopsFailed int
 }
 
-// Held reports whether every promise was held. False refusals and cut answers
-// break none: the first are few and counted, the second were told to the caller.
+// Held reports whether no guarantee was violated. False refusals and responses that were
+// reported to the caller as cut violate none.
 func (v Verdict) Held() bool {
 	return v.Overspend == 0 && v.Crossed == 0 && v.Doubled == 0 && v.Lost == 0 && v.Untrue == 0 && v.StopsFailed == 0
 }
@@ -52,27 +52,27 @@
 		v.Requests, v.Served, v.Refused, v.NotRun, v.Billed, v.Overspend, v.FalseRefusals, v.Crossed, v.Doubled, v.Lost, v.Untrue, v.Cut, v.Stops, v.StopsFailed)
 }
 
-// Executions is what the stand-ins executed of one request: how often, and the
-// tokens that they counted for all executions together.
+// Executions is the number of executions of one request by the stand-ins, and the tokens
+// counted for all of them.
 type Executions struct {
 	Runs   int
 	Tokens granitehoist.Tokens
 }
 
-// Evidence is what a trial is judged by.
+// Evidence is the input of Judge.
 type Evidence struct {
 	// Outcomes are in the order in which the requests were sent.
 	Outcomes []*Outcome
-	// Books has what the stand-ins executed, by request id.
+	// Books holds the executions by the stand-ins, by request ID.
 	Books map[granitehoist.RequestID]Executions
-	// Charges are those in the store after all routers have stopped.
+	// Charges are the charges in the store after all routers have stopped.
 	Charges []bill.Charge
-	// Prepaid is what each budget had at the beginning.
+	// Prepaid is the initial balance of each budget.
 	Prepaid map[granitehoist.BudgetID]granitehoist.Tokens
 }
 
-// Judge compares what callers were told and what was charged with the books of
-// the stand-ins. It leaves the planned stops of the verdict at zero.
+// Judge compares the responses and the charges with the executions by the stand-ins. It
+// does not set Stops and StopsFailed.
 func Judge(e Evidence) Verdict {
 	v := Verdict{
 		Requests:      len(e.Outcomes),
@@ -84,15 +84,16 @@
 		charges[c.Request] = append(charges[c.Request], c)
 	}
 	for _, o := range e.Outcomes {
-		v.judgeAnswer(o, e.Books[o.ID])
-		v.judgeCharge(e.Books[o.ID], charges[o.ID])
+		v.checkOutcome(o, e.Books[o.ID])
+		v.checkCharges(e.Books[o.ID], charges[o.ID])
 	}
 	return v
 }
 
-// judgeAnswer counts what one caller was told, and compares it with the executions
-// of the request. A caller who was cut off or got no answer was told nothing else.
-func (v *Verdict) judgeAnswer(o *Outcome, x Executions) {
+// checkOutcome counts the outcome of one request and compares it with the request's
+// executions. A request without a response or whose router was killed has nothing to
+// compare.
+func (v *Verdict) checkOutcome(o *Outcome, x Executions) {
 	switch {
 	case o.Killed:
 		v.Cut++
@@ -121,15 +122,15 @@
 	}
 }
 
-// allNotRun reports whether every answer said that the request did not run. There
-// is at least one.
+// allNotRun reports whether all responses said that the request did not run. fates must
+// not be empty.
 func allNotRun(fates []granitehoist.Fate) bool {
 	return !slices.ContainsFunc(fates, func(f granitehoist.Fate) bool { return f != granitehoist.NotRun })
 }
 
-// judgeCharge compares the charges of one request with its executions: both or
-// neither must be there, with the same tokens, and no attempt charged twice.
-func (v *Verdict) judgeCharge(x Executions, charges []bill.Charge) {
+// checkCharges compares the charges of one request with its executions: there must be both
+// or neither, with the same tokens, and no attempt may be charged twice.
+func (v *Verdict) checkCharges(x Executions, charges []bill.Charge) {
 	var tokens granitehoist.Tokens
 	charged := map[granitehoist.AttemptID]bool{}
 	for _, c := range charges {
@@ -149,20 +150,22 @@
 	}
 }
 
-// overspend deducts what the stand-ins counted from what was prepaid.
+// overspend returns the tokens counted by the stand-ins in excess of the prepaid ones,
+// summed over all budgets.
 func (e Evidence) overspend() granitehoist.Tokens {
 	balances := maps.Clone(e.Prepaid)
 	for _, o := range e.Outcomes {
 		balances[o.Budget] -= e.Books[o.ID].Tokens
 	}
-	var over granitehoist.Tokens
+	var excess granitehoist.Tokens
 	for _, tokens := range balances {
-		over += max(0, -tokens)
+		excess += max(0, -tokens)
 	}
-	return over
+	return excess
 }
 
-// falseRefusals feeds the requests to a naive counter for each budget.
+// falseRefusals returns the number of requests refused for their budget that one central
+// counter for each budget would have admitted.
 func (e Evidence) falseRefusals() int {
 	balances := maps.Clone(e.Prepaid)
 	count := 0
--- a/trial/load.go
+++ b/trial/load.go
@@ -15,23 +15,22 @@
 	"granitehoist.example/granitehoist/partner/router"
 )
 
-// shape is a kind of request in the mix.
-type shape struct {
+// requestKind describes one kind of request in the load.
+type requestKind struct {
 	workspace granitehoist.Workspace
 	partner   granitehoist.Partner
 	model     granitehoist.Model
 	service   granitehoist.Service
 	stream    bool
-	// once marks a POST that must not be repeated; other requests to plain
-	// services are GETs.
+	// once selects a POST that must not be executed more than once; other requests to
+	// plain services are GETs.
 	once bool
-	// weight is the shape's share of the mix, as a part of all weights.
+	// weight is the relative frequency of the kind.
 	weight int
 }
 
-// mix is the load, after the kinds of requests that the users' pages describe. The
-// weights are chosen, not measured.
-var mix = []shape{
+// requestKinds is the mix of the load.
+var requestKinds = []requestKind{
 	{workspace: "lock-kiosks", partner: Tuul, model: TuulModel, stream: true, weight: 5},
 	{workspace: "lock-kiosks", partner: Tuul, model: LimaModel, weight: 1},
 	{workspace: "booking-clerks", partner: Tuul, service: "booking-desk", weight: 3},
@@ -43,31 +42,31 @@
 	{workspace: "accountants", partner: Lima, model: LimaModel, stream: true, weight: 2},
 }
 
-// load sends the requests, one each interval, to the routers in turn, and
-// returns their outcomes in the order of sending.
+// load sends one request per interval to a random router, and returns the outcomes in the
+// order of sending.
 func (s *Site) load(ctx context.Context, settings Settings) []*Outcome {
 	random := rand.New(rand.NewPCG(settings.Seed, 1))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
-	shapes := weighted(settings.Kill)
+	kinds := weighted(settings.Kill)
 	calls := make([]*call, settings.Requests)
 	var group sync.WaitGroup
 	for i := range calls {
-		if settings.stopsBefore(i, s.stops.begun) {
-			s.replaceOne(ctx, random.IntN(len(s.Routers)))
+		if settings.stopDue(i, s.stops.started) {
+			s.replaceRouter(ctx, random.IntN(len(s.Routers)))
 		}
-		c := newCall(i, shapes[random.IntN(len(shapes))])
+		c := newCall(i, kinds[random.IntN(len(kinds))])
 		calls[i] = c
 		first, second := random.Int(), random.Int()
 		address := s.address(first)
 		group.Go(func() {
 			c.send(ctx, client, address)
-			if c.shape.once {
+			if c.kind.once {
 				c.send(ctx, client, s.address(second))
 			}
 		})
 		if settings.Kill && i == len(calls)/2 {
-			s.killOne(random.IntN(len(s.Routers)))
+			s.killRouter(random.IntN(len(s.Routers)))
 		}
 		time.Sleep(settings.Interval)
 	}
@@ -76,42 +75,41 @@
 	return s.outcomes(calls)
 }
 
-// stopsBefore reports whether a router is to be stopped before request i, when
-// the given number of stops has begun: stops are spread evenly over the load.
-func (s Settings) stopsBefore(i, begun int) bool {
-	return begun < s.Stops && i > 0 && i%max(1, s.Requests/(s.Stops+1)) == 0
+// stopDue reports whether a router is to be stopped before request i, after the given
+// number of stops. Stops are spread evenly over the load.
+func (s Settings) stopDue(i, started int) bool {
+	return started < s.Stops && i > 0 && i%max(1, s.Requests/(s.Stops+1)) == 0
 }
 
-// outcomes returns the outcomes of calls that have ended.
+// outcomes returns the outcomes of finished calls and sets Killed.
 func (s *Site) outcomes(calls []*call) []*Outcome {
 	outcomes := make([]*Outcome, len(calls))
 	for i, c := range calls {
-		c.outcome.Killed = (c.outcome.Failed != nil || c.endedEarly) && s.isDead(c.address)
+		c.outcome.Killed = (c.outcome.Failed != nil || c.truncated) && s.isKilled(c.address)
 		outcomes[i] = &c.outcome
 	}
 	return outcomes
 }
 
-// address returns the callers' address of one of the routers that are ready, as
-// a balancer would choose it now.
+// address returns the callers' address of the n-th ready router, modulo their number.
 func (s *Site) address(n int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Routers[n%len(s.Routers)].CallersAddress()
 }
 
-func (s *Site) isDead(address string) bool {
-	return slices.ContainsFunc(s.dead, func(r *router.Router) bool { return r.CallersAddress() == address })
+func (s *Site) isKilled(address string) bool {
+	return slices.ContainsFunc(s.killed, func(r *router.Router) bool { return r.CallersAddress() == address })
 }
 
-// weighted lists each shape of the mix as often as its weight says, or only those
-// for engines.
-func weighted(enginesOnly bool) []shape {
-	var shapes []shape
-	for _, s := range mix {
-		if s.model != "" || !enginesOnly {
-			shapes = append(shapes, slices.Repeat([]shape{s}, s.weight)...)
+// weighted returns each request kind as often as its weight, optionally only those for
+// engines.
+func weighted(enginesOnly bool) []requestKind {
+	var kinds []requestKind
+	for _, k := range requestKinds {
+		if k.model != "" || !enginesOnly {
+			kinds = append(kinds, slices.Repeat([]requestKind{k}, k.weight)...)
 		}
 	}
-	return shapes
+	return kinds
 }
--- a/trial/routers.go
+++ b/trial/routers.go
@@ -18,8 +18,8 @@
 	"granitehoist.example/granitehoist/platform"
 )
 
-// startRouters starts all routers; the first one listens for callers on the given
-// address.
+// startRouters starts all routers. The first one listens for callers on listen, the others
+// on any free port.
 func (s *Site) startRouters(listen string) error {
 	for _, partner := range partners {
 		for _, zone := range zones[granitehoist.Region(partner)] {
@@ -36,11 +36,11 @@
 	return nil
 }
 
-// anyPort lets the system choose a free loopback port.
+// anyPort is the listen address for a free loopback port.
 const anyPort = "127.0.0.1:0"
 
-// startRouter starts the i-th router of an availability zone. Its settings go
-// through their file form, so that they get the defaults and checks of a file.
+// startRouter starts the i-th router of an availability zone. Its settings are marshalled
+// and parsed, so that the defaults and checks of a settings file apply.
 func (s *Site) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) (*router.Router, error) {
 	file := s.routerSettings(partner, zone, i, listen)
 	text, err := toml.Marshal(file)
@@ -64,7 +64,7 @@
 	return r, nil
 }
 
-// routerSettings returns what the settings file of a router would say.
+// routerSettings returns the settings of the i-th router of an availability zone.
 func (s *Site) routerSettings(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) settings.Router {
 	return settings.Router{
 		Partner: partner,
@@ -79,13 +79,13 @@
 	}
 }
 
-// waitInForce waits until routers have the documents of both partners.
+// waitInForce waits until the routers have applied the documents of both partners.
 func (s *Site) waitInForce(ctx context.Context, routers ...*router.Router) error {
 	for _, r := range routers {
 		for len(r.View().Serials()) < len(s.documents) {
-			pause.For(ctx, inForcePause)
+			pause.For(ctx, inForcePollInterval)
 			if ctx.Err() != nil {
-				return eris.New("trial: the documents did not come into force")
+				return eris.New("trial: the routers have not applied all documents")
 			}
 		}
 	}
--- a/trial/run.go
+++ b/trial/run.go
@@ -18,55 +18,53 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// Settings configure a trial. The zero value works.
+// Settings configure a run. The zero value is valid unless Hold is set, which needs Out.
 type Settings struct {
-	// Requests is the number of requests; zero stands for DefaultRequests.
+	// Requests is the number of requests; zero selects DefaultRequests.
 	Requests int
-	// Seed chooses the load.
+	// Seed is the seed of the load.
 	Seed uint64
-	// Interval is the time between requests; zero stands for 4 ms.
+	// Interval is the time between requests; zero selects 4 ms.
 	Interval time.Duration
-	// Listen is the callers' address of the first router; empty chooses one.
+	// Listen is the callers' address of the first router; empty selects a free port.
 	Listen string
-	// Hold keeps the site up after the load.
+	// Hold is how long the site keeps serving after the load.
 	Hold time.Duration
-	// Log takes the routers' events; nil discards them.
+	// Log receives the routers' log; nil discards it.
 	Log *zap.Logger
-	// Out takes the address to use while the site is held up.
+	// Out receives instructions for use of the site during Hold.
 	Out io.Writer
-	// Kill ends one router without warning halfway through the load, and sends
-	// requests to engines only: what a dead router sent to plain services can't
-	// be found again.
+	// Kill kills one router halfway through the load, and sends requests to engines only,
+	// since executions by plain services for a killed router can't be recovered.
 	Kill bool
-	// Stops is the number of planned stops during the load, each of one router,
-	// which a new one replaces.
+	// Stops is the number of planned stops during the load. Each replaces one router.
 	Stops int
-	// Calm leaves out the stand-ins' failures.
+	// Calm disables fault injection in the stand-ins.
 	Calm bool
 }
 
-// DefaultRequests is the length of a trial.
+// DefaultRequests is the default number of requests.
 const DefaultRequests = 500
 
 const (
-	// defaultInterval lets a trial of DefaultRequests last two seconds.
+	// defaultInterval is the default of Settings.Interval.
 	defaultInterval = 4 * time.Millisecond
-	// startLimit bounds the time until the documents are in force.
-	startLimit = 30 * time.Second
-	// stopLimit bounds the time for settling and stopping.
-	stopLimit = time.Minute
+	// startTimeout limits the time until all routers have applied the documents.
+	startTimeout = 30 * time.Second
+	// stopTimeout limits the time for settling and stopping.
+	stopTimeout = time.Minute
 	// firstDelay is an engine's time to the first token.
 	firstDelay = 2 * time.Millisecond
-	// tokenDelay is its time for each further token.
+	// tokenDelay is an engine's time for each further token.
 	tokenDelay = 200 * time.Microsecond
 )
 
-// Run starts a site, sends the load, stops the routers and judges. An error
-// says that the trial itself failed; a broken promise is in the verdict.
+// Run starts a site, sends the load, stops the routers and verifies the results. It
+// returns an error if the run itself failed; violated guarantees are in the Verdict.
 func Run(ctx context.Context, s Settings) (Verdict, error) {
 	defaults.Set(&s.Requests, DefaultRequests)
 	defaults.Set(&s.Interval, defaultInterval)
-	starting, cancel := context.WithTimeout(ctx, startLimit)
+	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	engines := standin.EngineSettings{FirstDelay: firstDelay, TokenDelay: tokenDelay}
 	site, err := NewSite(starting, SiteSettings{Listen: s.Listen, Log: s.Log, Engines: engines})
@@ -75,15 +73,15 @@
 	}
 	defer site.Close()
 	if !s.Calm {
-		site.disturb()
+		site.injectFaults()
 	}
 	outcomes := site.load(ctx, s)
 	if s.Hold > 0 {
 		hold(ctx, site, s)
 	}
-	stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopLimit)
+	stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
-	if err := site.settleDead(stopping); err != nil {
+	if err := site.settleKilled(stopping); err != nil {
 		return Verdict{}, err
 	}
 	if err := site.stopRouters(stopping); err != nil {
@@ -93,12 +91,12 @@
 	if err != nil {
 		return Verdict{}, err
 	}
-	verdict := Judge(Evidence{Outcomes: outcomes, Books: site.books(), Charges: charges, Prepaid: site.prepaid()})
-	verdict.Stops, verdict.StopsFailed = site.stops.begun, int(site.stops.failures.Load())
+	verdict := Judge(Evidence{Outcomes: outcomes, Books: site.executions(), Charges: charges, Prepaid: site.prepaid()})
+	verdict.Stops, verdict.StopsFailed = site.stops.started, int(site.stops.failures.Load())
 	return verdict, nil
 }
 
-// hold tells a person how to use the site, and waits.
+// hold prints how to use the site, and waits.
 func hold(ctx context.Context, site *Site, s Settings) {
 	address := site.Routers[0].CallersAddress()
 	key := Key("lock-kiosks")
--- a/trial/site.go
+++ b/trial/site.go
@@ -33,36 +33,35 @@
 	Lima: {"miraflores", "callao", "ate", "surco"},
 }
 
-// Sizes of a trial site.
+// Sizes and times of a site.
 const (
-	// routersPerZone makes fourteen routers in seven availability zones.
+	// routersPerZone is the number of routers of each availability zone.
 	routersPerZone = 2
-	// enginesPerPool is one engine for each line of engineFaults.
+	// enginesPerPool is the number of engines of each service, one per entry of
+	// engineFaults.
 	enginesPerPool = 3
 	// plainPerService is the number of processes of each plain service.
 	plainPerService = 2
-	// unready is how long a stopping router still serves.
+	// unready is how long a stopping router still serves while reporting not ready.
 	unready = 50 * time.Millisecond
-	// inForcePause is the time between two looks at a router's documents.
-	inForcePause = 5 * time.Millisecond
+	// inForcePollInterval is the interval of checks of a router's documents.
+	inForcePollInterval = 5 * time.Millisecond
 )
 
-// Site is a whole system in one process: the stand-ins, the routers of both
-// partners and their documents. See NewSite.
+// Site is the whole system in one process: the stand-ins, and the routers of both partners
+// with their documents. It is created by NewSite.
 type Site struct {
 	Store *standin.Store
-	// Routers are those that callers may use. Only the load changes them, under
-	// mu.
+	// Routers are the ready routers. Only load changes them, under mu.
 	Routers []*router.Router
 	mu      sync.Mutex
 
-	// dead holds the routers that were killed, and stops counts the planned stops.
-	// Only the load changes both, but for stops.failures.
-	dead  []*router.Router
-	stops stops
+	// killed holds the killed routers, and stops counts the planned stops. Only load
+	// changes both, except for stops.failures.
+	killed []*router.Router
+	stops  stops
 
-	// The fields from here on do not change after NewSite. servers are those of
-	// the stand-ins.
+	// The fields below do not change after NewSite. servers are those of the stand-ins.
 	engines   []*standin.Engine
 	plain     []*standin.Plain
 	servers   []*httpserver.Server
@@ -73,20 +72,18 @@
 	log       *zap.Logger
 }
 
-// SiteSettings configure a Site. The zero value works: engines that answer at
-// once, and no log.
+// SiteSettings configure a Site. The zero value selects engines without delay and no log.
 type SiteSettings struct {
-	// Listen is the callers' address of the first router; empty lets the
-	// system choose.
+	// Listen is the callers' address of the first router; empty selects a free port.
 	Listen string
-	// Log takes the routers' events; nil discards them.
+	// Log receives the routers' log; nil discards it.
 	Log *zap.Logger
-	// Engines sets the pace of the engines.
+	// Engines configures the delays of the engines.
 	Engines standin.EngineSettings
 }
 
-// NewSite starts the stand-ins and the routers, and puts the documents in
-// force on all of them.
+// NewSite starts the stand-ins and the routers, and waits until all routers have applied
+// the documents.
 func NewSite(ctx context.Context, ss SiteSettings) (*Site, error) {
 	s := &Site{
 		Store:     standin.NewStore(standin.StoreSettings{}),
@@ -115,7 +112,7 @@
 	return s, s.waitInForce(ctx, s.Routers...)
 }
 
-// standinHeaderTimeout bounds the reading of a request's header at a stand-in.
+// standinHeaderTimeout limits the reading of a request's header by a stand-in.
 const standinHeaderTimeout = time.Minute
 
 // serve starts a handler on a free loopback port and returns its URL.
@@ -127,19 +124,18 @@
 	server := httpserver.New(httpserver.Settings{
 		Handler:       h,
 		HeaderTimeout: standinHeaderTimeout,
-		// The stand-ins cut and cross answers on purpose.
+		// The stand-ins abort responses on purpose, so these errors are expected.
 		Failed: func(error) {},
 	}, listener)
 	s.servers = append(s.servers, server)
-	// Serve ends with the listener, which Close closes. If it fails before, the
-	// routers see a stand-in that refuses connections, and the trial's judge sees
-	// what became of the requests.
+	// Serve returns after Close. If it fails earlier, the routers see a stand-in that
+	// refuses connections, and Judge counts the effects.
 	go func() { _ = server.Serve() }()
 	return "http://" + listener.Addr().String(), nil
 }
 
-// makeKeys makes each partner's key, which signs its document, and lets the
-// routers trust it.
+// makeKeys generates each partner's signing key and adds it to the keys that the routers
+// trust.
 func (s *Site) makeKeys() error {
 	for _, partner := range partners {
 		public, private, err := ed25519.GenerateKey(rand.Reader)
@@ -152,7 +148,7 @@
 	return nil
 }
 
-// apply signs a partner's document and writes it through a router.
+// apply signs a partner's document and writes it to the store.
 func (s *Site) apply(ctx context.Context, partner granitehoist.Partner) error {
 	text, err := toml.Marshal(s.documents[partner])
 	if err != nil {
@@ -169,7 +165,7 @@
 	return err
 }
 
-// Close ends what still runs.
+// Close kills the routers and closes the servers of the stand-ins.
 func (s *Site) Close() {
 	for _, r := range s.Routers {
 		r.Kill()
--- a/trial/suite_test.go
+++ b/trial/suite_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// stepTimeout is how long an eventual thing may take on a busy machine.
+// stepTimeout bounds each wait of a test.
 const stepTimeout = 20 * time.Second
 
 func TestTrial(t *testing.T) {
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -15,7 +15,7 @@
 )
 
 var _ = Describe("Run", func() {
-	It("bills once what a killed router left behind", func() {
+	It("charges the orphaned attempts of a killed router once", func() {
 		for seed := range uint64(3) {
 			verdict, err := trial.Run(context.Background(), trial.Settings{Requests: 150, Seed: seed, Interval: time.Millisecond, Kill: true, Out: io.Discard})
 			Expect(err).NotTo(HaveOccurred())
@@ -23,7 +23,7 @@
 		}
 	})
 
-	It("cuts nothing by planned stops", func() {
+	It("cuts no response by planned stops", func() {
 		verdict, err := trial.Run(context.Background(), trial.Settings{Requests: 300, Seed: 5, Stops: 12, Calm: true, Out: io.Discard})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(verdict.Held()).To(BeTrue(), verdict.String())
@@ -31,7 +31,7 @@
 		Expect(verdict.Cut).To(BeZero(), verdict.String())
 	})
 
-	It("holds every promise while stand-ins fail", func() {
+	It("violates no guarantee while stand-ins fail", func() {
 		verdict, err := trial.Run(context.Background(), trial.Settings{Requests: 200, Seed: 7, Out: io.Discard})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(verdict.Held()).To(BeTrue(), verdict.String())
--- a/trial/upstreams.go
+++ b/trial/upstreams.go
@@ -28,14 +28,13 @@
 	return nil
 }
 
-// startService starts the upstreams of a service and adds them to the
-// partner's document.
+// startService starts the upstreams of a service and adds them to the partner's document.
 func (s *Site) startService(partner granitehoist.Partner, service config.Service, engines standin.EngineSettings) error {
 	count := plainPerService
 	if service.Kind == config.KindEngine {
 		count = enginesPerPool
 	}
-	at := zones[granitehoist.Region(partner)]
+	serviceZones := zones[granitehoist.Region(partner)]
 	d := s.documents[partner]
 	for i := range count {
 		address, err := s.serve(s.newUpstream(service, engines))
@@ -45,7 +44,7 @@
 		d.Upstreams = append(d.Upstreams, config.Upstream{
 			Name:    granitehoist.Upstream(fmt.Sprintf("%s-%d", service.Name, i+1)),
 			Service: service.Name,
-			Zone:    at[i%len(at)],
+			Zone:    serviceZones[i%len(serviceZones)],
 			Address: address,
 			Box:     granitehoist.Box(fmt.Sprintf("%s-box-%d", service.Name, i+1)),
 		})
@@ -53,8 +52,7 @@
 	return nil
 }
 
-// newUpstream returns a stand-in for a service and adds it to those whose books
-// are judged.
+// newUpstream returns a stand-in for a service and registers it for Site.executions.
 func (s *Site) newUpstream(service config.Service, engines standin.EngineSettings) http.Handler {
 	if service.Kind == config.KindEngine {
 		engine := standin.NewEngine(engines)
