--- a/explain/explain_test.go
+++ b/explain/explain_test.go
@@ -13,9 +13,9 @@
 )
 
 var _ = Describe("Story", func() {
-	render := func(log, id string) string {
+	render := func(log, description string) string {
 		story, err := explain.Read(strings.NewReader(log), "r-1")
-		Expect(err).NotTo(HaveOccurred(), id)
+		Expect(err).NotTo(HaveOccurred(), description)
 		var text strings.Builder
 		Expect(story.Write(&text)).To(Succeed())
 		return text.String()
@@ -56,7 +56,7 @@
 		Expect(text).To(ContainSubstring("it waited 0.160 s for a permit"))
 	})
 
-	It("orders the lines of boxes with clock skew by the log reader's time", func() {
+	It("orders the lines of boxes with clock skew by the log collector's time", func() {
 		text := render(`  9.0 edge-2 ts=2026-01-01T00:00:01Z level=info event=request request=r-1 code=1 fate=ran attempts=1 took=0.1
   3.0 edge-1 ts=2026-01-01T00:00:08Z level=info event=attempt request=r-1 attempt=1 upstream=i-1 entry=4 status=200 after=57 took=2.4 error="5003 upstream_cut: the answer of the upstream ended early"
 `, "ordered")
@@ -95,7 +95,7 @@
 		Expect(text).To(ContainSubstring("withheld means that"))
 	})
 
-	It("reports a request that exceeds the prepaid total as not asked for", func() {
+	It("reports that the budget was not asked for a request that exceeds the prepaid total", func() {
 		text := render(`  9.0 edge-1 ts=2026-01-01T00:00:09Z level=info event=request request=r-1 code=3001 took=0.1 bound=9993 used=0 budget=granted free=0 rest=0 rest_age=0 silent=0
 `, "too large")
 		Expect(text).To(ContainSubstring("more than the whole prepaid total, so the budget was not asked"))
