--- a/internal/pushback/doc.go
+++ b/internal/pushback/doc.go
@@ -1,7 +1,10 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package pushback keeps the time without requests that an upstream asks for when it turns
-// one away (RFC 9110, section 10.2.3), and how it gets its requests back afterwards. Both
-// routers use it. Nothing in it is safe for concurrent use.
+// Package pushback implements the backoff that an upstream requests with Retry-After when
+// it rejects a request (RFC 9110, section 10.2.3), and the gradual recovery afterwards. The
+// edge and the partner router use it.
+//
+// RetryAfter and TurnsAway read a response; a Rest holds the backoff of one upstream. A Rest
+// is not safe for concurrent use. Begin reading at Rest.Admits.
 package pushback
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -14,14 +14,15 @@
 	"granitehoist.example/granitehoist/internal/pushback"
 )
 
-var noon = time.Unix(1000, 0)
+// start is the time at which the first backoff is requested.
+var start = time.Unix(1000, 0)
 
-// Example shows a rest and the first requests after it.
+// A backoff of 3 s, followed by the first requests of the recovery.
 func Example() {
 	var r pushback.Rest
-	r.Ask(3*time.Second, noon)
-	fmt.Println(r.Admits(noon.Add(2*time.Second)), r.Left(noon.Add(2*time.Second)))
-	after := noon.Add(4 * time.Second)
+	r.Ask(3*time.Second, start)
+	fmt.Println(r.Admits(start.Add(2*time.Second)), r.Left(start.Add(2*time.Second)))
+	after := start.Add(4 * time.Second)
 	r.Try()
 	fmt.Println(r.Admits(after))
 	r.EndTry()
@@ -39,31 +40,31 @@
 		"1e300": 1e9 * time.Second, "Wed, 21 Oct 2026 07:28:00 GMT": 0, "soon": 0,
 	} {
 		if got := pushback.RetryAfter(http.Header{"Retry-After": {text}}); got != want {
-			t.Errorf("%q: %s, not %s", text, got, want)
+			t.Errorf("RetryAfter(%q) = %s, want %s", text, got, want)
 		}
 	}
 	if got := pushback.RetryAfter(http.Header{"Retry-After": {"2", "soon", "3"}}); got != 3*time.Second {
-		t.Errorf("of several: %s", got)
+		t.Errorf("several values: %s, want 3s", got)
 	}
 }
 
-// TestNothingShortensARest checks in any order of events that nothing is admitted before the
-// end of any rest that was asked for, and that there is always a way back.
-func TestNothingShortensARest(t *testing.T) {
+// TestBackoffIsNeverShortened checks, for any order of events, that no request is admitted
+// before the latest requested end and that the upstream is always admitted again.
+func TestBackoffIsNeverShortened(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r pushback.Rest
-		now, latest := noon, noon
+		now, latest := start, start
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "ms")) * time.Millisecond)
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
-				d := time.Duration(rapid.IntRange(1, 5000).Draw(t, "rest")) * time.Millisecond
+				d := time.Duration(rapid.IntRange(1, 5000).Draw(t, "backoff ms")) * time.Millisecond
 				r.Ask(d, now)
 				if end := now.Add(d); end.After(latest) {
 					latest = end
 				}
 			case 1:
-				r.Took(now.Add(-time.Duration(rapid.IntRange(1, 9000).Draw(t, "before"))*time.Millisecond), 8)
+				r.Took(now.Add(-time.Duration(rapid.IntRange(1, 9000).Draw(t, "sent ms ago"))*time.Millisecond), 8)
 			case 2:
 				r.Refused()
 			case 3:
@@ -73,11 +74,11 @@
 				}
 			}
 			if r.Admits(now) && now.Before(latest) {
-				t.Fatalf("admitted %s before the end", latest.Sub(now))
+				t.Fatalf("request admitted %s before the end of the backoff", latest.Sub(now))
 			}
 		}
 		if !r.Admits(now.Add(pushback.MaxRest)) {
-			t.Fatal("there is no way back")
+			t.Fatal("no request admitted after MaxRest")
 		}
 	})
 }
--- a/internal/pushback/rest.go
+++ b/internal/pushback/rest.go
@@ -6,70 +6,72 @@
 import "time"
 
 const (
-	// MaxRest bounds what is believed. An upstream that means to be left alone for longer
-	// is taken out by its owners; one that names more has made a mistake, which the first
-	// request after it shows.
+	// MaxRest bounds a requested backoff. A longer value is treated as an error of the
+	// upstream.
 	MaxRest = 10 * time.Minute
-	// firstTrials is how many requests may be under way at an upstream after its rest,
-	// and trialGrowth times as many after each one that it took.
-	firstTrials = 1
-	trialGrowth = 2
+	// initialProbes is the number of concurrent requests allowed right after a backoff.
+	// Each accepted request multiplies it by probeGrowth.
+	initialProbes = 1
+	probeGrowth   = 2
 )
 
-// Rest is what an upstream has asked a router for. The zero value has asked for nothing.
+// Rest is the backoff that one upstream requested, and the recovery from it. In the zero
+// value no backoff is in force. It is not safe for concurrent use.
 //
-// Until its end the upstream gets nothing. Then it gets one request at a time, and with each
-// one that it takes twice as many, until it has room for all: if it still turns requests
-// away, one caller of each router finds that out and not all that waited for it.
+// No request is admitted until the backoff ends. Then the number of concurrent requests
+// starts at one and doubles with each accepted request up to the upstream's capacity, so
+// that an upstream that is still overloaded rejects one request of each router instead of
+// all that were waiting.
 type Rest struct {
-	// until is when that ends; zero once the upstream has recovered.
+	// until is the end of the backoff; zero once the upstream has recovered.
 	until time.Time
-	// trials bounds the requests sent since then that it has neither taken nor turned
-	// away, and trying counts them.
-	trials, trying int
+	// maxProbes bounds the requests in flight that were sent after the backoff; probes
+	// counts them.
+	maxProbes, probes int
 }
 
-// Ask takes what an answer that arrived now asked for. Of several rests the latest end
-// holds: nothing shortens one.
+// Ask records that an answer received at now requests a backoff of d, capped at MaxRest. It
+// never moves the end of a backoff to an earlier time.
 func (r *Rest) Ask(d time.Duration, now time.Time) {
 	if until := now.Add(min(d, MaxRest)); until.After(r.until) {
 		r.until = until
 	}
-	r.trials = firstTrials
+	r.maxProbes = initialProbes
 }
 
-// IsOver reports whether the upstream has asked for nothing, or has recovered since.
+// IsOver reports whether neither a backoff nor the recovery from one is in force.
 func (r *Rest) IsOver() bool { return r.until.IsZero() }
 
-// Admits decides whether the upstream may get a request now.
+// Admits reports whether a request may be sent to the upstream now.
 func (r *Rest) Admits(now time.Time) bool {
-	return r.IsOver() || (!now.Before(r.until) && r.trying < r.trials)
+	return r.IsOver() || (!now.Before(r.until) && r.probes < r.maxProbes)
 }
 
-// Left returns the time until the upstream may get a request; zero if only an answer to one
-// that is under way can tell.
+// Left returns the time until the backoff ends, and zero after its end, when admission
+// depends on the requests in flight.
 func (r *Rest) Left(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
 
-// Try counts a request that is sent while the rest is not over, as Admits allows. EndTry is
-// called on it once.
-func (r *Rest) Try() { r.trying++ }
+// Try counts a request that is sent during the recovery, after Admits allowed it. EndTry
+// must be called once for each Try.
+func (r *Rest) Try() { r.probes++ }
 
-// EndTry takes that the upstream has taken a request of Try, has turned it away, or that
-// neither will be known.
-func (r *Rest) EndTry() { r.trying-- }
+// EndTry ends a request counted by Try: the upstream accepted or rejected it, or the outcome
+// is unknown.
+func (r *Rest) EndTry() { r.probes-- }
 
-// Took takes that the upstream took a request that was sent at sent. One that was sent
-// before the end of its rest says nothing of the time after it. places is how many requests
-// it runs at once.
-func (r *Rest) Took(sent time.Time, places int) {
+// Took records that the upstream accepted a request sent at the given time; requests sent
+// before the end of the backoff are ignored. capacity is the number of requests that the
+// upstream runs concurrently, above which the recovery is complete.
+func (r *Rest) Took(sent time.Time, capacity int) {
 	if r.IsOver() || sent.Before(r.until) {
 		return
 	}
-	r.trials *= trialGrowth
-	if r.trials > places {
-		r.until, r.trials = time.Time{}, 0
+	r.maxProbes *= probeGrowth
+	if r.maxProbes > capacity {
+		r.until, r.maxProbes = time.Time{}, 0
 	}
 }
 
-// Refused takes that the upstream turned a request away without asking for rest again.
-func (r *Rest) Refused() { r.trials = min(r.trials, firstTrials) }
+// Refused records that the upstream rejected a request without requesting a new backoff,
+// which restarts a recovery in progress with initialProbes.
+func (r *Rest) Refused() { r.maxProbes = min(r.maxProbes, initialProbes) }
--- a/internal/pushback/retryafter.go
+++ b/internal/pushback/retryafter.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// maxSeconds is the longest time that is told apart, about 30 years.
-const maxSeconds = 1e9
+// maxRetryAfterSeconds bounds a Retry-After, so that it fits a time.Duration.
+const maxRetryAfterSeconds = 1e9
 
-// RetryAfter returns the longest of the times that a header's Retry-After names as finite
-// numbers of seconds above zero, and zero if it names none. Dates, which HTTP allows as well,
-// are not read: the clocks of two machines may differ by more than the time meant.
+// RetryAfter returns the longest Retry-After of a header, and zero if it has none. Only
+// finite numbers of seconds above zero count, fractions included. HTTP dates are ignored,
+// since the clock skew between two machines may exceed the delay.
 func RetryAfter(h http.Header) time.Duration {
 	longest := 0.0
 	for _, text := range h.Values("Retry-After") {
@@ -25,11 +25,11 @@
 			longest = max(longest, value)
 		}
 	}
-	return time.Duration(min(longest, maxSeconds) * float64(time.Second))
+	return time.Duration(min(longest, maxRetryAfterSeconds) * float64(time.Second))
 }
 
-// TurnsAway reports whether an upstream that answers with a status turns the request away,
-// so that the time in its answer is how long it wants no other.
+// TurnsAway reports whether an HTTP status (429 or 503) rejects the request, so that its
+// Retry-After applies to further requests to the upstream.
 func TurnsAway(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
--- a/internal/retrybudget/example_test.go
+++ b/internal/retrybudget/example_test.go
@@ -10,7 +10,7 @@
 	"granitehoist.example/granitehoist/internal/retrybudget"
 )
 
-// Two routers share 4 retries; every second request earns another.
+// Two routers share 4 retries, and every second request adds one.
 func ExampleBudget() {
 	b := retrybudget.New(retrybudget.Settings{
 		PerRequest: 0.5,
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -12,88 +12,87 @@
 
 // Settings configure a Budget. The zero value allows a single retry.
 type Settings struct {
-	// PerRequest is the number of retries, usually below one, that each request
-	// earns. It must not be negative.
+	// PerRequest is the number of retries that each request adds, usually below one. It
+	// must not be negative.
 	PerRequest float64
-	// Capacity is the most retries that all Routers together can have saved.
-	// Each router saves its equal share, but at least one retry.
+	// Capacity is the maximum number of retries that all Routers together can
+	// accumulate. Each router accumulates an equal share, but at least one retry.
 	Capacity float64
-	// Routers returns how many routers share Capacity; nil, and results below
-	// one, stand for one router. It is called with the Budget's lock held and
-	// must not call the Budget.
+	// Routers returns the number of routers that share Capacity; nil and results below
+	// one mean one router. It is called with the Budget's mutex held and must not call
+	// the Budget.
 	Routers func() int
-	// InitialPart is the part of the share that is saved before the first
-	// request, above 0 and up to 1; zero stands for 1.
+	// InitialPart is the fraction of its share that a router starts with, above 0 and
+	// up to 1; zero means 1.
 	InitialPart float64
 	// Window is the time in which an empty Budget refills to its share without
-	// requests; zero and negative values mean that it does not refill.
+	// requests; zero and negative values disable the refill.
 	Window time.Duration
 }
 
-// Budget counts the retries that a router may still make. The zero value works
-// and has the zero Settings. A Budget is safe for concurrent use and must not
-// be copied.
+// Budget is the number of retries that a router may still make. The zero value is ready
+// to use and has the zero Settings. A Budget is safe for concurrent use and must not be
+// copied.
 type Budget struct {
 	settings Settings
 
 	mu      sync.Mutex
 	started bool
-	// saved is the number of retries that may be made now, refilled is when
-	// Window last added to it.
-	saved    float64
-	refilled time.Time
+	// tokens is the number of retries available now.
+	tokens float64
+	// lastRefill is the time up to which Window has been credited.
+	lastRefill time.Time
 }
 
-// New returns a budget.
+// New returns a Budget that fills at the first call of Earn or Take.
 func New(s Settings) *Budget { return &Budget{settings: s} }
 
-// Earn adds what one request earns. The Window of a Budget begins at the first
-// call of Earn or Take.
+// Earn adds Settings.PerRequest for one request. The refill begins at the first call of
+// Earn or Take.
 func (b *Budget) Earn(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start(now)
-	b.saved = min(b.saved+b.settings.PerRequest, b.share())
+	b.tokens = min(b.tokens+b.settings.PerRequest, b.share())
 }
 
-// Take spends one retry and reports whether there was one to spend. A refused
-// Take costs nothing.
+// Take removes one retry and reports whether one was available. If not, the budget is
+// unchanged.
 func (b *Budget) Take(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start(now)
 	b.refill(now)
-	if b.saved < 1 {
+	if b.tokens < 1 {
 		return false
 	}
-	b.saved--
+	b.tokens--
 	return true
 }
 
-// start fills the budget for the first request. The caller holds the lock.
+// start sets the initial tokens at the first call. The caller holds mu.
 func (b *Budget) start(now time.Time) {
 	if b.started {
 		return
 	}
 	b.started = true
-	part := b.settings.InitialPart
-	defaults.Set(&part, 1)
-	b.saved = part * b.share()
-	b.refilled = now
+	fraction := b.settings.InitialPart
+	defaults.Set(&fraction, 1)
+	b.tokens = fraction * b.share()
+	b.lastRefill = now
 }
 
-// refill adds what the time since the last refill earns. The caller holds the
-// lock.
+// refill credits the time since the last refill. The caller holds mu.
 func (b *Budget) refill(now time.Time) {
 	if b.settings.Window <= 0 {
 		return
 	}
-	windows := now.Sub(b.refilled).Seconds() / b.settings.Window.Seconds()
-	b.saved = min(b.saved+windows*b.share(), b.share())
-	b.refilled = now
+	windows := now.Sub(b.lastRefill).Seconds() / b.settings.Window.Seconds()
+	b.tokens = min(b.tokens+windows*b.share(), b.share())
+	b.lastRefill = now
 }
 
-// share returns the most retries that this router can have saved.
+// share returns the maximum number of tokens of this router.
 func (b *Budget) share() float64 {
 	routers := 1
 	if b.settings.Routers != nil {
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -13,18 +13,18 @@
 	"granitehoist.example/granitehoist/internal/retrybudget"
 )
 
-// start is when the budgets of these tests see their first request.
+// start is the time of the first request.
 var start = time.Unix(1_000_000, 0)
 
-// after returns a time so many seconds after start.
+// after returns the time the given number of seconds after start.
 func after(seconds float64) time.Time {
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// routers returns a function that tells a fixed number of routers.
+// routers returns a Settings.Routers function with a fixed result.
 func routers(n int) func() int { return func() int { return n } }
 
-// expectRetries asserts how many retries a budget allows at a time, and spends
+// expectRetries asserts that the budget allows exactly want retries at now, and takes
 // them.
 func expectRetries(b *retrybudget.Budget, now time.Time, want int) {
 	GinkgoHelper()
@@ -35,7 +35,7 @@
 	Expect(got).To(Equal(want))
 }
 
-// earn counts requests.
+// earn records the given number of requests.
 func earn(b *retrybudget.Budget, now time.Time, requests int) {
 	for range requests {
 		b.Earn(now)
@@ -43,17 +43,17 @@
 }
 
 var _ = Describe("Budget", func() {
-	DescribeTable("allows at its start",
+	DescribeTable("initially allows",
 		func(s retrybudget.Settings, want int) { expectRetries(retrybudget.New(s), start, want) },
 		Entry("one retry without settings", retrybudget.Settings{}, 1),
-		Entry("its capacity", retrybudget.Settings{Capacity: 25}, 25),
-		Entry("the initial part of its capacity", retrybudget.Settings{Capacity: 20, InitialPart: 0.5}, 10),
-		Entry("its router's share of the capacity", retrybudget.Settings{Capacity: 25, Routers: routers(5)}, 5),
-		Entry("one retry where the share is smaller", retrybudget.Settings{Capacity: 25, Routers: routers(50)}, 1),
-		Entry("the capacity where no router is counted", retrybudget.Settings{Capacity: 25, Routers: routers(0)}, 25),
+		Entry("the full capacity", retrybudget.Settings{Capacity: 25}, 25),
+		Entry("the initial fraction of the capacity", retrybudget.Settings{Capacity: 20, InitialPart: 0.5}, 10),
+		Entry("the router's share of the capacity", retrybudget.Settings{Capacity: 25, Routers: routers(5)}, 5),
+		Entry("one retry if the share is below one", retrybudget.Settings{Capacity: 25, Routers: routers(50)}, 1),
+		Entry("the full capacity if the number of routers is zero", retrybudget.Settings{Capacity: 25, Routers: routers(0)}, 25),
 	)
 
-	DescribeTable("allows, once it is empty, after requests",
+	DescribeTable("allows after it was emptied, following requests,",
 		func(s retrybudget.Settings, requests, want int) {
 			b := retrybudget.New(s)
 			expectRetries(b, start, int(max(1, s.Capacity)))
@@ -61,25 +61,25 @@
 			expectRetries(b, start, want)
 		},
 		Entry("none without requests", retrybudget.Settings{Capacity: 20, PerRequest: 0.125}, 0, 0),
-		Entry("none before a whole retry is earned", retrybudget.Settings{Capacity: 20, PerRequest: 0.125}, 7, 0),
-		Entry("one when a whole retry is earned", retrybudget.Settings{Capacity: 20, PerRequest: 0.125}, 8, 1),
+		Entry("none before one full retry has accumulated", retrybudget.Settings{Capacity: 20, PerRequest: 0.125}, 7, 0),
+		Entry("one when one full retry has accumulated", retrybudget.Settings{Capacity: 20, PerRequest: 0.125}, 8, 1),
 		Entry("no more than its capacity", retrybudget.Settings{Capacity: 20, PerRequest: 0.125}, 1000, 20),
-		Entry("none where requests earn nothing", retrybudget.Settings{Capacity: 20}, 1000, 0),
+		Entry("none if requests add nothing", retrybudget.Settings{Capacity: 20}, 1000, 0),
 	)
 
-	DescribeTable("allows, once it is empty, after a time",
+	DescribeTable("allows after it was emptied, following a pause,",
 		func(s retrybudget.Settings, seconds float64, want int) {
 			b := retrybudget.New(s)
 			expectRetries(b, start, int(s.Capacity))
 			expectRetries(b, after(seconds), want)
 		},
-		Entry("none at once", retrybudget.Settings{Capacity: 20, Window: 10 * time.Second}, 0.0, 0),
-		Entry("half of its capacity after half of the window", retrybudget.Settings{Capacity: 20, Window: 10 * time.Second}, 5.0, 10),
+		Entry("none immediately", retrybudget.Settings{Capacity: 20, Window: 10 * time.Second}, 0.0, 0),
+		Entry("half of the capacity after half of the window", retrybudget.Settings{Capacity: 20, Window: 10 * time.Second}, 5.0, 10),
 		Entry("no more than its capacity", retrybudget.Settings{Capacity: 20, Window: 10 * time.Second}, 100.0, 20),
 		Entry("none without a window", retrybudget.Settings{Capacity: 20}, 100.0, 0),
 	)
 
-	It("follows the number of routers", func() {
+	It("adapts its share to the number of routers", func() {
 		count := 1
 		b := retrybudget.New(retrybudget.Settings{Capacity: 20, Window: 10 * time.Second, Routers: func() int { return count }})
 		earn(b, start, 1)
@@ -87,7 +87,7 @@
 		expectRetries(b, start, 5)
 	})
 
-	It("never allows more than it had saved, earned and refilled", func() {
+	It("never allows more than the initial, earned and refilled retries", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			s := retrybudget.Settings{Capacity: 20, PerRequest: 0.1, InitialPart: 0.5, Window: 10 * time.Second}
 			b := retrybudget.New(s)
