--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -17,20 +17,20 @@
 	net.Conn
 	reader  *bufio.Reader
 	address string
-	// idlePeriod says until when it may be reused. The lock of the pool guards it.
+	// idlePeriod bounds the reuse of the idle connection. Pool.mu guards it.
 	idlePeriod idlePeriod
 }
 
-// readBufferBytes is the size of the read buffer that each open connection has.
+// readBufferBytes is the size of the read buffer of each open connection.
 const readBufferBytes = 2048
 
-// headBytes is the size allocated for the head of a request, which grows if needed.
-const headBytes = 1024
+// headBufferBytes is the initial buffer size for the head of a request.
+const headBufferBytes = 1024
 
-// write writes the request, head and body.
-func (c *conn) write(r Request, w *writing) error {
+// write sends the head and the body of the request and records its progress in w.
+func (c *conn) write(r Request, w *writeProgress) error {
 	var head bytes.Buffer
-	head.Grow(headBytes + len(r.Body))
+	head.Grow(headBufferBytes + len(r.Body))
 	head.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
 	if err := r.Header.Write(&head); err != nil {
 		return err
@@ -43,10 +43,10 @@
 	return w.send(c, head.Bytes())
 }
 
-// quiet reports whether an idle connection is open and has no unread bytes, which
-// the next request would take for its answer. It returns false if the connection
-// can't be examined.
-func (c *conn) quiet() bool {
+// healthy reports whether an idle connection is open and has no unread bytes, which would
+// be read as the response to the next request. It returns false if the state of the socket
+// can't be determined.
+func (c *conn) healthy() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -58,12 +58,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
-		_, failure := syscall.Read(int(fd), one[:])
-		quiet = failure == syscall.EAGAIN
+		_, readErr := syscall.Read(int(fd), one[:])
+		open = readErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && open
 }
--- a/exchange/discard.go
+++ b/exchange/discard.go
@@ -5,6 +5,6 @@
 
 import "io"
 
-// discard closes a connection that is no longer used. It drops the error of
-// closing, which changes nothing: the result of the exchange has been decided.
+// discard closes a connection that is no longer used. It ignores the error of Close, which
+// does not affect the result of the exchange.
 func discard(connection io.Closer) { _ = connection.Close() }
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -1,26 +1,25 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package exchange sends requests to upstreams over HTTP/1.1 and reports for each
-// whether the upstream may have run it.
+// Package exchange is an HTTP/1.1 client for upstreams that sends a request at most once
+// and reports whether the upstream may have run it.
 //
-// net/http writes and reads the messages, but this package manages the connections
-// itself. The standard library's client may send a request a second time when a
-// reused connection breaks, closes a connection on which an unexpected answer
-// arrives, and takes a late answer to an earlier request for the answer to the
-// current one. This package writes a request at most once, checks that an answer
-// belongs to its request, and closes a connection in doubt.
+// It parses messages with net/http but has a connection pool of its own, because
+// http.Transport may resend a request when a reused connection fails, and takes a late
+// response to an earlier request for the response to the current one. This package writes
+// each request at most once, checks that a response belongs to its request, and closes a
+// connection whose state is unknown.
 //
-// The edge router granitehoist-edge runs it: package node makes one Pool, package
-// forward sends each attempt through it. PassedOn is also used by the partner
-// router's transport and by package platform.
+// In the edge router, package node creates one Pool and package forward sends each attempt
+// through Pool.Do. PassedOn, which removes hop-by-hop fields, is also used by the partner
+// router and by package platform.
 //
-// A Pool owns the idle connections, which its lock guards. A connection in use
-// belongs to its exchange alone; one goroutine writes the request while the
-// caller reads the answer. The package relies on the kernel to notice silent
-// peers, and on the caller's context for deadlines.
+// A Pool guards its idle connections with a mutex. A connection in use belongs to one
+// exchange: a goroutine writes the request while the caller reads the response. TCP
+// keep-alive probes and TCP_USER_TIMEOUT detect unresponsive peers; deadlines come from the
+// caller's context.
 //
-// The rules: when an idle connection may be reused (reuse.go), whether an answer
-// is the request's own and what a failed reading means (answer.go), when a
-// connection is in doubt (doubt.go). Begin reading at Pool.Do.
+// The decisions are pure functions: when an idle connection may be reused (reuse.go),
+// whether a response belongs to the request and what a read error means (response.go), and
+// when a connection must be closed (closereason.go). Begin reading at Pool.Do.
 package exchange
--- a/exchange/down_test.go
+++ b/exchange/down_test.go
@@ -17,14 +17,14 @@
 	"granitehoist.example/granitehoist/exchange"
 )
 
-var _ = DescribeTable("An error tells whether the upstream ended the connection", func(err error, ended bool) {
+var _ = DescribeTable("ConnectionEnded reports whether the peer ended the connection", func(err error, ended bool) {
 	Expect(exchange.ConnectionEnded(granitehoist.Wrap(granitehoist.UpstreamLost, err, ""))).To(Equal(ended))
 },
-	Entry("closed before the answer", io.ErrUnexpectedEOF, true),
+	Entry("closed before the response", io.ErrUnexpectedEOF, true),
 	Entry("reset", &net.OpError{Op: "read", Err: syscall.ECONNRESET}, true),
 	Entry("closed by this router", &net.OpError{Op: "read", Err: net.ErrClosed}, false),
-	Entry("silent for too long", &net.OpError{Op: "read", Err: syscall.ETIMEDOUT}, false),
-	Entry("no progress", errors.New("no progress"), false),
+	Entry("timed out", &net.OpError{Op: "read", Err: syscall.ETIMEDOUT}, false),
+	Entry("cancelled without progress", errors.New("no progress"), false),
 )
 
 var _ = Describe("An upstream", func() {
@@ -35,13 +35,13 @@
 		return listener
 	}
 
-	It("is down if nobody listens at its address", func() {
+	It("is down if nothing listens at its address", func() {
 		listener := listen()
 		Expect(listener.Close()).To(Succeed())
 		Expect(exchange.NewPool(exchange.Settings{}).IsDown(context.Background(), listener.Addr().String())).To(BeTrue())
 	})
 
-	It("is not down if it takes connections, and keeps none", func() {
+	It("is not down if it accepts connections; the probe connection is closed", func() {
 		listener := listen()
 		Expect(exchange.NewPool(exchange.Settings{}).IsDown(context.Background(), listener.Addr().String())).To(BeFalse())
 		conn, err := listener.Accept()
@@ -50,7 +50,7 @@
 		Expect(err).To(MatchError(io.EOF))
 	})
 
-	It("is down if what stands before it ends each connection at once", func() {
+	It("is down if a proxy in front of it closes or resets each connection", func() {
 		for _, linger := range []int{0, -1} {
 			listener := listen()
 			go func() {
@@ -65,7 +65,7 @@
 		}
 	})
 
-	It("is not down if it is cut off", func() {
+	It("is not down if the context has ended", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
 		Expect(exchange.NewPool(exchange.Settings{}).IsDown(ctx, listen().Addr().String())).To(BeFalse())
--- a/exchange/example_test.go
+++ b/exchange/example_test.go
@@ -14,8 +14,8 @@
 	"granitehoist.example/granitehoist/exchange"
 )
 
-// One request: check that the answer is its own, read it, give the connection
-// back.
+// Send a request, check that the response belongs to it, read the body and return the
+// connection to the pool.
 func ExamplePool_Do() {
 	upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -13,38 +13,38 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Request is a request as it is sent to one upstream.
+// Request is an HTTP request to one upstream.
 type Request struct {
-	// Address is the upstream's IP and port.
+	// Address is the host:port of the upstream.
 	Address string
 	Method  string
-	// Target is the path and query as the upstream receives them.
+	// Target is the request target: the escaped path and query.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Matches reports whether an answer with the given header belongs to the
-	// request; nil accepts every answer.
+	// Matches reports whether a response with the given header belongs to the request;
+	// nil accepts every response.
 	Matches func(http.Header) bool
-	// MaxIdle bounds how long a reused connection may have been idle if its
-	// upstream did not report how long it keeps it.
+	// MaxIdle bounds the idle time of a reused connection for which the upstream sent no
+	// keep-alive timeout.
 	MaxIdle time.Duration
 }
 
-// Response is the head of an upstream's answer and its body. Close must be called
-// once. It is not safe for concurrent use.
+// Response is an upstream's response, whose body is read with Read. Close must be called
+// once. A Response is not safe for concurrent use.
 type Response struct {
 	Status int
 	Header http.Header
-	// Framed is false if the body ends with the connection.
+	// Framed is false if the end of the connection delimits the body.
 	Framed   bool
 	body     io.Reader
 	complete bool
 	end      func(complete bool)
 }
 
-// Read reads the body. It returns io.EOF at the end of the body, and any other
-// error if the body is cut off or malformed.
+// Read reads the body. It returns io.EOF at the end of the body, and another error if the
+// body is truncated or malformed.
 func (r *Response) Read(p []byte) (int, error) {
 	n, err := r.body.Read(p)
 	if errors.Is(err, io.EOF) {
@@ -53,60 +53,62 @@
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept for another request unless it
-// is in doubt, for example because the answer was not read to its end. Close
-// waits up to 5 ms if the request has not been written yet.
+// Close ends the exchange. It returns the connection to the pool if it can be reused, and
+// closes it otherwise, for example if the body was not read to its end. Close waits up to
+// 5 ms if the request has not been written completely.
 func (r *Response) Close() { r.end(r.complete) }
 
-// Do sends a request and returns the head of its answer. Its errors are
-// *granitehoist.Error: UpstreamRefused if nothing was sent, UpstreamLost,
-// UpstreamBadAnswer or AnswerCrossed if the upstream may have run it. When ctx
-// ends the connection is closed, also while the body is read.
+// Do sends a request and returns the response after its head was read. Errors are of type
+// *granitehoist.Error, with code UpstreamRefused if nothing was sent, and UpstreamLost,
+// UpstreamBadAnswer or AnswerCrossed if the upstream may have run the request. When ctx ends
+// the connection is closed, also while the body is read. now is the current time on
+// Settings.Clock.
 func (p *Pool) Do(ctx context.Context, r Request, now time.Time) (*Response, error) {
 	c, err := p.get(ctx, r.Address, r.MaxIdle, now)
 	if err != nil {
-		return nil, granitehoist.Wrap(granitehoist.UpstreamRefused, err, "no connection")
+		return nil, granitehoist.Wrap(granitehoist.UpstreamRefused, err, "cannot connect")
 	}
 	stop := context.AfterFunc(ctx, func() { discard(c) })
-	writing := newWriting()
-	go func() { writing.ended <- c.write(r, writing) }()
-	answer, err := c.readAnswer(r)
+	progress := newWriteProgress()
+	go func() { progress.result <- c.write(r, progress) }()
+	response, err := c.readResponse(r)
 	if err != nil {
-		// The result of the writing does not matter: the request may have run
-		// either way, and on a broken connection reading fails too.
+		// A write error needs no check: the request may have run either way, and
+		// reading from a failed connection fails as well.
 		stop()
 		discard(c)
 		return nil, err
 	}
-	framed := isFramed(answer)
+	framed := isFramed(response)
 	return &Response{
-		Status: answer.StatusCode,
-		Header: answer.Header,
+		Status: response.StatusCode,
+		Header: response.Header,
 		Framed: framed,
-		body:   answer.Body,
+		body:   response.Body,
 		end: func(complete bool) {
-			p.finish(c, answer.Header, outcome{
+			p.finish(c, response.Header, outcome{
 				complete:  complete,
 				cancelled: !stop(),
-				written:   writing.complete(),
+				written:   progress.complete(),
 				framed:    framed,
-				closing:   answer.Close,
-				surplus:   c.reader.Buffered(),
+				closing:   response.Close,
+				unread:    c.reader.Buffered(),
 			})
 		},
 	}, nil
 }
 
-// finish keeps the connection of an ended exchange unless it is in doubt.
+// finish returns the connection of an ended exchange to the pool, or closes it if it must
+// not be reused.
 func (p *Pool) finish(c *conn, header http.Header, o outcome) {
-	if o.doubt() != noDoubt {
+	if o.closeReason() != noReason {
 		discard(c)
 		return
 	}
 	p.put(c, keepAlive(header), p.settings.Clock())
 }
 
-// isFramed reports whether an answer states where its body ends.
-func isFramed(answer *http.Response) bool {
-	return answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0
+// isFramed reports whether a response has a Content-Length or a transfer coding.
+func isFramed(response *http.Response) bool {
+	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 }
--- a/exchange/header.go
+++ b/exchange/header.go
@@ -8,20 +8,20 @@
 	"strings"
 )
 
-// hopHeaders belong to one connection (RFC 9110, 7.6.1) or to the framing of one
-// message, which the next connection's own replaces.
-var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
+// hopByHopHeaders are the fields that apply to one connection (RFC 9110, section 7.6.1) or
+// to the framing of one message.
+var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// PassedOn returns a copy of a header without the fields that belong to one
-// connection, those that its Connection field names among them.
+// PassedOn returns a copy of a header without hop-by-hop fields, including those that its
+// Connection field lists.
 func PassedOn(h http.Header) http.Header {
 	passed := h.Clone()
-	for _, named := range h.Values("Connection") {
-		for name := range strings.SplitSeq(named, ",") {
+	for _, list := range h.Values("Connection") {
+		for name := range strings.SplitSeq(list, ",") {
 			passed.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		passed.Del(name)
 	}
 	return passed
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -17,10 +17,10 @@
 
 // Settings configure a Pool. The zero value works.
 type Settings struct {
-	// Meter, if set, counts the bytes of the connections.
+	// Meter, if set, counts the bytes read and written.
 	Meter *linkmeter.Meter
-	// Clock returns the present time, by which idle connections are kept; nil means
-	// time.Now. Do must get times of the same clock.
+	// Clock returns the current time, from which idle times are measured; nil means
+	// time.Now. The times passed to Do must come from the same clock.
 	Clock granitehoist.Clock
 	// Opened, if set, is called for each new connection, by the goroutine that
 	// opened it.
@@ -28,46 +28,45 @@
 }
 
 const (
-	// connectTimeout bounds the making of a connection: an attempt that can't connect
-	// leaves time for another.
+	// connectTimeout bounds a dial, so that time is left for another attempt.
 	connectTimeout = 400 * time.Millisecond
-	// silenceTimeout is how long sent bytes may stay unacknowledged by the peer before its
-	// connection is given up.
-	silenceTimeout = 1500 * time.Millisecond
-	// idleTimeout is how long an idle connection is kept at most, and how long where the
-	// upstream does not report it.
+	// unackedTimeout is how long sent bytes may stay unacknowledged before the kernel
+	// closes the connection.
+	unackedTimeout = 1500 * time.Millisecond
+	// idleTimeout is the maximum idle time of a connection, and the default for upstreams
+	// that send no keep-alive timeout.
 	idleTimeout = 4 * time.Second
-	// maxIdlePerUpstream bounds the idle connections to one address. Upstreams bound the
-	// connections that they accept from all callers together.
+	// maxIdlePerUpstream bounds the idle connections to one address, since upstreams limit
+	// the number of their connections.
 	maxIdlePerUpstream = 16
 )
 
-// Pool sends requests and keeps idle connections to upstreams. It is safe for
-// concurrent use.
+// Pool sends requests to upstreams over a pool of persistent connections. It is safe for
+// concurrent use. Create one with NewPool.
 type Pool struct {
 	settings Settings
 	dialer   net.Dialer
 
 	// mu guards idle.
 	mu sync.Mutex
-	// idle holds the idle connections by address, the last used last.
+	// idle holds the idle connections by address, the most recently used last.
 	idle map[string][]*conn
 }
 
-// tcpUserTimeout is the number of the Linux socket option TCP_USER_TIMEOUT, which
-// bounds in milliseconds how long sent bytes may stay unacknowledged.
+// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT: how long, in milliseconds, sent
+// bytes may stay unacknowledged. Package syscall lacks it on some architectures.
 const tcpUserTimeout = 18
 
 const (
-	// probeInterval is how long a connection is silent before the kernel probes
-	// the peer, and the time between probes. One second is the smallest value of
-	// the socket option.
+	// probeInterval is the idle time before the first TCP keep-alive probe and the time
+	// between probes. One second is the minimum of the socket option.
 	probeInterval = time.Second
-	// maxProbes is the number of unanswered probes that end a connection.
+	// maxProbes is the number of unanswered probes after which the kernel closes a
+	// connection.
 	maxProbes = 2
 )
 
-// NewPool returns an empty pool.
+// NewPool returns a Pool without connections.
 func NewPool(s Settings) *Pool {
 	if s.Clock == nil {
 		s.Clock = time.Now
@@ -83,33 +82,32 @@
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			return raw.Control(func(fd uintptr) {
-				// Without the option a silent peer is only noticed later, by the
-				// keep-alive probes or the attempt's own deadline.
-				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(silenceTimeout.Milliseconds()))
+				// Without the option an unresponsive peer is detected later, by the
+				// keep-alive probes or the deadline of the attempt.
+				_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unackedTimeout.Milliseconds()))
 			})
 		},
 	}
 	return p
 }
 
-// get returns an idle connection that may serve a request which allows maxIdle,
-// or a new one.
+// get returns a reusable idle connection to address, or else a new one.
 func (p *Pool) get(ctx context.Context, address string, maxIdle time.Duration, now time.Time) (*conn, error) {
 	for {
-		c := p.take(address, maxIdle, now)
+		c := p.takeIdle(address, maxIdle, now)
 		if c == nil {
 			return p.dial(ctx, address)
 		}
-		if c.quiet() {
+		if c.healthy() {
 			return c, nil
 		}
 		discard(c)
 	}
 }
 
-// take removes the connection that was used last of those that may be reused, and
-// closes those that may not. It returns nil if there is none.
-func (p *Pool) take(address string, maxIdle time.Duration, now time.Time) *conn {
+// takeIdle removes and returns the most recently used connection that is reusable, and
+// closes the others that it finds. It returns nil if there is none.
+func (p *Pool) takeIdle(address string, maxIdle time.Duration, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[address]
@@ -126,7 +124,7 @@
 	return nil
 }
 
-// dial makes a connection.
+// dial opens a connection and reports it to Settings.Opened.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -139,8 +137,8 @@
 	return &conn{Conn: metered, reader: bufio.NewReaderSize(metered, readBufferBytes), address: address}, nil
 }
 
-// put keeps a connection for later requests. keepAlive is what its upstream
-// reported, or zero.
+// put adds a connection to the idle ones, or closes it if there are too many. keepAlive is
+// the keep-alive timeout that the upstream sent, zero if it sent none.
 func (p *Pool) put(c *conn, keepAlive time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -152,8 +150,7 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Forget closes the idle connections to an address. It is called when its upstream
-// has ended.
+// Forget closes the idle connections to an address whose upstream has been removed.
 func (p *Pool) Forget(address string) {
 	p.mu.Lock()
 	idle := p.idle[address]
@@ -164,8 +161,8 @@
 	}
 }
 
-// Close closes all idle connections. Connections in use return to the pool when
-// their exchange ends.
+// Close closes all idle connections. Connections in use return to the pool when their
+// exchange ends, and are not closed by it.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	idle := p.idle
--- a/exchange/reuse.go
+++ b/exchange/reuse.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// keepAliveMargin is subtracted from the time for which an upstream reports to keep a
-// connection, so that no request is sent just as it closes. The report is at least 1 s, so
+// keepAliveMargin is subtracted from the keep-alive timeout of an upstream, so that no
+// request is sent while the upstream closes the connection. Timeouts are at least 1 s, so
 // at least 0.6 s remain.
 const keepAliveMargin = 400 * time.Millisecond
 
-// idlePeriod says how long an idle connection is expected to stay open.
+// idlePeriod is the time for which an idle connection may be reused.
 type idlePeriod struct {
 	// since is when the connection became idle.
 	since time.Time
-	// until is when it must no longer be used.
+	// until is when it expires.
 	until time.Time
-	// reported says that the upstream reported how long it keeps it.
+	// reported is set if the upstream sent a keep-alive timeout.
 	reported bool
 }
 
-// newIdlePeriod decides how long a connection that became idle now is kept:
-// keepAlive as the upstream reported it, which is zero if it did not, but no
+// newIdlePeriod returns the idle period of a connection that became idle at now. It lasts
+// for keepAlive, the keep-alive timeout of the upstream or zero if it sent none, but no
 // longer than idleTimeout.
 func newIdlePeriod(keepAlive, idleTimeout time.Duration, now time.Time) idlePeriod {
 	period := idlePeriod{since: now, reported: keepAlive > 0}
@@ -37,11 +37,10 @@
 	return period
 }
 
-// reusable decides whether an idle connection may serve a request that allows
-// maxIdle. If the upstream reported how long it keeps the connection, the request
-// may use it until then, whatever maxIdle is. Otherwise the upstream may close it at
-// any time, just as the request is sent. A request that must not run twice can't be
-// repeated then, so its maxIdle is shorter than that of a repeatable one.
+// reusable reports whether an idle connection may serve a request with the given maxIdle.
+// If the upstream sent a keep-alive timeout, that alone decides. Otherwise the upstream may
+// close the connection while the request is being sent; since a request that is not
+// idempotent can't be repeated then, its maxIdle is shorter.
 func (p idlePeriod) reusable(maxIdle time.Duration, now time.Time) bool {
 	if !now.Before(p.until) {
 		return false
@@ -49,9 +48,8 @@
 	return p.reported || now.Sub(p.since) <= maxIdle
 }
 
-// keepAlive returns how long the upstream keeps the connection of an answer with
-// the given header, less keepAliveMargin. It returns zero if the header does not
-// state it, or not as a positive integer of seconds.
+// keepAlive returns the timeout parameter of the Keep-Alive field, less keepAliveMargin. It
+// returns zero unless the parameter is a positive integer of seconds.
 func keepAlive(h http.Header) time.Duration {
 	for part := range strings.SplitSeq(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
