--- a/forward/active.go
+++ b/forward/active.go
@@ -14,8 +14,8 @@
 	"granitehoist.example/granitehoist/escrow"
 )
 
-// activeRequest is one request while a Forwarder serves it. Only the goroutine that
-// called Forwarder.Serve uses it.
+// activeRequest is the state of one request that a Forwarder serves. Only the goroutine
+// that called Forwarder.Serve uses it.
 type activeRequest struct {
 	forwarder *Forwarder
 	sink      granitehoist.Sink
@@ -24,52 +24,52 @@
 	progress  progress
 }
 
-// admission is what was decided about a request before its first attempt. If the
-// request was refused, the fields that were not decided by then are zero.
+// admission holds the decisions made before the first attempt. If the request was
+// refused, fields that were not decided by then are zero.
 type admission struct {
-	// version is the version of the configuration that the decisions are based on.
+	// version is the version of the configuration on which the decisions are based.
 	version granitehoist.Version
-	// keyed says that keys identify callers.
+	// keyed is set if callers are identified by keys.
 	keyed bool
 	route *catalog.Route
-	// workspace is nil for requests of routes that need no key.
+	// workspace is nil for routes that need no key.
 	workspace *catalog.Workspace
 	service   *catalog.Service
 	priority  granitehoist.Priority
-	// deadline is when the request's timeout ends.
+	// deadline is the end of the request's timeout.
 	deadline time.Time
-	// bound is the most tokens that the request can cost, zero if it costs no
-	// prepaid tokens.
-	bound granitehoist.Tokens
+	// maxCost is the maximum cost of the request, zero if it uses no prepaid tokens.
+	maxCost granitehoist.Tokens
 }
 
-// progress is what has happened to a request so far.
+// progress is the state of a request after its admission.
 type progress struct {
-	// budget is the answer to the reservation, zero if none was needed.
-	// reserved says that it was granted and must be settled.
+	// budget is the result of the reservation, zero if none was needed. reserved is set
+	// if it was granted and must be settled.
 	budget   escrow.Answer
 	reserved bool
-	// charged is how many tokens the request was charged at its end.
+	// charged is the number of tokens charged at the end of the request.
 	charged granitehoist.Tokens
-	// tried holds the instances that were sent the request.
+	// tried holds the instances to which the request was sent.
 	tried    map[granitehoist.Upstream]bool
 	attempts int
-	// runs counts the attempts that ran or may have run.
+	// runs is the number of attempts that ran or may have run.
 	runs int
-	// started says that the head of an answer was passed on, at firstByteAt.
+	// started is set once the response head was relayed, at firstByteAt.
 	started     bool
 	firstByteAt time.Time
-	// events counts the events passed on. lastEventID is the id of the last event
-	// that the caller has, also from an earlier request.
+	// events is the number of events relayed. lastEventID is the id of the last event
+	// that the caller has, which may stem from an earlier request.
 	events      int64
 	lastEventID int64
-	// deferredFor is how long it waited because all instances rested or named a limit.
+	// deferredFor is the time spent waiting because all instances were backing off or at
+	// a rate limit.
 	deferredFor time.Duration
-	// suspicion is the evidence against the request before the latest attempt.
-	suspicion suspicion
+	// suspectStatus holds the crash records of the request as of the latest attempt.
+	suspectStatus suspectStatus
 }
 
-// run takes the request through its steps. The error is a *granitehoist.Error.
+// run processes the request. Its error is a *granitehoist.Error.
 func (a *activeRequest) run(ctx context.Context) error {
 	settings := &a.forwarder.settings
 	var refused refusal
@@ -80,10 +80,10 @@
 	now := settings.Clock()
 	ctx, cancel := settings.Deadlines.With(ctx, a.admission.deadline.Sub(now), now)
 	defer cancel()
-	if err := a.awaitEvidence(ctx); err != nil {
+	if err := a.awaitCrashRecords(ctx); err != nil {
 		return err
 	}
-	if err := a.checkSuspicion(); err != nil {
+	if err := a.checkSuspect(); err != nil {
 		return err
 	}
 	if err := a.reserve(ctx); err != nil {
@@ -94,10 +94,10 @@
 	return err
 }
 
-// reserve reserves the most that the request can cost.
+// reserve reserves the maximum cost of the request.
 func (a *activeRequest) reserve(ctx context.Context) error {
 	plan, refused := planReservation(a.admission.workspace, a.request.Cost, a.admission.route.Target)
-	a.admission.bound = plan.bound
+	a.admission.maxCost = plan.maxCost
 	if refused != noRefusal {
 		return refused.error(a.timeLeft())
 	}
@@ -106,7 +106,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, plan.wait)
 	defer cancel()
-	a.progress.budget = a.forwarder.settings.Funds.Reserve(ctx, a.admission.workspace.Name, plan.bound, a.admission.priority)
+	a.progress.budget = a.forwarder.settings.Funds.Reserve(ctx, a.admission.workspace.Name, plan.maxCost, a.admission.priority)
 	if refused := budgetRefusal(a.progress.budget.Outcome); refused != noRefusal {
 		return refused.error(a.timeLeft())
 	}
@@ -114,13 +114,13 @@
 	return nil
 }
 
-// timeLeft returns the time until the request's timeout.
+// timeLeft returns the time until the deadline; negative after it.
 func (a *activeRequest) timeLeft() time.Duration {
 	return a.admission.deadline.Sub(a.forwarder.settings.Clock())
 }
 
-// settle charges the request and returns the other reserved tokens. err is the
-// request's result.
+// settle charges the request and releases the remaining reserved tokens. err is the
+// result of the request.
 func (a *activeRequest) settle(err error) {
 	if !a.progress.reserved {
 		return
@@ -132,44 +132,44 @@
 		runs:           a.progress.runs,
 		complete:       err == nil,
 	}.charge()
-	a.forwarder.settings.Funds.Settle(a.admission.workspace.Name, a.admission.bound, a.progress.charged)
+	a.forwarder.settings.Funds.Settle(a.admission.workspace.Name, a.admission.maxCost, a.progress.charged)
 }
 
-// forward makes attempts until one ends the request or no other may follow.
+// forward makes attempts until one succeeds or no other may follow.
 func (a *activeRequest) forward(ctx context.Context) error {
 	settings := &a.forwarder.settings
-	a.forwarder.retryBudgets.of(a.admission.service.Name).Earn(settings.Clock())
+	a.forwarder.retryBudgets.forService(a.admission.service.Name).Earn(settings.Clock())
 	afterEvent := a.request.LastEventID
-	// failure is the error that the caller gets if no attempt follows.
+	// failure is the error for the caller if no attempt follows.
 	var failure error
 	for {
 		lease, err := a.pickRunning(ctx)
 		if err != nil && failure != nil {
-			return a.refusedForCaller(failure)
+			return a.withEarliestRetryAfter(failure)
 		}
 		if err != nil {
 			return err
 		}
-		verdict, err := a.attemptAt(ctx, lease, afterEvent)
+		decision, err := a.attemptAt(ctx, lease, afterEvent)
 		if err == nil {
 			return nil
 		}
 		failure = errorForCaller(failure, err)
-		if !verdict.allowed {
-			return a.refusedForCaller(failure)
+		if !decision.allowed {
+			return a.withEarliestRetryAfter(failure)
 		}
-		afterEvent = verdict.afterEvent
+		afterEvent = decision.afterEvent
 	}
 }
 
-// pick chooses the instance of the next attempt. The request may have become suspect while
-// it waited for tokens or for the previous attempt, and its deadline may have passed while
-// the machine was suspended, which no timer shows. Both are therefore checked last.
+// pick selects the instance for the next attempt. It checks the deadline first, because
+// no timer fires while the machine is suspended, and the crash records, which may have
+// changed while the request waited for tokens or for the previous attempt.
 func (a *activeRequest) pick(ctx context.Context) (*balance.Lease, error) {
 	if left := a.timeLeft(); left <= 0 {
-		return nil, granitehoist.Errorf(granitehoist.DeadlineTooNear, "it passed %s ago", -left)
+		return nil, granitehoist.Errorf(granitehoist.DeadlineTooNear, "the deadline passed %s ago", -left)
 	}
-	if err := a.awaitSettled(ctx); err != nil {
+	if err := a.awaitHold(ctx); err != nil {
 		return nil, err
 	}
 	lease, err := a.pickOrWait(ctx)
@@ -179,46 +179,47 @@
 	return lease, nil
 }
 
-// attemptAt makes one attempt at an instance and reports it to the table of
-// instances and the log. It returns the attempt's error, nil if the answer was
-// passed on completely, and whether another attempt may follow.
-func (a *activeRequest) attemptAt(ctx context.Context, lease *balance.Lease, afterEvent int64) (retryVerdict, error) {
+// attemptAt makes one attempt at an instance and reports it to the balancer and the log.
+// It returns whether another attempt may follow, and the error of this one, which is nil
+// if the response was relayed completely.
+func (a *activeRequest) attemptAt(ctx context.Context, lease *balance.Lease, afterEvent int64) (retryDecision, error) {
 	settings := &a.forwarder.settings
 	a.progress.tried[lease.ID] = true
 	a.progress.attempts++
 	sent := settings.Clock()
 	result := a.attempt(ctx, lease, afterEvent)
-	a.noteEvidence(ctx, lease, &result)
+	a.recordOutcome(ctx, lease, &result)
 	a.countRun(result.err)
-	verdict := a.nextAttempt(ctx, &result)
-	if result.failure != nil && !verdict.allowed {
-		result.err = a.passComplete(*result.failure)
+	decision := a.nextAttempt(ctx, &result)
+	if result.failure != nil && !decision.allowed {
+		result.err = a.relayBuffered(*result.failure)
 	}
 	ended := settings.Clock()
 	lease.Done(instanceResult(&result, ctx.Err() != nil), ended)
 	a.logAttempt(lease, &result, ended.Sub(sent))
-	return verdict, result.err
+	return decision, result.err
 }
 
-// countRun counts an attempt that ran or may have run. err is its result.
+// countRun counts an attempt with result err if it ran or may have run.
 func (a *activeRequest) countRun(err error) {
-	if fateOf(err) != granitehoist.NotRun {
+	if executionOf(err) != granitehoist.NotRun {
 		a.progress.runs++
 	}
 }
 
-// nextAttempt decides whether another attempt follows one that ended, and takes it
-// from the service's retry budget if it must be paid from there.
-func (a *activeRequest) nextAttempt(ctx context.Context, result *attemptResult) retryVerdict {
+// nextAttempt decides whether another attempt follows. If that attempt requires a retry
+// from the budget of the service, nextAttempt takes it, and allows no attempt if there is
+// none.
+func (a *activeRequest) nextAttempt(ctx context.Context, result *attemptResult) retryDecision {
 	if result.err == nil {
-		return retryVerdict{}
+		return retryDecision{}
 	}
 	now := a.forwarder.settings.Clock()
-	verdict := decideRetry(retryInput{
+	decision := decideRetry(retryInput{
 		route:       a.admission.route,
-		fate:        fateOf(result.err),
+		execution:   executionOf(result.err),
 		unsent:      result.unsent,
-		faulty:      result.reply == replyFaulty,
+		badRequest:  result.class == responseBadRequest,
 		ended:       ctx.Err() != nil,
 		attempts:    a.progress.attempts,
 		runs:        a.progress.runs,
@@ -226,19 +227,19 @@
 		lastEventID: a.progress.lastEventID,
 		timeLeft:    a.admission.deadline.Sub(now),
 	})
-	if verdict.allowed && verdict.usesRetryBudget && !result.retryPaid {
-		verdict.allowed = a.payForRetry()
+	if decision.allowed && decision.usesRetryBudget && !result.retryTaken {
+		decision.allowed = a.takeRetry()
 	}
-	return verdict
+	return decision
 }
 
-// payForRetry takes one retry from the service's retry budget, and reports whether
-// there was one.
-func (a *activeRequest) payForRetry() bool {
-	return a.forwarder.retryBudgets.of(a.admission.service.Name).Take(a.forwarder.settings.Clock())
+// takeRetry takes one retry from the budget of the service and reports whether one was
+// available.
+func (a *activeRequest) takeRetry() bool {
+	return a.forwarder.retryBudgets.forService(a.admission.service.Name).Take(a.forwarder.settings.Clock())
 }
 
-// query returns the query for the instance of the next attempt.
+// query returns the balancer query for the next attempt.
 func (a *activeRequest) query() balance.Query {
 	query := balance.Query{
 		Service:       a.admission.service.Name,
@@ -261,8 +262,8 @@
 	return query
 }
 
-// homes returns the regions that the route and the workspace allow; none, which is
-// nearly always so, if they set no bound.
+// homes returns the region constraints of the route and the workspace; usually there are
+// none.
 func (a *activeRequest) homes() []balance.Homes {
 	var homes []balance.Homes
 	if len(a.admission.route.Homes) > 0 {
@@ -274,7 +275,7 @@
 	return homes
 }
 
-// end logs and reports a request.
+// end logs the request and reports it to Settings.Ended.
 func (a *activeRequest) end(err error) {
 	now := a.forwarder.settings.Clock()
 	report := Report{Code: granitehoist.CodeOf(err), Attempts: a.progress.attempts, Budget: a.progress.budget.Outcome, Took: now.Sub(a.request.Arrived)}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -15,45 +15,42 @@
 	"granitehoist.example/granitehoist/exchange"
 )
 
-// attemptResult is how an attempt ended.
+// attemptResult is the outcome of an attempt.
 type attemptResult struct {
-	// err is nil if the answer was passed on completely.
+	// err is nil if the response was relayed completely.
 	err error
-	// status is the answer's status, zero if no answer arrived.
+	// status is the HTTP status, zero if no response arrived.
 	status int
-	reply  reply
-	// unsent says that no byte left this router.
+	class  responseClass
+	// unsent is set if no byte was sent.
 	unsent bool
-	// retryPaid says that the retry budget has paid for another attempt.
-	retryPaid bool
-	// failure is the instance's own failure, which is passed on if no other attempt
-	// follows; nil if the attempt ended in another way. err is set with it.
-	failure *completeAnswer
-	// said is what the answer says of the instance itself.
-	said balance.Statement
-	// crashed says that the instance crashed while the request may have been running there.
+	// retryTaken is set if a retry for another attempt was taken from the budget.
+	retryTaken bool
+	// failure is a 5xx response of the instance, which is relayed if no other attempt
+	// follows. It is nil for other outcomes; err is set with it.
+	failure *bufferedResponse
+	// statement is what the response states about the instance.
+	statement balance.Statement
+	// crashed is set if the instance crashed while it may have been running the request.
 	crashed bool
 }
 
-// maxRefusalBytes is how much of a refusal's body is read so that its connection can be
+// maxRefusalBytes bounds the body of a refusal that is read so that its connection can be
 // reused.
 const maxRefusalBytes = 64 << 10
 
-// An upstream may close an idle connection just as a request is sent on it. Then
-// it is unknown whether the request ran, so one that must run at most once fails.
+// An upstream may close an idle connection while a request is being sent on it. It is then
+// unknown whether the request ran, so a request that must run at most once fails.
 const (
-	// maxIdle bounds the idle time of a connection that is reused for a request that may
-	// run more than once. It has no effect while the pool closes idle connections earlier,
-	// as package exchange does.
+	// maxIdle applies to requests that may run more than once. The pool of package exchange
+	// closes idle connections earlier.
 	maxIdle = time.Minute
-	// maxIdleUnsafe bounds the idle time of a connection that is reused for a request that
-	// runs at most once.
+	// maxIdleUnsafe applies to requests that must run at most once.
 	maxIdleUnsafe = 150 * time.Millisecond
 )
 
-// idleLimit decides how long a connection may have been idle to be reused for a
-// request of a route. It applies where the upstream did not state how long it keeps
-// idle connections.
+// idleLimit returns the maximum idle time of a connection that is reused for a request of
+// route r. It applies if the upstream did not send a keep-alive timeout.
 func idleLimit(r *catalog.Route) time.Duration {
 	if r.Repeatable() {
 		return maxIdle
@@ -61,13 +58,13 @@
 	return maxIdleUnsafe
 }
 
-// attempt sends the request to one instance and passes its answer on. A stream
-// begins after the event afterEvent.
+// attempt sends the request to one instance and relays its response. A stream resumes
+// after the event afterEvent, zero for its start.
 func (a *activeRequest) attempt(ctx context.Context, lease *balance.Lease, afterEvent int64) (result attemptResult) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	timer := newStallTimer(ctx, a.stallLimits(), a.payForRetry, cancel)
-	defer func() { result.retryPaid = timer.stop() }()
+	timer := newStallTimer(ctx, a.stallLimits(), a.takeRetry, cancel)
+	defer func() { result.retryTaken = timer.stop() }()
 	now := a.forwarder.settings.Clock()
 	response, err := a.forwarder.settings.Pool.Do(ctx, a.upstreamRequest(lease, afterEvent, now), now)
 	if err != nil {
@@ -77,34 +74,34 @@
 		}
 	}
 	defer response.Close()
-	verdict := a.forwarder.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
-	if !verdict.Moved {
-		lease.Note(verdict.Said, a.forwarder.settings.Clock())
+	head := a.forwarder.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
+	if !head.Moved {
+		lease.Note(head.Said, a.forwarder.settings.Clock())
 	}
-	result = attemptResult{status: response.Status, reply: judgeHead(verdict, response.Status, a.progress.started), said: verdict.Said}
-	result.err = result.reply.error(response.Status, verdict.RetryAfter)
-	switch result.reply {
-	case replyRefused, replyMoved, replyFaulty:
-		// After an error Close closes the connection, so it need not be handled.
+	result = attemptResult{status: response.Status, class: classifyHead(head, response.Status, a.progress.started), statement: head.Said}
+	result.err = result.class.error(response.Status, head.RetryAfter)
+	switch result.class {
+	case responseRefused, responseMisdirected, responseBadRequest:
+		// After a read error, response.Close closes the connection.
 		_, _ = io.Copy(io.Discard, io.LimitReader(response, maxRefusalBytes))
-	case replyFailed:
-		result.holdFailure(response)
-	case replyUsable:
-		result.err = timer.attemptError(ctx, a.passAnswer(response, lease, timer))
-	case replyMissing, replyNoContinuation, replyUnusable:
+	case responseFailed:
+		result.bufferFailure(response)
+	case responseUsable:
+		result.err = timer.attemptError(ctx, a.relayResponse(response, lease, timer))
+	case responseMissing, responseNotResumed, responseInvalid:
 	}
 	return result
 }
 
-// holdFailure reads an instance's own failure and keeps it for the decision whether
-// another attempt follows.
-func (r *attemptResult) holdFailure(response *exchange.Response) {
-	answer, err := readComplete(response)
+// bufferFailure reads a 5xx response of the instance, which is relayed only if no other
+// attempt follows.
+func (r *attemptResult) bufferFailure(response *exchange.Response) {
+	buffered, err := readBuffered(response)
 	if err != nil {
 		r.err = err
 		return
 	}
-	r.failure = &answer
+	r.failure = &buffered
 }
 
 // stallLimits returns the stall limits of the next attempt.
@@ -113,10 +110,10 @@
 	if a.request.Cost != nil {
 		prompt = a.request.Cost.Prompt
 	}
-	return limitStalls(a.admission.route, prompt, a.progress.runs)
+	return stallLimitsFor(a.admission.route, prompt, a.progress.runs)
 }
 
-// upstreamRequest returns the request as it is sent to the lease's instance.
+// upstreamRequest returns the HTTP request for the instance of the lease.
 func (a *activeRequest) upstreamRequest(lease *balance.Lease, afterEvent int64, now time.Time) exchange.Request {
 	request, codec := a.request, a.forwarder.settings.Codec
 	header := codec.Header(&Attempt{
--- a/forward/bench_test.go
+++ b/forward/bench_test.go
@@ -15,10 +15,10 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// benchmarkServe serves requests of a path by one worker over loopback.
+// benchmarkServe measures requests for a path that one worker serves over loopback.
 func benchmarkServe(b *testing.B, path string, service granitehoist.Service, answer standin.WorkerAnswer) {
 	RegisterTestingT(b)
-	s := newSite()
+	s := newFixture()
 	w, err := standin.NewWorker("i-1", always(answer))
 	Expect(err).NotTo(HaveOccurred())
 	b.Cleanup(w.Close)
--- /dev/null
+++ b/forward/classify.go
@@ -0,0 +1,92 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package forward
+
+import (
+	"net/http"
+	"time"
+
+	"granitehoist.example/granitehoist"
+	"granitehoist.example/granitehoist/balance"
+)
+
+// responseClass is the meaning of a response head for its attempt.
+type responseClass int
+
+// The response classes.
+const (
+	// responseMissing: no response arrived.
+	responseMissing responseClass = iota
+	// responseRefused: the instance did not run the request.
+	responseRefused
+	// responseMisdirected: another instance, which did not run the request, has the address.
+	responseMisdirected
+	// responseBadRequest: the instance did not run the request because it is invalid.
+	responseBadRequest
+	// responseFailed: a 5xx response of the instance, which may be relayed.
+	responseFailed
+	// responseNotResumed: no continuation of a stream whose beginning the caller has.
+	responseNotResumed
+	// responseInvalid: a response that must not be relayed.
+	responseInvalid
+	// responseUsable: a response that is relayed.
+	responseUsable
+)
+
+// classifyHead returns the meaning of a response head from its status and what the Codec
+// read in it. started is set if the caller has a part of an earlier instance's stream,
+// which only a successful response can continue.
+func classifyHead(v Verdict, status int, started bool) responseClass {
+	switch {
+	case v.NotRun && v.Moved:
+		return responseMisdirected
+	case v.NotRun && v.Faulty:
+		return responseBadRequest
+	case v.NotRun:
+		return responseRefused
+	case started && status >= http.StatusMultipleChoices:
+		return responseNotResumed
+	case !v.Usable:
+		return responseInvalid
+	case status >= http.StatusInternalServerError:
+		return responseFailed
+	}
+	return responseUsable
+}
+
+// error returns the error of an attempt with this response, nil for a usable one.
+// retryAfter is the Retry-After of the instance, zero if it sent none.
+func (r responseClass) error(status int, retryAfter time.Duration) error {
+	switch r {
+	case responseRefused, responseMisdirected:
+		return instanceRefusal(retryAfter)
+	case responseBadRequest:
+		return granitehoist.Errorf(granitehoist.BadHeader, "the upstream rejected the request")
+	case responseNotResumed:
+		return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d instead of the rest of a stream", status)
+	case responseInvalid, responseFailed:
+		return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d", status)
+	case responseMissing, responseUsable:
+	}
+	return nil
+}
+
+// instanceResult returns the result of an attempt that is reported to the balancer. ended
+// is set if the caller disconnected or the request's timeout passed: the result is then
+// Unclear unless the response was complete or showed a failure or another instance.
+func instanceResult(r *attemptResult, ended bool) balance.Result {
+	switch {
+	case r.class == responseMisdirected:
+		return balance.Moved
+	case r.class == responseFailed:
+		return balance.Failed
+	case r.err == nil, r.class == responseBadRequest:
+		return balance.Good
+	case ended, granitehoist.CodeOf(r.err) == granitehoist.CallerGone:
+		return balance.Unclear
+	case r.class == responseRefused:
+		return balance.Refused
+	}
+	return balance.Broken
+}
--- a/forward/deferred.go
+++ b/forward/deferred.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	// deferredWaitPart of the route's latency target is how long a request waits when
-	// every upstream of its service rests or names a limit: a caller that is refused
-	// within a quarter of the target can still be served elsewhere in time.
-	deferredWaitPart = 0.2
-	// minEvidenceWait is how long a request waits at least for a router that has just
-	// started to get the evidence: most of them have it by then.
-	minEvidenceWait = 100 * time.Millisecond
-	// restSpread is the part of the time until an upstream's rest ends over which the
-	// callers that are refused for it are told to return, so that they do not all return
-	// in the moment in which it takes one request.
-	restSpread = 0.25
+	// deferredWaitFraction is the fraction of the route's latency target for which a request
+	// waits if all instances are backing off or at a rate limit. The remainder lets the
+	// caller retry elsewhere.
+	deferredWaitFraction = 0.2
+	// minCrashRecordsWait is the minimum time for which a request waits for the crash
+	// records after the router has started.
+	minCrashRecordsWait = 100 * time.Millisecond
+	// retryAfterJitter is the fraction of a backoff by which the Retry-After of refused
+	// callers is spread, so that they do not all return when the instance admits its
+	// first probe.
+	retryAfterJitter = 0.25
 )
 
-// deferredWait returns how long the request waits from its first choice on.
+// deferredWait returns the maximum time to wait for a deferred instance.
 func (a *activeRequest) deferredWait() time.Duration {
-	wait := time.Duration(deferredWaitPart * float64(a.admission.route.Target))
+	wait := time.Duration(deferredWaitFraction * float64(a.admission.route.Target))
 	return max(0, min(wait, a.timeLeft()-minRetryTime))
 }
 
-// awaitEvidence waits until the router, if it has just started, knows what the others know of
-// requests that crash upstreams: each start of a router ended one more of them. It waits as
-// long as for a deferred instance.
-func (a *activeRequest) awaitEvidence(ctx context.Context) error {
-	evidence := a.forwarder.settings.Evidence
-	if evidence == nil {
+// awaitCrashRecords waits until a router that has just started has the crash records of
+// the other routers. Without them it could send a request that is known to crash
+// instances.
+func (a *activeRequest) awaitCrashRecords(ctx context.Context) error {
+	ready := a.forwarder.settings.Evidence
+	if ready == nil {
 		return nil
 	}
-	return a.await(ctx, max(minEvidenceWait, a.deferredWait()), func(time.Time) (*obstacle, error) {
+	return a.waitUntilReady(ctx, max(minCrashRecordsWait, a.deferredWait()), func(time.Time) (*waitReason, error) {
 		select {
-		case <-evidence:
+		case <-ready:
 			return nil, nil
 		default:
-			return &obstacle{changed: evidence, refusal: func() error { return evidenceMissing.error(a.timeLeft()) }}, nil
+			return &waitReason{changed: ready, refusal: func() error { return crashRecordsMissing.error(a.timeLeft()) }}, nil
 		}
 	})
 }
 
-// pickOrWait chooses the instance of the next attempt. If all rest or name a limit it waits
-// for one, but not for one that can't take it in time: the error then has code Overloaded
-// and says when one may.
+// pickOrWait selects the instance for the next attempt. If all are backing off or at a
+// rate limit it waits for one. If none becomes available in time it returns at once an
+// error with code Overloaded and a Retry-After.
 func (a *activeRequest) pickOrWait(ctx context.Context) (*balance.Lease, error) {
 	settings := &a.forwarder.settings
 	query := a.query()
@@ -70,60 +70,61 @@
 	defer waiter.Close()
 	defer func() { a.progress.deferredFor += settings.Clock().Sub(started) }()
 	query.Waiting = true
-	err = a.await(ctx, query.MaxWait, func(now time.Time) (*obstacle, error) {
+	err = a.waitUntilReady(ctx, query.MaxWait, func(now time.Time) (*waitReason, error) {
 		changed := settings.Table.DeferredChanged()
-		var later error
-		lease, later = settings.Table.Pick(query, now)
-		deferral, deferred := balance.DeferralOf(later)
+		var pickErr error
+		lease, pickErr = settings.Table.Pick(query, now)
+		deferral, deferred := balance.DeferralOf(pickErr)
 		if !deferred {
-			return nil, later
+			return nil, pickErr
 		}
-		return &obstacle{left: deferral.Chance, changed: changed, refusal: func() error { return a.deferredRefusal(later) }}, nil
+		return &waitReason{left: deferral.Chance, changed: changed, refusal: func() error { return a.deferredRefusal(pickErr) }}, nil
 	})
 	return lease, err
 }
 
-// deferredRefusal returns the refusal of a request for which no instance takes it in time.
-// later is the error of Pick.
-func (a *activeRequest) deferredRefusal(later error) error {
-	deferral, _ := balance.DeferralOf(later)
+// deferredRefusal returns the error of a request that no instance accepts in time.
+// pickErr is the error of Pick.
+func (a *activeRequest) deferredRefusal(pickErr error) error {
+	deferral, _ := balance.DeferralOf(pickErr)
 	e := instancesDeferred.error(a.timeLeft())
-	e.Cause = later
+	e.Cause = pickErr
 	switch {
 	case deferral.Rest:
-		// Whoever returns before the rest ends is refused once more.
-		e.RetryAfter = spread(deferral.Chance, rand.Float64())
+		// A retry before the end of the backoff would be refused again.
+		e.RetryAfter = addJitter(deferral.Chance, rand.Float64())
 	case deferral.Chance > 0:
-		e.RetryAfter = withinTimeLeft(deferral.Chance, a.timeLeft())
+		e.RetryAfter = capRetryAfter(deferral.Chance, a.timeLeft())
 	}
 	return e
 }
 
-// spread returns a time from that of a chance on, up to restSpread of it later. draw is a
-// random number from 0 up to 1.
-func spread(chance time.Duration, draw float64) time.Duration {
-	return chance + time.Duration(restSpread*draw*float64(chance))
+// addJitter returns delay increased by up to retryAfterJitter of it. draw is a random
+// number in [0, 1).
+func addJitter(delay time.Duration, draw float64) time.Duration {
+	return delay + time.Duration(retryAfterJitter*draw*float64(delay))
 }
 
-// refusedForCaller returns the failure of a request that gets no further attempt. One that
-// the instances refused says when the caller may be served: the time that the last of them
-// named is only its own, while others may take a request sooner. One that reached none keeps
-// its error, by which the caller may return at once.
-func (a *activeRequest) refusedForCaller(failure error) error {
+// withEarliestRetryAfter returns the failure of a request that gets no further attempt.
+// If instances refused it, the Retry-After becomes the earliest time at which any
+// instance may accept a request, since that of the last instance may be later. Other
+// errors are returned unchanged; a request that reached no instance may be retried at
+// once.
+func (a *activeRequest) withEarliestRetryAfter(failure error) error {
 	var refused *granitehoist.Error
 	if !errors.As(failure, &refused) || refused.Code != granitehoist.UpstreamRefused || refused.RetryAfter == 0 {
 		return failure
 	}
 	query := a.query()
 	query.Tried = nil
-	chance, known := a.forwarder.settings.Table.NextChance(query, a.forwarder.settings.Clock())
+	delay, known := a.forwarder.settings.Table.NextChance(query, a.forwarder.settings.Clock())
 	if !known {
 		return failure
 	}
-	sooner := *refused
-	sooner.RetryAfter = refusalRules[refusedByInstance].retryAfter
-	if chance > 0 {
-		sooner.RetryAfter = spread(chance, rand.Float64())
+	adjusted := *refused
+	adjusted.RetryAfter = refusalRules[refusedByInstance].retryAfter
+	if delay > 0 {
+		adjusted.RetryAfter = addJitter(delay, rand.Float64())
 	}
-	return &sooner
+	return &adjusted
 }
--- a/forward/leaves_test.go
+++ b/forward/disconnect_test.go
@@ -15,66 +15,67 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// goneWithin is the time in which the users' pages want nothing to be sent or to run for
-// a caller that has left.
-const goneWithin = 500 * time.Millisecond
+// cancelTimeout is the time within which an attempt must end after its caller
+// disconnected.
+const cancelTimeout = 500 * time.Millisecond
 
-var _ = Describe("A caller that leaves", func() {
-	var s *site
+var _ = Describe("A caller that disconnects", func() {
+	var s *fixture
 	var sink *fakeSink
-	BeforeEach(func() { s, sink = newSite(), &fakeSink{} })
+	BeforeEach(func() { s, sink = newFixture(), &fakeSink{} })
 
-	// expectEnded serves a request whose caller leaves when left says so, and checks that
-	// it ends in time, and that no worker has a connection or gets a request afterwards.
-	expectEnded := func(path string, left func() bool) {
+	// expectCancelled serves a request whose caller disconnects when ready returns true.
+	// It asserts that the request ends in time and that no worker keeps a connection or
+	// receives another request.
+	expectCancelled := func(path string, ready func() bool) {
 		GinkgoHelper()
-		ctx, leave := context.WithCancel(context.Background())
-		leftAt := make(chan time.Time, 1)
+		ctx, disconnect := context.WithCancel(context.Background())
+		disconnectedAt := make(chan time.Time, 1)
 		go func() {
 			defer GinkgoRecover()
-			Eventually(left).WithPolling(time.Millisecond).Should(BeTrue())
-			leftAt <- time.Now()
-			leave()
+			Eventually(ready).WithPolling(time.Millisecond).Should(BeTrue())
+			disconnectedAt <- time.Now()
+			disconnect()
 		}()
 		_, err := s.forwarder.Serve(ctx, request(path), sink)
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.CallerGone))
-		Expect(time.Since(<-leftAt)).To(BeNumerically("<", goneWithin))
+		Expect(time.Since(<-disconnectedAt)).To(BeNumerically("<", cancelTimeout))
 		for _, w := range s.workers {
-			Eventually(w.Open, goneWithin).Should(BeZero())
+			Eventually(w.Open, cancelTimeout).Should(BeZero())
 		}
 		arrived := len(s.arrivals())
 		Consistently(func() int { return len(s.arrivals()) }, "100ms").Should(Equal(arrived))
 	}
 	arrived := func() bool { return len(s.arrivals()) > 0 }
 
-	It("before the first event ends the run", func() {
+	It("before the first event cancels the attempt", func() {
 		s.worker(model, "i-1", always(standin.WorkerAnswer{Silent: true}))
-		expectEnded("/stream/x", arrived)
+		expectCancelled("/stream/x", arrived)
 	})
 
-	It("within a stream ends the run", func() {
+	It("within a stream cancels the attempt", func() {
 		s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 1000, Gap: 10 * time.Millisecond}))
-		expectEnded("/stream/x", func() bool { return sink.text() != "" })
+		expectCancelled("/stream/x", func() bool { return sink.text() != "" })
 	})
 
-	It("within a stream that another worker goes on with ends that run", func() {
-		var asked atomic.Int64
+	It("within a resumed stream cancels the second attempt", func() {
+		var attempts atomic.Int64
 		answer := func(standin.Arrival) standin.WorkerAnswer {
-			if asked.Add(1) == 1 {
+			if attempts.Add(1) == 1 {
 				return standin.WorkerAnswer{Events: 1000, Cut: standin.Cut{Set: true, After: 3}}
 			}
 			return standin.WorkerAnswer{Events: 1000, Gap: 10 * time.Millisecond}
 		}
 		s.worker(model, "i-1", answer)
 		s.worker(model, "i-2", answer)
-		expectEnded("/resume/x", func() bool { return len(s.arrivals()) == 2 })
+		expectCancelled("/resume/x", func() bool { return len(s.arrivals()) == 2 })
 	})
 
-	It("between two attempts gets no second one", func() {
+	It("during the first attempt gets no second one", func() {
 		silent := always(standin.WorkerAnswer{Silent: true})
 		s.worker(desk, "i-1", silent)
 		s.worker(desk, "i-2", silent)
-		expectEnded("/safe/x", arrived)
+		expectCancelled("/safe/x", arrived)
 		Expect(s.arrivals()).To(HaveLen(1))
 	})
 })
--- a/forward/failures_test.go
+++ b/forward/failures_test.go
@@ -16,10 +16,10 @@
 )
 
 var _ = Describe("A request whose attempts fail", func() {
-	var s *site
-	BeforeEach(func() { s = newSite() })
+	var s *fixture
+	BeforeEach(func() { s = newFixture() })
 
-	// serveSafe serves a safe request and returns its sink.
+	// serveSafe serves a request of a safe route and returns its sink.
 	serveSafe := func() (*fakeSink, error) {
 		sink := &fakeSink{}
 		_, err := s.forwarder.Serve(context.Background(), request("/safe/x"), sink)
@@ -28,7 +28,7 @@
 	failing := standin.WorkerAnswer{Status: http.StatusInternalServerError, Body: "failed"}
 	refusing := standin.WorkerAnswer{Status: http.StatusServiceUnavailable, NotRun: true}
 
-	It("gets the second worker's failure if both fail, and no third attempt", func() {
+	It("gets the second worker's 5xx response if both fail, and no third attempt", func() {
 		for _, name := range []string{"i-1", "i-2", "i-3"} {
 			s.worker(desk, name, always(failing))
 		}
@@ -39,7 +39,7 @@
 		Expect(s.arrivals()).To(HaveLen(2))
 	})
 
-	It("is not said not to have run if the first worker failed and the second refused", func() {
+	It("is reported as possibly run if the first worker failed and the second refused", func() {
 		first := true
 		answer := func(standin.Arrival) standin.WorkerAnswer {
 			if first {
@@ -56,21 +56,21 @@
 		Expect(s.arrivals()).To(HaveLen(2))
 	})
 
-	It("gets the first worker's failure once the retry budget is spent", func() {
+	It("gets the first worker's 5xx response once the retry budget is empty", func() {
 		s.worker(desk, "i-1", always(failing))
 		s.worker(desk, "i-2", always(failing))
 		const requests = 40
-		began := time.Now()
+		started := time.Now()
 		for range requests {
 			sink, err := serveSafe()
 			Expect(err).NotTo(HaveOccurred())
 			Expect(sink.status).To(Equal(http.StatusInternalServerError))
 		}
-		// Half of the slack of 50, 0.6 of the ratio of 0.2 for each request, and
-		// the refill in the time that the requests took.
+		// The budget allows half of the slack of 50, 0.6 of the ratio of 0.2 per request,
+		// and the refill during the test.
 		retries := len(s.arrivals()) - requests
 		Expect(retries).To(BeNumerically(">=", 25))
-		Expect(float64(retries)).To(BeNumerically("<=", 25+0.12*requests+2.5*time.Since(began).Seconds()))
-		Expect(retries).To(BeNumerically("<", requests), "the budget was never spent")
+		Expect(float64(retries)).To(BeNumerically("<=", 25+0.12*requests+2.5*time.Since(started).Seconds()))
+		Expect(retries).To(BeNumerically("<", requests), "the retry budget was never empty")
 	})
 })
--- a/forward/fakes_test.go
+++ b/forward/fakes_test.go
@@ -34,7 +34,7 @@
 	prepaid = granitehoist.Tokens(100_000)
 )
 
-// fakeFunds pays whatever is asked, and keeps the books.
+// fakeFunds grants every reservation unless outcome is set, and totals the tokens.
 type fakeFunds struct {
 	mu       sync.Mutex
 	outcome  escrow.Outcome
@@ -44,32 +44,32 @@
 	reserving func()
 }
 
-func (f *fakeFunds) Reserve(_ context.Context, _ granitehoist.Workspace, bound granitehoist.Tokens, _ granitehoist.Priority) escrow.Answer {
+func (f *fakeFunds) Reserve(_ context.Context, _ granitehoist.Workspace, maxCost granitehoist.Tokens, _ granitehoist.Priority) escrow.Answer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.reserving != nil {
 		f.reserving()
 	}
 	if f.outcome == escrow.Granted {
-		f.reserved += bound
+		f.reserved += maxCost
 	}
 	return escrow.Answer{Outcome: f.outcome}
 }
 
-func (f *fakeFunds) Settle(_ granitehoist.Workspace, bound, used granitehoist.Tokens) {
+func (f *fakeFunds) Settle(_ granitehoist.Workspace, maxCost, used granitehoist.Tokens) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reserved -= bound
+	f.reserved -= maxCost
 	f.used += used
 }
 
-// fakeSink keeps an answer.
+// fakeSink records a response.
 type fakeSink struct {
-	mu     sync.Mutex
-	status int
-	header http.Header
-	body   strings.Builder
-	gone   bool
+	mu           sync.Mutex
+	status       int
+	header       http.Header
+	body         strings.Builder
+	disconnected bool
 }
 
 func (s *fakeSink) Start(status int, header http.Header) error {
@@ -79,13 +79,13 @@
 	return nil
 }
 
-func (s *fakeSink) Write(piece []byte) error {
+func (s *fakeSink) Write(part []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone {
-		return errors.New("gone")
+	if s.disconnected {
+		return errors.New("caller disconnected")
 	}
-	s.body.Write(piece)
+	s.body.Write(part)
 	return nil
 }
 
@@ -95,10 +95,10 @@
 	return s.body.String()
 }
 
-// site is a Forwarder before workers over real sockets.
-type site struct {
+// fixture is a Forwarder in front of workers with real sockets.
+type fixture struct {
 	forwarder *forward.Forwarder
-	// settings are the forwarder's.
+	// settings are those of forwarder.
 	settings forward.Settings
 	table    *balance.Table
 	funds    *fakeFunds
@@ -106,8 +106,8 @@
 	workers  []*standin.Worker
 }
 
-func newSite() *site {
-	s := &site{funds: &fakeFunds{}, current: &catalog.Current{}, table: balance.New(balance.Settings{Seed: 1})}
+func newFixture() *fixture {
+	s := &fixture{funds: &fakeFunds{}, current: &catalog.Current{}, table: balance.New(balance.Settings{Seed: 1})}
 	document := &catalog.Document{
 		Revision: 1,
 		Keyed:    true,
@@ -115,7 +115,7 @@
 			route("resume", "/resume/", catalog.Stream, model, 2, true),
 			route("stream", "/stream/", catalog.Stream, model, 1, false),
 			route("safe", "/safe/", catalog.Safe, desk, 2, false),
-			patientRoute(),
+			routeWithoutStallLimit(),
 			route("unsafe", "/unsafe/", catalog.Unsafe, desk, 1, false),
 		},
 		Services:   []catalog.Service{{Name: model, TokensPerEvent: tokens}, {Name: desk}},
@@ -133,8 +133,8 @@
 	return s
 }
 
-// suspects makes the forwarder anew, with a table of suspect requests.
-func (s *site) suspects(table *suspect.Table) {
+// useSuspects replaces the forwarder by one with a table of suspect requests.
+func (s *fixture) useSuspects(table *suspect.Table) {
 	s.settings.Suspects = table
 	s.forwarder = forward.New(s.settings)
 }
@@ -146,16 +146,17 @@
 	}
 }
 
-// patientRoute is a safe route on which no attempt gives way to another.
-func patientRoute() catalog.Route {
+// routeWithoutStallLimit returns a safe route without a latency target, on which a
+// stalled attempt is not cancelled.
+func routeWithoutStallLimit() catalog.Route {
 	r := route("patient", "/patient/", catalog.Safe, desk, 2, false)
 	r.Target = 0
 	r.Timeout = stepTimeout
 	return r
 }
 
-// worker adds a worker of a service.
-func (s *site) worker(service granitehoist.Service, instance string, answer func(standin.Arrival) standin.WorkerAnswer) *standin.Worker {
+// worker adds a worker that serves an instance of a service.
+func (s *fixture) worker(service granitehoist.Service, instance string, answer func(standin.Arrival) standin.WorkerAnswer) *standin.Worker {
 	w, err := standin.NewWorker(instance, answer)
 	Expect(err).NotTo(HaveOccurred())
 	DeferCleanup(w.Close)
@@ -164,8 +165,8 @@
 	return w
 }
 
-// arrivals returns all requests that reached workers.
-func (s *site) arrivals() []standin.Arrival {
+// arrivals returns all requests that reached a worker.
+func (s *fixture) arrivals() []standin.Arrival {
 	var all []standin.Arrival
 	for _, w := range s.workers {
 		all = append(all, w.Arrivals()...)
@@ -185,12 +186,12 @@
 	return r
 }
 
-// always returns the same answer to each request.
+// always returns a handler that gives the same answer to each request.
 func always(a standin.WorkerAnswer) func(standin.Arrival) standin.WorkerAnswer {
 	return func(standin.Arrival) standin.WorkerAnswer { return a }
 }
 
-// events returns the text of a whole stream.
+// events returns the body of a stream with count events.
 func events(count int) string {
 	var text strings.Builder
 	for n := 1; n <= count; n++ {
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -19,67 +19,64 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// Funds pays for requests from the prepaid tokens of their workspaces. It is
+// Funds reserves and settles the prepaid tokens of workspaces. Implementations must be
 // safe for concurrent use.
 type Funds interface {
-	// Reserve reserves bound tokens of a workspace. It waits for them until ctx ends.
-	Reserve(ctx context.Context, w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority) escrow.Answer
-	// Settle ends a granted reservation of bound tokens, of which used were used.
-	// It is called once for each, with used from 0 up to bound.
-	Settle(w granitehoist.Workspace, bound, used granitehoist.Tokens)
+	// Reserve reserves maxCost tokens of a workspace, waiting for them until ctx ends.
+	Reserve(ctx context.Context, w granitehoist.Workspace, maxCost granitehoist.Tokens, priority granitehoist.Priority) escrow.Answer
+	// Settle ends a granted reservation of maxCost tokens, of which used were spent, from
+	// 0 to maxCost. It is called once per granted reservation.
+	Settle(w granitehoist.Workspace, maxCost, used granitehoist.Tokens)
 }
 
-// Settings configure a Forwarder. Catalog, Funds, Table, Pool and Codec are
-// required.
+// Settings configure a Forwarder. Catalog, Funds, Table, Pool and Codec are required.
 type Settings struct {
 	// Catalog holds the configuration in force.
 	Catalog *catalog.Current
 	Funds   Funds
-	// Table chooses instances.
+	// Table selects instances.
 	Table *balance.Table
-	// Pool sends requests to them.
+	// Pool sends requests to instances.
 	Pool  *exchange.Pool
 	Codec Codec
-	// Suspects holds the evidence against requests that crash instances; nil means a table
-	// without a secret, which recognises no request.
+	// Suspects holds the records of requests that crash instances; nil means a table
+	// without a secret, which recognizes no request.
 	Suspects *suspect.Table
-	// Evidence is closed once Suspects has what the other routers know; nil means that it
-	// has. Until then a request waits, for a short time.
+	// Evidence is closed once Suspects has the records of the other routers; nil means
+	// that it has them. Until then requests wait for a short time.
 	Evidence <-chan struct{}
-	// Retry bounds the retries of the fleet. Its zero value allows each router
-	// one retry every 10 seconds for each service.
+	// Retry bounds the retries of the fleet. The zero value allows each router one retry
+	// per service every 10 seconds.
 	Retry RetrySettings
-	// Routers returns the number of routers that share the retries; nil stands
-	// for a single router.
+	// Routers returns the number of routers that share the retries; nil means one router.
 	Routers func() int
-	// Clock returns the present time; nil means time.Now.
+	// Clock returns the current time; nil means time.Now.
 	Clock granitehoist.Clock
-	// Deadlines ends requests whose time is over by Clock; nil means one that nobody
-	// checks, so that only their timers end them.
+	// Deadlines cancels requests whose deadline on Clock has passed; nil relies on timers
+	// alone.
 	Deadlines *boottime.Deadlines
-	// Log receives a line for each attempt and each request; nil drops them.
+	// Log receives one entry per attempt and per request; nil discards them.
 	Log *zap.Logger
-	// Ended, if set, receives a report of each request when it ends. It is called
-	// on the goroutine of the request.
+	// Ended, if set, receives a report of each request when it ends. It is called by the
+	// goroutine that called Serve.
 	Ended func(Report)
 }
 
 // Report is the result of a request, for metrics.
 type Report struct {
-	// Service and Workspace are empty if the request was refused before they
-	// were known, Workspace also on routes that need no key.
+	// Service and Workspace are empty if the request was refused before they were
+	// determined, Workspace also on routes that need no key.
 	Service   granitehoist.Service
 	Workspace granitehoist.Workspace
-	// Code is Served if the answer was passed on completely.
+	// Code is Served if the response was relayed completely.
 	Code granitehoist.Code
-	// Attempts counts the attempts at upstreams, also those that did not run.
+	// Attempts is the number of attempts, including those that did not run.
 	Attempts int
-	// Budget is the outcome of the reservation; Granted where there was none.
+	// Budget is the outcome of the reservation; Granted if none was needed.
 	Budget escrow.Outcome
 	// Took is the time from the arrival of the request to its end.
 	Took time.Duration
-	// First is the time from the arrival to the head of the answer, zero if none
-	// was passed on.
+	// First is the time from the arrival to the response head; zero if none was relayed.
 	First time.Duration
 }
 
@@ -91,10 +88,10 @@
 	stopped      atomic.Bool
 }
 
-// New returns a Forwarder. It panics if a needed setting is missing.
+// New returns a Forwarder. It panics if a required setting is missing.
 func New(s Settings) *Forwarder {
 	if s.Catalog == nil || s.Funds == nil || s.Table == nil || s.Pool == nil || s.Codec == nil {
-		panic("forward: a setting is missing")
+		panic("forward: Catalog, Funds, Table, Pool and Codec are required")
 	}
 	if s.Routers == nil {
 		s.Routers = func() int { return 1 }
@@ -120,14 +117,15 @@
 // Active returns the number of requests in progress.
 func (f *Forwarder) Active() int { return int(f.active.Load()) }
 
-// Stop makes the Forwarder refuse new requests for good. Those in progress go on.
+// Stop makes the Forwarder refuse new requests permanently. Requests in progress
+// continue.
 func (f *Forwarder) Stop() { f.stopped.Store(true) }
 
-// Serve serves a request until ctx ends, which is when the caller's connection
-// closes. A nil error means that the answer was passed to the sink completely.
-// Otherwise the error is a *granitehoist.Error, and started tells whether a part
-// of an answer was passed on. The frontend must not let that part look complete.
-// Serve uses the sink only until it returns.
+// Serve serves a request until it is complete or ctx ends; ctx must end when the caller
+// disconnects. A nil error means that the response was written to the sink completely.
+// Otherwise the error is a *granitehoist.Error, and started reports whether a part of a
+// response was written, which the frontend must not present as complete. Serve does not
+// use the sink after it has returned.
 func (f *Forwarder) Serve(ctx context.Context, r *Request, sink granitehoist.Sink) (started bool, err error) {
 	f.active.Add(1)
 	defer f.active.Add(-1)
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -17,19 +17,19 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-var _ = Describe("A request's path", func() {
-	var s *site
+var _ = Describe("Serve", func() {
+	var s *fixture
 	var sink *fakeSink
 	serve := func(path string) (bool, error) {
 		return s.forwarder.Serve(context.Background(), request(path), sink)
 	}
 	BeforeEach(func() {
-		s = newSite()
+		s = newFixture()
 		sink = &fakeSink{}
 	})
 
 	Describe("identification", func() {
-		It("refuses an unknown route, no key and a wrong key as not run", func() {
+		It("refuses an unknown route, a missing key and a wrong key", func() {
 			_, err := serve("/nowhere/x")
 			Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.NotFound))
 			r := request("/safe/x")
@@ -41,7 +41,7 @@
 			Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.WrongKey))
 		})
 
-		It("passes on what the caller sent, without its key, under the workspace's name", func() {
+		It("forwards the request without the key and with the name of the workspace", func() {
 			w := s.worker(desk, "i-1", always(standin.WorkerAnswer{Body: "berth 4"}))
 			r := request("/unsafe/x")
 			r.Target = "/unsafe/x?berth=4"
@@ -61,8 +61,8 @@
 		})
 	})
 
-	Describe("payment", func() {
-		It("charges the prompt and the events that were passed on", func() {
+	Describe("charging", func() {
+		It("charges the prompt and the relayed events", func() {
 			s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 4}))
 			_, err := serve("/stream/x")
 			Expect(err).NotTo(HaveOccurred())
@@ -78,7 +78,7 @@
 			Expect(s.funds.reserved).To(BeZero())
 		})
 
-		It("says when to come back if tokens can't be had here now, and sends nothing", func() {
+		It("refuses with a Retry-After and sends nothing if tokens are scarce", func() {
 			w := s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 1}))
 			s.funds.outcome = escrow.Scarce
 			_, err := serve("/stream/x")
@@ -89,7 +89,7 @@
 	})
 
 	Describe("streams", func() {
-		It("go on at another worker without a gap or a repeat", func() {
+		It("resume at another worker without lost or repeated events", func() {
 			s.worker(model, "i-1", func(a standin.Arrival) standin.WorkerAnswer {
 				return standin.WorkerAnswer{Events: 9, Cut: standin.Cut{Set: a.After == 0, After: 4, Within: true}}
 			})
@@ -102,7 +102,7 @@
 			Expect(s.arrivals()).To(HaveLen(2))
 		})
 
-		It("are not completed by a failure of the worker that should go on with them", func() {
+		It("are not completed by a 5xx response of the worker that should resume them", func() {
 			answer := func(a standin.Arrival) standin.WorkerAnswer {
 				if a.After > 0 {
 					return standin.WorkerAnswer{Status: 500, Body: "failed"}
@@ -126,14 +126,14 @@
 			Expect(s.arrivals()).To(HaveLen(1))
 		})
 
-		It("without a length that end within an event are not whole", func() {
+		It("that end within an event with the connection are truncated", func() {
 			s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 9, Unframed: true, Cut: standin.Cut{Set: true, After: 4, Within: true, Clean: true}}))
 			started, err := serve("/stream/x")
 			Expect(started).To(BeTrue())
 			Expect(err).To(HaveOccurred())
 		})
 
-		It("are moved from a worker that hangs before the first event", func() {
+		It("are retried elsewhere if the worker hangs before the first event", func() {
 			answer := func(a standin.Arrival) standin.WorkerAnswer {
 				return standin.WorkerAnswer{Events: 3, Silent: len(s.arrivals()) == 0 && a.Number == 1}
 			}
@@ -149,7 +149,7 @@
 	})
 
 	Describe("plain requests", func() {
-		It("are sent to a second worker if they are safe and the first failed", func() {
+		It("are retried at a second worker if they are safe and the first failed", func() {
 			first := true
 			answer := func(standin.Arrival) standin.WorkerAnswer {
 				if first {
@@ -167,7 +167,7 @@
 
 		It("are never sent twice if they are unsafe and may have run", func() {
 			for _, a := range []standin.WorkerAnswer{{Body: "berth", Cut: standin.Cut{Set: true, After: 2}}, {Crossed: true, Body: "x"}, {Body: "x", NoSeal: true}, {SurplusBefore: "nonsense\r\n\r\n"}, {Status: 503, Body: "no promise"}} {
-				s = newSite()
+				s = newFixture()
 				s.worker(desk, "i-1", always(a))
 				s.worker(desk, "i-2", always(a))
 				started, err := serve("/unsafe/x")
@@ -177,11 +177,11 @@
 			}
 		})
 
-		It("go to another worker if the first did not run them, even if they are unsafe", func() {
-			refuse := true
+		It("are retried at another worker if the first did not run them, even if they are unsafe", func() {
+			firstAttempt := true
 			answer := func(standin.Arrival) standin.WorkerAnswer {
-				if refuse {
-					refuse = false
+				if firstAttempt {
+					firstAttempt = false
 					return standin.WorkerAnswer{Status: 503, NotRun: true}
 				}
 				return standin.WorkerAnswer{Body: "berth"}
@@ -193,7 +193,7 @@
 			Expect(sink.text()).To(Equal("berth"))
 		})
 
-		It("get a worker's own failure unchanged if no attempt may follow", func() {
+		It("get the 5xx response of a worker unchanged if no attempt may follow", func() {
 			s.worker(desk, "i-1", always(standin.WorkerAnswer{Status: 500, Body: "failed"}))
 			_, err := serve("/unsafe/x")
 			Expect(err).NotTo(HaveOccurred())
@@ -201,7 +201,7 @@
 			Expect(sink.header.Get("Response-Seal")).NotTo(BeEmpty())
 		})
 
-		It("never get the answer of an earlier request that was sent twice", func() {
+		It("never get a duplicate response to an earlier request", func() {
 			surplus := "HTTP/1.1 200 OK\r\nAttempt-Id: r-0\r\nResponse-Seal: x\r\nContent-Length: 5\r\n\r\nwrong"
 			w := s.worker(desk, "i-1", func(a standin.Arrival) standin.WorkerAnswer {
 				if a.Number == 2 {
@@ -218,7 +218,7 @@
 			Expect(w.Arrivals()[0].Conn).To(Equal(w.Arrivals()[1].Conn))
 		})
 
-		It("do not use a connection on which something lies unread", func() {
+		It("do not use a connection with unread bytes", func() {
 			w := s.worker(desk, "i-1", always(standin.WorkerAnswer{Body: "whole", SurplusAfter: "HTTP/1.1 200 OK\r\n"}))
 			for range 2 {
 				_, err := serve("/safe/x")
@@ -228,7 +228,7 @@
 			Expect(w.Arrivals()[0].Conn).NotTo(Equal(w.Arrivals()[1].Conn))
 		})
 
-		It("do not use a connection whose last request was answered before it was read", func() {
+		It("do not use a connection whose last response preceded the end of its request", func() {
 			w := s.worker(desk, "i-1", func(a standin.Arrival) standin.WorkerAnswer {
 				return standin.WorkerAnswer{Body: "early", Early: a.Number == 1}
 			})
@@ -243,12 +243,12 @@
 		})
 	})
 
-	It("ends a worker's connection at once when the caller leaves", func() {
+	It("closes the connection to the worker at once when the caller disconnects", func() {
 		w := s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 1000, Gap: 20 * time.Millisecond}))
-		ctx, leave := context.WithCancel(context.Background())
+		ctx, disconnect := context.WithCancel(context.Background())
 		go func() {
 			Eventually(w.Arrivals).Should(HaveLen(1))
-			leave()
+			disconnect()
 		}()
 		_, err := s.forwarder.Serve(ctx, request("/resume/x"), sink)
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.CallerGone))
@@ -256,10 +256,10 @@
 		Expect(w.Arrivals()).To(HaveLen(1))
 	})
 
-	It("makes no attempt for a caller that leaves while it waits for tokens, and returns them", func() {
+	It("makes no attempt and releases the tokens if the caller disconnects while it waits for them", func() {
 		w := s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 3}))
-		ctx, leave := context.WithCancel(context.Background())
-		s.funds.reserving = leave
+		ctx, disconnect := context.WithCancel(context.Background())
+		s.funds.reserving = disconnect
 		_, err := s.forwarder.Serve(ctx, request("/resume/x"), sink)
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.CallerGone))
 		Consistently(w.Arrivals, "100ms").Should(BeEmpty())
@@ -267,13 +267,13 @@
 		Expect(s.funds.used).To(BeZero())
 	})
 
-	It("gives a final answer at the route's timeout", func() {
+	It("returns an error at the timeout of the request", func() {
 		s.worker(desk, "i-1", always(standin.WorkerAnswer{Silent: true}))
 		r := request("/unsafe/x")
 		r.Timeout = 200 * time.Millisecond
-		began := time.Now()
+		start := time.Now()
 		_, err := s.forwarder.Serve(context.Background(), r, sink)
 		Expect(granitehoist.CodeOf(err).Info().Fate).To(Equal(granitehoist.MayHaveRun))
-		Expect(time.Since(began)).To(BeNumerically("<", 3*time.Second))
+		Expect(time.Since(start)).To(BeNumerically("<", 3*time.Second))
 	})
 })
--- a/forward/identify.go
+++ b/forward/identify.go
@@ -7,16 +7,13 @@
 	"granitehoist.example/granitehoist/catalog"
 )
 
-// identify decides by which route, for which workspace, at which service and
-// until when a request is served, or why it is not. It reads the configuration
-// in force (nil before the first one has come), which may be some seconds old;
-// the request; whether this router is stopping; and draw, a random number from 0
-// up to 1 that chooses among the services of a split route.
+// identify determines the route, workspace, service, priority and deadline of a request,
+// or why it is refused; the fields decided before a refusal are set. s is nil before the
+// first configuration has arrived. draw is a random number in [0, 1) that selects among
+// the services of a split route.
 //
-// A stopping router still reports a wrong path or key, since every other box
-// would refuse the request for it too. The priority of a workspace takes
-// precedence over that of its route. For a refused request the fields are set that
-// were decided before the refusal.
+// A stopping router still reports an unknown route or key, since every other box would
+// refuse the request as well. The priority of a workspace overrides that of its route.
 func identify(s *catalog.Snapshot, r *Request, stopping bool, draw float64) (admission, refusal) {
 	if s == nil {
 		return admission{}, configurationMissing
@@ -43,6 +40,6 @@
 	if a.workspace != nil && a.workspace.HasPriority {
 		a.priority = a.workspace.Priority
 	}
-	a.deadline = r.Arrived.Add(timeoutOf(a.route.Timeout, r.Timeout))
+	a.deadline = r.Arrived.Add(effectiveTimeout(a.route.Timeout, r.Timeout))
 	return a, noRefusal
 }
--- a/forward/identify_test.go
+++ b/forward/identify_test.go
@@ -13,11 +13,11 @@
 	"granitehoist.example/granitehoist/catalog"
 )
 
-// arrived is when the requests of these tests arrived.
+// arrived is the arrival time of the requests.
 var arrived = time.Unix(1_000_000, 0)
 
-// exampleSnapshot returns a configuration with a route that needs a key, one
-// that does not, and one whose second service is missing.
+// exampleSnapshot returns a configuration with a route that needs a key, one that needs
+// none, and one of whose two services is missing.
 func exampleSnapshot() *catalog.Snapshot {
 	ginkgo.GinkgoHelper()
 	share := func(s granitehoist.Service) catalog.Share { return catalog.Share{Service: s, Weight: 1} }
@@ -47,21 +47,21 @@
 		ginkgo.Entry("an unknown route", "/none/", "plain-key", false, 0.0, routeUnknown),
 		ginkgo.Entry("no key", "/keyed/x", "", false, 0.0, keyMissing),
 		ginkgo.Entry("an unknown key", "/keyed/x", "wrong", false, 0.0, keyUnknown),
-		ginkgo.Entry("an unknown key also while stopping", "/keyed/x", "wrong", true, 0.0, keyUnknown),
-		ginkgo.Entry("a good request while stopping", "/keyed/x", "plain-key", true, 0.0, routerStopping),
+		ginkgo.Entry("an unknown key, also while stopping", "/keyed/x", "wrong", true, 0.0, keyUnknown),
+		ginkgo.Entry("a valid request while stopping", "/keyed/x", "plain-key", true, 0.0, routerStopping),
 		ginkgo.Entry("a request whose service is missing", "/split/x", "", false, 0.9, serviceMissing),
-		ginkgo.Entry("nothing where the split leads to the other service", "/split/x", "", false, 0.1, noRefusal),
+		ginkgo.Entry("nothing if the split selects the other service", "/split/x", "", false, 0.1, noRefusal),
 		ginkgo.Entry("nothing on an anonymous route", "/open/x", "", false, 0.0, noRefusal),
-		ginkgo.Entry("nothing with a key", "/keyed/x", "plain-key", false, 0.0, noRefusal),
+		ginkgo.Entry("nothing with a valid key", "/keyed/x", "plain-key", false, 0.0, noRefusal),
 	)
 
-	ginkgo.It("refuses everything without a configuration", func() {
+	ginkgo.It("refuses every request without a configuration", func() {
 		got, refused := identify(nil, &Request{}, false, 0)
 		Expect(got).To(Equal(admission{}))
 		Expect(refused).To(Equal(configurationMissing))
 	})
 
-	ginkgo.DescribeTable("decides",
+	ginkgo.DescribeTable("determines",
 		func(path, key string, workspace granitehoist.Workspace, priority granitehoist.Priority, timeout time.Duration) {
 			r := &Request{Host: "h", Path: path, Key: key, Arrived: arrived, Timeout: 8 * time.Second}
 			got, refused := identify(exampleSnapshot(), r, false, 0)
@@ -77,7 +77,7 @@
 			Expect(got.workspace.Name).To(Equal(workspace))
 		},
 		ginkgo.Entry("the route's priority and timeout", "/keyed/x", "plain-key", granitehoist.Workspace("plain"), granitehoist.Priority(3), 5*time.Second),
-		ginkgo.Entry("the workspace's priority where it has one", "/keyed/x", "urgent-key", granitehoist.Workspace("urgent"), granitehoist.Priority(7), 5*time.Second),
+		ginkgo.Entry("the workspace's priority if it has one", "/keyed/x", "urgent-key", granitehoist.Workspace("urgent"), granitehoist.Priority(7), 5*time.Second),
 		ginkgo.Entry("no workspace on an anonymous route, and the caller's timeout", "/open/x", "urgent-key", granitehoist.Workspace(""), granitehoist.Priority(3), 8*time.Second),
 	)
 })
--- a/forward/log.go
+++ b/forward/log.go
@@ -19,7 +19,7 @@
 	fields := []zap.Field{
 		zap.String("request", string(a.request.ID)),
 		zap.Int("code", int(report.Code)),
-		zap.String("fate", string(requestFate(err, a.progress.runs))),
+		zap.String("fate", string(requestExecution(err, a.progress.runs))),
 		zap.String("service", string(report.Service)),
 		zap.String("workspace", string(report.Workspace)),
 		zap.Int("attempts", a.progress.attempts),
@@ -31,17 +31,17 @@
 	if a.admission.route != nil {
 		fields = append(fields, zap.String("route", string(a.admission.route.Name)))
 	}
-	if a.admission.bound > 0 {
+	if a.admission.maxCost > 0 {
 		fields = append(fields, a.budgetFields()...)
 	}
 	if a.progress.deferredFor > 0 {
 		fields = append(fields, zap.Duration("permit_wait", a.progress.deferredFor))
 	}
-	if ofScope := a.progress.suspicion.ofScope; ofScope.Refused {
-		fields = append(fields, zap.Int("scope_round", ofScope.Round), zap.Duration("scope_left", ofScope.Left))
+	if scope := a.progress.suspectStatus.scopeVerdict; scope.Refused {
+		fields = append(fields, zap.Int("scope_round", scope.Round), zap.Duration("scope_left", scope.Left))
 	}
-	if a.progress.suspicion.verdict.Round > 0 {
-		fields = append(fields, a.suspicionFields()...)
+	if a.progress.suspectStatus.verdict.Round > 0 {
+		fields = append(fields, a.suspectFields()...)
 	}
 	var e *granitehoist.Error
 	if errors.As(err, &e) {
@@ -50,25 +50,25 @@
 	a.forwarder.settings.Log.Info(event.Request, fields...)
 }
 
-// suspicionFields returns the evidence against the request when it was last looked up.
-// "digest" is the same whenever the same request arrives, whatever its id.
-func (a *activeRequest) suspicionFields() []zap.Field {
+// suspectFields returns the crash records of the request as of the latest lookup.
+// "digest" identifies the content of a request, whatever its id.
+func (a *activeRequest) suspectFields() []zap.Field {
 	return []zap.Field{
-		zap.Stringer("digest", a.progress.suspicion.digest),
-		zap.Int("round", a.progress.suspicion.verdict.Round),
-		zap.Int("early", a.progress.suspicion.verdict.Early),
-		zap.Int("crashes", a.progress.suspicion.verdict.Crashes),
-		zap.Duration("left", a.progress.suspicion.verdict.Left),
+		zap.Stringer("digest", a.progress.suspectStatus.digest),
+		zap.Int("round", a.progress.suspectStatus.verdict.Round),
+		zap.Int("early", a.progress.suspectStatus.verdict.Early),
+		zap.Int("crashes", a.progress.suspectStatus.verdict.Crashes),
+		zap.Duration("left", a.progress.suspectStatus.verdict.Left),
 	}
 }
 
-// budgetFields returns what was reserved and charged, and the state of the budget
-// on this box when the tokens were reserved. "bound" and "used" are the reserved
-// and the charged tokens, "rest" what the store's record had left.
+// budgetFields returns the reserved ("bound") and the charged ("used") tokens, and the
+// state of the budget on this box at the time of the reservation. "rest" is the remaining
+// balance in the store.
 func (a *activeRequest) budgetFields() []zap.Field {
 	budget := a.progress.budget
 	return []zap.Field{
-		zap.Int64("bound", int64(a.admission.bound)),
+		zap.Int64("bound", int64(a.admission.maxCost)),
 		zap.Int64("used", int64(a.progress.charged)),
 		zap.String("budget", budget.Outcome.String()),
 		zap.Int64("free", int64(budget.Free)),
@@ -78,23 +78,24 @@
 	}
 }
 
-// saidFields returns what an answer says of its upstream, each field only if it says so.
-func saidFields(said balance.Statement) []zap.Field {
+// statementFields returns what a response states about its instance, without fields that
+// it does not state.
+func statementFields(s balance.Statement) []zap.Field {
 	var fields []zap.Field
-	if said.Rate.Stated() {
-		fields = append(fields, zap.Stringer("limit", said.Rate))
+	if s.Rate.Stated() {
+		fields = append(fields, zap.Stringer("limit", s.Rate))
 	}
-	if said.Leaving {
+	if s.Leaving {
 		fields = append(fields, zap.Bool("leaving", true))
 	}
-	if said.Rest > 0 {
-		fields = append(fields, zap.Duration("rest", said.Rest))
+	if s.Rest > 0 {
+		fields = append(fields, zap.Duration("rest", s.Rest))
 	}
 	return fields
 }
 
-// logAttempt logs an attempt. took is the time from before it was sent to its end.
-// "crashed" says that the upstream crashed under it.
+// logAttempt logs an attempt. took is its duration, from before the request was sent.
+// "crashed" is logged if the upstream crashed during the attempt.
 func (a *activeRequest) logAttempt(l *balance.Lease, result *attemptResult, took time.Duration) {
 	fields := []zap.Field{
 		zap.String("request", string(a.request.ID)),
@@ -113,7 +114,7 @@
 	if result.err != nil {
 		fields = append(fields, zap.Error(result.err))
 	}
-	fields = append(fields, saidFields(result.said)...)
+	fields = append(fields, statementFields(result.statement)...)
 	if result.crashed {
 		fields = append(fields, zap.Bool("crashed", true))
 	}
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -11,159 +11,150 @@
 	"granitehoist.example/granitehoist/escrow"
 )
 
-// refusal is a reason for which the router answers a request itself. No
-// attempt has run then.
+// refusal is a reason for which the router rejects a request that no upstream has run.
 type refusal int
 
-// The reasons, in the order in which they are checked.
+// The refusals, in the order in which they are checked.
 const (
 	noRefusal refusal = iota
 	// configurationMissing: the router has no configuration yet.
 	configurationMissing
-	// evidenceMissing: the router has just started and can't tell yet which requests crash
-	// upstreams.
-	evidenceMissing
-	// routeUnknown: no route has the request's host and path.
+	// crashRecordsMissing: the router has just started and does not have the crash records
+	// of the other routers yet.
+	crashRecordsMissing
+	// routeUnknown: no route matches the host and path.
 	routeUnknown
-	// keyMissing: the route needs a key and the caller gave none.
+	// keyMissing: the route needs a key and the request has none.
 	keyMissing
-	// keyUnknown: no workspace has the caller's key.
+	// keyUnknown: no workspace has the key.
 	keyUnknown
-	// routerStopping: the router takes no new requests.
+	// routerStopping: the router is shutting down.
 	routerStopping
-	// serviceMissing: the configuration lacks the service of the route.
+	// serviceMissing: the configuration does not define the service of the route.
 	serviceMissing
-	// largerThanBudget: the request can cost more than the prepaid total.
+	// largerThanBudget: the maximum cost exceeds the prepaid total.
 	largerThanBudget
-	// budgetSpent: the budget is spent.
-	budgetSpent
-	// budgetScarce: the store has no tokens left, but other boxes hold some.
+	// budgetExhausted: all prepaid tokens are spent.
+	budgetExhausted
+	// budgetScarce: the store has no tokens left, but other boxes have reserved some.
 	budgetScarce
-	// budgetWithheld: the remaining budget is kept for smaller requests.
+	// budgetWithheld: the remaining tokens are set aside for smaller requests.
 	budgetWithheld
-	// storeSilent: the box has too few tokens and the store does not answer.
-	storeSilent
-	// noInstance: the service has no instance that takes requests.
+	// storeUnresponsive: the box has too few tokens and the store does not respond.
+	storeUnresponsive
+	// noInstance: the service has no instance that accepts requests.
 	noInstance
-	// instancesDeferred: all instances rest or name a limit, and none takes the request in
-	// time.
+	// instancesDeferred: all instances are backing off or at a rate limit, and none accepts
+	// the request in time.
 	instancesDeferred
-	// refusedByInstance: the instances that got an attempt did not run the request.
+	// refusedByInstance: the instances to which it was sent did not run the request.
 	refusedByInstance
 )
 
-// Retry-After of the refusals: when a new attempt of the caller may succeed.
+// Retry-After of the refusals: the time after which a retry by the caller may succeed.
 const (
-	// notReadyRetry is the time in which a starting router usually gets its configuration.
+	// notReadyRetry is the usual time until a starting router has its configuration.
 	notReadyRetry = 500 * time.Millisecond
-	// evidenceRetry is the time in which a starting router usually gets the evidence of
-	// the others.
-	evidenceRetry = 100 * time.Millisecond
-	// drainingRetry is short because another box can serve the caller at once.
+	// crashRecordsRetry is the usual time until a starting router has the crash records.
+	crashRecordsRetry = 100 * time.Millisecond
+	// drainingRetry is short, since another box can serve the request at once.
 	drainingRetry = 50 * time.Millisecond
-	// noInstanceRetry is the time in which a new instance may be announced.
+	// noInstanceRetry is the usual time until a replacement instance is announced.
 	noInstanceRetry = 500 * time.Millisecond
-	// deferredRetry is the time in which a deferred instance may take a request where
-	// nothing says when.
+	// deferredRetry is the wait for a deferred instance that stated no time.
 	deferredRetry = 300 * time.Millisecond
-	// scarceRetry is the time in which other boxes return tokens that they
-	// don't need. Commit 7a995c8 raised it from 700 ms and measured it only
-	// together with the two below; the value itself is chosen.
+	// scarceRetry is the time within which other boxes return reserved tokens that they
+	// don't need.
 	scarceRetry = 900 * time.Millisecond
-	// unreachableRetry is the time after which a silent store may answer: its
-	// outages last for some seconds. Measured in commit 7a995c8 together with
-	// exhaustedRetry: callers with a Retry-After of 700 ms were refused again and
-	// lost their one retry; score of a Tuul site 0.815 to 0.861, of a Lima site
-	// 0.955 to 0.949, which is noise. No other value was tried.
+	// unreachableRetry covers an outage of the store of some seconds, so that callers
+	// which retry only once do not do so during it.
 	unreachableRetry = 4500 * time.Millisecond
-	// exhaustedRetry is the time in which a spent budget may be raised or small
-	// requests may leave some tokens. Measured with unreachableRetry.
+	// exhaustedRetry is the time within which an exhausted budget may be raised or
+	// reserved tokens may be returned.
 	exhaustedRetry = 5 * time.Second
-	// instanceRefusedRetry is the time in which instances that were full may have room,
-	// where the instance itself states none.
+	// instanceRefusedRetry is the wait for an instance that is at capacity and sent no
+	// Retry-After.
 	instanceRefusedRetry = 300 * time.Millisecond
 )
 
 const (
-	// maxRetryAfterPart of the time that a caller has left is the longest
-	// Retry-After for want of tokens: the users' pages say that callers wait up
-	// to a third of it.
-	maxRetryAfterPart = 0.3
-	// minRetryAfter is the shortest Retry-After that maxRetryAfterPart leads to.
+	// maxRetryAfterFraction is the maximum Retry-After for budgets and overload, as a
+	// fraction of the request's remaining timeout, which leaves time for the retry.
+	maxRetryAfterFraction = 0.3
+	// minRetryAfter is the minimum Retry-After under maxRetryAfterFraction.
 	minRetryAfter = 50 * time.Millisecond
 )
 
-// refusalRule is the answer to a refused request.
+// refusalRule is the response to a refused request.
 type refusalRule struct {
 	code granitehoist.Code
-	// retryAfter is zero where a new attempt can't succeed.
+	// retryAfter is zero if a retry can't succeed.
 	retryAfter time.Duration
-	// withinTimeLeft shortens retryAfter to what the caller can wait and still
-	// be served.
-	withinTimeLeft bool
+	// capToTimeLeft limits retryAfter by capRetryAfter.
+	capToTimeLeft bool
 }
 
-// refusalRules has a line for each reason.
+// refusalRules is indexed by refusal.
 var refusalRules = [...]refusalRule{
 	configurationMissing: {code: granitehoist.NotReady, retryAfter: notReadyRetry},
-	evidenceMissing:      {code: granitehoist.NotReady, retryAfter: evidenceRetry},
+	crashRecordsMissing:  {code: granitehoist.NotReady, retryAfter: crashRecordsRetry},
 	routeUnknown:         {code: granitehoist.NotFound},
 	keyMissing:           {code: granitehoist.MissingKey},
 	keyUnknown:           {code: granitehoist.WrongKey},
 	routerStopping:       {code: granitehoist.Draining, retryAfter: drainingRetry},
 	serviceMissing:       {code: granitehoist.NoUpstream, retryAfter: noInstanceRetry},
 	largerThanBudget:     {code: granitehoist.BudgetExhausted},
-	budgetSpent:          {code: granitehoist.BudgetExhausted, retryAfter: exhaustedRetry, withinTimeLeft: true},
-	budgetScarce:         {code: granitehoist.BudgetUnreachable, retryAfter: scarceRetry, withinTimeLeft: true},
-	budgetWithheld:       {code: granitehoist.BudgetUnreachable, retryAfter: exhaustedRetry, withinTimeLeft: true},
-	storeSilent:          {code: granitehoist.BudgetUnreachable, retryAfter: unreachableRetry, withinTimeLeft: true},
+	budgetExhausted:      {code: granitehoist.BudgetExhausted, retryAfter: exhaustedRetry, capToTimeLeft: true},
+	budgetScarce:         {code: granitehoist.BudgetUnreachable, retryAfter: scarceRetry, capToTimeLeft: true},
+	budgetWithheld:       {code: granitehoist.BudgetUnreachable, retryAfter: exhaustedRetry, capToTimeLeft: true},
+	storeUnresponsive:    {code: granitehoist.BudgetUnreachable, retryAfter: unreachableRetry, capToTimeLeft: true},
 	noInstance:           {code: granitehoist.NoUpstream, retryAfter: noInstanceRetry},
-	instancesDeferred:    {code: granitehoist.Overloaded, retryAfter: deferredRetry, withinTimeLeft: true},
+	instancesDeferred:    {code: granitehoist.Overloaded, retryAfter: deferredRetry, capToTimeLeft: true},
 	refusedByInstance:    {code: granitehoist.UpstreamRefused, retryAfter: instanceRefusedRetry},
 }
 
-// error decides the answer to a refused request: the code and the Retry-After
-// of refusalRules. timeLeft is what remains of the request's timeout now. It
-// panics for noRefusal.
+// error returns the error of a refused request, with the code and the Retry-After of
+// refusalRules. timeLeft is the remaining timeout of the request. error panics for
+// noRefusal.
 func (r refusal) error(timeLeft time.Duration) *granitehoist.Error {
 	if r == noRefusal {
-		panic("forward: error of a request that was not refused")
+		panic("forward: error called on noRefusal")
 	}
 	rule := refusalRules[r]
 	e := granitehoist.Errorf(rule.code, "")
 	e.RetryAfter = rule.retryAfter
-	if rule.withinTimeLeft {
-		e.RetryAfter = withinTimeLeft(rule.retryAfter, timeLeft)
+	if rule.capToTimeLeft {
+		e.RetryAfter = capRetryAfter(rule.retryAfter, timeLeft)
 	}
 	return e
 }
 
-// withinTimeLeft shortens a Retry-After to what the caller can wait and still be served.
-func withinTimeLeft(retryAfter, timeLeft time.Duration) time.Duration {
-	longest := time.Duration(maxRetryAfterPart * float64(timeLeft))
+// capRetryAfter limits a Retry-After so that the caller can wait and still be served
+// within timeLeft.
+func capRetryAfter(retryAfter, timeLeft time.Duration) time.Duration {
+	longest := time.Duration(maxRetryAfterFraction * float64(timeLeft))
 	return max(minRetryAfter, min(retryAfter, longest))
 }
 
-// budgetRefusal returns the refusal that a reservation's outcome leads to,
-// noRefusal for a granted one.
+// budgetRefusal returns the refusal for the outcome of a reservation, noRefusal if it was
+// granted.
 func budgetRefusal(o escrow.Outcome) refusal {
 	switch o {
 	case escrow.Exhausted:
-		return budgetSpent
+		return budgetExhausted
 	case escrow.Scarce:
 		return budgetScarce
 	case escrow.Withheld:
 		return budgetWithheld
 	case escrow.Unreachable:
-		return storeSilent
+		return storeUnresponsive
 	case escrow.Granted:
 	}
 	return noRefusal
 }
 
-// instanceRefusal returns the error after an instance did not run a request.
-// stated is the Retry-After of the instance, which knows best; zero if it
-// stated none.
+// instanceRefusal returns the error for a request that an instance did not run. stated is
+// the Retry-After of the instance, zero if it sent none.
 func instanceRefusal(stated time.Duration) *granitehoist.Error {
 	e := refusedByInstance.error(0)
 	if stated > 0 {
@@ -172,15 +163,14 @@
 	return e
 }
 
-// withRetryAfter returns the error of balance.Table.Pick, which found no instance,
-// with the Retry-After of noInstance if the error has none of its own. The table
-// sets none.
+// withRetryAfter returns an error of balance.Table.Pick, with the Retry-After of
+// noInstance if it has none.
 func withRetryAfter(err error) error {
 	var e *granitehoist.Error
 	if !errors.As(err, &e) || e.RetryAfter > 0 {
 		return err
 	}
-	completed := *e
-	completed.RetryAfter = refusalRules[noInstance].retryAfter
-	return &completed
+	withDefault := *e
+	withDefault.RetryAfter = refusalRules[noInstance].retryAfter
+	return &withDefault
 }
--- a/forward/request.go
+++ b/forward/request.go
@@ -12,98 +12,95 @@
 	"granitehoist.example/granitehoist/catalog"
 )
 
-// Request is a caller's request, translated by a frontend. A Forwarder does not
-// change it.
+// Request is a caller's request, translated by a frontend. A Forwarder does not modify
+// it.
 type Request struct {
-	// ID is the caller's own id of the request.
+	// ID is the request id assigned by the caller.
 	ID granitehoist.RequestID
-	// Host and Path choose the route. Host may name a port.
+	// Host and Path select the route. Host may include a port.
 	Host   string
 	Method string
 	Path   string
-	// Target is the path and query as they are passed on.
+	// Target is the request target sent upstream: the escaped path and query.
 	Target string
 	Header http.Header
 	// Body is the complete body.
 	Body []byte
-	// Key is the caller's key, empty if it gave none.
+	// Key is the caller's key, empty if the request has none.
 	Key string
-	// Arrived is when the head of the request had arrived.
+	// Arrived is when the request head was received.
 	Arrived time.Time
-	// Timeout is how long the caller waits from Arrived on; zero if it states
-	// nothing.
+	// Timeout is how long the caller waits, from Arrived on; zero if it states none.
 	Timeout time.Duration
-	// Cost is the most that the request can cost; nil for requests without
-	// tokens.
+	// Cost is the maximum cost; nil for requests that use no tokens.
 	Cost *Cost
-	// PrefixParts are the ids of the parts of the prompt that other requests
-	// share, in order, and PrefixTokens is their length together.
+	// PrefixParts are the ids of the parts of the prompt that may be shared with other
+	// requests, in order. PrefixTokens is their total length.
 	PrefixParts  []string
 	PrefixTokens granitehoist.Tokens
-	// LastEventID is the id of the last event of the stream that the caller
-	// already has; zero if it has none.
+	// LastEventID is the id of the last event of the stream that the caller has; zero if
+	// it has none.
 	LastEventID int64
 }
 
-// Cost is the most that a request can cost, in tokens.
+// Cost is the maximum cost of a request, in tokens.
 type Cost struct {
 	Prompt granitehoist.Tokens
 	Output granitehoist.Tokens
 }
 
-// Bound returns the most that the request can cost.
+// Bound returns the sum of prompt and output tokens.
 func (c *Cost) Bound() granitehoist.Tokens { return c.Prompt + c.Output }
 
-// Attempt is one attempt of a request, as a Codec needs it to write the header.
+// Attempt holds the input of Codec.Header for one attempt.
 type Attempt struct {
 	Request *Request
 	Route   *catalog.Route
-	// Workspace is nil on routes that need no key.
+	// Workspace is nil for routes that need no key.
 	Workspace *catalog.Workspace
 	Priority  granitehoist.Priority
-	// Keyed says that keys identify callers and must not be passed on.
+	// Keyed is set if keys identify callers; they must not be sent to upstreams.
 	Keyed bool
-	// Instance is the only upstream that may run the attempt.
+	// Instance is the upstream that must run the attempt; no other may.
 	Instance granitehoist.Upstream
-	// Remaining is the time until the request's timeout.
+	// Remaining is the remaining timeout of the request.
 	Remaining time.Duration
-	// LastEventID is the id of the event after which the stream continues; zero
-	// for its start.
+	// LastEventID is the id of the event after which the stream resumes; zero for its
+	// start.
 	LastEventID int64
 }
 
-// ResponseHead is the beginning of an upstream's answer, as a Codec reads it.
+// ResponseHead is the status and the header of an upstream's response.
 type ResponseHead struct {
 	Status int
 	Header http.Header
 }
 
-// Verdict is what a Codec reads in the head of an answer.
+// Verdict is what a Codec reads in the head of a response.
 type Verdict struct {
-	// NotRun says that the upstream did not run the request and never will.
+	// NotRun is set if the upstream did not run the request and never will.
 	NotRun bool
-	// Moved says that another instance has the address. It also sets NotRun.
+	// Moved is set if another instance has the address. It implies NotRun.
 	Moved bool
-	// Faulty says that the upstream did not run the request for what the request
-	// itself states, so that no other would run it either. It also sets NotRun.
+	// Faulty is set if the upstream rejected the request as invalid, so that no other
+	// upstream would run it either. It implies NotRun.
 	Faulty bool
-	// Usable says that the answer is the upstream's own and may be passed on.
+	// Usable is set if the response is authentic and may be relayed.
 	Usable bool
-	// RetryAfter is how long the upstream asks callers to wait; zero if it states
-	// nothing.
+	// RetryAfter is the Retry-After of the response; zero if it has none.
 	RetryAfter time.Duration
-	// Said is what the answer says of the upstream itself.
+	// Said is what the response states about the upstream itself.
 	Said balance.Statement
 }
 
-// Codec translates between requests and the protocol of upstreams. It is safe
-// for concurrent use.
+// Codec translates between requests and the protocol of upstreams. Implementations must
+// be safe for concurrent use.
 type Codec interface {
-	// Header returns the header of an attempt. It does not change the request's.
+	// Header returns the header of an attempt. It must not modify the request's header.
 	Header(a *Attempt) http.Header
-	// Matches reports whether an answer with header h belongs to a request. A
-	// late answer to an earlier request of the connection does not.
+	// Matches reports whether a response with header h belongs to the request. It is
+	// false for a late response to an earlier request on the connection.
 	Matches(r *Request, h http.Header) bool
-	// Judge reads the head of an answer.
+	// Judge interprets the head of a response.
 	Judge(h ResponseHead) Verdict
 }
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -11,97 +11,92 @@
 )
 
 const (
-	// minRetryTime is the time left below which no other attempt is made, since an answer
-	// can hardly arrive in less.
+	// minRetryTime is the remaining timeout below which no further attempt is made.
 	minRetryTime = 20 * time.Millisecond
-	// maxAttempts bounds the attempts of one request, also those that did not run, which
-	// the route's own bound does not count.
+	// maxAttempts bounds the attempts of a request, including those that did not run,
+	// which the limit of the route does not count.
 	maxAttempts = 4
 )
 
-// retryInput is what the decision on another attempt depends on.
+// retryInput is the input of decideRetry.
 type retryInput struct {
-	// route says whether a request may run more than once, at how many upstreams,
-	// and whether a stream may be resumed. It is as old as the configuration.
+	// route determines whether a request may run more than once, at how many upstreams,
+	// and whether its stream may be resumed.
 	route *catalog.Route
-	// fate is what is known of the latest attempt, and unsent says that no byte
-	// of it left this router.
-	fate   granitehoist.Fate
-	unsent bool
-	// faulty says that the upstream rejected it for what the request states.
-	faulty bool
-	// ended says that the caller has left or the request's timeout has passed.
+	// execution is whether the latest attempt ran. unsent is set if no byte of it was
+	// sent.
+	execution granitehoist.Fate
+	unsent    bool
+	// badRequest is set if the upstream rejected the request as invalid.
+	badRequest bool
+	// ended is set if the caller disconnected or the request's timeout passed.
 	ended bool
-	// attempts counts all attempts so far, runs those that ran or may have run.
+	// attempts is the number of attempts, runs the number of those that ran or may have
+	// run.
 	attempts, runs int
-	// started says that a part of an answer was passed on, up to the event
-	// lastEventID.
+	// started is set if a part of a response was relayed, up to the event lastEventID.
 	started     bool
 	lastEventID int64
-	// timeLeft is the time until the request's timeout.
+	// timeLeft is the remaining timeout of the request.
 	timeLeft time.Duration
 }
 
-// retryVerdict is the decision on another attempt.
-type retryVerdict struct {
-	// allowed says that another attempt may follow.
+// retryDecision is the result of decideRetry.
+type retryDecision struct {
+	// allowed is set if another attempt may follow.
 	allowed bool
-	// usesRetryBudget says that it must take one retry from the budget of the
-	// service, and does not follow if that is empty.
+	// usesRetryBudget is set if the attempt requires a retry from the budget of the
+	// service.
 	usesRetryBudget bool
-	// afterEvent is the id of the event after which its stream continues.
+	// afterEvent is the id of the event after which the stream resumes.
 	afterEvent int64
 }
 
-// decideRetry decides whether another attempt may follow one that failed, whether
-// it uses the retry budget, and from which event its stream continues.
+// decideRetry decides whether another attempt may follow a failed one, whether it uses
+// the retry budget, and after which event its stream resumes.
 //
-//   - None follows if the request has ended, too little time is left for an
-//     answer, maxAttempts were made, or the fault is the request's own.
-//   - An attempt that may have run is followed by another only if the request
-//     may run more than once, its route allows another upstream to run it, and,
-//     once the caller has a part of a stream, the stream may be resumed. One
-//     that did not run may always be followed.
-//   - The operators bound the attempts that reach upstreams beyond the first of
-//     each request. So every attempt uses the retry budget, unless the attempt
-//     before it never left this router.
-//   - A stream continues after the last event that the caller has.
+//   - No attempt follows if the request has ended or is invalid, too little time is left,
+//     or maxAttempts were made.
+//   - An attempt that did not run may be followed by another. One that may have run may
+//     be followed only if the request is repeatable, its route allows another run, and,
+//     once the caller has a part of a stream, the stream may be resumed.
+//   - The retry budget bounds the attempts that reach upstreams beyond the first of each
+//     request. An attempt therefore uses it unless the preceding one was not sent.
+//   - A stream resumes after the last event that the caller has.
 //
-// Package balance never picks an instance that the request has tried.
-func decideRetry(in retryInput) retryVerdict {
+// Package balance never selects an instance that the request has tried.
+func decideRetry(in retryInput) retryDecision {
 	switch {
-	case in.ended, in.faulty, in.attempts >= maxAttempts, in.timeLeft < minRetryTime:
-		return retryVerdict{}
-	case in.fate != granitehoist.NotRun && !in.mayRunAgain():
-		return retryVerdict{}
+	case in.ended, in.badRequest, in.attempts >= maxAttempts, in.timeLeft < minRetryTime:
+		return retryDecision{}
+	case in.execution != granitehoist.NotRun && !in.mayRunAgain():
+		return retryDecision{}
 	}
-	return retryVerdict{allowed: true, usesRetryBudget: !in.unsent, afterEvent: in.lastEventID}
+	return retryDecision{allowed: true, usesRetryBudget: !in.unsent, afterEvent: in.lastEventID}
 }
 
-// mayRunAgain reports whether a request that may have run may run once more.
+// mayRunAgain reports whether a request that may have run may run again.
 func (in *retryInput) mayRunAgain() bool {
 	resumable := !in.started || in.route.Resume
 	return resumable && in.route.MayRunAgain(in.runs)
 }
 
-// errorForCaller decides which error the caller gets if no further attempt follows:
-// that of the last attempt, unless that one did not run and an earlier one may
-// have. Then it is the earlier error, since the request may have run. earlier is
-// the result for the attempts before the last, nil if there were none.
+// errorForCaller returns the error for the caller if no further attempt follows: that of
+// the last attempt, or the earlier error if only an earlier attempt may have run, because
+// the request as a whole may then have run. earlier is nil if there was one attempt.
 func errorForCaller(earlier, last error) error {
-	if earlier != nil && fateOf(earlier) != granitehoist.NotRun && fateOf(last) == granitehoist.NotRun {
+	if earlier != nil && executionOf(earlier) != granitehoist.NotRun && executionOf(last) == granitehoist.NotRun {
 		return earlier
 	}
 	return last
 }
 
-// fateOf returns what the result of an attempt says about its execution: Ran for
-// nil.
-func fateOf(err error) granitehoist.Fate { return granitehoist.CodeOf(err).Info().Fate }
+// executionOf returns whether an attempt with result err ran: Ran for nil.
+func executionOf(err error) granitehoist.Fate { return granitehoist.CodeOf(err).Info().Fate }
 
-// requestFate decides which fate the log states for a request that ended with err.
+// requestExecution returns whether a request with result err ran, as stated in the log.
 // runs is the number of its attempts that ran or may have run.
-func requestFate(err error, runs int) granitehoist.Fate {
+func requestExecution(err error, runs int) granitehoist.Fate {
 	switch {
 	case err == nil:
 		return granitehoist.Ran
--- a/forward/retrybudget.go
+++ b/forward/retrybudget.go
@@ -12,33 +12,31 @@
 	"granitehoist.example/granitehoist/internal/retrybudget"
 )
 
-// RetrySettings bound the attempts of all routers together beyond the first of
-// each request. Each router uses its share.
+// RetrySettings bound the attempts of all routers together beyond the first of each
+// request. Each router uses an equal share.
 type RetrySettings struct {
-	// Ratio is the number of retries allowed for each request of a service.
+	// Ratio is the number of retries allowed per request of a service.
 	Ratio float64
-	// Slack is the number of retries that the fleet may make in a Window beyond
+	// Slack is the number of retries that the fleet may make per Window in addition to
 	// Ratio.
 	Slack float64
-	// Window is the time over which the operators count the retries of a
-	// service; zero means 10 seconds.
+	// Window is the time over which the retries of a service are counted; zero and
+	// negative values mean 10 seconds.
 	Window time.Duration
 }
 
 const (
-	// usedRatioPart is the part of Ratio that is used, so that the bound holds although
-	// the operators count some requests in another window.
-	usedRatioPart = 0.6
-	// usedSlackPart is the part of Slack that is used, so that the bound holds although
-	// routers that restart begin with a full budget.
-	usedSlackPart = 0.5
-	// defaultRetryWindow is the window that the operators' settings files state
-	// at every site.
+	// usedRatioFraction is the fraction of Ratio that is used, since a request and its
+	// retry may be counted in different windows.
+	usedRatioFraction = 0.6
+	// usedSlackFraction is the fraction of Slack that is used, since a restarted router
+	// begins with a full budget.
+	usedSlackFraction = 0.5
+	// defaultRetryWindow is the default of RetrySettings.Window.
 	defaultRetryWindow = 10 * time.Second
 )
 
-// retryBudgets holds the retry budget of each service. It is safe for
-// concurrent use.
+// retryBudgets holds the retry budget of each service. It is safe for concurrent use.
 type retryBudgets struct {
 	settings retrybudget.Settings
 
@@ -46,8 +44,8 @@
 	services map[granitehoist.Service]*retrybudget.Budget
 }
 
-// newRetryBudgets returns the budgets of a router that shares the bounds with
-// others.
+// newRetryBudgets returns the budgets of a router that shares the limits with other
+// routers.
 func newRetryBudgets(s RetrySettings, routers func() int) *retryBudgets {
 	if s.Window < 0 {
 		s.Window = 0
@@ -55,8 +53,8 @@
 	defaults.Set(&s.Window, defaultRetryWindow)
 	return &retryBudgets{
 		settings: retrybudget.Settings{
-			PerRequest: s.Ratio * usedRatioPart,
-			Capacity:   usedSlackPart * s.Slack,
+			PerRequest: s.Ratio * usedRatioFraction,
+			Capacity:   usedSlackFraction * s.Slack,
 			Routers:    routers,
 			Window:     s.Window,
 		},
@@ -64,8 +62,8 @@
 	}
 }
 
-// of returns the budget of a service.
-func (b *retryBudgets) of(s granitehoist.Service) *retrybudget.Budget {
+// forService returns the budget of a service, which it creates at the first call.
+func (b *retryBudgets) forService(s granitehoist.Service) *retrybudget.Budget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	budget, ok := b.services[s]
--- a/forward/settle.go
+++ b/forward/settle.go
@@ -5,32 +5,29 @@
 
 import "granitehoist.example/granitehoist"
 
-// settlement is what the charge for a request depends on.
+// settlement is the input for the charge of a request.
 type settlement struct {
-	// cost is the most that the request could cost.
+	// cost is the maximum cost of the request.
 	cost Cost
-	// tokensPerEvent is the most tokens that one event of the service's streams
-	// holds; zero if events are not counted.
+	// tokensPerEvent is the maximum number of tokens per event of the service's streams;
+	// zero if events are not counted.
 	tokensPerEvent granitehoist.Tokens
-	// events is the number of events passed on, by all attempts together.
+	// events is the number of events relayed by all attempts together.
 	events int64
 	// runs is the number of attempts that ran or may have run.
 	runs int
-	// complete says that the answer was passed on to its end.
+	// complete is set if the response was relayed to its end.
 	complete bool
 }
 
-// charge decides how many of the reserved tokens a request is charged. It never
-// exceeds the reservation, and never is less than what the caller can have got,
-// since a workspace may never get more than it paid for:
+// charge returns how many of the reserved tokens the request is charged, an upper bound
+// of what the caller may have received:
 //
 //   - nothing if no attempt can have run;
-//   - otherwise the prompt, once, however many attempts ran;
-//   - and the output: tokensPerEvent for each event passed on, and for one event
-//     more if the answer broke off, since that event may have been on its way.
-//     Where events are not counted it is all the output that was reserved.
-//
-// tokensPerEvent is as old as the configuration in force.
+//   - otherwise the prompt, once for all attempts,
+//   - and tokensPerEvent for each relayed event, plus one event if the response was
+//     truncated, since that event may have been in transit. If events are not counted, it
+//     is the whole reserved output.
 func (s settlement) charge() granitehoist.Tokens {
 	if s.runs == 0 {
 		return 0
--- a/forward/settle_test.go
+++ b/forward/settle_test.go
@@ -18,17 +18,17 @@
 	},
 	ginkgo.Entry("nothing if no attempt can have run",
 		settlement{tokensPerEvent: 5}, granitehoist.Tokens(0)),
-	ginkgo.Entry("its prompt and the events of a complete answer",
+	ginkgo.Entry("its prompt and the events of a complete response",
 		settlement{tokensPerEvent: 5, events: 4, runs: 1, complete: true}, granitehoist.Tokens(120)),
-	ginkgo.Entry("its prompt and an event more for an answer that broke off",
+	ginkgo.Entry("its prompt and one additional event for a truncated response",
 		settlement{tokensPerEvent: 5, events: 4, runs: 1}, granitehoist.Tokens(125)),
 	ginkgo.Entry("its prompt once for two attempts",
 		settlement{tokensPerEvent: 5, events: 4, runs: 2, complete: true}, granitehoist.Tokens(120)),
-	ginkgo.Entry("its prompt and an event if it may have run and brought nothing",
+	ginkgo.Entry("its prompt and one event if it may have run without a response",
 		settlement{tokensPerEvent: 5, runs: 1}, granitehoist.Tokens(105)),
-	ginkgo.Entry("no more than it reserved",
+	ginkgo.Entry("no more than the reservation",
 		settlement{tokensPerEvent: 5, events: 90, runs: 1}, granitehoist.Tokens(300)),
-	ginkgo.Entry("what it reserved where events are not counted",
+	ginkgo.Entry("the reservation if events are not counted",
 		settlement{events: 1, runs: 1, complete: true}, granitehoist.Tokens(300)),
 )
 
@@ -49,7 +49,7 @@
 	})
 })
 
-// draw returns a number of tokens.
+// draw returns a random number of tokens.
 func draw(t *rapid.T, name string) granitehoist.Tokens {
 	return granitehoist.Tokens(rapid.Int64Range(0, 10_000).Draw(t, name))
 }
--- a/forward/stalledunpaid_test.go
+++ b/forward/stallbudget_test.go
@@ -18,14 +18,13 @@
 	"granitehoist.example/granitehoist/standin"
 )
 
-// TestStalledAttemptGoesOnWithoutRetry holds that an attempt without progress is
-// not cancelled if the retry budget can't pay for another. It stands in
-// Ktime.Now()N-RED.txt: the stall timer does not ask the retry budget.
-func TestStalledAttemptGoesOnWithoutRetry(t *testing.T) {
+// TestStalledAttemptContinuesWithoutRetry checks that a stalled attempt is not cancelled
+// if the retry budget is empty.
+func TestStalledAttemptContinuesWithoutRetry(t *testing.T) {
 	RegisterTestingT(t)
-	s := newSite()
+	s := newFixture()
 	for _, instance := range []string{"i-1", "i-2"} {
-		// Each event comes later than the limits of progress.
+		// The gap between events exceeds the stall limits.
 		w, err := standin.NewWorker(instance, always(standin.WorkerAnswer{Events: 2, Gap: 1200 * time.Millisecond}))
 		if err != nil {
 			t.Fatal(err)
@@ -39,9 +38,9 @@
 		Retry: forward.RetrySettings{Window: time.Hour},
 	})
 	if _, err := f.Serve(context.Background(), request("/resume/x"), &fakeSink{}); err != nil {
-		t.Fatalf("the request with the one retry: %v", err)
+		t.Fatalf("request with a retry in the budget: %v", err)
 	}
 	if _, err := f.Serve(context.Background(), request("/resume/x"), &fakeSink{}); err != nil {
-		t.Errorf("the request without a retry: %v", err)
+		t.Errorf("request with an empty budget: %v", err)
 	}
 }
--- a/forward/stalllimits_test.go
+++ b/forward/stalllimits_test.go
@@ -13,34 +13,34 @@
 	"granitehoist.example/granitehoist/catalog"
 )
 
-// repeatable returns a route on which two upstreams may run a request.
+// repeatable returns a route whose requests may run at two upstreams.
 func repeatable(kind catalog.Kind, target time.Duration) *catalog.Route {
 	return &catalog.Route{Kind: kind, Resume: true, MaxAttempts: 2, Target: target}
 }
 
-var _ = ginkgo.DescribeTable("An attempt without progress is given up",
+var _ = ginkgo.DescribeTable("A stalled attempt is cancelled",
 	func(r *catalog.Route, prompt granitehoist.Tokens, runs int, want stallLimits) {
-		Expect(limitStalls(r, prompt, runs)).To(Equal(want))
+		Expect(stallLimitsFor(r, prompt, runs)).To(Equal(want))
 	},
-	ginkgo.Entry("never where a request runs at most once",
+	ginkgo.Entry("never if a request runs at most once",
 		&catalog.Route{Kind: catalog.Unsafe, MaxAttempts: 2, Target: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
-	ginkgo.Entry("never where a stream may not be resumed",
+	ginkgo.Entry("never if a stream may not be resumed",
 		&catalog.Route{Kind: catalog.Stream, MaxAttempts: 2, Target: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
-	ginkgo.Entry("never where the route states no number of attempts",
+	ginkgo.Entry("never if the route sets no maximum of attempts",
 		&catalog.Route{Kind: catalog.Safe, Target: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
-	ginkgo.Entry("never where the route has no target",
+	ginkgo.Entry("never if the route has no target",
 		repeatable(catalog.Safe, 0), granitehoist.Tokens(0), 0, stallLimits{}),
 	ginkgo.Entry("never in the last attempt that the route allows",
 		repeatable(catalog.Safe, time.Second), granitehoist.Tokens(0), 1, stallLimits{}),
-	ginkgo.Entry("after twice the target where it is no stream",
+	ginkgo.Entry("after twice the target if it is not a stream",
 		repeatable(catalog.Safe, time.Second), granitehoist.Tokens(1200), 0, stallLimits{first: 2 * time.Second}),
-	ginkgo.Entry("after 55 % of the target where it is a stream, and after 0.9 s between events",
+	ginkgo.Entry("after 55 % of the target and 0.9 s between events if it is a stream",
 		repeatable(catalog.Stream, time.Second), granitehoist.Tokens(0), 0,
 		stallLimits{first: 550 * time.Millisecond, gap: 900 * time.Millisecond}),
-	ginkgo.Entry("after 150 ms where the target of a stream is short",
+	ginkgo.Entry("after 150 ms if the target of a stream is short",
 		repeatable(catalog.Stream, 100*time.Millisecond), granitehoist.Tokens(0), 0,
 		stallLimits{first: 150 * time.Millisecond, gap: 900 * time.Millisecond}),
-	ginkgo.Entry("a millisecond later for every 12 tokens of the prompt",
+	ginkgo.Entry("one millisecond later per 12 prompt tokens",
 		repeatable(catalog.Stream, time.Second), granitehoist.Tokens(1211), 0,
 		stallLimits{first: 650 * time.Millisecond, gap: 900 * time.Millisecond}),
 )
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -13,12 +13,12 @@
 	"granitehoist.example/granitehoist/internal/eventstream"
 )
 
-// streamBufferBytes is how much of a stream is read at once.
+// streamBufferBytes is the size of the read buffer of a stream.
 const streamBufferBytes = 4096
 
-// passStream passes events on as soon as each has arrived completely. The head
-// is held until the first event, so that until then another instance may answer.
-func (a *activeRequest) passStream(response *exchange.Response, lease *balance.Lease, timer *stallTimer) error {
+// relayStream relays each event as soon as it is complete. It holds the head back until
+// the first event, so that another instance can respond until then.
+func (a *activeRequest) relayStream(response *exchange.Response, lease *balance.Lease, timer *stallTimer) error {
 	var splitter eventstream.Splitter
 	buffer := make([]byte, streamBufferBytes)
 	for {
@@ -30,7 +30,7 @@
 		if len(events) > 0 {
 			lease.Events(len(events), a.forwarder.settings.Clock())
 			timer.restart()
-			if err := a.passEvents(response, events); err != nil {
+			if err := a.relayEvents(response, events); err != nil {
 				return err
 			}
 		}
@@ -44,9 +44,9 @@
 	}
 }
 
-// passEvents passes on the events that the caller does not have yet. Events
-// with ids must follow each other without a gap.
-func (a *activeRequest) passEvents(response *exchange.Response, events []eventstream.Event) error {
+// relayEvents relays the events that the caller does not have yet. The ids of events must
+// be consecutive.
+func (a *activeRequest) relayEvents(response *exchange.Response, events []eventstream.Event) error {
 	last := &a.progress.lastEventID
 	for _, event := range events {
 		if event.HasID && event.ID <= *last {
@@ -55,10 +55,10 @@
 		if event.HasID && event.ID != *last+1 {
 			return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "event %d follows %d", event.ID, *last)
 		}
-		if err := a.passHead(response.Status, response.Header); err != nil {
+		if err := a.relayHead(response.Status, response.Header); err != nil {
 			return err
 		}
-		if err := a.passPiece(event.Raw); err != nil {
+		if err := a.relayBody(event.Raw); err != nil {
 			return err
 		}
 		a.progress.events++
@@ -69,14 +69,14 @@
 	return nil
 }
 
-// endStream passes on the bytes after the last event. A stream without a length
+// endStream relays the bytes after the last event. A stream that ends with its connection
 // is complete only if there are none.
 func (a *activeRequest) endStream(response *exchange.Response, remaining []byte) error {
 	if !response.Framed && len(remaining) > 0 {
 		return granitehoist.Wrap(granitehoist.UpstreamCut, io.ErrUnexpectedEOF, "the stream ended within an event")
 	}
-	if err := a.passHead(response.Status, response.Header); err != nil {
+	if err := a.relayHead(response.Status, response.Header); err != nil {
 		return err
 	}
-	return a.passPiece(remaining)
+	return a.relayBody(remaining)
 }
--- a/forward/suite_test.go
+++ b/forward/suite_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 )
 
-// stepTimeout bounds a step of a test, also while the computer is busy.
+// stepTimeout bounds a step of a test, with a margin for a loaded machine.
 const stepTimeout = 20 * time.Second
 
 func TestForward(t *testing.T) {
--- /dev/null
+++ b/forward/suspects.go
@@ -0,0 +1,205 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package forward
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"go.uber.org/zap"
+
+	"granitehoist.example/granitehoist/balance"
+	"granitehoist.example/granitehoist/exchange"
+	"granitehoist.example/granitehoist/internal/event"
+	"granitehoist.example/granitehoist/suspect"
+)
+
+// The limits on the attempts of a request (that of its route, the retry budget, the tried
+// instances) apply to one request id. A request that crashes the instances that run it may
+// be repeated with new ids at any router, so that only its content identifies it. Each crash
+// during an attempt is therefore recorded under the digest of the request for all routers,
+// and each request is checked against these records before it is sent.
+
+// suspectStatus holds the crash records of a request as of the latest lookup.
+type suspectStatus struct {
+	// digest identifies the content of the request; zero if it has not been needed yet.
+	digest  suspect.Digest
+	verdict suspect.Verdict
+	// scopeDigest identifies all requests of the workspace on the route, and scopeVerdict
+	// is the verdict on them.
+	scopeDigest  suspect.Digest
+	scopeVerdict suspect.Verdict
+}
+
+// isSuspect reports whether there are crash records of the request or its scope.
+func (s *suspectStatus) isSuspect() bool { return s.verdict.Round > 0 || s.scopeVerdict.Round > 0 }
+
+// hold returns how long the request must still be held back.
+func (s *suspectStatus) hold() time.Duration { return s.longestHold().Hold }
+
+// longestHold returns the verdict with the longer hold.
+func (s *suspectStatus) longestHold() suspect.Verdict {
+	if s.scopeVerdict.Hold > s.verdict.Hold {
+		return s.scopeVerdict
+	}
+	return s.verdict
+}
+
+// checkSuspect looks up the crash records of the request. The error has code
+// CrashesUpstreams if the request is refused. The lookup is one atomic read while there
+// are no crash records at all.
+func (a *activeRequest) checkSuspect() error {
+	table := a.forwarder.settings.Suspects
+	if !table.Any() || !a.computeDigests() {
+		a.progress.suspectStatus.verdict, a.progress.suspectStatus.scopeVerdict = suspect.Verdict{}, suspect.Verdict{}
+		return nil
+	}
+	now := a.forwarder.settings.Clock()
+	s := &a.progress.suspectStatus
+	s.verdict = table.Lookup(s.digest, now)
+	s.scopeVerdict = table.Lookup(s.scopeDigest, now)
+	switch {
+	case s.verdict.Refused:
+		return s.verdict.Refusal()
+	case s.scopeVerdict.Refused:
+		return s.scopeVerdict.Refusal()
+	}
+	return nil
+}
+
+// awaitHold checks the request as checkSuspect does, and holds it back while another
+// cause of the crashes may still be at work (suspect.Verdict.Hold). A request whose hold
+// is longer than the limit is refused as not run.
+func (a *activeRequest) awaitHold(ctx context.Context) error {
+	limit := max(minHoldLimit, time.Duration(holdLimitFraction*float64(a.admission.route.Target)))
+	return a.waitUntilReady(ctx, min(limit, a.timeLeft()), func(time.Time) (*waitReason, error) {
+		if err := a.checkSuspect(); err != nil {
+			return nil, err
+		}
+		s := &a.progress.suspectStatus
+		if s.hold() <= 0 {
+			return nil, nil
+		}
+		return &waitReason{left: s.hold(), refusal: func() error { return s.longestHold().HoldRefusal() }}, nil
+	})
+}
+
+const (
+	// holdLimitFraction is the fraction of the route's latency target for which a request
+	// is held back at most.
+	holdLimitFraction = 0.5
+	// minHoldLimit is the minimum of that limit, also on routes without a target.
+	minHoldLimit = 400 * time.Millisecond
+)
+
+// pickRunning selects the instance for the next attempt. For a suspect request it first
+// checks that the instance is running, so that an instance which had already stopped, for
+// example after a power failure, is not recorded as crashed by the request. The check
+// opens a connection.
+func (a *activeRequest) pickRunning(ctx context.Context) (*balance.Lease, error) {
+	settings := &a.forwarder.settings
+	for {
+		lease, err := a.pick(ctx)
+		if err != nil || !a.progress.suspectStatus.isSuspect() || !settings.Pool.IsDown(ctx, lease.Address) {
+			return lease, err
+		}
+		now := settings.Clock()
+		a.progress.tried[lease.ID] = true
+		lease.Done(balance.Broken, now)
+		settings.Suspects.NoteDown(suspect.LifeOf(lease.ID, lease.Born), now)
+	}
+}
+
+// computeDigests computes the digests of the request and its scope once, and reports
+// whether the table has a secret to do so.
+func (a *activeRequest) computeDigests() bool {
+	if a.progress.suspectStatus.digest != (suspect.Digest{}) {
+		return true
+	}
+	facts := suspect.Facts{
+		Method: a.request.Method,
+		Host:   a.request.Host,
+		Target: a.request.Target,
+		Body:   a.request.Body,
+	}
+	if a.admission.workspace != nil {
+		facts.Workspace = a.admission.workspace.Name
+	}
+	digest, ok := a.forwarder.settings.Suspects.Digest(&facts)
+	a.progress.suspectStatus.digest = digest
+	scope := suspect.Scope{Workspace: facts.Workspace, Route: string(a.admission.route.Name)}
+	a.progress.suspectStatus.scopeDigest, _ = a.forwarder.settings.Suspects.ScopeDigest(scope)
+	return ok
+}
+
+// pin returns a hash by which all routers select the same instance for a suspect request,
+// zero for other requests. Copies of the request at several routers then crash one
+// instance instead of one each, until the routers have exchanged their records. Different
+// suspects mostly get different instances, so that a crash caused by one is not
+// attributed to another.
+func (a *activeRequest) pin() uint64 {
+	s := &a.progress.suspectStatus
+	switch {
+	case s.verdict.Round > 0:
+		return s.digest.Hash()
+	case s.scopeVerdict.Round > 0:
+		return s.scopeDigest.Hash()
+	}
+	return 0
+}
+
+// recordOutcome records that an attempt succeeded or that the instance crashed during it.
+// An error response counts as neither, since an instance that fails every request would
+// otherwise clear them all.
+func (a *activeRequest) recordOutcome(ctx context.Context, lease *balance.Lease, result *attemptResult) {
+	settings := &a.forwarder.settings
+	switch {
+	case result.err == nil && result.status < http.StatusMultipleChoices:
+		if settings.Suspects.Any() && a.computeDigests() {
+			now := settings.Clock()
+			settings.Suspects.NoteSuccess(a.progress.suspectStatus.digest, now)
+			settings.Suspects.NoteSuccess(a.progress.suspectStatus.scopeDigest, now)
+		}
+	case a.instanceCrashed(ctx, lease, result.err) && a.computeDigests():
+		result.crashed = true
+		observed := suspect.Observation{
+			Life:  suspect.LifeOf(lease.ID, lease.Born),
+			Known: a.progress.suspectStatus.verdict,
+			Early: !lease.HasEvents(),
+			Sent:  lease.PickedAt(),
+		}
+		now := settings.Clock()
+		verdict := settings.Suspects.NoteCrash(a.progress.suspectStatus.digest, observed, now)
+		observed.Known, observed.OfScope = a.progress.suspectStatus.scopeVerdict, true
+		scope := settings.Suspects.NoteCrash(a.progress.suspectStatus.scopeDigest, observed, now)
+		a.logSuspect(lease, verdict, scope)
+	}
+}
+
+// instanceCrashed reports whether the instance of a failed attempt crashed: it closed the
+// connection, its address is down, and it was not leaving. An instance that drains or has
+// withdrawn its entry stops as planned.
+func (a *activeRequest) instanceCrashed(ctx context.Context, lease *balance.Lease, err error) bool {
+	settings := &a.forwarder.settings
+	if !exchange.ConnectionEnded(err) || ctx.Err() != nil || settings.Table.IsLeaving(lease.ID) {
+		return false
+	}
+	return settings.Pool.IsDown(ctx, lease.Address)
+}
+
+// logSuspect logs that an instance crashed during the request.
+func (a *activeRequest) logSuspect(lease *balance.Lease, v, scope suspect.Verdict) {
+	a.forwarder.settings.Log.Warn(event.Suspect,
+		zap.String("request", string(a.request.ID)),
+		zap.Stringer("digest", a.progress.suspectStatus.digest),
+		zap.String("upstream", string(lease.ID)),
+		zap.Int("round", v.Round),
+		zap.Int("early", v.Early),
+		zap.Int("crashes", v.Crashes),
+		zap.Bool("refused", v.Refused),
+		zap.Duration("left", v.Left),
+		zap.Int("scope_round", scope.Round),
+		zap.Bool("scope_refused", scope.Refused))
+}
--- a/forward/suspicion_test.go
+++ b/forward/suspects_test.go
@@ -20,59 +20,59 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// deadly is in the path of requests that crash each worker that runs them.
-const deadly = "deadly"
+// crashPath marks the requests that crash each worker that runs them.
+const crashPath = "deadly"
 
-// crowd is a service whose workers are replaced as they crash.
-type crowd struct {
-	site    *site
+// crashingService is a service whose crashed workers can be replaced.
+type crashingService struct {
+	fixture *fixture
 	service granitehoist.Service
-	// crash is the answer to a deadly request, other that to all others.
+	// crash is the answer to a request with crashPath, other to any other request.
 	crash, other standin.WorkerAnswer
 
 	mu      sync.Mutex
 	started int
-	ended   []string
+	crashed []string
 }
 
-// newCrowd starts six workers of a service.
-func newCrowd(s *site, service granitehoist.Service, crash, other standin.WorkerAnswer) *crowd {
-	c := &crowd{site: s, service: service, crash: crash, other: other}
+// newCrashingService starts a service with six workers.
+func newCrashingService(s *fixture, service granitehoist.Service, crash, other standin.WorkerAnswer) *crashingService {
+	c := &crashingService{fixture: s, service: service, crash: crash, other: other}
 	for range 6 {
-		c.add()
+		c.addWorker()
 	}
 	return c
 }
 
-func (c *crowd) add() {
+func (c *crashingService) addWorker() {
 	c.mu.Lock()
 	c.started++
 	id := fmt.Sprintf("w-%d", c.started)
 	c.mu.Unlock()
-	c.site.worker(c.service, id, func(a standin.Arrival) standin.WorkerAnswer {
-		if !strings.Contains(a.Target, deadly) {
+	c.fixture.worker(c.service, id, func(a standin.Arrival) standin.WorkerAnswer {
+		if !strings.Contains(a.Target, crashPath) {
 			return c.other
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if c.crash.Cut.Crash {
-			c.ended = append(c.ended, id)
+			c.crashed = append(c.crashed, id)
 		}
 		return c.crash
 	})
 }
 
-// endings returns how many workers have crashed.
-func (c *crowd) endings() int {
+// crashCount returns the number of crashed workers.
+func (c *crashingService) crashCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.ended)
+	return len(c.crashed)
 }
 
-// replace starts a worker for each that crashed since there were so many.
-func (c *crowd) replace(before int) {
-	for range c.endings() - before {
-		c.add()
+// replace starts a worker for each crash since the count was before.
+func (c *crashingService) replace(before int) {
+	for range c.crashCount() - before {
+		c.addWorker()
 	}
 }
 
@@ -82,14 +82,14 @@
 	crashBeforeStream := standin.WorkerAnswer{Cut: standin.Cut{Crash: true}, Events: 20}
 	answer := standin.WorkerAnswer{Body: "permit"}
 
-	var s *site
+	var s *fixture
 	var table *suspect.Table
 
 	BeforeEach(func() {
-		s = newSite()
+		s = newFixture()
 		table = suspect.New(suspect.Settings{})
 		table.SetSecret(suspect.Secret{1})
-		s.suspects(table)
+		s.useSuspects(table)
 	})
 
 	serve := func(path, body string) error {
@@ -100,12 +100,12 @@
 		return err
 	}
 
-	DescribeTable("is refused after a few, and nothing of it is sent any more", func(path string, service granitehoist.Service, crash standin.WorkerAnswer, most int) {
-		c := newCrowd(s, service, crash, answer)
+	DescribeTable("is refused after a few crashes", func(path string, service granitehoist.Service, crash standin.WorkerAnswer, maxCrashes int) {
+		c := newCrashingService(s, service, crash, answer)
 		var err error
 		for range 10 {
-			before := c.endings()
-			err = serve(path+deadly, "question")
+			before := c.crashCount()
+			err = serve(path+crashPath, "question")
 			c.replace(before)
 		}
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.CrashesUpstreams))
@@ -113,61 +113,61 @@
 		Expect(err).To(BeAssignableToTypeOf(refusal))
 		refusal, _ = err.(*granitehoist.Error)
 		Expect(refusal.RetryAfter).To(BeNumerically("~", suspect.DefaultBlock, 10*time.Second))
-		Expect(c.endings()).To(BeNumerically("<=", most))
-		Expect(s.funds.reserved).To(BeZero(), "tokens stay reserved behind it")
+		Expect(c.crashCount()).To(BeNumerically("<=", maxCrashes))
+		Expect(s.funds.reserved).To(BeZero(), "tokens remain reserved")
 		Expect(serve(path+"other", "question")).To(Succeed())
-		before := c.endings()
-		Expect(serve(path+deadly, "another question")).NotTo(Succeed())
-		Expect(c.endings()).To(BeNumerically(">", before), "another body is another request")
+		before := c.crashCount()
+		Expect(serve(path+crashPath, "another question")).NotTo(Succeed())
+		Expect(c.crashCount()).To(BeNumerically(">", before), "a request with another body was refused")
 	},
-		Entry("at most once", "/unsafe/", desk, crash, 3),
-		Entry("any number of times", "/safe/", desk, crash, 4),
-		Entry("as a stream that has not begun", "/stream/", model, crashBeforeStream, 3),
-		Entry("as a stream that has begun", "/stream/", model, crashInStream, 5),
-		Entry("as a stream that is resumed", "/resume/", model, crashInStream, 6),
+		Entry("on an unsafe route", "/unsafe/", desk, crash, 3),
+		Entry("on a safe route", "/safe/", desk, crash, 4),
+		Entry("before a stream has started", "/stream/", model, crashBeforeStream, 3),
+		Entry("during a stream", "/stream/", model, crashInStream, 5),
+		Entry("during a stream that is resumed", "/resume/", model, crashInStream, 6),
 	)
 
-	It("is not sent if the evidence arrives while it waits for tokens", func() {
-		c := newCrowd(s, model, crashBeforeStream, answer)
+	It("is not sent if crash records arrive while it waits for tokens", func() {
+		c := newCrashingService(s, model, crashBeforeStream, answer)
 		for range 2 {
-			before := c.endings()
-			Expect(serve("/stream/"+deadly, "question")).NotTo(Succeed())
+			before := c.crashCount()
+			Expect(serve("/stream/"+crashPath, "question")).NotTo(Succeed())
 			c.replace(before)
 		}
-		told := table.Open()
-		told[0].Crashes = append(told[0].Crashes, suspect.Crash{Life: "elsewhere", Round: 3, Early: 3})
-		s.funds.reserving = func() { table.Merge(told, time.Now()) }
-		before := c.endings()
-		Expect(granitehoist.CodeOf(serve("/stream/"+deadly, "question"))).To(Equal(granitehoist.CrashesUpstreams))
-		Expect(c.endings()).To(Equal(before))
+		records := table.Open()
+		records[0].Crashes = append(records[0].Crashes, suspect.Crash{Life: "elsewhere", Round: 3, Early: 3})
+		s.funds.reserving = func() { table.Merge(records, time.Now()) }
+		before := c.crashCount()
+		Expect(granitehoist.CodeOf(serve("/stream/"+crashPath, "question"))).To(Equal(granitehoist.CrashesUpstreams))
+		Expect(c.crashCount()).To(Equal(before))
 		Expect(s.funds.reserved).To(BeZero())
 	})
 
-	It("is answered as one that may have run if its first attempt did", func() {
-		c := newCrowd(s, desk, crash, answer)
+	It("is reported as possibly run if its first attempt may have run", func() {
+		c := newCrashingService(s, desk, crash, answer)
 		for range 2 {
-			before := c.endings()
-			Expect(granitehoist.CodeOf(serve("/safe/"+deadly, "question"))).To(Equal(granitehoist.UpstreamLost))
+			before := c.crashCount()
+			Expect(granitehoist.CodeOf(serve("/safe/"+crashPath, "question"))).To(Equal(granitehoist.UpstreamLost))
 			c.replace(before)
 		}
-		Expect(granitehoist.CodeOf(serve("/safe/"+deadly, "question"))).To(Equal(granitehoist.CrashesUpstreams))
+		Expect(granitehoist.CodeOf(serve("/safe/"+crashPath, "question"))).To(Equal(granitehoist.CrashesUpstreams))
 	})
 
 	It("is cleared once it succeeds", func() {
-		c := newCrowd(s, desk, crash, answer)
-		Expect(serve("/unsafe/"+deadly, "question")).NotTo(Succeed())
+		c := newCrashingService(s, desk, crash, answer)
+		Expect(serve("/unsafe/"+crashPath, "question")).NotTo(Succeed())
 		c.replace(0)
 		Expect(table.Any()).To(BeTrue())
 		c.mu.Lock()
 		c.crash = answer
 		c.mu.Unlock()
-		Expect(serve("/unsafe/"+deadly, "question")).To(Succeed())
+		Expect(serve("/unsafe/"+crashPath, "question")).To(Succeed())
 		Expect(table.Any()).To(BeFalse())
 	})
 
 	It("is pinned to one worker while it is suspect", func() {
-		c := newCrowd(s, desk, crash, answer)
-		Expect(serve("/unsafe/"+deadly, "question")).NotTo(Succeed())
+		c := newCrashingService(s, desk, crash, answer)
+		Expect(serve("/unsafe/"+crashPath, "question")).NotTo(Succeed())
 		c.replace(0)
 		query := balance.Query{Service: desk, Pin: table.Open()[0].Digest.Hash()}
 		first, err := s.table.Pick(query, time.Now())
@@ -181,14 +181,14 @@
 })
 
 var _ = Describe("A broken connection", func() {
-	var s *site
+	var s *fixture
 	var table *suspect.Table
 
 	BeforeEach(func() {
-		s = newSite()
+		s = newFixture()
 		table = suspect.New(suspect.Settings{})
 		table.SetSecret(suspect.Secret{1})
-		s.suspects(table)
+		s.useSuspects(table)
 	})
 
 	serve := func(path string) error {
@@ -197,13 +197,13 @@
 		return err
 	}
 
-	It("is no evidence if the worker still takes connections", func() {
+	It("is not recorded as a crash if the worker still accepts connections", func() {
 		s.worker(desk, "i-1", always(standin.WorkerAnswer{Body: "permit", Cut: standin.Cut{Set: true, After: 2}}))
 		Expect(serve("/unsafe/x")).NotTo(Succeed())
 		Expect(table.Any()).To(BeFalse())
 	})
 
-	It("is no evidence if the worker drains", func() {
+	It("is not recorded as a crash if the worker is draining", func() {
 		var w *standin.Worker
 		w = s.worker(desk, "i-1", func(standin.Arrival) standin.WorkerAnswer {
 			s.table.Announce(balance.Instance{ID: "i-1", Service: desk, Address: w.Address(), Draining: true, Version: 2}, time.Now())
@@ -213,7 +213,7 @@
 		Expect(table.Any()).To(BeFalse())
 	})
 
-	It("is no evidence if the worker has withdrawn its entry", func() {
+	It("is not recorded as a crash if the worker has withdrawn its entry", func() {
 		s.worker(desk, "i-1", func(standin.Arrival) standin.WorkerAnswer {
 			s.table.Remove("i-1", time.Now())
 			return standin.WorkerAnswer{Cut: standin.Cut{Crash: true}}
@@ -222,10 +222,10 @@
 		Expect(table.Any()).To(BeFalse())
 	})
 
-	It("is no evidence if the caller has left", func() {
-		ctx, leave := context.WithCancel(context.Background())
+	It("is not recorded as a crash if the caller has disconnected", func() {
+		ctx, disconnect := context.WithCancel(context.Background())
 		s.worker(desk, "i-1", func(standin.Arrival) standin.WorkerAnswer {
-			leave()
+			disconnect()
 			return standin.WorkerAnswer{Cut: standin.Cut{Crash: true}, Delay: 50 * time.Millisecond}
 		})
 		_, err := s.forwarder.Serve(ctx, request("/unsafe/x"), &fakeSink{})
@@ -233,7 +233,7 @@
 		Expect(table.Any()).To(BeFalse())
 	})
 
-	It("is evidence against a request until that succeeds, which an own failure of the worker is not", func() {
+	It("is recorded as a crash until the request succeeds; a 5xx response does not clear it", func() {
 		s.worker(desk, "i-1", always(standin.WorkerAnswer{Cut: standin.Cut{Crash: true}}))
 		Expect(serve("/unsafe/x")).NotTo(Succeed())
 		Expect(table.Any()).To(BeTrue())
@@ -247,14 +247,15 @@
 	})
 })
 
-// BenchmarkServeBesideSuspects serves requests while there is evidence against others.
-func BenchmarkServeBesideSuspects(b *testing.B) {
+// BenchmarkServeWithSuspects measures requests while there are crash records of other
+// requests.
+func BenchmarkServeWithSuspects(b *testing.B) {
 	RegisterTestingT(b)
-	s := newSite()
+	s := newFixture()
 	table := suspect.New(suspect.Settings{})
 	table.SetSecret(suspect.Secret{1})
 	table.NoteCrash(suspect.Digest{1}, suspect.Observation{Life: "i-0"}, time.Now())
-	s.suspects(table)
+	s.useSuspects(table)
 	w, err := standin.NewWorker("i-1", always(standin.WorkerAnswer{Body: "permit"}))
 	Expect(err).NotTo(HaveOccurred())
 	b.Cleanup(w.Close)
--- a/forward/wait.go
+++ b/forward/wait.go
@@ -8,48 +8,48 @@
 	"time"
 )
 
-// obstacle is why a request can't be sent yet.
-type obstacle struct {
-	// left is the time until it may be gone, zero if that is not known.
+// waitReason is why a request can't be sent yet.
+type waitReason struct {
+	// left is the time after which the reason may no longer hold, zero if unknown.
 	left time.Duration
-	// changed, unless it is nil, is closed when it may be gone before.
+	// changed, if not nil, is closed when the reason may no longer hold.
 	changed <-chan struct{}
-	// refusal returns the error of a request that can't wait for that.
+	// refusal returns the error of a request that can't wait.
 	refusal func() error
 }
 
-// await asks look for an obstacle until there is none, and waits in between, for most in all.
-// A request that would have to wait for longer, or whose ctx has ended, gets the refusal of
-// the obstacle at once. An error of look ends the wait.
-func (a *activeRequest) await(ctx context.Context, most time.Duration, look func(now time.Time) (*obstacle, error)) error {
+// waitUntilReady calls check until it returns no reason to wait, and waits in between,
+// for maxWait in total. If the wait would be longer or ctx has ended, it returns the
+// refusal of the reason at once. An error of check ends the wait.
+func (a *activeRequest) waitUntilReady(ctx context.Context, maxWait time.Duration, check func(now time.Time) (*waitReason, error)) error {
 	clock := a.forwarder.settings.Clock
 	started := clock()
 	for {
 		now := clock()
-		found, err := look(now)
-		if err != nil || found == nil {
+		reason, err := check(now)
+		if err != nil || reason == nil {
 			return err
 		}
-		left := most - now.Sub(started)
-		if ctx.Err() != nil || left <= 0 || found.left > left {
-			return found.refusal()
+		left := maxWait - now.Sub(started)
+		if ctx.Err() != nil || left <= 0 || reason.left > left {
+			return reason.refusal()
 		}
-		waitForChange(ctx, found.changed, nextLook(found.left, left))
+		waitForChange(ctx, reason.changed, nextCheck(reason.left, left))
 	}
 }
 
-// nextLook returns when to look again at the latest: when the obstacle may be gone, or when
-// the request can't wait longer.
-func nextLook(obstacleLeft, left time.Duration) time.Duration {
-	if obstacleLeft > 0 {
-		return min(obstacleLeft, left)
+// nextCheck returns the time until the next check: when the reason may no longer hold, or
+// when the request can't wait any longer.
+func nextCheck(reasonLeft, left time.Duration) time.Duration {
+	if reasonLeft > 0 {
+		return min(reasonLeft, left)
 	}
 	return left
 }
 
-// waitForChange waits until changed is closed, ctx ends, or a time has passed.
-func waitForChange(ctx context.Context, changed <-chan struct{}, most time.Duration) {
-	timer := time.NewTimer(most)
+// waitForChange waits until changed is closed, ctx ends or the timeout passes.
+func waitForChange(ctx context.Context, changed <-chan struct{}, timeout time.Duration) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
--- a/internal/pushback/rest.go
+++ b/internal/pushback/rest.go
@@ -30,8 +30,8 @@
 	maxProbes, probes int
 }
 
-// Ask records that an answer received at now requests a backoff of d, capped at MaxRest. It
-// never moves the end of a backoff to an earlier time.
+// Ask records that a response received at now requests a backoff of d, capped at MaxRest.
+// It never moves the end of a backoff to an earlier time.
 func (r *Rest) Ask(d time.Duration, now time.Time) {
 	if until := now.Add(min(d, MaxRest)); until.After(r.until) {
 		r.until = until
