--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -23,20 +23,20 @@
 // RestNote is the event that an instance asked this router to back off.
 type RestNote struct {
 	Instance
-	// Asked is the requested backoff, Left the time until the backoff ends.
-	Asked, Left time.Duration
+	// Requested is the requested backoff, Remaining the time until the backoff ends.
+	Requested, Remaining time.Duration
 }
 
 // recordBackoff records the backoff requested by a response of the instance.
 func (l *Lease) recordBackoff(requested time.Duration, now time.Time) {
 	t := l.table
 	t.mu.Lock()
-	l.state.backoff.Ask(requested, now)
-	note := RestNote{Instance: l.Instance, Asked: requested, Left: l.state.backoff.Left(now)}
+	l.state.backoff.Extend(requested, now)
+	note := RestNote{Instance: l.Instance, Requested: requested, Remaining: l.state.backoff.Remaining(now)}
 	t.wakeWaiters()
 	t.mu.Unlock()
-	if t.settings.RestNoted != nil {
-		t.settings.RestNoted(note)
+	if t.settings.OnBackoff != nil {
+		t.settings.OnBackoff(note)
 	}
 }
 
@@ -46,7 +46,7 @@
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
 	if l.endProbe() {
-		l.state.backoff.Took(l.picked, l.concurrency())
+		l.state.backoff.Accepted(l.picked, l.concurrency())
 		l.table.wakeWaiters()
 	}
 }
@@ -58,7 +58,7 @@
 		return false
 	}
 	l.isProbe = false
-	l.state.backoff.EndTry()
+	l.state.backoff.EndProbe()
 	return true
 }
 
@@ -70,9 +70,9 @@
 	}
 	switch r {
 	case Good, Failed:
-		l.state.backoff.Took(l.picked, l.concurrency())
+		l.state.backoff.Accepted(l.picked, l.concurrency())
 	case Refused:
-		l.state.backoff.Refused()
+		l.state.backoff.Rejected()
 	case Broken, Unclear, Moved:
 	}
 }
--- a/balance/backoff_simulation_test.go
+++ b/balance/backoff_simulation_test.go
@@ -156,8 +156,8 @@
 	switch {
 	case err == nil:
 		s.arrive(r, lease)
-	case deferred && !r.retried && later.Chance > 0:
-		wait := later.Chance + time.Duration(s.random.Float64()*backoffRetryJitter*float64(later.Chance))
+	case deferred && !r.retried && later.RetryIn > 0:
+		wait := later.RetryIn + time.Duration(s.random.Float64()*backoffRetryJitter*float64(later.RetryIn))
 		s.retrying = append(s.retrying, &backoffRequest{router: s.random.IntN(len(s.tables)), tried: map[granitehoist.Upstream]bool{}, retried: true, retryAt: s.now.Add(wait)})
 	default:
 		s.result.failed++
@@ -182,7 +182,7 @@
 	before := s.rejected
 	s.rejected = nil
 	for _, r := range before {
-		r.lease.Note(Statement{Rest: backoffRequested}, s.now)
+		r.lease.Observe(Statement{Backoff: backoffRequested}, s.now)
 		s.backoffStates = append(s.backoffStates, r.lease.state)
 		r.lease.Done(Refused, s.now)
 	}
@@ -221,7 +221,7 @@
 	s.backoffs[router][u] = append(s.backoffs[router][u], &backoffPeriod{from: s.now.Add(backoffGrace), until: s.now.Add(backoffRequested)})
 	if s.strategy.broadcast {
 		for _, t := range s.tables {
-			t.instances[simulatedID(u)].backoff.Ask(backoffRequested, s.now)
+			t.instances[simulatedID(u)].backoff.Extend(backoffRequested, s.now)
 		}
 	}
 	return false
@@ -234,7 +234,7 @@
 		for _, r := range s.running[u] {
 			r.elapsed += backoffStep
 			if r.elapsed >= backoffHeaderDelay {
-				r.lease.Note(Statement{Taken: true}, s.now)
+				r.lease.Observe(Statement{Accepted: true}, s.now)
 			}
 			if r.elapsed < r.duration {
 				kept = append(kept, r)
@@ -254,12 +254,12 @@
 	}
 	kept := s.backoffStates[:0]
 	for _, i := range s.backoffStates {
-		if i.backoff.Left(s.now) > 0 {
+		if i.backoff.Remaining(s.now) > 0 {
 			kept = append(kept, i)
 			continue
 		}
 		// A concurrency of zero ends the recovery at once.
-		i.backoff.Took(s.now, 0)
+		i.backoff.Accepted(s.now, 0)
 	}
 	s.backoffStates = kept
 }
--- a/balance/backoff_test.go
+++ b/balance/backoff_test.go
@@ -15,7 +15,7 @@
 func (p *testPool) requestBackoff(id granitehoist.Upstream, d time.Duration) {
 	p.t.Helper()
 	lease := p.leaseOf(id)
-	lease.Note(Statement{Rest: d}, p.now)
+	lease.Observe(Statement{Backoff: d}, p.now)
 	lease.Done(Refused, p.now)
 }
 
@@ -48,10 +48,10 @@
 	t.Run("keeps the latest end of several backoffs", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		first, second := p.leaseOf("i-0"), p.leaseOf("i-0")
-		first.Note(Statement{Rest: backoff}, p.now)
+		first.Observe(Statement{Backoff: backoff}, p.now)
 		first.Done(Refused, p.now)
 		p.advance(time.Second)
-		second.Note(Statement{Rest: time.Second}, p.now)
+		second.Observe(Statement{Backoff: time.Second}, p.now)
 		second.Done(Refused, p.now)
 		p.advance(backoff - time.Second - time.Millisecond)
 		p.expect("i-0", p.picks(1, Query{})["i-0"], 0)
@@ -63,7 +63,7 @@
 		before := p.leaseOf("i-0")
 		p.requestBackoff("i-0", backoff)
 		p.advance(time.Second)
-		before.Note(Statement{Taken: true}, p.now)
+		before.Observe(Statement{Accepted: true}, p.now)
 		before.Done(Good, p.now)
 		p.expect("i-0", p.picks(1, Query{})["i-0"], 0)
 	})
@@ -104,10 +104,10 @@
 		p := backingOff(t, 1)
 		p.advance(time.Second)
 		_, err := p.Pick(Query{Service: "pool"}, p.now)
-		if d, deferred := DeferralOf(err); !deferred || d != (Deferral{Chance: backoff - time.Second, Rest: true}) {
+		if d, deferred := DeferralOf(err); !deferred || d != (Deferral{RetryIn: backoff - time.Second, Backoff: true}) {
 			t.Errorf("%v", err)
 		}
-		if chance, known := p.NextChance(Query{Service: "pool"}, p.now); !known || chance != backoff-time.Second {
+		if chance, known := p.RetryIn(Query{Service: "pool"}, p.now); !known || chance != backoff-time.Second {
 			t.Errorf("%v %v", chance, known)
 		}
 	})
@@ -116,7 +116,7 @@
 		p.requestBackoff("i-0", backoff)
 		p.requestBackoff("i-1", time.Second)
 		_, err := p.Pick(Query{Service: "pool"}, p.now)
-		if d, _ := DeferralOf(err); d.Chance != time.Second {
+		if d, _ := DeferralOf(err); d.RetryIn != time.Second {
 			t.Errorf("%v", d)
 		}
 	})
@@ -150,7 +150,7 @@
 			p.expect("concurrent requests", len(leases), want)
 			p.advance(time.Millisecond)
 			for _, l := range leases {
-				l.Note(Statement{Taken: true}, p.now)
+				l.Observe(Statement{Accepted: true}, p.now)
 			}
 		}
 		p.expect("concurrent requests", len(pickAll(p, 100)), 100)
@@ -183,12 +183,12 @@
 	t.Run("ignores a probe sent before a later backoff", func(t *testing.T) {
 		p := afterBackoff(t)
 		early := pickAll(p, 1)[0]
-		early.Note(Statement{Taken: true}, p.now)
+		early.Observe(Statement{Accepted: true}, p.now)
 		two := pickAll(p, 2)
 		p.advance(time.Millisecond)
-		two[0].Note(Statement{Rest: backoff}, p.now)
+		two[0].Observe(Statement{Backoff: backoff}, p.now)
 		two[0].Done(Refused, p.now)
-		two[1].Note(Statement{Taken: true}, p.now)
+		two[1].Observe(Statement{Accepted: true}, p.now)
 		p.advance(backoff)
 		p.expect("concurrent requests", len(pickAll(p, 100)), 1)
 	})
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -28,10 +28,10 @@
 	// ColdFor is how much longer the instance is cold after its announcement. A cold
 	// instance handles a limited request rate (Query.ColdPerSecond). Zero means warm.
 	ColdFor time.Duration
-	// Born is the start time of this incarnation in milliseconds since the Unix epoch;
+	// StartedAtMS is the start time of this incarnation in milliseconds since the Unix epoch;
 	// zero if unknown. An instance may restart under the same ID: the announcement with
-	// the later Born belongs to the newer incarnation.
-	Born int64
+	// the later StartedAtMS belongs to the newer incarnation.
+	StartedAtMS int64
 	// Version is the store's version of the announcement.
 	Version granitehoist.Version
 }
@@ -44,7 +44,7 @@
 }
 
 // incarnation identifies the current incarnation of the instance.
-func (i *Instance) incarnation() Life { return Life{ID: i.ID, Born: i.Born} }
+func (i *Instance) incarnation() Life { return Life{ID: i.ID, Born: i.StartedAtMS} }
 
 // Settings configure a Table. The zero value works.
 type Settings struct {
@@ -54,15 +54,15 @@
 	Seed uint64
 	// Regions holds the region of each availability zone.
 	Regions map[granitehoist.AvailabilityZone]granitehoist.Region
-	// LimitChanged, if set, is called without a lock held when the table learns that a
+	// OnLimitChange, if set, is called without a lock held when the table learns that a
 	// rate limit has been set, changed or lifted.
-	LimitChanged func(LimitChange)
-	// LeavingNoted, if set, is called without a lock held when the table learns that an
+	OnLimitChange func(LimitChange)
+	// OnLeaving, if set, is called without a lock held when the table learns that an
 	// instance is leaving, once for each incarnation.
-	LeavingNoted func(LeavingNote)
-	// RestNoted, if set, is called without a lock held when an instance asks this router
+	OnLeaving func(LeavingNote)
+	// OnBackoff, if set, is called without a lock held when an instance asks this router
 	// to back off.
-	RestNoted func(RestNote)
+	OnBackoff func(RestNote)
 }
 
 // Table holds the instances of all services and, for each instance, this router's
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -54,7 +54,7 @@
 // holds mu.
 func (t *Table) constraints(service *serviceState, q *Query, now time.Time) constraints {
 	return constraints{
-		now: now, tried: q.Tried, evacuated: t.evacuated, homes: q.Homes, regions: t.settings.Regions,
+		now: now, tried: q.Tried, evacuated: t.evacuated, homes: q.AllowedRegions, regions: t.settings.Regions,
 		cold:         coldShare{perSecond: coldRateShare(q.ColdPerSecond, q.Routers), random: t.random},
 		firstInQueue: service.isFirstInQueue(q),
 		hasLimited:   service.hasLimited(),
@@ -75,7 +75,7 @@
 		return excluded
 	case !s.removedAt.IsZero() && !usableAfterRemoval(s.removedAt, now):
 		return excluded
-	case !s.backoff.Admits(now), !s.backoff.IsOver() && !c.firstInQueue, s.lacksPermit(c.firstInQueue, now):
+	case !s.backoff.Allows(now), !s.backoff.Inactive() && !c.firstInQueue, s.lacksPermit(c.firstInQueue, now):
 		return deferred
 	case c.hasLimited && s.isOverloaded(c.routers):
 		return excluded
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -19,17 +19,17 @@
 	// prompt, prefix included.
 	PrefixTokens granitehoist.Tokens
 	PromptTokens granitehoist.Tokens
-	// Pause is the longest time between events that the route allows; zero means no
+	// MaxEventGap is the longest time between events that the route allows; zero means no
 	// limit.
-	Pause time.Duration
+	MaxEventGap time.Duration
 	// ColdPerSecond is the rate limit of a cold instance of the service, in requests a
 	// second from all routers together; zero means no limit.
 	ColdPerSecond float64
 	// Routers is the number of routers that share ColdPerSecond; zero counts as one.
 	Routers int
-	// Homes holds the allowed regions of each rule that names some. A region must be
+	// AllowedRegions holds the allowed regions of each rule that names some. A region must be
 	// allowed by all of them.
-	Homes []Homes
+	AllowedRegions []Homes
 	// Pin, unless zero, selects the instance by rendezvous hashing instead of by cost:
 	// all routers with the same instances select the same one for the same number.
 	Pin uint64
@@ -66,7 +66,7 @@
 		return nil, granitehoist.Errorf(granitehoist.NoUpstream, "service %s", q.Service)
 	}
 	q.prefersSlow = prefersSlow(service.slowCount, len(service.instances), t.random.Float64())
-	q.heavy = isHeavy(q.PromptTokens, service.tokensPerMS(), q.Pause)
+	q.heavy = isHeavy(q.PromptTokens, service.tokensPerMS(), q.MaxEventGap)
 	owner := ownerOf(choices, q.PrefixHash, q.heavy)
 	chosen := ownerOf(choices, q.Pin, false)
 	if chosen == nil {
@@ -77,9 +77,9 @@
 	return lease, nil
 }
 
-// NextChance returns the time until Pick may find an instance for a query, zero if it may
+// RetryIn returns the time until Pick may find an instance for a query, zero if it may
 // do so now. It returns false if no instance is a candidate or deferred.
-func (t *Table) NextChance(q Query, now time.Time) (time.Duration, bool) {
+func (t *Table) RetryIn(q Query, now time.Time) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	service := t.service(q.Service)
@@ -88,7 +88,7 @@
 	case len(selected.choices) > 0:
 		return 0, true
 	case len(selected.deferred) > 0:
-		return earliestDeferral(selected.deferred, now).Chance, true
+		return earliestDeferral(selected.deferred, now).RetryIn, true
 	}
 	return 0, false
 }
@@ -102,7 +102,7 @@
 		maxWait = q.MaxWait
 	}
 	for _, s := range deferred {
-		if s.isLimited() && s.backoff.Admits(now) {
+		if s.isLimited() && s.backoff.Allows(now) {
 			t.addPermitDemand(s, q.Waiting, maxWait)
 		}
 	}
@@ -152,15 +152,15 @@
 	if q.PrefixHash != 0 && s != owner {
 		s.rememberPrefix(q.PrefixHash, now)
 	}
-	lease := &Lease{Instance: s.Instance, Owner: s == owner, Load: s.inFlight, table: t, state: s, pendingTokens: uncached, picked: now, Heavy: q.heavy, Slow: s.slow}
+	lease := &Lease{Instance: s.Instance, PrefixOwner: s == owner, Load: s.inFlight, table: t, state: s, pendingTokens: uncached, picked: now, Heavy: q.heavy, Slow: s.slow}
 	s.inFlight++
 	s.queuedTokens += uncached
 	if s.isCold(now) {
 		s.coldQuota.consume()
 	}
-	if !s.backoff.IsOver() {
+	if !s.backoff.Inactive() {
 		lease.isProbe = true
-		s.backoff.Try()
+		s.backoff.StartProbe()
 	}
 	if s.isLimited() {
 		lease.limited = true
--- a/balance/evacuation_test.go
+++ b/balance/evacuation_test.go
@@ -116,12 +116,12 @@
 		{"a region without instances leaves none", []Homes{{"plains"}}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			expectPicked(t, zonedTable(), Query{Homes: test.homes}, testTime, test.expected...)
+			expectPicked(t, zonedTable(), Query{AllowedRegions: test.homes}, testTime, test.expected...)
 		})
 	}
 	t.Run("excludes zones without a known region", func(t *testing.T) {
 		table := zonedTable()
 		table.Announce(Instance{ID: "i-x", Service: coldPool, Zone: "nowhere", Version: 1}, testTime)
-		expectPicked(t, table, Query{Homes: []Homes{coast}}, testTime, "i-n")
+		expectPicked(t, table, Query{AllowedRegions: []Homes{coast}}, testTime, "i-n")
 	})
 }
--- a/balance/hints.go
+++ b/balance/hints.go
@@ -41,9 +41,9 @@
 	return hints
 }
 
-// NoteHints applies the hints of another router to instances that this router has not
+// ApplyHints applies the hints of another router to instances that this router has not
 // observed enough itself.
-func (t *Table) NoteHints(hints []Hint) {
+func (t *Table) ApplyHints(hints []Hint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, hint := range hints {
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -13,8 +13,8 @@
 // exported fields do not change; they describe the instance when it was chosen.
 type Lease struct {
 	Instance
-	// Owner reports that the instance owns the query's prefix.
-	Owner bool
+	// PrefixOwner reports that the instance owns the query's prefix.
+	PrefixOwner bool
 	// Slow reports that the instance is slow for its service, Heavy that the prompt
 	// delays concurrent streams.
 	Slow, Heavy bool
--- a/balance/leaving.go
+++ b/balance/leaving.go
@@ -98,7 +98,7 @@
 	for _, r := range records {
 		s, found := t.instances[r.Upstream]
 		switch {
-		case !found || s.Born != r.Born:
+		case !found || s.StartedAtMS != r.StartedAtMS:
 			t.leavingIncarnations.add(r.incarnation(), now)
 		case t.recordLeaving(s, now):
 			notes = append(notes, LeavingNote{Instance: s.Instance})
@@ -123,7 +123,7 @@
 
 // notifyLeaving calls the LeavingNoted callback. The caller holds no lock.
 func (t *Table) notifyLeaving(note LeavingNote) {
-	if t.settings.LeavingNoted != nil {
-		t.settings.LeavingNoted(note)
+	if t.settings.OnLeaving != nil {
+		t.settings.OnLeaving(note)
 	}
 }
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -15,7 +15,7 @@
 func (p *testPool) reportLeaving(id granitehoist.Upstream) {
 	p.t.Helper()
 	lease := p.leaseOf(id)
-	lease.Note(Statement{Leaving: true}, p.now)
+	lease.Observe(Statement{Leaving: true}, p.now)
 	lease.Done(Good, p.now)
 }
 
@@ -38,7 +38,7 @@
 
 // reannounce announces i-0 as ready, with the given start time.
 func (p *testPool) reannounce(version granitehoist.Version, startedAt int64) {
-	p.Announce(Instance{ID: "i-0", Service: "pool", Capacity: 8, Version: version, Born: startedAt}, p.now)
+	p.Announce(Instance{ID: "i-0", Service: "pool", Capacity: 8, Version: version, StartedAtMS: startedAt}, p.now)
 }
 
 // TestLeaving guards against requests to an instance after a response said that it is
@@ -70,14 +70,14 @@
 		lease := p.leaseOf("i-0")
 		p.limit("i-0", 2)
 		p.permit("i-0", 1, 0, time.Second)
-		lease.Note(Statement{Leaving: true}, p.now)
+		lease.Observe(Statement{Leaving: true}, p.now)
 		expectNone(p)
 	})
 	t.Run("persists after a later response without the signal", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		first, second := p.leaseOf("i-0"), p.leaseOf("i-0")
-		first.Note(Statement{Leaving: true}, p.now)
-		second.Note(Statement{Rate: RateStatement{Own: true}}, p.now)
+		first.Observe(Statement{Leaving: true}, p.now)
+		second.Observe(Statement{Rate: RateStatement{FromInstance: true}}, p.now)
 		second.Done(Good, p.now)
 		p.expect("none", p.picks(1, Query{})[""], 1)
 	})
@@ -101,7 +101,7 @@
 		p.reannounce(2, 40)
 		lease := p.leaseOf("i-0")
 		p.reannounce(3, 50)
-		lease.Note(Statement{Leaving: true}, p.now)
+		lease.Observe(Statement{Leaving: true}, p.now)
 		p.expect("i-0", p.picks(5, Query{})["i-0"], 5)
 		if p.IsLeaving("i-0") {
 			t.Error("the new incarnation is marked as leaving")
@@ -121,11 +121,11 @@
 	})
 	t.Run("calls the callback once for each incarnation", func(t *testing.T) {
 		var notes []LeavingNote
-		p := &testPool{t: t, now: testTime, Table: New(Settings{Seed: 1, LeavingNoted: func(n LeavingNote) { notes = append(notes, n) }})}
+		p := &testPool{t: t, now: testTime, Table: New(Settings{Seed: 1, OnLeaving: func(n LeavingNote) { notes = append(notes, n) }})}
 		p.reannounce(1, 40)
 		first, second := p.leaseOf("i-0"), p.leaseOf("i-0")
-		first.Note(Statement{Leaving: true}, p.now)
-		second.Note(Statement{Leaving: true}, p.now)
+		first.Observe(Statement{Leaving: true}, p.now)
+		second.Observe(Statement{Leaving: true}, p.now)
 		p.reannounce(2, 50)
 		p.reportLeaving("i-0")
 		p.expect("notes", len(notes), 2)
@@ -154,40 +154,40 @@
 func TestLeavingUpdates(t *testing.T) {
 	t.Run("contain responses to this router, once for each version", func(t *testing.T) {
 		p := newTestPool(t, 2)
-		if updates, _ := p.NewsAfter(0, p.now); updates.Any() {
+		if updates, _ := p.UpdatesSince(0, p.now); updates.HasAny() {
 			t.Errorf("%+v", updates)
 		}
 		p.reportLeaving("i-0")
-		updates, version := p.NewsAfter(0, p.now)
+		updates, version := p.UpdatesSince(0, p.now)
 		p.expect("leaving", len(updates.Leaving), 1)
-		updates, _ = p.NewsAfter(version, p.now)
+		updates, _ = p.UpdatesSince(version, p.now)
 		p.expect("leaving", len(updates.Leaving), 0)
 	})
 	t.Run("exclude the instance at the receiver, which does not forward them", func(t *testing.T) {
 		p := newTestPool(t, 2)
-		p.MergeNews(News{Leaving: []LeavingRecord{{Upstream: "i-0"}}}, p.now)
+		p.MergeUpdates(News{Leaving: []LeavingRecord{{Upstream: "i-0"}}}, p.now)
 		p.expect("i-0", p.picks(50, Query{})["i-0"], 0)
-		if updates, _ := p.NewsAfter(0, p.now); updates.Any() {
+		if updates, _ := p.UpdatesSince(0, p.now); updates.HasAny() {
 			t.Errorf("%+v", updates)
 		}
-		p.expect("in the full state", len(p.AllNews(p.now).Leaving), 1)
+		p.expect("in the full state", len(p.Snapshot(p.now).Leaving), 1)
 	})
 	t.Run("are kept until the instance is announced", func(t *testing.T) {
 		p := newTestPool(t, 2)
-		p.MergeNews(News{Leaving: []LeavingRecord{{Upstream: "i-9", Born: 40}}}, p.now)
-		p.Announce(Instance{ID: "i-9", Service: "pool", Version: 1, Born: 40}, p.now)
+		p.MergeUpdates(News{Leaving: []LeavingRecord{{Upstream: "i-9", StartedAtMS: 40}}}, p.now)
+		p.Announce(Instance{ID: "i-9", Service: "pool", Version: 1, StartedAtMS: 40}, p.now)
 		p.expect("i-9", p.picks(50, Query{})["i-9"], 0)
 	})
 	t.Run("of an earlier incarnation are ignored", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		p.reannounce(2, 50)
-		p.MergeNews(News{Leaving: []LeavingRecord{{Upstream: "i-0", Born: 40}}}, p.now)
+		p.MergeUpdates(News{Leaving: []LeavingRecord{{Upstream: "i-0", StartedAtMS: 40}}}, p.now)
 		p.expect("i-0", p.picks(5, Query{})["i-0"], 5)
 	})
 	t.Run("of a later incarnation apply once that is announced", func(t *testing.T) {
 		p := newTestPool(t, 1)
 		p.reannounce(2, 40)
-		p.MergeNews(News{Leaving: []LeavingRecord{{Upstream: "i-0", Born: 50}}}, p.now)
+		p.MergeUpdates(News{Leaving: []LeavingRecord{{Upstream: "i-0", StartedAtMS: 50}}}, p.now)
 		p.expect("i-0", p.picks(5, Query{})["i-0"], 5)
 		p.reannounce(3, 50)
 		p.expect("i-0", p.picks(5, Query{})["i-0"], 0)
--- a/balance/limitrecord.go
+++ b/balance/limitrecord.go
@@ -13,7 +13,7 @@
 // receiver ignores unknown fields and takes missing ones as zero.
 type LimitRecord struct {
 	Upstream granitehoist.Upstream `json:"upstream"`
-	Born     int64                 `json:"born,omitempty"`
+	StartedAtMS     int64                 `json:"born,omitempty"`
 	// Limited reports that the instance has a rate limit, Rate in requests a second.
 	Limited bool `json:"limited"`
 	Rate    Rate `json:"rate,omitempty"`
@@ -22,8 +22,8 @@
 	AgeMS float64 `json:"age_ms"`
 }
 
-// Life returns the incarnation that the record describes.
-func (r LimitRecord) Life() Life { return Life{ID: r.Upstream, Born: r.Born} }
+// Incarnation returns the incarnation that the record describes.
+func (r LimitRecord) Incarnation() Life { return Life{ID: r.Upstream, Born: r.StartedAtMS} }
 
 // maxLimitAgeMS is one day, to which the age of a record is clamped.
 const maxLimitAgeMS = 24 * 60 * 60 * 1000
@@ -41,7 +41,7 @@
 // limitRecord returns the known rate limit of an instance. The caller holds the table's
 // lock.
 func (s *instanceState) limitRecord(now time.Time) LimitRecord {
-	record := LimitRecord{Upstream: s.ID, Born: s.Born}
+	record := LimitRecord{Upstream: s.ID, StartedAtMS: s.StartedAtMS}
 	if s.limit != nil {
 		record.Limited, record.Rate = s.limit.known.limited, s.limit.known.rate
 		record.AgeMS = inMilliseconds(now.Sub(s.limit.known.asOf))
@@ -68,7 +68,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, found := t.instances[incarnation.ID]
-	if !found || s.Born != incarnation.Born || s.limit == nil {
+	if !found || s.StartedAtMS != incarnation.Born || s.limit == nil {
 		return LimitRecord{}, false
 	}
 	return s.limitRecord(now), true
@@ -84,7 +84,7 @@
 		switch {
 		case !found:
 			t.keepPendingLimit(r, now)
-		case found && s.Born == r.Born:
+		case found && s.StartedAtMS == r.StartedAtMS:
 			changes = append(changes, t.mergeLimit(s, r.knownLimit(now))...)
 		}
 	}
@@ -99,7 +99,7 @@
 	if len(t.pendingLimits) >= maxPendingLimits {
 		clear(t.pendingLimits)
 	}
-	t.pendingLimits[r.Life()] = r.knownLimit(now)
+	t.pendingLimits[r.Incarnation()] = r.knownLimit(now)
 }
 
 // mergeLimit applies another router's knowledge of the limit of an instance. The caller
@@ -115,7 +115,7 @@
 	if len(t.pendingLimits) == 0 {
 		return
 	}
-	if known, found := t.pendingLimits[Life{ID: s.ID, Born: s.Born}]; found {
+	if known, found := t.pendingLimits[Life{ID: s.ID, Born: s.StartedAtMS}]; found {
 		s.limit = &limitState{known: known}
 	}
 	for incarnation := range t.pendingLimits {
@@ -155,13 +155,13 @@
 	if !toggled && after.rate == before.rate {
 		return nil
 	}
-	return []LimitChange{{Instance: s.Instance, Named: after.limited, Rate: after.rate, Observed: observed}}
+	return []LimitChange{{Instance: s.Instance, Limited: after.limited, Rate: after.rate, Observed: observed}}
 }
 
 // mayChangeLimit reports whether a response can change the known limit. A response
 // without a rate cannot if no limit was known when the instance was chosen: any limit
 // learned since then is newer than the request.
-func (l *Lease) mayChangeLimit(statement RateStatement) bool { return statement.Named || l.limited }
+func (l *Lease) mayChangeLimit(statement RateStatement) bool { return statement.HasRate || l.limited }
 
 // recordRate applies the rate information in a response of the instance.
 func (l *Lease) recordRate(statement RateStatement, now time.Time) {
@@ -175,10 +175,10 @@
 
 // notifyLimitChanges calls the LimitChanged callback. The caller holds no lock.
 func (t *Table) notifyLimitChanges(changes []LimitChange) {
-	if t.settings.LimitChanged == nil {
+	if t.settings.OnLimitChange == nil {
 		return
 	}
 	for _, change := range changes {
-		t.settings.LimitChanged(change)
+		t.settings.OnLimitChange(change)
 	}
 }
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -52,14 +52,14 @@
 // isOutdated reports whether an announcement is older than another one of the same ID, by
 // store version or by incarnation.
 func isOutdated(i, than Instance) bool {
-	return i.Version < than.Version || (i.Born != 0 && i.Born < than.Born)
+	return i.Version < than.Version || (i.StartedAtMS != 0 && i.StartedAtMS < than.StartedAtMS)
 }
 
 // isNewIncarnation reports whether an announcement belongs to a later incarnation than
 // the previous one. If either start time is unknown, the incarnation is taken to be the
 // same.
 func isNewIncarnation(i, before Instance) bool {
-	return before.Born != 0 && i.Born > before.Born
+	return before.StartedAtMS != 0 && i.StartedAtMS > before.StartedAtMS
 }
 
 // Remove records that an instance's announcement was removed from the store. It returns
--- a/balance/permit.go
+++ b/balance/permit.go
@@ -20,18 +20,18 @@
 	Limit LimitRecord
 	// Count is the number of permits wanted, at least one.
 	Count int
-	// Within is the longest time that a request can wait for one.
-	Within time.Duration
+	// MaxWait is the longest time that a request can wait for one.
+	MaxWait time.Duration
 }
 
 // PermitAnswer is the response to a PermitRequest.
 type PermitAnswer struct {
-	Life Life
+	Incarnation Life
 	// Count permits are valid from Due until Expires.
 	Count        int
 	Due, Expires time.Time
-	// Retry is when to ask again if Count is zero.
-	Retry time.Time
+	// RetryAt is when to ask again if Count is zero.
+	RetryAt time.Time
 }
 
 // limitState holds the rate limit and the permits of an instance that has, or had, a
@@ -159,7 +159,7 @@
 				next = demand.notBefore
 			}
 		default:
-			requests = append(requests, PermitRequest{Limit: s.limitRecord(now), Count: demand.count, Within: demand.maxWait})
+			requests = append(requests, PermitRequest{Limit: s.limitRecord(now), Count: demand.count, MaxWait: demand.maxWait})
 			*demand = permitDemand{pending: true}
 		}
 	}
@@ -168,13 +168,13 @@
 	return requests, next
 }
 
-// NotePermits applies the response to a request returned by PermitRequests. Responses for
+// AddPermits applies the response to a request returned by PermitRequests. Responses for
 // unknown incarnations are ignored.
-func (t *Table) NotePermits(a PermitAnswer) {
+func (t *Table) AddPermits(a PermitAnswer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, found := t.instances[a.Life.ID]
-	if !found || s.Born != a.Life.Born || s.limit == nil {
+	s, found := t.instances[a.Incarnation.ID]
+	if !found || s.StartedAtMS != a.Incarnation.Born || s.limit == nil {
 		return
 	}
 	demand := &s.limit.demand
@@ -183,7 +183,7 @@
 		s.limit.permits = append(s.limit.permits, permitBatch{count: a.Count, due: a.Due, expires: a.Expires})
 		demand.notBefore = a.Due
 	} else {
-		demand.notBefore = a.Retry
+		demand.notBefore = a.RetryAt
 	}
 	if demand.queued {
 		t.signalPermitsWanted()
--- a/balance/ratelimit.go
+++ b/balance/ratelimit.go
@@ -23,23 +23,23 @@
 // RateStatement is the rate information in one response: the rate that the instance
 // accepts from all routers together. The zero value carries no information.
 type RateStatement struct {
-	// Named reports that the response states Rate.
-	Named bool
+	// HasRate reports that the response states Rate.
+	HasRate bool
 	Rate  Rate
 	// Unreadable reports that the response states an invalid rate.
 	Unreadable bool
-	// Own reports that the response certainly comes from the instance, so that the
+	// FromInstance reports that the response certainly comes from the instance, so that the
 	// absence of a rate means that there is no limit.
-	Own bool
+	FromInstance bool
 }
 
 // Stated reports whether the response states a rate, valid or not.
-func (s RateStatement) Stated() bool { return s.Named || s.Unreadable }
+func (s RateStatement) Stated() bool { return s.HasRate || s.Unreadable }
 
 // String returns the rate, "unreadable", or "none".
 func (s RateStatement) String() string {
 	switch {
-	case s.Named:
+	case s.HasRate:
 		return strconv.FormatFloat(float64(s.Rate), 'g', -1, 64)
 	case s.Unreadable:
 		return "unreadable"
@@ -63,14 +63,14 @@
 // sent.
 func (k knownLimit) withResponse(s RateStatement, sent, now time.Time) knownLimit {
 	switch {
-	case s.Unreadable, !s.Named && !s.Own:
+	case s.Unreadable, !s.HasRate && !s.FromInstance:
 		return k
-	case s.Named && (!k.limited || s.Rate <= k.rate):
+	case s.HasRate && (!k.limited || s.Rate <= k.rate):
 		return knownLimit{limited: true, rate: s.Rate, asOf: now, version: k.version}
 	case sent.Before(k.asOf):
 		return k
 	}
-	return knownLimit{limited: s.Named, rate: s.Rate, asOf: sent, version: k.version}
+	return knownLimit{limited: s.HasRate, rate: s.Rate, asOf: sent, version: k.version}
 }
 
 // merged returns the view after another router reported its own: the more recent one.
@@ -84,8 +84,8 @@
 // LimitChange is the event that a rate limit was set, changed or lifted.
 type LimitChange struct {
 	Instance
-	// Named reports that there is a limit of Rate; otherwise the limit was lifted.
-	Named bool
+	// Limited reports that there is a limit of Rate; otherwise the limit was lifted.
+	Limited bool
 	Rate  Rate
 	// Observed reports that the information came from a response to this router, not from
 	// another router.
--- a/balance/ratelimit_test.go
+++ b/balance/ratelimit_test.go
@@ -15,12 +15,12 @@
 // order.
 func TestKnownLimit(t *testing.T) {
 	at := func(s float64) time.Time { return testTime.Add(time.Duration(s * float64(time.Second))) }
-	withRate := func(rate Rate) RateStatement { return RateStatement{Named: true, Rate: rate, Own: true} }
+	withRate := func(rate Rate) RateStatement { return RateStatement{HasRate: true, Rate: rate, FromInstance: true} }
 	limit := func(rate Rate, asOf float64) knownLimit {
 		return knownLimit{limited: true, rate: rate, asOf: at(asOf)}
 	}
 	lifted := func(asOf float64) knownLimit { return knownLimit{asOf: at(asOf)} }
-	noLimit := RateStatement{Own: true}
+	noLimit := RateStatement{FromInstance: true}
 	cases := []struct {
 		name      string
 		known     knownLimit
@@ -37,7 +37,7 @@
 		{"a response without a limit lifts it", limit(2, 3), noLimit, 4, 6, false, 0, 4},
 		{"a response without a limit to an earlier request is ignored", limit(2, 3), noLimit, 2, 6, true, 2, 3},
 		{"a response of an intermediary does not lift the limit", limit(2, 3), RateStatement{}, 4, 6, true, 2, 3},
-		{"an invalid rate is ignored", limit(2, 3), RateStatement{Unreadable: true, Own: true}, 4, 6, true, 2, 3},
+		{"an invalid rate is ignored", limit(2, 3), RateStatement{Unreadable: true, FromInstance: true}, 4, 6, true, 2, 3},
 		{"a lifted limit is set again", lifted(3), withRate(2), 4, 6, true, 2, 6},
 		{"zero is a limit", knownLimit{}, withRate(0), 1, 3, true, 0, 3},
 	}
@@ -101,7 +101,7 @@
 // permit adds permits that are valid from due until expires, relative to the current
 // time.
 func (p *testPool) permit(id granitehoist.Upstream, count int, due, expires time.Duration) {
-	p.NotePermits(PermitAnswer{Life: Life{ID: id}, Count: count, Due: p.now.Add(due), Expires: p.now.Add(expires)})
+	p.AddPermits(PermitAnswer{Incarnation: Life{ID: id}, Count: count, Due: p.now.Add(due), Expires: p.now.Add(expires)})
 }
 
 func (p *testPool) expect(what string, got, want int) {
@@ -144,10 +144,10 @@
 	})
 	t.Run("a new incarnation has no limit", func(t *testing.T) {
 		p := newTestPool(t, 1)
-		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 2, Born: 5}, p.now)
-		p.MergeLimits([]LimitRecord{{Upstream: "i-0", Born: 5, Limited: true, Rate: 2}}, p.now)
+		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 2, StartedAtMS: 5}, p.now)
+		p.MergeLimits([]LimitRecord{{Upstream: "i-0", StartedAtMS: 5, Limited: true, Rate: 2}}, p.now)
 		p.expect("limited", p.picks(1, Query{})["i-0"], 0)
-		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 3, Born: 6}, p.now)
+		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 3, StartedAtMS: 6}, p.now)
 		p.expect("restarted", p.picks(5, Query{})["i-0"], 5)
 	})
 	t.Run("a reported limit is kept until the instance is announced", func(t *testing.T) {
@@ -206,7 +206,7 @@
 		p.limit("i-0", 2)
 		p.picks(1, Query{})
 		expectRequests(p, 1)
-		p.NotePermits(PermitAnswer{Life: Life{ID: "i-0"}, Retry: p.now.Add(time.Second)})
+		p.AddPermits(PermitAnswer{Incarnation: Life{ID: "i-0"}, RetryAt: p.now.Add(time.Second)})
 		p.picks(1, Query{})
 		if requests, next := p.PermitRequests(p.now); len(requests) != 0 || !next.Equal(p.now.Add(time.Second)) {
 			t.Errorf("%v, %v", requests, next)
@@ -216,10 +216,10 @@
 	})
 	t.Run("none for an ended incarnation", func(t *testing.T) {
 		p := newTestPool(t, 1)
-		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 2, Born: 5}, p.now)
-		p.MergeLimits([]LimitRecord{{Upstream: "i-0", Born: 5, Limited: true}}, p.now)
+		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 2, StartedAtMS: 5}, p.now)
+		p.MergeLimits([]LimitRecord{{Upstream: "i-0", StartedAtMS: 5, Limited: true}}, p.now)
 		p.picks(1, Query{})
-		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 3, Born: 6}, p.now)
+		p.Announce(Instance{ID: "i-0", Service: "pool", Version: 3, StartedAtMS: 6}, p.now)
 		expectRequests(p)
 		p.expect("instances awaiting permits", len(p.awaitingPermits), 0)
 	})
@@ -263,10 +263,10 @@
 		}
 		p.PermitRequests(p.now)
 		for id, retry := range map[granitehoist.Upstream]time.Duration{"i-0": 3 * time.Second, "i-1": 2 * time.Second} {
-			p.NotePermits(PermitAnswer{Life: Life{ID: id}, Retry: p.now.Add(retry)})
+			p.AddPermits(PermitAnswer{Incarnation: Life{ID: id}, RetryAt: p.now.Add(retry)})
 		}
 		_, err := p.Pick(Query{Service: "pool"}, p.now)
-		if d, deferred := DeferralOf(err); !deferred || d != (Deferral{Chance: 2 * time.Second}) {
+		if d, deferred := DeferralOf(err); !deferred || d != (Deferral{RetryIn: 2 * time.Second}) {
 			t.Errorf("%v, %v", d, deferred)
 		}
 	})
--- a/balance/restart_test.go
+++ b/balance/restart_test.go
@@ -14,7 +14,7 @@
 // another, and against announcements of earlier incarnations.
 func TestRestartedInstance(t *testing.T) {
 	announce := func(table *Table, version granitehoist.Version, startedAt int64, address string) {
-		table.Announce(Instance{ID: "i-0", Service: coldPool, Address: address, Version: version, Born: startedAt}, testTime)
+		table.Announce(Instance{ID: "i-0", Service: coldPool, Address: address, Version: version, StartedAtMS: startedAt}, testTime)
 	}
 	// brokenTwice returns a table whose instance, started at 100, is ejected after two
 	// broken attempts.
--- a/balance/slow_test.go
+++ b/balance/slow_test.go
@@ -80,7 +80,7 @@
 		}
 		return picked
 	}
-	heavy := Query{PromptTokens: 20_000, Pause: 300 * time.Millisecond}
+	heavy := Query{PromptTokens: 20_000, MaxEventGap: 300 * time.Millisecond}
 
 	It("keeps heavy prompts away from them", func() {
 		picked := pickMany(newTable(), heavy)
@@ -88,7 +88,7 @@
 	})
 
 	It("gives them most, but not all, of the other requests", func() {
-		picked := pickMany(newTable(), Query{PromptTokens: 500, Pause: 300 * time.Millisecond})
+		picked := pickMany(newTable(), Query{PromptTokens: 500, MaxEventGap: 300 * time.Millisecond})
 		Expect(picked["i-0"] + picked["i-1"]).To(BeNumerically("~", 300*7.0/11, 40))
 	})
 
@@ -105,7 +105,7 @@
 		hints := observer.Hints()
 		Expect(hints).To(HaveLen(1))
 		fresh := New(Settings{Seed: 2})
-		fresh.NoteHints(hints)
+		fresh.ApplyHints(hints)
 		for i := range 6 {
 			fresh.Announce(Instance{ID: granitehoist.Upstream(fmt.Sprintf("i-%d", i)), Service: pool, Version: 1}, testTime)
 		}
--- a/balance/statement.go
+++ b/balance/statement.go
@@ -12,26 +12,26 @@
 	Rate RateStatement
 	// Leaving reports that the instance is about to end and accepts no further requests.
 	Leaving bool
-	// Rest is the backoff requested from this router; zero if none.
-	Rest time.Duration
-	// Taken reports that the instance accepted the request.
-	Taken bool
+	// Backoff is the backoff requested from this router; zero if none.
+	Backoff time.Duration
+	// Accepted reports that the instance accepted the request.
+	Accepted bool
 }
 
-// Note records the information in a response of the instance. A response of
+// Observe records the information in a response of the instance. A response of
 // another instance that has taken over the address carries none. Most responses carry no
 // information and need no lock.
-func (l *Lease) Note(s Statement, now time.Time) {
+func (l *Lease) Observe(s Statement, now time.Time) {
 	if l.mayChangeLimit(s.Rate) {
 		l.recordRate(s.Rate, now)
 	}
 	if s.Leaving {
 		l.recordLeaving(now)
 	}
-	if s.Rest > 0 {
-		l.recordBackoff(s.Rest, now)
+	if s.Backoff > 0 {
+		l.recordBackoff(s.Backoff, now)
 	}
-	if s.Taken && l.isProbe {
+	if s.Accepted && l.isProbe {
 		l.recordAccepted()
 	}
 }
--- a/balance/status.go
+++ b/balance/status.go
@@ -16,8 +16,8 @@
 	Leaving, Deferred int64
 }
 
-// Spared returns the counts since the table was created.
-func (t *Table) Spared() Spared {
+// SkipCounts returns the counts since the table was created.
+func (t *Table) SkipCounts() Spared {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.skipCounts
@@ -41,9 +41,9 @@
 	// Leaving reports that the instance is about to end, according to its announcement or
 	// to a response.
 	Leaving bool
-	// Resting reports that the instance is in a backoff that it requested from this
+	// BackingOff reports that the instance is in a backoff that it requested from this
 	// router.
-	Resting bool
+	BackingOff bool
 }
 
 // Statuses returns the instances of all services, sorted by ID.
@@ -56,7 +56,7 @@
 			Instance: s.Instance,
 			Ejected:  s.ejected(now) || !s.removedAt.IsZero(),
 			Leaving:  s.isLeaving(),
-			Resting:  s.backoff.Left(now) > 0,
+			BackingOff:  s.backoff.Remaining(now) > 0,
 		})
 	}
 	sort.Slice(statuses, func(i, j int) bool { return statuses[i].ID < statuses[j].ID })
--- a/balance/updates.go
+++ b/balance/updates.go
@@ -18,21 +18,21 @@
 	Leaving []LeavingRecord `json:"leaving,omitempty"`
 }
 
-// Any reports whether there is any information.
-func (n News) Any() bool { return len(n.Limits)+len(n.Leaving) > 0 }
+// HasAny reports whether there is any information.
+func (n News) HasAny() bool { return len(n.Limits)+len(n.Leaving) > 0 }
 
 // LeavingRecord reports that one incarnation of an instance is about to end.
 type LeavingRecord struct {
 	Upstream granitehoist.Upstream `json:"upstream"`
-	Born     int64                 `json:"born,omitempty"`
+	StartedAtMS     int64                 `json:"born,omitempty"`
 }
 
 // incarnation returns the incarnation that the record describes.
-func (r LeavingRecord) incarnation() Life { return Life{ID: r.Upstream, Born: r.Born} }
+func (r LeavingRecord) incarnation() Life { return Life{ID: r.Upstream, Born: r.StartedAtMS} }
 
-// NewsAfter returns the information from responses to this router since a version of the
+// UpdatesSince returns the information from responses to this router since a version of the
 // table, and the current version.
-func (t *Table) NewsAfter(version uint64, now time.Time) (News, uint64) {
+func (t *Table) UpdatesSince(version uint64, now time.Time) (News, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var updates News
@@ -50,9 +50,9 @@
 	return updates, t.updateVersion
 }
 
-// AllNews returns the full current information about all instances, whether from
+// Snapshot returns the full current information about all instances, whether from
 // responses to this router or from other routers.
-func (t *Table) AllNews(now time.Time) News {
+func (t *Table) Snapshot(now time.Time) News {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var updates News
@@ -67,13 +67,13 @@
 	return updates
 }
 
-// MergeNews applies the information of another router.
-func (t *Table) MergeNews(updates News, now time.Time) {
+// MergeUpdates applies the information of another router.
+func (t *Table) MergeUpdates(updates News, now time.Time) {
 	t.MergeLimits(updates.Limits, now)
 	t.mergeLeaving(updates.Leaving, now)
 }
 
 // leavingRecord returns the record of a leaving instance.
 func (s *instanceState) leavingRecord() LeavingRecord {
-	return LeavingRecord{Upstream: s.ID, Born: s.Born}
+	return LeavingRecord{Upstream: s.ID, StartedAtMS: s.StartedAtMS}
 }
--- a/balance/waiting.go
+++ b/balance/waiting.go
@@ -64,7 +64,7 @@
 		switch {
 		case i.isLimited():
 			sum += float64(i.limit.known.rate) * maxWait.Seconds()
-		case !i.backoff.IsOver():
+		case !i.backoff.Inactive():
 			sum += float64(i.concurrency())
 		}
 	}
@@ -110,10 +110,10 @@
 
 // Deferral reports that all instances that a query may use are deferred.
 type Deferral struct {
-	// Chance is the time until one of them may accept a request; zero if unknown.
-	Chance time.Duration
-	// Rest reports that this time is set by a backoff rather than by a permit.
-	Rest bool
+	// RetryIn is the time until one of them may accept a request; zero if unknown.
+	RetryIn time.Duration
+	// Backoff reports that this time is set by a backoff rather than by a permit.
+	Backoff bool
 }
 
 // DeferralOf returns the deferral in an error of Pick, and false for any other error.
@@ -145,7 +145,7 @@
 func earliestDeferral(deferred []*instanceState, now time.Time) Deferral {
 	first := deferred[0].deferral(now)
 	for _, s := range deferred[1:] {
-		if d := s.deferral(now); d.Chance < first.Chance {
+		if d := s.deferral(now); d.RetryIn < first.RetryIn {
 			first = d
 		}
 	}
@@ -154,10 +154,10 @@
 
 // deferral returns how long an instance is deferred.
 func (s *instanceState) deferral(now time.Time) Deferral {
-	backoff := s.backoff.Left(now)
+	backoff := s.backoff.Remaining(now)
 	if !s.isLimited() {
-		return Deferral{Chance: backoff, Rest: backoff > 0}
+		return Deferral{RetryIn: backoff, Backoff: backoff > 0}
 	}
 	permit := s.limit.timeToPermit(now)
-	return Deferral{Chance: max(backoff, permit), Rest: backoff > permit}
+	return Deferral{RetryIn: max(backoff, permit), Backoff: backoff > permit}
 }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -48,8 +48,8 @@
 
 	It("finds a workspace by any of its keys", func() {
 		s := build(document(1), 1)
-		Expect(s.ByKey("k2").Name).To(Equal(granitehoist.Workspace("kiosk")))
-		Expect(s.ByKey("k3")).To(BeNil())
+		Expect(s.WorkspaceByKey("k2").Name).To(Equal(granitehoist.Workspace("kiosk")))
+		Expect(s.WorkspaceByKey("k3")).To(BeNil())
 	})
 
 	It("rejects invalid routes and workspaces by name", func() {
--- a/catalog/document.go
+++ b/catalog/document.go
@@ -50,11 +50,11 @@
 	Kind   Kind
 	// Timeout is the time from the arrival of a request to its deadline; zero means none.
 	Timeout time.Duration
-	// Target is the target latency of a response; zero means none.
-	Target time.Duration
-	// Pause is the target for the longest gap between two events of a stream; zero means
+	// TargetLatency is the target latency of a response; zero means none.
+	TargetLatency time.Duration
+	// MaxEventGap is the target for the longest gap between two events of a stream; zero means
 	// none.
-	Pause    time.Duration
+	MaxEventGap    time.Duration
 	Priority granitehoist.Priority
 	Split    []Share
 	// MaxAttempts bounds the upstreams that may run one request, including the first;
@@ -66,9 +66,9 @@
 	Affinity bool
 	// Resume says that an interrupted stream may continue at another upstream.
 	Resume bool
-	// Homes restricts the requests to upstreams of these regions; empty means no
+	// AllowedRegions restricts the requests to upstreams of these regions; empty means no
 	// restriction.
-	Homes []granitehoist.Region
+	AllowedRegions []granitehoist.Region
 }
 
 // Repeatable reports whether a request may run more than once.
@@ -88,9 +88,9 @@
 	// TokensPerEvent is the maximum number of tokens in one event of a stream; zero if
 	// events are not counted.
 	TokensPerEvent granitehoist.Tokens
-	// ColdPerSecond bounds the requests per second that all routers together send to an
+	// ColdRequestRate bounds the requests per second that all routers together send to an
 	// upstream during its warm-up; zero means no bound.
-	ColdPerSecond float64
+	ColdRequestRate float64
 }
 
 // Workspace holds the keys, priority, regions and budget of a customer.
@@ -101,8 +101,8 @@
 	// Priority replaces that of the route if HasPriority is set.
 	Priority    granitehoist.Priority
 	HasPriority bool
-	// Homes restricts the regions like Route.Homes. If both are set, both apply.
-	Homes []granitehoist.Region
+	// AllowedRegions restricts the regions like Route.AllowedRegions. If both are set, both apply.
+	AllowedRegions []granitehoist.Region
 	// Prepaid is the total budget over all time; it applies if Limited is set.
 	Prepaid granitehoist.Tokens
 	Limited bool
@@ -122,8 +122,8 @@
 	Routes     []Route
 	Services   []Service
 	Workspaces []Workspace
-	// Keyed says that routes which are not anonymous require a key.
-	Keyed  bool
+	// RequireKey says that routes which are not anonymous require a key.
+	RequireKey  bool
 	Limits Limits
 }
 
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -20,8 +20,8 @@
 	// Revision is the revision number that the operators assign.
 	Revision int64
 	Limits   Limits
-	// Keyed says that routes which are not anonymous require a key.
-	Keyed bool
+	// RequireKey says that routes which are not anonymous require a key.
+	RequireKey bool
 	// routesByHost holds the routes by canonical host, longest prefix first.
 	routesByHost    map[string][]*Route
 	services        map[granitehoist.Service]*Service
@@ -39,7 +39,7 @@
 		Version:         version,
 		Revision:        d.Revision,
 		Limits:          d.Limits,
-		Keyed:           d.Keyed,
+		RequireKey:           d.RequireKey,
 		routesByHost:    map[string][]*Route{},
 		services:        map[granitehoist.Service]*Service{},
 		workspaces:      map[granitehoist.Workspace]*Workspace{},
@@ -120,8 +120,8 @@
 // Service returns the service with a name, and nil if there is none.
 func (s *Snapshot) Service(name granitehoist.Service) *Service { return s.services[name] }
 
-// ByKey returns the workspace of a key, and nil if the key is unknown.
-func (s *Snapshot) ByKey(key string) *Workspace { return s.workspacesByKey[key] }
+// WorkspaceByKey returns the workspace of a key, and nil if the key is unknown.
+func (s *Snapshot) WorkspaceByKey(key string) *Workspace { return s.workspacesByKey[key] }
 
 // Workspaces returns the workspaces by name. The caller must not change the map.
 func (s *Snapshot) Workspaces() map[granitehoist.Workspace]*Workspace { return s.workspaces }
--- a/cmd/granitehoist-edge/main.go
+++ b/cmd/granitehoist-edge/main.go
@@ -73,7 +73,7 @@
 		return err
 	}
 	if metricsPort > 0 {
-		config.Metrics = fmt.Sprintf("%s:%d", config.IP, metricsPort)
+		config.MetricsAddress = fmt.Sprintf("%s:%d", config.PeerIP, metricsPort)
 	}
 	limitMemory(config)
 	sink := logsink.New(os.Stdout, logQueueLines)
@@ -85,7 +85,7 @@
 		return err
 	}
 	config.Clock = clock.Now
-	n, err := node.New(config, platform.NewAdapter(platform.StoreSettings{Address: config.Store}), log)
+	n, err := node.New(config, platform.NewAdapter(platform.StoreSettings{Address: config.StoreAddress}), log)
 	if err != nil {
 		return err
 	}
@@ -104,8 +104,8 @@
 
 // limitMemory sets Go's memory limit, if the configuration has one.
 func limitMemory(c *node.Config) {
-	if c.Memory > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(c.Memory)))
+	if c.MemoryLimit > 0 {
+		debug.SetMemoryLimit(int64(memoryShare * float64(c.MemoryLimit)))
 	}
 }
 
--- a/escrow/ask.go
+++ b/escrow/ask.go
@@ -101,7 +101,7 @@
 // readRecordFor triggers a read of the record for a request that no lender responded to.
 func (s *Syncer) readRecordFor(ctx context.Context, w granitehoist.Workspace, queued *waiter) Outcome {
 	s.settings.Ledger.noteLendersFailed(w)
-	s.Kick()
+	s.TriggerSync()
 	return s.wait(ctx, w, queued)
 }
 
--- a/escrow/ask_test.go
+++ b/escrow/ask_test.go
@@ -104,7 +104,7 @@
 	}
 	// unspent returns what is left in the store and at both routers.
 	unspent := func() granitehoist.Tokens {
-		return limit - recordOf(store).Accounts[testWorkspace].Taken() + holder.ledger.State(testWorkspace).Free + ledger.State(testWorkspace).Free
+		return limit - recordOf(store).Accounts[testWorkspace].Outstanding() + holder.ledger.State(testWorkspace).Free + ledger.State(testWorkspace).Free
 	}
 
 	It("holds only the remainder of its last request", func() {
@@ -220,8 +220,8 @@
 			borrower := granitehoist.Incarnation("b" + strconv.Itoa(i%40))
 			result, err := holder.syncer.ServeLend(context.Background(), escrow.LendParams{Borrower: borrower, Workspace: testWorkspace, Need: 1000, Want: 1000})
 			Expect(err).NotTo(HaveOccurred())
-			Expect(result.InTouch).To(BeTrue())
-			_, err = holder.syncer.ServeRepay(context.Background(), escrow.RepayParams{Giver: borrower, Workspace: testWorkspace, Total: granitehoist.Tokens(i/40+1) * 500})
+			Expect(result.StoreConnected).To(BeTrue())
+			_, err = holder.syncer.ServeRepay(context.Background(), escrow.RepayParams{Sender: borrower, Workspace: testWorkspace, Total: granitehoist.Tokens(i/40+1) * 500})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(holder.sync()).To(Succeed())
 			now = now.Add(100 * time.Millisecond)
@@ -241,7 +241,7 @@
 			borrower := granitehoist.Incarnation("b" + strconv.Itoa(i%40))
 			_, err := holder.syncer.ServeLend(context.Background(), escrow.LendParams{Borrower: borrower, Workspace: testWorkspace, Need: 1000, Want: 1000})
 			Expect(err).NotTo(HaveOccurred())
-			_, err = holder.syncer.ServeRepay(context.Background(), escrow.RepayParams{Giver: borrower, Workspace: testWorkspace, Total: granitehoist.Tokens(i/40+1) * 500})
+			_, err = holder.syncer.ServeRepay(context.Background(), escrow.RepayParams{Sender: borrower, Workspace: testWorkspace, Total: granitehoist.Tokens(i/40+1) * 500})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(holder.sync()).To(Succeed())
 			now = now.Add(100 * time.Millisecond)
--- a/escrow/batch_test.go
+++ b/escrow/batch_test.go
@@ -28,7 +28,7 @@
 	BeforeEach(func() {
 		l = NewLedger(LedgerSettings{Incarnation: "a1", Role: func(Shard) Role { return Asks }})
 		l.SetLimit(testWorkspace, 1_000_000)
-		l.Borrowed(testWorkspace, "k1", LendResult{Total: 100_000}, testNow)
+		l.RecordLoan(testWorkspace, "k1", LendResult{Total: 100_000}, testNow)
 		for i := range 100 {
 			now := testNow.Add(time.Duration(i) * 20 * time.Millisecond)
 			Expect(l.Reserve(testWorkspace, 500, granitehoist.MaxPriority, now)).To(BeTrue())
@@ -52,7 +52,7 @@
 	})
 
 	It("repays what exceeds two batches", func() {
-		l.Borrowed(testWorkspace, "k1", LendResult{Total: 400_000}, later)
+		l.RecordLoan(testWorkspace, "k1", LendResult{Total: 400_000}, later)
 		found := l.surpluses(100, later)
 		Expect(found).To(HaveLen(1))
 		Expect(l.State(testWorkspace).Free - found[0].tokens).To(BeNumerically("~", 100_000, 20_000))
--- a/escrow/bench_test.go
+++ b/escrow/bench_test.go
@@ -93,7 +93,7 @@
 					b.Fatal(err)
 				}
 				repaid[i%routers] += 100
-				rest := escrow.RepayParams{Giver: borrower, Workspace: testWorkspace, Total: repaid[i%routers]}
+				rest := escrow.RepayParams{Sender: borrower, Workspace: testWorkspace, Total: repaid[i%routers]}
 				if _, err := holder.syncer.ServeRepay(b.Context(), rest); err != nil {
 					b.Fatal(err)
 				}
--- a/escrow/borrow.go
+++ b/escrow/borrow.go
@@ -61,8 +61,8 @@
 		s.exclude(lender)
 		return false
 	}
-	s.settings.Ledger.noteHolderStatus(request.workspace, result.InTouch, s.settings.Clock())
-	if s.settings.Ledger.Borrowed(request.workspace, lender.Incarnation, result, s.settings.Clock()) {
+	s.settings.Ledger.noteHolderStatus(request.workspace, result.StoreConnected, s.settings.Clock())
+	if s.settings.Ledger.RecordLoan(request.workspace, lender.Incarnation, result, s.settings.Clock()) {
 		s.settings.Log.Info(event.BudgetLoan,
 			zap.String("workspace", string(request.workspace)), zap.String("lender", string(lender.Incarnation)),
 			zap.Int64("total", int64(result.Total)))
@@ -98,7 +98,7 @@
 		granted := s.settings.Ledger.reserve(w, c, s.settings.Clock())
 		if !granted {
 			// Try the store again for the next borrower.
-			s.Kick()
+			s.TriggerSync()
 		}
 		return granted
 	}
--- a/escrow/divide_test.go
+++ b/escrow/divide_test.go
@@ -42,7 +42,7 @@
 		ledger.SetLimit(testWorkspace, limit)
 		return &box{ledger, escrow.NewSyncer(escrow.SyncerSettings{
 			Box: granitehoist.Box(name), Ledger: ledger, Store: store, Clock: clock,
-			Routers: func() int { return 2 }, Divides: func() bool { return large },
+			Routers: func() int { return 2 }, ShardsRecord: func() bool { return large },
 		})}
 	}
 	BeforeEach(func() {
@@ -61,7 +61,7 @@
 		Expect(a.ledger.State(testWorkspace).Free).To(Equal(held.Free))
 		a.ledger.Close()
 		Expect(a.sync()).To(Succeed())
-		Expect(shardRecord(store).Accounts[testWorkspace].Taken()).To(BeZero())
+		Expect(shardRecord(store).Accounts[testWorkspace].Outstanding()).To(BeZero())
 	})
 
 	It("can't be written by a router with an undivided copy, which then uses the shards", func() {
@@ -90,7 +90,7 @@
 		a.ledger.Close()
 		Expect(a.sync()).To(Succeed())
 		Expect(shardRecord(store).Accounts[testWorkspace].Rows["a1"].Granted).To(BeNumerically(">", 0))
-		Expect(shardRecord(store).Accounts[testWorkspace].Taken()).To(BeZero())
+		Expect(shardRecord(store).Accounts[testWorkspace].Outstanding()).To(BeZero())
 	})
 
 	It("counts the tokens of a crashed router in the record of the shard", func() {
@@ -100,7 +100,7 @@
 		large = true
 		next := newGrowingBox("a", "a2")
 		Expect(next.sync()).To(Succeed())
-		Expect(shardRecord(store).Accounts[testWorkspace].Folded).To(Equal(lost))
+		Expect(shardRecord(store).Accounts[testWorkspace].EndedNet).To(Equal(lost))
 	})
 
 	It("is not changed if a later version divided it differently", func() {
--- a/escrow/endofbudget_test.go
+++ b/escrow/endofbudget_test.go
@@ -38,7 +38,7 @@
 		GinkgoHelper()
 		for range 10_000 {
 			free := b.ledger.State(testWorkspace).Free
-			left := recordOf(store).Accounts[testWorkspace].Taken()
+			left := recordOf(store).Accounts[testWorkspace].Outstanding()
 			if limit-left <= keep && free <= small {
 				return
 			}
@@ -106,7 +106,7 @@
 				Expect(b.sync()).To(Succeed())
 			}
 		}
-		left := func() granitehoist.Tokens { return limit - recordOf(store).Accounts[testWorkspace].Taken() + held() }
+		left := func() granitehoist.Tokens { return limit - recordOf(store).Accounts[testWorkspace].Outstanding() + held() }
 		served := 0
 		serve := func(duration time.Duration) int {
 			GinkgoHelper()
--- a/escrow/escrow_test.go
+++ b/escrow/escrow_test.go
@@ -128,8 +128,8 @@
 		next.ledger.SetLimit(testWorkspace, 1000)
 		Expect(next.sync()).To(Succeed())
 		record := recordOf(store)
-		Expect(record.Accounts[testWorkspace].Folded).To(Equal(held))
-		Expect(record.Accounts[testWorkspace].Taken()).To(BeNumerically("<=", 1000))
+		Expect(record.Accounts[testWorkspace].EndedNet).To(Equal(held))
+		Expect(record.Accounts[testWorkspace].Outstanding()).To(BeNumerically("<=", 1000))
 		Expect(record.Accounts[testWorkspace].Rows).NotTo(HaveKey(granitehoist.Incarnation("a1")))
 	})
 
@@ -140,7 +140,7 @@
 		spend(b, 30)
 		b.ledger.Close()
 		Expect(b.sync()).To(Succeed())
-		Expect(recordOf(store).Accounts[testWorkspace].Taken()).To(Equal(granitehoist.Tokens(30)))
+		Expect(recordOf(store).Accounts[testWorkspace].Outstanding()).To(Equal(granitehoist.Tokens(30)))
 		Expect(reserve(b, 1)).To(BeFalse())
 	})
 
@@ -152,7 +152,7 @@
 		b.ledger.SetLimit(testWorkspace, 50)
 		Expect(reserve(b, 1)).To(BeFalse())
 		Expect(b.sync()).To(Succeed())
-		Expect(recordOf(store).Accounts[testWorkspace].Taken()).To(BeNumerically("<=", 50))
+		Expect(recordOf(store).Accounts[testWorkspace].Outstanding()).To(BeNumerically("<=", 50))
 		Expect(reserve(b, 11)).To(BeFalse())
 	})
 
@@ -216,8 +216,8 @@
 		params := escrow.LendParams{Borrower: "b1", Workspace: testWorkspace, Need: 20, Want: 20}
 		a.ledger.Lend(params, now)
 		second := a.ledger.Lend(params, now)
-		Expect(b.ledger.Borrowed(testWorkspace, "a1", second, now)).To(BeTrue())
-		Expect(b.ledger.Borrowed(testWorkspace, "a1", second, now)).To(BeFalse())
+		Expect(b.ledger.RecordLoan(testWorkspace, "a1", second, now)).To(BeTrue())
+		Expect(b.ledger.RecordLoan(testWorkspace, "a1", second, now)).To(BeFalse())
 		Expect(b.ledger.State(testWorkspace).Free).To(Equal(granitehoist.Tokens(40)))
 		Expect(a.ledger.State(testWorkspace).Free).To(Equal(before - 40))
 	})
@@ -234,7 +234,7 @@
 		one := lenders[0].ledger.State(testWorkspace).Free
 		for i, b := range lenders {
 			loan := b.ledger.Lend(escrow.LendParams{Borrower: "z1", Workspace: testWorkspace, Need: one + 1, Want: one + 1}, now)
-			borrower.ledger.Borrowed(testWorkspace, granitehoist.Incarnation([]string{"a1", "b1", "c1"}[i]), loan, now)
+			borrower.ledger.RecordLoan(testWorkspace, granitehoist.Incarnation([]string{"a1", "b1", "c1"}[i]), loan, now)
 		}
 		Expect(reserve(borrower, one+1)).To(BeTrue())
 	})
@@ -259,7 +259,7 @@
 		caller.broken.Store(true)
 		Expect(borrower.Reserve(ctx, testWorkspace, 2000, maxPriority).Outcome).To(Equal(escrow.Granted))
 		Expect(recordOf(store).Accounts[testWorkspace].Rows).To(HaveKey(granitehoist.Incarnation("b1")))
-		Expect(recordOf(store).Accounts[testWorkspace].Taken()).To(BeNumerically("<=", 10_000))
+		Expect(recordOf(store).Accounts[testWorkspace].Outstanding()).To(BeNumerically("<=", 10_000))
 	})
 
 	It("are lent by the need if the want is invalid, and not at all if the need is", func() {
--- a/escrow/history_test.go
+++ b/escrow/history_test.go
@@ -114,7 +114,7 @@
 	h.boxes[i] = &box{ledger, escrow.NewSyncer(escrow.SyncerSettings{
 		Box: granitehoist.Box(fmt.Sprintf("box%d", i)), Ledger: ledger, Store: h.store, Clock: h.clock,
 		Routers: func() int { return historyBoxes },
-		Divides: func() bool { return h.large },
+		ShardsRecord: func() bool { return h.large },
 	})}
 }
 
@@ -175,7 +175,7 @@
 	}
 	result := h.boxes[from].ledger.Lend(escrow.LendParams{Borrower: granitehoist.Incarnation(h.incarnations[to]), Workspace: testWorkspace, Need: need, Want: 2 * need}, h.now)
 	if !lost {
-		h.boxes[to].ledger.Borrowed(testWorkspace, granitehoist.Incarnation(h.incarnations[from]), result, h.now)
+		h.boxes[to].ledger.RecordLoan(testWorkspace, granitehoist.Incarnation(h.incarnations[from]), result, h.now)
 	}
 }
 
@@ -202,7 +202,7 @@
 		StandIn: h.roles[from] == escrow.Asks && h.large,
 	})
 	if !lost {
-		h.boxes[to].ledger.Borrowed(testWorkspace, granitehoist.Incarnation(h.incarnations[from]), result, h.now)
+		h.boxes[to].ledger.RecordLoan(testWorkspace, granitehoist.Incarnation(h.incarnations[from]), result, h.now)
 	}
 }
 
--- a/escrow/largefleet_test.go
+++ b/escrow/largefleet_test.go
@@ -97,7 +97,7 @@
 	b := &box{ledger, escrow.NewSyncer(escrow.SyncerSettings{
 		Box: granitehoist.Box(name), Ledger: ledger, Store: f.store, Clock: f.clock, Caller: f,
 		Routers: func() int { return largeFleetRouters },
-		Divides: func() bool { return true },
+		ShardsRecord: func() bool { return true },
 		Lenders: func(escrow.Shard) []escrow.Lender { return lenders },
 		// Calls take no time here, so shorter timeouts would only fail on a slow
 		// machine.
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -198,17 +198,17 @@
 	l.health.noteFailure(now)
 }
 
-// CutOffTime returns for how long the store has responded neither to this router itself
+// StoreUnreachableFor returns for how long the store has responded neither to this router itself
 // nor to a holder that it borrows from; zero if it responds. Answer.Silent differs: a
 // response to any lender resets it.
-func (l *Ledger) CutOffTime(now time.Time) time.Duration {
+func (l *Ledger) StoreUnreachableFor(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.health.cutOffTime(now)
 }
 
-// NoteNeighbourCutOff records the CutOffTime that a neighbour reports.
-func (l *Ledger) NoteNeighbourCutOff(cutOff time.Duration, now time.Time) {
+// NoteNeighbourUnreachableFor records the CutOffTime that a neighbour reports.
+func (l *Ledger) NoteNeighbourUnreachableFor(cutOff time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.health.noteNeighbourCutOff(cutOff, now)
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -36,9 +36,9 @@
 	if !a.fleet.record.valid || !l.health.isConnected(now) {
 		return result
 	}
-	result.InTouch = true
+	result.StoreConnected = true
 	result.StoreRemaining = max(0, a.fleet.record.remaining)
-	result.LeftAnywhere = result.StoreRemaining + max(0, a.owned.unreserved()) + a.fleet.record.idleElsewhere
+	result.TotalRemaining = result.StoreRemaining + max(0, a.owned.unreserved()) + a.fleet.record.idleElsewhere
 	return result
 }
 
@@ -51,21 +51,21 @@
 	return l.lendResult(a, p.Borrower, now)
 }
 
-// Borrowed records a lender's reply, and reports whether it brought tokens. Late or
+// RecordLoan records a lender's reply, and reports whether it brought tokens. Late or
 // duplicate replies bring none.
-func (l *Ledger) Borrowed(w granitehoist.Workspace, lender granitehoist.Incarnation, r LendResult, now time.Time) bool {
+func (l *Ledger) RecordLoan(w granitehoist.Workspace, lender granitehoist.Incarnation, r LendResult, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	if r.InTouch {
+	if r.StoreConnected {
 		l.health.noteResponse(now)
-		a.fleet.lender = lenderView{remaining: r.StoreRemaining, totalRemaining: r.LeftAnywhere, at: now, valid: true}
+		a.fleet.lender = lenderView{remaining: r.StoreRemaining, totalRemaining: r.TotalRemaining, at: now, valid: true}
 	}
 	brought := a.owned.borrow(lender, r.Total)
 	if brought {
 		l.admitWaiters(a, now)
 	}
-	if r.InTouch {
+	if r.StoreConnected {
 		l.refuseAndAdmitWaiters(a, now)
 	}
 	return brought
@@ -76,11 +76,11 @@
 func (l *Ledger) noteRepayment(p RepayParams, now time.Time) {
 	l.mu.Lock()
 	a := l.account(p.Workspace)
-	if back := p.Total - a.owned.borrowed[p.Giver]; back > 0 && l.role(p.Workspace, a, now).isHolder() {
+	if back := p.Total - a.owned.borrowed[p.Sender]; back > 0 && l.role(p.Workspace, a, now).isHolder() {
 		a.demand.rate.add(-back, l.firstRequestAt, now)
 	}
 	l.mu.Unlock()
-	l.Borrowed(p.Workspace, p.Giver, LendResult{Total: p.Total}, now)
+	l.RecordLoan(p.Workspace, p.Sender, LendResult{Total: p.Total}, now)
 }
 
 // repay deducts tokens from what this ledger owns and returns the message that transfers
@@ -92,7 +92,7 @@
 	if give := min(s.tokens, a.owned.free()); give > 0 {
 		a.owned.lend(to, give)
 	}
-	return RepayParams{Giver: l.settings.Incarnation, Workspace: s.workspace, Total: a.owned.lent[to]}
+	return RepayParams{Sender: l.settings.Incarnation, Workspace: s.workspace, Total: a.owned.lent[to]}
 }
 
 // report returns a reply to a neighbour without a new loan.
--- a/escrow/messages.go
+++ b/escrow/messages.go
@@ -27,14 +27,14 @@
 	// Total is the sum of all loans of the lender to the borrower. It only grows, so
 	// that the next reply makes up for a lost one.
 	Total granitehoist.Tokens `json:"total"`
-	// InTouch is set if the store responded to the lender within connectedTime. The
+	// StoreConnected is set if the store responded to the lender within connectedTime. The
 	// fields below are zero without it.
-	InTouch bool `json:"in_touch,omitempty"`
+	StoreConnected bool `json:"in_touch,omitempty"`
 	// StoreRemaining is what the store had left when the lender last read the record.
 	StoreRemaining granitehoist.Tokens `json:"rest,omitempty"`
-	// LeftAnywhere adds the idle tokens of all routers but the borrower to
+	// TotalRemaining adds the idle tokens of all routers but the borrower to
 	// StoreRemaining.
-	LeftAnywhere granitehoist.Tokens `json:"left,omitempty"`
+	TotalRemaining granitehoist.Tokens `json:"left,omitempty"`
 }
 
 // MethodRepay transfers tokens to a neighbour that did not request them.
@@ -42,7 +42,7 @@
 
 // RepayParams transfers tokens to the receiver.
 type RepayParams struct {
-	Giver     granitehoist.Incarnation `json:"giver"`
+	Sender     granitehoist.Incarnation `json:"giver"`
 	Workspace granitehoist.Workspace   `json:"workspace"`
 	// Total is the sum of all tokens that the giver has lent or transferred to the
 	// receiver. It only grows. Zero transfers nothing and only asks whether the receiver
--- a/escrow/outage_test.go
+++ b/escrow/outage_test.go
@@ -81,19 +81,19 @@
 	})
 
 	It("are returned when the store did not respond to a neighbour", func() {
-		b.ledger.NoteNeighbourCutOff(time.Second, now)
+		b.ledger.NoteNeighbourUnreachableFor(time.Second, now)
 		run(500 * time.Millisecond)
 		Expect(free()).To(BeNumerically(">", 60_000))
-		b.ledger.NoteNeighbourCutOff(5*time.Second, now)
+		b.ledger.NoteNeighbourUnreachableFor(5*time.Second, now)
 		run(500 * time.Millisecond)
 		Expect(free()).To(BeNumerically("<", limit/50))
 	})
 
 	It("report for how long the store has not responded", func() {
-		Expect(b.ledger.CutOffTime(now)).To(BeZero())
+		Expect(b.ledger.StoreUnreachableFor(now)).To(BeZero())
 		store.Fail(standin.StoreFaults{Down: true})
 		run(3 * time.Second)
-		Expect(b.ledger.CutOffTime(now)).To(BeNumerically("~", 3*time.Second, 200*time.Millisecond))
+		Expect(b.ledger.StoreUnreachableFor(now)).To(BeNumerically("~", 3*time.Second, 200*time.Millisecond))
 	})
 })
 
@@ -140,7 +140,7 @@
 		Expect(ledger.State(testWorkspace).Free).To(BeZero())
 		Expect(neighbour.ledger.State(testWorkspace).Free).To(Equal(before + held))
 		store.Fail(standin.StoreFaults{})
-		Expect(recordOf(store).Accounts[testWorkspace].Taken()).To(BeNumerically("<=", limit))
+		Expect(recordOf(store).Accounts[testWorkspace].Outstanding()).To(BeNumerically("<=", limit))
 	})
 
 	It("transfers nothing to a neighbour that shuts down as well", func() {
--- a/escrow/outcome.go
+++ b/escrow/outcome.go
@@ -45,9 +45,9 @@
 	// of a lender, and Age the age of that report; both are zero if there was none.
 	StoreRemaining granitehoist.Tokens
 	Age            time.Duration
-	// Silent is for how long the store has responded neither to this router nor to a
+	// StoreUnresponsiveFor is for how long the store has responded neither to this router nor to a
 	// lender that reported to it; zero if it responds.
-	Silent time.Duration
+	StoreUnresponsiveFor time.Duration
 }
 
 // answer returns an outcome with what the router knows of the workspace.
@@ -57,6 +57,6 @@
 	a := l.account(w)
 	answer := Answer{Outcome: o, Free: a.owned.free()}
 	answer.StoreRemaining, answer.Age = a.fleet.reported(now)
-	answer.Silent = l.health.unresponsiveFor(now)
+	answer.StoreUnresponsiveFor = l.health.unresponsiveFor(now)
 	return answer
 }
--- a/escrow/record.go
+++ b/escrow/record.go
@@ -44,23 +44,23 @@
 
 // StoredAccount is the record of one workspace.
 type StoredAccount struct {
-	// Folded is the sum of Row.Net over incarnations that have ended.
-	Folded granitehoist.Tokens              `json:"f,omitempty"`
+	// EndedNet is the sum of Row.Net over incarnations that have ended.
+	EndedNet granitehoist.Tokens              `json:"f,omitempty"`
 	Rows   map[granitehoist.Incarnation]Row `json:"rows,omitempty"`
 }
 
-// Taken returns the tokens that were granted and not returned.
-func (a *StoredAccount) Taken() granitehoist.Tokens {
-	taken := a.Folded
+// Outstanding returns the tokens that were granted and not returned.
+func (a *StoredAccount) Outstanding() granitehoist.Tokens {
+	taken := a.EndedNet
 	for _, row := range a.Rows {
 		taken += row.Net()
 	}
 	return taken
 }
 
-// IdleElsewhere returns the sum of the idle tokens that other incarnations last
+// IdleOfOthers returns the sum of the idle tokens that other incarnations last
 // reported.
-func (a *StoredAccount) IdleElsewhere(self granitehoist.Incarnation) granitehoist.Tokens {
+func (a *StoredAccount) IdleOfOthers(self granitehoist.Incarnation) granitehoist.Tokens {
 	var idle granitehoist.Tokens
 	for incarnation, row := range a.Rows {
 		if incarnation != self {
@@ -144,7 +144,7 @@
 	}
 	for w, account := range r.Accounts {
 		if ShardOf(w) == of {
-			p.Accounts[w] = &StoredAccount{Folded: account.Folded, Rows: maps.Clone(account.Rows)}
+			p.Accounts[w] = &StoredAccount{EndedNet: account.EndedNet, Rows: maps.Clone(account.Rows)}
 		}
 	}
 	return p
@@ -163,10 +163,10 @@
 	return raw, nil
 }
 
-// Enter registers an incarnation as the current one of its box. The rows of the previous
+// RegisterIncarnation registers an incarnation as the current one of its box. The rows of the previous
 // incarnation are added to Folded and deleted: a box runs one router at a time, so that
 // one has ended.
-func (r *Record) Enter(box granitehoist.Box, incarnation granitehoist.Incarnation) {
+func (r *Record) RegisterIncarnation(box granitehoist.Box, incarnation granitehoist.Incarnation) {
 	previous, found := r.Boxes[box]
 	if found && previous == incarnation {
 		return
@@ -180,7 +180,7 @@
 		if !ok {
 			continue
 		}
-		account.Folded += row.Net()
+		account.EndedNet += row.Net()
 		delete(account.Rows, previous)
 	}
 }
--- a/escrow/repay.go
+++ b/escrow/repay.go
@@ -27,7 +27,7 @@
 		return LendResult{}, granitehoist.ErrUnavailable
 	}
 	s.settings.Ledger.noteRepayment(p, now)
-	return s.settings.Ledger.report(p.Workspace, p.Giver, now), nil
+	return s.settings.Ledger.report(p.Workspace, p.Sender, now), nil
 }
 
 // repayLoop repays surplus tokens to holders until ctx ends.
@@ -78,7 +78,7 @@
 	defer cancel()
 	// Nothing is deducted before the neighbour has responded. If it does not, the error
 	// is dropped and the next neighbour is tried.
-	ask := RepayParams{Giver: s.settings.Ledger.settings.Incarnation, Workspace: extra.workspace}
+	ask := RepayParams{Sender: s.settings.Ledger.settings.Incarnation, Workspace: extra.workspace}
 	var result LendResult
 	if err := s.settings.Caller.Call(ctx, to, MethodRepay, ask, &result); err != nil {
 		return false
--- a/escrow/sharded_test.go
+++ b/escrow/sharded_test.go
@@ -59,7 +59,7 @@
 	f.boxes[i] = &box{ledger, escrow.NewSyncer(escrow.SyncerSettings{
 		Box: granitehoist.Box(fmt.Sprint("box-", i)), Ledger: ledger, Store: f.store, Clock: f.clock,
 		Routers: func() int { return len(f.boxes) },
-		Divides: func() bool { return true },
+		ShardsRecord: func() bool { return true },
 	})}
 }
 
@@ -111,8 +111,8 @@
 			t.Fatal(err)
 		}
 		for w, account := range record.Accounts {
-			if account.Taken() > shardedFleetLimit {
-				t.Fatalf("%s: %d taken of %d", w, account.Taken(), shardedFleetLimit)
+			if account.Outstanding() > shardedFleetLimit {
+				t.Fatalf("%s: %d taken of %d", w, account.Outstanding(), shardedFleetLimit)
 			}
 		}
 	}
--- a/escrow/sync.go
+++ b/escrow/sync.go
@@ -44,14 +44,14 @@
 		err = s.trySyncShards(ctx, shards)
 	}
 	s.noteResult(err)
-	s.settings.Synced(err)
+	s.settings.OnSync(err)
 	return err
 }
 
 // trySyncShards implements syncShards, and fails with errDivided if the record turns out
 // to have been divided.
 func (s *Syncer) trySyncShards(ctx context.Context, shards []Shard) error {
-	if s.settings.Divides() && !s.copies.isDivided() {
+	if s.settings.ShardsRecord() && !s.copies.isDivided() {
 		if err := s.divide(ctx); err != nil {
 			return err
 		}
@@ -213,7 +213,7 @@
 		s.copies.markDivided(record)
 		return nil, nil, errDivided
 	}
-	record.Enter(s.settings.Box, s.settings.Ledger.settings.Incarnation)
+	record.RegisterIncarnation(s.settings.Box, s.settings.Ledger.settings.Incarnation)
 	return record, s.settings.Ledger.prepare(record, c.scope, batched, s.settings.Routers(), s.settings.Clock()), nil
 }
 
--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -41,9 +41,9 @@
 	Store  granitehoist.Store
 	// Routers returns the number of routers that share the budgets; nil means one.
 	Routers func() int
-	// Divides reports whether the fleet is large enough to divide the record into
+	// ShardsRecord reports whether the fleet is large enough to divide the record into
 	// shards, which can't be undone; nil means that it is not.
-	Divides func() bool
+	ShardsRecord func() bool
 	// Lenders returns the neighbours that may lend the tokens of a shard, the likeliest
 	// first, and Caller calls them. Nothing is borrowed if either is nil.
 	Lenders func(Shard) []Lender
@@ -60,9 +60,9 @@
 	HedgeAfter time.Duration
 	Clock      granitehoist.Clock
 	Log        *zap.Logger
-	// Synced, if set, is called with the result of each sync. It must not call the
+	// OnSync, if set, is called with the result of each sync. It must not call the
 	// syncer.
-	Synced func(error)
+	OnSync func(error)
 }
 
 // DefaultInterval is how often Run checks the holdings.
@@ -81,8 +81,8 @@
 	if s.Routers == nil {
 		s.Routers = func() int { return 1 }
 	}
-	if s.Divides == nil {
-		s.Divides = func() bool { return false }
+	if s.ShardsRecord == nil {
+		s.ShardsRecord = func() bool { return false }
 	}
 	if s.Clock == nil {
 		s.Clock = time.Now
@@ -90,8 +90,8 @@
 	if s.Log == nil {
 		s.Log = zap.NewNop()
 	}
-	if s.Synced == nil {
-		s.Synced = func(error) {}
+	if s.OnSync == nil {
+		s.OnSync = func(error) {}
 	}
 	return &Syncer{
 		settings: s, triggers: make(chan struct{}, 1), excludedUntil: map[string]time.Time{},
@@ -116,7 +116,7 @@
 	if s.settings.Ledger.Role(w, s.settings.Clock()) == Asks && !c.isLoan {
 		return s.borrowForRequest(ctx, w, c, queued)
 	}
-	s.Kick()
+	s.TriggerSync()
 	return s.wait(ctx, w, queued)
 }
 
@@ -135,8 +135,8 @@
 	s.settings.Ledger.Settle(w, bound, used, s.settings.Clock())
 }
 
-// Kick triggers a round of Run. It does not block.
-func (s *Syncer) Kick() {
+// TriggerSync triggers a round of Run. It does not block.
+func (s *Syncer) TriggerSync() {
 	select {
 	case s.triggers <- struct{}{}:
 	default:
--- a/escrow/withheld_test.go
+++ b/escrow/withheld_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	// The loan leaves more tokens here than the target.
-	b.ledger.Borrowed(testWorkspace, "b1", escrow.LendResult{Total: 1000}, now)
+	b.ledger.RecordLoan(testWorkspace, "b1", escrow.LendResult{Total: 1000}, now)
 	for range 10 {
 		if !b.ledger.Reserve(testWorkspace, 10, maxPriority, now) {
 			t.Fatal("a small request is refused")
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -22,9 +22,9 @@
 	// Clock returns the current time, from which idle times are measured; nil means
 	// time.Now. The times passed to Do must come from the same clock.
 	Clock granitehoist.Clock
-	// Opened, if set, is called for each new connection, by the goroutine that
+	// OnOpen, if set, is called for each new connection, by the goroutine that
 	// opened it.
-	Opened func()
+	OnOpen func()
 }
 
 const (
@@ -130,8 +130,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if p.settings.Opened != nil {
-		p.settings.Opened()
+	if p.settings.OnOpen != nil {
+		p.settings.OnOpen()
 	}
 	metered := p.settings.Meter.Conn(raw)
 	return &conn{Conn: metered, reader: bufio.NewReaderSize(metered, readBufferBytes), address: address}, nil
@@ -150,8 +150,8 @@
 	p.idle[c.address] = append(p.idle[c.address], c)
 }
 
-// Forget closes the idle connections to an address whose upstream has been removed.
-func (p *Pool) Forget(address string) {
+// CloseIdle closes the idle connections to an address whose upstream has been removed.
+func (p *Pool) CloseIdle(address string) {
 	p.mu.Lock()
 	idle := p.idle[address]
 	delete(p.idle, address)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -131,9 +131,9 @@
 		a, b := members(9), members(9)
 		b[0], b[8] = b[8], b[0]
 		for role := range 100 {
-			first, ok := fleet.NewView(a).Holder("tuul", fmt.Sprint(role))
+			first, ok := fleet.NewView(a).RoleHolder("tuul", fmt.Sprint(role))
 			Expect(ok).To(BeTrue())
-			second, _ := fleet.NewView(b).Holder("tuul", fmt.Sprint(role))
+			second, _ := fleet.NewView(b).RoleHolder("tuul", fmt.Sprint(role))
 			Expect(second).To(Equal(first))
 		}
 	})
@@ -144,11 +144,11 @@
 		all[1].Region = "lima"
 		count := map[granitehoist.Incarnation]int{}
 		for role := range 300 {
-			m, _ := fleet.NewView(all).Holder("tuul", fmt.Sprint(role))
+			m, _ := fleet.NewView(all).RoleHolder("tuul", fmt.Sprint(role))
 			count[m.Incarnation]++
 		}
 		Expect(count).To(HaveLen(3))
-		_, ok := fleet.NewView(nil).Holder("tuul", "x")
+		_, ok := fleet.NewView(nil).RoleHolder("tuul", "x")
 		Expect(ok).To(BeFalse())
 	})
 })
@@ -234,7 +234,7 @@
 		a.Leave()
 		Eventually(func() error { return a.Refresh(ctx) }).Should(Succeed())
 		Eventually(func() error { return b.Refresh(ctx) }).Should(Succeed())
-		Expect(b.View().Region("tuul")[0].Leaving).To(BeTrue())
+		Expect(b.View().InRegion("tuul")[0].Leaving).To(BeTrue())
 		Expect(a.Remove(ctx)).To(Succeed())
 		Expect(b.Refresh(ctx)).To(Succeed())
 		Expect(b.View().Members()).To(HaveLen(1))
--- a/fleet/serving.go
+++ b/fleet/serving.go
@@ -13,11 +13,11 @@
 	"granitehoist.example/granitehoist/store"
 )
 
-// Enroll adds the router to those that may serve. It must succeed before the router reads
+// RegisterServing adds the router to those that may serve. It must succeed before the router reads
 // its configuration and before its first request. The entry has no lease, since a router
 // without a connection to the store continues to serve. The error is that of the store; the
-// entry may have been written nevertheless, and Enroll can be called again.
-func (r *Registry) Enroll(ctx context.Context) error {
+// entry may have been written nevertheless, and RegisterServing can be called again.
+func (r *Registry) RegisterServing(ctx context.Context) error {
 	raw, err := json.Marshal(r.settings.Self)
 	if err != nil {
 		return eris.Wrap(err, "fleet: encode entry")
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -18,15 +18,15 @@
 	Partner     granitehoist.Partner          `json:"partner"`
 	Region      granitehoist.Region           `json:"region"`
 	Zone        granitehoist.AvailabilityZone `json:"place"`
-	// Peers is the TCP address, host:port, for calls between routers.
-	Peers string `json:"peers"`
+	// PeerAddress is the TCP address, host:port, for calls between routers.
+	PeerAddress string `json:"peers"`
 	// Leaving says that the router is stopping and takes no roles.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
 // Peer returns the incarnation and address for calls to the member.
 func (m Member) Peer() granitehoist.Peer {
-	return granitehoist.Peer{Incarnation: m.Incarnation, Address: m.Peers}
+	return granitehoist.Peer{Incarnation: m.Incarnation, Address: m.PeerAddress}
 }
 
 // View is an immutable list of members as one router last read it. The zero value is empty.
@@ -44,8 +44,8 @@
 // Members returns the members sorted by incarnation. The caller must not change the slice.
 func (v View) Members() []Member { return v.members }
 
-// Region returns the members of a region.
-func (v View) Region(r granitehoist.Region) []Member {
+// InRegion returns the members of a region.
+func (v View) InRegion(r granitehoist.Region) []Member {
 	var members []Member
 	for _, m := range v.members {
 		if m.Region == r {
@@ -55,10 +55,10 @@
 	return members
 }
 
-// Holder returns the member of a region that acts in a role, by rendezvous hashing
+// RoleHolder returns the member of a region that acts in a role, by rendezvous hashing
 // (D. Thaler and C. Ravishankar, "Using Name-Based Mappings to Increase Hit Rates", 1998).
 // It returns false if the region has no members or all of them are leaving.
-func (v View) Holder(r granitehoist.Region, role string) (Member, bool) {
+func (v View) RoleHolder(r granitehoist.Region, role string) (Member, bool) {
 	var best Member
 	var bestWeight uint64
 	found := false
--- a/follow/compress_test.go
+++ b/follow/compress_test.go
@@ -42,7 +42,7 @@
 	}
 	update := func(value []byte) follow.Update {
 		return follow.Update{
-			Prefix: "op/", HasCopy: true, Complete: true, At: 9,
+			Prefix: "op/", HasCopy: true, Complete: true, Version: 9,
 			Entries: []granitehoist.Entry{{Key: "op/config", Version: 8, Value: value}, deletion("op/old", 9)},
 		}
 	}
--- a/follow/copy.go
+++ b/follow/copy.go
@@ -62,7 +62,7 @@
 		changed = append(changed, c.dropMissing(update)...)
 	}
 	if update.Complete && !c.populated {
-		c.deletionsFrom = update.At
+		c.deletionsFrom = update.Version
 	}
 	c.populated = true
 	c.advance(update, now)
@@ -84,10 +84,10 @@
 // advance sets the version, and the time of its confirmation, to those of an update unless
 // the update is older.
 func (c *prefixCopy) advance(update Update, now time.Time) {
-	if update.At < c.atVersion {
+	if update.Version < c.atVersion {
 		return
 	}
-	c.atVersion = update.At
+	c.atVersion = update.Version
 	confirmedAt := now.Add(-update.Age)
 	if confirmedAt.After(c.confirmedAt) {
 		c.confirmedAt = confirmedAt
@@ -127,10 +127,10 @@
 	}
 	var dropped []granitehoist.Entry
 	for key, held := range c.entries {
-		if !isMissing(held, present[key], update.At) {
+		if !isMissing(held, present[key], update.Version) {
 			continue
 		}
-		deletion := granitehoist.Entry{Key: key, Version: update.At, Deleted: true}
+		deletion := granitehoist.Entry{Key: key, Version: update.Version, Deleted: true}
 		delete(c.entries, key)
 		c.recordDeletion(deletion)
 		dropped = append(dropped, deletion)
@@ -151,7 +151,7 @@
 func (c *prefixCopy) changesAfter(after granitehoist.Version, now time.Time) (Update, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	update := Update{HasCopy: c.populated, At: c.atVersion, Age: now.Sub(c.confirmedAt)}
+	update := Update{HasCopy: c.populated, Version: c.atVersion, Age: now.Sub(c.confirmedAt)}
 	if !c.populated {
 		return update, c.changeSignal
 	}
--- a/follow/copy_test.go
+++ b/follow/copy_test.go
@@ -23,7 +23,7 @@
 	}
 	copyAt := func(version granitehoist.Version) *prefixCopy {
 		c := newPrefixCopy(same)
-		c.apply(Update{HasCopy: true, Complete: true, At: version, Entries: []granitehoist.Entry{entry(version)}}, now)
+		c.apply(Update{HasCopy: true, Complete: true, Version: version, Entries: []granitehoist.Entry{entry(version)}}, now)
 		return c
 	}
 	expectHeld := func(c *prefixCopy, version granitehoist.Version) {
@@ -34,8 +34,8 @@
 
 	It("keeps a key whose deletion and rewrite arrive in one update", func() {
 		neighbour, lagging := copyAt(3), copyAt(3)
-		neighbour.apply(Update{At: 5, Entries: []granitehoist.Entry{deletion(5)}}, now)
-		neighbour.apply(Update{At: 8, Entries: []granitehoist.Entry{entry(8)}}, now)
+		neighbour.apply(Update{Version: 5, Entries: []granitehoist.Entry{deletion(5)}}, now)
+		neighbour.apply(Update{Version: 8, Entries: []granitehoist.Entry{entry(8)}}, now)
 		update, _ := neighbour.changesAfter(3, now)
 		lagging.apply(update, now)
 		expectHeld(lagging, 8)
@@ -43,8 +43,8 @@
 
 	It("sends a rewritten key to a router that saw its deletion, though a list hid the deletion here", func() {
 		listed, deleted := copyAt(3), copyAt(3)
-		deleted.apply(Update{At: 5, Entries: []granitehoist.Entry{deletion(5)}}, now)
-		listed.apply(Update{Complete: true, At: 8, Entries: []granitehoist.Entry{entry(8)}}, now)
+		deleted.apply(Update{Version: 5, Entries: []granitehoist.Entry{deletion(5)}}, now)
+		listed.apply(Update{Complete: true, Version: 8, Entries: []granitehoist.Entry{entry(8)}}, now)
 		update, _ := listed.changesAfter(5, now)
 		deleted.apply(update, now)
 		expectHeld(deleted, 8)
@@ -52,7 +52,7 @@
 
 	It("does not report an equivalent entry", func() {
 		c := copyAt(3)
-		Expect(c.apply(Update{At: 8, Entries: []granitehoist.Entry{entry(8)}}, now)).To(BeEmpty())
-		Expect(c.apply(Update{Complete: true, At: 9, Entries: []granitehoist.Entry{entry(9)}}, now)).To(BeEmpty())
+		Expect(c.apply(Update{Version: 8, Entries: []granitehoist.Entry{entry(8)}}, now)).To(BeEmpty())
+		Expect(c.apply(Update{Complete: true, Version: 9, Entries: []granitehoist.Entry{entry(9)}}, now)).To(BeEmpty())
 	})
 })
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -38,7 +38,7 @@
 		panic("follow: Settings.Store or Settings.Prefix is missing")
 	}
 	s.setDefaults()
-	return &Follower{settings: s, copy: newPrefixCopy(s.Unchanged)}
+	return &Follower{settings: s, copy: newPrefixCopy(s.Equivalent)}
 }
 
 // Run follows the prefix until ctx is done.
@@ -52,9 +52,9 @@
 		if err == nil {
 			continue
 		}
-		f.settings.Failed(err)
+		f.settings.OnError(err)
 		f.queryNeighbours(ctx)
-		pause.For(ctx, f.failures.retryDelay(f.settings.Pause, f.settings.MaxPause))
+		pause.For(ctx, f.failures.retryDelay(f.settings.RetryDelay, f.settings.MaxRetryDelay))
 	}
 }
 
@@ -72,7 +72,7 @@
 
 func (f *Follower) prefixField() zap.Field { return zap.String("prefix", f.settings.Prefix) }
 
-func (f *Follower) versionField() zap.Field { return zap.Uint64("at", uint64(f.At())) }
+func (f *Follower) versionField() zap.Field { return zap.Uint64("at", uint64(f.Version())) }
 
 // step applies the next changes of a relay, or of the store if no relay is usable.
 func (f *Follower) step(ctx context.Context) error {
@@ -82,7 +82,7 @@
 	if !f.HasCopy() {
 		return f.firstList(ctx)
 	}
-	if !f.settings.Ready() {
+	if !f.settings.PeersKnown() {
 		pause.For(ctx, readyPollInterval)
 		return nil
 	}
@@ -124,7 +124,7 @@
 
 // pollRelay applies the update of a relay and classifies the response.
 func (f *Follower) pollRelay(ctx context.Context, relay granitehoist.Peer) (relayResult, error) {
-	update, err := f.settings.Updates(ctx, relay, f.settings.Prefix, f.At(), relayPollTimeout)
+	update, err := f.settings.FetchUpdates(ctx, relay, f.settings.Prefix, f.Version(), relayPollTimeout)
 	result := classifyRelay(update, err, f.settings.Prefix)
 	if result != relayFailed {
 		f.apply(update)
@@ -147,7 +147,7 @@
 	if err != nil {
 		return err
 	}
-	f.apply(Update{At: at, Complete: true, Entries: entries})
+	f.apply(Update{Version: at, Complete: true, Entries: entries})
 	return nil
 }
 
@@ -157,7 +157,7 @@
 	pause.For(ctx, f.settings.MinWatchInterval-f.settings.Clock().Sub(f.lastWatchAt))
 	f.lastWatchAt = f.settings.Clock()
 	wait := f.failures.watchTimeout(f.lastUpdatesCall.isRecent(relayRoleTTL, f.lastWatchAt))
-	changed, at, err := f.settings.Store.Watch(ctx, f.settings.Prefix, f.At(), wait)
+	changed, at, err := f.settings.Store.Watch(ctx, f.settings.Prefix, f.Version(), wait)
 	if errors.Is(err, granitehoist.ErrHistoryGone) {
 		f.settings.Log.Warn(event.HistoryGone, f.prefixField(), f.versionField())
 		return f.list(ctx)
@@ -165,7 +165,7 @@
 	if err != nil {
 		return err
 	}
-	f.apply(Update{At: at, Entries: changed})
+	f.apply(Update{Version: at, Entries: changed})
 	return nil
 }
 
@@ -173,10 +173,10 @@
 func (f *Follower) queryNeighbours(ctx context.Context) {
 	neighbours := f.settings.Neighbours()
 	updates := make(chan Update, len(neighbours))
-	after := f.At()
+	after := f.Version()
 	for _, to := range neighbours {
 		go func() {
-			update, err := f.settings.Updates(ctx, to, f.settings.Prefix, after, 0)
+			update, err := f.settings.FetchUpdates(ctx, to, f.settings.Prefix, after, 0)
 			if err != nil {
 				// Treat it as a neighbour without a copy. If the next step fails,
 				// the neighbours are queried again.
@@ -187,10 +187,10 @@
 	}
 	for range neighbours {
 		update := <-updates
-		if !offersNewer(update, f.settings.Prefix, f.At()) {
+		if !offersNewer(update, f.settings.Prefix, f.Version()) {
 			continue
 		}
-		f.settings.Log.Info(event.CopyFromNeighbour, f.prefixField(), zap.Uint64("at", uint64(update.At)), zap.Duration("age", update.Age))
+		f.settings.Log.Info(event.CopyFromNeighbour, f.prefixField(), zap.Uint64("at", uint64(update.Version)), zap.Duration("age", update.Age))
 		f.apply(update)
 	}
 }
@@ -200,7 +200,7 @@
 	first := !f.HasCopy()
 	changed := f.copy.apply(update, f.settings.Clock())
 	if len(changed) > 0 || first {
-		f.settings.Changed(changed, update.At)
+		f.settings.OnChange(changed, update.Version)
 	}
 }
 
@@ -224,8 +224,8 @@
 	return update
 }
 
-// At returns the store's version of the copy, and zero before there is a copy.
-func (f *Follower) At() granitehoist.Version { return f.copy.version() }
+// Version returns the store's version of the copy, and zero before there is a copy.
+func (f *Follower) Version() granitehoist.Version { return f.copy.version() }
 
 // HasCopy reports whether a copy has been received from the store or another router.
 func (f *Follower) HasCopy() bool { return f.copy.hasCopy() }
--- a/follow/follow_test.go
+++ b/follow/follow_test.go
@@ -44,7 +44,7 @@
 	if s.down || !ok {
 		return nil, 0, granitehoist.ErrUnavailable
 	}
-	return c.Entries, c.At, nil
+	return c.Entries, c.Version, nil
 }
 
 func (s *scriptedStore) Watch(ctx context.Context, _ string, _ granitehoist.Version, wait time.Duration) ([]granitehoist.Entry, granitehoist.Version, error) {
@@ -56,7 +56,7 @@
 	s.mu.Unlock()
 	switch {
 	case ok:
-		return c.Entries, c.At, nil
+		return c.Entries, c.Version, nil
 	case gone:
 		return nil, 0, granitehoist.ErrHistoryGone
 	}
@@ -112,7 +112,7 @@
 var _ = Describe("A follower", func() {
 	run := func(s follow.Settings) *follow.Follower {
 		s.Prefix = "p/"
-		s.Pause = 5 * time.Millisecond
+		s.RetryDelay = 5 * time.Millisecond
 		f := follow.New(s)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -139,18 +139,18 @@
 
 	It("lists, then applies changes and deletions", func() {
 		store := &scriptedStore{
-			lists:   []follow.Update{{At: 5, Entries: []granitehoist.Entry{entry("p/a", 3), entry("p/b", 5)}}},
-			watches: []follow.Update{{At: 7, Entries: []granitehoist.Entry{deletion("p/a", 6), entry("p/c", 7)}}},
+			lists:   []follow.Update{{Version: 5, Entries: []granitehoist.Entry{entry("p/a", 3), entry("p/b", 5)}}},
+			watches: []follow.Update{{Version: 7, Entries: []granitehoist.Entry{deletion("p/a", 6), entry("p/c", 7)}}},
 		}
 		f := run(follow.Settings{Store: store})
 		Eventually(keys(f)).Should(ConsistOf("p/b", "p/c"))
-		Expect(f.At()).To(Equal(granitehoist.Version(7)))
+		Expect(f.Version()).To(Equal(granitehoist.Version(7)))
 	})
 
 	It("ignores changes that are older than its copy", func() {
 		store := &scriptedStore{
-			lists:   []follow.Update{{At: 9, Entries: []granitehoist.Entry{entry("p/a", 8)}}},
-			watches: []follow.Update{{At: 9, Entries: []granitehoist.Entry{deletion("p/a", 7), entry("p/old", 4)}}, {At: 10, Entries: []granitehoist.Entry{entry("p/b", 10)}}},
+			lists:   []follow.Update{{Version: 9, Entries: []granitehoist.Entry{entry("p/a", 8)}}},
+			watches: []follow.Update{{Version: 9, Entries: []granitehoist.Entry{deletion("p/a", 7), entry("p/old", 4)}}, {Version: 10, Entries: []granitehoist.Entry{entry("p/b", 10)}}},
 		}
 		f := run(follow.Settings{Store: store})
 		Eventually(keys(f)).Should(ConsistOf("p/a", "p/b"))
@@ -160,10 +160,10 @@
 		var mu sync.Mutex
 		var deleted []string
 		store := &scriptedStore{
-			lists:       []follow.Update{{At: 5, Entries: []granitehoist.Entry{entry("p/a", 3)}}, {At: 20, Entries: []granitehoist.Entry{entry("p/b", 15)}}},
+			lists:       []follow.Update{{Version: 5, Entries: []granitehoist.Entry{entry("p/a", 3)}}, {Version: 20, Entries: []granitehoist.Entry{entry("p/b", 15)}}},
 			historyGone: true,
 		}
-		f := run(follow.Settings{Store: store, Changed: func(changed []granitehoist.Entry, _ granitehoist.Version) {
+		f := run(follow.Settings{Store: store, OnChange: func(changed []granitehoist.Entry, _ granitehoist.Version) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, e := range changed {
@@ -179,7 +179,7 @@
 	})
 
 	It("probes a failed store with short watches and every fourth time with a full one", func() {
-		store := &scriptedStore{lists: []follow.Update{{At: 5, Entries: []granitehoist.Entry{entry("p/a", 3)}}}}
+		store := &scriptedStore{lists: []follow.Update{{Version: 5, Entries: []granitehoist.Entry{entry("p/a", 3)}}}}
 		run(follow.Settings{Store: store})
 		waits := func() []time.Duration {
 			store.mu.Lock()
@@ -201,20 +201,20 @@
 	})
 
 	It("applies a newer copy of a neighbour, and no older one", func() {
-		store := &scriptedStore{lists: []follow.Update{{At: 5, Entries: []granitehoist.Entry{entry("p/a", 3)}}}}
+		store := &scriptedStore{lists: []follow.Update{{Version: 5, Entries: []granitehoist.Entry{entry("p/a", 3)}}}}
 		copies := []follow.Update{
-			{Prefix: "p/", HasCopy: true, Complete: true, At: 4},
-			{Prefix: "q/", HasCopy: true, Complete: true, At: 90},
-			{Prefix: "p/", HasCopy: true, Complete: true, At: 8, Entries: []granitehoist.Entry{entry("p/b", 8)}},
+			{Prefix: "p/", HasCopy: true, Complete: true, Version: 4},
+			{Prefix: "q/", HasCopy: true, Complete: true, Version: 90},
+			{Prefix: "p/", HasCopy: true, Complete: true, Version: 8, Entries: []granitehoist.Entry{entry("p/b", 8)}},
 		}
 		var mu sync.Mutex
-		f := run(follow.Settings{Store: store, Neighbours: onePeer, Updates: func(context.Context, granitehoist.Peer, string, granitehoist.Version, time.Duration) (follow.Update, error) {
+		f := run(follow.Settings{Store: store, Neighbours: onePeer, FetchUpdates: func(context.Context, granitehoist.Peer, string, granitehoist.Version, time.Duration) (follow.Update, error) {
 			mu.Lock()
 			defer mu.Unlock()
 			u, _ := next(&copies)
 			return u, nil
 		}})
 		Eventually(keys(f)).Should(ConsistOf("p/b"))
-		Expect(f.At()).To(Equal(granitehoist.Version(8)))
+		Expect(f.Version()).To(Equal(granitehoist.Version(8)))
 	})
 })
--- a/follow/ready_test.go
+++ b/follow/ready_test.go
@@ -17,14 +17,14 @@
 // Settings.Ready, or does not list it until then.
 func TestFollowerWaitsForReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		store := &scriptedStore{lists: []follow.Update{{At: 7}}}
+		store := &scriptedStore{lists: []follow.Update{{Version: 7}}}
 		var ready atomic.Bool
-		f := follow.New(follow.Settings{Store: store, Prefix: "p/", Ready: ready.Load})
+		f := follow.New(follow.Settings{Store: store, Prefix: "p/", PeersKnown: ready.Load})
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Run(ctx)
 		time.Sleep(time.Second)
-		if !f.HasCopy() || f.At() != 7 {
-			t.Fatalf("copy %v at %d", f.HasCopy(), f.At())
+		if !f.HasCopy() || f.Version() != 7 {
+			t.Fatalf("copy %v at %d", f.HasCopy(), f.Version())
 		}
 		checkWatched(t, store, false)
 		ready.Store(true)
--- a/follow/relay_test.go
+++ b/follow/relay_test.go
@@ -99,8 +99,8 @@
 	}
 	run := func(address string, s follow.Settings) *follow.Follower {
 		s.Prefix = "p/"
-		s.Pause = 5 * time.Millisecond
-		s.Updates = peers.updates
+		s.RetryDelay = 5 * time.Millisecond
+		s.FetchUpdates = peers.updates
 		f := follow.New(s)
 		peers.mu.Lock()
 		peers.followers[address] = f
@@ -167,8 +167,8 @@
 		var mu sync.Mutex
 		reported := 0
 		same := func(before, after granitehoist.Entry) bool { return before.Value[0] == after.Value[0] }
-		run("relay", follow.Settings{Store: store, Unchanged: same})
-		f := run("f", follow.Settings{Store: downStore, Relays: peersAt("relay"), Changed: func(changed []granitehoist.Entry, _ granitehoist.Version) {
+		run("relay", follow.Settings{Store: store, Equivalent: same})
+		f := run("f", follow.Settings{Store: downStore, Relays: peersAt("relay"), OnChange: func(changed []granitehoist.Entry, _ granitehoist.Version) {
 			mu.Lock()
 			defer mu.Unlock()
 			reported += len(changed)
@@ -187,7 +187,7 @@
 		write("p/keep", "kept")
 		lagging := write("p/old", "old")
 		relay := run("relay", follow.Settings{Store: store})
-		Eventually(relay.At).Should(BeNumerically(">=", lagging))
+		Eventually(relay.Version).Should(BeNumerically(">=", lagging))
 		remove("p/old")
 		for i := range 600 {
 			key := fmt.Sprintf("p/%d", i)
--- a/follow/update.go
+++ b/follow/update.go
@@ -15,8 +15,8 @@
 	// HasCopy says that the sender has a copy of the prefix. If it is false, the other
 	// fields are meaningless.
 	HasCopy bool `json:"known"`
-	// At is the store's version of the receiver's copy after the update.
-	At granitehoist.Version `json:"at"`
+	// Version is the store's version of the receiver's copy after the update.
+	Version granitehoist.Version `json:"at"`
 	// Complete says that Entries holds all keys under the prefix, so that any other key is
 	// deleted. Otherwise it holds the changed and deleted ones.
 	Complete bool                 `json:"whole,omitempty"`
--- a/follow/versions.go
+++ b/follow/versions.go
@@ -38,7 +38,7 @@
 // update older than the copy, which lacks later writes and deletions. populated says whether
 // there is a copy, and at is its version.
 func isOutdated(update Update, populated bool, at granitehoist.Version) bool {
-	return update.Complete && populated && update.At < at
+	return update.Complete && populated && update.Version < at
 }
 
 // isMissing reports whether a complete update implies the deletion of a held entry. present
@@ -50,5 +50,5 @@
 // offersNewer reports whether a neighbour's update for a prefix is newer than a copy of
 // version at. Its age is ignored, since any newer version is better while the store fails.
 func offersNewer(update Update, prefix string, at granitehoist.Version) bool {
-	return update.HasCopy && update.Prefix == prefix && update.At > at
+	return update.HasCopy && update.Prefix == prefix && update.Version > at
 }
--- a/follow/versions_test.go
+++ b/follow/versions_test.go
@@ -35,7 +35,7 @@
 
 	DescribeTable("reject an outdated update",
 		func(complete, populated bool, updateAt, copyAt int, want bool) {
-			update := Update{Complete: complete, At: granitehoist.Version(updateAt)}
+			update := Update{Complete: complete, Version: granitehoist.Version(updateAt)}
 			Expect(isOutdated(update, populated, granitehoist.Version(copyAt))).To(Equal(want))
 		},
 		Entry("older and complete", complete, true, 4, 5, true),
@@ -58,10 +58,10 @@
 		func(update Update, want bool) {
 			Expect(offersNewer(update, "p/", 5)).To(Equal(want))
 		},
-		Entry("a newer one", Update{HasCopy: true, Prefix: "p/", At: 6}, true),
-		Entry("one of the same version", Update{HasCopy: true, Prefix: "p/", At: 5}, false),
-		Entry("one of another prefix", Update{HasCopy: true, Prefix: "q/", At: 6}, false),
-		Entry("no copy", Update{Prefix: "p/", At: 6}, false),
-		Entry("a newer one of any age", Update{HasCopy: true, Prefix: "p/", At: 6, Age: 100 * maxRelayAge}, true),
+		Entry("a newer one", Update{HasCopy: true, Prefix: "p/", Version: 6}, true),
+		Entry("one of the same version", Update{HasCopy: true, Prefix: "p/", Version: 5}, false),
+		Entry("one of another prefix", Update{HasCopy: true, Prefix: "q/", Version: 6}, false),
+		Entry("no copy", Update{Prefix: "p/", Version: 6}, false),
+		Entry("a newer one of any age", Update{HasCopy: true, Prefix: "p/", Version: 6, Age: 100 * maxRelayAge}, true),
 	)
 })
--- a/forward/active.go
+++ b/forward/active.go
@@ -96,7 +96,7 @@
 
 // reserve reserves the maximum cost of the request.
 func (a *activeRequest) reserve(ctx context.Context) error {
-	plan, refused := planReservation(a.admission.workspace, a.request.Cost, a.admission.route.Target)
+	plan, refused := planReservation(a.admission.workspace, a.request.MaxCost, a.admission.route.TargetLatency)
 	a.admission.maxCost = plan.maxCost
 	if refused != noRefusal {
 		return refused.error(a.timeLeft())
@@ -106,7 +106,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, plan.wait)
 	defer cancel()
-	a.progress.budget = a.forwarder.settings.Funds.Reserve(ctx, a.admission.workspace.Name, plan.maxCost, a.admission.priority)
+	a.progress.budget = a.forwarder.settings.Budgets.Reserve(ctx, a.admission.workspace.Name, plan.maxCost, a.admission.priority)
 	if refused := budgetRefusal(a.progress.budget.Outcome); refused != noRefusal {
 		return refused.error(a.timeLeft())
 	}
@@ -126,13 +126,13 @@
 		return
 	}
 	a.progress.charged = settlement{
-		cost:           *a.request.Cost,
+		cost:           *a.request.MaxCost,
 		tokensPerEvent: a.admission.service.TokensPerEvent,
 		events:         a.progress.events,
 		runs:           a.progress.runs,
 		complete:       err == nil,
 	}.charge()
-	a.forwarder.settings.Funds.Settle(a.admission.workspace.Name, a.admission.maxCost, a.progress.charged)
+	a.forwarder.settings.Budgets.Settle(a.admission.workspace.Name, a.admission.maxCost, a.progress.charged)
 }
 
 // forward makes attempts until one succeeds or no other may follow.
@@ -244,17 +244,17 @@
 	query := balance.Query{
 		Service:       a.admission.service.Name,
 		Tried:         a.progress.tried,
-		ColdPerSecond: a.admission.service.ColdPerSecond,
+		ColdPerSecond: a.admission.service.ColdRequestRate,
 		Routers:       a.forwarder.settings.Routers(),
-		Homes:         a.homes(),
+		AllowedRegions:         a.homes(),
 		Pin:           a.pin(),
 		Priority:      a.admission.priority,
 	}
-	if a.request.Cost == nil {
+	if a.request.MaxCost == nil {
 		return query
 	}
-	query.PromptTokens = a.request.Cost.Prompt
-	query.Pause = a.admission.route.Pause
+	query.PromptTokens = a.request.MaxCost.Prompt
+	query.MaxEventGap = a.admission.route.MaxEventGap
 	if a.admission.route.Affinity {
 		query.PrefixHash = balance.PrefixHash(a.request.PrefixParts)
 		query.PrefixTokens = min(a.request.PrefixTokens, query.PromptTokens)
@@ -266,11 +266,11 @@
 // none.
 func (a *activeRequest) homes() []balance.Homes {
 	var homes []balance.Homes
-	if len(a.admission.route.Homes) > 0 {
-		homes = append(homes, a.admission.route.Homes)
+	if len(a.admission.route.AllowedRegions) > 0 {
+		homes = append(homes, a.admission.route.AllowedRegions)
 	}
-	if a.admission.workspace != nil && len(a.admission.workspace.Homes) > 0 {
-		homes = append(homes, a.admission.workspace.Homes)
+	if a.admission.workspace != nil && len(a.admission.workspace.AllowedRegions) > 0 {
+		homes = append(homes, a.admission.workspace.AllowedRegions)
 	}
 	return homes
 }
@@ -278,7 +278,7 @@
 // end logs the request and reports it to Settings.Ended.
 func (a *activeRequest) end(err error) {
 	now := a.forwarder.settings.Clock()
-	report := Report{Code: granitehoist.CodeOf(err), Attempts: a.progress.attempts, Budget: a.progress.budget.Outcome, Took: now.Sub(a.request.Arrived)}
+	report := Report{Code: granitehoist.CodeOf(err), Attempts: a.progress.attempts, Budget: a.progress.budget.Outcome, Duration: now.Sub(a.request.Arrived)}
 	if a.admission.service != nil {
 		report.Service = a.admission.service.Name
 	}
@@ -286,8 +286,8 @@
 		report.Workspace = a.admission.workspace.Name
 	}
 	if !a.progress.firstByteAt.IsZero() {
-		report.First = a.progress.firstByteAt.Sub(a.request.Arrived)
+		report.TimeToFirstByte = a.progress.firstByteAt.Sub(a.request.Arrived)
 	}
-	a.forwarder.settings.Ended(report)
+	a.forwarder.settings.OnEnd(report)
 	a.logEnd(report, err)
 }
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -74,11 +74,11 @@
 		}
 	}
 	defer response.Close()
-	head := a.forwarder.settings.Codec.Judge(ResponseHead{Status: response.Status, Header: response.Header})
-	if !head.Moved {
-		lease.Note(head.Said, a.forwarder.settings.Clock())
+	head := a.forwarder.settings.Codec.ReadHead(ResponseHead{Status: response.Status, Header: response.Header})
+	if !head.Misdirected {
+		lease.Observe(head.Feedback, a.forwarder.settings.Clock())
 	}
-	result = attemptResult{status: response.Status, class: classifyHead(head, response.Status, a.progress.started), statement: head.Said}
+	result = attemptResult{status: response.Status, class: classifyHead(head, response.Status, a.progress.started), statement: head.Feedback}
 	result.err = result.class.error(response.Status, head.RetryAfter)
 	switch result.class {
 	case responseRefused, responseMisdirected, responseBadRequest:
@@ -107,8 +107,8 @@
 // stallLimits returns the stall limits of the next attempt.
 func (a *activeRequest) stallLimits() stallLimits {
 	prompt := granitehoist.Tokens(0)
-	if a.request.Cost != nil {
-		prompt = a.request.Cost.Prompt
+	if a.request.MaxCost != nil {
+		prompt = a.request.MaxCost.Prompt
 	}
 	return stallLimitsFor(a.admission.route, prompt, a.progress.runs)
 }
--- a/forward/classify.go
+++ b/forward/classify.go
@@ -39,9 +39,9 @@
 // which only a successful response can continue.
 func classifyHead(v Verdict, status int, started bool) responseClass {
 	switch {
-	case v.NotRun && v.Moved:
+	case v.NotRun && v.Misdirected:
 		return responseMisdirected
-	case v.NotRun && v.Faulty:
+	case v.NotRun && v.BadRequest:
 		return responseBadRequest
 	case v.NotRun:
 		return responseRefused
--- a/forward/classify_test.go
+++ b/forward/classify_test.go
@@ -31,8 +31,8 @@
 		ginkgo.Entry("a stream that is not resumed, for a 3xx status", Verdict{Usable: true}, http.StatusMultipleChoices, true, responseNotResumed),
 		ginkgo.Entry("a refusal", Verdict{NotRun: true}, http.StatusServiceUnavailable, false, responseRefused),
 		ginkgo.Entry("a refusal to resume a stream", Verdict{NotRun: true}, http.StatusServiceUnavailable, true, responseRefused),
-		ginkgo.Entry("a bad request", Verdict{NotRun: true, Faulty: true}, http.StatusBadRequest, false, responseBadRequest),
-		ginkgo.Entry("another instance", Verdict{NotRun: true, Moved: true}, http.StatusMisdirectedRequest, false, responseMisdirected),
+		ginkgo.Entry("a bad request", Verdict{NotRun: true, BadRequest: true}, http.StatusBadRequest, false, responseBadRequest),
+		ginkgo.Entry("another instance", Verdict{NotRun: true, Misdirected: true}, http.StatusMisdirectedRequest, false, responseMisdirected),
 	)
 
 	ginkgo.DescribeTable("returns the error",
--- a/forward/deferred.go
+++ b/forward/deferred.go
@@ -29,7 +29,7 @@
 
 // deferredWait returns the maximum time to wait for a deferred instance.
 func (a *activeRequest) deferredWait() time.Duration {
-	wait := time.Duration(deferredWaitFraction * float64(a.admission.route.Target))
+	wait := time.Duration(deferredWaitFraction * float64(a.admission.route.TargetLatency))
 	return max(0, min(wait, a.timeLeft()-minRetryTime))
 }
 
@@ -37,7 +37,7 @@
 // the other routers. Without them it could send a request that is known to crash
 // instances.
 func (a *activeRequest) awaitCrashRecords(ctx context.Context) error {
-	ready := a.forwarder.settings.Evidence
+	ready := a.forwarder.settings.SuspectsReady
 	if ready == nil {
 		return nil
 	}
@@ -78,7 +78,7 @@
 		if !deferred {
 			return nil, pickErr
 		}
-		return &waitReason{left: deferral.Chance, changed: changed, refusal: func() error { return a.deferredRefusal(pickErr) }}, nil
+		return &waitReason{left: deferral.RetryIn, changed: changed, refusal: func() error { return a.deferredRefusal(pickErr) }}, nil
 	})
 	return lease, err
 }
@@ -90,11 +90,11 @@
 	e := instancesDeferred.error(a.timeLeft())
 	e.Cause = pickErr
 	switch {
-	case deferral.Rest:
+	case deferral.Backoff:
 		// A retry before the end of the backoff would be refused again.
-		e.RetryAfter = addJitter(deferral.Chance, rand.Float64())
-	case deferral.Chance > 0:
-		e.RetryAfter = capRetryAfter(deferral.Chance, a.timeLeft())
+		e.RetryAfter = addJitter(deferral.RetryIn, rand.Float64())
+	case deferral.RetryIn > 0:
+		e.RetryAfter = capRetryAfter(deferral.RetryIn, a.timeLeft())
 	}
 	return e
 }
@@ -117,7 +117,7 @@
 	}
 	query := a.query()
 	query.Tried = nil
-	delay, known := a.forwarder.settings.Table.NextChance(query, a.forwarder.settings.Clock())
+	delay, known := a.forwarder.settings.Table.RetryIn(query, a.forwarder.settings.Clock())
 	if !known {
 		return failure
 	}
--- a/forward/fakes_test.go
+++ b/forward/fakes_test.go
@@ -110,7 +110,7 @@
 	s := &fixture{funds: &fakeFunds{}, current: &catalog.Current{}, table: balance.New(balance.Settings{Seed: 1})}
 	document := &catalog.Document{
 		Revision: 1,
-		Keyed:    true,
+		RequireKey:    true,
 		Routes: []catalog.Route{
 			route("resume", "/resume/", catalog.Stream, model, 2, true),
 			route("stream", "/stream/", catalog.Stream, model, 1, false),
@@ -125,9 +125,9 @@
 	Expect(err).NotTo(HaveOccurred())
 	s.current.Offer(snapshot)
 	s.settings = forward.Settings{
-		Catalog: s.current, Funds: s.funds, Table: s.table, Codec: platform.Codec{},
+		Catalog: s.current, Budgets: s.funds, Table: s.table, Codec: platform.Codec{},
 		Pool:  exchange.NewPool(exchange.Settings{}),
-		Retry: forward.RetrySettings{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
+		Retry: forward.RetrySettings{Ratio: 0.2, Burst: 50, Window: 10 * time.Second},
 	}
 	s.forwarder = forward.New(s.settings)
 	return s
@@ -142,7 +142,7 @@
 func route(name, prefix string, kind catalog.Kind, service granitehoist.Service, attempts int, resume bool) catalog.Route {
 	return catalog.Route{
 		Name: catalog.RouteName(name), Host: "h.example", Prefix: prefix, Kind: kind, MaxAttempts: attempts, Resume: resume,
-		Timeout: 5 * time.Second, Target: 400 * time.Millisecond, Split: []catalog.Share{{Service: service, Weight: 1}},
+		Timeout: 5 * time.Second, TargetLatency: 400 * time.Millisecond, Split: []catalog.Share{{Service: service, Weight: 1}},
 	}
 }
 
@@ -150,7 +150,7 @@
 // stalled attempt is not cancelled.
 func routeWithoutStallLimit() catalog.Route {
 	r := route("patient", "/patient/", catalog.Safe, desk, 2, false)
-	r.Target = 0
+	r.TargetLatency = 0
 	r.Timeout = stepTimeout
 	return r
 }
@@ -181,7 +181,7 @@
 		Key: key, Arrived: time.Now(),
 	}
 	if strings.HasPrefix(path, "/resume/") || strings.HasPrefix(path, "/stream/") {
-		r.Cost = &forward.Cost{Prompt: 100, Output: 200}
+		r.MaxCost = &forward.Cost{Prompt: 100, Output: 200}
 	}
 	return r
 }
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -33,7 +33,7 @@
 type Settings struct {
 	// Catalog holds the configuration in force.
 	Catalog *catalog.Current
-	Funds   Funds
+	Budgets   Funds
 	// Table selects instances.
 	Table *balance.Table
 	// Pool sends requests to instances.
@@ -42,9 +42,9 @@
 	// Suspects holds the records of requests that crash instances; nil means a table
 	// without a secret, which recognizes no request.
 	Suspects *suspect.Table
-	// Evidence is closed once Suspects has the records of the other routers; nil means
+	// SuspectsReady is closed once Suspects has the records of the other routers; nil means
 	// that it has them. Until then requests wait for a short time.
-	Evidence <-chan struct{}
+	SuspectsReady <-chan struct{}
 	// Retry bounds the retries of the fleet. The zero value allows each router one retry
 	// per service every 10 seconds.
 	Retry RetrySettings
@@ -57,9 +57,9 @@
 	Deadlines *boottime.Deadlines
 	// Log receives one entry per attempt and per request; nil discards them.
 	Log *zap.Logger
-	// Ended, if set, receives a report of each request when it ends. It is called by the
+	// OnEnd, if set, receives a report of each request when it ends. It is called by the
 	// goroutine that called Serve.
-	Ended func(Report)
+	OnEnd func(Report)
 }
 
 // Report is the result of a request, for metrics.
@@ -74,10 +74,10 @@
 	Attempts int
 	// Budget is the outcome of the reservation; Granted if none was needed.
 	Budget escrow.Outcome
-	// Took is the time from the arrival of the request to its end.
-	Took time.Duration
-	// First is the time from the arrival to the response head; zero if none was relayed.
-	First time.Duration
+	// Duration is the time from the arrival of the request to its end.
+	Duration time.Duration
+	// TimeToFirstByte is the time from the arrival to the response head; zero if none was relayed.
+	TimeToFirstByte time.Duration
 }
 
 // Forwarder serves requests. It is safe for concurrent use.
@@ -90,7 +90,7 @@
 
 // New returns a Forwarder. It panics if a required setting is missing.
 func New(s Settings) *Forwarder {
-	if s.Catalog == nil || s.Funds == nil || s.Table == nil || s.Pool == nil || s.Codec == nil {
+	if s.Catalog == nil || s.Budgets == nil || s.Table == nil || s.Pool == nil || s.Codec == nil {
 		panic("forward: Catalog, Funds, Table, Pool and Codec are required")
 	}
 	if s.Routers == nil {
@@ -108,8 +108,8 @@
 	if s.Log == nil {
 		s.Log = zap.NewNop()
 	}
-	if s.Ended == nil {
-		s.Ended = func(Report) {}
+	if s.OnEnd == nil {
+		s.OnEnd = func(Report) {}
 	}
 	return &Forwarder{settings: s, retryBudgets: newRetryBudgets(s.Retry, s.Routers)}
 }
--- a/forward/identify.go
+++ b/forward/identify.go
@@ -18,15 +18,15 @@
 	if s == nil {
 		return admission{}, configurationMissing
 	}
-	a := admission{version: s.Version, keyed: s.Keyed, route: s.Match(r.Host, r.Path)}
+	a := admission{version: s.Version, keyed: s.RequireKey, route: s.Match(r.Host, r.Path)}
 	if a.route == nil {
 		return a, routeUnknown
 	}
-	if s.Keyed && !a.route.Anonymous {
+	if s.RequireKey && !a.route.Anonymous {
 		if r.Key == "" {
 			return a, keyMissing
 		}
-		if a.workspace = s.ByKey(r.Key); a.workspace == nil {
+		if a.workspace = s.WorkspaceByKey(r.Key); a.workspace == nil {
 			return a, keyUnknown
 		}
 	}
--- a/forward/identify_test.go
+++ b/forward/identify_test.go
@@ -22,7 +22,7 @@
 	ginkgo.GinkgoHelper()
 	share := func(s granitehoist.Service) catalog.Share { return catalog.Share{Service: s, Weight: 1} }
 	s, err := catalog.Build(&catalog.Document{
-		Keyed: true,
+		RequireKey: true,
 		Routes: []catalog.Route{
 			{Name: "keyed", Host: "h", Prefix: "/keyed/", Priority: 3, Timeout: 5 * time.Second, Split: []catalog.Share{share("desk")}},
 			{Name: "open", Host: "h", Prefix: "/open/", Priority: 3, Anonymous: true, Split: []catalog.Share{share("desk")}},
--- a/forward/log.go
+++ b/forward/log.go
@@ -25,8 +25,8 @@
 		zap.Int("attempts", a.progress.attempts),
 		zap.Int64("events", a.progress.events),
 		zap.Uint64("config", uint64(a.admission.version)),
-		zap.Duration("first", report.First),
-		zap.Duration("took", report.Took),
+		zap.Duration("first", report.TimeToFirstByte),
+		zap.Duration("took", report.Duration),
 	}
 	if a.admission.route != nil {
 		fields = append(fields, zap.String("route", string(a.admission.route.Name)))
@@ -38,7 +38,7 @@
 		fields = append(fields, zap.Duration("permit_wait", a.progress.deferredFor))
 	}
 	if scope := a.progress.suspectStatus.scopeVerdict; scope.Refused {
-		fields = append(fields, zap.Int("scope_round", scope.Round), zap.Duration("scope_left", scope.Left))
+		fields = append(fields, zap.Int("scope_round", scope.Round), zap.Duration("scope_left", scope.BlockRemaining))
 	}
 	if a.progress.suspectStatus.verdict.Round > 0 {
 		fields = append(fields, a.suspectFields()...)
@@ -56,9 +56,9 @@
 	return []zap.Field{
 		zap.Stringer("digest", a.progress.suspectStatus.digest),
 		zap.Int("round", a.progress.suspectStatus.verdict.Round),
-		zap.Int("early", a.progress.suspectStatus.verdict.Early),
+		zap.Int("early", a.progress.suspectStatus.verdict.EarlyRound),
 		zap.Int("crashes", a.progress.suspectStatus.verdict.Crashes),
-		zap.Duration("left", a.progress.suspectStatus.verdict.Left),
+		zap.Duration("left", a.progress.suspectStatus.verdict.BlockRemaining),
 	}
 }
 
@@ -74,7 +74,7 @@
 		zap.Int64("free", int64(budget.Free)),
 		zap.Int64("rest", int64(budget.StoreRemaining)),
 		zap.Duration("rest_age", budget.Age),
-		zap.Duration("silent", budget.Silent),
+		zap.Duration("silent", budget.StoreUnresponsiveFor),
 	}
 }
 
@@ -88,8 +88,8 @@
 	if s.Leaving {
 		fields = append(fields, zap.Bool("leaving", true))
 	}
-	if s.Rest > 0 {
-		fields = append(fields, zap.Duration("rest", s.Rest))
+	if s.Backoff > 0 {
+		fields = append(fields, zap.Duration("rest", s.Backoff))
 	}
 	return fields
 }
@@ -102,7 +102,7 @@
 		zap.Int("attempt", a.progress.attempts),
 		zap.String("upstream", string(l.ID)),
 		zap.Uint64("entry", uint64(l.Version)),
-		zap.Bool("home", l.Owner),
+		zap.Bool("home", l.PrefixOwner),
 		zap.Int("load", l.Load),
 		zap.Bool("heavy", l.Heavy),
 		zap.Bool("slow", l.Slow),
--- a/forward/request.go
+++ b/forward/request.go
@@ -32,8 +32,8 @@
 	Arrived time.Time
 	// Timeout is how long the caller waits, from Arrived on; zero if it states none.
 	Timeout time.Duration
-	// Cost is the maximum cost; nil for requests that use no tokens.
-	Cost *Cost
+	// MaxCost is the maximum cost; nil for requests that use no tokens.
+	MaxCost *Cost
 	// PrefixParts are the ids of the parts of the prompt that may be shared with other
 	// requests, in order. PrefixTokens is their total length.
 	PrefixParts  []string
@@ -49,8 +49,8 @@
 	Output granitehoist.Tokens
 }
 
-// Bound returns the sum of prompt and output tokens.
-func (c *Cost) Bound() granitehoist.Tokens { return c.Prompt + c.Output }
+// Total returns the sum of prompt and output tokens.
+func (c *Cost) Total() granitehoist.Tokens { return c.Prompt + c.Output }
 
 // Attempt holds the input of Codec.Header for one attempt.
 type Attempt struct {
@@ -80,17 +80,17 @@
 type Verdict struct {
 	// NotRun is set if the upstream did not run the request and never will.
 	NotRun bool
-	// Moved is set if another instance has the address. It implies NotRun.
-	Moved bool
-	// Faulty is set if the upstream rejected the request as invalid, so that no other
+	// Misdirected is set if another instance has the address. It implies NotRun.
+	Misdirected bool
+	// BadRequest is set if the upstream rejected the request as invalid, so that no other
 	// upstream would run it either. It implies NotRun.
-	Faulty bool
+	BadRequest bool
 	// Usable is set if the response is authentic and may be relayed.
 	Usable bool
 	// RetryAfter is the Retry-After of the response; zero if it has none.
 	RetryAfter time.Duration
-	// Said is what the response states about the upstream itself.
-	Said balance.Statement
+	// Feedback is what the response states about the upstream itself.
+	Feedback balance.Statement
 }
 
 // Codec translates between requests and the protocol of upstreams. Implementations must
@@ -101,6 +101,6 @@
 	// Matches reports whether a response with header h belongs to the request. It is
 	// false for a late response to an earlier request on the connection.
 	Matches(r *Request, h http.Header) bool
-	// Judge interprets the head of a response.
-	Judge(h ResponseHead) Verdict
+	// ReadHead interprets the head of a response.
+	ReadHead(h ResponseHead) Verdict
 }
--- a/forward/reserve.go
+++ b/forward/reserve.go
@@ -42,7 +42,7 @@
 	}
 	r := reservation{
 		needed:  true,
-		maxCost: c.Bound(),
+		maxCost: c.Total(),
 		wait:    max(minTokenWait, time.Duration(tokenWaitFraction*float64(target))),
 	}
 	if r.maxCost > w.Prepaid {
--- a/forward/retrybudget.go
+++ b/forward/retrybudget.go
@@ -17,9 +17,9 @@
 type RetrySettings struct {
 	// Ratio is the number of retries allowed per request of a service.
 	Ratio float64
-	// Slack is the number of retries that the fleet may make per Window in addition to
+	// Burst is the number of retries that the fleet may make per Window in addition to
 	// Ratio.
-	Slack float64
+	Burst float64
 	// Window is the time over which the retries of a service are counted; zero and
 	// negative values mean 10 seconds.
 	Window time.Duration
@@ -54,7 +54,7 @@
 	return &retryBudgets{
 		settings: retrybudget.Settings{
 			PerRequest: s.Ratio * usedRatioFraction,
-			Capacity:   usedSlackFraction * s.Slack,
+			Capacity:   usedSlackFraction * s.Burst,
 			Routers:    routers,
 			Window:     s.Window,
 		},
--- a/forward/settle_test.go
+++ b/forward/settle_test.go
@@ -44,7 +44,7 @@
 		more := s
 		more.events++
 		Expect(s.charge()).To(BeNumerically(">=", s.cost.Prompt))
-		Expect(s.charge()).To(BeNumerically("<=", s.cost.Bound()))
+		Expect(s.charge()).To(BeNumerically("<=", s.cost.Total()))
 		Expect(more.charge()).To(BeNumerically(">=", s.charge()))
 	})
 })
--- a/forward/stalllimits.go
+++ b/forward/stalllimits.go
@@ -44,10 +44,10 @@
 // prompt is the number of prompt tokens, which a model processes before its first event;
 // zero if unknown. runs is the number of earlier attempts that ran or may have run.
 func stallLimitsFor(r *catalog.Route, prompt granitehoist.Tokens, runs int) stallLimits {
-	if !r.MayRunAgain(runs+1) || r.Target <= 0 {
+	if !r.MayRunAgain(runs+1) || r.TargetLatency <= 0 {
 		return stallLimits{}
 	}
-	target := float64(r.Target)
+	target := float64(r.TargetLatency)
 	if r.Kind != catalog.Stream {
 		return stallLimits{first: time.Duration(completeResponseTargets * target)}
 	}
--- a/forward/stalllimits_test.go
+++ b/forward/stalllimits_test.go
@@ -15,7 +15,7 @@
 
 // repeatable returns a route whose requests may run at two upstreams.
 func repeatable(kind catalog.Kind, target time.Duration) *catalog.Route {
-	return &catalog.Route{Kind: kind, Resume: true, MaxAttempts: 2, Target: target}
+	return &catalog.Route{Kind: kind, Resume: true, MaxAttempts: 2, TargetLatency: target}
 }
 
 var _ = ginkgo.DescribeTable("A stalled attempt is cancelled",
@@ -23,11 +23,11 @@
 		Expect(stallLimitsFor(r, prompt, runs)).To(Equal(want))
 	},
 	ginkgo.Entry("never if a request runs at most once",
-		&catalog.Route{Kind: catalog.Unsafe, MaxAttempts: 2, Target: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
+		&catalog.Route{Kind: catalog.Unsafe, MaxAttempts: 2, TargetLatency: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
 	ginkgo.Entry("never if a stream may not be resumed",
-		&catalog.Route{Kind: catalog.Stream, MaxAttempts: 2, Target: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
+		&catalog.Route{Kind: catalog.Stream, MaxAttempts: 2, TargetLatency: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
 	ginkgo.Entry("never if the route sets no maximum of attempts",
-		&catalog.Route{Kind: catalog.Safe, Target: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
+		&catalog.Route{Kind: catalog.Safe, TargetLatency: time.Second}, granitehoist.Tokens(0), 0, stallLimits{}),
 	ginkgo.Entry("never if the route has no target",
 		repeatable(catalog.Safe, 0), granitehoist.Tokens(0), 0, stallLimits{}),
 	ginkgo.Entry("never in the last attempt that the route allows",
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -52,7 +52,7 @@
 // are no crash records at all.
 func (a *activeRequest) checkSuspect() error {
 	table := a.forwarder.settings.Suspects
-	if !table.Any() || !a.computeDigests() {
+	if !table.HasSuspects() || !a.computeDigests() {
 		a.progress.suspectStatus.verdict, a.progress.suspectStatus.scopeVerdict = suspect.Verdict{}, suspect.Verdict{}
 		return nil
 	}
@@ -73,7 +73,7 @@
 // cause of the crashes may still be at work (suspect.Verdict.Hold). A request whose hold
 // is longer than the limit is refused as not run.
 func (a *activeRequest) awaitHold(ctx context.Context) error {
-	limit := max(minHoldLimit, time.Duration(holdLimitFraction*float64(a.admission.route.Target)))
+	limit := max(minHoldLimit, time.Duration(holdLimitFraction*float64(a.admission.route.TargetLatency)))
 	return a.waitUntilReady(ctx, min(limit, a.timeLeft()), func(time.Time) (*waitReason, error) {
 		if err := a.checkSuspect(); err != nil {
 			return nil, err
@@ -108,7 +108,7 @@
 		now := settings.Clock()
 		a.progress.tried[lease.ID] = true
 		lease.Done(balance.Broken, now)
-		settings.Suspects.NoteDown(suspect.LifeOf(lease.ID, lease.Born), now)
+		settings.Suspects.RecordDown(suspect.LifeOf(lease.ID, lease.StartedAtMS), now)
 	}
 }
 
@@ -157,23 +157,23 @@
 	settings := &a.forwarder.settings
 	switch {
 	case result.err == nil && result.status < http.StatusMultipleChoices:
-		if settings.Suspects.Any() && a.computeDigests() {
+		if settings.Suspects.HasSuspects() && a.computeDigests() {
 			now := settings.Clock()
-			settings.Suspects.NoteSuccess(a.progress.suspectStatus.digest, now)
-			settings.Suspects.NoteSuccess(a.progress.suspectStatus.scopeDigest, now)
+			settings.Suspects.RecordSuccess(a.progress.suspectStatus.digest, now)
+			settings.Suspects.RecordSuccess(a.progress.suspectStatus.scopeDigest, now)
 		}
 	case a.instanceCrashed(ctx, lease, result.err) && a.computeDigests():
 		result.crashed = true
 		observed := suspect.Observation{
-			Life:  suspect.LifeOf(lease.ID, lease.Born),
-			Known: a.progress.suspectStatus.verdict,
+			Incarnation:  suspect.LifeOf(lease.ID, lease.StartedAtMS),
+			Verdict: a.progress.suspectStatus.verdict,
 			Early: !lease.HasEvents(),
 			Sent:  lease.PickedAt(),
 		}
 		now := settings.Clock()
-		verdict := settings.Suspects.NoteCrash(a.progress.suspectStatus.digest, observed, now)
-		observed.Known, observed.OfScope = a.progress.suspectStatus.scopeVerdict, true
-		scope := settings.Suspects.NoteCrash(a.progress.suspectStatus.scopeDigest, observed, now)
+		verdict := settings.Suspects.RecordCrash(a.progress.suspectStatus.digest, observed, now)
+		observed.Verdict, observed.IsScope = a.progress.suspectStatus.scopeVerdict, true
+		scope := settings.Suspects.RecordCrash(a.progress.suspectStatus.scopeDigest, observed, now)
 		a.logSuspect(lease, verdict, scope)
 	}
 }
@@ -196,10 +196,10 @@
 		zap.Stringer("digest", a.progress.suspectStatus.digest),
 		zap.String("upstream", string(lease.ID)),
 		zap.Int("round", v.Round),
-		zap.Int("early", v.Early),
+		zap.Int("early", v.EarlyRound),
 		zap.Int("crashes", v.Crashes),
 		zap.Bool("refused", v.Refused),
-		zap.Duration("left", v.Left),
+		zap.Duration("left", v.BlockRemaining),
 		zap.Int("scope_round", scope.Round),
 		zap.Bool("scope_refused", scope.Refused))
 }
--- a/forward/suspects_test.go
+++ b/forward/suspects_test.go
@@ -134,8 +134,8 @@
 			Expect(serve("/stream/"+crashPath, "question")).NotTo(Succeed())
 			c.replace(before)
 		}
-		records := table.Open()
-		records[0].Crashes = append(records[0].Crashes, suspect.Crash{Life: "elsewhere", Round: 3, Early: 3})
+		records := table.Uncleared()
+		records[0].Crashes = append(records[0].Crashes, suspect.Crash{Incarnation: "elsewhere", Round: 3, EarlyRound: 3})
 		s.funds.reserving = func() { table.Merge(records, time.Now()) }
 		before := c.crashCount()
 		Expect(granitehoist.CodeOf(serve("/stream/"+crashPath, "question"))).To(Equal(granitehoist.CrashesUpstreams))
@@ -157,19 +157,19 @@
 		c := newCrashingService(s, desk, crash, answer)
 		Expect(serve("/unsafe/"+crashPath, "question")).NotTo(Succeed())
 		c.replace(0)
-		Expect(table.Any()).To(BeTrue())
+		Expect(table.HasSuspects()).To(BeTrue())
 		c.mu.Lock()
 		c.crash = answer
 		c.mu.Unlock()
 		Expect(serve("/unsafe/"+crashPath, "question")).To(Succeed())
-		Expect(table.Any()).To(BeFalse())
+		Expect(table.HasSuspects()).To(BeFalse())
 	})
 
 	It("is pinned to one worker while it is suspect", func() {
 		c := newCrashingService(s, desk, crash, answer)
 		Expect(serve("/unsafe/"+crashPath, "question")).NotTo(Succeed())
 		c.replace(0)
-		query := balance.Query{Service: desk, Pin: table.Open()[0].Digest.Hash()}
+		query := balance.Query{Service: desk, Pin: table.Uncleared()[0].Digest.Hash()}
 		first, err := s.table.Pick(query, time.Now())
 		Expect(err).NotTo(HaveOccurred())
 		for range 20 {
@@ -200,7 +200,7 @@
 	It("is not recorded as a crash if the worker still accepts connections", func() {
 		s.worker(desk, "i-1", always(standin.WorkerAnswer{Body: "permit", Cut: standin.Cut{Set: true, After: 2}}))
 		Expect(serve("/unsafe/x")).NotTo(Succeed())
-		Expect(table.Any()).To(BeFalse())
+		Expect(table.HasSuspects()).To(BeFalse())
 	})
 
 	It("is not recorded as a crash if the worker is draining", func() {
@@ -210,7 +210,7 @@
 			return standin.WorkerAnswer{Cut: standin.Cut{Crash: true}}
 		})
 		Expect(serve("/unsafe/x")).NotTo(Succeed())
-		Expect(table.Any()).To(BeFalse())
+		Expect(table.HasSuspects()).To(BeFalse())
 	})
 
 	It("is not recorded as a crash if the worker has withdrawn its entry", func() {
@@ -219,7 +219,7 @@
 			return standin.WorkerAnswer{Cut: standin.Cut{Crash: true}}
 		})
 		Expect(serve("/unsafe/x")).NotTo(Succeed())
-		Expect(table.Any()).To(BeFalse())
+		Expect(table.HasSuspects()).To(BeFalse())
 	})
 
 	It("is not recorded as a crash if the caller has disconnected", func() {
@@ -230,20 +230,20 @@
 		})
 		_, err := s.forwarder.Serve(ctx, request("/unsafe/x"), &fakeSink{})
 		Expect(err).To(HaveOccurred())
-		Expect(table.Any()).To(BeFalse())
+		Expect(table.HasSuspects()).To(BeFalse())
 	})
 
 	It("is recorded as a crash until the request succeeds; a 5xx response does not clear it", func() {
 		s.worker(desk, "i-1", always(standin.WorkerAnswer{Cut: standin.Cut{Crash: true}}))
 		Expect(serve("/unsafe/x")).NotTo(Succeed())
-		Expect(table.Any()).To(BeTrue())
+		Expect(table.HasSuspects()).To(BeTrue())
 		answer := standin.WorkerAnswer{Status: 500, Body: "own failure"}
 		s.worker(desk, "i-2", func(standin.Arrival) standin.WorkerAnswer { return answer })
 		Expect(serve("/unsafe/x")).To(Succeed())
-		Expect(table.Any()).To(BeTrue())
+		Expect(table.HasSuspects()).To(BeTrue())
 		answer = standin.WorkerAnswer{Body: "permit"}
 		Expect(serve("/unsafe/x")).To(Succeed())
-		Expect(table.Any()).To(BeFalse())
+		Expect(table.HasSuspects()).To(BeFalse())
 	})
 })
 
@@ -254,7 +254,7 @@
 	s := newFixture()
 	table := suspect.New(suspect.Settings{})
 	table.SetSecret(suspect.Secret{1})
-	table.NoteCrash(suspect.Digest{1}, suspect.Observation{Life: "i-0"}, time.Now())
+	table.RecordCrash(suspect.Digest{1}, suspect.Observation{Incarnation: "i-0"}, time.Now())
 	s.useSuspects(table)
 	w, err := standin.NewWorker("i-1", always(standin.WorkerAnswer{Body: "permit"}))
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/pushback/pushback_test.go
+++ b/internal/pushback/pushback_test.go
@@ -20,14 +20,14 @@
 // A backoff of 3 s, followed by the first requests of the recovery.
 func Example() {
 	var r pushback.Rest
-	r.Ask(3*time.Second, start)
-	fmt.Println(r.Admits(start.Add(2*time.Second)), r.Left(start.Add(2*time.Second)))
+	r.Extend(3*time.Second, start)
+	fmt.Println(r.Allows(start.Add(2*time.Second)), r.Remaining(start.Add(2*time.Second)))
 	after := start.Add(4 * time.Second)
-	r.Try()
-	fmt.Println(r.Admits(after))
-	r.EndTry()
-	r.Took(after, 8)
-	fmt.Println(r.Admits(after))
+	r.StartProbe()
+	fmt.Println(r.Allows(after))
+	r.EndProbe()
+	r.Accepted(after, 8)
+	fmt.Println(r.Allows(after))
 	// Output:
 	// false 1s
 	// false
@@ -59,25 +59,25 @@
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0:
 				d := time.Duration(rapid.IntRange(1, 5000).Draw(t, "backoff ms")) * time.Millisecond
-				r.Ask(d, now)
+				r.Extend(d, now)
 				if end := now.Add(d); end.After(latest) {
 					latest = end
 				}
 			case 1:
-				r.Took(now.Add(-time.Duration(rapid.IntRange(1, 9000).Draw(t, "sent ms ago"))*time.Millisecond), 8)
+				r.Accepted(now.Add(-time.Duration(rapid.IntRange(1, 9000).Draw(t, "sent ms ago"))*time.Millisecond), 8)
 			case 2:
-				r.Refused()
+				r.Rejected()
 			case 3:
-				if r.Admits(now) {
-					r.Try()
-					r.EndTry()
+				if r.Allows(now) {
+					r.StartProbe()
+					r.EndProbe()
 				}
 			}
-			if r.Admits(now) && now.Before(latest) {
+			if r.Allows(now) && now.Before(latest) {
 				t.Fatalf("request admitted %s before the end of the backoff", latest.Sub(now))
 			}
 		}
-		if !r.Admits(now.Add(pushback.MaxRest)) {
+		if !r.Allows(now.Add(pushback.MaxRest)) {
 			t.Fatal("no request admitted after MaxRest")
 		}
 	})
--- a/internal/pushback/rest.go
+++ b/internal/pushback/rest.go
@@ -30,40 +30,40 @@
 	maxProbes, probes int
 }
 
-// Ask records that a response received at now requests a backoff of d, capped at MaxRest.
+// Extend records that a response received at now requests a backoff of d, capped at MaxRest.
 // It never moves the end of a backoff to an earlier time.
-func (r *Rest) Ask(d time.Duration, now time.Time) {
+func (r *Rest) Extend(d time.Duration, now time.Time) {
 	if until := now.Add(min(d, MaxRest)); until.After(r.until) {
 		r.until = until
 	}
 	r.maxProbes = initialProbes
 }
 
-// IsOver reports whether neither a backoff nor the recovery from one is in force.
-func (r *Rest) IsOver() bool { return r.until.IsZero() }
+// Inactive reports whether neither a backoff nor the recovery from one is in force.
+func (r *Rest) Inactive() bool { return r.until.IsZero() }
 
-// Admits reports whether a request may be sent to the upstream now.
-func (r *Rest) Admits(now time.Time) bool {
-	return r.IsOver() || (!now.Before(r.until) && r.probes < r.maxProbes)
+// Allows reports whether a request may be sent to the upstream now.
+func (r *Rest) Allows(now time.Time) bool {
+	return r.Inactive() || (!now.Before(r.until) && r.probes < r.maxProbes)
 }
 
-// Left returns the time until the backoff ends, and zero after its end, when admission
+// Remaining returns the time until the backoff ends, and zero after its end, when admission
 // depends on the requests in flight.
-func (r *Rest) Left(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
+func (r *Rest) Remaining(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
 
-// Try counts a request that is sent during the recovery, after Admits allowed it. EndTry
-// must be called once for each Try.
-func (r *Rest) Try() { r.probes++ }
+// StartProbe counts a request that is sent during the recovery, after Admits allowed it. EndTry
+// must be called once for each StartProbe.
+func (r *Rest) StartProbe() { r.probes++ }
 
-// EndTry ends a request counted by Try: the upstream accepted or rejected it, or the outcome
+// EndProbe ends a request counted by Try: the upstream accepted or rejected it, or the outcome
 // is unknown.
-func (r *Rest) EndTry() { r.probes-- }
+func (r *Rest) EndProbe() { r.probes-- }
 
-// Took records that the upstream accepted a request sent at the given time; requests sent
+// Accepted records that the upstream accepted a request sent at the given time; requests sent
 // before the end of the backoff are ignored. capacity is the number of requests that the
 // upstream runs concurrently, above which the recovery is complete.
-func (r *Rest) Took(sent time.Time, capacity int) {
-	if r.IsOver() || sent.Before(r.until) {
+func (r *Rest) Accepted(sent time.Time, capacity int) {
+	if r.Inactive() || sent.Before(r.until) {
 		return
 	}
 	r.maxProbes *= probeGrowth
@@ -72,6 +72,6 @@
 	}
 }
 
-// Refused records that the upstream rejected a request without requesting a new backoff,
+// Rejected records that the upstream rejected a request without requesting a new backoff,
 // which restarts a recovery in progress with initialProbes.
-func (r *Rest) Refused() { r.maxProbes = min(r.maxProbes, initialProbes) }
+func (r *Rest) Rejected() { r.maxProbes = min(r.maxProbes, initialProbes) }
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -22,9 +22,9 @@
 	// one mean one router. It is called with the Budget's mutex held and must not call
 	// the Budget.
 	Routers func() int
-	// InitialPart is the fraction of its share that a router starts with, above 0 and
+	// InitialFraction is the fraction of its share that a router starts with, above 0 and
 	// up to 1; zero means 1.
-	InitialPart float64
+	InitialFraction float64
 	// Window is the time in which an empty Budget refills to its share without
 	// requests; zero and negative values disable the refill.
 	Window time.Duration
@@ -76,7 +76,7 @@
 		return
 	}
 	b.started = true
-	fraction := b.settings.InitialPart
+	fraction := b.settings.InitialFraction
 	defaults.Set(&fraction, 1)
 	b.tokens = fraction * b.share()
 	b.lastRefill = now
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -47,7 +47,7 @@
 		func(s retrybudget.Settings, want int) { expectRetries(retrybudget.New(s), start, want) },
 		Entry("one retry without settings", retrybudget.Settings{}, 1),
 		Entry("the full capacity", retrybudget.Settings{Capacity: 25}, 25),
-		Entry("the initial fraction of the capacity", retrybudget.Settings{Capacity: 20, InitialPart: 0.5}, 10),
+		Entry("the initial fraction of the capacity", retrybudget.Settings{Capacity: 20, InitialFraction: 0.5}, 10),
 		Entry("the router's share of the capacity", retrybudget.Settings{Capacity: 25, Routers: routers(5)}, 5),
 		Entry("one retry if the share is below one", retrybudget.Settings{Capacity: 25, Routers: routers(50)}, 1),
 		Entry("the full capacity if the number of routers is zero", retrybudget.Settings{Capacity: 25, Routers: routers(0)}, 25),
@@ -89,7 +89,7 @@
 
 	It("never allows more than the initial, earned and refilled retries", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
-			s := retrybudget.Settings{Capacity: 20, PerRequest: 0.1, InitialPart: 0.5, Window: 10 * time.Second}
+			s := retrybudget.Settings{Capacity: 20, PerRequest: 0.1, InitialFraction: 0.5, Window: 10 * time.Second}
 			b := retrybudget.New(s)
 			now, requests, retries := start, 0, 0
 			for range rapid.IntRange(1, 300).Draw(t, "steps") {
--- a/measure/samples.go
+++ b/measure/samples.go
@@ -204,7 +204,7 @@
 func memberBytes(n int) float64 {
 	var members []fleet.Member
 	for i := range n {
-		members = append(members, fleet.Member{Box: "zaisan-hall-0001", Incarnation: sampleIncarnation(i), Partner: "tuul", Region: "tuul", Zone: "zaisan-hall", Peers: "10.100.200.100:8081"})
+		members = append(members, fleet.Member{Box: "zaisan-hall-0001", Incarnation: sampleIncarnation(i), Partner: "tuul", Region: "tuul", Zone: "zaisan-hall", PeerAddress: "10.100.200.100:8081"})
 	}
 	return float64(len(must(json.Marshal(members))))
 }
--- a/measure/slopes.go
+++ b/measure/slopes.go
@@ -71,7 +71,7 @@
 		}),
 		Slope{Name: "purse-round", Unit: "ns", Per: "budget", Small: 1000, Large: 14000}.measured(func(n int) float64 {
 			p := samplePurse(n)
-			return nanoseconds(func() { p.Asks(sampleTime) })
+			return nanoseconds(func() { p.Reports(sampleTime) })
 		}),
 		Slope{Name: "ask-bytes", Unit: "B", Per: "ask", Small: 9, Large: 90}.measured(func(n int) float64 { return messageBytes(sampleAsks(n)) }),
 		Slope{Name: "reply-bytes", Unit: "B", Per: "reply", Small: 9, Large: 90}.measured(func(n int) float64 { return messageBytes(sampleReplies(n)) }),
--- a/node/adapter.go
+++ b/node/adapter.go
@@ -32,7 +32,7 @@
 	// InstanceID returns the instance that a key under InstancesPrefix belongs to.
 	InstanceID func(key string) granitehoist.Upstream
 	Codec      forward.Codec
-	// Frontend returns the handler of callers' requests. Its last argument reports
+	// NewFrontend returns the handler of callers' requests. Its last argument reports
 	// whether a response should ask the caller to reconnect.
-	Frontend func(*forward.Forwarder, *catalog.Current, granitehoist.Clock, func() bool) http.Handler
+	NewFrontend func(*forward.Forwarder, *catalog.Current, granitehoist.Clock, func() bool) http.Handler
 }
--- a/node/components.go
+++ b/node/components.go
@@ -50,17 +50,17 @@
 		Zone:         n.config.Zone,
 		Seed:         uint64(n.clock().UnixNano()),
 		Regions:      n.config.Regions,
-		LimitChanged: c.signals.onLimitChange,
-		LeavingNoted: c.signals.onLeaving,
-		RestNoted:    c.signals.onBackoff,
+		OnLimitChange: c.signals.onLimitChange,
+		OnLeaving: c.signals.onLeaving,
+		OnBackoff:    c.signals.onBackoff,
 	})
-	c.pool = exchange.NewPool(exchange.Settings{Clock: n.clock, Opened: n.counters.counter(metricConnections), Meter: c.meter})
+	c.pool = exchange.NewPool(exchange.Settings{Clock: n.clock, OnOpen: n.counters.counter(metricConnections), Meter: c.meter})
 	c.peers = newPeers(peersSettings{
 		self:      self,
 		store:     n.adapter.Store,
 		clock:     n.clock,
 		log:       n.log,
-		bootstrap: n.config.First,
+		bootstrap: n.config.Bootstrap,
 		table:     c.table,
 	})
 	c.suspects = newSuspects(n, c.peers)
@@ -70,18 +70,18 @@
 	c.syncer = newSyncer(n, c.ledger, c.peers)
 	c.forwarder = forward.New(forward.Settings{
 		Catalog:   current,
-		Funds:     c.syncer,
+		Budgets:     c.syncer,
 		Table:     c.table,
 		Pool:      c.pool,
 		Codec:     n.adapter.Codec,
 		Suspects:  c.suspects.table,
-		Evidence:  c.suspects.gate.opened,
-		Retry:     n.config.Retry,
+		SuspectsReady:  c.suspects.gate.opened,
+		Retry:     n.config.RetryBudget,
 		Routers:   c.peers.routers,
 		Clock:     n.clock,
 		Deadlines: c.deadlines,
 		Log:       n.log,
-		Ended:     n.counters.countRequest,
+		OnEnd:     n.counters.countRequest,
 	})
 	return c
 }
@@ -94,7 +94,7 @@
 		Ledger:  ledger,
 		Store:   n.adapter.Store,
 		Routers: peers.routers,
-		Divides: peers.dividesRecord,
+		ShardsRecord: peers.dividesRecord,
 		Lenders: peers.lenders,
 		Caller:  peers,
 		Clock:   n.clock,
--- a/node/config.go
+++ b/node/config.go
@@ -20,33 +20,33 @@
 	Zone granitehoist.AvailabilityZone
 	// Regions maps each availability zone to its region.
 	Regions map[granitehoist.AvailabilityZone]granitehoist.Region
-	// IP and PeerPort form the address at which neighbours reach the node.
-	IP       string
+	// PeerIP and PeerPort form the address at which neighbours reach the node.
+	PeerIP       string
 	PeerPort int
-	// Callers and Ready are the listening addresses, as IP:PORT, for callers and for the
+	// CallerAddress and Ready are the listening addresses, as IP:PORT, for callers and for the
 	// platform's health checks.
-	Callers string
-	Ready   string
+	CallerAddress string
+	ReadinessAddress   string
 	// LinkMbps is the bandwidth of the box's network link in Mbit/s, zero if unknown.
 	LinkMbps float64
-	// Metrics is the listening address, as IP:PORT, for metrics; if empty, none are
+	// MetricsAddress is the listening address, as IP:PORT, for metrics; if empty, none are
 	// served.
-	Metrics string
-	// Store is the address of the platform's store, as IP:PORT.
-	Store string
-	// Grace is the time from the order to stop (SIGTERM) until the platform kills the
+	MetricsAddress string
+	// StoreAddress is the address of the platform's store, as IP:PORT.
+	StoreAddress string
+	// GracePeriod is the time from the order to stop (SIGTERM) until the platform kills the
 	// process.
-	Grace time.Duration
-	// Memory is the size in bytes above which the platform kills the process; zero means
+	GracePeriod time.Duration
+	// MemoryLimit is the size in bytes above which the platform kills the process; zero means
 	// no limit.
-	Memory int64
-	Retry  forward.RetrySettings
+	MemoryLimit int64
+	RetryBudget  forward.RetrySettings
 	// Clock returns the current time; nil means time.Now, which does not advance while
 	// the machine is suspended (package internal/boottime).
 	Clock granitehoist.Clock
-	// First says that the whole fleet starts for the first time, so that the node list in
+	// Bootstrap says that the whole fleet starts for the first time, so that the node list in
 	// the store is empty or incomplete.
-	First bool
+	Bootstrap bool
 	// LogDropped returns the number of log lines dropped so far. If nil, the metric is
 	// omitted.
 	LogDropped func() int64
@@ -57,11 +57,11 @@
 	if c.Box == "" {
 		return eris.New("the box name is missing")
 	}
-	if net.ParseIP(c.IP) == nil {
-		return eris.Errorf("invalid IP address %q", c.IP)
+	if net.ParseIP(c.PeerIP) == nil {
+		return eris.Errorf("invalid IP address %q", c.PeerIP)
 	}
 	addresses := []struct{ name, value string }{
-		{"callers", c.Callers}, {"ready", c.Ready}, {"store", c.Store},
+		{"callers", c.CallerAddress}, {"ready", c.ReadinessAddress}, {"store", c.StoreAddress},
 	}
 	for _, a := range addresses {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
@@ -71,8 +71,8 @@
 	if c.PeerPort <= 0 || c.PeerPort > maxPort {
 		return eris.Errorf("port for neighbours %d is not in the range 1 to %d", c.PeerPort, maxPort)
 	}
-	if c.Grace <= 0 {
-		return eris.Errorf("grace period %s is not positive", c.Grace)
+	if c.GracePeriod <= 0 {
+		return eris.Errorf("grace period %s is not positive", c.GracePeriod)
 	}
 	return nil
 }
--- a/node/configcopy.go
+++ b/node/configcopy.go
@@ -33,7 +33,7 @@
 
 func newConfigCopy(n *Node, current *catalog.Current) *configCopy {
 	c := &configCopy{adapter: &n.adapter, catalog: current, ledger: n.components.ledger, syncer: n.components.syncer, table: n.components.table, clock: n.clock, log: n.log}
-	c.follower = n.newFollower(follow.Settings{Prefix: n.adapter.ConfigPrefix, Changed: c.applyEntries})
+	c.follower = n.newFollower(follow.Settings{Prefix: n.adapter.ConfigPrefix, OnChange: c.applyEntries})
 	return c
 }
 
@@ -89,6 +89,6 @@
 			c.ledger.SetLimit(name, w.Prepaid)
 		}
 	}
-	c.syncer.Kick()
+	c.syncer.TriggerSync()
 	c.log.Info(event.ConfigInForce, zap.Uint64("version", uint64(snapshot.Version)), zap.Int64("revision", snapshot.Revision))
 }
--- a/node/crashing_test.go
+++ b/node/crashing_test.go
@@ -106,7 +106,7 @@
 	pool := newCrashingPool(s, workers)
 	for _, m := range s.members {
 		s.Eventually(m.status("/once/x"), stepTimeout).Should(Equal(http.StatusOK))
-		s.Eventually(m.node.Routers, stepTimeout).Should(Equal(routers))
+		s.Eventually(m.node.FleetSize, stepTimeout).Should(Equal(routers))
 	}
 	var last answer
 	for i := range arrivals {
--- a/node/crashload_test.go
+++ b/node/crashload_test.go
@@ -273,7 +273,7 @@
 // askWithBody sends a request with a body to a node and returns the status, -1 after a
 // timeout and 0 after any other failure.
 func (m *member) askWithBody(client *http.Client, path, id, body string) int {
-	request, err := http.NewRequest(http.MethodPost, "http://"+m.config.Callers+path, strings.NewReader(body))
+	request, err := http.NewRequest(http.MethodPost, "http://"+m.config.CallerAddress+path, strings.NewReader(body))
 	if err != nil {
 		return 0
 	}
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -28,7 +28,7 @@
 		w := s.startWorker(standin.WorkerAnswer{Body: "answer"})
 		for _, m := range s.members {
 			Eventually(m.status("/a/x")).Should(Equal(http.StatusOK))
-			Eventually(m.node.Routers).Should(Equal(nodes))
+			Eventually(m.node.FleetSize).Should(Equal(nodes))
 		}
 		return s, w
 	}
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -122,12 +122,12 @@
 		"platform":{"address":%q}}`, ip, ip, ip, ip, listener.Addr().String())
 	config, err := platform.ParseSettings("test", []byte(settings))
 	s.Expect(err).NotTo(HaveOccurred())
-	config.Metrics = ip + ":9464"
+	config.MetricsAddress = ip + ":9464"
 	config.Clock = s.clock
 	core, logs := observer.New(zapcore.InfoLevel)
 	text := &logBuffer{}
 	log := zap.New(zapcore.NewTee(core, logsink.NewLogger(text, zapcore.InfoLevel).Core()))
-	n, err := node.New(config, platform.NewAdapter(platform.StoreSettings{Address: config.Store, Watch: 300 * time.Millisecond, Timeout: 500 * time.Millisecond}), log)
+	n, err := node.New(config, platform.NewAdapter(platform.StoreSettings{Address: config.StoreAddress, Watch: 300 * time.Millisecond, Timeout: 500 * time.Millisecond}), log)
 	s.Expect(err).NotTo(HaveOccurred())
 	n.Start()
 	m := &member{Gomega: s.Gomega, node: n, config: config, store: front, logs: logs, logText: text}
@@ -218,7 +218,7 @@
 
 // metrics returns the metrics page of the node, empty if it cannot be read.
 func (m *member) metrics() string {
-	response, err := http.Get("http://" + m.config.Metrics + "/metrics")
+	response, err := http.Get("http://" + m.config.MetricsAddress + "/metrics")
 	if err != nil {
 		return ""
 	}
@@ -285,7 +285,7 @@
 
 // ask sends a request over a new connection. header holds names and values in turn.
 func (m *member) ask(path, id string, header ...string) (answer, error) {
-	request, err := http.NewRequest(http.MethodPost, "http://"+m.config.Callers+path, strings.NewReader("question"))
+	request, err := http.NewRequest(http.MethodPost, "http://"+m.config.CallerAddress+path, strings.NewReader("question"))
 	if err != nil {
 		return answer{}, err
 	}
@@ -319,7 +319,7 @@
 }
 
 func (m *member) ready() int {
-	response, err := http.Get("http://" + m.config.Ready + "/readyz")
+	response, err := http.Get("http://" + m.config.ReadinessAddress + "/readyz")
 	if err != nil {
 		return 0
 	}
--- a/node/greeting.go
+++ b/node/greeting.go
@@ -62,8 +62,8 @@
 	err := p.client.Call(ctx, granitehoist.Peer{Address: address}, methodGreet, greeting{Self: p.settings.self}, &reply)
 	if err == nil {
 		p.applyGreeting(reply)
-		p.settings.table.NoteHints(reply.Hints)
-		p.settings.table.MergeNews(reply.News, p.settings.clock())
+		p.settings.table.ApplyHints(reply.Hints)
+		p.settings.table.MergeUpdates(reply.News, p.settings.clock())
 	}
 	return reply, err
 }
@@ -90,7 +90,7 @@
 		Self:   p.settings.self,
 		Others: p.others,
 		Hints:  p.settings.table.Hints(),
-		News:   p.settings.table.AllNews(p.settings.clock()),
+		News:   p.settings.table.Snapshot(p.settings.clock()),
 		Listed: canServeList(p.viewLocked().isRelay(), p.listedAt, p.settings.clock()),
 	}, nil
 }
--- a/node/instancecopy.go
+++ b/node/instancecopy.go
@@ -40,7 +40,7 @@
 // it moved, started or stopped draining, became cold or warm, or restarted.
 func shouldLogInstance(before, after balance.Instance) bool {
 	return before.Draining != after.Draining || before.Address != after.Address ||
-		(before.ColdFor > 0) != (after.ColdFor > 0) || before.Born != after.Born
+		(before.ColdFor > 0) != (after.ColdFor > 0) || before.StartedAtMS != after.StartedAtMS
 }
 
 // instanceCopy is the node's copy of the instances' announcements. Only its follower's
@@ -56,7 +56,7 @@
 
 func newInstanceCopy(n *Node) *instanceCopy {
 	c := &instanceCopy{adapter: &n.adapter, table: n.components.table, pool: n.components.pool, clock: n.clock, log: n.log}
-	c.follower = n.newFollower(follow.Settings{Prefix: n.adapter.InstancesPrefix, Changed: c.applyEntries, Unchanged: c.isRepeated})
+	c.follower = n.newFollower(follow.Settings{Prefix: n.adapter.InstancesPrefix, OnChange: c.applyEntries, Equivalent: c.isRepeated})
 	return c
 }
 
@@ -109,6 +109,6 @@
 	if !known {
 		return
 	}
-	c.pool.Forget(instance.Address)
+	c.pool.CloseIdle(instance.Address)
 	c.log.Info(event.UpstreamGone, zap.String("upstream", string(instance.ID)), zap.Uint64("at", uint64(at)))
 }
--- a/node/largefleet_test.go
+++ b/node/largefleet_test.go
@@ -32,14 +32,14 @@
 		s.startWorker(standin.WorkerAnswer{Body: "ok"})
 		for _, m := range s.members {
 			Eventually(m.ready).Should(Equal(http.StatusOK))
-			Eventually(m.node.Routers).Should(Equal(nodes))
+			Eventually(m.node.FleetSize).Should(Equal(nodes))
 		}
 	})
 	expectServed := func(members []*member) {
 		GinkgoHelper()
 		for _, m := range members {
 			Eventually(func() int {
-				got, err := m.ask("/safe/x", "id-"+m.config.IP, "Token-Usage", "100,10")
+				got, err := m.ask("/safe/x", "id-"+m.config.PeerIP, "Token-Usage", "100,10")
 				if err != nil {
 					return 0
 				}
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -104,9 +104,9 @@
 	if r.Service == "" {
 		return
 	}
-	c.observe(r.Took, metricDuration, r.Service)
-	if r.First > 0 {
-		c.observe(r.First, metricFirstByte, r.Service)
+	c.observe(r.Duration, metricDuration, r.Service)
+	if r.TimeToFirstByte > 0 {
+		c.observe(r.TimeToFirstByte, metricFirstByte, r.Service)
 	}
 }
 
@@ -176,11 +176,11 @@
 		if status.Leaving {
 			leaving++
 		}
-		if status.Resting {
+		if status.BackingOff {
 			resting++
 		}
 	}
-	avoided := n.components.table.Spared()
+	avoided := n.components.table.SkipCounts()
 	return []string{
 		fmt.Sprintf("%s{reason=\"leaving\"} %d", metricAvoidedChoices, avoided.Leaving),
 		fmt.Sprintf("%s{reason=\"deferred\"} %d", metricAvoidedChoices, avoided.Deferred),
--- a/node/node.go
+++ b/node/node.go
@@ -94,16 +94,16 @@
 	s.MinWatchInterval = minWatchInterval
 	s.Relays = n.components.peers.relaysToAsk
 	s.Neighbours = n.components.peers.neighboursToAsk
-	s.Ready = n.components.peers.knowsRelays
-	s.Updates = n.askUpdates
+	s.PeersKnown = n.components.peers.knowsRelays
+	s.FetchUpdates = n.askUpdates
 	s.Prober = &n.prober
 	s.Clock = n.clock
 	s.Log = n.log
 	return follow.New(s)
 }
 
-// Routers returns the number of nodes in this node's list, itself included.
-func (n *Node) Routers() int { return n.components.peers.routers() }
+// FleetSize returns the number of nodes in this node's list, itself included.
+func (n *Node) FleetSize() int { return n.components.peers.routers() }
 
 // Incarnation returns the id of this process run.
 func (n *Node) Incarnation() granitehoist.Incarnation { return n.incarnation }
@@ -115,8 +115,8 @@
 	n.log.Info(event.Start,
 		zap.String("box", string(n.config.Box)),
 		zap.String("incarnation", string(n.incarnation)),
-		zap.String("callers", n.config.Callers),
-		zap.String("store", n.config.Store))
+		zap.String("callers", n.config.CallerAddress),
+		zap.String("store", n.config.StoreAddress))
 	go n.configs.follower.Run(ctx)
 	go n.instances.follower.Run(ctx)
 	go n.components.peers.run(ctx)
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -26,7 +26,7 @@
 	It("is not ready, and refuses requests as not run, before it has a configuration", func() {
 		s := newSpecFleet(1)
 		m := s.members[0]
-		Eventually(func() bool { return reachable(m.config.Callers) }).Should(BeTrue())
+		Eventually(func() bool { return reachable(m.config.CallerAddress) }).Should(BeTrue())
 		Expect(m.ready()).To(Equal(http.StatusServiceUnavailable))
 		got, err := m.ask("/a/x", "r-1")
 		Expect(err).NotTo(HaveOccurred())
@@ -86,7 +86,7 @@
 			m := s.members[0]
 			Eventually(m.status("/a/x")).Should(Equal(http.StatusOK))
 			Eventually(s.members[1].status("/a/x")).Should(Equal(http.StatusOK))
-			Eventually(m.node.Routers).Should(Equal(2))
+			Eventually(m.node.FleetSize).Should(Equal(2))
 			m.store.Fail(fault)
 			s.configure(2, 100_000, "/b/")
 			Eventually(m.status("/b/x"), 5*time.Second).Should(Equal(http.StatusOK), "%+v", fault)
@@ -106,8 +106,8 @@
 		}).Should(HaveLen(1))
 		m.store.Fail(standin.PlatformFaults{Hang: true})
 		joined := s.start()
-		Eventually(joined.node.Routers).Should(Equal(2))
-		Eventually(m.node.Routers, 3*time.Second).Should(Equal(2))
+		Eventually(joined.node.FleetSize).Should(Equal(2))
+		Eventually(m.node.FleetSize, 3*time.Second).Should(Equal(2))
 	})
 
 	It("lists again when the store has lost its history, and when a watch misses changes", func() {
@@ -186,7 +186,7 @@
 		m, neighbour := s.members[0], s.members[1]
 		for _, each := range s.members {
 			Eventually(func() int { return each.logs.FilterMessage(event.BudgetGrant).Len() }).Should(BeNumerically(">", 0))
-			Eventually(each.node.Routers).Should(Equal(2))
+			Eventually(each.node.FleetSize).Should(Equal(2))
 		}
 		m.store.Fail(standin.PlatformFaults{Refuse: http.StatusServiceUnavailable})
 		Eventually(func() int { return m.logs.FilterMessage(event.BudgetSyncFailed).Len() }).Should(BeNumerically(">", 0))
@@ -203,7 +203,7 @@
 		s.startWorker(standin.WorkerAnswer{Body: "answer"})
 		m := s.members[0]
 		Eventually(m.status("/a/x")).Should(Equal(http.StatusOK))
-		response, err := http.Get("http://" + m.config.Metrics + "/metrics")
+		response, err := http.Get("http://" + m.config.MetricsAddress + "/metrics")
 		Expect(err).NotTo(HaveOccurred())
 		defer func() { _ = response.Body.Close() }()
 		text, err := io.ReadAll(response.Body)
@@ -214,7 +214,7 @@
 
 	It("closes all its listeners when it has stopped", func() {
 		m := newSpecFleet(1).members[0]
-		addresses := []string{m.config.Callers, m.config.Ready, m.config.Metrics}
+		addresses := []string{m.config.CallerAddress, m.config.ReadinessAddress, m.config.MetricsAddress}
 		for _, address := range addresses {
 			Eventually(func() bool { return reachable(address) }).Should(BeTrue())
 		}
--- a/node/permits.go
+++ b/node/permits.go
@@ -162,7 +162,7 @@
 		l.counters.count(int64(len(requests)), metricPermits, "result=%q", "failed")
 		l.avoidedIssuers.add(from.peer.Address, now.Add(issuerAvoidTime))
 		for _, r := range requests {
-			l.table.NotePermits(balance.PermitAnswer{Life: r.Limit.Life(), Retry: now.Add(permitRetryDelay)})
+			l.table.AddPermits(balance.PermitAnswer{Incarnation: r.Limit.Incarnation(), RetryAt: now.Add(permitRetryDelay)})
 		}
 		return
 	}
@@ -175,7 +175,7 @@
 func newPermitsParams(requests []balance.PermitRequest, standsIn bool) permitsParams {
 	params := permitsParams{StandsIn: standsIn}
 	for _, r := range requests {
-		params.Permits = append(params.Permits, permitRequest{Limit: r.Limit, Count: r.Count, WithinMS: toMilliseconds(r.Within)})
+		params.Permits = append(params.Permits, permitRequest{Limit: r.Limit, Count: r.Count, WithinMS: toMilliseconds(r.MaxWait)})
 	}
 	return params
 }
@@ -207,12 +207,12 @@
 	}
 	l.counters.count(int64(max(1, g.Count)), metricPermits, "result=%q", result)
 	due := startedAt.Add(fromMilliseconds(g.DueMS))
-	l.table.NotePermits(balance.PermitAnswer{
-		Life:    r.Limit.Life(),
+	l.table.AddPermits(balance.PermitAnswer{
+		Incarnation:    r.Limit.Incarnation(),
 		Count:   g.Count,
 		Due:     due,
 		Expires: due.Add(throttle.Validity),
-		Retry:   startedAt.Add(max(minPermitInterval, fromMilliseconds(g.RetryMS))),
+		RetryAt:   startedAt.Add(max(minPermitInterval, fromMilliseconds(g.RetryMS))),
 	})
 }
 
@@ -230,7 +230,7 @@
 // it uses that of the caller.
 func (l *rateLimits) issue(r permitRequest, standsIn bool, now time.Time) permitGrant {
 	l.table.MergeLimits([]balance.LimitRecord{r.Limit}, now)
-	limit, known := l.table.Limit(r.Limit.Life(), now)
+	limit, known := l.table.Limit(r.Limit.Incarnation(), now)
 	if !known {
 		limit = r.Limit
 	}
@@ -238,16 +238,16 @@
 		return permitGrant{RetryMS: toMilliseconds(minPermitInterval), Limit: &limit}
 	}
 	grant := l.issuer.Issue(throttle.Request{
-		Life:     throttle.Life{Upstream: limit.Upstream, Born: limit.Born},
+		Incarnation:     throttle.Life{Upstream: limit.Upstream, StartedAtMS: limit.StartedAtMS},
 		Rate:     float64(limit.Rate),
 		Count:    r.Count,
-		Within:   fromMilliseconds(r.WithinMS),
-		StandsIn: standsIn,
+		MaxWait:   fromMilliseconds(r.WithinMS),
+		Fallback: standsIn,
 	}, now)
 	return permitGrant{
 		Count:   grant.Count,
 		DueMS:   toMilliseconds(grant.Due),
-		RetryMS: toMilliseconds(grant.Retry),
+		RetryMS: toMilliseconds(grant.RetryAfter),
 		Limit:   &limit,
 	}
 }
--- a/node/ratelimit_test.go
+++ b/node/ratelimit_test.go
@@ -102,7 +102,7 @@
 // awaitFleet waits until all nodes know each other and serve path, unless it is empty.
 func (s *testFleet) awaitFleet(path string) {
 	for _, m := range s.members {
-		s.Eventually(m.node.Routers, stepTimeout).Should(Equal(len(s.members)))
+		s.Eventually(m.node.FleetSize, stepTimeout).Should(Equal(len(s.members)))
 		if path != "" {
 			s.Eventually(m.status(path), stepTimeout).Should(Equal(http.StatusOK))
 		}
--- a/node/refusedrequest_test.go
+++ b/node/refusedrequest_test.go
@@ -28,7 +28,7 @@
 		}
 		for _, m := range s.members {
 			Eventually(m.status("/once/x")).Should(Equal(http.StatusOK))
-			Eventually(m.node.Routers).Should(Equal(nodes))
+			Eventually(m.node.FleetSize).Should(Equal(nodes))
 		}
 		return s, pool
 	}
@@ -105,7 +105,7 @@
 		pool := newCrashingPool(s, 6)
 		m := s.start()
 		Eventually(m.status("/once/x")).Should(Equal(http.StatusOK))
-		Eventually(m.node.Routers).Should(Equal(3))
+		Eventually(m.node.FleetSize).Should(Equal(3))
 		_, err := m.ask("/once/"+poison, "first")
 		Expect(err).NotTo(HaveOccurred())
 		lines := m.logs.FilterMessage(event.Suspect).All()
--- a/node/reload.go
+++ b/node/reload.go
@@ -16,7 +16,7 @@
 }
 
 func newLiveSettings(c *Config) *liveSettings {
-	return &liveSettings{grace: c.Grace, linkMbps: c.LinkMbps}
+	return &liveSettings{grace: c.GracePeriod, linkMbps: c.LinkMbps}
 }
 
 // Reload applies the settings of c that a running node can change, Grace and LinkMbps,
@@ -40,12 +40,12 @@
 	}{
 		{"box", started.Box != changed.Box},
 		{"zone", started.Zone != changed.Zone},
-		{"ip", started.IP != changed.IP},
+		{"ip", started.PeerIP != changed.PeerIP},
 		{"peer_port", started.PeerPort != changed.PeerPort},
-		{"callers", started.Callers != changed.Callers},
-		{"ready", started.Ready != changed.Ready},
-		{"store", started.Store != changed.Store},
-		{"retry", started.Retry != changed.Retry},
+		{"callers", started.CallerAddress != changed.CallerAddress},
+		{"ready", started.ReadinessAddress != changed.ReadinessAddress},
+		{"store", started.StoreAddress != changed.StoreAddress},
+		{"retry", started.RetryBudget != changed.RetryBudget},
 	} {
 		if setting.differs {
 			names = append(names, setting.name)
--- a/node/reload_test.go
+++ b/node/reload_test.go
@@ -12,8 +12,8 @@
 // validConfig returns settings that Check accepts.
 func validConfig() *Config {
 	return &Config{
-		Box: "edge-1", IP: "10.0.0.1", PeerPort: 7000, Callers: "10.0.0.1:80", Ready: "10.0.0.1:81",
-		Store: "10.0.0.9:82", Grace: 8 * time.Second, LinkMbps: 20,
+		Box: "edge-1", PeerIP: "10.0.0.1", PeerPort: 7000, CallerAddress: "10.0.0.1:80", ReadinessAddress: "10.0.0.1:81",
+		StoreAddress: "10.0.0.9:82", GracePeriod: 8 * time.Second, LinkMbps: 20,
 	}
 }
 
@@ -28,10 +28,10 @@
 		mbps    float64
 	}{
 		{"nothing", func(*Config) {}, nil, 8 * time.Second, 20},
-		{"the grace", func(c *Config) { c.Grace = 4 * time.Second }, nil, 4 * time.Second, 20},
+		{"the grace", func(c *Config) { c.GracePeriod = 4 * time.Second }, nil, 4 * time.Second, 20},
 		{"the link", func(c *Config) { c.LinkMbps = 100 }, nil, 8 * time.Second, 100},
-		{"the store and the retries", func(c *Config) { c.Store, c.Retry.Slack = "10.0.0.8:82", 9 }, []string{"store", "retry"}, 8 * time.Second, 20},
-		{"the first start of the fleet", func(c *Config) { c.First = true }, nil, 8 * time.Second, 20},
+		{"the store and the retries", func(c *Config) { c.StoreAddress, c.RetryBudget.Burst = "10.0.0.8:82", 9 }, []string{"store", "retry"}, 8 * time.Second, 20},
+		{"the first start of the fleet", func(c *Config) { c.Bootstrap = true }, nil, 8 * time.Second, 20},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/node/servers.go
+++ b/node/servers.go
@@ -52,19 +52,19 @@
 // open opens the addresses in turn. After a failure those opened before stay open.
 func (l *listeners) open(c *Config) error {
 	var err error
-	if l.callers, err = net.Listen("tcp", c.Callers); err != nil {
+	if l.callers, err = net.Listen("tcp", c.CallerAddress); err != nil {
 		return eris.Wrap(err, "node: cannot listen for callers")
 	}
-	if l.ready, err = net.Listen("tcp", c.Ready); err != nil {
+	if l.ready, err = net.Listen("tcp", c.ReadinessAddress); err != nil {
 		return eris.Wrap(err, "node: cannot listen for health checks")
 	}
-	if l.peers, err = net.Listen("tcp", net.JoinHostPort(c.IP, strconv.Itoa(c.PeerPort))); err != nil {
+	if l.peers, err = net.Listen("tcp", net.JoinHostPort(c.PeerIP, strconv.Itoa(c.PeerPort))); err != nil {
 		return eris.Wrap(err, "node: cannot listen for neighbours")
 	}
-	if c.Metrics == "" {
+	if c.MetricsAddress == "" {
 		return nil
 	}
-	if l.metrics, err = net.Listen("tcp", c.Metrics); err != nil {
+	if l.metrics, err = net.Listen("tcp", c.MetricsAddress); err != nil {
 		return eris.Wrap(err, "node: cannot listen for metrics")
 	}
 	return nil
@@ -106,7 +106,7 @@
 func newServers(n *Node, l listeners) *servers {
 	s := &servers{peers: l.peers, calls: newCallServer(n)}
 	s.callers = httpserver.New(httpserver.Settings{
-		Handler:       n.adapter.Frontend(n.components.forwarder, n.configs.catalog, n.clock, n.asksCallersToReconnect),
+		Handler:       n.adapter.NewFrontend(n.components.forwarder, n.configs.catalog, n.clock, n.asksCallersToReconnect),
 		HeaderTimeout: headerTimeout,
 		IdleTimeout:   idleTimeout,
 		HeaderBytes:   headerBytes,
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -52,17 +52,17 @@
 		name string
 		set  func(*Config)
 	}{
-		{"ready", func(c *Config) { c.Ready = occupied.Addr().String() }},
-		{"neighbours", func(c *Config) { c.IP, c.PeerPort = "127.0.0.1", port }},
+		{"ready", func(c *Config) { c.ReadinessAddress = occupied.Addr().String() }},
+		{"neighbours", func(c *Config) { c.PeerIP, c.PeerPort = "127.0.0.1", port }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			config := &Config{Callers: freeAddress(t), Ready: freeAddress(t), IP: "127.0.0.1"}
+			config := &Config{CallerAddress: freeAddress(t), ReadinessAddress: freeAddress(t), PeerIP: "127.0.0.1"}
 			c.set(config)
 			if _, err := listen(config); err == nil {
 				t.Fatal("an address in use could be opened")
 			}
-			expectFree(t, config.Callers)
+			expectFree(t, config.CallerAddress)
 		})
 	}
 }
@@ -78,12 +78,12 @@
 	port := portOf(t, freeAddress(t))
 	config := &Config{
 		Box:      "edge-1",
-		IP:       "127.0.0.1",
+		PeerIP:       "127.0.0.1",
 		PeerPort: port,
-		Callers:  freeAddress(t),
-		Ready:    freeAddress(t),
-		Store:    freeAddress(t),
-		Grace:    time.Second,
+		CallerAddress:  freeAddress(t),
+		ReadinessAddress:    freeAddress(t),
+		StoreAddress:    freeAddress(t),
+		GracePeriod:    time.Second,
 	}
 	var lines strings.Builder
 	sink := logsink.New(&lines, 16)
@@ -92,7 +92,7 @@
 		ConfigPrefix:    "config/",
 		InstancesPrefix: "instances/",
 		Codec:           struct{ forward.Codec }{},
-		Frontend:        panickingFrontend,
+		NewFrontend:        panickingFrontend,
 	}
 	n, err := New(config, adapter, logsink.NewLogger(sink, zapcore.WarnLevel))
 	if err != nil {
@@ -103,7 +103,7 @@
 		n.serve(callersServer, n.servers.callers)
 		close(served)
 	}()
-	if response, err := http.Get("http://" + config.Callers); err == nil {
+	if response, err := http.Get("http://" + config.CallerAddress); err == nil {
 		_ = response.Body.Close()
 		t.Fatalf("got status %d of a handler that panicked", response.StatusCode)
 	}
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -85,11 +85,11 @@
 // newSuspects returns suspects without any evidence.
 func newSuspects(n *Node, p *peers) *suspects {
 	s := &suspects{
-		peers: p, store: n.adapter.Store, clock: n.clock, log: n.log, bootstrap: n.config.First,
+		peers: p, store: n.adapter.Store, clock: n.clock, log: n.log, bootstrap: n.config.Bootstrap,
 		pushWake: make(chan struct{}, 1), storeWake: make(chan struct{}, 1),
-		gate: newStartGate(evidenceSources(n.config.First)),
+		gate: newStartGate(evidenceSources(n.config.Bootstrap)),
 	}
-	s.table = suspect.New(suspect.Settings{Noted: s.onObserved})
+	s.table = suspect.New(suspect.Settings{OnObserved: s.onObserved})
 	s.pusher = &pusher[suspectUpdate]{peers: p, clock: n.clock, method: methodPushSuspects, changesAfter: s.observedAfter}
 	return s
 }
@@ -262,7 +262,7 @@
 
 // servePull serves a neighbour's pull.
 func (s *suspects) servePull(_ context.Context, _ suspectUpdate) (suspectUpdate, error) {
-	return suspectUpdate{Records: s.table.Open(), Secret: s.table.Secret()}, nil
+	return suspectUpdate{Records: s.table.Uncleared(), Secret: s.table.Secret()}, nil
 }
 
 // logStoreFailed logs that the evidence could not be read from the store or written to
--- a/node/suspectstore.go
+++ b/node/suspectstore.go
@@ -166,7 +166,7 @@
 		var err error
 		switch {
 		case r.Scope:
-		case r.Enough():
+		case r.Sufficient():
 			err = s.storeRecord(ctx, r)
 		case r.IsCleared():
 			err = s.deleteRecord(ctx, r)
--- a/node/suspectstore_test.go
+++ b/node/suspectstore_test.go
@@ -16,7 +16,7 @@
 func TestStoredEvidence(t *testing.T) {
 	ctx := context.Background()
 	refused := suspect.Record{Digest: suspect.Digest{1}, Crashes: []suspect.Crash{
-		{Life: "i-1", Round: 1, Early: 1}, {Life: "i-2", Round: 2, Early: 2}, {Life: "i-3", Round: 3, Early: 3},
+		{Incarnation: "i-1", Round: 1, EarlyRound: 1}, {Incarnation: "i-2", Round: 2, EarlyRound: 2}, {Incarnation: "i-3", Round: 3, EarlyRound: 3},
 	}}
 	cleared := suspect.Record{Digest: refused.Digest}
 	for _, c := range refused.Crashes {
@@ -24,7 +24,7 @@
 		cleared.Crashes = append(cleared.Crashes, c)
 	}
 	insufficient := suspect.Record{Digest: suspect.Digest{2}, Crashes: refused.Crashes[:1]}
-	scope := suspect.Record{Digest: suspect.Digest{3}, Scope: true, Crashes: []suspect.Crash{{Life: "i-1", Round: 5, Early: 5}}}
+	scope := suspect.Record{Digest: suspect.Digest{3}, Scope: true, Crashes: []suspect.Crash{{Incarnation: "i-1", Round: 5, EarlyRound: 5}}}
 	cases := []struct {
 		name    string
 		records []suspect.Record
--- a/node/updates.go
+++ b/node/updates.go
@@ -42,7 +42,7 @@
 func (n *Node) askUpdates(ctx context.Context, to granitehoist.Peer, prefix string, after granitehoist.Version, wait time.Duration) (follow.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+updatesCallTimeout)
 	defer cancel()
-	params := updatesParams{Prefix: prefix, After: after, Wait: wait, Cut: n.components.ledger.CutOffTime(n.clock())}
+	params := updatesParams{Prefix: prefix, After: after, Wait: wait, Cut: n.components.ledger.StoreUnreachableFor(n.clock())}
 	var packed follow.PackedUpdate
 	if err := n.components.peers.Call(ctx, to, methodUpdates, params, &packed); err != nil {
 		return follow.Update{}, err
@@ -53,7 +53,7 @@
 // serveUpdates answers another router. For a prefix that this node does not follow it
 // returns an empty update, which changes nothing at the caller.
 func (n *Node) serveUpdates(ctx context.Context, params updatesParams) (follow.PackedUpdate, error) {
-	n.components.ledger.NoteNeighbourCutOff(params.Cut, n.clock())
+	n.components.ledger.NoteNeighbourUnreachableFor(params.Cut, n.clock())
 	for _, f := range []*follow.Follower{n.configs.follower, n.instances.follower} {
 		if f.Prefix() == params.Prefix {
 			return follow.Pack(f.Updates(ctx, params.After, min(params.Wait, maxUpdatesWait)))
--- a/node/upstreamsignals.go
+++ b/node/upstreamsignals.go
@@ -53,8 +53,8 @@
 
 // observedAfter returns this node's own observations after a version of its table.
 func (s *upstreamSignals) observedAfter(version uint64) (balance.News, bool, uint64) {
-	signals, reached := s.table.NewsAfter(version, s.clock())
-	return signals, signals.Any(), reached
+	signals, reached := s.table.UpdatesSince(version, s.clock())
+	return signals, signals.HasAny(), reached
 }
 
 // onLimitChange handles a rate limit that started, changed or ended.
@@ -68,7 +68,7 @@
 	s.log.Info(event.UpstreamLimit,
 		zap.String("upstream", string(c.ID)),
 		zap.String("service", string(c.Service)),
-		zap.Bool("limited", c.Named),
+		zap.Bool("limited", c.Limited),
 		zap.Float64("limit", float64(c.Rate)),
 		zap.Bool("observed", c.Observed))
 }
@@ -93,8 +93,8 @@
 	s.log.Info(event.UpstreamRests,
 		zap.String("upstream", string(note.ID)),
 		zap.String("service", string(note.Service)),
-		zap.Duration("asked", note.Asked),
-		zap.Duration("left", note.Left))
+		zap.Duration("asked", note.Requested),
+		zap.Duration("left", note.Remaining))
 }
 
 // runPush pushes observations to the neighbours until ctx ends.
@@ -113,6 +113,6 @@
 
 // servePush serves a neighbour's push.
 func (s *upstreamSignals) servePush(_ context.Context, signals balance.News) (balance.News, error) {
-	s.table.MergeNews(signals, s.clock())
+	s.table.MergeUpdates(signals, s.clock())
 	return balance.News{}, nil
 }
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -19,7 +19,7 @@
 // AgentSettings configures an Agent.
 type AgentSettings struct {
 	Box    granitehoist.Box
-	Purse  *Purse
+	Ledger  *Purse
 	Keeper *Keeper
 	// Caller makes the calls to other routers.
 	Caller granitehoist.Caller
@@ -64,7 +64,7 @@
 
 // NewAgent returns an Agent. It panics if a required setting is missing.
 func NewAgent(s AgentSettings) *Agent {
-	if s.Purse == nil || s.Keeper == nil || s.Caller == nil || s.RemoteKeeper == nil || s.Peers == nil || s.Clock == nil {
+	if s.Ledger == nil || s.Keeper == nil || s.Caller == nil || s.RemoteKeeper == nil || s.Peers == nil || s.Clock == nil {
 		panic("budget: AgentSettings lacks a required field")
 	}
 	defaults.Set(&s.Interval, DefaultInterval)
@@ -101,7 +101,7 @@
 
 // nextDelay returns the time until the next round.
 func (a *Agent) nextDelay() time.Duration {
-	if a.settings.Purse.Busy() {
+	if a.settings.Ledger.HasPending() {
 		return min(waitingInterval, a.settings.Interval)
 	}
 	return a.settings.Interval
@@ -113,7 +113,7 @@
 	defer a.roundMu.Unlock()
 	a.retryUnanswered(ctx)
 	now := a.settings.Clock()
-	reports, urgent := a.settings.Purse.Asks(now)
+	reports, urgent := a.settings.Ledger.Reports(now)
 	err := a.send(ctx, reports, SyncParams{Urgent: urgent}, now)
 	if err != nil {
 		// Reports contain running totals, so the next round replaces lost ones.
@@ -125,7 +125,7 @@
 // send sends reports to the Keepers of all shards concurrently, applies the replies and
 // returns the first error. params holds the fields that all messages share.
 func (a *Agent) send(ctx context.Context, reports []Ask, params SyncParams, now time.Time) error {
-	params.Box, params.Incarnation = a.settings.Box, a.settings.Purse.Incarnation()
+	params.Box, params.Incarnation = a.settings.Box, a.settings.Ledger.Incarnation()
 	byShard := map[Shard][]Ask{}
 	for _, report := range reports {
 		s := shardOf(report.Budget, a.settings.Shards)
@@ -140,7 +140,7 @@
 			if err != nil {
 				return err
 			}
-			a.settings.Purse.Apply(part, result.Replies, a.settings.Clock())
+			a.settings.Ledger.Apply(part, result.Replies, a.settings.Clock())
 			return nil
 		})
 	}
@@ -205,12 +205,12 @@
 func (a *Agent) Close(ctx context.Context) error {
 	a.roundMu.Lock()
 	defer a.roundMu.Unlock()
-	a.settings.Purse.Close()
+	a.settings.Ledger.Close()
 	var err error
 	for range closeAttempts {
 		now := a.settings.Clock()
 		// Messages of a closing router must not be delayed for batching.
-		reports, _ := a.settings.Purse.Asks(now)
+		reports, _ := a.settings.Ledger.Reports(now)
 		if err = a.send(ctx, reports, SyncParams{Closing: true, Urgent: true}, now); err == nil {
 			return nil
 		}
--- a/partner/budget/allocator.go
+++ b/partner/budget/allocator.go
@@ -42,9 +42,9 @@
 	Prepaid func(granitehoist.BudgetID) (granitehoist.Tokens, granitehoist.Serial, bool)
 	// Split returns the Split of a budget; nil means the zero Split for all.
 	Split func(granitehoist.BudgetID) Split
-	// Gather is how long a message that is not urgent may be delayed to share a write
+	// BatchDelay is how long a message that is not urgent may be delayed to share a write
 	// with others; zero means no delay.
-	Gather time.Duration
+	BatchDelay time.Duration
 }
 
 // DefaultShards is the default number of shards. It keeps the records of some thousands of
@@ -111,7 +111,7 @@
 			Commit: func(ctx context.Context, items []syncItem) ([]SyncResult, error) {
 				return k.serve(ctx, s, items)
 			},
-			Linger: k.settings.Gather,
+			Linger: k.settings.BatchDelay,
 			Urgent: func(item syncItem) bool { return item.params.Urgent },
 		})
 		k.shards[s] = g
--- a/partner/budget/bench_test.go
+++ b/partner/budget/bench_test.go
@@ -48,7 +48,7 @@
 			p, _ := filledLedger(count)
 			b.ReportAllocs()
 			for b.Loop() {
-				p.Asks(start)
+				p.Reports(start)
 			}
 		})
 	}
--- a/partner/budget/budget_test.go
+++ b/partner/budget/budget_test.go
@@ -51,7 +51,7 @@
 
 // sync sends a box's reports to a Keeper and applies the replies.
 func (f *fixture) sync(allocator *budget.Keeper, p *budget.Purse) error {
-	reports, urgent := p.Asks(f.now)
+	reports, urgent := p.Reports(f.now)
 	params := budget.SyncParams{Box: "box", Incarnation: p.Incarnation(), Asks: reports, Urgent: urgent}
 	result, err := allocator.Sync(ctx, 0, params, f.now)
 	if err == nil {
@@ -158,8 +158,8 @@
 		first, second := p.Lend(request, f.now), p.Lend(request, f.now)
 		Expect(second).To(Equal(first))
 		Expect(first.Total).To(Equal(free / 2))
-		other.TakeLoan(k, first)
-		other.TakeLoan(k, second)
+		other.ApplyLoan(k, first)
+		other.ApplyLoan(k, second)
 		Expect(other.EndWait(k, waiter, f.now)).To(Equal(budget.Granted))
 		Expect(other.State(k, f.now).Totals.Held()).To(Equal(free / 2))
 	})
@@ -239,11 +239,11 @@
 
 	It("refuses messages of closed and of unknown incarnations", func() {
 		Expect(grant(tuul, p, 300)).To(Equal(budget.Granted))
-		reports, _ := p.Asks(f.now)
+		reports, _ := p.Reports(f.now)
 		old := budget.SyncParams{Incarnation: "box-1", Asks: reports}
 		p.Settle(k, 300, 100, f.now)
 		p.Close()
-		reports, _ = p.Asks(f.now)
+		reports, _ = p.Reports(f.now)
 		closing := budget.SyncParams{Incarnation: "box-1", Asks: reports, Closing: true}
 		for range 2 {
 			_, err := tuul.Sync(ctx, 0, closing, f.now)
@@ -279,7 +279,7 @@
 		for i := range messages {
 			q := newPurse(granitehoist.Incarnation(string(rune('a' + i))))
 			q.Wait(k, 10, f.now)
-			reports, _ := q.Asks(f.now)
+			reports, _ := q.Reports(f.now)
 			messages[i] = budget.SyncParams{Incarnation: q.Incarnation(), Asks: reports}
 		}
 		results, err := tuul.SyncAll(ctx, 0, messages, f.now)
--- a/partner/budget/differential_test.go
+++ b/partner/budget/differential_test.go
@@ -140,11 +140,11 @@
 // syncAll syncs the boxes that are due or have waiting requests.
 func (c *comparison) syncAll() {
 	for _, b := range c.boxes {
-		if c.now.Before(b.nextSync) && !b.ledger.Busy() {
+		if c.now.Before(b.nextSync) && !b.ledger.HasPending() {
 			continue
 		}
 		b.nextSync = c.now.Add(comparisonSyncInterval)
-		reports, urgent := b.ledger.Asks(c.now)
+		reports, urgent := b.ledger.Reports(c.now)
 		params := budget.SyncParams{Box: "box", Incarnation: b.ledger.Incarnation(), Asks: reports, Urgent: urgent}
 		result, err := c.allocators[b.region].Sync(ctx, 0, params, c.now)
 		if err == nil {
--- a/partner/budget/historycheck_test.go
+++ b/partner/budget/historycheck_test.go
@@ -80,7 +80,7 @@
 	h.partitioned = [2]bool{}
 	h.depth = maxInterruptDepth
 	for _, l := range h.messages.loans {
-		l.borrower.ledger.TakeLoan(historyBudget, l.lender.ledger.Lend(budget.BorrowParams{Incarnation: l.borrower.ledger.Incarnation(), Budget: historyBudget}, h.now))
+		l.borrower.ledger.ApplyLoan(historyBudget, l.lender.ledger.Lend(budget.BorrowParams{Incarnation: l.borrower.ledger.Incarnation(), Budget: historyBudget}, h.now))
 	}
 	closing := append([]*historyBox(nil), h.boxes...)
 	for _, b := range h.stopped {
@@ -97,7 +97,7 @@
 			}
 			b.open = nil
 			b.ledger.Close()
-			reports, _ := b.ledger.Asks(h.now)
+			reports, _ := b.ledger.Reports(h.now)
 			h.serve(b, budget.SyncParams{Incarnation: b.ledger.Incarnation(), Asks: reports, Closing: true, Urgent: true}, true)
 		}
 	}
--- a/partner/budget/historysteps_test.go
+++ b/partner/budget/historysteps_test.go
@@ -58,7 +58,7 @@
 // sync saves the message of a box and delivers it if arrives is set. The reply is saved too
 // and applied if answered is set.
 func (h *history) sync(b *historyBox, arrives, answered bool) {
-	reports, urgent := b.ledger.Asks(h.now)
+	reports, urgent := b.ledger.Reports(h.now)
 	params := budget.SyncParams{Box: "box", Incarnation: b.ledger.Incarnation(), Asks: reports, Urgent: urgent}
 	h.messages.syncs = appendCapped(h.messages.syncs, savedSync{b, params})
 	if arrives {
@@ -103,7 +103,7 @@
 	result := lender.ledger.Lend(params, h.now)
 	h.messages.results = appendCapped(h.messages.results, savedResult{borrower, result})
 	if h.choose(2) == 0 {
-		borrower.ledger.TakeLoan(historyBudget, result)
+		borrower.ledger.ApplyLoan(historyBudget, result)
 	}
 }
 
@@ -119,7 +119,7 @@
 func (h *history) redeliverResult() {
 	if len(h.messages.results) > 0 {
 		r := h.messages.results[h.choose(len(h.messages.results))]
-		r.borrower.ledger.TakeLoan(historyBudget, r.result)
+		r.borrower.ledger.ApplyLoan(historyBudget, r.result)
 	}
 }
 
@@ -149,7 +149,7 @@
 }
 
 func (h *history) sendClosing(b *historyBox) {
-	reports, _ := b.ledger.Asks(h.now)
+	reports, _ := b.ledger.Reports(h.now)
 	params := budget.SyncParams{Box: "box", Incarnation: b.ledger.Incarnation(), Asks: reports, Closing: true}
 	h.messages.syncs = appendCapped(h.messages.syncs, savedSync{b, params})
 	if h.choose(2) == 0 {
--- a/partner/budget/ledger.go
+++ b/partner/budget/ledger.go
@@ -89,9 +89,9 @@
 	return a.hasUrgentSurplus()
 }
 
-// Busy reports whether requests wait for tokens, on this box or elsewhere, so that the next
+// HasPending reports whether requests wait for tokens, on this box or elsewhere, so that the next
 // reports should not be delayed.
-func (p *Purse) Busy() bool {
+func (p *Purse) HasPending() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range p.accounts {
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -64,10 +64,10 @@
 	return BorrowParams{Incarnation: p.incarnation, Budget: k, Known: known, Want: known + shortfall + a.demand.largest}, true
 }
 
-// TakeLoan processes a lender's answer. A delayed or duplicated answer has no effect.
+// ApplyLoan processes a lender's answer. A delayed or duplicated answer has no effect.
 // Neither has one after Close, since the region may have removed the incarnation's rows
 // and could not take the tokens back.
-func (p *Purse) TakeLoan(k granitehoist.BudgetID, r BorrowResult) {
+func (p *Purse) ApplyLoan(k granitehoist.BudgetID, r BorrowResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.account(k)
@@ -104,13 +104,13 @@
 // borrow requests the tokens that requests still wait for from the lenders named in the
 // last reply, or from all boxes of the region if no Keeper could be reached.
 func (a *Agent) borrow(ctx context.Context, unreachable bool) {
-	for _, k := range a.settings.Purse.waitingBudgets() {
-		lenders := a.settings.Purse.lenders(k)
+	for _, k := range a.settings.Ledger.waitingBudgets() {
+		lenders := a.settings.Ledger.lenders(k)
 		for _, peer := range a.settings.Peers() {
 			if !unreachable && !slices.Contains(lenders, peer.Incarnation) {
 				continue
 			}
-			params, short := a.settings.Purse.LoanRequest(k, peer.Incarnation)
+			params, short := a.settings.Ledger.LoanRequest(k, peer.Incarnation)
 			if !short {
 				break
 			}
@@ -130,7 +130,7 @@
 		}
 		return
 	}
-	a.settings.Purse.TakeLoan(params.Budget, result)
+	a.settings.Ledger.ApplyLoan(params.Budget, result)
 }
 
 // maxUnansweredLoans bounds the loan requests to be repeated. What the lender deducted for
@@ -145,12 +145,12 @@
 	peers := a.settings.Peers()
 	for _, loan := range loans {
 		if slices.Contains(peers, loan.peer) {
-			a.borrowFrom(ctx, loan.peer, BorrowParams{Incarnation: a.settings.Purse.Incarnation(), Budget: loan.budget})
+			a.borrowFrom(ctx, loan.peer, BorrowParams{Incarnation: a.settings.Ledger.Incarnation(), Budget: loan.budget})
 		}
 	}
 }
 
 // ServeBorrow handles MethodBorrow for the agent of another router.
 func (a *Agent) ServeBorrow(_ context.Context, b BorrowParams) (BorrowResult, error) {
-	return a.settings.Purse.Lend(b, a.settings.Clock()), nil
+	return a.settings.Ledger.Lend(b, a.settings.Clock()), nil
 }
--- a/partner/budget/report.go
+++ b/partner/budget/report.go
@@ -20,10 +20,10 @@
 	shortfallInterval = time.Second
 )
 
-// Asks returns the reports that are due, in order of their budgets. urgent says whether
-// requests wait for the replies, on this box or elsewhere. Asks deducts the surplus of
+// Reports returns the reports that are due, in order of their budgets. urgent says whether
+// requests wait for the replies, on this box or elsewhere. Reports deducts the surplus of
 // each reported account. If a report is lost, the totals in the next one include it.
-func (p *Purse) Asks(now time.Time) (reports []Ask, urgent bool) {
+func (p *Purse) Reports(now time.Time) (reports []Ask, urgent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for k, a := range p.accounts {
--- a/partner/budget/reserve.go
+++ b/partner/budget/reserve.go
@@ -15,7 +15,7 @@
 // BudgetExhausted, BudgetUnreachable and DeadlineTooNear; nothing is reserved then. It
 // panics if bound is negative.
 func (a *Agent) Reserve(ctx context.Context, k granitehoist.BudgetID, bound granitehoist.Tokens) error {
-	ledger := a.settings.Purse
+	ledger := a.settings.Ledger
 	if ledger.Reserve(k, bound) {
 		return nil
 	}
@@ -29,7 +29,7 @@
 	case <-ctx.Done():
 	}
 	outcome := ledger.EndWait(k, waiter, a.settings.Clock())
-	if ledger.Busy() {
+	if ledger.HasPending() {
 		a.wake()
 	}
 	return outcomeError(ctx, outcome, k)
@@ -56,7 +56,7 @@
 // Settle ends a reservation, as Purse.Settle does, and starts a round of reports at once if
 // the box should return tokens that others may wait for.
 func (a *Agent) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens) {
-	if a.settings.Purse.Settle(k, bound, used, a.settings.Clock()) {
+	if a.settings.Ledger.Settle(k, bound, used, a.settings.Clock()) {
 		a.wake()
 	}
 }
--- a/partner/config/follower.go
+++ b/partner/config/follower.go
@@ -55,10 +55,10 @@
 	f.watcher = follow.New(follow.Settings{
 		Store:    s.Store,
 		Prefix:   keyPrefix,
-		Changed:  func(changed []granitehoist.Entry, _ granitehoist.Version) { f.apply(changed) },
-		Failed:   s.Failed,
-		Pause:    s.Pause,
-		MaxPause: s.Pause,
+		OnChange:  func(changed []granitehoist.Entry, _ granitehoist.Version) { f.apply(changed) },
+		OnError:   s.Failed,
+		RetryDelay:    s.Pause,
+		MaxRetryDelay: s.Pause,
 	})
 	return f
 }
--- a/partner/gate/crashhistory.go
+++ b/partner/gate/crashhistory.go
@@ -32,7 +32,7 @@
 // CrashesUpstreams if the request is refused, or has to wait for a moment: the gate makes the
 // caller retry instead of queueing the request.
 func (g *Gate) checkCrashHistory(req *request) error {
-	if !g.crashTable.Any() {
+	if !g.crashTable.HasSuspects() {
 		req.crashes.verdict = suspect.Verdict{}
 		return nil
 	}
@@ -78,20 +78,20 @@
 	now := g.settings.Clock()
 	switch {
 	case err == nil:
-		if g.crashTable.Any() && g.setDigest(req) == nil {
-			g.crashTable.NoteSuccess(req.crashes.digest, now)
+		if g.crashTable.HasSuspects() && g.setDigest(req) == nil {
+			g.crashTable.RecordSuccess(req.crashes.digest, now)
 		}
 	case g.upstreamCrashed(ctx, u, err) && g.setDigest(req) == nil:
 		// The documents have no start time of upstreams, so each crash counts as one of a
 		// new incarnation. Crashes at the same time count as one round in any case.
-		v := g.crashTable.NoteCrash(req.crashes.digest, suspect.Observation{
-			Life:  suspect.LifeOf(u.Name, now.UnixMilli()),
-			Known: req.crashes.verdict,
+		v := g.crashTable.RecordCrash(req.crashes.digest, suspect.Observation{
+			Incarnation:  suspect.LifeOf(u.Name, now.UnixMilli()),
+			Verdict: req.crashes.verdict,
 			Early: !req.sink.started,
 		}, now)
 		g.settings.Log.Warn("an upstream crashed under a request",
 			zap.Stringer("digest", req.crashes.digest), zap.String("upstream", string(u.Name)),
-			zap.Int("round", v.Round), zap.Int("early", v.Early), zap.Int("crashes", v.Crashes), zap.Bool("refused", v.Refused))
+			zap.Int("round", v.Round), zap.Int("early", v.EarlyRound), zap.Int("crashes", v.Crashes), zap.Bool("refused", v.Refused))
 	}
 }
 
--- a/partner/gate/retry.go
+++ b/partner/gate/retry.go
@@ -73,6 +73,6 @@
 	return retrybudget.New(retrybudget.Settings{
 		PerRequest:  retriesPerRequest,
 		Capacity:    retryBudgetCapacity,
-		InitialPart: initialRetryFraction,
+		InitialFraction: initialRetryFraction,
 	})
 }
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -150,7 +150,7 @@
 	g.recordCrashEvidence(ctx, req, u, err)
 	now := g.settings.Clock()
 	if backoff := requestedBackoff(err); backoff > 0 {
-		slot.Rest(backoff, now)
+		slot.Backoff(backoff, now)
 	}
 	slot.Done(upstreamResult(err, ctx.Err() != nil), now)
 	cost.attemptEnded(id, u, usage, err)
--- a/partner/route/pool.go
+++ b/partner/route/pool.go
@@ -56,7 +56,7 @@
 // available reports whether a member may take one more request now. limit bounds its
 // requests in flight in addition to Concurrency.
 func (m *member) available(limit int, tried map[granitehoist.Upstream]bool, now time.Time) bool {
-	return !m.draining && m.backoff.Admits(now) && m.inFlight < min(m.Concurrency, limit) && !now.Before(m.ejectedUntil) && !tried[m.Name]
+	return !m.draining && m.backoff.Allows(now) && m.inFlight < min(m.Concurrency, limit) && !now.Before(m.ejectedUntil) && !tried[m.Name]
 }
 
 // choose returns the member for a request: the one on the ring for its affinity,
@@ -131,7 +131,7 @@
 		if m.draining || w.Tried[m.Name] {
 			continue
 		}
-		if !m.backoff.Admits(now) {
+		if !m.backoff.Allows(now) {
 			untried = true
 			continue
 		}
@@ -152,7 +152,7 @@
 		if m.draining || w.Tried[m.Name] {
 			continue
 		}
-		wait := m.backoff.Left(now)
+		wait := m.backoff.Remaining(now)
 		if wait == 0 {
 			return 0, false
 		}
--- a/partner/route/route_test.go
+++ b/partner/route/route_test.go
@@ -111,23 +111,23 @@
 		both := targets(2, 10)
 		want := route.Want{Service: "s", Targets: both, Affinity: 7}
 		held := acquire(want, start)
-		table.SetLeaving(map[granitehoist.Upstream]bool{held.Upstream: true})
+		table.SetDraining(map[granitehoist.Upstream]bool{held.Upstream: true})
 		for affinity := range uint64(50) {
 			want.Affinity = affinity
 			slot := acquire(want, start)
 			Expect(slot.Upstream).NotTo(Equal(held.Upstream))
 			slot.Done(route.Good, start)
 		}
-		table.SetLeaving(map[granitehoist.Upstream]bool{"u0": true, "u1": true})
+		table.SetDraining(map[granitehoist.Upstream]bool{"u0": true, "u1": true})
 		_, err := table.Acquire(ctx, want, start)
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.NoUpstream))
 		held.Done(route.Good, start)
-		table.SetLeaving(nil)
+		table.SetDraining(nil)
 		acquire(want, start)
 	})
 
 	It("drains an upstream that was marked before its first use", func() {
-		table.SetLeaving(map[granitehoist.Upstream]bool{"u0": true})
+		table.SetDraining(map[granitehoist.Upstream]bool{"u0": true})
 		Expect(acquire(route.Want{Service: "s", Targets: targets(2, 10), Affinity: 7}, start).Upstream).To(Equal(granitehoist.Upstream("u1")))
 	})
 
@@ -254,7 +254,7 @@
 		GinkgoHelper()
 		slot, err := table.Acquire(context.Background(), want, now)
 		Expect(err).NotTo(HaveOccurred())
-		slot.Rest(backoff, now)
+		slot.Backoff(backoff, now)
 		slot.Done(route.Bad, now)
 		return slot.Upstream
 	}
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -182,16 +182,16 @@
 func (t *Table) reserve(p *servicePool, m *member, now time.Time) *Slot {
 	m.inFlight++
 	p.inFlight++
-	slot := &Slot{Upstream: m.Name, table: t, pool: p, member: m, acquiredAt: now, probe: !m.backoff.IsOver()}
+	slot := &Slot{Upstream: m.Name, table: t, pool: p, member: m, acquiredAt: now, probe: !m.backoff.Inactive()}
 	if slot.probe {
-		m.backoff.Try()
+		m.backoff.StartProbe()
 	}
 	return slot
 }
 
-// SetLeaving replaces the set of draining upstreams. They get no new requests; those
+// SetDraining replaces the set of draining upstreams. They get no new requests; those
 // in flight continue.
-func (t *Table) SetLeaving(leaving map[granitehoist.Upstream]bool) {
+func (t *Table) SetDraining(leaving map[granitehoist.Upstream]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, m := range t.members {
@@ -217,12 +217,12 @@
 	probe      bool
 }
 
-// Rest records that the upstream rejected the attempt and requested no further
+// Backoff records that the upstream rejected the attempt and requested no further
 // requests for a duration. It must be called before Done.
-func (s *Slot) Rest(duration time.Duration, now time.Time) {
+func (s *Slot) Backoff(duration time.Duration, now time.Time) {
 	s.table.mu.Lock()
 	defer s.table.mu.Unlock()
-	s.member.backoff.Ask(duration, now)
+	s.member.backoff.Extend(duration, now)
 }
 
 // endProbe applies the result of a request that probed an upstream after a backoff. The
@@ -232,12 +232,12 @@
 		return
 	}
 	backoff := &s.member.backoff
-	backoff.EndTry()
+	backoff.EndProbe()
 	switch r {
 	case Good:
-		backoff.Took(s.acquiredAt, s.member.Concurrency)
+		backoff.Accepted(s.acquiredAt, s.member.Concurrency)
 	case Bad:
-		backoff.Refused()
+		backoff.Rejected()
 	case Unclear:
 	}
 }
--- a/partner/router/build.go
+++ b/partner/router/build.go
@@ -57,11 +57,11 @@
 		Store:   s.Store,
 		Prepaid: r.prepaid,
 		Split:   s.Router.SplitOf,
-		Gather:  time.Duration(s.Router.Budget.Gather),
+		BatchDelay:  time.Duration(s.Router.Budget.Gather),
 	})
 	r.components.agent = budget.NewAgent(budget.AgentSettings{
 		Box:          r.self.Box,
-		Purse:        budget.NewPurse(budget.PurseSettings{Incarnation: r.self.Incarnation, Split: s.Router.SplitOf}),
+		Ledger:        budget.NewPurse(budget.PurseSettings{Incarnation: r.self.Incarnation, Split: s.Router.SplitOf}),
 		Keeper:       keeper,
 		Caller:       r.components.client,
 		RemoteKeeper: r.remoteKeeper,
--- a/partner/router/leaving.go
+++ b/partner/router/leaving.go
@@ -27,7 +27,7 @@
 		boxes, err := r.settings.Platform.Boxes(ctx)
 		switch {
 		case err == nil:
-			r.components.table.SetLeaving(leavingUpstreams(r.View().Offers(r.self.Partner), boxes))
+			r.components.table.SetDraining(leavingUpstreams(r.View().Offers(r.self.Partner), boxes))
 		case ctx.Err() == nil:
 			r.logFailure("leaving_failed", err)
 		}
--- a/partner/router/roles.go
+++ b/partner/router/roles.go
@@ -29,13 +29,13 @@
 // remoteHolder returns the router of the region that holds a role, and false if it is this
 // router or unknown.
 func (r *Router) remoteHolder(role string) (granitehoist.Peer, bool) {
-	m, ok := r.store.members.View().Holder(r.self.Region, role)
+	m, ok := r.store.members.View().RoleHolder(r.self.Region, role)
 	return m.Peer(), ok && m.Incarnation != r.self.Incarnation
 }
 
 // hasRole reports whether this router holds a role.
 func (r *Router) hasRole(role string) bool {
-	m, ok := r.store.members.View().Holder(r.self.Region, role)
+	m, ok := r.store.members.View().RoleHolder(r.self.Region, role)
 	return ok && m.Incarnation == r.self.Incarnation
 }
 
@@ -43,7 +43,7 @@
 // tokens.
 func (r *Router) budgetPeers() []granitehoist.Peer {
 	var peers []granitehoist.Peer
-	for _, m := range r.store.members.View().Region(r.self.Region) {
+	for _, m := range r.store.members.View().InRegion(r.self.Region) {
 		if m.Incarnation != r.self.Incarnation {
 			peers = append(peers, m.Peer())
 		}
--- a/partner/router/start.go
+++ b/partner/router/start.go
@@ -28,7 +28,7 @@
 	r.settings.Log.Info("started",
 		zap.String("incarnation", string(r.self.Incarnation)),
 		zap.String("callers", r.CallersAddress()),
-		zap.String("peers", r.self.Peers),
+		zap.String("peers", r.self.PeerAddress),
 		zap.String("admin", r.AdminAddress()))
 }
 
@@ -40,7 +40,7 @@
 // is counted when an operator asks whether a document is accepted.
 func (r *Router) follow(ctx context.Context) {
 	for {
-		err := r.store.members.Enroll(ctx)
+		err := r.store.members.RegisterServing(ctx)
 		if err == nil {
 			break
 		}
--- a/suspect/block.go
+++ b/suspect/block.go
@@ -16,7 +16,7 @@
 // blockDuration returns how long a request or scope with sufficient evidence is refused.
 func (t *Table) blockDuration(e *entry) time.Duration {
 	if !e.isScope {
-		return t.settings.Block
+		return t.settings.BlockDuration
 	}
 	early, _ := e.earlyRound()
 	doublings := min(max(0, early-scopeEarlyRoundsToRefuse), 3)
--- a/suspect/eviction.go
+++ b/suspect/eviction.go
@@ -23,7 +23,7 @@
 // never evict one with more. The caller holds mu.
 func (t *Table) evict(now time.Time) {
 	t.sweep(now)
-	if len(t.entries) < t.settings.Max {
+	if len(t.entries) < t.settings.MaxEntries {
 		return
 	}
 	all := t.sorted(func(*entry) bool { return true }, (*entry).compare)
@@ -54,7 +54,7 @@
 func (t *Table) sweep(now time.Time) {
 	t.crashes.sweep(now)
 	for _, e := range t.entries {
-		if e.expired(t.settings.Memory, now) {
+		if e.expired(t.settings.Retention, now) {
 			t.remove(e)
 		}
 	}
--- a/suspect/evidence.go
+++ b/suspect/evidence.go
@@ -27,14 +27,14 @@
 
 // Crash is the crash of an upstream while a request may have been running there.
 type Crash struct {
-	// Life is the incarnation of the upstream.
-	Life Life `json:"life"`
+	// Incarnation is the incarnation of the upstream.
+	Incarnation Life `json:"life"`
 	// Round is one more than the highest round that the router knew of when it sent the
 	// request; see evidence.
 	Round int `json:"round"`
-	// Early is the round among early crashes, which happen before the first event of the
+	// EarlyRound is the round among early crashes, which happen before the first event of the
 	// response arrives. It is zero if the crash was not early.
-	Early int `json:"early,omitempty"`
+	EarlyRound int `json:"early,omitempty"`
 	// Cleared says that the crash is attributed to another cause, since the request
 	// succeeded later or many upstreams crashed at once.
 	Cleared bool `json:"cleared,omitempty"`
@@ -88,10 +88,10 @@
 // the number of these crashes.
 func (e *evidence) earlyRound() (round, crashes int) {
 	for _, c := range e.crashes {
-		if c.Early == 0 || c.Cleared {
+		if c.EarlyRound == 0 || c.Cleared {
 			continue
 		}
-		round = max(round, c.Early)
+		round = max(round, c.EarlyRound)
 		crashes++
 	}
 	return round, crashes
@@ -99,16 +99,16 @@
 
 // add merges a crash into the evidence and reports whether the evidence changed.
 func (e *evidence) add(c Crash) bool {
-	i := slices.IndexFunc(e.crashes, func(known Crash) bool { return known.Life == c.Life })
+	i := slices.IndexFunc(e.crashes, func(known Crash) bool { return known.Incarnation == c.Incarnation })
 	if i < 0 {
 		e.crashes = append(e.crashes, c)
 		e.trim()
 		return slices.Contains(e.crashes, c)
 	}
 	merged := Crash{
-		Life:    c.Life,
+		Incarnation:    c.Incarnation,
 		Round:   max(c.Round, e.crashes[i].Round),
-		Early:   max(c.Early, e.crashes[i].Early),
+		EarlyRound:   max(c.EarlyRound, e.crashes[i].EarlyRound),
 		Cleared: c.Cleared || e.crashes[i].Cleared,
 	}
 	if merged == e.crashes[i] {
--- a/suspect/example_test.go
+++ b/suspect/example_test.go
@@ -20,10 +20,10 @@
 	for _, upstream := range []suspect.Life{"i-1", "i-2", "i-3"} {
 		known := table.Lookup(digest, now)
 		fmt.Println(known.Round, known.Refused)
-		table.NoteCrash(digest, suspect.Observation{Life: upstream, Known: known, Early: true, Sent: now}, now)
+		table.RecordCrash(digest, suspect.Observation{Incarnation: upstream, Verdict: known, Early: true, Sent: now}, now)
 		now = now.Add(table.Lookup(digest, now).Hold)
 	}
-	fmt.Println(table.Lookup(digest, now).Refused, table.Lookup(digest, now).Left)
+	fmt.Println(table.Lookup(digest, now).Refused, table.Lookup(digest, now).BlockRemaining)
 	// Output:
 	// 0 false
 	// 1 false
--- a/suspect/observation.go
+++ b/suspect/observation.go
@@ -7,16 +7,16 @@
 
 // Observation describes a crash under a request as this router observed it.
 type Observation struct {
-	// Life is the incarnation of the upstream.
-	Life Life
-	// Known is the verdict on the request at the time it was sent.
-	Known Verdict
+	// Incarnation is the incarnation of the upstream.
+	Incarnation Life
+	// Verdict is the verdict on the request at the time it was sent.
+	Verdict Verdict
 	// Early says that no event of the response had arrived.
 	Early bool
 	// Sent is when the request was sent.
 	Sent time.Time
-	// OfScope says that the digest identifies a scope.
-	OfScope bool
+	// IsScope says that the digest identifies a scope.
+	IsScope bool
 }
 
 // toCrash returns the observed crash with its rounds. A crash belongs to the round of the
@@ -24,12 +24,12 @@
 // next round otherwise.
 func (o Observation) toCrash(inMassFailure bool) Crash {
 	next := 1
-	if o.Known.Hold > 0 || inMassFailure {
+	if o.Verdict.Hold > 0 || inMassFailure {
 		next = 0
 	}
-	c := Crash{Life: o.Life, Round: max(1, o.Known.Round+next)}
+	c := Crash{Incarnation: o.Incarnation, Round: max(1, o.Verdict.Round+next)}
 	if o.Early {
-		c.Early = max(1, o.Known.Early+next)
+		c.EarlyRound = max(1, o.Verdict.EarlyRound+next)
 	}
 	return c
 }
