--- a/suspect/record.go
+++ b/suspect/record.go
@@ -21,8 +21,8 @@
 	Scope bool `json:"scope,omitempty"`
 }
 
-// Enough reports whether the evidence suffices to refuse the request or scope.
-func (r Record) Enough() bool { return (&evidence{crashes: r.Crashes}).sufficient(r.Scope) }
+// Sufficient reports whether the evidence suffices to refuse the request or scope.
+func (r Record) Sufficient() bool { return (&evidence{crashes: r.Crashes}).sufficient(r.Scope) }
 
 // IsCleared reports whether all crashes are cleared and sufficed for a refusal before that.
 func (r Record) IsCleared() bool {
@@ -72,9 +72,9 @@
 	return records(newer), newer[MaxRecords-1].observedVersion
 }
 
-// Open returns the records that are not cleared, highest rounds first and at most
+// Uncleared returns the records that are not cleared, highest rounds first and at most
 // MaxRecords.
-func (t *Table) Open() []Record {
+func (t *Table) Uncleared() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	open := t.sorted(
@@ -111,7 +111,7 @@
 func validCrashes(crashes []Crash) []Crash {
 	var valid []Crash
 	for _, c := range crashes[:min(len(crashes), maxCrashes)] {
-		if c.Life != "" && c.Round >= 1 && c.Early >= 0 && c.Early <= c.Round {
+		if c.Incarnation != "" && c.Round >= 1 && c.EarlyRound >= 0 && c.EarlyRound <= c.Round {
 			valid = append(valid, c)
 		}
 	}
--- a/suspect/record_test.go
+++ b/suspect/record_test.go
@@ -18,12 +18,12 @@
 	It("survives JSON encoding and decoding", func() {
 		table := newTable()
 		crashInRounds(table, testDigest(1), testIncarnations(1, 3)...)
-		raw, err := json.Marshal(table.Open())
+		raw, err := json.Marshal(table.Uncleared())
 		Expect(err).NotTo(HaveOccurred())
 		var records []suspect.Record
 		Expect(json.Unmarshal(raw, &records)).To(Succeed())
-		Expect(records).To(Equal(table.Open()))
-		Expect(records[0].Enough()).To(BeTrue())
+		Expect(records).To(Equal(table.Uncleared()))
+		Expect(records[0].Sufficient()).To(BeTrue())
 	})
 
 	DescribeTable("rejects an invalid digest", func(text string) {
@@ -69,12 +69,12 @@
 		}
 		table := newTable()
 		table.Merge(records, start)
-		table.Merge(table.Open(), start)
+		table.Merge(table.Uncleared(), start)
 		for _, r := range records {
-			table.NoteCrash(r.Digest, earlyCrash("i-9", table.Lookup(r.Digest, start)), start)
-			table.NoteSuccess(r.Digest, start)
+			table.RecordCrash(r.Digest, earlyCrash("i-9", table.Lookup(r.Digest, start)), start)
+			table.RecordSuccess(r.Digest, start)
 		}
-		if table.Any() {
+		if table.HasSuspects() {
 			t.Error("a request is still suspect after all succeeded")
 		}
 	})
--- a/suspect/simulation_test.go
+++ b/suspect/simulation_test.go
@@ -41,7 +41,7 @@
 	currentPolicy,
 	{name: "three early rounds, consistent pick", refuse: func(v suspect.Verdict) bool { return v.Refused }, consistentPick: true},
 	{name: "three early rounds, consistent pick, serialized", refuse: func(v suspect.Verdict) bool { return v.Refused }, consistentPick: true, serialize: true},
-	{name: "two early rounds, consistent pick", refuse: func(v suspect.Verdict) bool { return v.Early >= 2 }, consistentPick: true},
+	{name: "two early rounds, consistent pick", refuse: func(v suspect.Verdict) bool { return v.EarlyRound >= 2 }, consistentPick: true},
 	{name: "three rounds, consistent pick", refuse: func(v suspect.Verdict) bool { return v.Round >= 3 }, consistentPick: true},
 	{name: "three crashes, consistent pick", refuse: func(v suspect.Verdict) bool { return v.Crashes >= 3 }, consistentPick: true},
 }
@@ -276,7 +276,7 @@
 	r.done = true
 	delete(u.runs, r)
 	sim.running[r.router][r.caller.digest]--
-	sim.tables[r.router].NoteSuccess(r.caller.digest, sim.time())
+	sim.tables[r.router].RecordSuccess(r.caller.digest, sim.time())
 	sim.broadcast(r.router)
 }
 
@@ -304,8 +304,8 @@
 	for r := range ended {
 		r.done = true
 		sim.running[r.router][r.caller.digest]--
-		observed := suspect.Observation{Life: incarnation, Known: r.verdict, Early: sim.now-r.startedAt < firstEventDelay}
-		sim.tables[r.router].NoteCrash(r.caller.digest, observed, sim.time())
+		observed := suspect.Observation{Incarnation: incarnation, Verdict: r.verdict, Early: sim.now-r.startedAt < firstEventDelay}
+		sim.tables[r.router].RecordCrash(r.caller.digest, observed, sim.time())
 		if !r.caller.crashing {
 			sim.result.interruptedRuns++
 		}
--- a/suspect/table.go
+++ b/suspect/table.go
@@ -26,17 +26,17 @@
 
 // Settings configures a Table. The zero value selects the defaults.
 type Settings struct {
-	// Block is how long a request is refused after its last crash; zero means
+	// BlockDuration is how long a request is refused after its last crash; zero means
 	// DefaultBlock.
-	Block time.Duration
-	// Memory is how long evidence is kept after the last crash; zero means
+	BlockDuration time.Duration
+	// Retention is how long evidence is kept after the last crash; zero means
 	// DefaultMemory.
-	Memory time.Duration
-	// Max bounds the entries of the table; zero means DefaultMax.
-	Max int
-	// Noted, if set, is called after each change by an observation of this router. No lock
+	Retention time.Duration
+	// MaxEntries bounds the entries of the table; zero means DefaultMax.
+	MaxEntries int
+	// OnObserved, if set, is called after each change by an observation of this router. No lock
 	// is held during the call.
-	Noted func()
+	OnObserved func()
 }
 
 // Table holds the evidence against requests, both observed by this router and received from
@@ -76,17 +76,17 @@
 
 // New returns an empty table.
 func New(s Settings) *Table {
-	defaults.Set(&s.Block, DefaultBlock)
-	defaults.Set(&s.Memory, DefaultMemory)
-	defaults.Set(&s.Max, DefaultMax)
-	if s.Noted == nil {
-		s.Noted = func() {}
+	defaults.Set(&s.BlockDuration, DefaultBlock)
+	defaults.Set(&s.Retention, DefaultMemory)
+	defaults.Set(&s.MaxEntries, DefaultMax)
+	if s.OnObserved == nil {
+		s.OnObserved = func() {}
 	}
 	return &Table{settings: s, entries: map[Digest]*entry{}}
 }
 
-// Any reports whether there is evidence against any request.
-func (t *Table) Any() bool { return t.suspectCount.Load() > 0 }
+// HasSuspects reports whether there is evidence against any request.
+func (t *Table) HasSuspects() bool { return t.suspectCount.Load() > 0 }
 
 // Lookup returns the verdict on a request, and the zero Verdict if there is no evidence.
 func (t *Table) Lookup(d Digest, now time.Time) Verdict {
@@ -99,15 +99,15 @@
 	return e.verdict(now)
 }
 
-// NoteCrash records that an upstream crashed while a request may have been running there,
+// RecordCrash records that an upstream crashed while a request may have been running there,
 // and returns the resulting verdict. It adds no evidence if the request was sent after the
 // crash was known.
-func (t *Table) NoteCrash(d Digest, o Observation, now time.Time) Verdict {
+func (t *Table) RecordCrash(d Digest, o Observation, now time.Time) Verdict {
 	t.mu.Lock()
 	e := t.entryOf(d, now)
-	e.isScope = e.isScope || o.OfScope
-	isNew := !t.crashes.knownBefore(o.Life, o.Sent)
-	t.crashes.record(o.Life, true, now)
+	e.isScope = e.isScope || o.IsScope
+	isNew := !t.crashes.knownBefore(o.Incarnation, o.Sent)
+	t.crashes.record(o.Incarnation, true, now)
 	changed := isNew && t.add(e, []Crash{o.toCrash(t.crashes.inMassFailure(now))}, now)
 	if changed {
 		t.markObserved(e)
@@ -115,20 +115,20 @@
 	verdict := e.verdict(now)
 	t.mu.Unlock()
 	if changed {
-		t.settings.Noted()
+		t.settings.OnObserved()
 	}
 	return verdict
 }
 
-// NoteDown records that an upstream incarnation has ended for an unknown reason.
-func (t *Table) NoteDown(l Life, now time.Time) {
+// RecordDown records that an upstream incarnation has ended for an unknown reason.
+func (t *Table) RecordDown(l Life, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.crashes.record(l, false, now)
 }
 
-// NoteSuccess records that a request succeeded, which clears all crashes in its entry.
-func (t *Table) NoteSuccess(d Digest, now time.Time) {
+// RecordSuccess records that a request succeeded, which clears all crashes in its entry.
+func (t *Table) RecordSuccess(d Digest, now time.Time) {
 	t.mu.Lock()
 	e, found := t.entries[d]
 	changed := false
@@ -144,7 +144,7 @@
 	}
 	t.mu.Unlock()
 	if changed {
-		t.settings.Noted()
+		t.settings.OnObserved()
 	}
 }
 
@@ -161,7 +161,7 @@
 	if e, found := t.entries[d]; found {
 		return e
 	}
-	if len(t.entries) >= t.settings.Max {
+	if len(t.entries) >= t.settings.MaxEntries {
 		t.evict(now)
 	}
 	e := &entry{digest: d, changedAt: now}
@@ -175,7 +175,7 @@
 	before, wasSufficient := e.round(), e.sufficient(e.isScope)
 	changed := false
 	for _, c := range crashes {
-		t.crashes.record(c.Life, false, now)
+		t.crashes.record(c.Incarnation, false, now)
 		changed = e.evidence.add(c) || changed
 	}
 	if !changed {
--- a/suspect/table_test.go
+++ b/suspect/table_test.go
@@ -31,7 +31,7 @@
 
 // earlyCrash returns the observation of an early crash.
 func earlyCrash(l suspect.Life, known suspect.Verdict) suspect.Observation {
-	return suspect.Observation{Life: l, Known: known, Early: true}
+	return suspect.Observation{Incarnation: l, Verdict: known, Early: true}
 }
 
 // withoutHold returns the verdict as it is once the hold has passed.
@@ -44,7 +44,7 @@
 func crashInRounds(t *suspect.Table, d suspect.Digest, incarnations ...suspect.Life) suspect.Verdict {
 	var v suspect.Verdict
 	for _, l := range incarnations {
-		v = t.NoteCrash(d, earlyCrash(l, withoutHold(t.Lookup(d, start))), start)
+		v = t.RecordCrash(d, earlyCrash(l, withoutHold(t.Lookup(d, start))), start)
 	}
 	return v
 }
@@ -65,23 +65,23 @@
 	BeforeEach(func() { table = suspect.New(suspect.Settings{}) })
 
 	It("is refused in the third round of early crashes", func() {
-		Expect(crashInRounds(table, crashing, testIncarnations(1, 2)...)).To(Equal(suspect.Verdict{Round: 2, Early: 2, Crashes: 2, Hold: suspect.SettleTime}))
-		Expect(crashInRounds(table, crashing, testIncarnation(3))).To(Equal(suspect.Verdict{Round: 3, Early: 3, Crashes: 3, Hold: suspect.SettleTime, Refused: true, Left: suspect.DefaultBlock}))
-		Expect(lookup(time.Minute).Left).To(Equal(suspect.DefaultBlock - time.Minute))
+		Expect(crashInRounds(table, crashing, testIncarnations(1, 2)...)).To(Equal(suspect.Verdict{Round: 2, EarlyRound: 2, Crashes: 2, Hold: suspect.SettleTime}))
+		Expect(crashInRounds(table, crashing, testIncarnation(3))).To(Equal(suspect.Verdict{Round: 3, EarlyRound: 3, Crashes: 3, Hold: suspect.SettleTime, Refused: true, BlockRemaining: suspect.DefaultBlock}))
+		Expect(lookup(time.Minute).BlockRemaining).To(Equal(suspect.DefaultBlock - time.Minute))
 	})
 
 	It("is refused in the fifth round of crashes that are not early", func() {
 		at := func(n int) time.Duration { return time.Duration(n) * suspect.SettleTime }
 		for n := range 4 {
-			table.NoteCrash(crashing, suspect.Observation{Life: testIncarnation(n), Known: lookup(at(n))}, start.Add(at(n)))
+			table.RecordCrash(crashing, suspect.Observation{Incarnation: testIncarnation(n), Verdict: lookup(at(n))}, start.Add(at(n)))
 		}
 		Expect(lookup(at(3))).To(Equal(suspect.Verdict{Round: 4, Crashes: 4, Hold: suspect.SettleTime}))
-		Expect(table.NoteCrash(crashing, suspect.Observation{Life: testIncarnation(5), Known: lookup(at(4))}, start.Add(at(4))).Refused).To(BeTrue())
+		Expect(table.RecordCrash(crashing, suspect.Observation{Incarnation: testIncarnation(5), Verdict: lookup(at(4))}, start.Add(at(4))).Refused).To(BeTrue())
 	})
 
 	It("is not refused after fifteen concurrent crashes, which form one round", func() {
 		for _, l := range testIncarnations(1, 15) {
-			table.NoteCrash(crashing, earlyCrash(l, suspect.Verdict{}), start)
+			table.RecordCrash(crashing, earlyCrash(l, suspect.Verdict{}), start)
 		}
 		Expect(lookup(0).Round).To(Equal(1))
 		Expect(lookup(0).Refused).To(BeFalse())
@@ -89,11 +89,11 @@
 
 	It("is not refused after retries within the settle time crash fifteen more upstreams", func() {
 		for _, l := range testIncarnations(1, 3) {
-			table.NoteCrash(crashing, earlyCrash(l, suspect.Verdict{}), start)
+			table.RecordCrash(crashing, earlyCrash(l, suspect.Verdict{}), start)
 		}
 		for n, l := range testIncarnations(4, 18) {
 			now := start.Add(time.Duration(n) * time.Millisecond)
-			table.NoteCrash(crashing, earlyCrash(l, lookup(now.Sub(start))), now)
+			table.RecordCrash(crashing, earlyCrash(l, lookup(now.Sub(start))), now)
 		}
 		Expect(lookup(0).Round).To(Equal(1))
 		Expect(lookup(0).Refused).To(BeFalse())
@@ -106,9 +106,9 @@
 			for n, l := range testIncarnations(10*failure+1, 10*failure+6) {
 				now := start.Add(at + time.Duration(n)*time.Millisecond)
 				innocent := testDigest(100*failure + n)
-				table.NoteCrash(innocent, earlyCrash(l, suspect.Verdict{}), now)
+				table.RecordCrash(innocent, earlyCrash(l, suspect.Verdict{}), now)
 				if n%3 == 0 {
-					table.NoteCrash(crashing, earlyCrash(l, known), now)
+					table.RecordCrash(crashing, earlyCrash(l, known), now)
 				}
 			}
 			Expect(lookup(at + suspect.SettleTime).Round).To(BeNumerically("<=", 1))
@@ -118,13 +118,13 @@
 	It("stays refused at a router that receives all crashes at once and observes others later", func() {
 		crashInRounds(table, crashing, testIncarnations(1, 3)...)
 		other := suspect.New(suspect.Settings{})
-		other.Merge(table.Open(), start)
-		other.NoteCrash(testDigest(1), earlyCrash(testIncarnation(9), suspect.Verdict{}), start.Add(time.Millisecond))
+		other.Merge(table.Uncleared(), start)
+		other.RecordCrash(testDigest(1), earlyCrash(testIncarnation(9), suspect.Verdict{}), start.Add(time.Millisecond))
 		Expect(other.Lookup(crashing, start.Add(time.Second)).Refused).To(BeTrue())
 		later := start.Add(time.Minute)
 		other.Sweep(later)
-		other.Merge(table.Open(), later)
-		other.NoteCrash(testDigest(2), earlyCrash(testIncarnation(10), suspect.Verdict{}), later)
+		other.Merge(table.Uncleared(), later)
+		other.RecordCrash(testDigest(2), earlyCrash(testIncarnation(10), suspect.Verdict{}), later)
 		Expect(other.Lookup(crashing, later).Refused).To(BeTrue())
 	})
 
@@ -139,36 +139,36 @@
 		crashInRounds(table, testDigest(1), testIncarnation(1))
 		o := earlyCrash(testIncarnation(1), suspect.Verdict{})
 		o.Sent = start.Add(time.Millisecond)
-		Expect(table.NoteCrash(crashing, o, start.Add(2*time.Millisecond))).To(BeZero())
+		Expect(table.RecordCrash(crashing, o, start.Add(2*time.Millisecond))).To(BeZero())
 		o.Sent = start
-		Expect(table.NoteCrash(crashing, o, start.Add(2*time.Millisecond)).Round).To(Equal(1))
+		Expect(table.RecordCrash(crashing, o, start.Add(2*time.Millisecond)).Round).To(Equal(1))
 	})
 
 	It("is refused after two rounds with six early crashes", func() {
 		for _, l := range testIncarnations(1, 3) {
-			table.NoteCrash(crashing, earlyCrash(l, suspect.Verdict{}), start)
+			table.RecordCrash(crashing, earlyCrash(l, suspect.Verdict{}), start)
 		}
 		known, now := lookup(suspect.SettleTime), start.Add(suspect.SettleTime)
 		for _, l := range testIncarnations(4, 5) {
-			Expect(table.NoteCrash(crashing, earlyCrash(l, known), now).Refused).To(BeFalse())
+			Expect(table.RecordCrash(crashing, earlyCrash(l, known), now).Refused).To(BeFalse())
 		}
-		Expect(table.NoteCrash(crashing, earlyCrash(testIncarnation(6), known), now).Refused).To(BeTrue())
+		Expect(table.RecordCrash(crashing, earlyCrash(testIncarnation(6), known), now).Refused).To(BeTrue())
 	})
 
 	It("is cleared by one success and starts at round one with the next crash", func() {
 		crashInRounds(table, crashing, testIncarnations(1, 3)...)
-		table.NoteSuccess(crashing, start)
+		table.RecordSuccess(crashing, start)
 		Expect(lookup(0)).To(BeZero())
-		Expect(table.Any()).To(BeFalse())
-		Expect(crashInRounds(table, crashing, testIncarnation(4))).To(Equal(suspect.Verdict{Round: 1, Early: 1, Crashes: 1, Hold: suspect.SettleTime}))
+		Expect(table.HasSuspects()).To(BeFalse())
+		Expect(crashInRounds(table, crashing, testIncarnation(4))).To(Equal(suspect.Verdict{Round: 1, EarlyRound: 1, Crashes: 1, Hold: suspect.SettleTime}))
 	})
 
 	It("stays cleared when a late message repeats the crashes", func() {
 		other := suspect.New(suspect.Settings{})
 		crashInRounds(other, crashing, testIncarnations(1, 3)...)
-		late := other.Open()
+		late := other.Uncleared()
 		crashInRounds(table, crashing, testIncarnations(1, 3)...)
-		table.NoteSuccess(crashing, start)
+		table.RecordSuccess(crashing, start)
 		table.Merge(late, start)
 		Expect(lookup(0)).To(BeZero())
 	})
@@ -188,22 +188,22 @@
 		v := table.Lookup(crashing, later)
 		Expect(v.Refused).To(BeFalse())
 		Expect(v.Round).To(Equal(3))
-		Expect(table.NoteCrash(crashing, earlyCrash(testIncarnation(4), v), later).Left).To(Equal(suspect.DefaultBlock))
+		Expect(table.RecordCrash(crashing, earlyCrash(testIncarnation(4), v), later).BlockRemaining).To(Equal(suspect.DefaultBlock))
 	})
 
 	It("is removed after the retention time", func() {
 		crashInRounds(table, crashing, testIncarnations(1, 3)...)
 		table.Sweep(start.Add(suspect.DefaultMemory))
-		Expect(table.Any()).To(BeTrue())
+		Expect(table.HasSuspects()).To(BeTrue())
 		table.Sweep(start.Add(suspect.DefaultMemory + 1))
-		Expect(table.Any()).To(BeFalse())
+		Expect(table.HasSuspects()).To(BeFalse())
 	})
 
 	It("does not affect requests that ran on the same upstream", func() {
 		innocent := testDigest(1)
 		crashInRounds(table, crashing, testIncarnation(1))
 		crashInRounds(table, innocent, testIncarnation(1))
-		table.NoteSuccess(innocent, start)
+		table.RecordSuccess(innocent, start)
 		Expect(crashInRounds(table, crashing, testIncarnations(2, 3)...).Refused).To(BeTrue())
 		Expect(table.Lookup(innocent, start)).To(BeZero())
 		suspects, refused := table.Counts(start)
@@ -215,12 +215,12 @@
 	const maxEntries = 64
 
 	It("stays bounded and does not evict a request of a higher round", func() {
-		table := suspect.New(suspect.Settings{Max: maxEntries})
+		table := suspect.New(suspect.Settings{MaxEntries: maxEntries})
 		crashing := testDigest(0)
 		crashInRounds(table, crashing, testIncarnations(1, 2)...)
 		for n := 1; n <= 10*maxEntries; n++ {
 			now := start.Add(time.Duration(n) * time.Millisecond)
-			table.NoteCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), now)
+			table.RecordCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), now)
 		}
 		suspects, _ := table.Counts(start)
 		Expect(suspects).To(BeNumerically("~", maxEntries, maxEntries/10))
@@ -232,7 +232,7 @@
 		table := suspect.New(suspect.Settings{})
 		const count = 2*suspect.MaxRecords + 5
 		for n := range count {
-			table.NoteCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start)
+			table.RecordCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start)
 		}
 		var sent []suspect.Record
 		version := uint64(0)
@@ -246,25 +246,25 @@
 		Expect(sent[0].Digest).To(Equal(testDigest(0)))
 		rest, _ := table.ObservedAfter(version)
 		Expect(rest).To(BeEmpty())
-		Expect(table.Open()).To(HaveLen(suspect.MaxRecords))
+		Expect(table.Uncleared()).To(HaveLen(suspect.MaxRecords))
 	})
 
 	It("returns open records by descending round", func() {
 		table := suspect.New(suspect.Settings{})
 		for n := range suspect.MaxRecords {
-			table.NoteCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start.Add(time.Hour))
+			table.RecordCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start.Add(time.Hour))
 		}
 		crashing := testDigest(1000)
 		crashInRounds(table, crashing, testIncarnations(1, 3)...)
-		Expect(table.Open()[0].Digest).To(Equal(crashing))
+		Expect(table.Uncleared()[0].Digest).To(Equal(crashing))
 	})
 })
 
 var _ = Describe("A record received from another router", func() {
 	It("is not returned as an observation of this one", func() {
 		table := suspect.New(suspect.Settings{})
-		table.Merge([]suspect.Record{{Digest: testDigest(1), Crashes: []suspect.Crash{{Life: "i-1", Round: 1}}}}, start)
-		Expect(table.Any()).To(BeTrue())
+		table.Merge([]suspect.Record{{Digest: testDigest(1), Crashes: []suspect.Crash{{Incarnation: "i-1", Round: 1}}}}, start)
+		Expect(table.HasSuspects()).To(BeTrue())
 		records, _ := table.ObservedAfter(0)
 		Expect(records).To(BeEmpty())
 	})
@@ -272,14 +272,14 @@
 	DescribeTable("is ignored if it is invalid", func(received ...suspect.Crash) {
 		table := suspect.New(suspect.Settings{})
 		table.Merge([]suspect.Record{{Digest: testDigest(1), Crashes: received}}, start)
-		Expect(table.Any()).To(BeFalse())
+		Expect(table.HasSuspects()).To(BeFalse())
 	},
 		Entry("no crashes"),
 		Entry("no incarnation", suspect.Crash{Round: 3}),
-		Entry("no round", suspect.Crash{Life: "i-1"}),
-		Entry("a negative round", suspect.Crash{Life: "i-1", Round: -3}),
-		Entry("more early rounds than rounds", suspect.Crash{Life: "i-1", Round: 1, Early: 3}),
-		Entry("a negative early round", suspect.Crash{Life: "i-1", Round: 1, Early: -1}),
+		Entry("no round", suspect.Crash{Incarnation: "i-1"}),
+		Entry("a negative round", suspect.Crash{Incarnation: "i-1", Round: -3}),
+		Entry("more early rounds than rounds", suspect.Crash{Incarnation: "i-1", Round: 1, EarlyRound: 3}),
+		Entry("a negative early round", suspect.Crash{Incarnation: "i-1", Round: 1, EarlyRound: -1}),
 	)
 })
 
@@ -298,13 +298,13 @@
 			d := testDigest(rapid.IntRange(0, digests-1).Draw(t, "digest"))
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				table.NoteSuccess(d, start)
+				table.RecordSuccess(d, start)
 			case 1:
 				other := tables[rapid.IntRange(0, routers-1).Draw(t, "other")]
 				records, _ := other.ObservedAfter(0)
 				table.Merge(records, start)
 			default:
-				table.NoteCrash(d, suspect.Observation{Life: testIncarnation(n), Known: table.Lookup(d, start), Early: n%2 == 0}, start)
+				table.RecordCrash(d, suspect.Observation{Incarnation: testIncarnation(n), Verdict: table.Lookup(d, start), Early: n%2 == 0}, start)
 			}
 		}
 		for range 2 {
@@ -329,16 +329,16 @@
 // TestTableConcurrentUse guards against data races and a wrong suspect count under
 // concurrent use.
 func TestTableConcurrentUse(t *testing.T) {
-	table := suspect.New(suspect.Settings{Max: 32})
+	table := suspect.New(suspect.Settings{MaxEntries: 32})
 	var workers sync.WaitGroup
 	for seed := range uint64(8) {
 		workers.Go(func() {
 			random := rand.New(rand.NewPCG(seed, 1))
 			for n := range 500 {
 				d := testDigest(random.IntN(100))
-				table.NoteCrash(d, earlyCrash(suspect.Life(fmt.Sprint(n)), table.Lookup(d, start)), start)
+				table.RecordCrash(d, earlyCrash(suspect.Life(fmt.Sprint(n)), table.Lookup(d, start)), start)
 				if random.IntN(2) == 0 {
-					table.NoteSuccess(d, start)
+					table.RecordSuccess(d, start)
 				}
 				records, _ := table.ObservedAfter(0)
 				table.Merge(records, start)
@@ -348,9 +348,9 @@
 	}
 	workers.Wait()
 	for n := range 100 {
-		table.NoteSuccess(testDigest(n), start)
+		table.RecordSuccess(testDigest(n), start)
 	}
-	if table.Any() {
+	if table.HasSuspects() {
 		t.Error("a request is still suspect after all succeeded")
 	}
 }
@@ -358,7 +358,7 @@
 func BenchmarkLookup(b *testing.B) {
 	table := suspect.New(suspect.Settings{})
 	for n := range suspect.DefaultMax {
-		table.NoteCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start)
+		table.RecordCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -370,7 +370,7 @@
 	table := suspect.New(suspect.Settings{})
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
-			if table.Any() {
+			if table.HasSuspects() {
 				b.Error("an empty table has a suspect")
 			}
 		}
@@ -381,11 +381,11 @@
 	table := suspect.New(suspect.Settings{})
 	n := 0
 	for ; n < suspect.DefaultMax; n++ {
-		table.NoteCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start)
+		table.RecordCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
 		n++
-		table.NoteCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start)
+		table.RecordCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start)
 	}
 }
--- a/suspect/verdict.go
+++ b/suspect/verdict.go
@@ -14,8 +14,8 @@
 type Verdict struct {
 	// Round is the highest round of crashes; zero if there is no evidence.
 	Round int
-	// Early is the highest round of early crashes; zero if there were none.
-	Early int
+	// EarlyRound is the highest round of early crashes; zero if there were none.
+	EarlyRound int
 	// Crashes is the number of upstreams that crashed under the request and are not cleared.
 	Crashes int
 	// Hold is the time for which the request must not be sent, so that crashes with a common
@@ -23,14 +23,14 @@
 	Hold time.Duration
 	// Refused says that the request must not be sent until Left has passed.
 	Refused bool
-	Left    time.Duration
+	BlockRemaining    time.Duration
 }
 
 // Refusal returns the error for a refused request. Its RetryAfter is the rest of the block,
 // even beyond the caller's deadline, since an earlier attempt would be refused too.
 func (v Verdict) Refusal() *granitehoist.Error {
-	e := granitehoist.Errorf(granitehoist.CrashesUpstreams, "%d upstreams crashed in %d rounds, %d of them early", v.Crashes, v.Round, v.Early)
-	e.RetryAfter = v.Left
+	e := granitehoist.Errorf(granitehoist.CrashesUpstreams, "%d upstreams crashed in %d rounds, %d of them early", v.Crashes, v.Round, v.EarlyRound)
+	e.RetryAfter = v.BlockRemaining
 	return e
 }
 
@@ -45,12 +45,12 @@
 // verdict summarises the evidence at the given time.
 func (e *entry) verdict(now time.Time) Verdict {
 	v := Verdict{Round: e.round(), Crashes: e.openCrashes()}
-	v.Early, _ = e.earlyRound()
+	v.EarlyRound, _ = e.earlyRound()
 	if v.Round > 0 {
 		v.Hold = max(0, SettleTime-now.Sub(e.roundAt))
 	}
 	if now.Before(e.refusedUntil) {
-		v.Refused, v.Left = true, e.refusedUntil.Sub(now)
+		v.Refused, v.BlockRemaining = true, e.refusedUntil.Sub(now)
 	}
 	return v
 }
--- a/throttle/issuer.go
+++ b/throttle/issuer.go
@@ -60,22 +60,22 @@
 // ID has a different Born, its start time in milliseconds since the Unix epoch.
 type Life struct {
 	Upstream granitehoist.Upstream
-	Born     int64
+	StartedAtMS     int64
 }
 
 // Request asks for permits for one upstream.
 type Request struct {
-	Life Life
+	Incarnation Life
 	// Rate is the limit set by the upstream, in requests a second.
 	Rate float64
 	// Count is the number of permits wanted; values below one count as one.
 	Count int
-	// Within is the longest time from the request until the first permit is due;
+	// MaxWait is the longest time from the request until the first permit is due;
 	// negative values count as zero.
-	Within time.Duration
-	// StandsIn reports that the preferred issuer was unreachable, so that this issuer
+	MaxWait time.Duration
+	// Fallback reports that the preferred issuer was unreachable, so that this issuer
 	// acts as its fallback.
-	StandsIn bool
+	Fallback bool
 }
 
 // Grant is the response to a Request. Either Count or Retry is positive.
@@ -84,9 +84,9 @@
 	// until Validity after that.
 	Count int
 	Due   time.Duration
-	// Retry is the delay after which to ask again if no permit was granted, relative to
+	// RetryAfter is the delay after which to ask again if no permit was granted, relative to
 	// the request.
-	Retry time.Duration
+	RetryAfter time.Duration
 }
 
 // Issuer issues permits for upstreams. It is safe for concurrent use.
@@ -121,16 +121,16 @@
 	defer i.mu.Unlock()
 	i.sweep(now)
 	interval := i.interval(r, now)
-	s, found := i.schedules[r.Life]
+	s, found := i.schedules[r.Incarnation]
 	if !found {
 		s = &schedule{nextDue: now}
-		i.schedules[r.Life] = s
+		i.schedules[r.Incarnation] = s
 	}
 	due := s.firstDue(interval, now)
-	if wait := due.Sub(now); wait > max(0, r.Within) {
+	if wait := due.Sub(now); wait > max(0, r.MaxWait) {
 		s.denied++
 		spread := time.Duration(i.random.Float64() * float64(interval) * retryJitter * float64(s.denied))
-		return Grant{Retry: wait + spread}
+		return Grant{RetryAfter: wait + spread}
 	}
 	s.denied = 0
 	grant := Grant{Due: max(0, due.Sub(now))}
@@ -158,7 +158,7 @@
 	if r.Rate > minRate {
 		rate = r.Rate
 	}
-	if r.StandsIn || now.Sub(i.settings.Started) < startupPeriod {
+	if r.Fallback || now.Sub(i.settings.Started) < startupPeriod {
 		rate *= reducedRateFraction
 	}
 	return time.Duration(float64(time.Second) / rate)
--- a/throttle/issuer_test.go
+++ b/throttle/issuer_test.go
@@ -33,7 +33,7 @@
 // shared between incarnations or kept for idle upstreams.
 func TestIssuer(t *testing.T) {
 	t.Run("issues at the requested rate", func(t *testing.T) { expectIssued(t, Settings{}, Request{Rate: 5}, 200) })
-	t.Run("fallback issues at a quarter of the rate", func(t *testing.T) { expectIssued(t, Settings{}, Request{Rate: 5, StandsIn: true}, 50) })
+	t.Run("fallback issues at a quarter of the rate", func(t *testing.T) { expectIssued(t, Settings{}, Request{Rate: 5, Fallback: true}, 50) })
 	t.Run("issues at a quarter of the rate for 10 s after start", func(t *testing.T) {
 		expectIssued(t, Settings{Started: testTime}, Request{Rate: 4}, 10+120)
 	})
@@ -57,7 +57,7 @@
 	t.Run("keeps a schedule for each incarnation", func(t *testing.T) {
 		i := NewIssuer(Settings{})
 		for born := range int64(2) {
-			if got := i.Issue(Request{Life: Life{Upstream: "i-0", Born: born}, Rate: 0.1}, testTime); got.Count != 1 {
+			if got := i.Issue(Request{Incarnation: Life{Upstream: "i-0", StartedAtMS: born}, Rate: 0.1}, testTime); got.Count != 1 {
 				t.Errorf("incarnation %d: got %+v, want one permit", born, got)
 			}
 		}
@@ -65,17 +65,17 @@
 	t.Run("returns a retry delay without a permit", func(t *testing.T) {
 		i := NewIssuer(Settings{})
 		i.Issue(Request{Rate: 1}, testTime)
-		if got := i.Issue(Request{Rate: 1, Within: 100 * time.Millisecond}, testTime); got.Count != 0 || got.Retry < time.Second {
+		if got := i.Issue(Request{Rate: 1, MaxWait: 100 * time.Millisecond}, testTime); got.Count != 0 || got.RetryAfter < time.Second {
 			t.Errorf("got %+v, want no permit and a retry delay of at least 1 s", got)
 		}
-		if got := i.Issue(Request{Rate: 1, Within: time.Second}, testTime); got.Count != 1 || got.Due != time.Second {
+		if got := i.Issue(Request{Rate: 1, MaxWait: time.Second}, testTime); got.Count != 1 || got.Due != time.Second {
 			t.Errorf("got %+v, want one permit due in 1 s", got)
 		}
 	})
 	t.Run("removes schedules of idle upstreams", func(t *testing.T) {
 		i := NewIssuer(Settings{})
-		i.Issue(Request{Life: Life{Upstream: "i-0"}, Rate: 1}, testTime)
-		i.Issue(Request{Life: Life{Upstream: "i-1"}, Rate: 1}, testTime.Add(3*idleTimeout))
+		i.Issue(Request{Incarnation: Life{Upstream: "i-0"}, Rate: 1}, testTime)
+		i.Issue(Request{Incarnation: Life{Upstream: "i-1"}, Rate: 1}, testTime.Add(3*idleTimeout))
 		if len(i.schedules) != 1 {
 			t.Errorf("%d schedules, want 1", len(i.schedules))
 		}
@@ -88,19 +88,19 @@
 	now := testTime
 	for range b.N {
 		now = now.Add(time.Millisecond)
-		i.Issue(Request{Life: Life{Upstream: "i-0"}, Rate: 10, Count: 1, Within: 100 * time.Millisecond}, now)
+		i.Issue(Request{Incarnation: Life{Upstream: "i-0"}, Rate: 10, Count: 1, MaxWait: 100 * time.Millisecond}, now)
 	}
 }
 
 // ExampleIssuer shows requests that share the rate limit of one upstream.
 func ExampleIssuer() {
 	issuer := NewIssuer(Settings{})
-	request := Request{Life: Life{Upstream: "i-7f3a"}, Rate: 2, Within: 600 * time.Millisecond}
+	request := Request{Incarnation: Life{Upstream: "i-7f3a"}, Rate: 2, MaxWait: 600 * time.Millisecond}
 	first, second := issuer.Issue(request, testTime), issuer.Issue(request, testTime)
 	fmt.Println(first.Count, first.Due)
 	fmt.Println(second.Count, second.Due)
 	third := issuer.Issue(request, testTime)
-	fmt.Println(third.Count, third.Retry >= time.Second)
+	fmt.Println(third.Count, third.RetryAfter >= time.Second)
 	// Output:
 	// 1 0s
 	// 1 500ms
--- a/throttle/strategies_test.go
+++ b/throttle/strategies_test.go
@@ -130,9 +130,9 @@
 				return now, false
 			}
 			*calls++
-			grant := issuer.Issue(Request{Life: Life{Upstream: "i-0"}, Rate: rate, Within: maxWait}, now.Add(callLatency/2))
+			grant := issuer.Issue(Request{Incarnation: Life{Upstream: "i-0"}, Rate: rate, MaxWait: maxWait}, now.Add(callLatency/2))
 			if grant.Count == 0 {
-				notBefore[router] = now.Add(grant.Retry)
+				notBefore[router] = now.Add(grant.RetryAfter)
 				return now, false
 			}
 			return now.Add(max(callLatency, grant.Due)), true
@@ -146,9 +146,9 @@
 	first, second := NewIssuer(Settings{Seed: seed}), NewIssuer(Settings{Seed: seed + 1})
 	random := rand.New(rand.NewPCG(seed, 13))
 	return func(router int, now time.Time) (time.Time, bool) {
-		request := Request{Life: Life{Upstream: "i-0"}, Rate: rate, Within: maxWait, StandsIn: router%2 == 1}
+		request := Request{Incarnation: Life{Upstream: "i-0"}, Rate: rate, MaxWait: maxWait, Fallback: router%2 == 1}
 		issuer := first
-		if request.StandsIn {
+		if request.Fallback {
 			issuer = second
 		}
 		grant := issuer.Issue(request, now)
