--- a/balance/balance.go
+++ b/balance/balance.go
@@ -36,15 +36,15 @@
 	Version granitehoist.Version
 }
 
-// Life identifies one incarnation of an instance. An instance that restarts under the
+// Incarnation identifies one incarnation of an instance. An instance that restarts under the
 // same ID has a different Born.
-type Life struct {
+type Incarnation struct {
 	ID   granitehoist.Upstream
 	Born int64
 }
 
 // incarnation identifies the current incarnation of the instance.
-func (i *Instance) incarnation() Life { return Life{ID: i.ID, Born: i.StartedAtMS} }
+func (i *Instance) incarnation() Incarnation { return Incarnation{ID: i.ID, Born: i.StartedAtMS} }
 
 // Settings configure a Table. The zero value works.
 type Settings struct {
@@ -83,7 +83,7 @@
 	updateVersion uint64
 	// pendingLimits holds rate limits that other routers reported for instances not
 	// announced yet.
-	pendingLimits map[Life]knownLimit
+	pendingLimits map[Incarnation]knownLimit
 	// leavingIncarnations holds the incarnations that reported that they are leaving.
 	leavingIncarnations leavingSet
 	// skipCounts counts the choices that passed over an instance.
@@ -144,7 +144,7 @@
 		instances: map[granitehoist.Upstream]*instanceState{},
 		evacuated: map[granitehoist.AvailabilityZone]bool{},
 
-		pendingLimits:   map[Life]knownLimit{},
+		pendingLimits:   map[Incarnation]knownLimit{},
 		permitsWanted:   make(chan struct{}, 1),
 		deferredChanged: make(chan struct{}),
 	}
--- a/balance/leaving.go
+++ b/balance/leaving.go
@@ -25,13 +25,13 @@
 // leavingSet remembers the incarnations that reported that they are leaving. The zero
 // value is empty. It is guarded by the lock of its table.
 type leavingSet struct {
-	reportedAt map[Life]time.Time
+	reportedAt map[Incarnation]time.Time
 }
 
 // add remembers an incarnation, and evicts the oldest entry if the set is full.
-func (l *leavingSet) add(incarnation Life, now time.Time) {
+func (l *leavingSet) add(incarnation Incarnation, now time.Time) {
 	if l.reportedAt == nil {
-		l.reportedAt = map[Life]time.Time{}
+		l.reportedAt = map[Incarnation]time.Time{}
 	}
 	l.expire(now)
 	if _, known := l.reportedAt[incarnation]; !known && len(l.reportedAt) >= maxLeavingIncarnations {
@@ -41,7 +41,7 @@
 }
 
 // contains reports whether an incarnation reported that it is leaving.
-func (l *leavingSet) contains(incarnation Life) bool {
+func (l *leavingSet) contains(incarnation Incarnation) bool {
 	_, known := l.reportedAt[incarnation]
 	return known
 }
@@ -56,8 +56,8 @@
 }
 
 // oldest returns the incarnation with the oldest report.
-func (l *leavingSet) oldest() Life {
-	var first Life
+func (l *leavingSet) oldest() Incarnation {
+	var first Incarnation
 	var firstAt time.Time
 	for incarnation, at := range l.reportedAt {
 		if firstAt.IsZero() || at.Before(firstAt) {
--- a/balance/leaving_test.go
+++ b/balance/leaving_test.go
@@ -135,7 +135,7 @@
 // TestLeavingSetIsBounded guards against unbounded growth, and checks that the oldest
 // entries are evicted first.
 func TestLeavingSetIsBounded(t *testing.T) {
-	incarnation := func(i int) Life { return Life{ID: granitehoist.Upstream(fmt.Sprint("i-", i))} }
+	incarnation := func(i int) Incarnation { return Incarnation{ID: granitehoist.Upstream(fmt.Sprint("i-", i))} }
 	var l leavingSet
 	for i := range maxLeavingIncarnations + 1 {
 		l.add(incarnation(i), testTime.Add(time.Duration(i)*time.Millisecond))
--- a/balance/limitrecord.go
+++ b/balance/limitrecord.go
@@ -23,7 +23,7 @@
 }
 
 // Incarnation returns the incarnation that the record describes.
-func (r LimitRecord) Incarnation() Life { return Life{ID: r.Upstream, Born: r.StartedAtMS} }
+func (r LimitRecord) Incarnation() Incarnation { return Incarnation{ID: r.Upstream, Born: r.StartedAtMS} }
 
 // maxLimitAgeMS is one day, to which the age of a record is clamped.
 const maxLimitAgeMS = 24 * 60 * 60 * 1000
@@ -64,7 +64,7 @@
 
 // Limit returns the known rate limit of one incarnation of an instance. It returns false
 // if that incarnation is unknown or never had a limit.
-func (t *Table) Limit(incarnation Life, now time.Time) (LimitRecord, bool) {
+func (t *Table) Limit(incarnation Incarnation, now time.Time) (LimitRecord, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, found := t.instances[incarnation.ID]
@@ -115,7 +115,7 @@
 	if len(t.pendingLimits) == 0 {
 		return
 	}
-	if known, found := t.pendingLimits[Life{ID: s.ID, Born: s.StartedAtMS}]; found {
+	if known, found := t.pendingLimits[Incarnation{ID: s.ID, Born: s.StartedAtMS}]; found {
 		s.limit = &limitState{known: known}
 	}
 	for incarnation := range t.pendingLimits {
--- a/balance/permit.go
+++ b/balance/permit.go
@@ -26,7 +26,7 @@
 
 // PermitAnswer is the response to a PermitRequest.
 type PermitAnswer struct {
-	Incarnation Life
+	Incarnation Incarnation
 	// Count permits are valid from Due until Expires.
 	Count        int
 	Due, Expires time.Time
--- a/balance/ratelimit_test.go
+++ b/balance/ratelimit_test.go
@@ -101,7 +101,7 @@
 // permit adds permits that are valid from due until expires, relative to the current
 // time.
 func (p *testPool) permit(id granitehoist.Upstream, count int, due, expires time.Duration) {
-	p.AddPermits(PermitAnswer{Incarnation: Life{ID: id}, Count: count, Due: p.now.Add(due), Expires: p.now.Add(expires)})
+	p.AddPermits(PermitAnswer{Incarnation: Incarnation{ID: id}, Count: count, Due: p.now.Add(due), Expires: p.now.Add(expires)})
 }
 
 func (p *testPool) expect(what string, got, want int) {
@@ -206,7 +206,7 @@
 		p.limit("i-0", 2)
 		p.picks(1, Query{})
 		expectRequests(p, 1)
-		p.AddPermits(PermitAnswer{Incarnation: Life{ID: "i-0"}, RetryAt: p.now.Add(time.Second)})
+		p.AddPermits(PermitAnswer{Incarnation: Incarnation{ID: "i-0"}, RetryAt: p.now.Add(time.Second)})
 		p.picks(1, Query{})
 		if requests, next := p.PermitRequests(p.now); len(requests) != 0 || !next.Equal(p.now.Add(time.Second)) {
 			t.Errorf("%v, %v", requests, next)
@@ -263,7 +263,7 @@
 		}
 		p.PermitRequests(p.now)
 		for id, retry := range map[granitehoist.Upstream]time.Duration{"i-0": 3 * time.Second, "i-1": 2 * time.Second} {
-			p.AddPermits(PermitAnswer{Incarnation: Life{ID: id}, RetryAt: p.now.Add(retry)})
+			p.AddPermits(PermitAnswer{Incarnation: Incarnation{ID: id}, RetryAt: p.now.Add(retry)})
 		}
 		_, err := p.Pick(Query{Service: "pool"}, p.now)
 		if d, deferred := DeferralOf(err); !deferred || d != (Deferral{RetryIn: 2 * time.Second}) {
--- a/balance/updates.go
+++ b/balance/updates.go
@@ -28,7 +28,7 @@
 }
 
 // incarnation returns the incarnation that the record describes.
-func (r LeavingRecord) incarnation() Life { return Life{ID: r.Upstream, Born: r.StartedAtMS} }
+func (r LeavingRecord) incarnation() Incarnation { return Incarnation{ID: r.Upstream, Born: r.StartedAtMS} }
 
 // UpdatesSince returns the information from responses to this router since a version of the
 // table, and the current version.
--- a/cmd/granitehoist/operator.go
+++ b/cmd/granitehoist/operator.go
@@ -89,7 +89,7 @@
 		}
 		table := newTable(out, "BUDGET", "PREPAID", "UNALLOCATED", "REGION STOCK", "HELD BY BOXES", "OF THEM IN DOUBT", "CHARGED", "ON THE WAY")
 		for _, b := range budgets {
-			fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%s\t%d\t%d\t%d\n", b.Budget, b.Prepaid, b.Unallocated, byRegion(b.Stock), byRegion(b.Held), b.InDoubt, b.Charged, b.OnTheWay)
+			fmt.Fprintf(table, "%s\t%d\t%d\t%s\t%s\t%d\t%d\t%d\n", b.Budget, b.Prepaid, b.Unallocated, byRegion(b.Stock), byRegion(b.Held), b.InDoubt, b.Charged, b.InTransit)
 		}
 		return table.Flush()
 	}}
@@ -132,7 +132,7 @@
 		if err := o.call(ctx, o.base().Post(router.PathOrphans+*incarnation), &result); err != nil {
 			return err
 		}
-		fmt.Fprintf(out, "incarnation=%s found=%d charged=%d running=%d unreached=%d\n", result.Incarnation, result.Found, result.Charged, result.Running, len(result.Unreached))
+		fmt.Fprintf(out, "incarnation=%s found=%d charged=%d running=%d unreached=%d\n", result.Incarnation, result.Found, result.Charged, result.Running, len(result.UnreachableEngines))
 		return nil
 	}}
 }
--- a/cmd/granitehoist/router.go
+++ b/cmd/granitehoist/router.go
@@ -49,7 +49,7 @@
 	}
 	r.Start()
 	<-ctx.Done()
-	stopping, cancel := context.WithTimeout(context.Background(), time.Duration(parsed.Limits.Drain))
+	stopping, cancel := context.WithTimeout(context.Background(), time.Duration(parsed.Limits.DrainTimeout))
 	defer cancel()
 	return r.Stop(stopping)
 }
@@ -79,7 +79,7 @@
 	return platform.NewStore(platform.StoreSettings{
 		Address:    address,
 		Timeout:    storeTimeout,
-		Watch:      storeWatch,
+		WatchWait:      storeWatch,
 		WatchGrace: storeWatchGrace,
 		Client:     client,
 	})
--- a/cmd/granitehoist/try.go
+++ b/cmd/granitehoist/try.go
@@ -25,7 +25,7 @@
 	stops := clause.Flag("stops", "Number of planned stops of routers during the load.").Int()
 	verbose := clause.Flag("verbose", "Write the routers' log to standard error.").Bool()
 	return command{clause, func(ctx context.Context) error {
-		settings := trial.Settings{Requests: *requests, Seed: *seed, Listen: *listen, Hold: *hold, Calm: *calm, Kill: *kill, Stops: *stops, Out: out}
+		settings := trial.Settings{Requests: *requests, Seed: *seed, Listen: *listen, Hold: *hold, NoFaults: *calm, Kill: *kill, Stops: *stops, Out: out}
 		if *verbose {
 			log, err := newLog("debug")
 			if err != nil {
@@ -38,7 +38,7 @@
 			return err
 		}
 		fmt.Fprintln(out, verdict)
-		if !verdict.Held() {
+		if !verdict.Passed() {
 			return failed{}
 		}
 		return nil
--- a/codes.go
+++ b/codes.go
@@ -102,8 +102,8 @@
 	Code Code
 	// Name is the code's name in responses, logs and metrics.
 	Name string
-	// Fate says whether the request was executed.
-	Fate Fate
+	// Execution says whether the request was executed.
+	Execution Fate
 	// Status is the HTTP status of the response.
 	Status int
 	// Advice is the recommended action of the caller.
--- a/codes_test.go
+++ b/codes_test.go
@@ -20,7 +20,7 @@
 	var table strings.Builder
 	table.WriteString("| number | name | fate | HTTP status | advice | message |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, info := range granitehoist.Codes() {
-		fmt.Fprintf(&table, "| %d | %s | %s | %d | %s | %s |\n", info.Code, info.Name, info.Fate, info.Status, info.Advice, info.Message)
+		fmt.Fprintf(&table, "| %d | %s | %s | %d | %s | %s |\n", info.Code, info.Name, info.Execution, info.Status, info.Advice, info.Message)
 	}
 	return table.String()
 }
--- a/escrow/sync.go
+++ b/escrow/sync.go
@@ -266,7 +266,7 @@
 	for _, d := range drafts {
 		current, known := granitehoist.Entry{}, false
 		if isConflict {
-			current, known = conflict.Of(d.copy.key)
+			current, known = conflict.Entry(d.copy.key)
 		}
 		d.copy.lastEntry, d.copy.lastEntryValid = current, known
 	}
--- a/exchange/response_test.go
+++ b/exchange/response_test.go
@@ -37,7 +37,7 @@
 		func(err error, sawStale bool, expected granitehoist.Code) {
 			got := classifyReadError(err, sawStale)
 			Expect(granitehoist.CodeOf(got)).To(Equal(expected))
-			Expect(granitehoist.CodeOf(got).Info().Fate).To(Equal(granitehoist.MayHaveRun))
+			Expect(granitehoist.CodeOf(got).Info().Execution).To(Equal(granitehoist.MayHaveRun))
 			Expect(errors.Is(got, err)).To(BeTrue())
 		},
 		Entry("a lost upstream if the connection ended", io.EOF, false, granitehoist.UpstreamLost),
--- a/explain/budget.go
+++ b/explain/budget.go
@@ -27,9 +27,9 @@
 // returns one. All amounts are in tokens.
 type Budget struct {
 	Workspace granitehoist.Workspace
-	// Prepaid is the prepaid total at the end of the log, Rest the tokens left in the
+	// Prepaid is the prepaid total at the end of the log, Remaining the tokens left in the
 	// store after the last write of the record.
-	Prepaid, Rest granitehoist.Tokens
+	Prepaid, Remaining granitehoist.Tokens
 	// Used is what finished requests were charged. It lacks requests that were in
 	// progress when their router died.
 	Used granitehoist.Tokens
@@ -129,7 +129,7 @@
 	}
 	t.granted, t.returned = tokens(l, "granted"), tokens(l, "returned")
 	if l.At >= b.restAt {
-		b.restAt, b.Rest, b.Prepaid = l.At, tokens(l, "rest"), tokens(l, "prepaid")
+		b.restAt, b.Remaining, b.Prepaid = l.At, tokens(l, "rest"), tokens(l, "prepaid")
 	}
 }
 
@@ -167,7 +167,7 @@
 // time. It returns the first error of w.
 func (b *Budget) Write(w io.Writer) error {
 	p := printer{w: w}
-	p.line("budget of %s: prepaid %d, the store had %d left, used %d (%s)", b.Workspace, b.Prepaid, b.Rest, b.Used, percent(b.Used, b.Prepaid))
+	p.line("budget of %s: prepaid %d, the store had %d left, used %d (%s)", b.Workspace, b.Prepaid, b.Remaining, b.Used, percent(b.Used, b.Prepaid))
 	p.line("taken from the store:")
 	for _, name := range slices.Sorted(maps.Keys(b.holders)) {
 		t := b.holders[name]
--- a/forward/active.go
+++ b/forward/active.go
@@ -78,7 +78,7 @@
 		return refused.error(a.timeLeft())
 	}
 	now := settings.Clock()
-	ctx, cancel := settings.Deadlines.With(ctx, a.admission.deadline.Sub(now), now)
+	ctx, cancel := settings.Deadlines.WithTimeout(ctx, a.admission.deadline.Sub(now), now)
 	defer cancel()
 	if err := a.awaitCrashRecords(ctx); err != nil {
 		return err
--- a/forward/disconnect_test.go
+++ b/forward/disconnect_test.go
@@ -41,7 +41,7 @@
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.CallerGone))
 		Expect(time.Since(<-disconnectedAt)).To(BeNumerically("<", cancelTimeout))
 		for _, w := range s.workers {
-			Eventually(w.Open, cancelTimeout).Should(BeZero())
+			Eventually(w.OpenConns, cancelTimeout).Should(BeZero())
 		}
 		arrived := len(s.arrivals())
 		Consistently(func() int { return len(s.arrivals()) }, "100ms").Should(Equal(arrived))
@@ -49,7 +49,7 @@
 	arrived := func() bool { return len(s.arrivals()) > 0 }
 
 	It("before the first event cancels the attempt", func() {
-		s.worker(model, "i-1", always(standin.WorkerAnswer{Silent: true}))
+		s.worker(model, "i-1", always(standin.WorkerAnswer{Hang: true}))
 		expectCancelled("/stream/x", arrived)
 	})
 
@@ -72,7 +72,7 @@
 	})
 
 	It("during the first attempt gets no second one", func() {
-		silent := always(standin.WorkerAnswer{Silent: true})
+		silent := always(standin.WorkerAnswer{Hang: true})
 		s.worker(desk, "i-1", silent)
 		s.worker(desk, "i-2", silent)
 		expectCancelled("/safe/x", arrived)
--- a/forward/fakes_test.go
+++ b/forward/fakes_test.go
@@ -169,7 +169,7 @@
 func (s *fixture) arrivals() []standin.Arrival {
 	var all []standin.Arrival
 	for _, w := range s.workers {
-		all = append(all, w.Arrivals()...)
+		all = append(all, w.Requests()...)
 	}
 	return all
 }
--- a/forward/forward_test.go
+++ b/forward/forward_test.go
@@ -49,7 +49,7 @@
 			_, err := s.forwarder.Serve(context.Background(), r, sink)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(sink.text()).To(Equal("berth 4"))
-			got := w.Arrivals()[0]
+			got := w.Requests()[0]
 			Expect(got.Target).To(Equal("/unsafe/x?berth=4"))
 			Expect(got.Host).To(Equal("h.example"))
 			Expect(got.Body).To(Equal([]byte("question")))
@@ -84,17 +84,17 @@
 			_, err := serve("/stream/x")
 			Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.BudgetUnreachable))
 			Expect(err.(*granitehoist.Error).RetryAfter).To(BeNumerically(">", 0))
-			Expect(w.Arrivals()).To(BeEmpty())
+			Expect(w.Requests()).To(BeEmpty())
 		})
 	})
 
 	Describe("streams", func() {
 		It("resume at another worker without lost or repeated events", func() {
 			s.worker(model, "i-1", func(a standin.Arrival) standin.WorkerAnswer {
-				return standin.WorkerAnswer{Events: 9, Cut: standin.Cut{Set: a.After == 0, After: 4, Within: true}}
+				return standin.WorkerAnswer{Events: 9, Cut: standin.Cut{Set: a.After == 0, After: 4, MidEvent: true}}
 			})
 			s.worker(model, "i-2", func(a standin.Arrival) standin.WorkerAnswer {
-				return standin.WorkerAnswer{Events: 9, Cut: standin.Cut{Set: a.After == 0, After: 4, Within: true}}
+				return standin.WorkerAnswer{Events: 9, Cut: standin.Cut{Set: a.After == 0, After: 4, MidEvent: true}}
 			})
 			_, err := serve("/resume/x")
 			Expect(err).NotTo(HaveOccurred())
@@ -127,7 +127,7 @@
 		})
 
 		It("that end within an event with the connection are truncated", func() {
-			s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 9, Unframed: true, Cut: standin.Cut{Set: true, After: 4, Within: true, Clean: true}}))
+			s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 9, Unframed: true, Cut: standin.Cut{Set: true, After: 4, MidEvent: true, FIN: true}}))
 			started, err := serve("/stream/x")
 			Expect(started).To(BeTrue())
 			Expect(err).To(HaveOccurred())
@@ -135,7 +135,7 @@
 
 		It("are retried elsewhere if the worker hangs before the first event", func() {
 			answer := func(a standin.Arrival) standin.WorkerAnswer {
-				return standin.WorkerAnswer{Events: 3, Silent: len(s.arrivals()) == 0 && a.Number == 1}
+				return standin.WorkerAnswer{Events: 3, Hang: len(s.arrivals()) == 0 && a.Number == 1}
 			}
 			s.worker(model, "i-1", answer)
 			s.worker(model, "i-2", always(standin.WorkerAnswer{Events: 3}))
@@ -166,13 +166,13 @@
 		})
 
 		It("are never sent twice if they are unsafe and may have run", func() {
-			for _, a := range []standin.WorkerAnswer{{Body: "berth", Cut: standin.Cut{Set: true, After: 2}}, {Crossed: true, Body: "x"}, {Body: "x", NoSeal: true}, {SurplusBefore: "nonsense\r\n\r\n"}, {Status: 503, Body: "no promise"}} {
+			for _, a := range []standin.WorkerAnswer{{Body: "berth", Cut: standin.Cut{Set: true, After: 2}}, {WrongID: true, Body: "x"}, {Body: "x", NoSeal: true}, {ExtraBefore: "nonsense\r\n\r\n"}, {Status: 503, Body: "no promise"}} {
 				s = newFixture()
 				s.worker(desk, "i-1", always(a))
 				s.worker(desk, "i-2", always(a))
 				started, err := serve("/unsafe/x")
 				Expect(started).To(BeFalse())
-				Expect(granitehoist.CodeOf(err).Info().Fate).To(Equal(granitehoist.MayHaveRun), "%+v", a)
+				Expect(granitehoist.CodeOf(err).Info().Execution).To(Equal(granitehoist.MayHaveRun), "%+v", a)
 				Expect(s.arrivals()).To(HaveLen(1), "%+v", a)
 			}
 		})
@@ -205,7 +205,7 @@
 			surplus := "HTTP/1.1 200 OK\r\nAttempt-Id: r-0\r\nResponse-Seal: x\r\nContent-Length: 5\r\n\r\nwrong"
 			w := s.worker(desk, "i-1", func(a standin.Arrival) standin.WorkerAnswer {
 				if a.Number == 2 {
-					return standin.WorkerAnswer{SurplusBefore: surplus, Body: "right"}
+					return standin.WorkerAnswer{ExtraBefore: surplus, Body: "right"}
 				}
 				return standin.WorkerAnswer{Body: "first"}
 			})
@@ -215,17 +215,17 @@
 			_, err = serve("/safe/x")
 			Expect(err).NotTo(HaveOccurred())
 			Expect(sink.text()).To(Equal("right"))
-			Expect(w.Arrivals()[0].Conn).To(Equal(w.Arrivals()[1].Conn))
+			Expect(w.Requests()[0].Conn).To(Equal(w.Requests()[1].Conn))
 		})
 
 		It("do not use a connection with unread bytes", func() {
-			w := s.worker(desk, "i-1", always(standin.WorkerAnswer{Body: "whole", SurplusAfter: "HTTP/1.1 200 OK\r\n"}))
+			w := s.worker(desk, "i-1", always(standin.WorkerAnswer{Body: "whole", ExtraAfter: "HTTP/1.1 200 OK\r\n"}))
 			for range 2 {
 				_, err := serve("/safe/x")
 				Expect(err).NotTo(HaveOccurred())
 				time.Sleep(20 * time.Millisecond)
 			}
-			Expect(w.Arrivals()[0].Conn).NotTo(Equal(w.Arrivals()[1].Conn))
+			Expect(w.Requests()[0].Conn).NotTo(Equal(w.Requests()[1].Conn))
 		})
 
 		It("do not use a connection whose last response preceded the end of its request", func() {
@@ -238,8 +238,8 @@
 			Expect(err).NotTo(HaveOccurred())
 			_, err = serve("/patient/x")
 			Expect(err).NotTo(HaveOccurred())
-			Expect(w.Arrivals()[1].Conn).NotTo(Equal(w.Arrivals()[0].Conn))
-			Expect(w.Arrivals()[1].Body).To(Equal([]byte("question")))
+			Expect(w.Requests()[1].Conn).NotTo(Equal(w.Requests()[0].Conn))
+			Expect(w.Requests()[1].Body).To(Equal([]byte("question")))
 		})
 	})
 
@@ -247,13 +247,13 @@
 		w := s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 1000, Gap: 20 * time.Millisecond}))
 		ctx, disconnect := context.WithCancel(context.Background())
 		go func() {
-			Eventually(w.Arrivals).Should(HaveLen(1))
+			Eventually(w.Requests).Should(HaveLen(1))
 			disconnect()
 		}()
 		_, err := s.forwarder.Serve(ctx, request("/resume/x"), sink)
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.CallerGone))
-		Eventually(w.Open).Should(BeZero())
-		Expect(w.Arrivals()).To(HaveLen(1))
+		Eventually(w.OpenConns).Should(BeZero())
+		Expect(w.Requests()).To(HaveLen(1))
 	})
 
 	It("makes no attempt and releases the tokens if the caller disconnects while it waits for them", func() {
@@ -262,18 +262,18 @@
 		s.funds.reserving = disconnect
 		_, err := s.forwarder.Serve(ctx, request("/resume/x"), sink)
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.CallerGone))
-		Consistently(w.Arrivals, "100ms").Should(BeEmpty())
+		Consistently(w.Requests, "100ms").Should(BeEmpty())
 		Expect(s.funds.reserved).To(BeZero())
 		Expect(s.funds.used).To(BeZero())
 	})
 
 	It("returns an error at the timeout of the request", func() {
-		s.worker(desk, "i-1", always(standin.WorkerAnswer{Silent: true}))
+		s.worker(desk, "i-1", always(standin.WorkerAnswer{Hang: true}))
 		r := request("/unsafe/x")
 		r.Timeout = 200 * time.Millisecond
 		start := time.Now()
 		_, err := s.forwarder.Serve(context.Background(), r, sink)
-		Expect(granitehoist.CodeOf(err).Info().Fate).To(Equal(granitehoist.MayHaveRun))
+		Expect(granitehoist.CodeOf(err).Info().Execution).To(Equal(granitehoist.MayHaveRun))
 		Expect(time.Since(start)).To(BeNumerically("<", 3*time.Second))
 	})
 })
--- a/forward/refusal_test.go
+++ b/forward/refusal_test.go
@@ -51,7 +51,7 @@
 
 	ginkgo.It("means not run for every reason", func() {
 		for r := noRefusal + 1; int(r) < len(refusalRules); r++ {
-			Expect(r.error(time.Minute).Code.Info().Fate).To(Equal(granitehoist.NotRun), "refusal %d", r)
+			Expect(r.error(time.Minute).Code.Info().Execution).To(Equal(granitehoist.NotRun), "refusal %d", r)
 		}
 	})
 
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -92,7 +92,7 @@
 }
 
 // executionOf returns whether an attempt with result err ran: Ran for nil.
-func executionOf(err error) granitehoist.Fate { return granitehoist.CodeOf(err).Info().Fate }
+func executionOf(err error) granitehoist.Fate { return granitehoist.CodeOf(err).Info().Execution }
 
 // requestExecution returns whether a request with result err ran, as stated in the log.
 // runs is the number of its attempts that ran or may have run.
--- a/forward/statements_test.go
+++ b/forward/statements_test.go
@@ -47,7 +47,7 @@
 
 	DescribeTable("is not marked as leaving after",
 		func(path string, answer standin.WorkerAnswer) { Expect(isLeaving(path, answer)).To(BeFalse()) },
-		Entry("a response to another request, which a proxy may have misrouted", "/unsafe/x", standin.WorkerAnswer{Body: "answer", Crossed: true}),
+		Entry("a response to another request, which a proxy may have misrouted", "/unsafe/x", standin.WorkerAnswer{Body: "answer", WrongID: true}),
 	)
 
 	It("is not marked as leaving if another worker has its address", func() {
@@ -56,7 +56,7 @@
 		DeferCleanup(other.Close)
 		s.table.Announce(balance.Instance{ID: "i-1", Service: desk, Address: other.Address(), Version: 1}, time.Now())
 		_, _ = s.forwarder.Serve(context.Background(), request("/safe/x"), &fakeSink{})
-		Expect(other.Arrivals()).To(HaveLen(1))
+		Expect(other.Requests()).To(HaveLen(1))
 		Expect(s.table.IsLeaving("i-1")).To(BeFalse())
 	})
 
@@ -109,9 +109,9 @@
 		refused := serve()
 		Expect(time.Since(started)).To(BeNumerically("<", 50*time.Millisecond))
 		Expect(refused.Code).To(Equal(granitehoist.Overloaded))
-		Expect(refused.Code.Info().Fate).To(Equal(granitehoist.NotRun))
+		Expect(refused.Code.Info().Execution).To(Equal(granitehoist.NotRun))
 		Expect(refused.RetryAfter).To(And(BeNumerically(">", 2900*time.Millisecond), BeNumerically("<=", 3750*time.Millisecond)))
-		Expect(w.Arrivals()).To(HaveLen(1))
+		Expect(w.Requests()).To(HaveLen(1))
 	})
 
 	It("determines the Retry-After if its backoff ends before that of another worker", func() {
@@ -140,6 +140,6 @@
 		for range 10 {
 			Expect(serve()).To(BeNil())
 		}
-		Expect(s.workers[0].Arrivals()).To(HaveLen(1))
+		Expect(s.workers[0].Requests()).To(HaveLen(1))
 	})
 })
--- a/forward/suspended_test.go
+++ b/forward/suspended_test.go
@@ -41,7 +41,7 @@
 		s.funds.reserving = func() { clock.Suspend(6 * time.Second) }
 		err := serve("/stream/x")
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.DeadlineTooNear))
-		Expect(w.Arrivals()).To(BeEmpty())
+		Expect(w.Requests()).To(BeEmpty())
 		Expect([]granitehoist.Tokens{s.funds.reserved, s.funds.used}).To(Equal([]granitehoist.Tokens{0, 0}))
 	})
 
@@ -49,19 +49,19 @@
 		w := s.worker(model, "i-1", always(standin.WorkerAnswer{Events: 3}))
 		s.funds.reserving = func() { clock.Suspend(2 * time.Second) }
 		Expect(serve("/stream/x")).To(Succeed())
-		left, err := strconv.Atoi(w.Arrivals()[0].Header.Get("Deadline-Ms"))
+		left, err := strconv.Atoi(w.Requests()[0].Header.Get("Deadline-Ms"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(left).To(BeNumerically("~", 3000, 200))
 	})
 
 	It("cancels an attempt whose deadline has passed", func() {
-		s.worker(desk, "i-1", always(standin.WorkerAnswer{Silent: true}))
+		s.worker(desk, "i-1", always(standin.WorkerAnswer{Hang: true}))
 		ended := make(chan error, 1)
 		go func() { ended <- serve("/patient/x") }()
 		Eventually(s.forwarder.Active).Should(Equal(1))
 		Consistently(ended, "50ms").ShouldNot(Receive())
 		clock.Suspend(5 * time.Second)
-		deadlines.Check(clock.Now())
+		deadlines.CancelExpired(clock.Now())
 		Eventually(ended).Should(Receive(HaveOccurred()))
 	})
 
@@ -70,7 +70,7 @@
 		Expect(serve("/safe/x")).To(Succeed())
 		clock.Suspend(time.Minute)
 		Expect(serve("/safe/x")).To(Succeed())
-		Expect(w.Arrivals()[1].Conn).NotTo(Equal(w.Arrivals()[0].Conn))
+		Expect(w.Requests()[1].Conn).NotTo(Equal(w.Requests()[0].Conn))
 	})
 
 	It("does not use retries of an earlier window", func() {
--- a/internal/boottime/deadlines.go
+++ b/internal/boottime/deadlines.go
@@ -25,9 +25,9 @@
 	cancel   context.CancelFunc
 }
 
-// With returns a context that ends at now plus timeout, or earlier with its parent. The
+// WithTimeout returns a context that ends at now plus timeout, or earlier with its parent. The
 // returned function must be called once the context is no longer needed.
-func (d *Deadlines) With(parent context.Context, timeout time.Duration, now time.Time) (context.Context, context.CancelFunc) {
+func (d *Deadlines) WithTimeout(parent context.Context, timeout time.Duration, now time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(parent, timeout)
 	p := &pending{deadline: now.Add(timeout), cancel: cancel}
 	d.mu.Lock()
@@ -47,8 +47,8 @@
 	delete(d.pending, p)
 }
 
-// Check cancels the contexts whose deadline is not after now.
-func (d *Deadlines) Check(now time.Time) {
+// CancelExpired cancels the contexts whose deadline is not after now.
+func (d *Deadlines) CancelExpired(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for p := range d.pending {
--- a/internal/boottime/deadlines_test.go
+++ b/internal/boottime/deadlines_test.go
@@ -16,17 +16,17 @@
 
 	It("cancels a context whose deadline passed during a suspension", func() {
 		var d Deadlines
-		ctx, cancel := d.With(context.Background(), time.Hour, now)
+		ctx, cancel := d.WithTimeout(context.Background(), time.Hour, now)
 		defer cancel()
-		d.Check(now.Add(time.Hour - 1))
+		d.CancelExpired(now.Add(time.Hour - 1))
 		Expect(ctx.Err()).NotTo(HaveOccurred())
-		d.Check(now.Add(time.Hour))
+		d.CancelExpired(now.Add(time.Hour))
 		Expect(ctx.Err()).To(MatchError(context.Canceled))
 	})
 
 	It("ends a context on time without a check", func() {
 		var d Deadlines
-		ctx, cancel := d.With(context.Background(), time.Millisecond, now)
+		ctx, cancel := d.WithTimeout(context.Background(), time.Millisecond, now)
 		defer cancel()
 		Eventually(ctx.Done()).Should(BeClosed())
 		Expect(ctx.Err()).To(MatchError(context.DeadlineExceeded))
@@ -34,7 +34,7 @@
 
 	It("releases a context that is no longer needed", func() {
 		var d Deadlines
-		_, cancel := d.With(context.Background(), time.Hour, now)
+		_, cancel := d.WithTimeout(context.Background(), time.Hour, now)
 		cancel()
 		Expect(d.pending).To(BeEmpty())
 	})
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -24,11 +24,11 @@
 	// HeaderBytes limits a request's header in bytes; zero selects the default of
 	// net/http.
 	HeaderBytes int
-	// Failed is called with each error that net/http logs, such as a panic of Handler
+	// OnError is called with each error that net/http logs, such as a panic of Handler
 	// with its stack, or a connection that can't be accepted. A panic with
-	// http.ErrAbortHandler, which aborts a connection on purpose, is not logged. Failed
+	// http.ErrAbortHandler, which aborts a connection on purpose, is not logged. OnError
 	// must be safe for concurrent use. If it is nil, errors go to standard error.
-	Failed func(error)
+	OnError func(error)
 }
 
 // maxErrorBytes limits the message that Failed gets. net/http logs up to 64 KB of stack
@@ -49,8 +49,8 @@
 		IdleTimeout:       s.IdleTimeout,
 		MaxHeaderBytes:    s.HeaderBytes,
 	}
-	if s.Failed != nil {
-		server.ErrorLog = log.New(errorWriter(s.Failed), "", 0)
+	if s.OnError != nil {
+		server.ErrorLog = log.New(errorWriter(s.OnError), "", 0)
 	}
 	return &Server{http: server, listener: listener}
 }
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -57,7 +57,7 @@
 	t.Run("answers until Close", func(t *testing.T) {
 		listener := listen(t)
 		handler := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
-		server := httpserver.New(httpserver.Settings{Handler: handler, HeaderTimeout: stepTimeout, Failed: failOnError(t)}, listener)
+		server := httpserver.New(httpserver.Settings{Handler: handler, HeaderTimeout: stepTimeout, OnError: failOnError(t)}, listener)
 		result := serve(server)
 		response, err := http.Get("http://" + listener.Addr().String())
 		if err != nil {
@@ -104,7 +104,7 @@
 		close(entered)
 		<-r.release
 	})
-	r.server = httpserver.New(httpserver.Settings{Handler: handler, Failed: failOnError(t)}, listener)
+	r.server = httpserver.New(httpserver.Settings{Handler: handler, OnError: failOnError(t)}, listener)
 	r.served = serve(r.server)
 	go func() {
 		response, err := http.Get("http://" + r.address)
@@ -184,7 +184,7 @@
 	server := httpserver.New(httpserver.Settings{
 		Handler:       handler,
 		HeaderTimeout: stepTimeout,
-		Failed:        func(err error) { failures <- err },
+		OnError:        func(err error) { failures <- err },
 	}, listener)
 	result := serve(server)
 	if response, err := http.Get("http://" + listener.Addr().String()); err == nil {
--- a/measure/loads.go
+++ b/measure/loads.go
@@ -11,21 +11,21 @@
 // FleetSize is the size of a fleet for which loads are computed. Requests are per second.
 type FleetSize struct {
 	Name     string
-	Nodes    float64
+	Boxes    float64
 	Regions  float64
 	Requests float64
 	// Budgets is the number of budgets in use, Upstreams that of upstreams.
 	Budgets   float64
 	Upstreams float64
-	// Keys is the number of pairs of service and workspace that one router serves in a
+	// ReportKeys is the number of pairs of service and workspace that one router serves in a
 	// day.
-	Keys   float64
+	ReportKeys   float64
 	Shards float64
 	// Changes is the number of configuration changes per second.
 	Changes float64
-	// Gathered is set if reports without a waiting request are batched for pageInterval,
+	// Batched is set if reports without a waiting request are batched for pageInterval,
 	// so that a page is written once in that time instead of once for each box.
-	Gathered bool
+	Batched bool
 }
 
 // secondsPerDay converts changes per day to changes per second.
@@ -33,8 +33,8 @@
 
 // Sizes are the fleet sizes of docs/CAPACITY.md.
 var Sizes = []FleetSize{
-	{Name: "full", Nodes: 1100, Regions: 6, Requests: 63000, Budgets: 14000, Upstreams: 10000, Keys: 2000, Shards: 64, Changes: 15000.0 / secondsPerDay, Gathered: true},
-	{Name: "small", Nodes: 6, Regions: 1, Requests: 60, Budgets: 20, Upstreams: 25, Keys: 80, Shards: 8, Changes: 20.0 / secondsPerDay},
+	{Name: "full", Boxes: 1100, Regions: 6, Requests: 63000, Budgets: 14000, Upstreams: 10000, ReportKeys: 2000, Shards: 64, Changes: 15000.0 / secondsPerDay, Batched: true},
+	{Name: "small", Boxes: 6, Regions: 1, Requests: 60, Budgets: 20, Upstreams: 25, ReportKeys: 80, Shards: 8, Changes: 20.0 / secondsPerDay},
 }
 
 // Load is the load of a role on each box that has it. Writes and Reads are the store calls
@@ -91,14 +91,14 @@
 // newTraffic computes the traffic of a fleet. The active budgets are an upper bound, which
 // assumes a different budget for each request.
 func newTraffic(f FleetSize) traffic {
-	t := traffic{size: f, boxRequests: f.Requests / f.Nodes}
+	t := traffic{size: f, boxRequests: f.Requests / f.Boxes}
 	t.active = min(f.Budgets, t.boxRequests*boxReportInterval)
 	t.messages = min(f.Shards, t.active)
 	t.pages = f.Shards * f.Regions
-	t.rowsPerPage = t.active * (f.Nodes / f.Regions) / f.Shards
+	t.rowsPerPage = t.active * (f.Boxes / f.Regions) / f.Shards
 	t.pageWrites = t.pages / pageInterval
-	if !f.Gathered {
-		t.pageWrites = f.Nodes * t.messages / boxReportInterval
+	if !f.Batched {
+		t.pageWrites = f.Boxes * t.messages / boxReportInterval
 	}
 	return t
 }
@@ -131,7 +131,7 @@
 		t.followDocuments(by),
 		t.membership(by),
 		t.chooseUpstream(by),
-		{Role: "report-burn", Memory: by["burn-memory"].At(f.Keys)},
+		{Role: "report-burn", Memory: by["burn-memory"].At(f.ReportKeys)},
 	}
 }
 
@@ -154,9 +154,9 @@
 	calls := t.pageWrites + t.pages/rootReportInterval
 	return Load{
 		Role:   "keep-budgets",
-		Cores:  coresPerNano * by["page-write"].At(t.rowsPerPage) * t.pageWrites / t.size.Nodes,
-		Memory: pageMemoryFactor * pageBytes * max(1, t.pages/t.size.Nodes),
-		Bytes:  t.pageWrites / t.size.Nodes * 2 * pageBytes,
+		Cores:  coresPerNano * by["page-write"].At(t.rowsPerPage) * t.pageWrites / t.size.Boxes,
+		Memory: pageMemoryFactor * pageBytes * max(1, t.pages/t.size.Boxes),
+		Bytes:  t.pageWrites / t.size.Boxes * 2 * pageBytes,
 		Writes: calls,
 		Reads:  calls,
 	}
@@ -178,7 +178,7 @@
 	f := t.size
 	return Load{
 		Role:   "collect-bills",
-		Bytes:  2 * f.Requests / f.Regions * by["segment-bytes"].Step / max(1, f.Nodes/f.Regions),
+		Bytes:  2 * f.Requests / f.Regions * by["segment-bytes"].Step / max(1, f.Boxes/f.Regions),
 		Writes: max(f.Requests/maxSegmentCharges, f.Regions/bill.DefaultInterval.Seconds()),
 	}
 }
@@ -191,20 +191,20 @@
 		Role:   "follow-documents",
 		Memory: by["view-memory"].At(f.Budgets),
 		Bytes:  f.Changes * by["document-bytes"].At(f.Budgets/2),
-		Reads:  f.Nodes / watchTimeout,
+		Reads:  f.Boxes / watchTimeout,
 	}
 }
 
 // membership returns the load of renewing a member's lease and listing all members.
 func (t traffic) membership(by slopesByName) Load {
-	list := by["member-bytes"].At(t.size.Nodes)
+	list := by["member-bytes"].At(t.size.Boxes)
 	rate := renewalsPerTTL / fleet.DefaultTTL.Seconds()
 	return Load{
 		Role:   "membership",
 		Memory: list,
 		Bytes:  list * rate,
-		Writes: t.size.Nodes * rate,
-		Reads:  t.size.Nodes * rate,
+		Writes: t.size.Boxes * rate,
+		Reads:  t.size.Boxes * rate,
 	}
 }
 
--- a/measure/samples.go
+++ b/measure/samples.go
@@ -61,7 +61,7 @@
 	replies := make([]budget.Reply, n)
 	for i := range replies {
 		v := sampleAmount(i)
-		replies[i] = budget.Reply{Budget: sampleID(i), Granted: v, Target: v % 99_991, Left: 9 * v}
+		replies[i] = budget.Reply{Budget: sampleID(i), Granted: v, Target: v % 99_991, Remaining: 9 * v}
 	}
 	return replies
 }
@@ -74,7 +74,7 @@
 		totals := budget.Totals{Granted: v, Returned: v / 7, Spent: v / 3}
 		asks[i] = budget.Ask{Budget: sampleID(i), Totals: totals, Want: v + v%8191, Need: v, Least: v, Rate: float64(v) / 7919, Largest: v % 9973}
 	}
-	return budget.SyncParams{Box: "box", Incarnation: sampleIncarnation(0), Asks: asks}
+	return budget.SyncParams{Box: "box", Incarnation: sampleIncarnation(0), Reports: asks}
 }
 
 func sampleIncarnation(i int) granitehoist.Incarnation {
@@ -103,13 +103,13 @@
 		id := sampleID(i / rowsPerAccount)
 		a := page.Accounts[id]
 		if a == nil {
-			a = &budget.PageAccount{Received: 1 << 40, Limit: 1 << 40, Elsewhere: 1 << 40, ReportedAt: sampleTime.Unix(), Rows: map[granitehoist.Incarnation]budget.Row{}}
+			a = &budget.PageAccount{Received: 1 << 40, Limit: 1 << 40, RemainingElsewhere: 1 << 40, ReportedAt: sampleTime.Unix(), Rows: map[granitehoist.Incarnation]budget.Row{}}
 			page.Accounts[id] = a
 		}
 		box := sampleIncarnation(i % rowsPerAccount)
 		v := sampleAmount(i)
 		a.Rows[box] = budget.Row{Totals: budget.Totals{Granted: v, Returned: v / 7, Spent: v / 3}, Rate: float64(v) / 7919, Largest: v % 9973}
-		page.Members[box] = budget.Member{Box: "zaisan-hall-0001", Seen: sampleTime.Unix()}
+		page.Members[box] = budget.Member{Box: "zaisan-hall-0001", LastSeen: sampleTime.Unix()}
 	}
 	return page
 }
@@ -128,7 +128,7 @@
 	return nanoseconds(func() {
 		totals.Spent++
 		ask := budget.Ask{Budget: sampleID(0), Totals: totals, Want: totals.Granted, Need: totals.Granted, Least: totals.Granted}
-		params := budget.SyncParams{Box: "zaisan-hall-0001", Incarnation: sampleIncarnation(0), Asks: []budget.Ask{ask}}
+		params := budget.SyncParams{Box: "zaisan-hall-0001", Incarnation: sampleIncarnation(0), Reports: []budget.Ask{ask}}
 		must(keeper.SyncAll(context.Background(), 0, []budget.SyncParams{params}, sampleTime))
 	})
 }
@@ -152,7 +152,7 @@
 func sampleLedger(n int) *bill.Ledger {
 	l := bill.NewLedger(bill.LedgerSettings{Incarnation: "box", MaxPending: n})
 	for i := range n {
-		l.ReserveRoom()
+		l.ReserveSlot()
 		l.Charge(sampleCharge(i), sampleTime)
 	}
 	return l
--- a/node/crashload_test.go
+++ b/node/crashload_test.go
@@ -115,7 +115,7 @@
 			l.crashes = append(l.crashes, time.Now())
 		}
 	})
-	return standin.WorkerAnswer{Silent: true}
+	return standin.WorkerAnswer{Hang: true}
 }
 
 // crash crashes the upstream of a slot, and reports whether it was running.
--- a/node/evacuation_test.go
+++ b/node/evacuation_test.go
@@ -34,12 +34,12 @@
 	}
 	expectNothingSent := func(m *member, w *standin.Worker) {
 		GinkgoHelper()
-		before := len(w.Arrivals())
+		before := len(w.Requests())
 		got, err := m.ask("/a/x", "refused")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(got.header.Get("Retry-After")).NotTo(BeEmpty())
-		Expect(w.Arrivals()).To(HaveLen(before))
+		Expect(w.Requests()).To(HaveLen(before))
 	}
 
 	It("gets no requests until it is restored, and callers are refused at once", func() {
--- a/node/explain_test.go
+++ b/node/explain_test.go
@@ -80,11 +80,11 @@
 		w := s.startWorker(standin.WorkerAnswer{Body: "answer", Cut: standin.Cut{Set: true}})
 		m := s.members[0]
 		Eventually(m.status("/once/x")).Should(Equal(http.StatusBadGateway))
-		before := len(w.Arrivals())
+		before := len(w.Requests())
 		got, err := m.ask("/once/x", "r-lost")
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.status).To(Equal(http.StatusBadGateway))
-		Expect(w.Arrivals()).To(HaveLen(before + 1))
+		Expect(w.Requests()).To(HaveLen(before + 1))
 		text := describe(m, "r-lost")
 		Expect(text).To(ContainSubstring("attempt 1 was sent to upstream i-1"))
 		Expect(text).To(ContainSubstring("upstream_cut"))
--- a/node/fleet_test.go
+++ b/node/fleet_test.go
@@ -127,7 +127,7 @@
 	core, logs := observer.New(zapcore.InfoLevel)
 	text := &logBuffer{}
 	log := zap.New(zapcore.NewTee(core, logsink.NewLogger(text, zapcore.InfoLevel).Core()))
-	n, err := node.New(config, platform.NewAdapter(platform.StoreSettings{Address: config.StoreAddress, Watch: 300 * time.Millisecond, Timeout: 500 * time.Millisecond}), log)
+	n, err := node.New(config, platform.NewAdapter(platform.StoreSettings{Address: config.StoreAddress, WatchWait: 300 * time.Millisecond, Timeout: 500 * time.Millisecond}), log)
 	s.Expect(err).NotTo(HaveOccurred())
 	n.Start()
 	m := &member{Gomega: s.Gomega, node: n, config: config, store: front, logs: logs, logText: text}
@@ -264,7 +264,7 @@
 	GinkgoHelper()
 	before := map[string]int{}
 	for _, w := range idle {
-		before[w.Instance()] = len(w.Arrivals())
+		before[w.Instance()] = len(w.Requests())
 	}
 	for i := range sequentialRequests {
 		got, err := m.ask("/a/x", fmt.Sprintf("r-%d", i))
@@ -272,7 +272,7 @@
 		m.Expect(got.body).To(Equal(body))
 	}
 	for _, w := range idle {
-		m.Expect(w.Arrivals()).To(HaveLen(before[w.Instance()]))
+		m.Expect(w.Requests()).To(HaveLen(before[w.Instance()]))
 	}
 }
 
--- a/node/node_test.go
+++ b/node/node_test.go
@@ -74,8 +74,8 @@
 		s.deleteWorkerEntry(second)
 		Eventually(m.knowsRemoved(second)).Should(BeTrue())
 		m.expectOnly("third", first, second)
-		Expect(len(second.Arrivals())).To(BeNumerically(">=", sequentialRequests))
-		Expect(len(third.Arrivals())).To(BeNumerically(">=", sequentialRequests))
+		Expect(len(second.Requests())).To(BeNumerically(">=", sequentialRequests))
+		Expect(len(third.Requests())).To(BeNumerically(">=", sequentialRequests))
 	})
 
 	It("follows the configuration through a neighbour while the store fails", func() {
@@ -116,7 +116,7 @@
 		s.startWorker(standin.WorkerAnswer{Body: "answer"})
 		m := s.members[0]
 		Eventually(m.status("/a/x")).Should(Equal(http.StatusOK))
-		m.store.Fail(standin.PlatformFaults{Deaf: true})
+		m.store.Fail(standin.PlatformFaults{DropWatches: true})
 		time.Sleep(400 * time.Millisecond)
 		s.configure(2, 100_000, "/b/")
 		m.store.Fail(standin.PlatformFaults{HistoryFrom: 1 << 40})
--- a/node/permits.go
+++ b/node/permits.go
@@ -238,7 +238,7 @@
 		return permitGrant{RetryMS: toMilliseconds(minPermitInterval), Limit: &limit}
 	}
 	grant := l.issuer.Issue(throttle.Request{
-		Incarnation:     throttle.Life{Upstream: limit.Upstream, StartedAtMS: limit.StartedAtMS},
+		Incarnation:     throttle.Incarnation{Upstream: limit.Upstream, StartedAtMS: limit.StartedAtMS},
 		Rate:     float64(limit.Rate),
 		Count:    r.Count,
 		MaxWait:   fromMilliseconds(r.WithinMS),
--- a/node/refusedrequest_test.go
+++ b/node/refusedrequest_test.go
@@ -135,7 +135,7 @@
 		s.clock = clock.Now
 		m := s.start()
 		s.configure(1, 1_000_000, "/once/")
-		s.startWorker(standin.WorkerAnswer{Silent: true})
+		s.startWorker(standin.WorkerAnswer{Hang: true})
 		Eventually(func() int { return m.logs.FilterMessage(event.Upstream).Len() }).Should(Equal(1))
 		Eventually(m.ready).Should(Equal(http.StatusOK))
 		status := make(chan int, 1)
--- a/node/suspension.go
+++ b/node/suspension.go
@@ -36,7 +36,7 @@
 		case <-ticker.C:
 		}
 		now := n.clock()
-		n.components.deadlines.Check(now)
+		n.components.deadlines.CancelExpired(now)
 		suspended := now.Sub(clockStart) - time.Since(monotonicStart)
 		if suspended-logged >= minLoggedSuspension {
 			n.log.Warn(event.Woke, zap.Duration("suspended", suspended-logged))
--- a/partner/bill/bill_test.go
+++ b/partner/bill/bill_test.go
@@ -51,7 +51,7 @@
 
 func charge(l *bill.Ledger, request string, tokens granitehoist.Tokens) {
 	GinkgoHelper()
-	Expect(l.ReserveRoom()).To(BeTrue())
+	Expect(l.ReserveSlot()).To(BeTrue())
 	l.Charge(bill.Charge{Request: granitehoist.RequestID(request), Budget: "tuul/kiosk/season", Owner: "lima", Tokens: tokens}, now)
 }
 
@@ -62,15 +62,15 @@
 var _ = Describe("Ledger", func() {
 	It("reserves no more than MaxPending charges", func() {
 		l := bill.NewLedger(bill.LedgerSettings{Incarnation: "b", MaxPending: 2})
-		Expect(l.ReserveRoom()).To(BeTrue())
-		Expect(l.ReserveRoom()).To(BeTrue())
-		Expect(l.ReserveRoom()).To(BeFalse())
-		l.ReleaseRoom()
-		Expect(l.ReserveRoom()).To(BeTrue())
+		Expect(l.ReserveSlot()).To(BeTrue())
+		Expect(l.ReserveSlot()).To(BeTrue())
+		Expect(l.ReserveSlot()).To(BeFalse())
+		l.ReleaseSlot()
+		Expect(l.ReserveSlot()).To(BeTrue())
 		l.Charge(bill.Charge{}, now)
-		Expect(l.ReserveRoom()).To(BeFalse(), "an unconfirmed charge counts towards MaxPending")
+		Expect(l.ReserveSlot()).To(BeFalse(), "an unconfirmed charge counts towards MaxPending")
 		l.Confirm(l.Next(1))
-		Expect(l.ReserveRoom()).To(BeTrue())
+		Expect(l.ReserveSlot()).To(BeTrue())
 	})
 
 	It("removes only the charges of a confirmed batch", func() {
--- a/partner/bill/ledger.go
+++ b/partner/bill/ledger.go
@@ -47,10 +47,10 @@
 	return &Ledger{settings: s}
 }
 
-// ReserveRoom reserves capacity for the charge of one request. It returns false if
-// MaxPending is reached, and the request must then not run. Each successful ReserveRoom
+// ReserveSlot reserves capacity for the charge of one request. It returns false if
+// MaxPending is reached, and the request must then not run. Each successful ReserveSlot
 // must be followed by one Charge or ReleaseRoom.
-func (l *Ledger) ReserveRoom() bool {
+func (l *Ledger) ReserveSlot() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.reserved+len(l.pending) >= l.settings.MaxPending {
@@ -60,8 +60,8 @@
 	return true
 }
 
-// ReleaseRoom releases the reservation of a request that makes no charge.
-func (l *Ledger) ReleaseRoom() {
+// ReleaseSlot releases the reservation of a request that makes no charge.
+func (l *Ledger) ReleaseSlot() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reserved--
--- a/partner/boxlist/boxlist_test.go
+++ b/partner/boxlist/boxlist_test.go
@@ -35,7 +35,7 @@
 	})
 
 	It("returns the listed boxes", func() {
-		store.ListBox("b", true)
+		store.SetBox("b", true)
 		Expect(client.Boxes(ctx)).To(HaveKeyWithValue(granitehoist.Box("b"), true))
 	})
 
@@ -46,7 +46,7 @@
 			Expect(err).To(MatchError(want))
 		},
 		Entry("store down", standin.StoreFaults{Down: true}, granitehoist.ErrUnavailable),
-		Entry("no response", standin.StoreFaults{Silent: true}, granitehoist.ErrUnknown),
+		Entry("no response", standin.StoreFaults{Hang: true}, granitehoist.ErrUnknown),
 		Entry("response after the timeout", standin.StoreFaults{Delay: 3 * time.Second}, granitehoist.ErrUnknown),
 	)
 
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -20,21 +20,21 @@
 type AgentSettings struct {
 	Box    granitehoist.Box
 	Ledger  *Purse
-	Keeper *Keeper
+	Allocator *Keeper
 	// Caller makes the calls to other routers.
 	Caller granitehoist.Caller
-	// RemoteKeeper returns the router whose Keeper serves a shard for this region. It
+	// RemoteAllocator returns the router whose Keeper serves a shard for this region. It
 	// returns false if that is this router or if there is none.
-	RemoteKeeper func(Shard) (granitehoist.Peer, bool)
+	RemoteAllocator func(Shard) (granitehoist.Peer, bool)
 	// Peers returns the other routers of the region.
 	Peers func() []granitehoist.Peer
 	Clock granitehoist.Clock
 	// Interval is the time between rounds of messages; zero means DefaultInterval. A
 	// waiting request starts a round at once.
 	Interval time.Duration
-	// Failed is called with each error; nil ignores them. The next round repeats the
+	// OnError is called with each error; nil ignores them. The next round repeats the
 	// failed calls.
-	Failed func(error)
+	OnError func(error)
 	// Shards is the number of shards; zero means DefaultShards.
 	Shards int
 }
@@ -64,13 +64,13 @@
 
 // NewAgent returns an Agent. It panics if a required setting is missing.
 func NewAgent(s AgentSettings) *Agent {
-	if s.Ledger == nil || s.Keeper == nil || s.Caller == nil || s.RemoteKeeper == nil || s.Peers == nil || s.Clock == nil {
+	if s.Ledger == nil || s.Allocator == nil || s.Caller == nil || s.RemoteAllocator == nil || s.Peers == nil || s.Clock == nil {
 		panic("budget: AgentSettings lacks a required field")
 	}
 	defaults.Set(&s.Interval, DefaultInterval)
 	defaults.Set(&s.Shards, DefaultShards)
-	if s.Failed == nil {
-		s.Failed = func(error) {}
+	if s.OnError == nil {
+		s.OnError = func(error) {}
 	}
 	return &Agent{settings: s, wakeups: make(chan struct{}, 1)}
 }
@@ -117,7 +117,7 @@
 	err := a.send(ctx, reports, SyncParams{Urgent: urgent}, now)
 	if err != nil {
 		// Reports contain running totals, so the next round replaces lost ones.
-		a.settings.Failed(err)
+		a.settings.OnError(err)
 	}
 	a.borrow(ctx, err != nil)
 }
@@ -135,7 +135,7 @@
 	for s, part := range byShard {
 		group.Go(func() error {
 			message := params
-			message.Asks = part
+			message.Reports = part
 			result, err := a.sync(ctx, s, message, now)
 			if err != nil {
 				return err
@@ -157,13 +157,13 @@
 // the error of the remote call: any router may serve the shard, and a failure of the
 // local Keeper reports what is wrong with the store.
 func (a *Agent) sync(ctx context.Context, s Shard, params SyncParams, now time.Time) (SyncResult, error) {
-	if peer, ok := a.settings.RemoteKeeper(s); ok {
+	if peer, ok := a.settings.RemoteAllocator(s); ok {
 		result, err := a.call(ctx, peer, ShardSync{Shard: s, Params: params})
 		if err == nil && !result.Unknown {
 			return result, nil
 		}
 	}
-	return a.settings.Keeper.Sync(ctx, s, params, now)
+	return a.settings.Allocator.Sync(ctx, s, params, now)
 }
 
 // call sends a message to the Keeper of another router.
@@ -185,7 +185,7 @@
 	if err != nil {
 		return pack.Message[SyncResult]{}, err
 	}
-	result, err := a.settings.Keeper.Sync(ctx, s.Shard, s.Params, a.settings.Clock())
+	result, err := a.settings.Allocator.Sync(ctx, s.Shard, s.Params, a.settings.Clock())
 	if err != nil {
 		return pack.Message[SyncResult]{}, err
 	}
--- a/partner/budget/allocator.go
+++ b/partner/budget/allocator.go
@@ -196,7 +196,7 @@
 	if s.Closing {
 		return
 	}
-	for _, report := range s.Asks {
+	for _, report := range s.Reports {
 		if a[report.Budget] == nil {
 			a[report.Budget] = map[granitehoist.Incarnation]Ask{}
 		}
@@ -208,7 +208,7 @@
 // that they are reported to it.
 func (a reportsByBudget) addUnconfirmedReturns(record *Page) {
 	for budget, account := range record.Accounts {
-		if account.Sent > account.Confirmed && a[budget] == nil {
+		if account.Returned > account.Confirmed && a[budget] == nil {
 			a[budget] = map[granitehoist.Incarnation]Ask{}
 		}
 	}
--- a/partner/budget/bench_test.go
+++ b/partner/budget/bench_test.go
@@ -18,7 +18,7 @@
 	replies := make([]budget.Reply, count)
 	for i := range ids {
 		ids[i] = granitehoist.NewBudgetID("tuul", "w", fmt.Sprint(i))
-		replies[i] = budget.Reply{Budget: ids[i], Granted: 1 << 40, Target: 1 << 40, Left: 1 << 40}
+		replies[i] = budget.Reply{Budget: ids[i], Granted: 1 << 40, Target: 1 << 40, Remaining: 1 << 40}
 	}
 	p.Apply(nil, replies, start)
 	return p, ids
--- a/partner/budget/budget_test.go
+++ b/partner/budget/budget_test.go
@@ -52,7 +52,7 @@
 // sync sends a box's reports to a Keeper and applies the replies.
 func (f *fixture) sync(allocator *budget.Keeper, p *budget.Purse) error {
 	reports, urgent := p.Reports(f.now)
-	params := budget.SyncParams{Box: "box", Incarnation: p.Incarnation(), Asks: reports, Urgent: urgent}
+	params := budget.SyncParams{Box: "box", Incarnation: p.Incarnation(), Reports: reports, Urgent: urgent}
 	result, err := allocator.Sync(ctx, 0, params, f.now)
 	if err == nil {
 		p.Apply(reports, result.Replies, f.now)
@@ -240,11 +240,11 @@
 	It("refuses messages of closed and of unknown incarnations", func() {
 		Expect(grant(tuul, p, 300)).To(Equal(budget.Granted))
 		reports, _ := p.Reports(f.now)
-		old := budget.SyncParams{Incarnation: "box-1", Asks: reports}
+		old := budget.SyncParams{Incarnation: "box-1", Reports: reports}
 		p.Settle(k, 300, 100, f.now)
 		p.Close()
 		reports, _ = p.Reports(f.now)
-		closing := budget.SyncParams{Incarnation: "box-1", Asks: reports, Closing: true}
+		closing := budget.SyncParams{Incarnation: "box-1", Reports: reports, Closing: true}
 		for range 2 {
 			_, err := tuul.Sync(ctx, 0, closing, f.now)
 			Expect(err).NotTo(HaveOccurred())
@@ -252,7 +252,7 @@
 		_, err := tuul.Sync(ctx, 0, old, f.now)
 		Expect(err).To(MatchError(budget.ErrUnknownIncarnation))
 		old.Incarnation = "box-9"
-		old.Asks = []budget.Ask{{Budget: k, Totals: budget.Totals{Granted: 5}}}
+		old.Reports = []budget.Ask{{Budget: k, Totals: budget.Totals{Granted: 5}}}
 		_, err = tuul.Sync(ctx, 0, old, f.now)
 		Expect(err).To(MatchError(budget.ErrUnknownIncarnation))
 		Expect(f.overview().Held["tuul"]).To(BeZero())
@@ -280,7 +280,7 @@
 			q := newPurse(granitehoist.Incarnation(string(rune('a' + i))))
 			q.Wait(k, 10, f.now)
 			reports, _ := q.Reports(f.now)
-			messages[i] = budget.SyncParams{Incarnation: q.Incarnation(), Asks: reports}
+			messages[i] = budget.SyncParams{Incarnation: q.Incarnation(), Reports: reports}
 		}
 		results, err := tuul.SyncAll(ctx, 0, messages, f.now)
 		Expect(err).NotTo(HaveOccurred())
--- a/partner/budget/differential_test.go
+++ b/partner/budget/differential_test.go
@@ -145,7 +145,7 @@
 		}
 		b.nextSync = c.now.Add(comparisonSyncInterval)
 		reports, urgent := b.ledger.Reports(c.now)
-		params := budget.SyncParams{Box: "box", Incarnation: b.ledger.Incarnation(), Asks: reports, Urgent: urgent}
+		params := budget.SyncParams{Box: "box", Incarnation: b.ledger.Incarnation(), Reports: reports, Urgent: urgent}
 		result, err := c.allocators[b.region].Sync(ctx, 0, params, c.now)
 		if err == nil {
 			b.ledger.Apply(reports, result.Replies, c.now)
--- a/partner/budget/example_test.go
+++ b/partner/budget/example_test.go
@@ -30,7 +30,7 @@
 	fmt.Println("held at first:", ledger.Reserve(id, 300))
 	waiter := ledger.Wait(id, 300, now)
 	reports, _ := ledger.Reports(now)
-	result, err := allocator.Sync(context.Background(), 0, budget.SyncParams{Incarnation: "box-1", Asks: reports}, now)
+	result, err := allocator.Sync(context.Background(), 0, budget.SyncParams{Incarnation: "box-1", Reports: reports}, now)
 	if err != nil {
 		fmt.Println(err)
 		return
--- a/partner/budget/historycheck_test.go
+++ b/partner/budget/historycheck_test.go
@@ -98,7 +98,7 @@
 			b.open = nil
 			b.ledger.Close()
 			reports, _ := b.ledger.Reports(h.now)
-			h.serve(b, budget.SyncParams{Incarnation: b.ledger.Incarnation(), Asks: reports, Closing: true, Urgent: true}, true)
+			h.serve(b, budget.SyncParams{Incarnation: b.ledger.Incarnation(), Reports: reports, Closing: true, Urgent: true}, true)
 		}
 	}
 	return h.checkConservation()
@@ -121,7 +121,7 @@
 			a = &budget.PageAccount{}
 		}
 		row := account.Regions[historyRegions[region]]
-		sum += a.Stock() + (row.Given - a.Received) + (a.Sent - row.Back)
+		sum += a.Stock() + (row.Granted - a.Received) + (a.Returned - row.Returned)
 	}
 	var lent, borrowed granitehoist.Tokens
 	for _, b := range append(append([]*historyBox(nil), h.boxes...), h.stopped...) {
--- a/partner/budget/historysteps_test.go
+++ b/partner/budget/historysteps_test.go
@@ -59,7 +59,7 @@
 // and applied if answered is set.
 func (h *history) sync(b *historyBox, arrives, answered bool) {
 	reports, urgent := b.ledger.Reports(h.now)
-	params := budget.SyncParams{Box: "box", Incarnation: b.ledger.Incarnation(), Asks: reports, Urgent: urgent}
+	params := budget.SyncParams{Box: "box", Incarnation: b.ledger.Incarnation(), Reports: reports, Urgent: urgent}
 	h.messages.syncs = appendCapped(h.messages.syncs, savedSync{b, params})
 	if arrives {
 		h.serve(b, params, answered)
@@ -71,9 +71,9 @@
 	if err != nil {
 		return
 	}
-	h.messages.replies = appendCapped(h.messages.replies, savedReply{b, params.Asks, results[0].Replies})
+	h.messages.replies = appendCapped(h.messages.replies, savedReply{b, params.Reports, results[0].Replies})
 	if answered {
-		b.ledger.Apply(params.Asks, results[0].Replies, h.now)
+		b.ledger.Apply(params.Reports, results[0].Replies, h.now)
 	}
 }
 
@@ -150,7 +150,7 @@
 
 func (h *history) sendClosing(b *historyBox) {
 	reports, _ := b.ledger.Reports(h.now)
-	params := budget.SyncParams{Box: "box", Incarnation: b.ledger.Incarnation(), Asks: reports, Closing: true}
+	params := budget.SyncParams{Box: "box", Incarnation: b.ledger.Incarnation(), Reports: reports, Closing: true}
 	h.messages.syncs = appendCapped(h.messages.syncs, savedSync{b, params})
 	if h.choose(2) == 0 {
 		h.serve(b, params, true)
@@ -166,7 +166,7 @@
 }
 
 func (h *history) injectStoreFaults() {
-	faults := []standin.StoreFaults{{}, {}, {Down: true}, {Silent: true}, {LoseEvery: 2}, {DropEvery: 2}, {LoseEvery: 3, DropEvery: 2}}
+	faults := []standin.StoreFaults{{}, {}, {Down: true}, {Hang: true}, {LoseEvery: 2}, {DropEvery: 2}, {LoseEvery: 3, DropEvery: 2}}
 	h.store.Fail(faults[h.choose(len(faults))])
 }
 
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -124,7 +124,7 @@
 func (a *Agent) borrowFrom(ctx context.Context, peer granitehoist.Peer, params BorrowParams) {
 	var result BorrowResult
 	if err := a.settings.Caller.Call(ctx, peer, MethodBorrow, params, &result); err != nil {
-		a.settings.Failed(fmt.Errorf("budget: borrow from %s: %w", peer.Incarnation, err))
+		a.settings.OnError(fmt.Errorf("budget: borrow from %s: %w", peer.Incarnation, err))
 		if len(a.unanswered) < maxUnansweredLoans {
 			a.unanswered = append(a.unanswered, unansweredLoan{peer, params.Budget})
 		}
--- a/partner/budget/messages.go
+++ b/partner/budget/messages.go
@@ -55,7 +55,7 @@
 type SyncParams struct {
 	Box         granitehoist.Box         `json:"box"`
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
-	Asks        []Ask                    `json:"asks"`
+	Reports        []Ask                    `json:"asks"`
 	// Urgent means that requests wait for the answer.
 	Urgent bool `json:"urgent,omitempty"`
 	// Closing means that the box is stopping and that its reports return all it holds.
@@ -69,9 +69,9 @@
 	Granted granitehoist.Tokens `json:"g"`
 	// Target is what the box should hold; it returns what it has beyond that.
 	Target granitehoist.Tokens `json:"t"`
-	// Left is what the whole budget has left by the last reports of all holders. It is
+	// Remaining is what the whole budget has left by the last reports of all holders. It is
 	// never less than what the box could still get.
-	Left granitehoist.Tokens `json:"x"`
+	Remaining granitehoist.Tokens `json:"x"`
 	// Lenders names the incarnations of the region with the largest holdings, if the
 	// grant does not cover the need.
 	Lenders []granitehoist.Incarnation `json:"b,omitempty"`
--- a/partner/budget/overview.go
+++ b/partner/budget/overview.go
@@ -20,8 +20,8 @@
 	Held        map[granitehoist.Region]granitehoist.Tokens `json:"held"`
 	InDoubt     granitehoist.Tokens                         `json:"in_doubt"`
 	Charged     granitehoist.Tokens                         `json:"charged"`
-	// OnTheWay is in transit between the root and the regions.
-	OnTheWay granitehoist.Tokens `json:"on_the_way"`
+	// InTransit is in transit between the root and the regions.
+	InTransit granitehoist.Tokens `json:"on_the_way"`
 }
 
 // States is a snapshot of the records of all budgets. It is immutable.
@@ -89,7 +89,7 @@
 	if root != nil {
 		o.Prepaid, o.Unallocated = root.Prepaid, root.Unallocated()
 		for _, row := range root.Regions {
-			o.OnTheWay += row.Given - row.Back
+			o.InTransit += row.Granted - row.Returned
 		}
 	}
 	for region, record := range s.pages[shard] {
@@ -97,7 +97,7 @@
 		if a == nil {
 			continue
 		}
-		o.OnTheWay -= a.Received - a.Sent
+		o.InTransit -= a.Received - a.Returned
 		o.Stock[region] = a.Stock()
 		o.Held[region] = a.Held()
 		o.Charged += a.Spent()
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -38,8 +38,8 @@
 // Member is the state of one incarnation in a region.
 type Member struct {
 	Box granitehoist.Box `json:"box"`
-	// Seen is the time of its last report in Unix seconds, to seenResolution.
-	Seen int64 `json:"seen"`
+	// LastSeen is the time of its last report in Unix seconds, to seenResolution.
+	LastSeen int64 `json:"seen"`
 	// Closed means that it stopped gracefully and holds nothing.
 	Closed bool `json:"closed,omitempty"`
 }
@@ -48,17 +48,17 @@
 type PageAccount struct {
 	// Received is the total received from the root. Sent is the total returned to it.
 	Received granitehoist.Tokens `json:"in,omitempty"`
-	Sent     granitehoist.Tokens `json:"out,omitempty"`
+	Returned     granitehoist.Tokens `json:"out,omitempty"`
 	// Confirmed is the part of Sent that the root has confirmed.
 	Confirmed granitehoist.Tokens `json:"conf,omitempty"`
-	// Folded has the sums of removed rows.
-	Folded Totals `json:"folded"`
+	// Retired has the sums of removed rows.
+	Retired Totals `json:"folded"`
 	// ReportedAt is when the account was last reported to the root, in Unix seconds.
 	ReportedAt int64 `json:"told,omitempty"`
 	// Limit is how much the region may hold, and Elsewhere what the whole budget has left
 	// outside the region, both as of the root's last reply.
 	Limit     granitehoist.Tokens `json:"limit,omitempty"`
-	Elsewhere granitehoist.Tokens `json:"else,omitempty"`
+	RemainingElsewhere granitehoist.Tokens `json:"else,omitempty"`
 	// Rows holds the incarnations that drew on the region's stock.
 	Rows map[granitehoist.Incarnation]Row `json:"rows,omitempty"`
 }
@@ -72,9 +72,9 @@
 
 // RegionRow is the state of one region in a root account.
 type RegionRow struct {
-	// Given is the total granted to the region. Back is the total that it returned.
-	Given granitehoist.Tokens `json:"g,omitempty"`
-	Back  granitehoist.Tokens `json:"b,omitempty"`
+	// Granted is the total granted to the region. Back is the total that it returned.
+	Granted granitehoist.Tokens `json:"g,omitempty"`
+	Returned  granitehoist.Tokens `json:"b,omitempty"`
 	// Spent is the total charged in the region. Live is what it holds that is not in doubt.
 	// Both are as last reported.
 	Spent granitehoist.Tokens `json:"s,omitempty"`
@@ -83,14 +83,14 @@
 	// request. Both are as last reported at Seen, in Unix seconds.
 	Rate    float64             `json:"f,omitempty"`
 	Largest granitehoist.Tokens `json:"m,omitempty"`
-	Seen    int64               `json:"seen,omitempty"`
+	LastSeen    int64               `json:"seen,omitempty"`
 }
 
 // RootAccount is one budget in a root record.
 type RootAccount struct {
 	Prepaid granitehoist.Tokens `json:"prepaid"`
-	// PrepaidAt is the serial of the configuration that Prepaid was read from.
-	PrepaidAt granitehoist.Serial               `json:"at"`
+	// PrepaidSerial is the serial of the configuration that Prepaid was read from.
+	PrepaidSerial granitehoist.Serial               `json:"at"`
 	Regions   map[granitehoist.Region]RegionRow `json:"regions,omitempty"`
 }
 
@@ -207,7 +207,7 @@
 
 // Stock returns the region's tokens that no incarnation holds.
 func (a *PageAccount) Stock() granitehoist.Tokens {
-	stock := a.Received - a.Sent - a.Folded.Granted + a.Folded.Returned
+	stock := a.Received - a.Returned - a.Retired.Granted + a.Retired.Returned
 	for _, row := range a.Rows {
 		stock -= row.Totals.Granted - row.Totals.Returned
 	}
@@ -216,7 +216,7 @@
 
 // Spent returns the total charged in the region, as last reported.
 func (a *PageAccount) Spent() granitehoist.Tokens {
-	spent := a.Folded.Spent
+	spent := a.Retired.Spent
 	for _, row := range a.Rows {
 		spent += row.Totals.Spent
 	}
@@ -245,7 +245,7 @@
 	}
 	var inDoubt granitehoist.Tokens
 	for incarnation, row := range a.Rows {
-		seen := time.Unix(p.Members[incarnation].Seen, 0)
+		seen := time.Unix(p.Members[incarnation].LastSeen, 0)
 		if now.Sub(seen) > inDoubtAfter {
 			inDoubt += row.Totals.Held()
 		}
@@ -258,7 +258,7 @@
 func (a *RootAccount) Unallocated() granitehoist.Tokens {
 	remaining := a.Prepaid
 	for _, row := range a.Regions {
-		remaining -= row.Given - row.Back
+		remaining -= row.Granted - row.Returned
 	}
 	return remaining
 }
--- a/partner/budget/region.go
+++ b/partner/budget/region.go
@@ -22,20 +22,20 @@
 		// A repeated closing message, after the answer to the first was lost.
 		return s.Closing
 	}
-	for _, report := range s.Asks {
+	for _, report := range s.Reports {
 		if !p.acceptsReport(s.Incarnation, report) {
 			return false
 		}
 	}
-	for _, report := range s.Asks {
+	for _, report := range s.Reports {
 		p.mergeReport(s.Incarnation, report)
 		if s.Closing {
 			p.revokeUnseenGrants(s.Incarnation, report)
 		}
 	}
-	member := Member{Box: s.Box, Seen: p.Members[s.Incarnation].Seen}
-	if now.Unix()-member.Seen >= seenResolution {
-		member.Seen = now.Unix()
+	member := Member{Box: s.Box, LastSeen: p.Members[s.Incarnation].LastSeen}
+	if now.Unix()-member.LastSeen >= seenResolution {
+		member.LastSeen = now.Unix()
 	}
 	if s.Closing && p.holdsNothing(s.Incarnation) {
 		p.retire(s.Incarnation)
@@ -107,7 +107,7 @@
 		if !ok {
 			continue
 		}
-		a.Folded = a.Folded.add(row.Totals)
+		a.Retired = a.Retired.add(row.Totals)
 		delete(a.Rows, i)
 	}
 }
@@ -139,7 +139,7 @@
 		// The root has recalled all tokens of the region.
 		available = 0
 	}
-	remaining := live + a.Elsewhere + a.Sent - a.Confirmed
+	remaining := live + a.RemainingElsewhere + a.Returned - a.Confirmed
 	reserve := min(idleReserve(remaining, len(a.Rows)), available/granitehoist.Tokens(max(1, len(a.Rows))))
 	allocate(claims, supply{stock: a.Stock(), total: available, rate: rate, idleReserve: reserve}, split.withDefaults())
 	replies := make(map[granitehoist.Incarnation]Reply, len(ids))
@@ -149,7 +149,7 @@
 		row.Need = max(0, row.Need-claims[n].grant)
 		row.Least = min(row.Need, row.Least)
 		a.Rows[id] = row
-		replies[id] = Reply{Budget: k, Granted: row.Totals.Granted, Target: claims[n].limit, Left: remaining}
+		replies[id] = Reply{Budget: k, Granted: row.Totals.Granted, Target: claims[n].limit, Remaining: remaining}
 		if reports[id].Need > row.Totals.Granted {
 			replies[id] = withLenders(replies[id], a, id)
 		}
@@ -194,7 +194,7 @@
 	total := a.Stock()
 	var rate float64
 	for _, id := range sortedKeys(a.Rows) {
-		if now.Sub(time.Unix(p.Members[id].Seen, 0)) > inDoubtAfter {
+		if now.Sub(time.Unix(p.Members[id].LastSeen, 0)) > inDoubtAfter {
 			continue
 		}
 		total += a.Rows[id].Totals.Held()
@@ -242,7 +242,7 @@
 	report.Need = max(0, report.Need-stock)
 	report.Least = min(report.Need, max(0, report.Least-stock))
 	report.Live = live
-	report.Received, report.Returned = a.Received, a.Sent
+	report.Received, report.Returned = a.Received, a.Returned
 	target := max(tokensFor(rate, split.withDefaults().forRegions().Cover), idleReserveRequests*report.LargestSum)
 	report.Want = max(report.Need, target-report.Live)
 	if report.Need == 0 || stock < least {
@@ -254,7 +254,7 @@
 // hasUnconfirmedReturns reports whether the root has yet to confirm returned tokens.
 func (p *Page) hasUnconfirmedReturns() bool {
 	for _, a := range p.Accounts {
-		if a.Sent > a.Confirmed {
+		if a.Returned > a.Confirmed {
 			return true
 		}
 	}
@@ -268,5 +268,5 @@
 	a.Confirmed = max(a.Confirmed, r.Returned)
 	a.Received = max(a.Received, r.Given)
 	a.Limit = r.Limit
-	a.Elsewhere = r.Elsewhere
+	a.RemainingElsewhere = r.Elsewhere
 }
--- a/partner/budget/report.go
+++ b/partner/budget/report.go
@@ -94,7 +94,7 @@
 		if !p.closing {
 			a.totals.Granted = max(a.totals.Granted, r.Granted)
 		}
-		a.reply = lastReply{received: true, receivedAt: now, target: r.Target, remaining: r.Left, lenders: r.Lenders}
+		a.reply = lastReply{received: true, receivedAt: now, target: r.Target, remaining: r.Remaining, lenders: r.Lenders}
 		a.serveWaiters()
 		a.rejectWaiters()
 		before := reported[r.Budget]
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -27,11 +27,11 @@
 // effect as they return tokens.
 func (r *Root) setPrepaid(k granitehoist.BudgetID, prepaid granitehoist.Tokens, serial granitehoist.Serial) {
 	a := r.account(k)
-	if serial <= a.PrepaidAt {
+	if serial <= a.PrepaidSerial {
 		return
 	}
 	a.Prepaid = prepaid
-	a.PrepaidAt = serial
+	a.PrepaidSerial = serial
 }
 
 // account returns the account of a budget and creates it if needed.
@@ -56,11 +56,11 @@
 func (r *Root) serve(region granitehoist.Region, report RegionAsk, split Split, now time.Time) regionReply {
 	a := r.account(report.Budget)
 	row := a.Regions[region]
-	row.Back = max(row.Back, report.Returned)
+	row.Returned = max(row.Returned, report.Returned)
 	row.Spent = max(row.Spent, report.Spent)
-	row.Live, row.Rate, row.Largest, row.Seen = report.Live, report.Rate, report.Largest, now.Unix()
+	row.Live, row.Rate, row.Largest, row.LastSeen = report.Live, report.Rate, report.Largest, now.Unix()
 	// Earlier grants that the region has not seen yet are in transit.
-	inTransit := row.Given - report.Received
+	inTransit := row.Granted - report.Received
 	a.Regions[region] = row
 
 	unallocated := max(0, a.Unallocated())
@@ -81,7 +81,7 @@
 		rate:        rate + row.Rate,
 		idleReserve: idleReserve(total, len(a.Regions)),
 	}, split.withDefaults().forRegions())
-	row.Given += c.grant
+	row.Granted += c.grant
 	row.Live += c.grant
 	a.Regions[region] = row
 	limit := c.limit
@@ -90,8 +90,8 @@
 	}
 	return regionReply{
 		Budget:    report.Budget,
-		Given:     row.Given,
-		Returned:  row.Back,
+		Given:     row.Granted,
+		Returned:  row.Returned,
 		Limit:     limit,
 		Elsewhere: unallocated - c.grant + elsewhere,
 	}
@@ -108,7 +108,7 @@
 			continue
 		}
 		held += max(0, row.Live)
-		if now.Sub(time.Unix(row.Seen, 0)) <= regionStaleAfter {
+		if now.Sub(time.Unix(row.LastSeen, 0)) <= regionStaleAfter {
 			rate += row.Rate
 		}
 	}
--- a/partner/budget/surplus.go
+++ b/partner/budget/surplus.go
@@ -63,6 +63,6 @@
 func (a *PageAccount) returnStockSurplus(live granitehoist.Tokens) {
 	surplus := min(a.Stock(), live-a.Limit)
 	if surplus > live/regionSurplusDivisor {
-		a.Sent += surplus
+		a.Returned += surplus
 	}
 }
--- a/partner/config/view.go
+++ b/partner/config/view.go
@@ -190,9 +190,9 @@
 	return ids
 }
 
-// OfferOfService returns the service with the given name, and false if there is none. The
+// OfferByService returns the service with the given name, and false if there is none. The
 // caller's partner takes precedence, then other partners in order of their names.
-func (v *View) OfferOfService(caller granitehoist.Partner, s granitehoist.Service) (*Offer, bool) {
+func (v *View) OfferByService(caller granitehoist.Partner, s granitehoist.Service) (*Offer, bool) {
 	for _, p := range v.partnersFrom(caller) {
 		if offer, ok := p.offers[s]; ok {
 			return offer, true
@@ -201,9 +201,9 @@
 	return nil, false
 }
 
-// OfferOfModel returns the engine service that offers a model, with the precedence of
+// OfferByModel returns the engine service that offers a model, with the precedence of
 // OfferOfService.
-func (v *View) OfferOfModel(caller granitehoist.Partner, m granitehoist.Model) (*Offer, bool) {
+func (v *View) OfferByModel(caller granitehoist.Partner, m granitehoist.Model) (*Offer, bool) {
 	for _, p := range v.partnersFrom(caller) {
 		if offer, ok := p.models[m]; ok {
 			return offer, true
--- a/partner/gate/binding.go
+++ b/partner/gate/binding.go
@@ -41,7 +41,7 @@
 // releaseBinding releases a binding if err says that the request did not run, so that the
 // caller may repeat it. It returns err. If the release fails the record stays bound.
 func (g *Gate) releaseBinding(ctx context.Context, b *once.Binding, err error) error {
-	if b == nil || granitehoist.CodeOf(err).Info().Fate != granitehoist.NotRun {
+	if b == nil || granitehoist.CodeOf(err).Info().Execution != granitehoist.NotRun {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), bindingTimeout)
--- a/partner/gate/charge.go
+++ b/partner/gate/charge.go
@@ -34,7 +34,7 @@
 // be incomplete, so the engine is queried.
 func decideSettlement(a attemptOutcome) settlement {
 	switch {
-	case a.code.Info().Fate == granitehoist.NotRun:
+	case a.code.Info().Execution == granitehoist.NotRun:
 		return keepReservation
 	case a.plain:
 		return settleBound
--- a/partner/gate/costtracker.go
+++ b/partner/gate/costtracker.go
@@ -37,7 +37,7 @@
 	if t.reserved {
 		return nil
 	}
-	if err := t.gate.settings.Funds.Reserve(ctx, t.request.plan.budget, t.request.plan.bound); err != nil {
+	if err := t.gate.settings.Budgets.Reserve(ctx, t.request.plan.budget, t.request.plan.bound); err != nil {
 		return err
 	}
 	t.reserved = true
@@ -69,7 +69,7 @@
 
 // settle ends one reservation with the used tokens.
 func (t *costTracker) settle(tokens granitehoist.Tokens) {
-	t.gate.settings.Funds.Settle(t.request.plan.budget, t.request.plan.bound, tokens)
+	t.gate.settings.Budgets.Settle(t.request.plan.budget, t.request.plan.bound, tokens)
 	t.charge.Tokens += tokens
 }
 
@@ -77,7 +77,7 @@
 // attempts, it does the latter in the background, after querying their upstreams.
 func (t *costTracker) finish() {
 	if t.reserved {
-		t.gate.settings.Funds.Settle(t.request.plan.budget, t.request.plan.bound, 0)
+		t.gate.settings.Budgets.Settle(t.request.plan.budget, t.request.plan.bound, 0)
 		t.reserved = false
 	}
 	if len(t.unsettled) == 0 {
@@ -123,7 +123,7 @@
 func (t *costTracker) recordCharge() {
 	cost := requestCost{mayHaveRun: t.mayHaveRun, plain: t.isPlain(), wasUnsettled: len(t.unsettled) > 0, tokens: t.charge.Tokens}
 	if !isCharged(cost) {
-		t.gate.settings.Ledger.ReleaseRoom()
+		t.gate.settings.Ledger.ReleaseSlot()
 		return
 	}
 	c := t.charge
--- a/partner/gate/fakes_test.go
+++ b/partner/gate/fakes_test.go
@@ -171,7 +171,7 @@
 		Zone:        "gachuurt",
 		Incarnation: "box-1",
 		View:        func() *config.View { return s.view },
-		Funds:       s.funds,
+		Budgets:       s.funds,
 		Ledger:      s.ledger,
 		Once:        once.New(once.Settings{Store: s.store}),
 		Table:       route.NewTable(route.Settings{}),
--- a/partner/gate/gate.go
+++ b/partner/gate/gate.go
@@ -112,9 +112,9 @@
 	return size
 }
 
-// Unready makes PathReady respond with 503, so that load balancers stop sending requests.
+// MarkUnready makes PathReady respond with 503, so that load balancers stop sending requests.
 // The gate still accepts requests.
-func (g *Gate) Unready() { g.unready.Store(true) }
+func (g *Gate) MarkUnready() { g.unready.Store(true) }
 
 // Drain makes the gate unready and refuses new requests. Requests in progress continue.
 func (g *Gate) Drain() { g.draining.Store(true) }
--- a/partner/gate/gate_test.go
+++ b/partner/gate/gate_test.go
@@ -140,7 +140,7 @@
 	})
 
 	It("still serves requests while not ready", func() {
-		s.gate.Unready()
+		s.gate.MarkUnready()
 		Expect(s.send(http.MethodGet, gate.PathReady, "").status).To(Equal(http.StatusServiceUnavailable))
 		Expect(s.chat(goodBody).status).To(Equal(http.StatusOK))
 	})
--- a/partner/gate/log.go
+++ b/partner/gate/log.go
@@ -28,7 +28,7 @@
 		zap.String("request", string(req.input.id)),
 		zap.String("workspace", string(req.input.identity.Partner)+"/"+string(req.input.identity.Workspace)),
 		zap.Int("code", int(code)),
-		zap.String("fate", string(code.Info().Fate)),
+		zap.String("fate", string(code.Info().Execution)),
 		zap.Duration("took", g.settings.Clock().Sub(req.input.startedAt)),
 	}
 	if req.input.offer != nil {
--- a/partner/gate/metrics.go
+++ b/partner/gate/metrics.go
@@ -31,11 +31,11 @@
 	if p.chunks == 0 {
 		took := now.Sub(req.input.startedAt)
 		g.recordTime("first_token", took)
-		p.counts.CountFirst(took)
+		p.counts.RecordFirstToken(took)
 	} else if req.sink.stream {
 		gap := now.Sub(p.lastChunkAt)
 		g.recordTime("between_tokens", gap)
-		p.counts.CountBetween(gap)
+		p.counts.RecordTokenGap(gap)
 	}
 	p.chunks++
 	p.lastChunkAt = now
--- a/partner/gate/read.go
+++ b/partner/gate/read.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	offer, ok := g.settings.View().OfferOfModel(req.input.identity.Partner, c.model)
+	offer, ok := g.settings.View().OfferByModel(req.input.identity.Partner, c.model)
 	if !ok {
 		return granitehoist.Errorf(granitehoist.UnknownModel, "model %q", c.model)
 	}
@@ -120,7 +120,7 @@
 // readPlain reads a request to a plain service.
 func (g *Gate) readPlain(w http.ResponseWriter, r *http.Request, req *request) error {
 	name := granitehoist.Service(r.PathValue("service"))
-	offer, ok := g.settings.View().OfferOfService(req.input.identity.Partner, name)
+	offer, ok := g.settings.View().OfferByService(req.input.identity.Partner, name)
 	if !ok || offer.Kind != config.KindPlain {
 		return granitehoist.Errorf(granitehoist.UnknownService, "service %q", name)
 	}
--- a/partner/gate/refusals.go
+++ b/partner/gate/refusals.go
@@ -48,7 +48,7 @@
 		Code:    int(info.Code),
 		Type:    info.Name,
 		Message: e.Message(),
-		Fate:    info.Fate,
+		Fate:    info.Execution,
 		Advice:  info.Advice,
 		Request: id,
 	}}
@@ -63,7 +63,7 @@
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderRequest, string(id))
 	header.Set(HeaderCode, strconv.Itoa(int(info.Code)))
-	header.Set(HeaderFate, string(info.Fate))
+	header.Set(HeaderFate, string(info.Execution))
 	if wait := retryAfter(e); wait > 0 {
 		header.Set("Retry-After", strconv.Itoa(ceilSeconds(wait)))
 	}
--- a/partner/gate/result.go
+++ b/partner/gate/result.go
@@ -15,7 +15,7 @@
 // attempt that may have run, nil if there is none, and last is the newest error. An attempt
 // that did not run doesn't replace one that may have.
 func overallError(uncertain, last error) error {
-	if uncertain != nil && granitehoist.CodeOf(last).Info().Fate == granitehoist.NotRun {
+	if uncertain != nil && granitehoist.CodeOf(last).Info().Execution == granitehoist.NotRun {
 		return uncertain
 	}
 	return last
@@ -25,7 +25,7 @@
 // running attempt. An error after which the request may have run becomes CallerGone; the
 // error of a request that did not run keeps its code.
 func finalError(err error, disconnected bool) error {
-	if err == nil || !disconnected || granitehoist.CodeOf(err).Info().Fate == granitehoist.NotRun {
+	if err == nil || !disconnected || granitehoist.CodeOf(err).Info().Execution == granitehoist.NotRun {
 		return err
 	}
 	return granitehoist.Wrap(granitehoist.CallerGone, err, "")
--- a/partner/gate/retry.go
+++ b/partner/gate/retry.go
@@ -51,7 +51,7 @@
 		return stopContextDone
 	case s.code == granitehoist.BadRequest:
 		return stopBadRequest
-	case s.code.Info().Fate != granitehoist.NotRun && !s.repeatable:
+	case s.code.Info().Execution != granitehoist.NotRun && !s.repeatable:
 		return stopMayHaveRun
 	}
 	return retryAllowed
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -60,12 +60,12 @@
 	if err := g.checkCrashHistory(req); err != nil {
 		return err
 	}
-	if !g.settings.Ledger.ReserveRoom() {
+	if !g.settings.Ledger.ReserveSlot() {
 		return granitehoist.Errorf(granitehoist.BillsFull, "")
 	}
 	cost := &costTracker{gate: g, request: req}
 	if err := cost.reserve(ctx); err != nil {
-		g.settings.Ledger.ReleaseRoom()
+		g.settings.Ledger.ReleaseSlot()
 		return err
 	}
 	err = g.execute(ctx, req, cost)
@@ -125,7 +125,7 @@
 			return nil
 		}
 		err = overallError(uncertain, err)
-		if granitehoist.CodeOf(err).Info().Fate != granitehoist.NotRun {
+		if granitehoist.CodeOf(err).Info().Execution != granitehoist.NotRun {
 			uncertain = err
 		}
 		if !g.acquireRetry(ctx, req, cost, err, attempt) {
@@ -168,7 +168,7 @@
 		return u, nil
 	}
 	service := req.input.offer.Name
-	if offer, ok := g.settings.View().OfferOfService(req.input.identity.Partner, service); ok {
+	if offer, ok := g.settings.View().OfferByService(req.input.identity.Partner, service); ok {
 		if u, ok := offer.Upstream(name); ok {
 			return u, nil
 		}
--- a/partner/gate/settings.go
+++ b/partner/gate/settings.go
@@ -39,8 +39,8 @@
 	Incarnation granitehoist.Incarnation
 	// View returns the documents in force.
 	View func() *config.View
-	// Funds reserves the tokens of a request and settles them.
-	Funds Funds
+	// Budgets reserves the tokens of a request and settles them.
+	Budgets Funds
 	// Ledger receives one charge for each request that may have run.
 	Ledger *bill.Ledger
 	// Once binds requests that are not to be repeated.
@@ -78,7 +78,7 @@
 // complete reports whether all required settings are set.
 func (s *Settings) complete() bool {
 	identified := s.Incarnation != ""
-	connected := s.View != nil && s.Funds != nil && s.Ledger != nil && s.Once != nil && s.Table != nil && s.Protocols != nil
+	connected := s.View != nil && s.Budgets != nil && s.Ledger != nil && s.Once != nil && s.Table != nil && s.Protocols != nil
 	equipped := s.Clock != nil && s.Random != nil && s.Log != nil && s.Metrics != nil
 	return identified && connected && equipped
 }
--- a/partner/once/registry_test.go
+++ b/partner/once/registry_test.go
@@ -113,7 +113,7 @@
 			Expect(got).To(Equal(code))
 		},
 		Entry("down", standin.StoreFaults{Down: true}, granitehoist.OnceUnavailable),
-		Entry("no response", standin.StoreFaults{Silent: true}, granitehoist.OnceUnavailable),
+		Entry("no response", standin.StoreFaults{Hang: true}, granitehoist.OnceUnavailable),
 		Entry("the reply to the write is lost", standin.StoreFaults{LoseEvery: 1}, granitehoist.Served),
 		Entry("the write is dropped", standin.StoreFaults{DropEvery: 1}, granitehoist.OnceUnavailable),
 	)
--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -51,8 +51,8 @@
 	Found   int `json:"found"`
 	Charged int `json:"charged"`
 	Running int `json:"running"`
-	// Unreached lists the engines that failed to list their attempts.
-	Unreached []granitehoist.Upstream `json:"unreached,omitempty"`
+	// UnreachableEngines lists the engines that failed to list their attempts.
+	UnreachableEngines []granitehoist.Upstream `json:"unreached,omitempty"`
 }
 
 // settlement is the state of one call of Settle.
@@ -91,7 +91,7 @@
 	for _, e := range s.engines() {
 		attempts, err := s.settings.Engines.List(ctx, e.Address, granitehoist.AttemptPrefix(dead))
 		if err != nil {
-			job.result.Unreached = append(job.result.Unreached, e.Name)
+			job.result.UnreachableEngines = append(job.result.UnreachableEngines, e.Name)
 			continue
 		}
 		for _, a := range attempts {
--- a/partner/orphan/orphan_test.go
+++ b/partner/orphan/orphan_test.go
@@ -90,7 +90,7 @@
 			result, err := settler.Settle(ctx, dead, false, now)
 			Expect(err).NotTo(HaveOccurred())
 			Expect(result.Found).To(Equal(1))
-			Expect(result.Unreached).To(Equal([]granitehoist.Upstream{"p2"}))
+			Expect(result.UnreachableEngines).To(Equal([]granitehoist.Upstream{"p2"}))
 		}
 		Expect(charges()).To(HaveLen(1))
 		c := charges()[0]
@@ -171,13 +171,13 @@
 
 	It("lists routers that stopped reporting without a graceful stop", func() {
 		page := budget.NewPage()
-		page.Members["alive"] = budget.Member{Seen: now.Unix()}
-		page.Members["stopped"] = budget.Member{Seen: now.Add(-time.Hour).Unix(), Closed: true}
-		page.Members[dead] = budget.Member{Seen: now.Add(-time.Hour).Unix()}
+		page.Members["alive"] = budget.Member{LastSeen: now.Unix()}
+		page.Members["stopped"] = budget.Member{LastSeen: now.Add(-time.Hour).Unix(), Closed: true}
+		page.Members[dead] = budget.Member{LastSeen: now.Add(-time.Hour).Unix()}
 		raw, err := pack.Pack(page)
 		Expect(err).NotTo(HaveOccurred())
 		_, err = store.Create(ctx, keys, budget.PageKey("tuul", 0), raw)
 		Expect(err).NotTo(HaveOccurred())
-		Expect(settler.Silent(ctx, now)).To(Equal([]granitehoist.Incarnation{dead}))
+		Expect(settler.UnresponsiveRouters(ctx, now)).To(Equal([]granitehoist.Incarnation{dead}))
 	})
 })
--- a/partner/orphan/silent.go
+++ b/partner/orphan/silent.go
@@ -31,10 +31,10 @@
 	return !l.closed && now.Sub(time.Unix(l.at, 0)) > SilentAfter
 }
 
-// Silent returns, in order, the incarnations of the region that drew on budgets, did not
+// UnresponsiveRouters returns, in order, the incarnations of the region that drew on budgets, did not
 // stop gracefully and have not reported for more than SilentAfter. It returns the errors
 // of the store, and an error if a budget page can't be decoded.
-func (s *Settler) Silent(ctx context.Context, now time.Time) ([]granitehoist.Incarnation, error) {
+func (s *Settler) UnresponsiveRouters(ctx context.Context, now time.Time) ([]granitehoist.Incarnation, error) {
 	seen, err := s.readLastSeen(ctx)
 	if err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 		}
 		for id, m := range page.Members {
 			l := seen[id]
-			seen[id] = lastSeen{at: max(l.at, m.Seen), closed: l.closed || m.Closed}
+			seen[id] = lastSeen{at: max(l.at, m.LastSeen), closed: l.closed || m.Closed}
 		}
 	}
 	return seen, nil
--- a/partner/report/burn.go
+++ b/partner/report/burn.go
@@ -63,7 +63,7 @@
 				continue
 			}
 			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\n", row.Key.Service, row.Key.Workspace, row.Key.Zone, c.Requests,
-				Rate(c.SlowFirst, c.First), Rate(c.SlowBetween, c.Between), Rate(c.Refused, c.Requests), Rate(c.Errors, c.Requests))
+				Rate(c.SlowFirstTokens, c.FirstTokens), Rate(c.SlowTokenGaps, c.TokenGaps), Rate(c.Refused, c.Requests), Rate(c.Errors, c.Requests))
 		}
 		fmt.Fprintln(table)
 		if err := table.Flush(); err != nil {
--- a/partner/report/counts.go
+++ b/partner/report/counts.go
@@ -24,12 +24,12 @@
 type Counts struct {
 	// Requests counts all ended requests, whatever their result.
 	Requests int `json:"requests"`
-	// First counts responses with a first token and Between gaps between tokens;
+	// FirstTokens counts responses with a first token and Between gaps between tokens;
 	// SlowFirst and SlowBetween count those that missed the objective.
-	First       int `json:"first"`
-	SlowFirst   int `json:"slow_first"`
-	Between     int `json:"between"`
-	SlowBetween int `json:"slow_between"`
+	FirstTokens       int `json:"first"`
+	SlowFirstTokens   int `json:"slow_first"`
+	TokenGaps     int `json:"between"`
+	SlowTokenGaps int `json:"slow_between"`
 	// Refused counts requests rejected for lack of budget, capacity or upstreams,
 	// Errors those that failed in an upstream or a router. Client errors count as
 	// neither.
@@ -41,28 +41,28 @@
 func (c Counts) Add(d Counts) Counts {
 	return Counts{
 		Requests:    c.Requests + d.Requests,
-		First:       c.First + d.First,
-		SlowFirst:   c.SlowFirst + d.SlowFirst,
-		Between:     c.Between + d.Between,
-		SlowBetween: c.SlowBetween + d.SlowBetween,
+		FirstTokens:       c.FirstTokens + d.FirstTokens,
+		SlowFirstTokens:   c.SlowFirstTokens + d.SlowFirstTokens,
+		TokenGaps:     c.TokenGaps + d.TokenGaps,
+		SlowTokenGaps: c.SlowTokenGaps + d.SlowTokenGaps,
 		Refused:     c.Refused + d.Refused,
 		Errors:      c.Errors + d.Errors,
 	}
 }
 
-// CountFirst records the time to the first token of a response.
-func (c *Counts) CountFirst(latency time.Duration) {
-	c.First++
+// RecordFirstToken records the time to the first token of a response.
+func (c *Counts) RecordFirstToken(latency time.Duration) {
+	c.FirstTokens++
 	if latency > firstTokenObjective {
-		c.SlowFirst++
+		c.SlowFirstTokens++
 	}
 }
 
-// CountBetween records the time between two tokens.
-func (c *Counts) CountBetween(gap time.Duration) {
-	c.Between++
+// RecordTokenGap records the time between two tokens.
+func (c *Counts) RecordTokenGap(gap time.Duration) {
+	c.TokenGaps++
 	if gap > tokenGapObjective {
-		c.SlowBetween++
+		c.SlowTokenGaps++
 	}
 }
 
--- a/partner/report/report_test.go
+++ b/partner/report/report_test.go
@@ -79,8 +79,8 @@
 var _ = Describe("Burn", func() {
 	It("sums the counts of routers and lists unreached boxes", func() {
 		var a, b report.Recorder
-		a.Add(key, report.Counts{Requests: 50, First: 50, SlowFirst: 5}, now)
-		b.Add(key, report.Counts{Requests: 50, First: 50}, now)
+		a.Add(key, report.Counts{Requests: 50, FirstTokens: 50, SlowFirstTokens: 5}, now)
+		b.Add(key, report.Counts{Requests: 50, FirstTokens: 50}, now)
 		burn := report.Burn{Asked: []granitehoist.Box{"a", "b"}, Unreached: []granitehoist.Box{"c"}}
 		burn.Merge(a.Rows(now))
 		burn.Merge(b.Rows(now))
--- a/partner/router/admin.go
+++ b/partner/router/admin.go
@@ -67,7 +67,7 @@
 	if errors.As(err, &e) {
 		message = e.Message()
 	}
-	writeJSON(w, info.Status, AdminError{Code: int(code), Name: info.Name, Message: message, Fate: info.Fate})
+	writeJSON(w, info.Status, AdminError{Code: int(code), Name: info.Name, Message: message, Fate: info.Execution})
 }
 
 // writeJSON responds with a value as indented JSON.
--- a/partner/router/build.go
+++ b/partner/router/build.go
@@ -57,19 +57,19 @@
 		Store:   s.Store,
 		Prepaid: r.prepaid,
 		Split:   s.Router.SplitOf,
-		BatchDelay:  time.Duration(s.Router.Budget.Gather),
+		BatchDelay:  time.Duration(s.Router.Budget.MaxBatchDelay),
 	})
 	r.components.agent = budget.NewAgent(budget.AgentSettings{
 		Box:          r.self.Box,
 		Ledger:        budget.NewPurse(budget.PurseSettings{Incarnation: r.self.Incarnation, Split: s.Router.SplitOf}),
-		Keeper:       keeper,
+		Allocator:       keeper,
 		Caller:       r.components.client,
-		RemoteKeeper: r.remoteKeeper,
+		RemoteAllocator: r.remoteKeeper,
 		Peers:        r.budgetPeers,
 		Clock:        s.Clock,
 		Interval:     time.Duration(s.Router.Budget.Interval),
 		Shards:       s.Router.Budget.Shards,
-		Failed:       r.failureLogger("budget_failed"),
+		OnError:       r.failureLogger("budget_failed"),
 	})
 }
 
@@ -77,7 +77,7 @@
 // router has that role.
 func (r *Router) buildBills() {
 	s := r.settings
-	r.components.ledger = bill.NewLedger(bill.LedgerSettings{Incarnation: r.self.Incarnation, MaxPending: s.Router.Limits.Bills})
+	r.components.ledger = bill.NewLedger(bill.LedgerSettings{Incarnation: r.self.Incarnation, MaxPending: s.Router.Limits.MaxPendingCharges})
 	r.components.sender = bill.NewSender(bill.SenderSettings{
 		Ledger:          r.components.ledger,
 		Collector:       bill.NewCollector(bill.CollectorSettings{Region: r.self.Region, Incarnation: r.self.Incarnation, Store: s.Store}),
@@ -107,7 +107,7 @@
 		Zone:        r.self.Zone,
 		Incarnation: r.self.Incarnation,
 		View:        r.View,
-		Funds:       r.components.agent,
+		Budgets:       r.components.agent,
 		Ledger:      r.components.ledger,
 		Once:        once.New(once.Settings{Store: s.Store}),
 		Table:       r.components.table,
@@ -131,7 +131,7 @@
 		BodyBytes:      limits.BodyBytes,
 		HeaderBytes:    limits.HeaderBytes,
 		ReadTimeout:    time.Duration(limits.ReadTimeout),
-		RequestTimeout: time.Duration(limits.Request),
+		RequestTimeout: time.Duration(limits.RequestTimeout),
 	}
 }
 
--- a/partner/router/orphans.go
+++ b/partner/router/orphans.go
@@ -37,7 +37,7 @@
 		if !r.hasRole(orphanRole) {
 			continue
 		}
-		silent, err := r.components.orphans.Silent(ctx, r.settings.Clock())
+		silent, err := r.components.orphans.UnresponsiveRouters(ctx, r.settings.Clock())
 		if err != nil {
 			r.logFailure("orphan_failed", err)
 			continue
@@ -62,7 +62,7 @@
 			zap.String("dead", string(crashed)),
 			zap.Int("charged", result.Charged),
 			zap.Int("running", result.Running),
-			zap.Int("unreached", len(result.Unreached)))
+			zap.Int("unreached", len(result.UnreachableEngines)))
 	}
 }
 
--- a/partner/router/router_test.go
+++ b/partner/router/router_test.go
@@ -88,7 +88,7 @@
 				Partner: "tuul", Region: "tuul", Zone: "gachuurt", Box: box,
 				Listen: settings.Listen{Callers: port, Peers: port, Admin: port},
 				Trust:  []settings.Trust{{Partner: "tuul", Keys: []string{base64.StdEncoding.EncodeToString(public)}}},
-				Limits: settings.Limits{HeaderBytes: 4096, BodyBytes: 4096, Unready: settings.Duration(time.Millisecond)},
+				Limits: settings.Limits{HeaderBytes: 4096, BodyBytes: 4096, ReadinessDelay: settings.Duration(time.Millisecond)},
 				Budget: settings.Budget{Shards: 1, Interval: settings.Duration(10 * time.Millisecond)},
 			},
 			Store:    s,
@@ -153,7 +153,7 @@
 		Consistently(accepted(a), "200ms").Should(BeFalse())
 
 		By("removing its box from the platform's list")
-		store.ListBox("a", false)
+		store.SetBox("a", false)
 		Eventually(accepted(a)).Should(BeTrue())
 	})
 
--- a/partner/router/stop.go
+++ b/partner/router/stop.go
@@ -20,11 +20,11 @@
 func (r *Router) Stop(ctx context.Context) error {
 	r.settings.Log.Info("stopping")
 	failures := stopFailures{log: r.settings.Log}
-	r.components.gate.Unready()
+	r.components.gate.MarkUnready()
 	r.store.members.Leave()
 	failures.add("leave", r.store.members.Refresh(ctx))
 	// Load balancers need time to notice that the router is not ready.
-	pause.For(ctx, time.Duration(r.settings.Router.Limits.Unready))
+	pause.For(ctx, time.Duration(r.settings.Router.Limits.ReadinessDelay))
 	r.components.gate.Drain()
 	// If ctx ends first, the requests in progress are aborted.
 	failures.add("requests", r.servers.callers.Shutdown(ctx))
--- a/partner/settings/check.go
+++ b/partner/settings/check.go
@@ -41,8 +41,8 @@
 		c.add("trust.keys", "no partner is trusted", "add a [[trust]] table for each partner")
 	}
 	for _, s := range r.Splits {
-		if _, ok := budget.NewSplit(s.Weigh); !ok {
-			c.add("split.weigh", fmt.Sprintf("%q is not a weighting", s.Weigh), `use "refusals" or "overspend"`)
+		if _, ok := budget.NewSplit(s.Weighting); !ok {
+			c.add("split.weigh", fmt.Sprintf("%q is not a weighting", s.Weighting), `use "refusals" or "overspend"`)
 		}
 	}
 	c.limits(r)
@@ -60,9 +60,9 @@
 	c.positive("limits.body_bytes", r.Limits.BodyBytes)
 	c.positive("limits.header_bytes", int64(r.Limits.HeaderBytes))
 	c.positive("limits.read_timeout", int64(r.Limits.ReadTimeout))
-	c.positive("limits.request", int64(r.Limits.Request))
-	c.positive("limits.drain", int64(r.Limits.Drain))
-	c.positive("limits.unready", int64(r.Limits.Unready))
+	c.positive("limits.request", int64(r.Limits.RequestTimeout))
+	c.positive("limits.drain", int64(r.Limits.DrainTimeout))
+	c.positive("limits.unready", int64(r.Limits.ReadinessDelay))
 	c.positive("budget.shards", int64(r.Budget.Shards))
 	c.positive("budget.interval", int64(r.Budget.Interval))
 	switch r.Log.Level {
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -72,11 +72,11 @@
 // Split configures how a partner's budgets are divided among boxes.
 type Split struct {
 	Partner granitehoist.Partner `toml:"partner"`
-	// Weigh is "refusals" or "overspend".
-	Weigh budget.Weighting `toml:"weigh"`
-	// Wait bounds how long a request waits for tokens; zero means the default of
+	// Weighting is "refusals" or "overspend".
+	Weighting budget.Weighting `toml:"weigh"`
+	// MaxWait bounds how long a request waits for tokens; zero means the default of
 	// the weighting.
-	Wait Duration `toml:"wait"`
+	MaxWait Duration `toml:"wait"`
 }
 
 // Limits bounds sizes and durations of requests and of a planned stop. Zero values
@@ -86,16 +86,16 @@
 	HeaderBytes int   `toml:"header_bytes"`
 	// ReadTimeout bounds the time to read a request.
 	ReadTimeout Duration `toml:"read_timeout"`
-	// Request is the timeout of a request whose caller sets no deadline.
-	Request Duration `toml:"request"`
-	// Drain is the timeout of a planned stop.
-	Drain Duration `toml:"drain"`
-	// Unready is the delay between reporting not ready and refusing requests in a
+	// RequestTimeout is the timeout of a request whose caller sets no deadline.
+	RequestTimeout Duration `toml:"request"`
+	// DrainTimeout is the timeout of a planned stop.
+	DrainTimeout Duration `toml:"drain"`
+	// ReadinessDelay is the delay between reporting not ready and refusing requests in a
 	// planned stop, in which load balancers stop sending requests.
-	Unready Duration `toml:"unready"`
-	// Bills bounds the number of unconfirmed charges; zero means
+	ReadinessDelay Duration `toml:"unready"`
+	// MaxPendingCharges bounds the number of unconfirmed charges; zero means
 	// bill.DefaultMaxPending.
-	Bills int `toml:"bills"`
+	MaxPendingCharges int `toml:"bills"`
 }
 
 // Budget configures the exchange of budget reports and grants between routers.
@@ -104,10 +104,10 @@
 	Shards int `toml:"shards"`
 	// Interval is the time between two budget reports of a box.
 	Interval Duration `toml:"interval"`
-	// Gather bounds how long a report that no request waits for may be delayed, so
+	// MaxBatchDelay bounds how long a report that no request waits for may be delayed, so
 	// that one store write covers the reports of many boxes; zero disables the delay.
 	// 10 s suits a large fleet (docs/CAPACITY.md).
-	Gather Duration `toml:"gather"`
+	MaxBatchDelay Duration `toml:"gather"`
 }
 
 // Log configures logging.
@@ -190,9 +190,9 @@
 	defaults.Set(&r.Limits.BodyBytes, DefaultBodyBytes)
 	defaults.Set(&r.Limits.HeaderBytes, DefaultHeaderBytes)
 	defaults.Set(&r.Limits.ReadTimeout, DefaultReadTimeout)
-	defaults.Set(&r.Limits.Request, DefaultRequest)
-	defaults.Set(&r.Limits.Drain, defaultDrain)
-	defaults.Set(&r.Limits.Unready, defaultUnready)
+	defaults.Set(&r.Limits.RequestTimeout, DefaultRequest)
+	defaults.Set(&r.Limits.DrainTimeout, defaultDrain)
+	defaults.Set(&r.Limits.ReadinessDelay, defaultUnready)
 	defaults.Set(&r.Budget.Shards, budget.DefaultShards)
 	defaults.Set(&r.Budget.Interval, Duration(budget.DefaultInterval))
 	defaults.Set(&r.Log.Level, defaultLevel)
@@ -222,9 +222,9 @@
 			continue
 		}
 		// Parse rejects unknown weightings.
-		split, _ := budget.NewSplit(s.Weigh)
-		if s.Wait > 0 {
-			split.Wait = time.Duration(s.Wait)
+		split, _ := budget.NewSplit(s.Weighting)
+		if s.MaxWait > 0 {
+			split.Wait = time.Duration(s.MaxWait)
 		}
 		return split
 	}
--- a/partner/settings/settings_test.go
+++ b/partner/settings/settings_test.go
@@ -37,7 +37,7 @@
 	It("reads a valid file and fills in the defaults", func() {
 		r, faults := settings.Parse("f", []byte(validSettings))
 		Expect(faults).To(BeEmpty())
-		Expect(time.Duration(r.Limits.Drain)).To(Equal(90 * time.Second))
+		Expect(time.Duration(r.Limits.DrainTimeout)).To(Equal(90 * time.Second))
 		Expect(r.Limits.BodyBytes).To(Equal(int64(settings.DefaultBodyBytes)))
 		trust, err := r.TrustedKeys()
 		Expect(err).NotTo(HaveOccurred())
--- a/partner/upstream/upstream_test.go
+++ b/partner/upstream/upstream_test.go
@@ -104,22 +104,22 @@
 					var s sink
 					_, err := engine.Do(ctx, call(address, stream), &s)
 					Expect(granitehoist.CodeOf(err)).To(Equal(code))
-					Expect(code.Info().Fate).To(Equal(fate))
+					Expect(code.Info().Execution).To(Equal(fate))
 					Expect(s.body.String()).NotTo(ContainSubstring("[DONE]"))
 				},
 				Entry("refused", standin.EngineFaults{RefuseEvery: 1}, granitehoist.UpstreamRefused, granitehoist.NotRun),
-				Entry("shutting down", standin.EngineFaults{Leaving: true}, granitehoist.UpstreamRefused, granitehoist.NotRun),
-				Entry("response to another attempt", standin.EngineFaults{CrossEvery: 1}, granitehoist.AnswerCrossed, granitehoist.MayHaveRun),
+				Entry("shutting down", standin.EngineFaults{Draining: true}, granitehoist.UpstreamRefused, granitehoist.NotRun),
+				Entry("response to another attempt", standin.EngineFaults{WrongIDEvery: 1}, granitehoist.AnswerCrossed, granitehoist.MayHaveRun),
 			)
 
 			It("detects a truncated response and reports its cost", func() {
-				fake.Fail(standin.EngineFaults{CutEvery: 1, Forget: true})
+				fake.Fail(standin.EngineFaults{CutEvery: 1, NoResume: true})
 				var s sink
 				_, err := engine.Do(ctx, call(address, stream), &s)
-				Expect(granitehoist.CodeOf(err).Info().Fate).To(Equal(granitehoist.MayHaveRun))
+				Expect(granitehoist.CodeOf(err).Info().Execution).To(Equal(granitehoist.MayHaveRun))
 				usage, ok := engine.Stop(ctx, address, "box-1.1")
 				Expect(ok).To(BeTrue())
-				books := fake.Books()
+				books := fake.Executions()
 				Expect(books).To(HaveLen(1))
 				Expect(usage.Total()).To(Equal(books[0].Prompt + books[0].Output))
 			})
@@ -142,7 +142,7 @@
 		_, err = engine.Do(ctx, call(serve(standin.NewEngine(standin.EngineSettings{}).Handler()), true), &uninterrupted)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(resumed.body.String()).To(Equal(uninterrupted.body.String()))
-		Expect(fake.Books()[0].Runs).To(Equal(1))
+		Expect(fake.Executions()[0].Runs).To(Equal(1))
 	})
 
 	It("hides the usage from callers that did not request it", func() {
@@ -266,7 +266,7 @@
 
 	It("detects the response to another attempt", func() {
 		fake := standin.NewPlain()
-		fake.Fail(standin.PlainFaults{CrossEvery: 1})
+		fake.Fail(standin.PlainFaults{WrongIDEvery: 1})
 		_, err := plain.Do(ctx, onceCall(serve(fake.Handler())), &sink{})
 		Expect(granitehoist.CodeOf(err)).To(Equal(granitehoist.AnswerCrossed))
 	})
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -30,14 +30,14 @@
 	// CutEvery closes the connection in the middle of an answer. A stream can be resumed
 	// unless Forget is set.
 	CutEvery int
-	// Forget ends the attempt of an interrupted stream, so that it can't be resumed.
-	Forget bool
-	// CrossEvery returns the answer with the id of another request.
-	CrossEvery int
+	// NoResume ends the attempt of an interrupted stream, so that it can't be resumed.
+	NoResume bool
+	// WrongIDEvery returns the answer with the id of another request.
+	WrongIDEvery int
 	// NoUsageEvery omits the usage.
 	NoUsageEvery int
-	// Leaving refuses every request with status 503.
-	Leaving bool
+	// Draining refuses every request with status 503.
+	Draining bool
 }
 
 // Engine is a fake model engine, which answers a prompt with Answer. Use NewEngine. It is
--- a/standin/execution.go
+++ b/standin/execution.go
@@ -28,8 +28,8 @@
 	return &upstream.EngineUsage{PromptTokens: x.Prompt, CompletionTokens: x.Output, TotalTokens: x.Prompt + x.Output}
 }
 
-// Books returns copies of the records of all attempts.
-func (e *Engine) Books() []Execution {
+// Executions returns copies of the records of all attempts.
+func (e *Engine) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	executions := make([]Execution, 0, len(e.executions))
@@ -53,10 +53,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.requests++
-	refuse := e.faults.Leaving || isEveryNth(e.faults.RefuseEvery, e.requests)
+	refuse := e.faults.Draining || isEveryNth(e.faults.RefuseEvery, e.requests)
 	p := requestFaults{
 		cut:     isEveryNth(e.faults.CutEvery, e.requests),
-		cross:   isEveryNth(e.faults.CrossEvery, e.requests),
+		cross:   isEveryNth(e.faults.WrongIDEvery, e.requests),
 		noUsage: isEveryNth(e.faults.NoUsageEvery, e.requests),
 	}
 	x, ok := e.executions[attempt]
@@ -94,7 +94,7 @@
 func (e *Engine) hold(a *activeAnswer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.faults.Forget {
+	if !e.faults.NoResume {
 		a.execution.resumable = true
 		a.execution.answer = a
 	}
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -19,8 +19,8 @@
 type PlainFaults struct {
 	// LoseEvery runs the request and closes the connection without an answer.
 	LoseEvery int
-	// CrossEvery returns the answer with the id of another request.
-	CrossEvery int
+	// WrongIDEvery returns the answer with the id of another request.
+	WrongIDEvery int
 	// Delay is added before each answer. Zero adds none.
 	Delay time.Duration
 }
@@ -104,5 +104,5 @@
 	p.requests++
 	p.runs[pathAndBody]++
 	p.attempts[attempt]++
-	return p.faults, isEveryNth(p.faults.LoseEvery, p.requests), isEveryNth(p.faults.CrossEvery, p.requests)
+	return p.faults, isEveryNth(p.faults.LoseEvery, p.requests), isEveryNth(p.faults.WrongIDEvery, p.requests)
 }
--- a/standin/platformstore.go
+++ b/standin/platformstore.go
@@ -38,8 +38,8 @@
 	// HistoryFrom is the oldest version from which a watch can continue. A watch from an
 	// older version gets status 410.
 	HistoryFrom granitehoist.Version
-	// Deaf makes watches report no changes and lose their connection after the wait.
-	Deaf bool
+	// DropWatches makes watches report no changes and lose their connection after the wait.
+	DropWatches bool
 }
 
 // Fail replaces the faults for calls that begin afterwards.
@@ -176,7 +176,7 @@
 		w.WriteHeader(http.StatusGone)
 		return
 	}
-	if faults.Deaf {
+	if faults.DropWatches {
 		pause.For(r.Context(), wait)
 		panic(http.ErrAbortHandler)
 	}
--- a/standin/store.go
+++ b/standin/store.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// ListBox adds a box to the list of boxes, or updates whether it is leaving.
-func (s *Store) ListBox(b granitehoist.Box, leaving bool) {
+// SetBox adds a box to the list of boxes, or updates whether it is leaving.
+func (s *Store) SetBox(b granitehoist.Box, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.boxes[b] = leaving
--- a/standin/storefaults.go
+++ b/standin/storefaults.go
@@ -15,8 +15,8 @@
 type StoreFaults struct {
 	// Down makes every call fail with ErrUnavailable.
 	Down bool
-	// Silent makes every call fail with ErrUnknown and without effect.
-	Silent bool
+	// Hang makes every call fail with ErrUnknown and without effect.
+	Hang bool
 	// LoseEvery makes every n-th write return ErrUnknown after it took effect; zero
 	// affects none.
 	LoseEvery int
@@ -70,7 +70,7 @@
 	case s.faults.Down:
 		s.mu.Unlock()
 		return granitehoist.ErrUnavailable
-	case s.faults.Silent:
+	case s.faults.Hang:
 		s.mu.Unlock()
 		return granitehoist.ErrUnknown
 	}
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -60,15 +60,15 @@
 // Instance returns the worker's instance id.
 func (w *Worker) Instance() string { return w.instance }
 
-// Arrivals returns the requests that the worker has received.
-func (w *Worker) Arrivals() []Arrival {
+// Requests returns the requests that the worker has received.
+func (w *Worker) Requests() []Arrival {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]Arrival(nil), w.arrivals...)
 }
 
-// Open returns the number of open connections.
-func (w *Worker) Open() int {
+// OpenConns returns the number of open connections.
+func (w *Worker) OpenConns() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.conns)
--- a/standin/workeranswer.go
+++ b/standin/workeranswer.go
@@ -26,19 +26,19 @@
 	Gap, Delay time.Duration
 	// Cut truncates the response.
 	Cut Cut
-	// Silent sends nothing and waits for the router to close the connection.
-	Silent bool
-	// SurplusBefore and SurplusAfter are bytes sent before and after the response, which
+	// Hang sends nothing and waits for the router to close the connection.
+	Hang bool
+	// ExtraBefore and ExtraAfter are bytes sent before and after the response, which
 	// are not part of it.
-	SurplusBefore, SurplusAfter string
+	ExtraBefore, ExtraAfter string
 	// Unframed omits the length; closing the connection ends the response.
 	Unframed bool
 	// Early responds before the request body has been read.
 	Early bool
 	// NotRun marks the response as that of a request that did not run.
 	NotRun bool
-	// Crossed sends the id of another request.
-	Crossed bool
+	// WrongID sends the id of another request.
+	WrongID bool
 	// NoSeal omits the Response-Seal header.
 	NoSeal bool
 	// RateLimit holds the values of the Server-Limit header, the worker's rate limit over
@@ -55,10 +55,10 @@
 	Set bool
 	// After is the number of bytes of a body, or of events of a stream, that are sent.
 	After int
-	// Within also sends half of the next event.
-	Within bool
-	// Clean closes the connection with a FIN instead of a reset.
-	Clean bool
+	// MidEvent also sends half of the next event.
+	MidEvent bool
+	// FIN closes the connection with a FIN instead of a reset.
+	FIN bool
 	// Crash stops the whole worker, so that its address refuses connections: after
 	// event After of a stream, or before a response that is no stream.
 	Crash bool
@@ -67,7 +67,7 @@
 // writeAnswer writes a response and reports whether the connection stays open.
 func (w *Worker) writeAnswer(conn net.Conn, arrival Arrival, a WorkerAnswer) bool {
 	time.Sleep(a.Delay)
-	if a.Silent {
+	if a.Hang {
 		// Wait until the router closes or resets the connection.
 		_, _ = io.Copy(io.Discard, conn)
 		return false
@@ -75,7 +75,7 @@
 	if expected := arrival.Header.Get("Expect-Instance"); expected != "" && expected != w.instance {
 		a = WorkerAnswer{Status: http.StatusMisdirectedRequest, NoSeal: true}
 	}
-	if _, err := io.WriteString(conn, a.SurplusBefore); err != nil {
+	if _, err := io.WriteString(conn, a.ExtraBefore); err != nil {
 		return false
 	}
 	if a.Events > 0 {
@@ -101,16 +101,16 @@
 
 // finishAnswer completes a response and reports whether the connection stays open.
 func (w *Worker) finishAnswer(conn net.Conn, a WorkerAnswer) bool {
-	if a.Cut.Set && !a.Cut.Clean {
+	if a.Cut.Set && !a.Cut.FIN {
 		reset(conn)
 	}
 	if a.Cut.Set || a.Unframed {
 		return false
 	}
-	if a.SurplusAfter == "" {
+	if a.ExtraAfter == "" {
 		return true
 	}
-	_, err := io.WriteString(conn, a.SurplusAfter)
+	_, err := io.WriteString(conn, a.ExtraAfter)
 	return err == nil
 }
 
@@ -129,7 +129,7 @@
 		status = http.StatusOK
 	}
 	id := arrival.ID
-	if a.Crossed {
+	if a.WrongID {
 		id = "another-" + id
 	}
 	var head bytes.Buffer
@@ -173,7 +173,7 @@
 		}
 		event := StreamEvent(arrival.ID, n)
 		if a.Cut.Set && n > a.Cut.After {
-			if a.Cut.Within {
+			if a.Cut.MidEvent {
 				// The connection closes next, so an error is ignored.
 				_ = w.writeChunk(conn, a, event[:len(event)/2])
 			}
--- a/store.go
+++ b/store.go
@@ -67,9 +67,9 @@
 	Current []Entry
 }
 
-// Of returns the entry of a key when the write was refused, and whether the store returned
+// Entry returns the entry of a key when the write was refused, and whether the store returned
 // it.
-func (c *Conflict) Of(key string) (Entry, bool) {
+func (c *Conflict) Entry(key string) (Entry, bool) {
 	for _, e := range c.Current {
 		if e.Key == key {
 			return e, true
--- a/throttle/issuer.go
+++ b/throttle/issuer.go
@@ -56,16 +56,16 @@
 	Seed uint64
 }
 
-// Life identifies one incarnation of an upstream. An upstream that restarts under the same
+// Incarnation identifies one incarnation of an upstream. An upstream that restarts under the same
 // ID has a different Born, its start time in milliseconds since the Unix epoch.
-type Life struct {
+type Incarnation struct {
 	Upstream granitehoist.Upstream
 	StartedAtMS     int64
 }
 
 // Request asks for permits for one upstream.
 type Request struct {
-	Incarnation Life
+	Incarnation Incarnation
 	// Rate is the limit set by the upstream, in requests a second.
 	Rate float64
 	// Count is the number of permits wanted; values below one count as one.
@@ -96,7 +96,7 @@
 	// mu guards the fields below.
 	mu        sync.Mutex
 	random    *rand.Rand
-	schedules map[Life]*schedule
+	schedules map[Incarnation]*schedule
 	// sweptAt is when idle schedules were last removed.
 	sweptAt time.Time
 }
@@ -111,7 +111,7 @@
 
 // NewIssuer returns an Issuer without any schedules.
 func NewIssuer(s Settings) *Issuer {
-	return &Issuer{settings: s, random: rand.New(rand.NewPCG(s.Seed, 2)), schedules: map[Life]*schedule{}}
+	return &Issuer{settings: s, random: rand.New(rand.NewPCG(s.Seed, 2)), schedules: map[Incarnation]*schedule{}}
 }
 
 // Issue grants permits that are due within the request's wait, or returns when to retry. A
--- a/throttle/issuer_test.go
+++ b/throttle/issuer_test.go
@@ -57,7 +57,7 @@
 	t.Run("keeps a schedule for each incarnation", func(t *testing.T) {
 		i := NewIssuer(Settings{})
 		for born := range int64(2) {
-			if got := i.Issue(Request{Incarnation: Life{Upstream: "i-0", StartedAtMS: born}, Rate: 0.1}, testTime); got.Count != 1 {
+			if got := i.Issue(Request{Incarnation: Incarnation{Upstream: "i-0", StartedAtMS: born}, Rate: 0.1}, testTime); got.Count != 1 {
 				t.Errorf("incarnation %d: got %+v, want one permit", born, got)
 			}
 		}
@@ -74,8 +74,8 @@
 	})
 	t.Run("removes schedules of idle upstreams", func(t *testing.T) {
 		i := NewIssuer(Settings{})
-		i.Issue(Request{Incarnation: Life{Upstream: "i-0"}, Rate: 1}, testTime)
-		i.Issue(Request{Incarnation: Life{Upstream: "i-1"}, Rate: 1}, testTime.Add(3*idleTimeout))
+		i.Issue(Request{Incarnation: Incarnation{Upstream: "i-0"}, Rate: 1}, testTime)
+		i.Issue(Request{Incarnation: Incarnation{Upstream: "i-1"}, Rate: 1}, testTime.Add(3*idleTimeout))
 		if len(i.schedules) != 1 {
 			t.Errorf("%d schedules, want 1", len(i.schedules))
 		}
@@ -88,14 +88,14 @@
 	now := testTime
 	for range b.N {
 		now = now.Add(time.Millisecond)
-		i.Issue(Request{Incarnation: Life{Upstream: "i-0"}, Rate: 10, Count: 1, MaxWait: 100 * time.Millisecond}, now)
+		i.Issue(Request{Incarnation: Incarnation{Upstream: "i-0"}, Rate: 10, Count: 1, MaxWait: 100 * time.Millisecond}, now)
 	}
 }
 
 // ExampleIssuer shows requests that share the rate limit of one upstream.
 func ExampleIssuer() {
 	issuer := NewIssuer(Settings{})
-	request := Request{Incarnation: Life{Upstream: "i-7f3a"}, Rate: 2, MaxWait: 600 * time.Millisecond}
+	request := Request{Incarnation: Incarnation{Upstream: "i-7f3a"}, Rate: 2, MaxWait: 600 * time.Millisecond}
 	first, second := issuer.Issue(request, testTime), issuer.Issue(request, testTime)
 	fmt.Println(first.Count, first.Due)
 	fmt.Println(second.Count, second.Due)
--- a/throttle/strategies_test.go
+++ b/throttle/strategies_test.go
@@ -130,7 +130,7 @@
 				return now, false
 			}
 			*calls++
-			grant := issuer.Issue(Request{Incarnation: Life{Upstream: "i-0"}, Rate: rate, MaxWait: maxWait}, now.Add(callLatency/2))
+			grant := issuer.Issue(Request{Incarnation: Incarnation{Upstream: "i-0"}, Rate: rate, MaxWait: maxWait}, now.Add(callLatency/2))
 			if grant.Count == 0 {
 				notBefore[router] = now.Add(grant.RetryAfter)
 				return now, false
@@ -146,7 +146,7 @@
 	first, second := NewIssuer(Settings{Seed: seed}), NewIssuer(Settings{Seed: seed + 1})
 	random := rand.New(rand.NewPCG(seed, 13))
 	return func(router int, now time.Time) (time.Time, bool) {
-		request := Request{Incarnation: Life{Upstream: "i-0"}, Rate: rate, MaxWait: maxWait, Fallback: router%2 == 1}
+		request := Request{Incarnation: Incarnation{Upstream: "i-0"}, Rate: rate, MaxWait: maxWait, Fallback: router%2 == 1}
 		issuer := first
 		if request.Fallback {
 			issuer = second
--- a/trial/call.go
+++ b/trial/call.go
@@ -34,10 +34,10 @@
 	// Answered is set if a response with a result was received, and Correct if it was
 	// complete and belonged to the request.
 	Answered, Correct bool
-	// Broken is set if a stream ended with an error instead of its end marker.
-	Broken bool
-	// Failed is the error of the connection to the router, if any.
-	Failed error
+	// StreamFailed is set if a stream ended with an error instead of its end marker.
+	StreamFailed bool
+	// Err is the error of the connection to the router, if any.
+	Err error
 	// Killed is set if the connection failed, or the response ended early, because the
 	// router was killed.
 	Killed bool
@@ -101,12 +101,12 @@
 	c.address = address
 	request, err := c.request(address)
 	if err != nil {
-		c.outcome.Failed = err
+		c.outcome.Err = err
 		return
 	}
 	response, err := client.Do(request.WithContext(ctx))
 	if err != nil {
-		c.outcome.Failed = err
+		c.outcome.Err = err
 		return
 	}
 	// The body has been read, so an error of Close doesn't matter.
@@ -122,7 +122,7 @@
 func (c *call) recordFailure(body io.Reader) {
 	var failure gate.Failure
 	if err := json.NewDecoder(body).Decode(&failure); err != nil {
-		c.outcome.Failed = err
+		c.outcome.Err = err
 		return
 	}
 	c.outcome.Fates = append(c.outcome.Fates, failure.Error.Fate)
@@ -141,7 +141,7 @@
 	if b.failure != nil {
 		c.outcome.Code = granitehoist.Code(b.failure.Error.Code)
 		c.outcome.Fates = append(c.outcome.Fates, b.failure.Error.Fate)
-		c.outcome.Broken = true
+		c.outcome.StreamFailed = true
 		return
 	}
 	c.outcome.Code = granitehoist.Served
--- a/trial/executions.go
+++ b/trial/executions.go
@@ -16,7 +16,7 @@
 var engineFaults = [enginesPerPool]standin.EngineFaults{
 	{RefuseEvery: 11},
 	{CutEvery: 13},
-	{CrossEvery: 17, NoUsageEvery: 19},
+	{WrongIDEvery: 17, NoUsageEvery: 19},
 }
 
 // storeFaults lets the store apply every seventh write without a response.
@@ -42,7 +42,7 @@
 		executions[granitehoist.RequestID(id)] = x
 	}
 	for _, e := range s.engines {
-		for _, x := range e.Books() {
+		for _, x := range e.Executions() {
 			add(x.Text, x.Runs, x.Prompt+x.Output)
 		}
 	}
--- a/trial/judge.go
+++ b/trial/judge.go
@@ -22,34 +22,34 @@
 	// FalseRefusals is the number of requests refused for their budget that a single
 	// central counter with the same arrivals and actual costs would have admitted.
 	FalseRefusals int
-	// Crossed is the number of responses that belonged to another request or were
+	// WrongAnswers is the number of responses that belonged to another request or were
 	// incomplete.
-	Crossed int
-	// Doubled is the number of repeated executions of requests with Outcome.Once, and of
+	WrongAnswers int
+	// Duplicates is the number of repeated executions of requests with Outcome.Once, and of
 	// attempts charged more than once.
-	Doubled int
-	// Lost is the number of requests without a response, plus that of requests whose
+	Duplicates int
+	// Unaccounted is the number of requests without a response, plus that of requests whose
 	// charge does not match the tokens that upstreams counted.
-	Lost int
-	// Untrue is the number of requests that were reported as not run, but ran.
-	Untrue int
-	// Cut is the number of responses that ended early with an error or a closed connection.
-	Cut int
+	Unaccounted int
+	// FalseNotRun is the number of requests that were reported as not run, but ran.
+	FalseNotRun int
+	// Truncated is the number of responses that ended early with an error or a closed connection.
+	Truncated int
 	// Stops is the number of planned stops during the load, StopsFailed that of
 	// failed ones.
 	Stops, StopsFailed int
 }
 
-// Held reports whether no guarantee was violated. False refusals and responses that were
+// Passed reports whether no guarantee was violated. False refusals and responses that were
 // reported to the caller as cut violate none.
-func (v Verdict) Held() bool {
-	return v.Overspend == 0 && v.Crossed == 0 && v.Doubled == 0 && v.Lost == 0 && v.Untrue == 0 && v.StopsFailed == 0
+func (v Verdict) Passed() bool {
+	return v.Overspend == 0 && v.WrongAnswers == 0 && v.Duplicates == 0 && v.Unaccounted == 0 && v.FalseNotRun == 0 && v.StopsFailed == 0
 }
 
 // String returns the verdict as one line of key=value pairs.
 func (v Verdict) String() string {
 	return fmt.Sprintf("requests=%d served=%d refused=%d not_run=%d billed=%d overspend=%d false_refusals=%d crossed=%d doubled=%d lost=%d untrue=%d cut=%d stops=%d stops_failed=%d",
-		v.Requests, v.Served, v.Refused, v.NotRun, v.Billed, v.Overspend, v.FalseRefusals, v.Crossed, v.Doubled, v.Lost, v.Untrue, v.Cut, v.Stops, v.StopsFailed)
+		v.Requests, v.Served, v.Refused, v.NotRun, v.Billed, v.Overspend, v.FalseRefusals, v.WrongAnswers, v.Duplicates, v.Unaccounted, v.FalseNotRun, v.Truncated, v.Stops, v.StopsFailed)
 }
 
 // Executions is the number of executions of one request by the stand-ins, and the tokens
@@ -63,8 +63,8 @@
 type Evidence struct {
 	// Outcomes are in the order in which the requests were sent.
 	Outcomes []*Outcome
-	// Books holds the executions by the stand-ins, by request ID.
-	Books map[granitehoist.RequestID]Executions
+	// Executions holds the executions by the stand-ins, by request ID.
+	Executions map[granitehoist.RequestID]Executions
 	// Charges are the charges in the store after all routers have stopped.
 	Charges []bill.Charge
 	// Prepaid is the initial balance of each budget.
@@ -84,8 +84,8 @@
 		charges[c.Request] = append(charges[c.Request], c)
 	}
 	for _, o := range e.Outcomes {
-		v.checkOutcome(o, e.Books[o.ID])
-		v.checkCharges(e.Books[o.ID], charges[o.ID])
+		v.checkOutcome(o, e.Executions[o.ID])
+		v.checkCharges(e.Executions[o.ID], charges[o.ID])
 	}
 	return v
 }
@@ -96,29 +96,29 @@
 func (v *Verdict) checkOutcome(o *Outcome, x Executions) {
 	switch {
 	case o.Killed:
-		v.Cut++
+		v.Truncated++
 		return
-	case o.Failed != nil:
-		v.Lost++
+	case o.Err != nil:
+		v.Unaccounted++
 		return
 	case o.Code == granitehoist.Served:
 		v.Served++
-	case o.Broken:
-		v.Cut++
+	case o.StreamFailed:
+		v.Truncated++
 	default:
 		v.Refused++
 	}
 	if o.Answered && !o.Correct {
-		v.Crossed++
+		v.WrongAnswers++
 	}
 	if allNotRun(o.Fates) {
 		v.NotRun++
 		if x.Runs > 0 {
-			v.Untrue++
+			v.FalseNotRun++
 		}
 	}
 	if o.Once && x.Runs > 1 {
-		v.Doubled += x.Runs - 1
+		v.Duplicates += x.Runs - 1
 	}
 }
 
@@ -137,7 +137,7 @@
 		tokens += c.Tokens
 		for _, attempt := range c.Attempts {
 			if charged[attempt] {
-				v.Doubled++
+				v.Duplicates++
 			}
 			charged[attempt] = true
 		}
@@ -146,7 +146,7 @@
 		v.Billed++
 	}
 	if tokens != x.Tokens || (x.Runs > 0) != (len(charges) > 0) {
-		v.Lost++
+		v.Unaccounted++
 	}
 }
 
@@ -155,7 +155,7 @@
 func (e Evidence) overspend() granitehoist.Tokens {
 	balances := maps.Clone(e.Prepaid)
 	for _, o := range e.Outcomes {
-		balances[o.Budget] -= e.Books[o.ID].Tokens
+		balances[o.Budget] -= e.Executions[o.ID].Tokens
 	}
 	var excess granitehoist.Tokens
 	for _, tokens := range balances {
--- a/trial/judge_test.go
+++ b/trial/judge_test.go
@@ -28,7 +28,7 @@
 			Code: granitehoist.Served, Fates: []granitehoist.Fate{granitehoist.Ran},
 			Answered: true, Correct: true,
 		}},
-		Books:   map[granitehoist.RequestID]trial.Executions{requestID: {Runs: 1, Tokens: 3}},
+		Executions:   map[granitehoist.RequestID]trial.Executions{requestID: {Runs: 1, Tokens: 3}},
 		Charges: []bill.Charge{{Request: requestID, Tokens: 3, Attempts: []granitehoist.AttemptID{"box.1"}}},
 		Prepaid: map[granitehoist.BudgetID]granitehoist.Tokens{budgetID: 100},
 	}
@@ -38,7 +38,7 @@
 	It("accepts a request that was executed, charged and answered once", func() {
 		v := trial.Judge(evidence())
 		Expect(v).To(Equal(trial.Verdict{Requests: 1, Served: 1, Billed: 1}))
-		Expect(v.Held()).To(BeTrue())
+		Expect(v.Passed()).To(BeTrue())
 	})
 
 	DescribeTable("detects",
@@ -46,34 +46,34 @@
 			e := evidence()
 			alter(&e, e.Outcomes[0])
 			v := trial.Judge(e)
-			Expect(v.Held()).To(BeFalse(), v.String())
+			Expect(v.Passed()).To(BeFalse(), v.String())
 			Expect(count(v)).To(BeNumerically(">", 0), v.String())
 		},
 		Entry("a second execution of a request that must run once", func(e *trial.Evidence, _ *trial.Outcome) {
-			e.Books[requestID] = trial.Executions{Runs: 2, Tokens: 6}
-		}, func(v trial.Verdict) int { return v.Doubled }),
+			e.Executions[requestID] = trial.Executions{Runs: 2, Tokens: 6}
+		}, func(v trial.Verdict) int { return v.Duplicates }),
 		Entry("an attempt charged twice", func(e *trial.Evidence, _ *trial.Outcome) {
 			e.Charges = append(e.Charges, e.Charges[0])
-		}, func(v trial.Verdict) int { return v.Doubled }),
+		}, func(v trial.Verdict) int { return v.Duplicates }),
 		Entry("an execution without a charge", func(e *trial.Evidence, _ *trial.Outcome) {
 			e.Charges = nil
-		}, func(v trial.Verdict) int { return v.Lost }),
+		}, func(v trial.Verdict) int { return v.Unaccounted }),
 		Entry("a charge of a wrong amount", func(e *trial.Evidence, _ *trial.Outcome) {
 			e.Charges[0].Tokens = 4
-		}, func(v trial.Verdict) int { return v.Lost }),
+		}, func(v trial.Verdict) int { return v.Unaccounted }),
 		Entry("a charge without an execution", func(e *trial.Evidence, _ *trial.Outcome) {
-			delete(e.Books, requestID)
-		}, func(v trial.Verdict) int { return v.Lost }),
+			delete(e.Executions, requestID)
+		}, func(v trial.Verdict) int { return v.Unaccounted }),
 		Entry("a request without a response", func(_ *trial.Evidence, o *trial.Outcome) {
-			o.Failed = errors.New("connection reset")
-		}, func(v trial.Verdict) int { return v.Lost }),
+			o.Err = errors.New("connection reset")
+		}, func(v trial.Verdict) int { return v.Unaccounted }),
 		Entry("a response to another request", func(_ *trial.Evidence, o *trial.Outcome) {
 			o.Correct = false
-		}, func(v trial.Verdict) int { return v.Crossed }),
+		}, func(v trial.Verdict) int { return v.WrongAnswers }),
 		Entry("an execution of a request reported as not run", func(_ *trial.Evidence, o *trial.Outcome) {
 			o.Code, o.Answered = granitehoist.UpstreamRefused, false
 			o.Fates = []granitehoist.Fate{granitehoist.NotRun}
-		}, func(v trial.Verdict) int { return v.Untrue }),
+		}, func(v trial.Verdict) int { return v.FalseNotRun }),
 		Entry("overspending", func(e *trial.Evidence, _ *trial.Outcome) {
 			e.Prepaid[budgetID] = 2
 		}, func(v trial.Verdict) int { return int(v.Overspend) }),
@@ -83,7 +83,7 @@
 		e := evidence()
 		e.Outcomes[0].Code, e.Outcomes[0].Answered = granitehoist.BudgetExhausted, false
 		e.Outcomes[0].Fates = []granitehoist.Fate{granitehoist.NotRun}
-		e.Books, e.Charges = nil, nil
+		e.Executions, e.Charges = nil, nil
 		Expect(trial.Judge(e)).To(Equal(trial.Verdict{Requests: 1, Refused: 1, NotRun: 1, FalseRefusals: 1}))
 	})
 })
--- a/trial/load.go
+++ b/trial/load.go
@@ -85,7 +85,7 @@
 func (s *Site) outcomes(calls []*call) []*Outcome {
 	outcomes := make([]*Outcome, len(calls))
 	for i, c := range calls {
-		c.outcome.Killed = (c.outcome.Failed != nil || c.truncated) && s.isKilled(c.address)
+		c.outcome.Killed = (c.outcome.Err != nil || c.truncated) && s.isKilled(c.address)
 		outcomes[i] = &c.outcome
 	}
 	return outcomes
--- a/trial/routers.go
+++ b/trial/routers.go
@@ -74,8 +74,8 @@
 		Store:   s.storeURL,
 		Listen:  settings.Listen{Callers: listen, Peers: anyPort, Admin: anyPort},
 		Trust:   s.trust,
-		Limits:  settings.Limits{Unready: settings.Duration(unready)},
-		Splits:  []settings.Split{{Partner: Tuul, Weigh: "refusals"}, {Partner: Lima, Weigh: "overspend"}},
+		Limits:  settings.Limits{ReadinessDelay: settings.Duration(unready)},
+		Splits:  []settings.Split{{Partner: Tuul, Weighting: "refusals"}, {Partner: Lima, Weighting: "overspend"}},
 	}
 }
 
--- a/trial/run.go
+++ b/trial/run.go
@@ -39,8 +39,8 @@
 	Kill bool
 	// Stops is the number of planned stops during the load. Each replaces one router.
 	Stops int
-	// Calm disables fault injection in the stand-ins.
-	Calm bool
+	// NoFaults disables fault injection in the stand-ins.
+	NoFaults bool
 }
 
 // DefaultRequests is the default number of requests.
@@ -72,7 +72,7 @@
 		return Verdict{}, err
 	}
 	defer site.Close()
-	if !s.Calm {
+	if !s.NoFaults {
 		site.injectFaults()
 	}
 	outcomes := site.load(ctx, s)
@@ -91,7 +91,7 @@
 	if err != nil {
 		return Verdict{}, err
 	}
-	verdict := Judge(Evidence{Outcomes: outcomes, Books: site.executions(), Charges: charges, Prepaid: site.prepaid()})
+	verdict := Judge(Evidence{Outcomes: outcomes, Executions: site.executions(), Charges: charges, Prepaid: site.prepaid()})
 	verdict.Stops, verdict.StopsFailed = site.stops.started, int(site.stops.failures.Load())
 	return verdict, nil
 }
--- a/trial/site.go
+++ b/trial/site.go
@@ -125,7 +125,7 @@
 		Handler:       h,
 		HeaderTimeout: standinHeaderTimeout,
 		// The stand-ins abort responses on purpose, so these errors are expected.
-		Failed: func(error) {},
+		OnError: func(error) {},
 	}, listener)
 	s.servers = append(s.servers, server)
 	// Serve returns after Close. If it fails earlier, the routers see a stand-in that
--- a/trial/stops.go
+++ b/trial/stops.go
@@ -88,7 +88,7 @@
 func (s *Site) settleRouter(ctx context.Context, killed granitehoist.Incarnation) error {
 	for range maxSettleAttempts {
 		result, err := s.Routers[0].SettleOrphans(ctx, killed, true)
-		if err == nil && len(result.Unreached) == 0 && result.Running == 0 {
+		if err == nil && len(result.UnreachableEngines) == 0 && result.Running == 0 {
 			return nil
 		}
 		s.log.Info("settle_incomplete", zap.Any("result", result), zap.Error(err))
--- a/trial/trial_test.go
+++ b/trial/trial_test.go
@@ -19,22 +19,22 @@
 		for seed := range uint64(3) {
 			verdict, err := trial.Run(context.Background(), trial.Settings{Requests: 150, Seed: seed, Interval: time.Millisecond, Kill: true, Out: io.Discard})
 			Expect(err).NotTo(HaveOccurred())
-			Expect(verdict.Held()).To(BeTrue(), verdict.String())
+			Expect(verdict.Passed()).To(BeTrue(), verdict.String())
 		}
 	})
 
 	It("cuts no response by planned stops", func() {
-		verdict, err := trial.Run(context.Background(), trial.Settings{Requests: 300, Seed: 5, Stops: 12, Calm: true, Out: io.Discard})
+		verdict, err := trial.Run(context.Background(), trial.Settings{Requests: 300, Seed: 5, Stops: 12, NoFaults: true, Out: io.Discard})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(verdict.Held()).To(BeTrue(), verdict.String())
+		Expect(verdict.Passed()).To(BeTrue(), verdict.String())
 		Expect(verdict.Stops).To(Equal(12))
-		Expect(verdict.Cut).To(BeZero(), verdict.String())
+		Expect(verdict.Truncated).To(BeZero(), verdict.String())
 	})
 
 	It("violates no guarantee while stand-ins fail", func() {
 		verdict, err := trial.Run(context.Background(), trial.Settings{Requests: 200, Seed: 7, Out: io.Discard})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(verdict.Held()).To(BeTrue(), verdict.String())
+		Expect(verdict.Passed()).To(BeTrue(), verdict.String())
 		Expect(verdict.Served).To(BeNumerically(">", 100), verdict.String())
 		Expect(verdict.NotRun).To(BeNumerically(">", 0), verdict.String())
 	})
