--- a/partner/budget/region.go
+++ b/partner/budget/region.go
@@ -17,7 +17,7 @@
 // applyReports merges the reports of a message into the record. It returns false if the
 // message must be refused: its incarnation has closed, or it names grants that the region
 // never made.
-func (p *Page) applyReports(s SyncParams, now time.Time) bool {
+func (p *RegionRecord) applyReports(s SyncParams, now time.Time) bool {
 	if p.Members[s.Incarnation].Closed {
 		// A repeated closing message, after the answer to the first was lost.
 		return s.Closing
@@ -48,7 +48,7 @@
 // acceptsReport reports whether the record has made the grants that a report names. This
 // refuses messages that arrive after their incarnation's row was removed, which would
 // otherwise be counted twice.
-func (p *Page) acceptsReport(i granitehoist.Incarnation, report Ask) bool {
+func (p *RegionRecord) acceptsReport(i granitehoist.Incarnation, report Report) bool {
 	var granted granitehoist.Tokens
 	if a, ok := p.Accounts[report.Budget]; ok {
 		granted = a.Rows[i].Totals.Granted
@@ -57,7 +57,7 @@
 }
 
 // mergeReport merges the report of one budget into the incarnation's row.
-func (p *Page) mergeReport(i granitehoist.Incarnation, report Ask) {
+func (p *RegionRecord) mergeReport(i granitehoist.Incarnation, report Report) {
 	a := p.account(report.Budget)
 	row := a.Rows[i]
 	row.Totals = row.Totals.merge(report.Totals)
@@ -70,7 +70,7 @@
 
 // revokeUnseenGrants undoes grants that an incarnation had not seen when it closed. A
 // closed incarnation accepts no grant.
-func (p *Page) revokeUnseenGrants(i granitehoist.Incarnation, report Ask) {
+func (p *RegionRecord) revokeUnseenGrants(i granitehoist.Incarnation, report Report) {
 	a := p.account(report.Budget)
 	row := a.Rows[i]
 	row.Totals.Granted = report.Totals.Granted
@@ -78,10 +78,10 @@
 }
 
 // account returns the account of a budget and creates it if needed.
-func (p *Page) account(k granitehoist.BudgetID) *PageAccount {
+func (p *RegionRecord) account(k granitehoist.BudgetID) *RegionAccount {
 	a, ok := p.Accounts[k]
 	if !ok {
-		a = &PageAccount{}
+		a = &RegionAccount{}
 		p.Accounts[k] = a
 	}
 	if a.Rows == nil {
@@ -91,7 +91,7 @@
 }
 
 // holdsNothing reports whether an incarnation holds no tokens of any budget.
-func (p *Page) holdsNothing(i granitehoist.Incarnation) bool {
+func (p *RegionRecord) holdsNothing(i granitehoist.Incarnation) bool {
 	for _, a := range p.Accounts {
 		if a.Rows[i].Totals.Held() != 0 {
 			return false
@@ -101,7 +101,7 @@
 }
 
 // retire removes an incarnation's rows and keeps their sums.
-func (p *Page) retire(i granitehoist.Incarnation) {
+func (p *RegionRecord) retire(i granitehoist.Incarnation) {
 	for _, a := range p.Accounts {
 		row, ok := a.Rows[i]
 		if !ok {
@@ -126,7 +126,7 @@
 // grant divides the stock of one budget among the reports about it and raises the grants of
 // their rows. applyReports must have been called with them. The replies may be sent only
 // after the record is written.
-func (p *Page) grant(k granitehoist.BudgetID, reports map[granitehoist.Incarnation]Ask, split Split, now time.Time) map[granitehoist.Incarnation]Reply {
+func (p *RegionRecord) grant(k granitehoist.BudgetID, reports map[granitehoist.Incarnation]Report, split Split, now time.Time) map[granitehoist.Incarnation]Reply {
 	a := p.account(k)
 	ids := sortedKeys(reports)
 	claims := make([]*claim, len(ids))
@@ -162,7 +162,7 @@
 
 // withLenders adds the incarnations with the largest holdings, other than the requester,
 // to a reply.
-func withLenders(r Reply, a *PageAccount, requester granitehoist.Incarnation) Reply {
+func withLenders(r Reply, a *RegionAccount, requester granitehoist.Incarnation) Reply {
 	for _, id := range sortedKeys(a.Rows) {
 		if id != requester && a.Rows[id].Totals.Held() > 0 {
 			r.Lenders = append(r.Lenders, id)
@@ -176,7 +176,7 @@
 }
 
 // newClaim converts the totals of a report to amounts beyond the row's grants.
-func (a *PageAccount) newClaim(row Row, report Ask) *claim {
+func (a *RegionAccount) newClaim(row Row, report Report) *claim {
 	return &claim{
 		held:       row.Totals.Held(),
 		need:       max(0, report.Need-row.Totals.Granted),
@@ -190,7 +190,7 @@
 
 // liveTokens returns the region's tokens that are not in doubt, and the forecast of their
 // holders in tokens per second.
-func (p *Page) liveTokens(a *PageAccount, now time.Time) (granitehoist.Tokens, float64) {
+func (p *RegionRecord) liveTokens(a *RegionAccount, now time.Time) (granitehoist.Tokens, float64) {
 	total := a.Stock()
 	var rate float64
 	for _, id := range sortedKeys(a.Rows) {
@@ -203,8 +203,8 @@
 	return total, rate
 }
 
-// RegionAsk is a region's report of one budget to the root, and its demand.
-type RegionAsk struct {
+// RegionReport is a region's report of one budget to the root, and its demand.
+type RegionReport struct {
 	Budget granitehoist.BudgetID
 	// Received is the total of the root's grants that the region has seen. Returned is the
 	// total that the region has returned.
@@ -224,10 +224,10 @@
 // prepareReport returns the region's report of a budget. It then deducts the stock beyond
 // the root's limit as returned. Only the next report names that return, since the record
 // must be written first.
-func (p *Page) prepareReport(k granitehoist.BudgetID, split Split, now time.Time) RegionAsk {
+func (p *RegionRecord) prepareReport(k granitehoist.BudgetID, split Split, now time.Time) RegionReport {
 	a := p.account(k)
 	live, rate := p.liveTokens(a, now)
-	report := RegionAsk{Budget: k, Spent: a.Spent(), Rate: rate}
+	report := RegionReport{Budget: k, Spent: a.Spent(), Rate: rate}
 	for _, id := range sortedKeys(a.Rows) {
 		row := a.Rows[id]
 		report.Need += row.Need
@@ -252,7 +252,7 @@
 }
 
 // hasUnconfirmedReturns reports whether the root has yet to confirm returned tokens.
-func (p *Page) hasUnconfirmedReturns() bool {
+func (p *RegionRecord) hasUnconfirmedReturns() bool {
 	for _, a := range p.Accounts {
 		if a.Returned > a.Confirmed {
 			return true
@@ -262,7 +262,7 @@
 }
 
 // applyReply merges the root's reply into the record.
-func (p *Page) applyReply(r regionReply, now time.Time) {
+func (p *RegionRecord) applyReply(r regionReply, now time.Time) {
 	a := p.account(r.Budget)
 	a.ReportedAt = now.Unix()
 	a.Confirmed = max(a.Confirmed, r.Returned)
--- a/partner/budget/report.go
+++ b/partner/budget/report.go
@@ -23,7 +23,7 @@
 // Reports returns the reports that are due, in order of their budgets. urgent says whether
 // requests wait for the replies, on this box or elsewhere. Reports deducts the surplus of
 // each reported account. If a report is lost, the totals in the next one include it.
-func (p *Purse) Reports(now time.Time) (reports []Ask, urgent bool) {
+func (p *Ledger) Reports(now time.Time) (reports []Report, urgent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for k, a := range p.accounts {
@@ -55,11 +55,11 @@
 }
 
 // report deducts the account's surplus as returned and builds its report.
-func (p *Purse) report(k granitehoist.BudgetID, a *account, now time.Time) Ask {
+func (p *Ledger) report(k granitehoist.BudgetID, a *account, now time.Time) Report {
 	a.returnSurplus(p.closing)
 	a.reportedAt = now
 	granted := a.totals.Granted
-	report := Ask{
+	report := Report{
 		Budget:  k,
 		Totals:  a.totals,
 		Rate:    a.demand.spending.rate(now),
@@ -82,7 +82,7 @@
 // Apply processes the replies to reports. Grants are totals, so a delayed or duplicated
 // reply grants nothing twice; it only replaces the target, the remaining tokens and the
 // lenders.
-func (p *Purse) Apply(reports []Ask, replies []Reply, now time.Time) {
+func (p *Ledger) Apply(reports []Report, replies []Reply, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	reported := make(map[granitehoist.BudgetID]Totals, len(reports))
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -25,7 +25,7 @@
 // setPrepaid sets the prepaid total of a budget from the configuration with the given
 // serial. An older configuration has no effect. A total below what the regions hold takes
 // effect as they return tokens.
-func (r *Root) setPrepaid(k granitehoist.BudgetID, prepaid granitehoist.Tokens, serial granitehoist.Serial) {
+func (r *RootRecord) setPrepaid(k granitehoist.BudgetID, prepaid granitehoist.Tokens, serial granitehoist.Serial) {
 	a := r.account(k)
 	if serial <= a.PrepaidSerial {
 		return
@@ -35,7 +35,7 @@
 }
 
 // account returns the account of a budget and creates it if needed.
-func (r *Root) account(k granitehoist.BudgetID) *RootAccount {
+func (r *RootRecord) account(k granitehoist.BudgetID) *RootAccount {
 	a, ok := r.Accounts[k]
 	if !ok {
 		a = &RootAccount{}
@@ -53,7 +53,7 @@
 
 // serve merges a region's report into the root record and grants what the budget allows.
 // The reply may be used only after the record is written.
-func (r *Root) serve(region granitehoist.Region, report RegionAsk, split Split, now time.Time) regionReply {
+func (r *RootRecord) serve(region granitehoist.Region, report RegionReport, split Split, now time.Time) regionReply {
 	a := r.account(report.Budget)
 	row := a.Regions[region]
 	row.Returned = max(row.Returned, report.Returned)
--- a/partner/budget/rules_test.go
+++ b/partner/budget/rules_test.go
@@ -172,21 +172,21 @@
 }
 
 func TestIsRootReportDue(t *testing.T) {
-	account := PageAccount{Received: 100, Limit: 100, Confirmed: 5, ReportedAt: testTime.Unix()}
+	account := RegionAccount{Received: 100, Limit: 100, Confirmed: 5, ReportedAt: testTime.Unix()}
 	for _, test := range []struct {
 		name    string
-		account PageAccount
-		ask     RegionAsk
+		account RegionAccount
+		ask     RegionReport
 		age     time.Duration
 		want    bool
 	}{
-		{"nothing to report", account, RegionAsk{Live: 100, Returned: 5}, rootInterval - time.Second, false},
-		{"the last report is old", account, RegionAsk{Live: 100, Returned: 5}, rootInterval, true},
-		{"requests wait", account, RegionAsk{Live: 100, Returned: 5, Need: 1}, 0, true},
-		{"tokens were returned", account, RegionAsk{Live: 100, Returned: 6}, 0, true},
-		{"nothing was ever received", PageAccount{}, RegionAsk{}, 0, true},
-		{"below half, just reported", account, RegionAsk{Live: 49, Returned: 5, Want: 1}, 0, false},
-		{"below half", account, RegionAsk{Live: 49, Returned: 5, Want: 1}, shortfallInterval, true},
+		{"nothing to report", account, RegionReport{Live: 100, Returned: 5}, rootInterval - time.Second, false},
+		{"the last report is old", account, RegionReport{Live: 100, Returned: 5}, rootInterval, true},
+		{"requests wait", account, RegionReport{Live: 100, Returned: 5, Need: 1}, 0, true},
+		{"tokens were returned", account, RegionReport{Live: 100, Returned: 6}, 0, true},
+		{"nothing was ever received", RegionAccount{}, RegionReport{}, 0, true},
+		{"below half, just reported", account, RegionReport{Live: 49, Returned: 5, Want: 1}, 0, false},
+		{"below half", account, RegionReport{Live: 49, Returned: 5, Want: 1}, shortfallInterval, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			expectEqual(t, test.account.isRootReportDue(test.ask, testTime.Add(test.age)), test.want)
--- a/partner/budget/surplus.go
+++ b/partner/budget/surplus.go
@@ -60,7 +60,7 @@
 
 // returnStockSurplus deducts the stock beyond the root's limit as returned to the root, if
 // it is worth a write. live is what the region has that is not in doubt.
-func (a *PageAccount) returnStockSurplus(live granitehoist.Tokens) {
+func (a *RegionAccount) returnStockSurplus(live granitehoist.Tokens) {
 	surplus := min(a.Stock(), live-a.Limit)
 	if surplus > live/regionSurplusDivisor {
 		a.Returned += surplus
--- a/partner/budget/wait.go
+++ b/partner/budget/wait.go
@@ -45,7 +45,7 @@
 
 // Wait reserves bound tokens at once, as Reserve does, or returns a Waiter for them. The
 // caller must end the wait with EndWait. Wait panics if bound is negative.
-func (p *Purse) Wait(k granitehoist.BudgetID, bound granitehoist.Tokens, now time.Time) *Waiter {
+func (p *Ledger) Wait(k granitehoist.BudgetID, bound granitehoist.Tokens, now time.Time) *Waiter {
 	mustNotBeNegative(bound)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -71,7 +71,7 @@
 }
 
 // EndWait ends a wait and returns its outcome.
-func (p *Purse) EndWait(k granitehoist.BudgetID, w *Waiter, now time.Time) Outcome {
+func (p *Ledger) EndWait(k granitehoist.BudgetID, w *Waiter, now time.Time) Outcome {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.account(k)
--- a/partner/config/follower.go
+++ b/partner/config/follower.go
@@ -53,10 +53,10 @@
 	f := &Follower{settings: s}
 	f.view.Store(NewView())
 	f.watcher = follow.New(follow.Settings{
-		Store:    s.Store,
-		Prefix:   keyPrefix,
-		OnChange:  func(changed []granitehoist.Entry, _ granitehoist.Version) { f.apply(changed) },
-		OnError:   s.Failed,
+		Store:         s.Store,
+		Prefix:        keyPrefix,
+		OnChange:      func(changed []granitehoist.Entry, _ granitehoist.Version) { f.apply(changed) },
+		OnError:       s.Failed,
 		RetryDelay:    s.Pause,
 		MaxRetryDelay: s.Pause,
 	})
--- a/partner/config/policy.go
+++ b/partner/config/policy.go
@@ -47,7 +47,7 @@
 		}
 		// policy.New returns only *policy.Fault errors.
 		_, err := policy.New(p.source())
-		if fault, ok := err.(*policy.Fault); ok {
+		if fault, ok := err.(*policy.ProgramError); ok {
 			c.add("policy", i, fault.Program, fault.Reason, "correct the program; docs/OPERATIONS.md lists its inputs")
 		}
 	}
--- a/partner/gate/binding.go
+++ b/partner/gate/binding.go
@@ -21,7 +21,7 @@
 // After an error the request must not be sent.
 func (g *Gate) bind(ctx context.Context, req *request, id granitehoist.AttemptID) (*once.Binding, error) {
 	identity := req.input.identity
-	subject := once.Subject{Partner: identity.Partner, Workspace: identity.Workspace, Request: req.input.id}
+	subject := once.RequestKey{Partner: identity.Partner, Workspace: identity.Workspace, Request: req.input.id}
 	return g.settings.Once.Bind(ctx, subject, id, g.settings.Clock())
 }
 
--- a/partner/gate/crashhistory.go
+++ b/partner/gate/crashhistory.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return granitehoist.Wrap(granitehoist.BadRequest, err, "")
 	}
-	facts := suspect.Facts{
+	facts := suspect.RequestKey{
 		Method:    req.plan.call.Method,
 		Host:      string(req.input.offer.Name),
 		Target:    req.plan.call.Path,
@@ -85,9 +85,9 @@
 		// The documents have no start time of upstreams, so each crash counts as one of a
 		// new incarnation. Crashes at the same time count as one round in any case.
 		v := g.crashTable.RecordCrash(req.crashes.digest, suspect.Observation{
-			Incarnation:  suspect.LifeOf(u.Name, now.UnixMilli()),
-			Verdict: req.crashes.verdict,
-			Early: !req.sink.started,
+			Incarnation: suspect.IncarnationOf(u.Name, now.UnixMilli()),
+			Verdict:     req.crashes.verdict,
+			Early:       !req.sink.started,
 		}, now)
 		g.settings.Log.Warn("an upstream crashed under a request",
 			zap.Stringer("digest", req.crashes.digest), zap.String("upstream", string(u.Name)),
@@ -98,7 +98,7 @@
 // upstreamCrashed reports whether the upstream of a failed attempt crashed: the connection
 // broke and the address refuses new connections.
 func (g *Gate) upstreamCrashed(ctx context.Context, u config.Upstream, err error) bool {
-	if !exchange.ConnectionEnded(err) || ctx.Err() != nil {
+	if !exchange.ClosedByPeer(err) || ctx.Err() != nil {
 		return false
 	}
 	// Addresses are validated with the documents; an invalid one counts as not crashed.
--- a/partner/gate/fakes_test.go
+++ b/partner/gate/fakes_test.go
@@ -171,7 +171,7 @@
 		Zone:        "gachuurt",
 		Incarnation: "box-1",
 		View:        func() *config.View { return s.view },
-		Budgets:       s.funds,
+		Budgets:     s.funds,
 		Ledger:      s.ledger,
 		Once:        once.New(once.Settings{Store: s.store}),
 		Table:       route.NewTable(route.Settings{}),
@@ -192,7 +192,7 @@
 	header http.Header
 	body   string
 	code   granitehoist.Code
-	fate   granitehoist.Fate
+	fate   granitehoist.ExecutionStatus
 }
 
 func (s *fixture) send(method, path, body string, headers ...string) gateResponse {
@@ -213,7 +213,7 @@
 	}()
 	s.gate.Wait()
 	got := gateResponse{status: w.Code, header: w.Header(), body: w.Body.String(), code: granitehoist.Served, fate: granitehoist.Ran}
-	var failure gate.Failure
+	var failure gate.ErrorResponse
 	if json.Unmarshal(w.Body.Bytes(), &failure) == nil && failure.Error.Code != 0 {
 		got.code, got.fate = granitehoist.Code(failure.Error.Code), failure.Error.Fate
 	}
--- a/partner/gate/read.go
+++ b/partner/gate/read.go
@@ -158,7 +158,7 @@
 // those addressed to the gate. Underscores in names match hyphens, since some services treat
 // both alike.
 func forwardedHeader(h http.Header) http.Header {
-	passed := upstream.CopyHeader(h, "Authorization", "Content-Length", "Host")
+	passed := upstream.EndToEndHeader(h, "Authorization", "Content-Length", "Host")
 	for name := range passed {
 		standard := textproto.CanonicalMIMEHeaderKey(strings.ReplaceAll(name, "_", "-"))
 		if standard == HeaderRequest || strings.HasPrefix(standard, ownHeaderPrefix) {
--- a/partner/gate/refusals.go
+++ b/partner/gate/refusals.go
@@ -14,21 +14,21 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Failure is the body of an error response, in the format of OpenAI-compatible errors.
-type Failure struct {
-	Error FailureDetail `json:"error"`
+// ErrorResponse is the body of an error response, in the format of OpenAI-compatible errors.
+type ErrorResponse struct {
+	Error ErrorDetail `json:"error"`
 }
 
-// FailureDetail describes the error of a request.
-type FailureDetail struct {
+// ErrorDetail describes the error of a request.
+type ErrorDetail struct {
 	// Code is the numbered result code, and Type its name.
 	Code    int    `json:"code"`
 	Type    string `json:"type"`
 	Message string `json:"message"`
 	// Fate says whether the request ran.
-	Fate    granitehoist.Fate      `json:"fate"`
-	Advice  granitehoist.Advice    `json:"advice"`
-	Request granitehoist.RequestID `json:"request_id"`
+	Fate    granitehoist.ExecutionStatus `json:"fate"`
+	Advice  granitehoist.Advice          `json:"advice"`
+	Request granitehoist.RequestID       `json:"request_id"`
 }
 
 // asError returns err as a *granitehoist.Error. An error without a code becomes Internal,
@@ -42,9 +42,9 @@
 }
 
 // failure returns the response body for an error.
-func failure(id granitehoist.RequestID, e *granitehoist.Error) Failure {
+func failure(id granitehoist.RequestID, e *granitehoist.Error) ErrorResponse {
 	info := e.Code.Info()
-	return Failure{Error: FailureDetail{
+	return ErrorResponse{Error: ErrorDetail{
 		Code:    int(info.Code),
 		Type:    info.Name,
 		Message: e.Message(),
--- a/partner/gate/result.go
+++ b/partner/gate/result.go
@@ -48,9 +48,9 @@
 	code := granitehoist.CodeOf(err)
 	switch {
 	case err == nil, code == granitehoist.BadRequest:
-		return route.Good
+		return route.Succeeded
 	case contextDone, code == granitehoist.CallerGone:
-		return route.Unclear
+		return route.Inconclusive
 	}
-	return route.Bad
+	return route.Failed
 }
--- a/partner/gate/retry.go
+++ b/partner/gate/retry.go
@@ -71,8 +71,8 @@
 // time.
 func newRetryBudget() *retrybudget.Budget {
 	return retrybudget.New(retrybudget.Settings{
-		PerRequest:  retriesPerRequest,
-		Capacity:    retryBudgetCapacity,
+		PerRequest:      retriesPerRequest,
+		Capacity:        retryBudgetCapacity,
 		InitialFraction: initialRetryFraction,
 	})
 }
--- a/partner/gate/rules_test.go
+++ b/partner/gate/rules_test.go
@@ -94,14 +94,14 @@
 		func(err error, ended bool, want route.Result) {
 			Expect(upstreamResult(err, ended)).To(Equal(want))
 		},
-		Entry("success", nil, false, route.Good),
-		Entry("success at the deadline", nil, true, route.Good),
-		Entry("an invalid request", granitehoist.Errorf(granitehoist.BadRequest, ""), false, route.Good),
-		Entry("a refusal", refused, false, route.Bad),
-		Entry("an error without a code", errors.New("x"), false, route.Bad),
-		Entry("an attempt that the deadline ended", lost, true, route.Unclear),
-		Entry("a caller that disconnected", granitehoist.Errorf(granitehoist.CallerGone, ""), false, route.Unclear),
-		Entry("a timeout of the transport", context.DeadlineExceeded, false, route.Bad),
+		Entry("success", nil, false, route.Succeeded),
+		Entry("success at the deadline", nil, true, route.Succeeded),
+		Entry("an invalid request", granitehoist.Errorf(granitehoist.BadRequest, ""), false, route.Succeeded),
+		Entry("a refusal", refused, false, route.Failed),
+		Entry("an error without a code", errors.New("x"), false, route.Failed),
+		Entry("an attempt that the deadline ended", lost, true, route.Inconclusive),
+		Entry("a caller that disconnected", granitehoist.Errorf(granitehoist.CallerGone, ""), false, route.Inconclusive),
+		Entry("a timeout of the transport", context.DeadlineExceeded, false, route.Failed),
 	)
 })
 
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -93,7 +93,7 @@
 // execute sends the request in successive attempts until one succeeds or no retry is
 // allowed.
 func (g *Gate) execute(ctx context.Context, req *request, cost *costTracker) error {
-	want := route.Want{
+	want := route.Request{
 		Service:  req.input.offer.Name,
 		Targets:  g.targets.get(g.settings.View(), req.input.offer),
 		Affinity: req.plan.affinity,
@@ -115,7 +115,7 @@
 		if req.plan.once && binding == nil {
 			binding, err = g.bind(ctx, req, id)
 			if err != nil {
-				slot.Done(route.Unclear, g.settings.Clock())
+				slot.Done(route.Inconclusive, g.settings.Clock())
 				return err
 			}
 		}
@@ -139,7 +139,7 @@
 func (g *Gate) send(ctx context.Context, req *request, cost *costTracker, slot *route.Slot, id granitehoist.AttemptID) error {
 	u, err := g.findUpstream(req, slot.Upstream)
 	if err != nil {
-		slot.Done(route.Unclear, g.settings.Clock())
+		slot.Done(route.Inconclusive, g.settings.Clock())
 		return err
 	}
 	call := req.plan.call
--- a/partner/gate/settings.go
+++ b/partner/gate/settings.go
@@ -21,8 +21,8 @@
 	"granitehoist.example/granitehoist/partner/settings"
 )
 
-// Funds reserves and settles tokens of budgets. budget.Agent implements it.
-type Funds interface {
+// Budgets reserves and settles tokens of budgets. budget.Agent implements it.
+type Budgets interface {
 	// Reserve reserves tokens. It may wait for them, as the split of the budget allows. The
 	// error is a *granitehoist.Error.
 	Reserve(ctx context.Context, k granitehoist.BudgetID, bound granitehoist.Tokens) error
@@ -40,7 +40,7 @@
 	// View returns the documents in force.
 	View func() *config.View
 	// Budgets reserves the tokens of a request and settles them.
-	Budgets Funds
+	Budgets Budgets
 	// Ledger receives one charge for each request that may have run.
 	Ledger *bill.Ledger
 	// Once binds requests that are not to be repeated.
@@ -87,5 +87,5 @@
 	defaults.Set(&l.BodyBytes, settings.DefaultBodyBytes)
 	defaults.Set(&l.HeaderBytes, settings.DefaultHeaderBytes)
 	defaults.Set(&l.ReadTimeout, time.Duration(settings.DefaultReadTimeout))
-	defaults.Set(&l.RequestTimeout, time.Duration(settings.DefaultRequest))
+	defaults.Set(&l.RequestTimeout, time.Duration(settings.DefaultRequestTimeout))
 }
--- a/partner/once/record.go
+++ b/partner/once/record.go
@@ -24,8 +24,8 @@
 	Bound State = "bound"
 	// Done means that the upstream has responded.
 	Done State = "done"
-	// Free means that no attempt ran, so that the request may be bound again.
-	Free State = "free"
+	// Released means that no attempt ran, so that the request may be bound again.
+	Released State = "free"
 )
 
 // Record is the stored state of one request.
@@ -40,8 +40,8 @@
 	At time.Time `json:"at"`
 }
 
-// Subject identifies a request that is not to be repeated.
-type Subject struct {
+// RequestKey identifies a request that is not to be repeated.
+type RequestKey struct {
 	Partner   granitehoist.Partner
 	Workspace granitehoist.Workspace
 	Request   granitehoist.RequestID
@@ -49,7 +49,7 @@
 
 // key returns the store key of the subject's record. It hashes the request id,
 // which the caller chooses and which may be long or contain slashes.
-func (s Subject) key() string {
+func (s RequestKey) key() string {
 	sum := sha256.Sum256([]byte(s.Request))
 	return KeyPrefix + string(s.Partner) + "/" + string(s.Workspace) + "/" + hex.EncodeToString(sum[:])
 }
@@ -67,7 +67,7 @@
 		return granitehoist.Wrap(granitehoist.OnceUnsure, err, "can't decode the record of the request")
 	}
 	switch record.State {
-	case Free:
+	case Released:
 		return nil
 	case Done:
 		return granitehoist.Errorf(granitehoist.AlreadyRun, "the upstream responded with status %d at %s", record.Status, record.At.UTC().Format(time.RFC3339))
--- a/partner/once/registry.go
+++ b/partner/once/registry.go
@@ -45,7 +45,7 @@
 // the fleet. The error is a *granitehoist.Error with code AlreadyRun or OnceUnsure if
 // the request is already bound, or OnceUnavailable if the store doesn't respond.
 // After an error the request must not be sent.
-func (r *Registry) Bind(ctx context.Context, s Subject, attempt granitehoist.AttemptID, now time.Time) (*Binding, error) {
+func (r *Registry) Bind(ctx context.Context, s RequestKey, attempt granitehoist.AttemptID, now time.Time) (*Binding, error) {
 	key := s.key()
 	current, err := r.store.Get(ctx, key)
 	if err != nil {
@@ -103,6 +103,6 @@
 // Release records that no attempt ran, so that the request may be bound again. It
 // must not be called if an attempt may have run. On error the record stays Bound.
 func (b *Binding) Release(ctx context.Context, now time.Time) error {
-	b.record = Record{Attempt: b.record.Attempt, State: Free, At: now}
+	b.record = Record{Attempt: b.record.Attempt, State: Released, At: now}
 	return b.write(ctx)
 }
--- a/partner/once/registry_test.go
+++ b/partner/once/registry_test.go
@@ -22,7 +22,7 @@
 var (
 	ctx     = context.Background()
 	now     = time.Date(2026, 12, 2, 0, 0, 0, 0, time.UTC)
-	subject = once.Subject{Partner: "lima", Workspace: "drivers", Request: "start-1"}
+	subject = once.RequestKey{Partner: "lima", Workspace: "drivers", Request: "start-1"}
 )
 
 // input and output are one call of Bind in the history that porcupine checks.
--- a/partner/orphan/orphan_test.go
+++ b/partner/orphan/orphan_test.go
@@ -170,13 +170,13 @@
 	})
 
 	It("lists routers that stopped reporting without a graceful stop", func() {
-		page := budget.NewPage()
+		page := budget.NewRegionRecord()
 		page.Members["alive"] = budget.Member{LastSeen: now.Unix()}
 		page.Members["stopped"] = budget.Member{LastSeen: now.Add(-time.Hour).Unix(), Closed: true}
 		page.Members[dead] = budget.Member{LastSeen: now.Add(-time.Hour).Unix()}
 		raw, err := pack.Pack(page)
 		Expect(err).NotTo(HaveOccurred())
-		_, err = store.Create(ctx, keys, budget.PageKey("tuul", 0), raw)
+		_, err = store.Create(ctx, keys, budget.RegionKey("tuul", 0), raw)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(settler.UnresponsiveRouters(ctx, now)).To(Equal([]granitehoist.Incarnation{dead}))
 	})
--- a/partner/orphan/silent.go
+++ b/partner/orphan/silent.go
@@ -12,10 +12,10 @@
 	"granitehoist.example/granitehoist/partner/budget"
 )
 
-// SilentAfter is the time without a report after which another router charges a
+// UnresponsiveTimeout is the time without a report after which another router charges a
 // router's attempts. A partitioned router may return later; its own charges then
 // replace those written here.
-const SilentAfter = 2 * time.Minute
+const UnresponsiveTimeout = 2 * time.Minute
 
 // lastSeen is the newest state of a router in the budget pages of its region.
 type lastSeen struct {
@@ -28,7 +28,7 @@
 // isSilent reports whether the router did not stop gracefully and has not reported for
 // more than SilentAfter.
 func (l lastSeen) isSilent(now time.Time) bool {
-	return !l.closed && now.Sub(time.Unix(l.at, 0)) > SilentAfter
+	return !l.closed && now.Sub(time.Unix(l.at, 0)) > UnresponsiveTimeout
 }
 
 // UnresponsiveRouters returns, in order, the incarnations of the region that drew on budgets, did not
@@ -54,11 +54,11 @@
 func (s *Settler) readLastSeen(ctx context.Context) (map[granitehoist.Incarnation]lastSeen, error) {
 	seen := map[granitehoist.Incarnation]lastSeen{}
 	for shard := range budget.Shard(s.settings.Shards) {
-		entry, err := s.settings.Store.Get(ctx, budget.PageKey(s.settings.Region, shard))
+		entry, err := s.settings.Store.Get(ctx, budget.RegionKey(s.settings.Region, shard))
 		if err != nil {
 			return nil, err
 		}
-		page, err := budget.DecodePage(entry)
+		page, err := budget.DecodeRegionRecord(entry)
 		if err != nil {
 			return nil, err
 		}
--- a/partner/policy/policy.go
+++ b/partner/policy/policy.go
@@ -41,8 +41,8 @@
 	priority cel.Program
 }
 
-// Fault is the error of a program that does not compile or that fails in evaluation.
-type Fault struct {
+// ProgramError is the error of a program that does not compile or that fails in evaluation.
+type ProgramError struct {
 	// Policy is the policy's name.
 	Policy string
 	// Program is "permit" or "priority".
@@ -52,7 +52,7 @@
 }
 
 // Error returns the policy, the program and the reason.
-func (f *Fault) Error() string {
+func (f *ProgramError) Error() string {
 	return fmt.Sprintf("policy %q, program %s: %s", f.Policy, f.Program, f.Reason)
 }
 
@@ -81,7 +81,7 @@
 // ready for evaluation.
 func compile(policy, program, text string, want *cel.Type) (cel.Program, error) {
 	fault := func(format string, args ...any) error {
-		return &Fault{Policy: policy, Program: program, Reason: fmt.Sprintf(format, args...)}
+		return &ProgramError{Policy: policy, Program: program, Reason: fmt.Sprintf(format, args...)}
 	}
 	if text == "" {
 		return nil, fault("is empty")
@@ -135,7 +135,7 @@
 func (p *Policy) evaluate(program string, compiled cel.Program, vars map[string]any) (any, error) {
 	value, _, err := compiled.Eval(vars)
 	if err != nil {
-		fault := &Fault{Policy: p.name, Program: program, Reason: err.Error()}
+		fault := &ProgramError{Policy: p.name, Program: program, Reason: err.Error()}
 		return nil, granitehoist.Wrap(granitehoist.PolicyFailed, fault, "policy "+p.name)
 	}
 	return value.Value(), nil
--- a/partner/policy/policy_test.go
+++ b/partner/policy/policy_test.go
@@ -57,9 +57,9 @@
 	DescribeTable("is rejected with the name of the invalid program",
 		func(s policy.Source, program string) {
 			_, err := policy.New(s)
-			var fault *policy.Fault
+			var fault *policy.ProgramError
 			Expect(err).To(BeAssignableToTypeOf(fault))
-			Expect(err.(*policy.Fault).Program).To(Equal(program))
+			Expect(err.(*policy.ProgramError).Program).To(Equal(program))
 		},
 		Entry("empty", policy.Source{}, "permit"),
 		Entry("syntax", policy.Source{Permit: "workspace =="}, "permit"),
--- a/partner/report/burn.go
+++ b/partner/report/burn.go
@@ -11,8 +11,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Burn is the burn-rate report of a fleet, over the routers that could be reached.
-type Burn struct {
+// BurnReport is the burn-rate report of a fleet, over the routers that could be reached.
+type BurnReport struct {
 	Rows []Row `json:"rows"`
 	// Asked lists the boxes whose counts are in Rows, Unreached those whose routers
 	// could not be reached.
@@ -21,7 +21,7 @@
 }
 
 // Merge adds the rows of another router; rows with equal keys are summed.
-func (b *Burn) Merge(rows []Row) {
+func (b *BurnReport) Merge(rows []Row) {
 	rowIndex := map[Key]int{}
 	for i, row := range b.Rows {
 		rowIndex[row.Key] = i
@@ -40,10 +40,10 @@
 	sortRows(b.Rows)
 }
 
-// Rate returns the burn rate of an error budget: the fraction of bad events divided by
+// BurnRate returns the burn rate of an error budget: the fraction of bad events divided by
 // the allowed fraction. At 1 the error budget is used up exactly; 20, the maximum, means
 // that all events are bad. It returns 0 if there are no events.
-func Rate(bad, all int) float64 {
+func BurnRate(bad, all int) float64 {
 	if all == 0 {
 		return 0
 	}
@@ -52,7 +52,7 @@
 
 // WriteBurn writes the report as text: a table for each window, then the boxes that
 // could not be reached. It returns the first write error.
-func WriteBurn(w io.Writer, b Burn) error {
+func WriteBurn(w io.Writer, b BurnReport) error {
 	for i, window := range Windows {
 		table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 		// The tabwriter buffers these lines; Flush returns the write error.
@@ -63,7 +63,7 @@
 				continue
 			}
 			fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%.2f\t%.2f\t%.2f\t%.2f\n", row.Key.Service, row.Key.Workspace, row.Key.Zone, c.Requests,
-				Rate(c.SlowFirstTokens, c.FirstTokens), Rate(c.SlowTokenGaps, c.TokenGaps), Rate(c.Refused, c.Requests), Rate(c.Errors, c.Requests))
+				BurnRate(c.SlowFirstTokens, c.FirstTokens), BurnRate(c.SlowTokenGaps, c.TokenGaps), BurnRate(c.Refused, c.Requests), BurnRate(c.Errors, c.Requests))
 		}
 		fmt.Fprintln(table)
 		if err := table.Flush(); err != nil {
--- a/partner/report/counts.go
+++ b/partner/report/counts.go
@@ -26,10 +26,10 @@
 	Requests int `json:"requests"`
 	// FirstTokens counts responses with a first token and Between gaps between tokens;
 	// SlowFirst and SlowBetween count those that missed the objective.
-	FirstTokens       int `json:"first"`
-	SlowFirstTokens   int `json:"slow_first"`
-	TokenGaps     int `json:"between"`
-	SlowTokenGaps int `json:"slow_between"`
+	FirstTokens     int `json:"first"`
+	SlowFirstTokens int `json:"slow_first"`
+	TokenGaps       int `json:"between"`
+	SlowTokenGaps   int `json:"slow_between"`
 	// Refused counts requests rejected for lack of budget, capacity or upstreams,
 	// Errors those that failed in an upstream or a router. Client errors count as
 	// neither.
@@ -40,13 +40,13 @@
 // Add returns the sum of two counts.
 func (c Counts) Add(d Counts) Counts {
 	return Counts{
-		Requests:    c.Requests + d.Requests,
-		FirstTokens:       c.FirstTokens + d.FirstTokens,
-		SlowFirstTokens:   c.SlowFirstTokens + d.SlowFirstTokens,
-		TokenGaps:     c.TokenGaps + d.TokenGaps,
-		SlowTokenGaps: c.SlowTokenGaps + d.SlowTokenGaps,
-		Refused:     c.Refused + d.Refused,
-		Errors:      c.Errors + d.Errors,
+		Requests:        c.Requests + d.Requests,
+		FirstTokens:     c.FirstTokens + d.FirstTokens,
+		SlowFirstTokens: c.SlowFirstTokens + d.SlowFirstTokens,
+		TokenGaps:       c.TokenGaps + d.TokenGaps,
+		SlowTokenGaps:   c.SlowTokenGaps + d.SlowTokenGaps,
+		Refused:         c.Refused + d.Refused,
+		Errors:          c.Errors + d.Errors,
 	}
 }
 
--- a/partner/report/report_test.go
+++ b/partner/report/report_test.go
@@ -81,7 +81,7 @@
 		var a, b report.Recorder
 		a.Add(key, report.Counts{Requests: 50, FirstTokens: 50, SlowFirstTokens: 5}, now)
 		b.Add(key, report.Counts{Requests: 50, FirstTokens: 50}, now)
-		burn := report.Burn{Asked: []granitehoist.Box{"a", "b"}, Unreached: []granitehoist.Box{"c"}}
+		burn := report.BurnReport{Asked: []granitehoist.Box{"a", "b"}, Unreached: []granitehoist.Box{"c"}}
 		burn.Merge(a.Rows(now))
 		burn.Merge(b.Rows(now))
 		Expect(burn.Rows).To(HaveLen(1))
@@ -92,8 +92,8 @@
 	})
 
 	It("has rate 1 when the error budget is used up exactly", func() {
-		Expect(report.Rate(5, 100)).To(BeNumerically("~", 1))
-		Expect(report.Rate(0, 0)).To(BeZero())
+		Expect(report.BurnRate(5, 100)).To(BeNumerically("~", 1))
+		Expect(report.BurnRate(0, 0)).To(BeZero())
 	})
 })
 
--- a/partner/route/bench_test.go
+++ b/partner/route/bench_test.go
@@ -15,7 +15,7 @@
 	for _, count := range []int{12, 200, 10000} {
 		b.Run(fmt.Sprintf("upstreams=%d", count), func(b *testing.B) {
 			table := route.NewTable(route.Settings{})
-			want := route.Want{Service: "s", Targets: targets(count, 32)}
+			want := route.Request{Service: "s", Targets: targets(count, 32)}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				want.Affinity = uint64(i + 1)
@@ -23,7 +23,7 @@
 				if err != nil {
 					b.Fatal(err)
 				}
-				slot.Done(route.Good, start)
+				slot.Done(route.Succeeded, start)
 			}
 		})
 	}
--- a/partner/route/pool.go
+++ b/partner/route/pool.go
@@ -48,7 +48,7 @@
 	// ejectedUntil is when the ejection ends.
 	ejectedUntil time.Time
 	// backoff is the pause in requests that the upstream asked this router for.
-	backoff pushback.Rest
+	backoff pushback.Backoff
 	// draining members get no new requests.
 	draining bool
 }
@@ -62,7 +62,7 @@
 // choose returns the member for a request: the one on the ring for its affinity,
 // within the load bound, or else the least loaded. It returns nil if none is
 // available.
-func (p *servicePool) choose(w Want, random *rand.Rand, now time.Time) *member {
+func (p *servicePool) choose(w Request, random *rand.Rand, now time.Time) *member {
 	if len(p.members) == 0 {
 		return nil
 	}
@@ -79,7 +79,7 @@
 
 // firstOnRing returns the first available member on the ring, beginning at the point of
 // the request's affinity. It returns nil if there is none within maxRingProbes points.
-func (p *servicePool) firstOnRing(w Want, limit int, now time.Time) *member {
+func (p *servicePool) firstOnRing(w Request, limit int, now time.Time) *member {
 	start := sort.Search(len(p.ring), func(i int) bool { return p.ring[i].hash >= w.Affinity })
 	for probe := range min(maxRingProbes, len(p.ring)) {
 		m := p.members[p.ring[(start+probe)%len(p.ring)].member]
@@ -96,7 +96,7 @@
 // leastLoaded returns the available member with the fewest requests: among all in a
 // small pool, among two random ones in a large one (M. Mitzenmacher, "The Power of Two
 // Choices in Randomized Load Balancing", 1996). It returns nil if none is available.
-func (p *servicePool) leastLoaded(w Want, random *rand.Rand, now time.Time) *member {
+func (p *servicePool) leastLoaded(w Request, random *rand.Rand, now time.Time) *member {
 	if len(p.members) <= maxFullScan {
 		return p.scan(w, now)
 	}
@@ -113,7 +113,7 @@
 }
 
 // scan returns the available member with the fewest requests among all, or nil.
-func (p *servicePool) scan(w Want, now time.Time) *member {
+func (p *servicePool) scan(w Request, now time.Time) *member {
 	var best *member
 	for _, m := range p.members {
 		if m.available(m.Concurrency, w.Tried, now) && (best == nil || m.inFlight < best.inFlight) {
@@ -126,7 +126,7 @@
 // earliestReadmission returns the untried member whose ejection ends first, if every
 // untried member is ejected or backing off. untried says whether there is an untried
 // member at all.
-func (p *servicePool) earliestReadmission(w Want, now time.Time) (first *member, untried bool) {
+func (p *servicePool) earliestReadmission(w Request, now time.Time) (first *member, untried bool) {
 	for _, m := range p.members {
 		if m.draining || w.Tried[m.Name] {
 			continue
@@ -147,7 +147,7 @@
 
 // shortestBackoff returns the time until the first backoff ends and true, if every
 // untried member that is not draining is backing off.
-func (p *servicePool) shortestBackoff(w Want, now time.Time) (remaining time.Duration, all bool) {
+func (p *servicePool) shortestBackoff(w Request, now time.Time) (remaining time.Duration, all bool) {
 	for _, m := range p.members {
 		if m.draining || w.Tried[m.Name] {
 			continue
--- a/partner/route/queue.go
+++ b/partner/route/queue.go
@@ -17,14 +17,14 @@
 
 // waiter is a queued request.
 type waiter struct {
-	want Want
+	want Request
 	// granted receives the slot of the request. It is buffered, so that serveQueue does not
 	// block.
 	granted chan *Slot
 }
 
 // add inserts a request behind those of the same or a higher priority.
-func (q *queue) add(w Want) *waiter {
+func (q *queue) add(w Request) *waiter {
 	added := &waiter{want: w, granted: make(chan *Slot, 1)}
 	pos := sort.Search(len(*q), func(i int) bool { return (*q)[i].want.Priority < w.Priority })
 	*q = append(*q, nil)
--- a/partner/route/rules_test.go
+++ b/partner/route/rules_test.go
@@ -40,7 +40,7 @@
 
 	// chosen returns the name of the member that a pool of these members chooses, or ""
 	// for none.
-	chosen := func(w Want, members ...*member) granitehoist.Upstream {
+	chosen := func(w Request, members ...*member) granitehoist.Upstream {
 		p := &servicePool{members: members, ring: newRing(members)}
 		for _, m := range members {
 			p.inFlight += m.inFlight
@@ -70,16 +70,16 @@
 	tried := map[granitehoist.Upstream]bool{"a": true}
 
 	DescribeTable("returns the available member with the fewest requests",
-		func(want granitehoist.Upstream, w Want, members ...*member) {
+		func(want granitehoist.Upstream, w Request, members ...*member) {
 			Expect(chosen(w, members...)).To(Equal(want))
 		},
-		Entry("no members", granitehoist.Upstream(""), Want{}),
-		Entry("the less loaded one", granitehoist.Upstream("b"), Want{}, busy("a", 2), busy("b", 1)),
-		Entry("not a tried one", granitehoist.Upstream("b"), Want{Tried: tried}, free("a"), busy("b", 3)),
-		Entry("not an ejected one", granitehoist.Upstream("b"), Want{}, ejected("a"), busy("b", 3)),
-		Entry("not a draining one", granitehoist.Upstream("b"), Want{}, draining("a"), busy("b", 3)),
-		Entry("none when all are full", granitehoist.Upstream(""), Want{}, busy("a", 4), busy("b", 4)),
-		Entry("beyond the load bound when no member on the ring is within it", granitehoist.Upstream("b"), Want{Affinity: 1, Tried: tried}, free("a"), busy("b", 3)),
+		Entry("no members", granitehoist.Upstream(""), Request{}),
+		Entry("the less loaded one", granitehoist.Upstream("b"), Request{}, busy("a", 2), busy("b", 1)),
+		Entry("not a tried one", granitehoist.Upstream("b"), Request{Tried: tried}, free("a"), busy("b", 3)),
+		Entry("not an ejected one", granitehoist.Upstream("b"), Request{}, ejected("a"), busy("b", 3)),
+		Entry("not a draining one", granitehoist.Upstream("b"), Request{}, draining("a"), busy("b", 3)),
+		Entry("none when all are full", granitehoist.Upstream(""), Request{}, busy("a", 4), busy("b", 4)),
+		Entry("beyond the load bound when no member on the ring is within it", granitehoist.Upstream("b"), Request{Affinity: 1, Tried: tried}, free("a"), busy("b", 3)),
 	)
 })
 
@@ -89,7 +89,7 @@
 	// acquire reserves a slot at one of the named upstreams.
 	acquire := func(t *Table, names ...granitehoist.Upstream) *Slot {
 		GinkgoHelper()
-		w := Want{Service: "s"}
+		w := Request{Service: "s"}
 		for _, name := range names {
 			w.Targets = append(w.Targets, Target{Name: name, Concurrency: 4})
 		}
@@ -108,8 +108,8 @@
 				sum += m.inFlight
 			}
 			Expect(t.pools["s"].inFlight).To(Equal(sum))
-			held.Done(Good, now)
-			other.Done(Good, now)
+			held.Done(Succeeded, now)
+			other.Done(Succeeded, now)
 			Expect(t.pools["s"].inFlight).To(BeZero())
 		},
 		Entry("with an additional upstream", granitehoist.Upstream("a"), granitehoist.Upstream("b")),
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Want describes the upstream that an attempt needs.
-type Want struct {
+// Request describes the upstream that an attempt needs.
+type Request struct {
 	Service granitehoist.Service
 	// Targets are the service's upstreams. The slice must not be modified
 	// afterwards; Acquire detects a new configuration by a different slice.
@@ -80,7 +80,7 @@
 // no eligible upstream. It is Overloaded if none became available in time, if the queue
 // is full, or if all upstreams are backing off; in the last case RetryAfter is the time
 // until the first backoff ends.
-func (t *Table) Acquire(ctx context.Context, w Want, now time.Time) (*Slot, error) {
+func (t *Table) Acquire(ctx context.Context, w Request, now time.Time) (*Slot, error) {
 	t.mu.Lock()
 	pool := t.currentPool(w)
 	slot, eligible := t.assign(pool, w, now)
@@ -105,7 +105,7 @@
 // checkWait returns nil if a request without an available upstream may be queued, and
 // otherwise the reason for its refusal. eligible says that an upstream could be chosen
 // if it had capacity. The caller holds mu.
-func (t *Table) checkWait(pool *servicePool, w Want, eligible bool, now time.Time) error {
+func (t *Table) checkWait(pool *servicePool, w Request, eligible bool, now time.Time) error {
 	if !eligible {
 		return granitehoist.Errorf(granitehoist.NoUpstream, "service %s", w.Service)
 	}
@@ -122,7 +122,7 @@
 
 // currentPool returns the service's pool and replaces it if the targets changed. The
 // new pool takes over the members' state and the queued requests. The caller holds mu.
-func (t *Table) currentPool(w Want) *servicePool {
+func (t *Table) currentPool(w Request) *servicePool {
 	p, exists := t.pools[w.Service]
 	if exists && sameSlice(p.targets, w.Targets) {
 		return p
@@ -167,7 +167,7 @@
 // assign chooses an available upstream and reserves a slot there. If all untried
 // upstreams are ejected, it uses the one whose ejection ends first. eligible is false
 // if no upstream could be chosen even with capacity. The caller holds mu.
-func (t *Table) assign(p *servicePool, w Want, now time.Time) (slot *Slot, eligible bool) {
+func (t *Table) assign(p *servicePool, w Request, now time.Time) (slot *Slot, eligible bool) {
 	if m := p.choose(w, t.random, now); m != nil {
 		return t.reserve(p, m, now), true
 	}
@@ -234,11 +234,11 @@
 	backoff := &s.member.backoff
 	backoff.EndProbe()
 	switch r {
-	case Good:
+	case Succeeded:
 		backoff.Accepted(s.acquiredAt, s.member.Concurrency)
-	case Bad:
+	case Failed:
 		backoff.Rejected()
-	case Unclear:
+	case Inconclusive:
 	}
 }
 
@@ -247,12 +247,12 @@
 
 // Results of an attempt.
 const (
-	// Good means that the upstream served the attempt or rejected an invalid request.
-	Good Result = iota
-	// Bad means that the upstream refused or failed the attempt.
-	Bad
-	// Unclear counts as neither, for example after the caller disconnected.
-	Unclear
+	// Succeeded means that the upstream served the attempt or rejected an invalid request.
+	Succeeded Result = iota
+	// Failed means that the upstream refused or failed the attempt.
+	Failed
+	// Inconclusive counts as neither, for example after the caller disconnected.
+	Inconclusive
 )
 
 // Done ends an attempt, records its result and assigns the freed capacity to queued
@@ -269,12 +269,12 @@
 		pool.inFlight--
 	}
 	switch r {
-	case Good:
+	case Succeeded:
 		m.failures = 0
-	case Bad:
+	case Failed:
 		m.failures++
 		m.ejectedUntil = now.Add(ejectionTime(m.failures))
-	case Unclear:
+	case Inconclusive:
 	}
 	t.serveQueue(pool, now)
 }
--- a/partner/router/admin.go
+++ b/partner/router/admin.go
@@ -51,10 +51,10 @@
 
 // AdminError is the JSON body of an error response.
 type AdminError struct {
-	Code    int               `json:"code"`
-	Name    string            `json:"name"`
-	Message string            `json:"message"`
-	Fate    granitehoist.Fate `json:"fate"`
+	Code    int                          `json:"code"`
+	Name    string                       `json:"name"`
+	Message string                       `json:"message"`
+	Fate    granitehoist.ExecutionStatus `json:"fate"`
 }
 
 // writeError responds with the code, status and message of an error. Its wrapped cause is
--- a/partner/router/bench_test.go
+++ b/partner/router/bench_test.go
@@ -122,7 +122,7 @@
 			runLoad(b, server.URL, clients)
 		})
 		b.Run(fmt.Sprintf("router/clients=%d", clients), func(b *testing.B) {
-			site, err := trial.NewSite(context.Background(), trial.SiteSettings{})
+			site, err := trial.NewFleet(context.Background(), trial.FleetSettings{})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/partner/router/build.go
+++ b/partner/router/build.go
@@ -52,24 +52,24 @@
 // shards that it keeps for its region.
 func (r *Router) buildBudget() {
 	s := r.settings
-	keeper := budget.NewKeeper(budget.KeeperSettings{
-		Region:  r.self.Region,
-		Store:   s.Store,
-		Prepaid: r.prepaid,
-		Split:   s.Router.SplitOf,
-		BatchDelay:  time.Duration(s.Router.Budget.MaxBatchDelay),
+	keeper := budget.NewAllocator(budget.AllocatorSettings{
+		Region:     r.self.Region,
+		Store:      s.Store,
+		Prepaid:    r.prepaid,
+		Split:      s.Router.SplitOf,
+		BatchDelay: time.Duration(s.Router.Budget.MaxBatchDelay),
 	})
 	r.components.agent = budget.NewAgent(budget.AgentSettings{
-		Box:          r.self.Box,
-		Ledger:        budget.NewPurse(budget.PurseSettings{Incarnation: r.self.Incarnation, Split: s.Router.SplitOf}),
+		Box:             r.self.Box,
+		Ledger:          budget.NewLedger(budget.LedgerSettings{Incarnation: r.self.Incarnation, Split: s.Router.SplitOf}),
 		Allocator:       keeper,
-		Caller:       r.components.client,
+		Caller:          r.components.client,
 		RemoteAllocator: r.remoteKeeper,
-		Peers:        r.budgetPeers,
-		Clock:        s.Clock,
-		Interval:     time.Duration(s.Router.Budget.Interval),
-		Shards:       s.Router.Budget.Shards,
-		OnError:       r.failureLogger("budget_failed"),
+		Peers:           r.budgetPeers,
+		Clock:           s.Clock,
+		Interval:        time.Duration(s.Router.Budget.Interval),
+		Shards:          s.Router.Budget.Shards,
+		OnError:         r.failureLogger("budget_failed"),
 	})
 }
 
@@ -107,7 +107,7 @@
 		Zone:        r.self.Zone,
 		Incarnation: r.self.Incarnation,
 		View:        r.View,
-		Budgets:       r.components.agent,
+		Budgets:     r.components.agent,
 		Ledger:      r.components.ledger,
 		Once:        once.New(once.Settings{Store: s.Store}),
 		Table:       r.components.table,
--- a/partner/router/burn.go
+++ b/partner/router/burn.go
@@ -43,7 +43,7 @@
 		group.Go(func() { burns[i] = r.burnAt(req.Context(), m) })
 	}
 	group.Wait()
-	burn := report.Burn{Asked: []granitehoist.Box{}, Unreached: []granitehoist.Box{}}
+	burn := report.BurnReport{Asked: []granitehoist.Box{}, Unreached: []granitehoist.Box{}}
 	for i, m := range members {
 		if !burns[i].reached {
 			burn.Unreached = append(burn.Unreached, m.Box)
--- a/partner/router/mayserve.go
+++ b/partner/router/mayserve.go
@@ -30,7 +30,7 @@
 // servingMembers returns the routers that may be serving, and removes the registrations of
 // the others.
 func (r *Router) servingMembers(ctx context.Context) ([]fleet.Member, error) {
-	registered, err := fleet.Serving(ctx, r.settings.Store)
+	registered, err := fleet.ListServing(ctx, r.settings.Store)
 	if err != nil {
 		return nil, err
 	}
@@ -52,7 +52,7 @@
 			continue
 		}
 		// If the removal fails, the next call tries again.
-		_ = fleet.Withdraw(ctx, r.settings.Store, m)
+		_ = fleet.DeregisterServing(ctx, r.settings.Store, m)
 	}
 	return members, nil
 }
@@ -67,13 +67,13 @@
 
 // withdraw removes the registration of a crashed router, if there is one.
 func (r *Router) withdraw(ctx context.Context, crashed granitehoist.Incarnation) error {
-	registered, err := fleet.Serving(ctx, r.settings.Store)
+	registered, err := fleet.ListServing(ctx, r.settings.Store)
 	if err != nil {
 		return err
 	}
 	for _, m := range registered {
 		if m.Incarnation == crashed {
-			return fleet.Withdraw(ctx, r.settings.Store, m)
+			return fleet.DeregisterServing(ctx, r.settings.Store, m)
 		}
 	}
 	return nil
--- a/partner/router/roles.go
+++ b/partner/router/roles.go
@@ -19,7 +19,7 @@
 // remoteKeeper returns the keeper of a budget shard, and false if it is this router or
 // unknown.
 func (r *Router) remoteKeeper(s budget.Shard) (granitehoist.Peer, bool) {
-	return r.remoteHolder(budget.PageKey(r.self.Region, s))
+	return r.remoteHolder(budget.RegionKey(r.self.Region, s))
 }
 
 // remoteCollector returns the collector of charges, and false if it is this router or
--- a/partner/router/router.go
+++ b/partner/router/router.go
@@ -103,7 +103,7 @@
 		Partner:     s.Router.Partner,
 		Region:      s.Router.Region,
 		Zone:        s.Router.Zone,
-		PeerAddress:       r.servers.peersListener.Addr().String(),
+		PeerAddress: r.servers.peersListener.Addr().String(),
 	}
 	r.build()
 	r.goroutines.Go(r.servePeers)
--- a/partner/router/servers.go
+++ b/partner/router/servers.go
@@ -57,7 +57,7 @@
 		HeaderBytes:   maxHeaderBytes,
 		HeaderTimeout: readTimeout,
 		IdleTimeout:   callersIdleTimeout,
-		OnError:        failed,
+		OnError:       failed,
 	}, s.callersListener)
 	s.admin = httpserver.New(httpserver.Settings{Handler: admin, HeaderTimeout: readTimeout}, s.adminListener)
 }
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -124,11 +124,11 @@
 	DefaultHeaderBytes = 32 << 10
 	// DefaultReadTimeout bounds the time to read a request.
 	DefaultReadTimeout = Duration(10 * time.Second)
-	// DefaultRequest is the timeout of a request whose caller sets no deadline.
-	DefaultRequest = Duration(5 * time.Minute)
+	// DefaultRequestTimeout is the timeout of a request whose caller sets no deadline.
+	DefaultRequestTimeout = Duration(5 * time.Minute)
 	// defaultDrain exceeds DefaultRequest, so that a stop waits for every request
 	// without a deadline of its own.
-	defaultDrain = 2 * DefaultRequest
+	defaultDrain = 2 * DefaultRequestTimeout
 	// defaultUnready exceeds the usual health check interval of a load balancer.
 	defaultUnready = Duration(3 * time.Second)
 	// defaultLevel omits debug messages.
@@ -190,7 +190,7 @@
 	defaults.Set(&r.Limits.BodyBytes, DefaultBodyBytes)
 	defaults.Set(&r.Limits.HeaderBytes, DefaultHeaderBytes)
 	defaults.Set(&r.Limits.ReadTimeout, DefaultReadTimeout)
-	defaults.Set(&r.Limits.RequestTimeout, DefaultRequest)
+	defaults.Set(&r.Limits.RequestTimeout, DefaultRequestTimeout)
 	defaults.Set(&r.Limits.DrainTimeout, defaultDrain)
 	defaults.Set(&r.Limits.ReadinessDelay, defaultUnready)
 	defaults.Set(&r.Budget.Shards, budget.DefaultShards)
--- a/partner/upstream/engine.go
+++ b/partner/upstream/engine.go
@@ -101,7 +101,7 @@
 // with 429, 503 or another 4xx status has not run the request.
 func statusError(r *http.Response) error {
 	switch {
-	case pushback.TurnsAway(r.StatusCode):
+	case pushback.IsOverload(r.StatusCode):
 		refused := granitehoist.Errorf(granitehoist.UpstreamRefused, "status %d", r.StatusCode)
 		refused.RetryAfter = pushback.RetryAfter(r.Header)
 		return refused
@@ -134,7 +134,7 @@
 	if len(response.Choices) == 0 || !response.finished() {
 		return response.Usage.usage(), granitehoist.Errorf(granitehoist.UpstreamCut, "a choice has no finish reason")
 	}
-	if err := sink.Start(r.StatusCode, CopyHeader(r.Header, HeaderAttempt, "Content-Length")); err != nil {
+	if err := sink.Start(r.StatusCode, EndToEndHeader(r.Header, HeaderAttempt, "Content-Length")); err != nil {
 		return response.Usage.usage(), granitehoist.Wrap(granitehoist.CallerGone, err, "")
 	}
 	if err := sink.Write(body); err != nil {
--- a/partner/upstream/enginestream.go
+++ b/partner/upstream/enginestream.go
@@ -99,7 +99,7 @@
 		}
 		if !state.headersSent {
 			state.headersSent = true
-			if err := sink.Start(r.StatusCode, CopyHeader(r.Header, HeaderAttempt, "Content-Length")); err != nil {
+			if err := sink.Start(r.StatusCode, EndToEndHeader(r.Header, HeaderAttempt, "Content-Length")); err != nil {
 				return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 			}
 		}
--- a/partner/upstream/plain.go
+++ b/partner/upstream/plain.go
@@ -38,7 +38,7 @@
 	if len(body) > maxBodySize {
 		return granitehoist.Usage{}, granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "the response body is too large")
 	}
-	header := CopyHeader(response.Header, HeaderAttempt)
+	header := EndToEndHeader(response.Header, HeaderAttempt)
 	if length := response.Header.Get("Content-Length"); length != "" {
 		// A response to HEAD has a Content-Length and no body.
 		header.Set("Content-Length", length)
--- a/partner/upstream/transport.go
+++ b/partner/upstream/transport.go
@@ -144,10 +144,10 @@
 	return echoed != "" && echoed != string(attempt)
 }
 
-// CopyHeader returns a copy of h without the fields of one connection or message, as
+// EndToEndHeader returns a copy of h without the fields of one connection or message, as
 // exchange.PassedOn removes them, and without the given names.
-func CopyHeader(h http.Header, without ...string) http.Header {
-	header := exchange.PassedOn(h)
+func EndToEndHeader(h http.Header, without ...string) http.Header {
+	header := exchange.EndToEndHeader(h)
 	for _, name := range without {
 		header.Del(name)
 	}
--- a/partner/upstream/upstream_test.go
+++ b/partner/upstream/upstream_test.go
@@ -99,7 +99,7 @@
 			})
 
 			DescribeTable("detects an engine fault",
-				func(faults standin.EngineFaults, code granitehoist.Code, fate granitehoist.Fate) {
+				func(faults standin.EngineFaults, code granitehoist.Code, fate granitehoist.ExecutionStatus) {
 					fake.Fail(faults)
 					var s sink
 					_, err := engine.Do(ctx, call(address, stream), &s)
@@ -305,6 +305,6 @@
 var _ = Describe("CopyHeader", func() {
 	It("removes hop-by-hop fields and the given names", func() {
 		h := http.Header{"Connection": {"X-Hop, close"}, "X-Hop": {"1"}, "Keep-Alive": {"1"}, "X-Own": {"2"}, "X-Not": {"3"}}
-		Expect(upstream.CopyHeader(h, "X-Not")).To(Equal(http.Header{"X-Own": {"2"}}))
+		Expect(upstream.EndToEndHeader(h, "X-Not")).To(Equal(http.Header{"X-Own": {"2"}}))
 	})
 })
--- a/soak/attack_test.go
+++ b/soak/attack_test.go
@@ -62,12 +62,12 @@
 	}
 	a.started++
 	id := fmt.Sprintf("fragile-%d", a.started)
-	w, err := standin.NewWorker(id, func(standin.Arrival) standin.WorkerAnswer {
+	w, err := standin.NewWorker(id, func(standin.ReceivedRequest) standin.WorkerResponse {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		a.crashes++
 		time.AfterFunc(replaceDelay, a.addWorker)
-		return standin.WorkerAnswer{Cut: standin.Cut{Crash: true}, Delay: 10 * time.Millisecond}
+		return standin.WorkerResponse{Cut: standin.Cut{Crash: true}, Delay: 10 * time.Millisecond}
 	})
 	if err != nil {
 		a.fleet.t.Error(err)
@@ -75,7 +75,7 @@
 	}
 	a.fleet.t.Cleanup(w.Close)
 	entry := fmt.Sprintf(`{"backend":"fragile","address":%q,"zone":"hall","capacity":64,"phase":"ready"}`, w.Address())
-	if _, err := a.fleet.store.CompareAndSwap(context.Background(), granitehoist.Change{Key: platform.WorkersPrefix + id, Value: []byte(entry)}); err != nil {
+	if _, err := a.fleet.store.CompareAndSwap(context.Background(), granitehoist.Change{Key: platform.InstancesPrefix + id, Value: []byte(entry)}); err != nil {
 		a.fleet.t.Error(err)
 	}
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -44,14 +44,14 @@
 	runs map[string]int
 }
 
-func (c *runCounts) respond(a standin.Arrival) standin.WorkerAnswer {
+func (c *runCounts) respond(a standin.ReceivedRequest) standin.WorkerResponse {
 	c.mu.Lock()
 	c.runs[a.ID]++
 	c.mu.Unlock()
 	if a.Header.Get("Kind") == "stream" {
-		return standin.WorkerAnswer{Events: eventsPerStream, Gap: 15 * time.Millisecond}
+		return standin.WorkerResponse{Events: eventsPerStream, Gap: 15 * time.Millisecond}
 	}
-	return standin.WorkerAnswer{Body: "run of " + a.ID, Delay: 10 * time.Millisecond}
+	return standin.WorkerResponse{Body: "run of " + a.ID, Delay: 10 * time.Millisecond}
 }
 
 // process is a router process, which may be restarted.
@@ -131,7 +131,7 @@
 }
 
 // addWorker starts a worker behind a proxy at address and announces the proxy's address.
-func (f *fleet) addWorker(id, address string, answer func(standin.Arrival) standin.WorkerAnswer) {
+func (f *fleet) addWorker(id, address string, answer func(standin.ReceivedRequest) standin.WorkerResponse) {
 	w, err := standin.NewWorker(id, answer)
 	f.must(err)
 	f.t.Cleanup(w.Close)
@@ -139,7 +139,7 @@
 	f.must(err)
 	f.t.Cleanup(p.close)
 	f.workers = append(f.workers, p)
-	f.put(platform.WorkersPrefix+id, fmt.Sprintf(`{"backend":"pool","address":%q,"zone":"hall","capacity":64,"phase":"ready"}`, p.address()))
+	f.put(platform.InstancesPrefix+id, fmt.Sprintf(`{"backend":"pool","address":%q,"zone":"hall","capacity":64,"phase":"ready"}`, p.address()))
 }
 
 // addProcess starts a router process at ip that accesses the store through a proxy.
--- a/soak/upgrade_test.go
+++ b/soak/upgrade_test.go
@@ -56,7 +56,7 @@
 }
 
 // limitedAnswer is the answer of a worker with a rate limit.
-func (f *fleet) limitedAnswer(a standin.Arrival) standin.WorkerAnswer {
+func (f *fleet) limitedAnswer(a standin.ReceivedRequest) standin.WorkerResponse {
 	answer := f.runCounts.respond(a)
 	answer.RateLimit = []string{"10"}
 	return answer
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -16,19 +16,19 @@
 // faults of a WorkerAnswer into each response. It is safe for concurrent use.
 type Worker struct {
 	instance string
-	respond  func(Arrival) WorkerAnswer
+	respond  func(ReceivedRequest) WorkerResponse
 	listener net.Listener
 
 	// mu guards the fields below it.
 	mu       sync.Mutex
-	arrivals []Arrival
+	arrivals []ReceivedRequest
 	conns    map[net.Conn]struct{}
 	opened   int
 	done     sync.WaitGroup
 }
 
-// Arrival is a request as received by a Worker.
-type Arrival struct {
+// ReceivedRequest is a request as received by a Worker.
+type ReceivedRequest struct {
 	// Number is the number of the request at this worker, Conn that of its connection,
 	// both from 1.
 	Number, Conn int
@@ -44,7 +44,7 @@
 
 // NewWorker starts a worker on a loopback port. It calls answer for each request, from
 // several goroutines at once. It returns an error if it can't listen.
-func NewWorker(instance string, answer func(Arrival) WorkerAnswer) (*Worker, error) {
+func NewWorker(instance string, answer func(ReceivedRequest) WorkerResponse) (*Worker, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -61,10 +61,10 @@
 func (w *Worker) Instance() string { return w.instance }
 
 // Requests returns the requests that the worker has received.
-func (w *Worker) Requests() []Arrival {
+func (w *Worker) Requests() []ReceivedRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]Arrival(nil), w.arrivals...)
+	return append([]ReceivedRequest(nil), w.arrivals...)
 }
 
 // OpenConns returns the number of open connections.
@@ -152,13 +152,13 @@
 }
 
 // newArrival returns the Arrival of a request, without its body.
-func (w *Worker) newArrival(r *http.Request, conn int) Arrival {
+func (w *Worker) newArrival(r *http.Request, conn int) ReceivedRequest {
 	// Without a valid number the stream begins at the first event.
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	w.mu.Lock()
 	number := len(w.arrivals) + 1
 	w.mu.Unlock()
-	return Arrival{
+	return ReceivedRequest{
 		Number: number, Conn: conn, ID: r.Header.Get("Attempt-Id"), Target: r.RequestURI,
 		Host: r.Host, Header: r.Header, After: after,
 	}
--- a/standin/workeranswer.go
+++ b/standin/workeranswer.go
@@ -14,9 +14,9 @@
 	"time"
 )
 
-// WorkerAnswer describes a Worker's response to a request. The zero value is status 200
+// WorkerResponse describes a Worker's response to a request. The zero value is status 200
 // with an empty body.
-type WorkerAnswer struct {
+type WorkerResponse struct {
 	// Status is the HTTP status; zero means 200.
 	Status int
 	Body   string
@@ -65,7 +65,7 @@
 }
 
 // writeAnswer writes a response and reports whether the connection stays open.
-func (w *Worker) writeAnswer(conn net.Conn, arrival Arrival, a WorkerAnswer) bool {
+func (w *Worker) writeAnswer(conn net.Conn, arrival ReceivedRequest, a WorkerResponse) bool {
 	time.Sleep(a.Delay)
 	if a.Hang {
 		// Wait until the router closes or resets the connection.
@@ -73,7 +73,7 @@
 		return false
 	}
 	if expected := arrival.Header.Get("Expect-Instance"); expected != "" && expected != w.instance {
-		a = WorkerAnswer{Status: http.StatusMisdirectedRequest, NoSeal: true}
+		a = WorkerResponse{Status: http.StatusMisdirectedRequest, NoSeal: true}
 	}
 	if _, err := io.WriteString(conn, a.ExtraBefore); err != nil {
 		return false
@@ -100,7 +100,7 @@
 }
 
 // finishAnswer completes a response and reports whether the connection stays open.
-func (w *Worker) finishAnswer(conn net.Conn, a WorkerAnswer) bool {
+func (w *Worker) finishAnswer(conn net.Conn, a WorkerResponse) bool {
 	if a.Cut.Set && !a.Cut.FIN {
 		reset(conn)
 	}
@@ -123,7 +123,7 @@
 }
 
 // head returns the status line and header of a response.
-func (w *Worker) head(arrival Arrival, a WorkerAnswer, framing string) string {
+func (w *Worker) head(arrival ReceivedRequest, a WorkerResponse, framing string) string {
 	status := a.Status
 	if status == 0 {
 		status = http.StatusOK
@@ -157,7 +157,7 @@
 func StreamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", n, id, n) }
 
 // writeStream writes the events of a stream and reports whether the connection stays open.
-func (w *Worker) writeStream(conn net.Conn, arrival Arrival, a WorkerAnswer) bool {
+func (w *Worker) writeStream(conn net.Conn, arrival ReceivedRequest, a WorkerResponse) bool {
 	framing := "Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n"
 	if a.Unframed {
 		framing = "Connection: close\r\nContent-Type: text/event-stream\r\n"
@@ -193,7 +193,7 @@
 }
 
 // writeChunk sends text as one chunk, or unchanged if the response is unframed.
-func (w *Worker) writeChunk(conn net.Conn, a WorkerAnswer, text string) error {
+func (w *Worker) writeChunk(conn net.Conn, a WorkerResponse, text string) error {
 	if !a.Unframed {
 		text = fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 	}
--- a/suspect/digest.go
+++ b/suspect/digest.go
@@ -23,9 +23,9 @@
 // String returns the digest in hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// Facts holds the fields that identify a request: two requests with equal facts count as
+// RequestKey holds the fields that identify a request: two requests with equal facts count as
 // the same.
-type Facts struct {
+type RequestKey struct {
 	Method string
 	Host   string
 	// Target is the path and query.
@@ -45,10 +45,10 @@
 
 // facts returns the facts of the scope. They differ from those of any request, which has a
 // method.
-func (s Scope) facts() *Facts { return &Facts{Target: s.Route, Workspace: s.Workspace} }
+func (s Scope) facts() *RequestKey { return &RequestKey{Target: s.Route, Workspace: s.Workspace} }
 
 // digest returns the HMAC-SHA-256 of the facts, truncated to digestBytes.
-func (f *Facts) digest(secret *Secret) Digest {
+func (f *RequestKey) digest(secret *Secret) Digest {
 	mac := hmac.New(sha256.New, secret[:])
 	writeField(mac, []byte(f.Method))
 	writeField(mac, []byte(f.Host))
--- a/suspect/digest_test.go
+++ b/suspect/digest_test.go
@@ -13,8 +13,8 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-func facts() suspect.Facts {
-	return suspect.Facts{Method: "POST", Host: "h.example", Target: "/a/x?y=1", Workspace: "kiosk", Body: []byte("question")}
+func facts() suspect.RequestKey {
+	return suspect.RequestKey{Method: "POST", Host: "h.example", Target: "/a/x?y=1", Workspace: "kiosk", Body: []byte("question")}
 }
 
 // newTable returns a table with a secret.
@@ -24,7 +24,7 @@
 	return t
 }
 
-func digestOf(f suspect.Facts) suspect.Digest {
+func digestOf(f suspect.RequestKey) suspect.Digest {
 	GinkgoHelper()
 	d, known := newTable().Digest(&f)
 	Expect(known).To(BeTrue())
@@ -36,18 +36,18 @@
 		Expect(digestOf(facts())).To(Equal(digestOf(facts())))
 	})
 
-	DescribeTable("differs if one field differs", func(change func(*suspect.Facts)) {
+	DescribeTable("differs if one field differs", func(change func(*suspect.RequestKey)) {
 		other := facts()
 		change(&other)
 		Expect(digestOf(other)).NotTo(Equal(digestOf(facts())))
 	},
-		Entry("the method", func(f *suspect.Facts) { f.Method = "PUT" }),
-		Entry("the host", func(f *suspect.Facts) { f.Host = "i.example" }),
-		Entry("the path", func(f *suspect.Facts) { f.Target = "/a/z?y=1" }),
-		Entry("the query", func(f *suspect.Facts) { f.Target = "/a/x?y=2" }),
-		Entry("the workspace", func(f *suspect.Facts) { f.Workspace = "clerk" }),
-		Entry("the body", func(f *suspect.Facts) { f.Body = []byte("question ") }),
-		Entry("the boundary between two fields", func(f *suspect.Facts) { f.Method, f.Host = "POSTh", ".example" }),
+		Entry("the method", func(f *suspect.RequestKey) { f.Method = "PUT" }),
+		Entry("the host", func(f *suspect.RequestKey) { f.Host = "i.example" }),
+		Entry("the path", func(f *suspect.RequestKey) { f.Target = "/a/z?y=1" }),
+		Entry("the query", func(f *suspect.RequestKey) { f.Target = "/a/x?y=2" }),
+		Entry("the workspace", func(f *suspect.RequestKey) { f.Workspace = "clerk" }),
+		Entry("the body", func(f *suspect.RequestKey) { f.Body = []byte("question ") }),
+		Entry("the boundary between two fields", func(f *suspect.RequestKey) { f.Method, f.Host = "POSTh", ".example" }),
 	)
 
 	It("does not contain the body", func() {
--- a/suspect/evidence.go
+++ b/suspect/evidence.go
@@ -12,23 +12,23 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Life identifies one incarnation of an upstream process: a restart begins a new one.
-type Life string
+// Incarnation identifies one incarnation of an upstream process: a restart begins a new one.
+type Incarnation string
 
-// LifeOf returns the incarnation of an upstream. startedMS is its start time in
+// IncarnationOf returns the incarnation of an upstream. startedMS is its start time in
 // milliseconds since the Unix epoch, and zero if that is unknown. It tells the crashes of an
 // upstream apart that keeps its ID over a restart.
-func LifeOf(id granitehoist.Upstream, startedMS int64) Life {
+func IncarnationOf(id granitehoist.Upstream, startedMS int64) Incarnation {
 	if startedMS == 0 {
-		return Life(id)
+		return Incarnation(id)
 	}
-	return Life(string(id) + "@" + strconv.FormatInt(startedMS, 10))
+	return Incarnation(string(id) + "@" + strconv.FormatInt(startedMS, 10))
 }
 
 // Crash is the crash of an upstream while a request may have been running there.
 type Crash struct {
 	// Incarnation is the incarnation of the upstream.
-	Incarnation Life `json:"life"`
+	Incarnation Incarnation `json:"life"`
 	// Round is one more than the highest round that the router knew of when it sent the
 	// request; see evidence.
 	Round int `json:"round"`
@@ -106,10 +106,10 @@
 		return slices.Contains(e.crashes, c)
 	}
 	merged := Crash{
-		Incarnation:    c.Incarnation,
-		Round:   max(c.Round, e.crashes[i].Round),
-		EarlyRound:   max(c.EarlyRound, e.crashes[i].EarlyRound),
-		Cleared: c.Cleared || e.crashes[i].Cleared,
+		Incarnation: c.Incarnation,
+		Round:       max(c.Round, e.crashes[i].Round),
+		EarlyRound:  max(c.EarlyRound, e.crashes[i].EarlyRound),
+		Cleared:     c.Cleared || e.crashes[i].Cleared,
 	}
 	if merged == e.crashes[i] {
 		return false
--- a/suspect/example_test.go
+++ b/suspect/example_test.go
@@ -14,10 +14,10 @@
 func ExampleTable() {
 	table := suspect.New(suspect.Settings{})
 	table.SetSecret(suspect.Secret{1})
-	request := suspect.Facts{Method: "POST", Host: "h.example", Target: "/ask", Workspace: "kiosk", Body: []byte("why?")}
+	request := suspect.RequestKey{Method: "POST", Host: "h.example", Target: "/ask", Workspace: "kiosk", Body: []byte("why?")}
 	digest, _ := table.Digest(&request)
 	now := time.Now()
-	for _, upstream := range []suspect.Life{"i-1", "i-2", "i-3"} {
+	for _, upstream := range []suspect.Incarnation{"i-1", "i-2", "i-3"} {
 		known := table.Lookup(digest, now)
 		fmt.Println(known.Round, known.Refused)
 		table.RecordCrash(digest, suspect.Observation{Incarnation: upstream, Verdict: known, Early: true, Sent: now}, now)
--- a/suspect/observation.go
+++ b/suspect/observation.go
@@ -8,7 +8,7 @@
 // Observation describes a crash under a request as this router observed it.
 type Observation struct {
 	// Incarnation is the incarnation of the upstream.
-	Incarnation Life
+	Incarnation Incarnation
 	// Verdict is the verdict on the request at the time it was sent.
 	Verdict Verdict
 	// Early says that no event of the response had arrived.
--- a/suspect/recentcrashes.go
+++ b/suspect/recentcrashes.go
@@ -22,7 +22,7 @@
 // recentCrashes holds the upstream incarnations that crashed recently, under any request.
 // The zero value is empty and ready to use. The lock of its table guards it.
 type recentCrashes struct {
-	byIncarnation map[Life]recentCrash
+	byIncarnation map[Incarnation]recentCrash
 }
 
 // recentCrash holds when one incarnation crashed.
@@ -34,9 +34,9 @@
 }
 
 // record adds a crash. observed says that this router observed it itself.
-func (c *recentCrashes) record(l Life, observed bool, now time.Time) {
+func (c *recentCrashes) record(l Incarnation, observed bool, now time.Time) {
 	if c.byIncarnation == nil {
-		c.byIncarnation = map[Life]recentCrash{}
+		c.byIncarnation = map[Incarnation]recentCrash{}
 	}
 	crash, known := c.byIncarnation[l]
 	switch {
@@ -64,7 +64,7 @@
 }
 
 // knownBefore reports whether the crash of an incarnation was known before t.
-func (c *recentCrashes) knownBefore(l Life, t time.Time) bool {
+func (c *recentCrashes) knownBefore(l Incarnation, t time.Time) bool {
 	crash, known := c.byIncarnation[l]
 	return known && crash.knownAt.Before(t)
 }
--- a/suspect/simulation_test.go
+++ b/suspect/simulation_test.go
@@ -294,7 +294,7 @@
 
 // crashUpstream crashes an upstream and ends all runs there.
 func (sim *simulation) crashUpstream(u *upstreamState) {
-	incarnation := suspect.Life(fmt.Sprint(u.incarnation))
+	incarnation := suspect.Incarnation(fmt.Sprint(u.incarnation))
 	ended := u.runs
 	u.down, u.runs = true, map[*run]bool{}
 	sim.schedule(restartDelay, func() {
--- a/suspect/table.go
+++ b/suspect/table.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// DefaultBlock is how long a request is refused after its last crash, from when the
+	// DefaultBlockDuration is how long a request is refused after its last crash, from when the
 	// router learned of it. It equals the longest lease TTL of the platform's store, so that
 	// routers that start meanwhile still find the evidence there.
-	DefaultBlock = 10 * time.Minute
-	// DefaultMemory is how long evidence is kept after the last crash. In this time one
+	DefaultBlockDuration = 10 * time.Minute
+	// DefaultRetention is how long evidence is kept after the last crash. In this time one
 	// more crash suffices to refuse a request again whose block has expired.
-	DefaultMemory = 30 * time.Minute
-	// DefaultMax bounds the entries of a table, about 0.2 KB each. A crash adds an entry for
+	DefaultRetention = 30 * time.Minute
+	// DefaultMaxEntries bounds the entries of a table, about 0.2 KB each. A crash adds an entry for
 	// each request that was running on the upstream.
-	DefaultMax = 4096
+	DefaultMaxEntries = 4096
 )
 
 // Settings configures a Table. The zero value selects the defaults.
@@ -76,9 +76,9 @@
 
 // New returns an empty table.
 func New(s Settings) *Table {
-	defaults.Set(&s.BlockDuration, DefaultBlock)
-	defaults.Set(&s.Retention, DefaultMemory)
-	defaults.Set(&s.MaxEntries, DefaultMax)
+	defaults.Set(&s.BlockDuration, DefaultBlockDuration)
+	defaults.Set(&s.Retention, DefaultRetention)
+	defaults.Set(&s.MaxEntries, DefaultMaxEntries)
 	if s.OnObserved == nil {
 		s.OnObserved = func() {}
 	}
@@ -121,7 +121,7 @@
 }
 
 // RecordDown records that an upstream incarnation has ended for an unknown reason.
-func (t *Table) RecordDown(l Life, now time.Time) {
+func (t *Table) RecordDown(l Incarnation, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.crashes.record(l, false, now)
--- a/suspect/table_test.go
+++ b/suspect/table_test.go
@@ -27,10 +27,10 @@
 	return d
 }
 
-func testIncarnation(n int) suspect.Life { return suspect.LifeOf("i-", int64(n)+1) }
+func testIncarnation(n int) suspect.Incarnation { return suspect.IncarnationOf("i-", int64(n)+1) }
 
 // earlyCrash returns the observation of an early crash.
-func earlyCrash(l suspect.Life, known suspect.Verdict) suspect.Observation {
+func earlyCrash(l suspect.Incarnation, known suspect.Verdict) suspect.Observation {
 	return suspect.Observation{Incarnation: l, Verdict: known, Early: true}
 }
 
@@ -41,7 +41,7 @@
 }
 
 // crashInRounds records one early crash for each incarnation, each in a round of its own.
-func crashInRounds(t *suspect.Table, d suspect.Digest, incarnations ...suspect.Life) suspect.Verdict {
+func crashInRounds(t *suspect.Table, d suspect.Digest, incarnations ...suspect.Incarnation) suspect.Verdict {
 	var v suspect.Verdict
 	for _, l := range incarnations {
 		v = t.RecordCrash(d, earlyCrash(l, withoutHold(t.Lookup(d, start))), start)
@@ -49,8 +49,8 @@
 	return v
 }
 
-func testIncarnations(from, to int) []suspect.Life {
-	var all []suspect.Life
+func testIncarnations(from, to int) []suspect.Incarnation {
+	var all []suspect.Incarnation
 	for n := from; n <= to; n++ {
 		all = append(all, testIncarnation(n))
 	}
@@ -66,8 +66,8 @@
 
 	It("is refused in the third round of early crashes", func() {
 		Expect(crashInRounds(table, crashing, testIncarnations(1, 2)...)).To(Equal(suspect.Verdict{Round: 2, EarlyRound: 2, Crashes: 2, Hold: suspect.SettleTime}))
-		Expect(crashInRounds(table, crashing, testIncarnation(3))).To(Equal(suspect.Verdict{Round: 3, EarlyRound: 3, Crashes: 3, Hold: suspect.SettleTime, Refused: true, BlockRemaining: suspect.DefaultBlock}))
-		Expect(lookup(time.Minute).BlockRemaining).To(Equal(suspect.DefaultBlock - time.Minute))
+		Expect(crashInRounds(table, crashing, testIncarnation(3))).To(Equal(suspect.Verdict{Round: 3, EarlyRound: 3, Crashes: 3, Hold: suspect.SettleTime, Refused: true, BlockRemaining: suspect.DefaultBlockDuration}))
+		Expect(lookup(time.Minute).BlockRemaining).To(Equal(suspect.DefaultBlockDuration - time.Minute))
 	})
 
 	It("is refused in the fifth round of crashes that are not early", func() {
@@ -178,24 +178,24 @@
 			crashInRounds(table, crashing, testIncarnation(1))
 		}
 		Expect(lookup(0).Crashes).To(Equal(1))
-		Expect(suspect.LifeOf("i-1", 0)).To(Equal(suspect.LifeOf("i-1", 0)))
-		Expect(suspect.LifeOf("i-1", 7)).NotTo(Equal(suspect.LifeOf("i-1", 8)))
+		Expect(suspect.IncarnationOf("i-1", 0)).To(Equal(suspect.IncarnationOf("i-1", 0)))
+		Expect(suspect.IncarnationOf("i-1", 7)).NotTo(Equal(suspect.IncarnationOf("i-1", 8)))
 	})
 
 	It("is allowed after its block and refused again after one more crash", func() {
 		crashInRounds(table, crashing, testIncarnations(1, 3)...)
-		later := start.Add(suspect.DefaultBlock)
+		later := start.Add(suspect.DefaultBlockDuration)
 		v := table.Lookup(crashing, later)
 		Expect(v.Refused).To(BeFalse())
 		Expect(v.Round).To(Equal(3))
-		Expect(table.RecordCrash(crashing, earlyCrash(testIncarnation(4), v), later).BlockRemaining).To(Equal(suspect.DefaultBlock))
+		Expect(table.RecordCrash(crashing, earlyCrash(testIncarnation(4), v), later).BlockRemaining).To(Equal(suspect.DefaultBlockDuration))
 	})
 
 	It("is removed after the retention time", func() {
 		crashInRounds(table, crashing, testIncarnations(1, 3)...)
-		table.Sweep(start.Add(suspect.DefaultMemory))
+		table.Sweep(start.Add(suspect.DefaultRetention))
 		Expect(table.HasSuspects()).To(BeTrue())
-		table.Sweep(start.Add(suspect.DefaultMemory + 1))
+		table.Sweep(start.Add(suspect.DefaultRetention + 1))
 		Expect(table.HasSuspects()).To(BeFalse())
 	})
 
@@ -336,7 +336,7 @@
 			random := rand.New(rand.NewPCG(seed, 1))
 			for n := range 500 {
 				d := testDigest(random.IntN(100))
-				table.RecordCrash(d, earlyCrash(suspect.Life(fmt.Sprint(n)), table.Lookup(d, start)), start)
+				table.RecordCrash(d, earlyCrash(suspect.Incarnation(fmt.Sprint(n)), table.Lookup(d, start)), start)
 				if random.IntN(2) == 0 {
 					table.RecordSuccess(d, start)
 				}
@@ -357,7 +357,7 @@
 
 func BenchmarkLookup(b *testing.B) {
 	table := suspect.New(suspect.Settings{})
-	for n := range suspect.DefaultMax {
+	for n := range suspect.DefaultMaxEntries {
 		table.RecordCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start)
 	}
 	b.ReportAllocs()
@@ -380,7 +380,7 @@
 func BenchmarkNoteCrashInFullTable(b *testing.B) {
 	table := suspect.New(suspect.Settings{})
 	n := 0
-	for ; n < suspect.DefaultMax; n++ {
+	for ; n < suspect.DefaultMaxEntries; n++ {
 		table.RecordCrash(testDigest(n), earlyCrash(testIncarnation(1), suspect.Verdict{}), start)
 	}
 	b.ReportAllocs()
--- a/suspect/verdict.go
+++ b/suspect/verdict.go
@@ -22,8 +22,8 @@
 	// cause settle into one round.
 	Hold time.Duration
 	// Refused says that the request must not be sent until Left has passed.
-	Refused bool
-	BlockRemaining    time.Duration
+	Refused        bool
+	BlockRemaining time.Duration
 }
 
 // Refusal returns the error for a refused request. Its RetryAfter is the rest of the block,
--- a/throttle/issuer.go
+++ b/throttle/issuer.go
@@ -59,8 +59,8 @@
 // Incarnation identifies one incarnation of an upstream. An upstream that restarts under the same
 // ID has a different Born, its start time in milliseconds since the Unix epoch.
 type Incarnation struct {
-	Upstream granitehoist.Upstream
-	StartedAtMS     int64
+	Upstream    granitehoist.Upstream
+	StartedAtMS int64
 }
 
 // Request asks for permits for one upstream.
--- a/trial/call.go
+++ b/trial/call.go
@@ -30,7 +30,7 @@
 	// Code is that of the last response. Fates are those of all responses: a request with
 	// Once is sent twice.
 	Code  granitehoist.Code
-	Fates []granitehoist.Fate
+	Fates []granitehoist.ExecutionStatus
 	// Answered is set if a response with a result was received, and Correct if it was
 	// complete and belonged to the request.
 	Answered, Correct bool
@@ -120,7 +120,7 @@
 
 // recordFailure records the error response of a router.
 func (c *call) recordFailure(body io.Reader) {
-	var failure gate.Failure
+	var failure gate.ErrorResponse
 	if err := json.NewDecoder(body).Decode(&failure); err != nil {
 		c.outcome.Err = err
 		return
@@ -164,7 +164,7 @@
 	// complete is set if the end of the response was received.
 	complete bool
 	// failure is the error that a stream ended with instead of its end marker.
-	failure *gate.Failure
+	failure *gate.ErrorResponse
 }
 
 // read decodes the body of a successful response in the format of the request.
@@ -202,7 +202,7 @@
 		if data == "[DONE]" {
 			return responseBody{text: text.String(), complete: true}
 		}
-		var failure gate.Failure
+		var failure gate.ErrorResponse
 		if err := json.Unmarshal([]byte(data), &failure); err == nil && failure.Error.Code != 0 {
 			return responseBody{failure: &failure}
 		}
--- a/trial/executions.go
+++ b/trial/executions.go
@@ -23,7 +23,7 @@
 var storeFaults = standin.StoreFaults{LoseEvery: 7}
 
 // injectFaults enables the faults of the store and the engines.
-func (s *Site) injectFaults() {
+func (s *Fleet) injectFaults() {
 	s.Store.Fail(storeFaults)
 	for i, engine := range s.engines {
 		engine.Fail(engineFaults[i%enginesPerPool])
@@ -32,7 +32,7 @@
 
 // executions returns the executions recorded by the stand-ins, by the request ID with
 // which every prompt and body begins.
-func (s *Site) executions() map[granitehoist.RequestID]Executions {
+func (s *Fleet) executions() map[granitehoist.RequestID]Executions {
 	executions := map[granitehoist.RequestID]Executions{}
 	add := func(text string, runs int, tokens granitehoist.Tokens) {
 		id, _, _ := strings.Cut(text, " ")
@@ -56,7 +56,7 @@
 }
 
 // prepaid returns the prepaid tokens of each budget.
-func (s *Site) prepaid() map[granitehoist.BudgetID]granitehoist.Tokens {
+func (s *Fleet) prepaid() map[granitehoist.BudgetID]granitehoist.Tokens {
 	prepaid := map[granitehoist.BudgetID]granitehoist.Tokens{}
 	for partner, d := range s.documents {
 		for _, b := range d.Budgets {
--- a/trial/judge.go
+++ b/trial/judge.go
@@ -12,8 +12,8 @@
 	"granitehoist.example/granitehoist/partner/bill"
 )
 
-// Verdict is the result of a run.
-type Verdict struct {
+// Result is the result of a run.
+type Result struct {
 	Requests, Served, Refused, NotRun int
 	// Billed is the number of requests with a charge in the store.
 	Billed int
@@ -42,12 +42,12 @@
 
 // Passed reports whether no guarantee was violated. False refusals and responses that were
 // reported to the caller as cut violate none.
-func (v Verdict) Passed() bool {
+func (v Result) Passed() bool {
 	return v.Overspend == 0 && v.WrongAnswers == 0 && v.Duplicates == 0 && v.Unaccounted == 0 && v.FalseNotRun == 0 && v.StopsFailed == 0
 }
 
 // String returns the verdict as one line of key=value pairs.
-func (v Verdict) String() string {
+func (v Result) String() string {
 	return fmt.Sprintf("requests=%d served=%d refused=%d not_run=%d billed=%d overspend=%d false_refusals=%d crossed=%d doubled=%d lost=%d untrue=%d cut=%d stops=%d stops_failed=%d",
 		v.Requests, v.Served, v.Refused, v.NotRun, v.Billed, v.Overspend, v.FalseRefusals, v.WrongAnswers, v.Duplicates, v.Unaccounted, v.FalseNotRun, v.Truncated, v.Stops, v.StopsFailed)
 }
@@ -59,8 +59,8 @@
 	Tokens granitehoist.Tokens
 }
 
-// Evidence is the input of Judge.
-type Evidence struct {
+// Observations is the input of Judge.
+type Observations struct {
 	// Outcomes are in the order in which the requests were sent.
 	Outcomes []*Outcome
 	// Executions holds the executions by the stand-ins, by request ID.
@@ -71,10 +71,10 @@
 	Prepaid map[granitehoist.BudgetID]granitehoist.Tokens
 }
 
-// Judge compares the responses and the charges with the executions by the stand-ins. It
+// Verify compares the responses and the charges with the executions by the stand-ins. It
 // does not set Stops and StopsFailed.
-func Judge(e Evidence) Verdict {
-	v := Verdict{
+func Verify(e Observations) Result {
+	v := Result{
 		Requests:      len(e.Outcomes),
 		Overspend:     e.overspend(),
 		FalseRefusals: e.falseRefusals(),
@@ -93,7 +93,7 @@
 // checkOutcome counts the outcome of one request and compares it with the request's
 // executions. A request without a response or whose router was killed has nothing to
 // compare.
-func (v *Verdict) checkOutcome(o *Outcome, x Executions) {
+func (v *Result) checkOutcome(o *Outcome, x Executions) {
 	switch {
 	case o.Killed:
 		v.Truncated++
@@ -124,13 +124,13 @@
 
 // allNotRun reports whether all responses said that the request did not run. fates must
 // not be empty.
-func allNotRun(fates []granitehoist.Fate) bool {
-	return !slices.ContainsFunc(fates, func(f granitehoist.Fate) bool { return f != granitehoist.NotRun })
+func allNotRun(fates []granitehoist.ExecutionStatus) bool {
+	return !slices.ContainsFunc(fates, func(f granitehoist.ExecutionStatus) bool { return f != granitehoist.NotRun })
 }
 
 // checkCharges compares the charges of one request with its executions: there must be both
 // or neither, with the same tokens, and no attempt may be charged twice.
-func (v *Verdict) checkCharges(x Executions, charges []bill.Charge) {
+func (v *Result) checkCharges(x Executions, charges []bill.Charge) {
 	var tokens granitehoist.Tokens
 	charged := map[granitehoist.AttemptID]bool{}
 	for _, c := range charges {
@@ -152,7 +152,7 @@
 
 // overspend returns the tokens counted by the stand-ins in excess of the prepaid ones,
 // summed over all budgets.
-func (e Evidence) overspend() granitehoist.Tokens {
+func (e Observations) overspend() granitehoist.Tokens {
 	balances := maps.Clone(e.Prepaid)
 	for _, o := range e.Outcomes {
 		balances[o.Budget] -= e.Executions[o.ID].Tokens
@@ -166,7 +166,7 @@
 
 // falseRefusals returns the number of requests refused for their budget that one central
 // counter for each budget would have admitted.
-func (e Evidence) falseRefusals() int {
+func (e Observations) falseRefusals() int {
 	balances := maps.Clone(e.Prepaid)
 	count := 0
 	for _, o := range e.Outcomes {
--- a/trial/load.go
+++ b/trial/load.go
@@ -44,7 +44,7 @@
 
 // load sends one request per interval to a random router, and returns the outcomes in the
 // order of sending.
-func (s *Site) load(ctx context.Context, settings Settings) []*Outcome {
+func (s *Fleet) load(ctx context.Context, settings Settings) []*Outcome {
 	random := rand.New(rand.NewPCG(settings.Seed, 1))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
@@ -82,7 +82,7 @@
 }
 
 // outcomes returns the outcomes of finished calls and sets Killed.
-func (s *Site) outcomes(calls []*call) []*Outcome {
+func (s *Fleet) outcomes(calls []*call) []*Outcome {
 	outcomes := make([]*Outcome, len(calls))
 	for i, c := range calls {
 		c.outcome.Killed = (c.outcome.Err != nil || c.truncated) && s.isKilled(c.address)
@@ -92,13 +92,13 @@
 }
 
 // address returns the callers' address of the n-th ready router, modulo their number.
-func (s *Site) address(n int) string {
+func (s *Fleet) address(n int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Routers[n%len(s.Routers)].CallersAddress()
 }
 
-func (s *Site) isKilled(address string) bool {
+func (s *Fleet) isKilled(address string) bool {
 	return slices.ContainsFunc(s.killed, func(r *router.Router) bool { return r.CallersAddress() == address })
 }
 
--- a/trial/routers.go
+++ b/trial/routers.go
@@ -20,7 +20,7 @@
 
 // startRouters starts all routers. The first one listens for callers on listen, the others
 // on any free port.
-func (s *Site) startRouters(listen string) error {
+func (s *Fleet) startRouters(listen string) error {
 	for _, partner := range partners {
 		for _, zone := range zones[granitehoist.Region(partner)] {
 			for i := range routersPerZone {
@@ -41,7 +41,7 @@
 
 // startRouter starts the i-th router of an availability zone. Its settings are marshalled
 // and parsed, so that the defaults and checks of a settings file apply.
-func (s *Site) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) (*router.Router, error) {
+func (s *Fleet) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) (*router.Router, error) {
 	file := s.routerSettings(partner, zone, i, listen)
 	text, err := toml.Marshal(file)
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // routerSettings returns the settings of the i-th router of an availability zone.
-func (s *Site) routerSettings(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) settings.Router {
+func (s *Fleet) routerSettings(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) settings.Router {
 	return settings.Router{
 		Partner: partner,
 		Region:  granitehoist.Region(partner),
@@ -80,7 +80,7 @@
 }
 
 // waitInForce waits until the routers have applied the documents of both partners.
-func (s *Site) waitInForce(ctx context.Context, routers ...*router.Router) error {
+func (s *Fleet) waitInForce(ctx context.Context, routers ...*router.Router) error {
 	for _, r := range routers {
 		for len(r.View().Serials()) < len(s.documents) {
 			pause.For(ctx, inForcePollInterval)
@@ -93,7 +93,7 @@
 }
 
 // stopRouters stops all routers gracefully.
-func (s *Site) stopRouters(ctx context.Context) error {
+func (s *Fleet) stopRouters(ctx context.Context) error {
 	for _, r := range s.Routers {
 		if err := r.Stop(ctx); err != nil {
 			return err
--- a/trial/run.go
+++ b/trial/run.go
@@ -61,15 +61,15 @@
 
 // Run starts a site, sends the load, stops the routers and verifies the results. It
 // returns an error if the run itself failed; violated guarantees are in the Verdict.
-func Run(ctx context.Context, s Settings) (Verdict, error) {
+func Run(ctx context.Context, s Settings) (Result, error) {
 	defaults.Set(&s.Requests, DefaultRequests)
 	defaults.Set(&s.Interval, defaultInterval)
 	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	engines := standin.EngineSettings{FirstDelay: firstDelay, TokenDelay: tokenDelay}
-	site, err := NewSite(starting, SiteSettings{Listen: s.Listen, Log: s.Log, Engines: engines})
+	site, err := NewFleet(starting, FleetSettings{Listen: s.Listen, Log: s.Log, Engines: engines})
 	if err != nil {
-		return Verdict{}, err
+		return Result{}, err
 	}
 	defer site.Close()
 	if !s.NoFaults {
@@ -82,22 +82,22 @@
 	stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
 	if err := site.settleKilled(stopping); err != nil {
-		return Verdict{}, err
+		return Result{}, err
 	}
 	if err := site.stopRouters(stopping); err != nil {
-		return Verdict{}, eris.Wrap(err, "trial: stop")
+		return Result{}, eris.Wrap(err, "trial: stop")
 	}
 	charges, err := bill.Read(stopping, site.Store)
 	if err != nil {
-		return Verdict{}, err
+		return Result{}, err
 	}
-	verdict := Judge(Evidence{Outcomes: outcomes, Executions: site.executions(), Charges: charges, Prepaid: site.prepaid()})
+	verdict := Verify(Observations{Outcomes: outcomes, Executions: site.executions(), Charges: charges, Prepaid: site.prepaid()})
 	verdict.Stops, verdict.StopsFailed = site.stops.started, int(site.stops.failures.Load())
 	return verdict, nil
 }
 
 // hold prints how to use the site, and waits.
-func hold(ctx context.Context, site *Site, s Settings) {
+func hold(ctx context.Context, site *Fleet, s Settings) {
 	address := site.Routers[0].CallersAddress()
 	key := Key("lock-kiosks")
 	fmt.Fprintf(s.Out, "address=http://%s key=%s model=%s service=booking-desk admin=http://%s\n", address, key, TuulModel, site.Routers[0].AdminAddress())
--- a/trial/site.go
+++ b/trial/site.go
@@ -48,9 +48,9 @@
 	inForcePollInterval = 5 * time.Millisecond
 )
 
-// Site is the whole system in one process: the stand-ins, and the routers of both partners
+// Fleet is the whole system in one process: the stand-ins, and the routers of both partners
 // with their documents. It is created by NewSite.
-type Site struct {
+type Fleet struct {
 	Store *standin.Store
 	// Routers are the ready routers. Only load changes them, under mu.
 	Routers []*router.Router
@@ -72,8 +72,8 @@
 	log       *zap.Logger
 }
 
-// SiteSettings configure a Site. The zero value selects engines without delay and no log.
-type SiteSettings struct {
+// FleetSettings configure a Site. The zero value selects engines without delay and no log.
+type FleetSettings struct {
 	// Listen is the callers' address of the first router; empty selects a free port.
 	Listen string
 	// Log receives the routers' log; nil discards it.
@@ -82,10 +82,10 @@
 	Engines standin.EngineSettings
 }
 
-// NewSite starts the stand-ins and the routers, and waits until all routers have applied
+// NewFleet starts the stand-ins and the routers, and waits until all routers have applied
 // the documents.
-func NewSite(ctx context.Context, ss SiteSettings) (*Site, error) {
-	s := &Site{
+func NewFleet(ctx context.Context, ss FleetSettings) (*Fleet, error) {
+	s := &Fleet{
 		Store:     standin.NewStore(standin.StoreSettings{}),
 		documents: map[granitehoist.Partner]*config.Document{Tuul: tuulDocument(), Lima: limaDocument()},
 		keys:      map[granitehoist.Partner]ed25519.PrivateKey{},
@@ -116,7 +116,7 @@
 const standinHeaderTimeout = time.Minute
 
 // serve starts a handler on a free loopback port and returns its URL.
-func (s *Site) serve(h http.Handler) (string, error) {
+func (s *Fleet) serve(h http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", eris.Wrap(err, "trial: stand-in")
@@ -136,7 +136,7 @@
 
 // makeKeys generates each partner's signing key and adds it to the keys that the routers
 // trust.
-func (s *Site) makeKeys() error {
+func (s *Fleet) makeKeys() error {
 	for _, partner := range partners {
 		public, private, err := ed25519.GenerateKey(rand.Reader)
 		if err != nil {
@@ -149,7 +149,7 @@
 }
 
 // apply signs a partner's document and writes it to the store.
-func (s *Site) apply(ctx context.Context, partner granitehoist.Partner) error {
+func (s *Fleet) apply(ctx context.Context, partner granitehoist.Partner) error {
 	text, err := toml.Marshal(s.documents[partner])
 	if err != nil {
 		return eris.Wrap(err, "trial: document")
@@ -166,7 +166,7 @@
 }
 
 // Close kills the routers and closes the servers of the stand-ins.
-func (s *Site) Close() {
+func (s *Fleet) Close() {
 	for _, r := range s.Routers {
 		r.Kill()
 	}
--- a/trial/stops.go
+++ b/trial/stops.go
@@ -28,7 +28,7 @@
 // replaceRouter replaces a router by a new one and stops the old one in the background.
 // Callers are moved to the new router before the old one stops, as by a load balancer
 // with readiness checks.
-func (s *Site) replaceRouter(ctx context.Context, i int) {
+func (s *Fleet) replaceRouter(ctx context.Context, i int) {
 	old := s.Routers[i]
 	s.stops.started++
 	replacement, err := s.startRouter(old.Partner(), old.Zone(), routersPerZone+s.stops.started, anyPort)
@@ -50,13 +50,13 @@
 }
 
 // recordStopFailure logs and counts a failed planned stop.
-func (s *Site) recordStopFailure(err error) {
+func (s *Fleet) recordStopFailure(err error) {
 	s.log.Error("stop_failed", zap.Error(err))
 	s.stops.failures.Add(1)
 }
 
 // killRouter kills a router without draining it.
-func (s *Site) killRouter(i int) {
+func (s *Fleet) killRouter(i int) {
 	s.mu.Lock()
 	r := s.Routers[i]
 	s.Routers = slices.Delete(slices.Clone(s.Routers), i, i+1)
@@ -74,7 +74,7 @@
 )
 
 // settleKilled settles all killed routers.
-func (s *Site) settleKilled(ctx context.Context) error {
+func (s *Fleet) settleKilled(ctx context.Context) error {
 	for _, r := range s.killed {
 		if err := s.settleRouter(ctx, r.Incarnation()); err != nil {
 			return err
@@ -85,7 +85,7 @@
 
 // settleRouter lets the first router charge the orphaned attempts of a killed one, and
 // retries while an engine can't be reached or an attempt is still running.
-func (s *Site) settleRouter(ctx context.Context, killed granitehoist.Incarnation) error {
+func (s *Fleet) settleRouter(ctx context.Context, killed granitehoist.Incarnation) error {
 	for range maxSettleAttempts {
 		result, err := s.Routers[0].SettleOrphans(ctx, killed, true)
 		if err == nil && len(result.UnreachableEngines) == 0 && result.Running == 0 {
--- a/trial/upstreams.go
+++ b/trial/upstreams.go
@@ -13,7 +13,7 @@
 )
 
 // startStandins starts the store and the upstreams of every service.
-func (s *Site) startStandins(engines standin.EngineSettings) error {
+func (s *Fleet) startStandins(engines standin.EngineSettings) error {
 	var err error
 	if s.storeURL, err = s.serve(s.Store.Handler()); err != nil {
 		return err
@@ -29,7 +29,7 @@
 }
 
 // startService starts the upstreams of a service and adds them to the partner's document.
-func (s *Site) startService(partner granitehoist.Partner, service config.Service, engines standin.EngineSettings) error {
+func (s *Fleet) startService(partner granitehoist.Partner, service config.Service, engines standin.EngineSettings) error {
 	count := plainPerService
 	if service.Kind == config.KindEngine {
 		count = enginesPerPool
@@ -53,7 +53,7 @@
 }
 
 // newUpstream returns a stand-in for a service and registers it for Site.executions.
-func (s *Site) newUpstream(service config.Service, engines standin.EngineSettings) http.Handler {
+func (s *Fleet) newUpstream(service config.Service, engines standin.EngineSettings) http.Handler {
 	if service.Kind == config.KindEngine {
 		engine := standin.NewEngine(engines)
 		s.engines = append(s.engines, engine)
