--- a/forward/suspects_test.go
+++ b/forward/suspects_test.go
@@ -6,6 +6,7 @@
 import (
 	"context"
 	"fmt"
+	"slices"
 	"strings"
 	"sync"
 	"testing"
@@ -135,7 +136,9 @@
 			c.replace(before)
 		}
 		records := table.Open()
-		records[0].Crashes = append(records[0].Crashes, suspect.Crash{Life: "elsewhere", Round: 3, Early: 3})
+		i := slices.IndexFunc(records, func(r suspect.Record) bool { return !r.Scope })
+		Expect(i).NotTo(Equal(-1), "there is no record of the request")
+		records[i].Crashes = append(records[i].Crashes, suspect.Crash{Life: "elsewhere", Round: 3, Early: 3})
 		s.funds.reserving = func() { table.Merge(records, time.Now()) }
 		before := c.crashCount()
 		Expect(granitehoist.CodeOf(serve("/stream/"+crashPath, "question"))).To(Equal(granitehoist.CrashesUpstreams))
