--- a/node/config.go
+++ b/node/config.go
@@ -55,7 +55,7 @@
 // Check returns an error that names the first missing or invalid setting.
 func (c *Config) Check() error {
 	if c.Box == "" {
-		return eris.New("the box name is missing")
+		return eris.New("the box has no name")
 	}
 	if net.ParseIP(c.PeerIP) == nil {
 		return eris.Errorf("invalid IP address %q", c.PeerIP)
@@ -65,7 +65,7 @@
 	}
 	for _, a := range addresses {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return eris.Wrapf(err, "invalid address %q for %s", a.value, a.name)
+			return eris.Wrapf(err, "address for %s", a.name)
 		}
 	}
 	if c.PeerPort <= 0 || c.PeerPort > maxPort {
