--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -7,7 +7,8 @@
 
 // An instance that rejects a request may ask this router to back off for some time
 // (Retry-After, package pushback). The instance is deferred for all requests until that
-// time has passed. Then a few probe requests restore its load gradually.
+// time has passed. Then the number of concurrent requests, called probes, grows from one
+// with each accepted request until it exceeds the capacity.
 
 // defaultConcurrency is the capacity assumed for an instance that announces none.
 const defaultConcurrency = 16
@@ -20,7 +21,7 @@
 	return i.Capacity
 }
 
-// BackoffEvent is the event that an instance asked this router to back off.
+// BackoffEvent reports that an instance asked this router to back off.
 type BackoffEvent struct {
 	Instance
 	// Requested is the requested backoff, Remaining the time until the backoff ends.
@@ -41,7 +42,7 @@
 }
 
 // recordAccepted records that the instance accepted the request. The header of a
-// successful response shows this long before a stream ends.
+// successful response shows the acceptance long before a stream ends.
 func (l *Lease) recordAccepted() {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -25,8 +25,8 @@
 	// Draining reports that the instance finishes its current requests and accepts no new
 	// ones.
 	Draining bool
-	// ColdFor is how much longer the instance is cold after its announcement. A cold
-	// instance handles a limited request rate (Query.ColdRequestRate). Zero means warm.
+	// ColdFor is how long the instance stays cold from the arrival of the announcement. A
+	// cold instance handles a limited request rate (Query.ColdPerSecond). Zero means warm.
 	ColdFor time.Duration
 	// StartedAtMS is the start time of this incarnation in milliseconds since the Unix
 	// epoch; zero if unknown. An instance may restart under the same ID: the announcement
@@ -80,15 +80,15 @@
 	instances map[granitehoist.Upstream]*instanceState
 	// evacuated holds the zones whose instances get no attempts.
 	evacuated map[granitehoist.AvailabilityZone]bool
-	// updateVersion counts the state changes reported by responses to this router, which
-	// other routers need to learn.
+	// updateVersion counts the changes that this router learned from responses and that
+	// other routers have to be told.
 	updateVersion uint64
 	// pendingLimits holds rate limits that other routers reported for instances not
 	// announced yet.
 	pendingLimits map[Incarnation]knownLimit
 	// leavingIncarnations holds the incarnations that reported that they are leaving.
 	leavingIncarnations leavingSet
-	// skipCounts counts the choices that passed over an instance.
+	// skipCounts is the result of SkipCounts.
 	skipCounts SkipCounts
 	// awaitingPermits holds the instances for which permits are wanted.
 	awaitingPermits []*instanceState
@@ -111,29 +111,31 @@
 	// removedAt is when the announcement was removed; zero while the instance is
 	// announced.
 	removedAt time.Time
-	// leaving reports that a response said that the instance is about to end.
+	// leaving reports that a response to this router or another one said that the instance
+	// is about to end.
 	leaving bool
 	// leavingVersion is the table's updateVersion at the response that reported leaving;
 	// zero if another router reported it first.
 	leavingVersion uint64
 	// backoff is the backoff that the instance requested from this router.
 	backoff pushback.Backoff
-	// coldUntil is when the instance is expected to be warm; zero if it never was cold.
+	// coldUntil is when the instance is expected to be warm. It is zero or in the past if
+	// the instance is warm.
 	coldUntil time.Time
 	// coldQuota is what this router may send in the current second while the instance is
 	// cold.
 	coldQuota coldQuota
-	// limit is nil if the instance has never set a rate limit.
+	// limit is nil if this router knows of no rate limit that the instance has set.
 	limit *limitState
 	// idHash is the hash of the ID, for rendezvous hashing.
 	idHash uint64
-	// eventGap estimates a quantile of the time between two events of a stream, in
+	// eventGap estimates eventGapQuantile of the time between two events of a stream, in
 	// milliseconds.
 	eventGap quantile
-	// slow reports that the event gap is far above the median of the service.
+	// slow reports that the instance is slow for its service (serviceState.markSlow).
 	slow bool
-	// prefixSentAt maps a prefix hash to when this router last sent that prefix to this
-	// instance although another one owns it.
+	// prefixSentAt holds, by prefix hash, when this router last sent a prefix that another
+	// instance owned to this one.
 	prefixSentAt map[uint64]time.Time
 }
 
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -13,17 +13,25 @@
 type eligibility int
 
 const (
-	// excluded instances get no attempt: they are draining or leaving, were tried for
-	// this request, are in an evacuated zone or a region that the request must not go to,
-	// are cold with their quota used up, are overloaded while others of the service are
-	// rate-limited, or were removed longer than removedGrace ago.
+	// excluded instances get no attempt. An instance is excluded if
+	//
+	//   - it is draining or leaving;
+	//   - the request was already sent to it;
+	//   - its zone is evacuated, or its region is not allowed for the request;
+	//   - it is cold and this router's quota for it is used up;
+	//   - it is overloaded and an instance of the service is rate-limited;
+	//   - its announcement was removed removedGrace ago or earlier.
 	excluded eligibility = iota
-	// deferred instances are unavailable for now: they asked for backoff, have not
-	// recovered from one yet, or set a rate limit for which this router has no permit.
+	// deferred instances are unavailable for now. An instance is deferred if
+	//
+	//   - it is in backoff;
+	//   - it is recovering from a backoff, and all allowed probes are in flight;
+	//   - it is rate-limited and this router has no permit;
+	//   - it is recovering or rate-limited, and a waiting request takes precedence.
 	deferred
 	// removed instances lost their announcement less than removedGrace ago.
 	removed
-	// ejected instances are left out because of failures.
+	// ejected instances are announced and ejected because of failures (ejection.go).
 	ejected
 	// live instances are announced and not ejected.
 	live
@@ -93,8 +101,8 @@
 
 // selection is the outcome of filtering the instances of a service for an attempt.
 type selection struct {
-	// choices are the candidates, in the order of the service's list. The result of the
-	// random choice among equals depends on this order.
+	// choices are the candidates, in the order of the service's list. The order determines
+	// which random tie-break each of them gets.
 	choices []*instanceState
 	// deferred holds the deferred instances.
 	deferred []*instanceState
@@ -102,10 +110,14 @@
 	leaving int
 }
 
-// candidates selects the instances that an attempt may use. These are all live instances;
-// otherwise the ejected instance whose ejection ends first, since an attempt there may
-// succeed; otherwise the recently removed instances. There are no choices if all
-// instances are excluded or deferred.
+// candidates selects the instances that an attempt may use: the first of these that
+// exist.
+//
+//   - all live instances;
+//   - the ejected instance whose ejection ends first, since an attempt there may succeed;
+//   - the removed instances.
+//
+// There are no choices if all instances are excluded or deferred.
 func candidates(states []*instanceState, c constraints) selection {
 	chosen := selection{choices: make([]*instanceState, 0, len(states))}
 	var removedStates []*instanceState
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -19,13 +19,13 @@
 	// prompt, prefix included.
 	PrefixTokens granitehoist.Tokens
 	PromptTokens granitehoist.Tokens
-	// MaxEventGap is the longest time between events that the route allows; zero means no
-	// limit.
+	// MaxEventGap is the route's target for the longest gap between two events of a
+	// stream; zero means none. It determines whether the prompt is heavy (slow.go).
 	MaxEventGap time.Duration
-	// ColdRequestRate is the rate limit of a cold instance of the service, in requests a
+	// ColdPerSecond is the rate limit of a cold instance of the service, in requests a
 	// second from all routers together; zero means no limit.
-	ColdRequestRate float64
-	// Routers is the number of routers that share ColdRequestRate; zero counts as one.
+	ColdPerSecond float64
+	// Routers is the number of routers that share ColdPerSecond; zero counts as one.
 	Routers int
 	// AllowedRegions holds the allowed regions of each rule that names some. A region
 	// must be allowed by all of them.
@@ -33,23 +33,26 @@
 	// Pin, unless zero, selects the instance by rendezvous hashing instead of by cost:
 	// all routers with the same instances select the same one for the same number.
 	Pin uint64
-	// Priority orders requests for scarce permits. MaxWait is how long the request can
-	// wait for a permit if no other instance is available; Waiting reports that it is
-	// waiting (NewWaiter).
+	// Priority orders the requests that need a deferred instance (waiting.go). MaxWait is
+	// how long the request can wait if every instance that it may use is deferred. Waiting
+	// reports that the request is already waiting (NewWaiter).
 	Priority granitehoist.Priority
 	MaxWait  time.Duration
 	Waiting  bool
-	// heavy and prefersSlow are the results of isHeavy and prefersSlow (slow.go), which
-	// Pick sets for each query.
+	// heavy and prefersSlow are the results of the functions isHeavy and prefersSlow
+	// (slow.go). Pick sets both.
 	heavy, prefersSlow bool
 	// Tried holds the instances that must not be chosen again.
 	Tried map[granitehoist.Upstream]bool
 }
 
-// Pick chooses the instance with the least cost and counts the attempt as in progress
-// there until Done is called on the lease. Without a candidate it returns an error: one
-// that DeferralOf recognizes if some instance is deferred, otherwise one with code
-// NoUpstream and no Retry-After.
+// Pick chooses an instance among the candidates (candidates.go) and counts the attempt as
+// in progress there until Done is called on the lease. It chooses the candidate with the
+// least cost or, if the query has a Pin, the one with the highest hash (owner.go). Without
+// a candidate it returns an error:
+//
+//   - If an instance is deferred, DeferralOf returns the deferral in the error.
+//   - Otherwise the error has code NoUpstream and no Retry-After.
 func (t *Table) Pick(q Query, now time.Time) (*Lease, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -77,8 +80,9 @@
 	return lease, nil
 }
 
-// RetryIn returns the time until Pick may find an instance for a query, zero if it may
-// do so now. It returns false if no instance is a candidate or deferred.
+// RetryIn returns the time until Pick may find an instance for a query. The time is zero
+// if Pick may find one now or if the time is unknown. RetryIn returns false if no instance
+// is a candidate or deferred.
 func (t *Table) RetryIn(q Query, now time.Time) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,9 +97,10 @@
 	return 0, false
 }
 
-// addPermitDemands records demand for a permit at each deferred instance that only lacks
-// a permit. If needed is set, no other instance is available and the request can wait up
-// to its MaxWait. The caller holds mu.
+// addPermitDemands records demand for a permit at each deferred instance that is
+// rate-limited and whose backoff, if any, allows a request. needed reports that the
+// request has no other instance, so that it waits up to its MaxWait; otherwise
+// permitLeadTime applies. The caller holds mu.
 func (t *Table) addPermitDemands(deferred []*instanceState, needed bool, q *Query, now time.Time) {
 	maxWait := permitLeadTime
 	if needed {
@@ -159,6 +164,8 @@
 		s.coldQuota.consume()
 	}
 	if !s.backoff.Inactive() {
+		// The backoff has ended, otherwise the instance would be deferred, but the
+		// recovery from it has not. The request is one of its probes.
 		lease.isProbe = true
 		s.backoff.StartProbe()
 	}
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -11,20 +11,20 @@
 
 // A cold instance handles only a limited request rate and fails above it. The routers
 // enforce that limit without communication: each has an equal share of it. A fractional
-// share is rounded at random in each second. Unused quota is not carried over, since a hot
-// prefix arriving at all routers at once could use the savings of all of them. While the
-// quota is used up, the next instance in rank owns the instance's prefixes (owner.go).
+// share is rounded at random in each second. Unused quota expires with its second:
+// otherwise all routers could send what they have saved at once. An instance whose quota
+// is used up is not a candidate, so its prefixes pass to the other candidates (owner.go).
 
 const (
 	// coldUtilization is the fraction of a cold instance's rate limit that the routers
-	// use. It leaves a margin for bursts, since the routers draw independently and their
-	// seconds are not aligned.
+	// use. It leaves a margin for bursts, since the routers round their shares
+	// independently and their seconds are not aligned.
 	coldUtilization = 0.5
 	// coldWindow is the period to which the quota applies.
 	coldWindow = time.Second
 	// coldAfterRestore is how long the instances of a zone count as cold after its
-	// evacuation ends. They may have become cold, and their announcements may reach a
-	// router later than the end of the evacuation, by one heartbeat and one store poll.
+	// evacuation ends. Without requests they may have become cold, and an announcement that
+	// says so may arrive one heartbeat and one store poll after the end.
 	coldAfterRestore = 2 * time.Second
 )
 
@@ -40,8 +40,8 @@
 // isCold reports whether the instance is expected to be cold.
 func (s *instanceState) isCold(now time.Time) bool { return now.Before(s.coldUntil) }
 
-// coldRateShare returns this router's share, in requests a second, of a cold instance's
-// rate limit; infinity if the limit is zero or negative.
+// coldRateShare returns the request rate, in requests a second, that this router may send
+// to a cold instance with the given rate limit; infinity if the limit is zero or negative.
 func coldRateShare(limit float64, routers int) float64 {
 	if limit <= 0 {
 		return math.Inf(1)
@@ -58,7 +58,7 @@
 // coldQuota is the number of requests that a router may still send to a cold instance in
 // the current second. The zero value is that of an instance that has not been cold.
 type coldQuota struct {
-	// phase offsets the seconds at this router, so that the routers do not refresh their
+	// phase is a random offset of the seconds, so that the routers do not refresh their
 	// quotas at the same time.
 	phase time.Duration
 	// second is the number of the second to which remaining applies.
@@ -66,7 +66,7 @@
 	remaining int
 }
 
-// admitsWhileCold decides whether a cold instance may get a request from this router now.
+// admitsWhileCold reports whether this router may send a request to a cold instance now.
 func (s *instanceState) admitsWhileCold(share coldShare, now time.Time) bool {
 	if math.IsInf(share.perSecond, 1) {
 		return true
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -5,8 +5,8 @@
 
 import "granitehoist.example/granitehoist"
 
-// milliseconds estimates the time that a request loses at an instance. It serves only to
-// rank instances.
+// milliseconds is the estimated delay of a request at an instance, penalties included. It
+// serves only to rank instances.
 type milliseconds float64
 
 // The weights of the terms of a cost.
@@ -20,8 +20,8 @@
 	// smallCapacity is the capacity, in concurrent requests, below which the delay of a
 	// request in progress grows in inverse proportion to the capacity.
 	smallCapacity = 16
-	// failureMS is the expected loss at an instance that fails every attempt: the time of
-	// the failed attempt and of the retry.
+	// failureMS is the delay at an instance that fails every attempt: the time of the
+	// failed attempt and of the retry.
 	failureMS = 400.0
 	// crossZoneMS is the network delay to another availability zone. It decides only
 	// between almost equal instances.
@@ -30,8 +30,9 @@
 	// streams on a slow instance. It usually exceeds the queueing cost of the other
 	// instances.
 	slowPrefillMS = 300.0
-	// paceMismatchMS is the penalty for an instance of the speed class not drawn for the
-	// request (prefersSlow). It usually exceeds the queueing cost of the other instances.
+	// paceMismatchMS is the penalty for a request that is not heavy: at slow instances if
+	// it prefers the others, and at the others if it prefers slow ones (prefersSlow). It
+	// usually exceeds the queueing cost of the preferred instances.
 	paceMismatchMS = 100.0
 	// cacheMissWeight is the additional cost of prefilling a prefix away from its owner,
 	// as a fraction of the prefill time.
@@ -56,10 +57,10 @@
 	// failureRate is the moving average of failures, from 0 to 1.
 	failureRate float64
 	crossZone   bool
-	// slow reports that the instance is slow for its service, heavy that the prompt
-	// delays concurrent streams.
+	// slow reports that the instance is slow for its service, heavy that the prompt is
+	// heavy (slow.go).
 	slow, heavy bool
-	// prefersSlow reports that slow instances were drawn for the request.
+	// prefersSlow reports that the request prefers slow instances unless it is heavy.
 	prefersSlow bool
 	// tieBreak is a random number in [0, 1) that separates instances whose costs differ
 	// by less than a millisecond, so that routers with the same view do not all choose
@@ -67,16 +68,16 @@
 	tieBreak float64
 }
 
-// cost estimates in milliseconds what a request loses at an instance. Pick chooses the
-// instance with the least cost. The terms, in the order of summation (which affects
-// rounding), are:
+// cost returns the estimated cost of a request at an instance. Pick chooses the instance
+// with the least cost. The terms, in the order of summation (which affects rounding), are:
 //
-//   - the prefill of the queued prompts and of the request's own;
+//   - the prefill of the queued prompts and of the request's uncached tokens;
 //   - the cache miss at an instance that does not own the prefix: the prefix takes cache
 //     space there, while other routers keep using the owner;
 //   - the delay by the requests in progress;
-//   - the expected loss by failures;
-//   - the effect on pauses of streams (slow.go);
+//   - the expected delay by failures;
+//   - a penalty for a heavy prompt at a slow instance, or for another request at an
+//     instance of the speed that it does not prefer (slow.go);
 //   - the network delay to another availability zone;
 //   - up to one millisecond of random tie-break.
 func (l *load) cost() milliseconds {
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -48,7 +48,7 @@
 // health summarizes the results of this router's attempts at an instance. The zero value
 // is that of an instance without attempts.
 type health struct {
-	// failuresInRow counts the broken attempts since the last good one.
+	// failuresInRow counts the broken attempts since the last successful one.
 	failuresInRow int
 	// failureRate is the exponentially weighted moving average of failures, from 0 to 1.
 	// It changes with attempts, not with time.
@@ -64,15 +64,16 @@
 // withResult returns the health after an attempt's result. ejection is the duration of a
 // first ejection.
 //
-//   - Good resets failuresInRow and lowers the failure rate. It does not end an ejection,
+//   - Succeeded resets failuresInRow and lowers the failure rate. It does not end an ejection,
 //     since the attempt may have begun before the failures that caused the ejection.
 //   - Failed only raises the failure rate. The instance responded, so it is not ejected,
 //     but the rate increases its cost.
 //   - Refused ejects for a short time and does not count as a failure.
-//   - Broken raises the failure rate. The second one in a row ejects, and each further one
-//     ejects for twice as long, up to maxEjection.
+//   - Broken raises the failure rate. The second one without a success in between ejects,
+//     and each further one ejects for twice as long, up to maxEjection.
 //   - Misdirected ejects for maxEjection: the removal of the old announcement will arrive
 //     within that time.
+//   - Inconclusive changes nothing.
 //
 // A new ejection replaces the previous one, even if that would have lasted longer.
 func (h health) withResult(r Result, ejection time.Duration, now time.Time) health {
@@ -97,8 +98,8 @@
 	return h
 }
 
-// ejectionAfter returns the duration of an ejection after failuresInRow consecutive
-// failures, at least ejectAfterFailures.
+// ejectionAfter returns the duration of an ejection after failuresInRow broken attempts,
+// at least ejectAfterFailures. ejection is the duration of a first ejection.
 func ejectionAfter(failuresInRow int, ejection time.Duration) time.Duration {
 	doublings := min(failuresInRow-ejectAfterFailures, maxEjectionDoublings)
 	return min(maxEjection, ejection<<doublings)
--- a/balance/evacuation.go
+++ b/balance/evacuation.go
@@ -22,8 +22,8 @@
 	return true
 }
 
-// Restore ends the evacuation of a zone, and reports whether the zone was evacuated. Its
-// instances then count as cold for coldAfterRestore.
+// Restore ends the evacuation of a zone, and reports whether the zone was evacuated. The
+// zone's instances then count as cold for at least coldAfterRestore.
 func (t *Table) Restore(zone granitehoist.AvailabilityZone, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/feedback.go
+++ b/balance/feedback.go
@@ -18,9 +18,9 @@
 	Accepted bool
 }
 
-// Observe records the information in a response of the instance. A response of
-// another instance that has taken over the address carries none. Most responses carry no
-// information and need no lock.
+// Observe records the information in a response of the instance. It must not be called
+// for a response of another instance that has taken over the address. Most responses carry
+// no information and need no lock.
 func (l *Lease) Observe(s Feedback, now time.Time) {
 	if l.mayChangeLimit(s.Rate) {
 		l.recordRate(s.Rate, now)
--- a/balance/hints.go
+++ b/balance/hints.go
@@ -10,9 +10,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Hint names the slow instances of a service for a router that has just started, so that
-// it keeps heavy prompts from them. A router without hints relies on its own
-// observations.
+// Hint names the slow instances of a service. A router that has just started uses the
+// hints of another one until it has observations of its own.
 type Hint struct {
 	Service granitehoist.Service `json:"service"`
 	// Slow holds the slow instances, at most maxHinted.
@@ -41,8 +40,8 @@
 	return hints
 }
 
-// ApplyHints applies the hints of another router to instances that this router has not
-// observed enough itself.
+// ApplyHints replaces the hints for the named services. A hint counts for an instance as
+// long as this router has observed fewer than minEventGaps event gaps there.
 func (t *Table) ApplyHints(hints []Hint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -15,10 +15,10 @@
 	Instance
 	// PrefixOwner reports that the instance owns the query's prefix.
 	PrefixOwner bool
-	// Slow reports that the instance is slow for its service, Heavy that the prompt
-	// delays concurrent streams.
+	// Slow reports that the instance is slow for its service, Heavy that the prompt is
+	// heavy (slow.go).
 	Slow, Heavy bool
-	// Load is the number of this router's requests that were in progress there.
+	// Load is the number of this router's other requests that were in progress there.
 	Load int
 
 	table   *Table
@@ -31,16 +31,16 @@
 	isProbe bool
 	// pendingTokens counts the prompt tokens that await prefill.
 	pendingTokens granitehoist.Tokens
-	// picked is when the instance was chosen, lastEvent when the newest event of the
-	// stream arrived; zero before the first.
+	// picked is when the instance was chosen. lastEvent is when the newest event of the
+	// stream arrived; zero before the first one.
 	picked, lastEvent time.Time
 	// longestEventGap is the longest time between two events.
 	longestEventGap time.Duration
 }
 
 // Events records that count events of the stream, at least one, have arrived together.
-// The first call marks the end of the prefill. Calls must come from one goroutine, which
-// is also the only one to call LongestPause.
+// The first call marks the end of the prefill. Calls of Events, HasEvents and
+// LongestEventGap must come from one goroutine.
 func (l *Lease) Events(count int, now time.Time) {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
@@ -66,8 +66,9 @@
 	}
 }
 
-// observeEventGap records the pause before events that arrived together at now. The caller
-// holds the table's lock.
+// observeEventGap records the gap before events that arrived together at now. Unless the
+// instance is cold, the gap divided by the number of events is a sample of its event gap.
+// The caller holds the table's lock.
 func (l *Lease) observeEventGap(events int, now time.Time) {
 	gap := now.Sub(l.lastEvent)
 	l.longestEventGap = max(l.longestEventGap, gap)
--- a/balance/leaving.go
+++ b/balance/leaving.go
@@ -9,9 +9,10 @@
 // announcement, so that routers learn of it while the store is unavailable. Every response
 // of the instance counts, including refusals, stream headers and truncated responses.
 //
-// Within an incarnation, leaving is final. A later response without the signal may have
-// been sent earlier, and a conflicting announcement may be stale. The state is therefore
-// kept separately from announcements, also while the instance has none.
+// Within an incarnation, leaving is final. A response without the signal that arrives
+// later may have been sent earlier, and an announcement that does not say so may be stale.
+// The table therefore remembers leaving incarnations separately from announcements, even
+// while the instance has none.
 
 const (
 	// leavingRetention is how long a leaving incarnation is remembered after the last
@@ -67,7 +68,7 @@
 	return first
 }
 
-// LeavingEvent is the event that this router learned that an instance is leaving.
+// LeavingEvent reports that this router learned that an instance is leaving.
 type LeavingEvent struct {
 	Instance
 	// Observed reports that the information came from a response to this router, not from
@@ -90,8 +91,8 @@
 	}
 }
 
-// mergeLeaving applies the records of another router. Records of incarnations that are
-// not announced yet are kept until they are.
+// mergeLeaving applies the records of another router. It remembers incarnations that are
+// not in the table, since they may be announced later.
 func (t *Table) mergeLeaving(records []LeavingRecord, now time.Time) {
 	var notes []LeavingEvent
 	t.mu.Lock()
--- a/balance/limitrecord.go
+++ b/balance/limitrecord.go
@@ -14,7 +14,8 @@
 type LimitRecord struct {
 	Upstream    granitehoist.Upstream `json:"upstream"`
 	StartedAtMS int64                 `json:"born,omitempty"`
-	// Limited reports that the instance has a rate limit, Rate in requests a second.
+	// Limited reports whether the instance has a rate limit. Rate is the limit in requests
+	// a second.
 	Limited bool `json:"limited"`
 	Rate    Rate `json:"rate,omitempty"`
 	// AgeMS is the age of the information in milliseconds. An age is used because the
@@ -27,7 +28,7 @@
 	return Incarnation{ID: r.Upstream, StartedAtMS: r.StartedAtMS}
 }
 
-// maxLimitAgeMS is one day, to which the age of a record is clamped.
+// maxLimitAgeMS is the maximum age of a record, one day. Higher ages are reduced to it.
 const maxLimitAgeMS = 24 * 60 * 60 * 1000
 
 // knownLimit converts a record received at now. A negative rate counts as zero, and the
@@ -76,8 +77,9 @@
 	return s.limitRecord(now), true
 }
 
-// MergeLimits applies the records of another router. Records of instances that are not
-// announced yet are kept until they are.
+// MergeLimits applies the records of another router. It keeps records of instances that
+// are not in the table until they are announced. It ignores a record of another incarnation
+// than the one in the table.
 func (t *Table) MergeLimits(records []LimitRecord, now time.Time) {
 	var changes []LimitChange
 	t.mu.Lock()
@@ -135,8 +137,9 @@
 	return s.limit.known
 }
 
-// setLimit stores the known rate limit of an instance, and returns the change to report,
-// if any. The caller holds mu.
+// setLimit replaces the known rate limit of an instance, and returns the change to report,
+// if any. observed reports that the information came from a response to this router. If
+// the limit was set or lifted, the permits are dropped. The caller holds mu.
 func (t *Table) setLimit(s *instanceState, before, after knownLimit, observed bool) []LimitChange {
 	if before == after {
 		return nil
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -56,15 +56,14 @@
 }
 
 // isNewIncarnation reports whether an announcement belongs to a later incarnation than
-// the previous one. If either start time is unknown, the incarnation is taken to be the
-// same.
+// the previous one. It returns false if either start time is unknown.
 func isNewIncarnation(i, before Instance) bool {
 	return before.StartedAtMS != 0 && i.StartedAtMS > before.StartedAtMS
 }
 
 // Remove records that an instance's announcement was removed from the store. It returns
-// the instance and whether the table had it. Repeated removals do not extend
-// removedGrace.
+// the instance and whether the table had it. The time of the first removal counts if
+// Remove is called again.
 func (t *Table) Remove(id granitehoist.Upstream, now time.Time) (Instance, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/overload.go
+++ b/balance/overload.go
@@ -5,17 +5,18 @@
 
 // Where many instances of a service are rate-limited, the excess load goes to the others,
 // which may become overloaded: requests queue up there and time out after their prefill.
-// The load of instances without a rate limit is therefore bounded too. A request that finds
-// no instance with capacity waits for a permit or is refused at once.
+// The load of each instance is therefore bounded while one of the service is rate-limited.
+// A request that finds no instance with capacity waits for a permit or is refused at once.
 //
 // A router estimates the load of an instance as its own load times the number of routers.
 
 const (
-	// maxLoadFactor is the maximum number of requests at an instance beside rate-limited
-	// ones, as a multiple of its capacity: as many may be queued as are running.
+	// maxLoadFactor is the maximum number of requests at an instance as a multiple of its
+	// capacity: as many may be queued as are running.
 	maxLoadFactor = 2
 	// minCapacityPerRouter is the least capacity per router for which the load estimate
-	// is used. Below it, single requests at one router distort the estimate.
+	// is used. Below it, single requests at one router distort the estimate, and the load
+	// is not bounded.
 	minCapacityPerRouter = 2
 )
 
@@ -29,8 +30,9 @@
 	return false
 }
 
-// isOverloaded reports whether an instance has reached its maximum load beside
-// rate-limited ones. routers is the number of routers that send it requests.
+// isOverloaded reports whether the estimated load of an instance has reached its maximum.
+// It returns false if the capacity is unknown. routers is the number of routers that send
+// requests to the instance.
 func (s *instanceState) isOverloaded(routers int) bool {
 	if s.Capacity < minCapacityPerRouter*routers {
 		return false
--- a/balance/owner.go
+++ b/balance/owner.go
@@ -12,8 +12,8 @@
 // ownerOf returns the owner of a prefix: the instance with the highest hash of its ID and
 // the prefix (rendezvous hashing). All routers with the same instances determine the same
 // owner without communication, and when an instance leaves, only its own prefixes change
-// owner. A slow instance owns the prefix of a heavy prompt only if all are slow. It
-// returns nil for the hash zero (no prefix) and without instances.
+// owner. If heavy is set, a slow instance is the owner only if all instances are slow.
+// ownerOf returns nil for the hash zero (no prefix) and without instances.
 func ownerOf(states []*instanceState, prefixHash uint64, heavy bool) *instanceState {
 	if prefixHash == 0 {
 		return nil
--- a/balance/permit.go
+++ b/balance/permit.go
@@ -10,8 +10,8 @@
 // AddPermits. A rate-limited instance without a permit is not a candidate; a request
 // without another instance waits for a permit (waiting.go) or is refused.
 
-// permitLeadTime is how long ahead of its due time a permit is fetched for requests that
-// can use another instance meanwhile.
+// permitLeadTime is the longest time until a requested permit is due if the request that
+// lacked it can use another instance. A later request then uses the permit.
 const permitLeadTime = 100 * time.Millisecond
 
 // PermitRequest asks for permits for one instance.
@@ -20,7 +20,7 @@
 	Limit LimitRecord
 	// Count is the number of permits wanted, at least one.
 	Count int
-	// MaxWait is the longest time that a request can wait for one.
+	// MaxWait is the longest time until the first permit is due.
 	MaxWait time.Duration
 }
 
@@ -53,14 +53,14 @@
 
 // permitDemand is a router's demand for permits for one instance.
 type permitDemand struct {
-	// count is the number of requests that lacked a permit since the last permit request,
-	// and maxWait the longest time that one of them can wait.
+	// count is the number of requests that lacked a permit since the last permit request.
+	// maxWait is the longest time until a permit is due that one of them accepts.
 	count   int
 	maxWait time.Duration
 	// queued reports that the instance is in the table's awaitingPermits.
 	queued bool
-	// pending reports that a permit request is in flight; the next one may follow at
-	// notBefore.
+	// pending reports that a permit request is in flight. notBefore is the earliest time
+	// of the next one after its response.
 	pending   bool
 	notBefore time.Time
 }
@@ -98,7 +98,7 @@
 }
 
 // timeToPermit returns the time until the first permit is due or, without permits, until
-// the next permit request; zero if one is in flight.
+// the next permit request; zero if a permit request is in flight.
 func (l *limitState) timeToPermit(now time.Time) time.Duration {
 	if len(l.permits) > 0 {
 		return max(0, l.permits[0].due.Sub(now))
@@ -113,7 +113,7 @@
 func (s *instanceState) isLimited() bool { return s.limit != nil && s.limit.known.limited }
 
 // lacksPermit reports whether the instance is rate-limited and the request has no permit
-// to use. mayUse reports whether the request may use an available permit.
+// to use. mayUse is false if a waiting request takes precedence.
 func (s *instanceState) lacksPermit(mayUse bool, now time.Time) bool {
 	return s.isLimited() && !(s.limit.hasPermit(now) && mayUse)
 }
@@ -139,9 +139,9 @@
 // requests. It is meant for one receiver.
 func (t *Table) PermitsWanted() <-chan struct{} { return t.permitsWanted }
 
-// PermitRequests returns the permit requests to send now, and when to call it again if
-// PermitsWanted does not signal before; the zero time if no request is scheduled. Each
-// returned request must be answered through AddPermits.
+// PermitRequests returns the permit requests to send now, and when to call it again unless
+// PermitsWanted signals earlier. That time is zero if no request is scheduled. AddPermits
+// must be called with the response to each returned request.
 func (t *Table) PermitRequests(now time.Time) (requests []PermitRequest, next time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/quantile.go
+++ b/balance/quantile.go
@@ -10,9 +10,9 @@
 	samples int
 }
 
-// minRelativeStep is the minimum step of the estimate relative to its value, which limits
-// its memory to about the last 100 samples. Smaller values give a steadier estimate that
-// adapts more slowly.
+// minRelativeStep is the minimum step of the estimate relative to its value. With it, the
+// estimate reflects about the last 100 samples. Smaller values give a steadier estimate
+// that adapts more slowly.
 const minRelativeStep = 0.02
 
 // observe adds a sample; p is the estimated quantile, from 0 to 1.
@@ -33,16 +33,17 @@
 func (q *quantile) hasSamples(samples int) bool { return q.samples >= samples }
 
 const (
-	// minEventGaps is the number of event gaps from which the pace of an instance is
-	// known. It covers several streams, since an instance that prefills long prompts
-	// beside a single stream seems slow.
+	// minEventGaps is the number of event gaps from which the pace of an instance counts
+	// as known. They come from several streams, since prefills of long prompts can make
+	// the gaps of a single stream long at any instance.
 	minEventGaps = 200
-	// minPrefillSamples is the number of prompts from which the prefill rate is known.
+	// minPrefillSamples is the number of prompts from which the prefill rate of a service
+	// counts as known.
 	minPrefillSamples = 20
-	// prefillRateQuantile is the quantile of observed prefill rates that represents an
-	// instance's own rate. Queued prompts show lower rates.
+	// prefillRateQuantile is the quantile of the observed prefill rates that estimates the
+	// rate without queueing. It is high because queued prompts show lower rates.
 	prefillRateQuantile = 0.75
-	// eventGapQuantile is the quantile of event gaps that represents an instance's pace.
-	// Gaps during a prefill are longer.
+	// eventGapQuantile is the quantile of the event gaps that serves as an instance's
+	// pace. It is low because gaps during a prefill are longer.
 	eventGapQuantile = 0.1
 )
--- a/balance/ratelimit.go
+++ b/balance/ratelimit.go
@@ -12,10 +12,14 @@
 // from all routers together. Routers that know of a limit need a permit (permit.go) for
 // each request, because no router sees the requests of the others.
 //
-// This file maintains a router's view of the limit. A response that tightens the limit (a
-// first or a lower rate) takes effect as of its arrival. A response that relaxes it (a
-// higher rate, or none) takes effect as of the sending of its request, since it may have
-// been sent before the limit was set.
+// This file maintains a router's view of the limit. Each view has a time to which it
+// refers (knownLimit.asOf):
+//
+//   - A response that does not relax the limit (a first, an equal or a lower rate) always
+//     replaces the view. The time is that of its arrival.
+//   - A response that relaxes the limit (a higher rate, or none) may have been sent before
+//     the limit was set. The time is therefore that of its request, and the response is
+//     ignored if this is before the time of the current view.
 
 // Rate is a number of requests a second.
 type Rate float64
@@ -81,7 +85,7 @@
 	return knownLimit{limited: other.limited, rate: other.rate, asOf: other.asOf}
 }
 
-// LimitChange is the event that a rate limit was set, changed or lifted.
+// LimitChange reports that a rate limit was set, changed or lifted.
 type LimitChange struct {
 	Instance
 	// Limited reports that there is a limit of Rate; otherwise the limit was lifted.
--- a/balance/removal.go
+++ b/balance/removal.go
@@ -12,8 +12,8 @@
 
 // usableAfterRemoval reports whether an instance may still get requests after its
 // announcement was removed at removedAt. Announcements can disappear while the store is
-// unavailable although the instance still serves. Since others have crashed, candidates
-// returns such instances only as a last resort.
+// unavailable although the instance still serves. A removed instance may also have
+// crashed, so candidates returns it only if there is no live or ejected one.
 func usableAfterRemoval(removedAt, now time.Time) bool {
 	return now.Sub(removedAt) < removedGrace
 }
--- a/balance/slow.go
+++ b/balance/slow.go
@@ -13,15 +13,17 @@
 )
 
 // An upstream interleaves chunks of prompt prefill with the decoding of its other
-// requests, which delays the events of concurrent streams. A prompt is heavy if this delay
-// can exceed the pause that the streams' route allows. Delays are longest at slow
-// instances, so heavy prompts avoid them, and a larger part of the other requests goes
-// there instead.
+// requests, which delays the events of concurrent streams. A prompt is heavy if its prefill
+// takes more than heavyPauseFraction of Query.MaxEventGap. The pace of an instance is
+// eventGapQuantile of its event gaps, so a higher pace means a slower instance. An instance
+// is slow if its pace exceeds slowThreshold times the median of its service. Delays are
+// longest at slow instances, so heavy prompts avoid them, and a larger part of the other
+// requests goes there instead.
 
 const (
-	// heavyPauseFraction is the fraction of the allowed pause above which the prefill
-	// time makes a prompt heavy. It is below one because a stream may meet several
-	// prefills, and the prefill rate is an estimate.
+	// heavyPauseFraction is the fraction of Query.MaxEventGap above which the prefill time
+	// makes a prompt heavy. It is below one because several prefills may delay the same
+	// event, and because the prefill rate is an estimate.
 	heavyPauseFraction = 0.25
 	// slowThreshold and slowExitThreshold are multiples of the service's median pace: an
 	// instance becomes slow above the first and stays slow above the second. The
@@ -32,7 +34,7 @@
 )
 
 // isHeavy reports whether the prefill of a prompt at tokensPerMS takes more than
-// heavyPauseFraction of the allowed pause. A pause of zero or less means no limit.
+// heavyPauseFraction of the allowed event gap. Zero or less means no limit.
 func isHeavy(prompt granitehoist.Tokens, tokensPerMS float64, allowed time.Duration) bool {
 	if allowed <= 0 {
 		return false
@@ -110,14 +112,14 @@
 	return s.prefillRate.value
 }
 
-// slowWeight is the ratio of requests at a slow instance to those at another one, heavy
-// prompts apart. A lower value leaves more streams late, a higher one overloads slow
-// instances.
+// slowWeight is the ratio of the requests at a slow instance to those at another one,
+// heavy prompts not counted. With a lower value, more streams run beside heavy prompts and
+// are delayed; with a higher one, slow instances are overloaded.
 const slowWeight = 3.5
 
-// prefersSlow decides by a random draw in [0, 1) whether a request that is not heavy goes
-// to a slow instance, given the numbers of slow and of all instances. The draw for each
-// request keeps routers, which only see their own load, from all choosing the same
+// prefersSlow decides by a random draw in [0, 1) whether a request that is not heavy
+// prefers slow instances, given the numbers of slow and of all instances. A router sees
+// only its own load; the random draw keeps the routers from all choosing the same
 // instances.
 func prefersSlow(slow, all int, draw float64) bool {
 	weighted := slowWeight * float64(slow)
--- a/balance/status.go
+++ b/balance/status.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// SkipCounts counts the choices, including those for waiting requests, that passed over at
-// least one instance because of information in its responses.
+// SkipCounts counts calls of Pick, including those for waiting requests and those that
+// found no instance.
 type SkipCounts struct {
-	// Leaving counts choices that passed over a leaving instance, Deferred those that
-	// passed over an instance in backoff or without a permit.
+	// Leaving counts the calls for which a draining or leaving instance was excluded,
+	// Deferred those for which an instance was deferred.
 	Leaving, Deferred int64
 }
 
@@ -23,7 +23,8 @@
 	return t.skipCounts
 }
 
-// countSkips counts a choice. The caller holds mu.
+// countSkips updates the skip counts after the selection for a call of Pick, whether or
+// not it has choices. The caller holds mu.
 func (t *Table) countSkips(s *selection) {
 	if s.leaving > 0 {
 		t.skipCounts.Leaving++
--- a/balance/updates.go
+++ b/balance/updates.go
@@ -32,7 +32,7 @@
 	return Incarnation{ID: r.Upstream, StartedAtMS: r.StartedAtMS}
 }
 
-// UpdatesSince returns the information from responses to this router since a version of the
+// UpdatesSince returns what this router has learned from responses since a version of the
 // table, and the current version.
 func (t *Table) UpdatesSince(version uint64, now time.Time) (Updates, uint64) {
 	t.mu.Lock()
--- a/balance/waiting.go
+++ b/balance/waiting.go
@@ -56,8 +56,11 @@
 }
 
 // maxWaiters returns the maximum number of waiting requests, each waiting at most
-// maxWait: one, plus what the deferred instances can serve in that time if this router
-// had them to itself. An instance in backoff counts with its concurrency.
+// maxWait. It is one plus the number of requests that this router alone could send in that
+// time:
+//
+//   - to a rate-limited instance, its rate times maxWait;
+//   - to an instance that is in backoff or recovers from it, its concurrency.
 func (s *serviceState) maxWaiters(maxWait time.Duration) int {
 	sum := 0.0
 	for _, i := range s.instances {
@@ -71,7 +74,7 @@
 	return 1 + int(math.Min(maxWaitersPerService, sum))
 }
 
-// maxWaitersPerService is the upper limit of maxWaiters, up to one.
+// maxWaitersPerService bounds the number that maxWaiters adds to one.
 const maxWaitersPerService = 1000
 
 // isFirstInQueue reports whether a query takes precedence over all waiting requests at
@@ -110,7 +113,7 @@
 
 // Deferral reports that all instances that a query may use are deferred.
 type Deferral struct {
-	// RetryIn is the time until one of them may accept a request; zero if unknown.
+	// RetryIn is the time until an instance may accept a request; zero if unknown.
 	RetryIn time.Duration
 	// Backoff reports that this time is set by a backoff rather than by a permit.
 	Backoff bool
@@ -152,7 +155,8 @@
 	return first
 }
 
-// deferral returns how long an instance is deferred.
+// deferral returns how long an instance is deferred: until its backoff ends or, if it is
+// rate-limited and that is later, until timeToPermit has passed.
 func (s *instanceState) deferral(now time.Time) Deferral {
 	backoff := s.backoff.Remaining(now)
 	if !s.isLimited() {
