--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -110,8 +110,7 @@
 	leaving int
 }
 
-// candidates selects the instances that an attempt may use: the first of these that
-// exist.
+// candidates selects the instances that an attempt may use, the first of these that exist:
 //
 //   - all live instances;
 //   - the ejected instance whose ejection ends first, since an attempt there may succeed;
--- a/throttle/issuer.go
+++ b/throttle/issuer.go
@@ -11,28 +11,34 @@
 	"granitehoist.example/granitehoist"
 )
 
-// An upstream must get at most 6 x rate + 5 requests in any 4 s. A permit is used up to
-// Validity after it is due. The permits due within a period number at most the rate times
-// the sum of the period and maxLateness, plus maxLatenessIntervals, plus one. Hence one
-// issuer admits at most 4.7 x rate + 1.5 requests in 4 s, and 5.9 x rate + 3 together with
-// a fallback at reducedRateFraction.
+// An upstream must get at most 6 x rate + 5 requests in any 4 s. The constants ensure this:
+//
+//   - The permits of a grant can be used from the due time of the first one until Validity
+//     later. The others are due up to batchWindow after the first one. The permits used in
+//     4 s are therefore due within 4.6 s.
+//   - The permits of one issuer that are due within a period number at most the rate times
+//     the sum of the period and maxLateness, plus maxLatenessIntervals, plus one. An
+//     overdue permit counts as due when it is issued.
+//
+// One issuer therefore admits at most 4.7 x rate + 1.5 requests in 4 s. Together with a
+// fallback at reducedRateFraction it admits at most 5.9 x rate + 3.
 const (
-	// Validity is how long after it is due a permit may be used.
+	// Validity is how long a permit may be used after its due time.
 	Validity = 500 * time.Millisecond
 	// reducedRateFraction is the fraction of the rate at which a fallback, or an issuer
 	// within its startupPeriod, issues permits.
 	reducedRateFraction = 0.25
 	// startupPeriod is how long an issuer issues at the reduced rate after its start. It
-	// exceeds the 8 s refresh interval of the node list, until which some routers may
-	// still ask another issuer.
+	// exceeds the 8 s refresh interval of the node list, since some routers may ask another
+	// issuer until they have refreshed their list.
 	startupPeriod = 10 * time.Second
 	// maxLateness plus maxLatenessIntervals times the interval between permits is how long
 	// after its due time a permit can still be issued. Without this tolerance, routers
 	// that ask at random times leave part of the rate unused.
 	maxLateness          = 100 * time.Millisecond
 	maxLatenessIntervals = 0.5
-	// retryJitter is the random part of the retry delay, in permit intervals for each
-	// request denied since the last grant. It keeps the routers from retrying together
+	// retryJitter is the maximum random part of the retry delay, in permit intervals for
+	// each request denied since the last grant. It keeps the routers from retrying together
 	// for a single permit.
 	retryJitter = 0.5
 	// batchWindow is the longest time between the due times of the first and the last
@@ -40,8 +46,8 @@
 	batchWindow = 100 * time.Millisecond
 	// maxBatch is the maximum number of permits in one grant.
 	maxBatch = 100
-	// minRate, in permits a second, replaces lower rates, including zero: a response is
-	// needed to learn that the limit has been lifted.
+	// minRate, in permits a second, replaces lower rates, including zero. Some requests
+	// must be sent to learn from a response that the limit has been lifted.
 	minRate = 0.1
 	// idleTimeout is how long the schedule of an upstream is kept after its next permit
 	// was due.
@@ -104,7 +110,7 @@
 
 // schedule tracks the permits of one upstream.
 type schedule struct {
-	// nextDue is when the next permit is due if all earlier ones are used.
+	// nextDue is the due time of the next permit. It may be in the past; see firstDue.
 	nextDue time.Time
 	// denied counts the requests denied since the last grant.
 	denied int
@@ -115,8 +121,9 @@
 	return &Issuer{settings: s, random: rand.New(rand.NewPCG(s.Seed, 2)), schedules: map[Incarnation]*schedule{}}
 }
 
-// Issue grants permits that are due within the request's wait, or returns when to retry. A
-// negative rate or NaN counts as zero.
+// Issue grants permits of which the first is due within the request's MaxWait, or returns
+// when to retry. A rate below minRate, including zero, negative ones and NaN, counts as
+// minRate.
 func (i *Issuer) Issue(r Request, now time.Time) Grant {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -143,8 +150,8 @@
 	return grant
 }
 
-// firstDue returns when the next permit is due, skipping permits that are later than the
-// tolerance allows.
+// firstDue returns the due time of the next permit. Permits overdue by more than the
+// tolerance are skipped.
 func (s *schedule) firstDue(interval time.Duration, now time.Time) time.Time {
 	tolerance := maxLateness + time.Duration(maxLatenessIntervals*float64(interval))
 	if earliest := now.Add(-tolerance); s.nextDue.Before(earliest) {
