--- a/suspect/block.go
+++ b/suspect/block.go
@@ -6,8 +6,8 @@
 import "time"
 
 const (
-	// firstScopeBlock is the duration of the first block of a scope. Each further round
-	// doubles it, up to maxScopeBlock. After a block the requests of the scope are tried
+	// firstScopeBlock is the duration of the first block of a scope. Each further early
+	// round doubles it, up to maxScopeBlock. After a block the requests of the scope are tried
 	// again at one upstream, so that a scope refused by mistake recovers within seconds.
 	firstScopeBlock = 5 * time.Second
 	maxScopeBlock   = 30 * time.Second
@@ -23,9 +23,11 @@
 	return min(maxScopeBlock, firstScopeBlock<<doublings)
 }
 
-// clearMassFailure clears rounds after the first that began during a mass failure, before
-// it was recognised as one. First rounds stay, since a request that is not yet suspect may
-// crash every upstream that runs it. The caller holds mu.
+// clearMassFailure does nothing unless a mass failure is in progress. Then it clears the
+// highest round of each entry if it became known within massFailureWindow, since it began
+// with the mass failure before the table recognised it. First rounds stay, because a
+// request that is not yet suspect may crash every upstream that runs it. The caller holds
+// mu.
 func (t *Table) clearMassFailure(now time.Time) {
 	if !t.crashes.inMassFailure(now) {
 		return
--- a/suspect/digest.go
+++ b/suspect/digest.go
@@ -23,14 +23,14 @@
 // String returns the digest in hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// RequestKey holds the fields that identify a request: two requests with equal keys count as
-// the same.
+// RequestKey holds the fields that identify a request. Two requests with equal fields
+// count as the same.
 type RequestKey struct {
 	Method string
 	Host   string
 	// Target is the path and query.
 	Target string
-	// Workspace is empty for requests that need no key.
+	// Workspace is empty for requests that need no API key.
 	Workspace granitehoist.Workspace
 	Body      []byte
 }
@@ -38,13 +38,13 @@
 // Scope identifies all requests of a workspace on a route. It covers callers that vary the
 // body, so that each of their requests has another digest.
 type Scope struct {
-	// Workspace is empty on routes that need no key.
+	// Workspace is empty on routes that need no API key.
 	Workspace granitehoist.Workspace
 	Route     string
 }
 
-// requestKey returns the key of the scope. It differs from that of any request, which has a
-// method.
+// requestKey returns the fields whose digest identifies the scope. They differ from those
+// of any request because Method is empty.
 func (s Scope) requestKey() *RequestKey { return &RequestKey{Target: s.Route, Workspace: s.Workspace} }
 
 // digest returns the HMAC-SHA-256 of the request key, truncated to digestBytes.
@@ -60,8 +60,8 @@
 	return d
 }
 
-// Hash returns the first eight bytes of the digest as a number, for choices on which all
-// routers agree. It is never zero.
+// Hash returns the first eight bytes of the digest as a number, and one instead of zero. It
+// is the same on all routers.
 func (d Digest) Hash() uint64 { return max(1, binary.BigEndian.Uint64(d[:])) }
 
 // writeField writes a field prefixed by its length, so that ("ab", "c") and ("a", "bc")
--- a/suspect/doc.go
+++ b/suspect/doc.go
@@ -15,9 +15,9 @@
 // no round beyond the first (recentcrashes.go, block.go).
 //
 // A Table owns its entries and its secret. It is safe for concurrent use, does no I/O and
-// takes the current time as an argument. Package forward in granitehoist-edge uses it, with
-// evidence shared between routers by package node, and so does package partner/gate in
-// 'granitehoist router', where each router keeps its own.
+// takes the current time as an argument. Two packages use it: forward in granitehoist-edge,
+// where package node shares the evidence between routers, and partner/gate in 'granitehoist
+// router', where each router has only its own evidence.
 //
 // Begin reading at evidence in evidence.go, which counts the rounds, then at Table. The
 // design is described in docs/design/suspects.md.
--- a/suspect/eviction.go
+++ b/suspect/eviction.go
@@ -10,17 +10,18 @@
 )
 
 const (
-	// evictionDivisor determines the part of a full table that is evicted at once, one
-	// evictionDivisor-th, so that the cost of sorting is amortised over many insertions.
+	// evictionDivisor determines how many entries evict removes from a full table at once:
+	// 1/evictionDivisor of them. This amortises the cost of sorting over many insertions.
 	evictionDivisor = 16
 	// clearedRetention is how long cleared evidence is kept, so that a late message does
 	// not restore it as uncleared.
 	clearedRetention = 30 * time.Second
 )
 
-// evict removes expired entries and, if the table is still full, the entries with the
-// lowest rounds, the least recently changed first. Many requests with few crashes therefore
-// never evict one with more. The caller holds mu.
+// evict removes expired entries. If the table is still full, it removes the entries with
+// the lowest rounds and, of those with the same round, the least recently changed ones.
+// Many requests with few rounds therefore do not displace one with more. The caller holds
+// mu.
 func (t *Table) evict(now time.Time) {
 	t.sweep(now)
 	if len(t.entries) < t.settings.MaxEntries {
@@ -32,7 +33,8 @@
 	}
 }
 
-// expired reports whether the entry has reached the end of its retention.
+// expired reports whether the entry has not changed for the retention, or for
+// clearedRetention if it has no uncleared crash.
 func (e *entry) expired(retention time.Duration, now time.Time) bool {
 	age := now.Sub(e.changedAt)
 	return age > retention || (e.round() == 0 && age > clearedRetention)
--- a/suspect/evidence.go
+++ b/suspect/evidence.go
@@ -16,8 +16,8 @@
 type Incarnation string
 
 // IncarnationOf returns the incarnation of an upstream. startedMS is its start time in
-// milliseconds since the Unix epoch, and zero if that is unknown. It tells the crashes of an
-// upstream apart that keeps its ID over a restart.
+// milliseconds since the Unix epoch, and zero if that is unknown. The start time
+// distinguishes the incarnations of an upstream that keeps its ID over a restart.
 func IncarnationOf(id granitehoist.Upstream, startedMS int64) Incarnation {
 	if startedMS == 0 {
 		return Incarnation(id)
@@ -29,11 +29,11 @@
 type Crash struct {
 	// Incarnation is the incarnation of the upstream.
 	Incarnation Incarnation `json:"life"`
-	// Round is one more than the highest round that the router knew of when it sent the
-	// request; see evidence.
+	// Round is the round of the crash; see evidence. Usually it is one more than the highest
+	// round that the router knew of when it sent the request (Observation.toCrash).
 	Round int `json:"round"`
-	// EarlyRound is the round among early crashes, which happen before the first event of
-	// the response arrives. It is zero if the crash was not early.
+	// EarlyRound is the round of the crash if only early crashes are counted, which happen
+	// before the first event of the response arrives. It is zero if the crash was not early.
 	EarlyRound int `json:"early,omitempty"`
 	// Cleared says that the crash is attributed to another cause, since the request
 	// succeeded later or many upstreams crashed at once.
@@ -50,10 +50,11 @@
 
 // evidence is the set of crashes under one request. The zero value is empty.
 //
-// Crashes of attempts sent without knowledge of each other form one round, since a loss of
-// power may crash every upstream that runs the request. Early crashes have rounds of their
-// own, and fewer of them suffice: unrelated crashes mostly hit streams in progress.
-// Evidence of several routers is merged by union, in any order.
+// Crashes form one round if no attempt was sent with knowledge of another crash of the
+// round. They may have a common cause other than the request, for example a loss of power.
+// Early crashes are also counted in rounds of their own, and fewer of these suffice for a
+// refusal: unrelated crashes mostly hit streams in progress. Evidence of several routers is
+// merged by union, in any order.
 type evidence struct {
 	// crashes has at most one entry for each incarnation and maxCrashes in total, ordered
 	// by descending open round.
@@ -61,7 +62,7 @@
 }
 
 // maxCrashes bounds the crashes kept for one request. It exceeds earlyCrashesToRefuse, so
-// that sufficient evidence is never dropped.
+// that the early crashes that suffice for a refusal can be kept.
 const maxCrashes = 8
 
 // openCrashes returns the number of crashes that are not cleared.
@@ -157,14 +158,15 @@
 	// refused.
 	earlyRoundsToRefuse = 3
 	// roundsToRefuse is the number of rounds of any crashes from which a request is refused.
-	// It is higher, since late crashes are more often unrelated to the request.
+	// It is higher than earlyRoundsToRefuse, since late crashes are more often unrelated to
+	// the request.
 	roundsToRefuse = 5
-	// earlyCrashesToRefuse is the number of early crashes from which one early round less
-	// suffices, since a request that arrives at many routers at once crashes many upstreams
-	// per round.
+	// earlyCrashesToRefuse is the number of early crashes from which earlyRoundsToRefuse-1
+	// rounds suffice. A request that arrives at many routers at once crashes many upstreams
+	// in each round.
 	earlyCrashesToRefuse = 2 * earlyRoundsToRefuse
 	// scopeEarlyRoundsToRefuse is the number of early rounds from which a scope is refused.
-	// It is higher than that of a request, since a scope also covers unrelated requests.
+	// It is higher than earlyRoundsToRefuse, since a scope also covers unrelated requests.
 	scopeEarlyRoundsToRefuse = 5
 )
 
--- a/suspect/recentcrashes.go
+++ b/suspect/recentcrashes.go
@@ -6,15 +6,15 @@
 import "time"
 
 const (
-	// recentCrashRetention is how long a crash is kept.
+	// recentCrashRetention is how long a crash is kept after this router learned of it.
 	recentCrashRetention = 5 * time.Second
 	// maxRecentCrashes bounds the crashes that are kept. It exceeds the number of upstreams
 	// that a router is connected to.
 	maxRecentCrashes = 4096
 	// massFailureCrashes is the number of upstreams that have to crash within
-	// massFailureWindow for a mass failure, such as a loss of power. All routers send a
-	// suspect to the same upstream, so that one suspect crashes at most two in that time:
-	// one, or two while routers see different sets of upstreams.
+	// massFailureWindow for a mass failure, such as a loss of power. One suspect request
+	// crashes fewer in that time: all routers send it to the same upstream, or to one of two
+	// while they see different sets of upstreams.
 	massFailureWindow  = 50 * time.Millisecond
 	massFailureCrashes = 4
 )
@@ -51,8 +51,8 @@
 	c.byIncarnation[l] = crash
 }
 
-// inMassFailure reports whether massFailureCrashes upstreams have crashed within
-// massFailureWindow, which a suspect request cannot cause.
+// inMassFailure reports whether this router observed the crashes of at least
+// massFailureCrashes upstreams in the last massFailureWindow.
 func (c *recentCrashes) inMassFailure(now time.Time) bool {
 	crashes := 0
 	for _, crash := range c.byIncarnation {
--- a/suspect/record.go
+++ b/suspect/record.go
@@ -24,7 +24,8 @@
 // Sufficient reports whether the evidence suffices to refuse the request or scope.
 func (r Record) Sufficient() bool { return (&evidence{crashes: r.Crashes}).sufficient(r.Scope) }
 
-// IsCleared reports whether all crashes are cleared and sufficed for a refusal before that.
+// IsCleared reports whether all crashes are cleared and would suffice for a refusal if they
+// were not.
 func (r Record) IsCleared() bool {
 	before := evidence{crashes: slices.Clone(r.Crashes)}
 	if len(before.crashes) == 0 || (&evidence{crashes: r.Crashes}).round() > 0 {
@@ -36,7 +37,7 @@
 	return before.sufficient(r.Scope)
 }
 
-// MaxRecords bounds the records of one message. The rest follows in the next ones.
+// MaxRecords bounds the records of one message.
 const MaxRecords = 64
 
 // MarshalText implements encoding.TextMarshaler.
@@ -57,8 +58,8 @@
 }
 
 // ObservedAfter returns the records that this router changed by its own observations after
-// a version of the table, oldest first and at most MaxRecords, and the version that these
-// records reach.
+// a version of the table, the oldest change first. It returns at most MaxRecords of them,
+// and the version to pass to the next call, which returns those that follow.
 func (t *Table) ObservedAfter(version uint64) ([]Record, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,8 +73,8 @@
 	return records(newer), newer[MaxRecords-1].observedVersion
 }
 
-// Uncleared returns the records that are not cleared, highest rounds first and at most
-// MaxRecords.
+// Uncleared returns the records with a crash that is not cleared: the MaxRecords ones with
+// the highest rounds, highest first.
 func (t *Table) Uncleared() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -91,9 +92,12 @@
 	return all
 }
 
-// Merge adds records received from another router or the store. It ignores records beyond
-// MaxRecords, and invalid crashes: those without an incarnation, with a round below 1, or
-// with an early round that is negative or above the round.
+// Merge adds records received from another router or the store. It ignores
+//
+//   - records beyond MaxRecords, and crashes of a record beyond maxCrashes;
+//   - crashes without an incarnation;
+//   - crashes with a round below 1;
+//   - crashes with an early round that is negative or above the round.
 func (t *Table) Merge(received []Record, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/suspect/table.go
+++ b/suspect/table.go
@@ -12,30 +12,32 @@
 )
 
 const (
-	// DefaultBlockDuration is how long a request is refused after its last crash, from
-	// when the router learned of it. It equals the longest lease TTL of the platform's
-	// store, so that routers that start meanwhile still find the evidence there.
+	// DefaultBlockDuration is the default of Settings.BlockDuration. It equals the longest
+	// lease TTL of the platform's store, so that routers that start during a block still
+	// find the evidence there.
 	DefaultBlockDuration = 10 * time.Minute
-	// DefaultRetention is how long evidence is kept after the last crash. In this time one
-	// more crash suffices to refuse a request again whose block has expired.
+	// DefaultRetention is the default of Settings.Retention. It exceeds
+	// DefaultBlockDuration: between the end of a block and that of the retention, one more
+	// round suffices to refuse the request again.
 	DefaultRetention = 30 * time.Minute
-	// DefaultMaxEntries bounds the entries of a table, about 0.2 KB each. A crash adds an
-	// entry for each request that was running on the upstream.
+	// DefaultMaxEntries is the default of Settings.MaxEntries. An entry takes about 0.2 KB,
+	// and a crash adds one for each request that was running on the upstream.
 	DefaultMaxEntries = 4096
 )
 
 // Settings configures a Table. The zero value selects the defaults.
 type Settings struct {
-	// BlockDuration is how long a request is refused after its last crash; zero means
-	// DefaultBlockDuration.
+	// BlockDuration is how long a request is refused after this router learned of its
+	// latest round; zero means DefaultBlockDuration. Scopes have shorter blocks
+	// (firstScopeBlock).
 	BlockDuration time.Duration
-	// Retention is how long evidence is kept after the last crash; zero means
-	// DefaultRetention.
+	// Retention is how long evidence is kept after its last change; zero means
+	// DefaultRetention. Cleared evidence is kept for a shorter time (clearedRetention).
 	Retention time.Duration
 	// MaxEntries bounds the entries of the table; zero means DefaultMaxEntries.
 	MaxEntries int
-	// OnObserved, if set, is called after each change by an observation of this router.
-	// No lock is held during the call.
+	// OnObserved, if set, is called after each observation of this router that changes the
+	// evidence. No lock is held during the call.
 	OnObserved func()
 }
 
@@ -57,7 +59,7 @@
 	version uint64
 }
 
-// entry is the evidence against one request. The lock of its table guards it.
+// entry is the evidence against one request or scope. The lock of its table guards it.
 type entry struct {
 	evidence
 	digest Digest
@@ -85,7 +87,8 @@
 	return &Table{settings: s, entries: map[Digest]*entry{}}
 }
 
-// HasSuspects reports whether there is evidence against any request.
+// HasSuspects reports whether there is evidence that is not cleared against any request or
+// scope.
 func (t *Table) HasSuspects() bool { return t.suspectCount.Load() > 0 }
 
 // Lookup returns the verdict on a request, and the zero Verdict if there is no evidence.
@@ -120,7 +123,8 @@
 	return verdict
 }
 
-// RecordDown records that an upstream incarnation has ended for an unknown reason.
+// RecordDown records that an upstream incarnation has ended for an unknown reason. Later
+// calls of RecordCrash add no evidence for requests sent to it after that.
 func (t *Table) RecordDown(l Incarnation, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/suspect/verdict.go
+++ b/suspect/verdict.go
@@ -16,10 +16,10 @@
 	Round int
 	// EarlyRound is the highest round of early crashes; zero if there were none.
 	EarlyRound int
-	// Crashes is the number of upstreams that crashed under the request and are not cleared.
+	// Crashes is the number of crashes under the request that are not cleared.
 	Crashes int
 	// Hold is the time for which the request must not be sent, so that crashes with a common
-	// cause settle into one round.
+	// cause form one round (SettleTime).
 	Hold time.Duration
 	// Refused says that the request must not be sent until BlockRemaining has passed.
 	Refused        bool
