--- a/catalog/current.go
+++ b/catalog/current.go
@@ -30,8 +30,8 @@
 }
 
 // supersedes reports whether the snapshot replaces old, the active one, which may be nil.
-// Only the store's version counts, which grows with each write and also comes with copies
-// from neighbours. The operators' revision and the time of arrival are ignored.
+// It compares the store's versions, which grow with each write and are the same in copies
+// from neighbours. The operators' revision and the time of arrival do not matter.
 func (s *Snapshot) supersedes(old *Snapshot) bool {
 	return old == nil || s.Version > old.Version
 }
--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -10,8 +10,8 @@
 //
 // A Snapshot is immutable, so that a request sees the same configuration from beginning to
 // end. A Current holds the newest Snapshot without a lock and never goes back to an older
-// version; versions are those of the platform's store. Nothing is kept on disk: a router has
-// no configuration after a start until the store or a neighbour sends one.
+// version, as numbered by the platform's store. Nothing is kept on disk: after a start, a
+// router has no configuration until the store or a neighbour sends one.
 //
 // Begin reading at Snapshot.Match and Current.Offer.
 package catalog
--- a/catalog/document.go
+++ b/catalog/document.go
@@ -57,10 +57,10 @@
 	MaxEventGap time.Duration
 	Priority    granitehoist.Priority
 	Split       []Share
-	// MaxAttempts bounds the upstreams that may run one request, including the first;
-	// zero means one.
+	// MaxAttempts bounds the attempts that ran or may have run one request; zero means one.
+	// A request that is not Repeatable has one such attempt at most.
 	MaxAttempts int
-	// Anonymous routes need no key.
+	// Anonymous routes need no API key, even if Document.RequireKey is set.
 	Anonymous bool
 	// Affinity says that requests with a common prefix should go to the same upstream.
 	Affinity bool
@@ -123,7 +123,7 @@
 	Routes     []Route
 	Services   []Service
 	Workspaces []Workspace
-	// RequireKey says that routes which are not anonymous require a key.
+	// RequireKey says that routes which are not anonymous require an API key.
 	RequireKey bool
 	Limits     Limits
 }
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -20,7 +20,7 @@
 	// Revision is the revision number that the operators assign.
 	Revision int64
 	Limits   Limits
-	// RequireKey says that routes which are not anonymous require a key.
+	// RequireKey says that routes which are not anonymous require an API key.
 	RequireKey bool
 	// routesByHost holds the routes by canonical host, longest prefix first.
 	routesByHost    map[string][]*Route
@@ -106,8 +106,9 @@
 	return strings.ToLower(host)
 }
 
-// Match returns the route of a host with the longest prefix of path, and nil if no route
-// matches. Of several routes with the same prefix the first in the configuration wins.
+// Match returns the route of a host whose Prefix is the longest one that path begins with,
+// and nil if no route matches. Of several routes with the same prefix the first in the
+// configuration wins.
 func (s *Snapshot) Match(host, path string) *Route {
 	for _, r := range s.routesByHost[canonicalHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
