--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -6,12 +6,12 @@
 //
 // Calls (Client, Server) are JSON-RPC 2.0 over TCP. Each call names the incarnation that it
 // is addressed to; a router that has taken over the address rejects it with
-// ErrOtherIncarnation. Both programs use calls.
+// ErrOtherIncarnation. Both granitehoist-edge and 'granitehoist router' use calls.
 //
 // Membership (Registry, View) is used by 'granitehoist router' only. A router writes its
 // entry to the store under a lease, and the others read the list. Roles are assigned by
-// rendezvous hashing over the View. Two routers with different views may both act in a role,
-// which must only cost efficiency.
+// rendezvous hashing over the View. Two routers with different views may both act in a role.
+// This must be safe; it may only cost efficiency.
 //
 // # Membership of granitehoist-edge
 //
@@ -19,9 +19,9 @@
 // once, without a lease, under the key of their box:
 //
 //   - Lease renewals cost writes in proportion to the size of the fleet.
-//   - Roles of a Registry must move away from a dead router, so its entry has to expire. A
-//     node has no such roles: it skips a neighbour that does not respond, and the entry is
-//     replaced when the box restarts.
+//   - The roles of a dead router in a Registry must move to another one, so its entry has
+//     to expire. Package node assigns no roles by this list: it skips a neighbour that does
+//     not respond, and the entry is replaced when the box restarts.
 //   - In large fleets only relays read node's list, and neighbours update each other while
 //     the store is unavailable. Registry uses the list in the store only.
 //
@@ -31,9 +31,9 @@
 // # State
 //
 // Registry holds the router's own entry, its lease and the last view. In the store only this
-// router writes its two entries, except that DeregisterServing may delete those of
-// another. Client and Server hold their connections. All three are safe for concurrent
-// use. A View is immutable.
+// router writes its two entries, except that another router may delete the one under
+// ServingPrefix with DeregisterServing. Client and Server hold their connections. All three
+// are safe for concurrent use. A View is immutable.
 //
 // The package uses granitehoist.Store and package store. It has no timers: the caller calls
 // Refresh every Interval, and the store expires leases.
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -16,8 +16,8 @@
 )
 
 // Prefixes of the routers' entries in the store. Entries under LivePrefix have a lease and
-// expire unless it is renewed. Those under ServingPrefix stay as long as the router may
-// serve, which it does even without a connection to the store.
+// expire unless it is renewed. Entries under ServingPrefix have none: a router without a
+// connection to the store may still serve, and its entry stays until it has stopped.
 const (
 	LivePrefix    = "boxes/"
 	ServingPrefix = "serving/"
@@ -30,7 +30,7 @@
 }
 
 // DefaultTTL is the TTL of the lease, and so how long a dead router stays in the views of
-// others. A shorter one costs more renewals, a longer one leaves roles with a dead router
+// others. A shorter TTL costs more renewals. A longer one leaves roles with a dead router
 // for longer.
 const DefaultTTL = 15 * time.Second
 
@@ -41,13 +41,14 @@
 // stays in use while the store is unavailable. It is safe for concurrent use.
 type Registry struct {
 	settings RegistrySettings
-	// refreshSlot holds a value while a Refresh runs. Concurrent ones would each grant a
-	// lease, and the entry could have the one that is not renewed.
+	// refreshSlot holds a value while a Refresh runs. Concurrent calls would each obtain a
+	// lease, and the entry could be written under one that is not renewed.
 	refreshSlot chan struct{}
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// self is the desired entry, and written the one last written under lease.
+	// self is the desired entry. written is the entry last written to the store, under
+	// lease.
 	self    Member
 	written Member
 	lease   granitehoist.LeaseID
@@ -79,10 +80,11 @@
 // Interval returns the time between two calls of Refresh.
 func (r *Registry) Interval() time.Duration { return DefaultTTL / renewalsPerTTL }
 
-// Refresh renews the router's entry and updates the view. A router is in the view from its
-// first Refresh until its lease expires or its entry is removed. The error is that of the
-// store, or names an entry that cannot be decoded; the view then stays unchanged. A
-// concurrent Refresh is waited for, and the context's error returned if ctx ends first.
+// Refresh renews the router's entry and updates the view. Other routers have this one in
+// their views from its first Refresh until its lease expires or its entry is removed. If
+// another Refresh is running, it waits for that one, and returns the context's error if ctx
+// ends first. Other errors are those of the store, or name an entry that cannot be decoded.
+// After an error the view is unchanged.
 func (r *Registry) Refresh(ctx context.Context) error {
 	select {
 	case r.refreshSlot <- struct{}{}:
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -52,8 +52,8 @@
 	// Methods holds the handlers by method name.
 	Methods map[string]HandlerFunc
 	// Greetings holds the handlers of methods that a caller may use before it knows the
-	// incarnation at an address; their replies must name it. A method must not be in both
-	// maps.
+	// incarnation at an address. Their replies must name the incarnation. A method must not
+	// be in both maps.
 	Greetings map[string]HandlerFunc
 }
 
