--- a/store/readback.go
+++ b/store/readback.go
@@ -24,8 +24,9 @@
 )
 
 // classifyReadBack returns the outcome of a conditional write, given the state of its key
-// after the response was lost. The value is compared first, since it is unique to the write.
-// Any other value at a version other than the expected one is that of another writer.
+// after the response was lost. If the key has the value of the write, which is unique to
+// it, the write was applied. Otherwise, a version other than the expected one is that of
+// another write.
 func classifyReadBack(current granitehoist.Entry, change granitehoist.Change) readBackResult {
 	switch {
 	case bytes.Equal(current.Value, change.Value):
--- a/store/swap.go
+++ b/store/swap.go
@@ -21,9 +21,9 @@
 	return Swap(ctx, s, granitehoist.Change{Key: key, Value: value})
 }
 
-// Swap makes a conditional write and returns the key's new version. It handles a lost
-// response and returns errors as Create does: change.Value must be unique to this write, and
-// change must not be a deletion.
+// Swap makes a conditional write and returns the key's new version. change.Value must be
+// unique to this write, and change must not be a deletion. Lost responses and errors are
+// handled as in Create.
 func Swap(ctx context.Context, s granitehoist.Store, change granitehoist.Change) (granitehoist.Version, error) {
 	version, err := s.CompareAndSwap(ctx, change)
 	if err == nil || errors.Is(err, granitehoist.ErrUnavailable) || errors.Is(err, granitehoist.ErrConflict) {
@@ -32,7 +32,7 @@
 	for range maxReadBacks {
 		entry, readErr := s.Get(ctx, change.Key)
 		if readErr != nil {
-			// Retry. After the last attempt the outcome stays unknown.
+			// Read again. After the last attempt the outcome stays unknown.
 			continue
 		}
 		switch classifyReadBack(entry, change) {
