--- a/escrow/account.go
+++ b/escrow/account.go
@@ -16,8 +16,8 @@
 	owned  owned
 	fleet  fleetView
 	demand demand
-	// routers is the number of routers that share the budget, and ration this router's
-	// spending limit for the last part of it.
+	// routers is the number of routers that share the budget. ration is this router's
+	// spending limit for the last part of the budget.
 	routers int
 	ration  ration
 	// lastTarget is the target of the holding at the last sync.
@@ -31,8 +31,8 @@
 	standInUntil time.Time
 	// refilling is set while the next batch is being borrowed.
 	refilling bool
-	// lendersFailed is set if requests wait and no lender responded. This router then
-	// reads the record in any role.
+	// lendersFailed is set if no lender responded to a waiting request. This router then
+	// uses the record even if it is a borrower.
 	lendersFailed bool
 }
 
@@ -93,8 +93,8 @@
 	}
 }
 
-// grant returns the tokens to request from the store while it has remaining tokens. A
-// holding below the fraction threshold of its target is filled.
+// grant returns the tokens to request from the store, which has remaining tokens.
+// threshold is the fraction of the target below which the holding is filled.
 func (a *account) grant(remaining granitehoist.Tokens, c conditions, threshold float64) granitehoist.Tokens {
 	if remaining <= 0 {
 		return 0
--- a/escrow/admit.go
+++ b/escrow/admit.go
@@ -36,11 +36,11 @@
 }
 
 const (
-	// expectedOutage is how long tokens are reserved for requests of higher priority
-	// while the store is unresponsive.
+	// expectedOutage is the assumed duration of an outage of the store. Tokens are
+	// reserved for requests of higher priority until it has passed.
 	expectedOutage = 10 * time.Second
-	// priorityReserveFraction is the fraction of the holding that a request leaves for
-	// each priority level above its own.
+	// priorityReserveFraction is the fraction of the target that a request leaves for
+	// each priority level above its own at the start of an outage.
 	priorityReserveFraction = 0.3
 )
 
@@ -54,10 +54,12 @@
 	return max(0, 1-now.Sub(unresponsiveSince).Seconds()/expectedOutage.Seconds())
 }
 
-// priorityReserve returns how many tokens a request leaves for those of higher priority:
-// priorityReserveFraction of target, that of the last sync, for each level below the
-// highest that this router has seen, scaled by outageFraction. Without it, requests of
-// low priority would use up a holding that can't be refilled during an outage.
+// priorityReserve returns how many tokens a request leaves for requests of higher
+// priority: priorityReserveFraction of target for each level between its priority and
+// highest, the highest that this router has seen, but at most target, scaled by
+// outageFraction. target is the target of the last sync; outageFraction is the result of
+// outageRemaining. Without the reserve, requests of low priority would use up a holding
+// that can't be refilled during an outage.
 func priorityReserve(priority, highest granitehoist.Priority, target granitehoist.Tokens, outageFraction float64) granitehoist.Tokens {
 	levels := float64(max(0, highest-priority))
 	return granitehoist.Tokens(min(1, priorityReserveFraction*levels) * outageFraction * float64(target))
--- a/escrow/ask.go
+++ b/escrow/ask.go
@@ -24,10 +24,16 @@
 	lenderPollInterval = 10 * time.Millisecond
 )
 
-// borrowForRequest borrows for a waiting request. It calls lenders in order, the next
-// one when the last has responded without helping or is slow, and returns the outcome of
-// the wait: as soon as no lender could help, at the end of ctx at the latest. Calls in
-// progress go on afterwards, since a late loan serves the next request.
+// borrowForRequest borrows for a waiting request and returns the outcome of its wait. It
+// calls the lenders in order: the next one whenever a call ends and the request still
+// waits, and also every HedgeAfter. The wait ends
+//
+//   - when the request is granted or refused;
+//   - when ctx ends;
+//   - when the calls to all lenders have ended. If none of them responded, the request
+//     waits for a sync of the record instead.
+//
+// Calls in progress continue after the wait, since a late loan serves the next request.
 func (s *Syncer) borrowForRequest(ctx context.Context, w granitehoist.Workspace, c claim, queued *waiter) Outcome {
 	select {
 	case outcome := <-queued.outcome:
@@ -105,7 +111,8 @@
 	return s.wait(ctx, w, queued)
 }
 
-// loanRequestFor returns the loan that a borrower requests for a claim.
+// loanRequestFor returns the loan that a borrower requests for a claim: its bound, less
+// the free tokens unless other requests wait for them as well.
 func (l *Ledger) loanRequestFor(w granitehoist.Workspace, c claim) loanRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/ask_test.go
+++ b/escrow/ask_test.go
@@ -226,7 +226,7 @@
 			Expect(holder.sync()).To(Succeed())
 			now = now.Add(100 * time.Millisecond)
 		}
-		// 10 loans a second of 1,000 tokens, half of which is repaid, for 9 s.
+		// The net loans are 10 a second of 500 tokens; DefaultCover is 9 s.
 		Expect(holder.ledger.State(testWorkspace).Free).To(BeNumerically("~", 45_000, 10_000))
 	})
 
@@ -246,7 +246,7 @@
 			Expect(holder.sync()).To(Succeed())
 			now = now.Add(100 * time.Millisecond)
 		}
-		// 9 s of the demand would be 22 % of the budget.
+		// Tokens for DefaultCover, 9 s, would be 22 % of the budget.
 		Expect(holder.ledger.State(testWorkspace).Free).To(BeNumerically("<=", limit*5/100))
 	})
 })
--- a/escrow/borrow.go
+++ b/escrow/borrow.go
@@ -70,11 +70,14 @@
 	return true
 }
 
-// ServeLend handles a neighbour's call of MethodLend. A router that uses the record
-// reserves p.Want as a request does, and so triggers a sync if it owns too little; if
-// that fails within LendWait, it lends what it has. A holder does not make the borrower
-// wait for an unresponsive store. A want below the need counts as the need. The error is
-// always nil.
+// ServeLend handles a neighbour's call of MethodLend. A Want below Need counts as Need.
+// The error is always nil.
+//
+// A borrower, and any router if Need is not positive, lends at once as Ledger.Lend does.
+// A router of another role tries to reserve p.Want first. If it owns too little, it
+// triggers a sync and waits up to LendWait; a holder does not wait while the store is
+// unresponsive. If it reserved p.Want, it lends all of that, otherwise what Ledger.Lend
+// gives.
 func (s *Syncer) ServeLend(ctx context.Context, p LendParams) (LendResult, error) {
 	p.Want = max(p.Want, p.Need)
 	ledger, now := s.settings.Ledger, s.settings.Clock()
@@ -92,7 +95,8 @@
 	return ledger.Lend(p, s.settings.Clock()), nil
 }
 
-// reserveForLoan reserves for a loan, and reports whether it did.
+// reserveForLoan tries to reserve the tokens of a loan, as described at ServeLend, and
+// reports whether it did.
 func (s *Syncer) reserveForLoan(ctx context.Context, w granitehoist.Workspace, c claim, role Role) bool {
 	if role.isHolder() && s.settings.Ledger.isStoreUnresponsive() {
 		granted := s.settings.Ledger.reserve(w, c, s.settings.Clock())
--- a/escrow/budgetend.go
+++ b/escrow/budgetend.go
@@ -63,11 +63,15 @@
 }
 
 // decide decides whether a request with the given bound may be paid for, and returns the
-// updated ration. Below withholdThreshold of the prepaid total a request may take no
-// more than maxRequestFraction of the remaining budget and must not exceed the mean, so
-// that a few large requests leave tokens for many small ones. Below rationThreshold each
-// router spends from a ration that grows with time, so that late requests can be served.
-// If the remaining budget is unknown, every request is allowed.
+// updated ration.
+//
+//   - If the remaining budget is unknown, or is at least withholdThreshold of the
+//     prepaid total, every request is allowed.
+//   - Below withholdThreshold, the bound must exceed neither maxRequestFraction of the
+//     remaining budget nor the mean bound, so that a few large requests leave tokens for
+//     many small ones.
+//   - Below rationThreshold, the bound must not exceed the router's ration either. The
+//     ration grows with time, so that late requests can be served.
 func (e budgetEnd) decide(bound granitehoist.Tokens, r ration, now time.Time) (endDecision, ration) {
 	remaining, limit, size := float64(e.remaining.tokens), float64(e.limit), float64(bound)
 	switch {
--- a/escrow/exposure.go
+++ b/escrow/exposure.go
@@ -9,18 +9,23 @@
 	// exposedFractionAfterOutage is the fraction of a prepaid total that all routers may
 	// hold together right after an outage.
 	exposedFractionAfterOutage = 0.008
-	// exposureHoldTime is how long after an outage the fraction stays there.
+	// exposureHoldTime is how long after an outage exposedFraction stays at
+	// exposedFractionAfterOutage.
 	exposureHoldTime = 4 * time.Second
-	// exposureRecoveryTime is how long after an outage the fraction has grown to
-	// maxHeldFraction, and the bound is lifted.
+	// exposureRecoveryTime is how long after an outage holdings are limited.
 	exposureRecoveryTime = 9 * time.Second
 )
 
-// exposedFraction returns the fraction of a prepaid total that all routers may hold
-// together, from the time since the last outage ended; outageEnded is zero if there was
-// none. It is 1 without an outage and from exposureRecoveryTime after one. Held tokens
-// cover the next outage but are lost if the routers crash. The next outage is assumed to
-// be some time away, so the holdings grow back slowly.
+// exposedFraction returns the fraction of a prepaid total that all routers together may
+// hold. outageEnded is when the last outage of the store ended, zero if there was none.
+//
+//   - For exposureHoldTime after an outage it is exposedFractionAfterOutage.
+//   - Then it grows linearly to maxHeldFraction until exposureRecoveryTime after the
+//     outage.
+//   - Later, and without an outage, it is 1, which sets no limit.
+//
+// Held tokens serve requests during the next outage, but are lost if the routers crash.
+// Right after an outage the next one is assumed to be some time away, so less is held.
 func exposedFraction(outageEnded, now time.Time) float64 {
 	if outageEnded.IsZero() {
 		return 1
--- a/escrow/grant.go
+++ b/escrow/grant.go
@@ -35,8 +35,9 @@
 	threshold float64
 }
 
-// grant decides how many tokens to request from the store: the shortfall and, if there
-// is one or the holding is low, what fills the holding, up to what the store has.
+// grant decides how many tokens to request from the store. If there is no shortfall and
+// the holding is not low, it requests none. Otherwise it requests the shortfall and what
+// fills the holding up to its target, at most what the store has left.
 func (g grantInputs) grant() granitehoist.Tokens {
 	if g.remaining <= 0 {
 		return 0
--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -10,8 +10,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// conditions returns the inputs common to all decisions on holdings at a time. The
-// caller holds mu.
+// conditions returns the inputs common to all decisions on holdings at now. The caller
+// holds mu.
 func (l *Ledger) conditions(routers int, now time.Time) conditions {
 	c := conditions{
 		now: now, routers: max(1, routers), cover: l.settings.Cover,
@@ -25,11 +25,15 @@
 	return c
 }
 
-// shardsToSync returns the shards that justify a sync: requests wait, a limit has
-// changed, or a holding needs it. If there are any, shards whose holdings are nearly low
-// are added, since one call writes all. If there are none and the store has not
-// responded for maxRecordAge, the result is one of the shards for which this router uses
-// the record.
+// shardsToSync returns the shards whose records are to be synced now, among those of
+// workspaces for which this router uses the record:
+//
+//   - the shards where requests wait, a limit has changed, or a holding is too low or
+//     too high;
+//   - if there are any of these, also the shards with a holding below
+//     jointRefillThreshold, since one call writes several records;
+//   - if there are none and the store has not responded to this router for maxRecordAge,
+//     one shard, so that the record is read again.
 func (l *Ledger) shardsToSync(routers int, now time.Time) []Shard {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,8 +84,8 @@
 	return len(a.waiters) > 0 || a.owned.limitUnconfirmed || a.limitChanged
 }
 
-// anyLow reports whether a holding of a scope is low or requests wait. The caller holds
-// mu.
+// anyLow reports whether any workspace of a scope has a holding below refillThreshold or
+// waiting requests. The caller holds mu.
 func (l *Ledger) anyLow(in scope, all conditions) bool {
 	for w, a := range l.accounts {
 		c := all.withRole(l.role(w, a, all.now))
@@ -115,9 +119,10 @@
 	return requests
 }
 
-// surpluses returns the free tokens that this router does not need, by workspace: at a
-// borrower what exceeds two batches and is worth a call, at other routers nothing unless
-// the ledger is closing.
+// surpluses returns the free tokens that this router can transfer to neighbours, by
+// workspace: all if the ledger is closing; otherwise, at a borrower, what exceeds two
+// batches if isSurplus says that it is worth a call, and nothing in other roles. It
+// skips workspaces with waiting requests.
 func (l *Ledger) surpluses(routers int, now time.Time) []surplus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -19,7 +19,7 @@
 	// mu guards the fields below. No call is made while it is held.
 	mu       sync.Mutex
 	accounts map[granitehoist.Workspace]*account
-	// closing is set once all free tokens are to be returned.
+	// closing is set by Close.
 	closing bool
 	// firstRequestAt is when the first request of any workspace arrived, zero before.
 	firstRequestAt time.Time
@@ -198,8 +198,8 @@
 	l.health.noteFailure(now)
 }
 
-// StoreUnreachableFor returns for how long the store has responded neither to this router
-// itself nor to a holder that it borrows from; zero if it responds.
+// StoreUnreachableFor returns for how long the store has responded neither to this
+// router itself nor to a holder that it borrows from; zero if it responds.
 // Answer.StoreUnresponsiveFor differs: a response to any lender resets it.
 func (l *Ledger) StoreUnreachableFor(now time.Time) time.Duration {
 	l.mu.Lock()
--- a/escrow/lenders.go
+++ b/escrow/lenders.go
@@ -19,8 +19,9 @@
 	s.excludedUntil[lender.Address] = s.settings.Clock().Add(lenderBackoff)
 }
 
-// lenders returns the neighbours that may lend a workspace's tokens, the likeliest
-// first, without those that failed to respond within the last lenderBackoff.
+// lenders returns the neighbours that may lend a workspace's tokens, in the order in
+// which they are to be called, without those that failed to respond within the last
+// lenderBackoff. If none would remain, it returns all.
 func (s *Syncer) lenders(w granitehoist.Workspace) []Lender {
 	if s.settings.Lenders == nil || s.settings.Caller == nil {
 		return nil
@@ -33,7 +34,7 @@
 }
 
 // availableLenders returns the neighbours that are not excluded, or all if none would
-// remain. excludedUntil holds the end of each exclusion by address.
+// remain. avoided holds the end of each exclusion by address.
 func availableLenders(all []Lender, avoided map[string]time.Time, now time.Time) []Lender {
 	var answering []Lender
 	for _, lender := range all {
--- a/escrow/loanrequest.go
+++ b/escrow/loanrequest.go
@@ -38,10 +38,10 @@
 	rate float64
 }
 
-// forWaiters returns the loan that a router requests from neighbours while requests wait
-// and the store does not help: at least what the smallest request lacks, if possible
-// what all lack and, unless holdings are limited after an outage, loanCover of its
-// spending.
+// forWaiters returns the loan that a router requests from neighbours for its waiting
+// requests. The need is what the smallest request lacks. The want is what all of them
+// lack, plus the router's spending in loanCover unless holdings are limited after an
+// outage.
 func (r loanRequestInputs) forWaiters(c conditions) loanRequest {
 	own := max(0, r.unreserved)
 	need := max(1, r.smallest-own)
--- a/escrow/loansize.go
+++ b/escrow/loansize.go
@@ -26,8 +26,10 @@
 	allOrNothing bool
 }
 
-// loan returns how many tokens to lend: the want up to maxLendFraction of what is free,
-// but at least the need if the lender has that much.
+// loan returns how many tokens to lend. It is zero if the lender is closing, has waiting
+// requests itself or has no free tokens, if the need is not positive, or if the lender
+// has less than the need and allOrNothing is set. Otherwise it is the want, up to
+// maxLendFraction of the free tokens, but at least the need if the lender has that much.
 func (l loanInputs) loan() granitehoist.Tokens {
 	if l.closing || l.waiting || l.need <= 0 || l.free <= 0 {
 		return 0
--- a/escrow/messages.go
+++ b/escrow/messages.go
@@ -27,8 +27,8 @@
 	// Total is the sum of all loans of the lender to the borrower. It only grows, so
 	// that the next reply makes up for a lost one.
 	Total granitehoist.Tokens `json:"total"`
-	// StoreConnected is set if the store responded to the lender within connectedTime. The
-	// fields below are zero without it.
+	// StoreConnected is set if the lender has read the record and the store responded to
+	// it within connectedTime. If it is not set, the fields below are zero.
 	StoreConnected bool `json:"in_touch,omitempty"`
 	// StoreRemaining is what the store had left when the lender last read the record.
 	StoreRemaining granitehoist.Tokens `json:"rest,omitempty"`
@@ -44,7 +44,7 @@
 type RepayParams struct {
 	Sender    granitehoist.Incarnation `json:"giver"`
 	Workspace granitehoist.Workspace   `json:"workspace"`
-	// Total is the sum of all tokens that the giver has lent or transferred to the
+	// Total is the sum of all tokens that the sender has lent or transferred to the
 	// receiver. It only grows. Zero transfers nothing and only asks whether the receiver
 	// accepts tokens.
 	Total granitehoist.Tokens `json:"total"`
--- a/escrow/outcome.go
+++ b/escrow/outcome.go
@@ -46,7 +46,7 @@
 	StoreRemaining granitehoist.Tokens
 	Age            time.Duration
 	// StoreUnresponsiveFor is for how long the store has responded neither to this router
-	// nor to a lender that reported to it; zero if it responds.
+	// nor to a lender that reported to this router; zero if the store responds.
 	StoreUnresponsiveFor time.Duration
 }
 
--- a/escrow/owned.go
+++ b/escrow/owned.go
@@ -20,10 +20,10 @@
 // reserved until grants or loans have covered it. The tests check the rule on random
 // histories (CheckConservation in export_test.go).
 type owned struct {
-	// granted and returned are the totals of this incarnation's row. granted counts a
-	// grant once the store has confirmed it, returned counts a return before it is
-	// written, so that a lost write neither creates tokens nor lets returned ones be
-	// spent here.
+	// granted and returned are the totals of this incarnation's row. granted includes a
+	// grant only after the store has confirmed it. returned includes a return already
+	// before it is written. A lost write therefore neither creates tokens nor lets
+	// returned ones be spent here.
 	granted  granitehoist.Tokens
 	returned granitehoist.Tokens
 	// spent is the use of the settled requests, reserved the sum of the bounds of the
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -21,8 +21,8 @@
 }
 
 // usesRecord decides whether this router reads and writes the record for an account. A
-// borrower does so only after the limit was reduced, at shutdown, and when no lender
-// responds; all other roles always do.
+// borrower does so only after the limit was reduced, at shutdown, or if no lender
+// responded; a router of any other role always does.
 func (a *account) usesRecord(c conditions) bool {
 	return c.role != RoleBorrower || a.owned.limitUnconfirmed || c.closing || a.lendersFailed
 }
@@ -30,11 +30,12 @@
 // isWrite reports whether the record has to be written.
 func (p plan) isWrite() bool { return len(p) > 0 }
 
-// prepare adds the grants and returns that nextRow decides to r, the record of a scope,
-// and returns the changed rows. batched means that it is written together with other
-// records, so that nearly low holdings are filled as well. routers is the number of
-// routers that share the budgets. Returns are deducted at once; grants count once
-// confirm is called with the record that has them.
+// prepare puts this router's next rows into r, the record of a scope, and returns the
+// rows that have to be written. Holdings are filled below jointRefillThreshold instead
+// of refillThreshold if batched is set, which means that the record is written together
+// with others, or if anyLow is true. routers is the number of routers that share the
+// budgets. Returned tokens are deducted from what is owned at once; granted tokens are
+// added by confirm.
 func (l *Ledger) prepare(r *Record, in scope, batched bool, routers int, now time.Time) plan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +87,8 @@
 	return next
 }
 
-// confirm completes a sync of known outcome; r is the record of a scope as stored.
+// confirm completes a sync whose outcome is known: it adds the confirmed grants to what
+// is owned and decides on the waiting requests. r is the record of a scope as stored.
 func (l *Ledger) confirm(r *Record, in scope, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/rate.go
+++ b/escrow/rate.go
@@ -25,14 +25,14 @@
 const (
 	// rateStep is the minimum duration of a step.
 	rateStep = 500 * time.Millisecond
-	// rateWindow is the time constant of the mean, and the time after which a router
-	// relies on its own view of the demand.
+	// rateWindow is the time constant of the mean. It is also the time in which
+	// conditions.confidence grows to 1.
 	rateWindow = 5 * time.Second
 )
 
-// add counts tokens; a negative amount deducts what was reserved and not used.
-// observedSince is the start of the first step, from which on the absence of requests
-// counts; if it is zero, the first call starts the step.
+// add counts tokens; a negative amount deducts what was reserved and not used. The first
+// step starts at observedSince, so that time without requests before the first call
+// lowers the mean. If observedSince is zero, the first step starts at the first call.
 func (r *rate) add(t granitehoist.Tokens, observedSince, now time.Time) {
 	if r.stepStart.IsZero() {
 		r.stepStart = now
--- a/escrow/record.go
+++ b/escrow/record.go
@@ -15,14 +15,15 @@
 	// recordFormat is the format number of a stored Record.
 	recordFormat = 1
 	// dividedFormat is the format number of a record whose workspaces have moved to
-	// shards. Routers that do not support it can't write the record, and so get no more
-	// grants from it.
+	// shards. A router of an older version that does not support it can't decode the
+	// record, and gets no more grants from it.
 	dividedFormat = 2
 )
 
-// RecordKey is the store's key of the record of all workspaces. In a large fleet each
-// shard has a record of its own, and this one is kept unchanged since the division: the
-// record of a shard starts with the accounts of its workspaces here.
+// RecordKey is the store's key of the record of all workspaces. In a large fleet this
+// record is divided: each shard has a record of its own, which starts with the accounts
+// that the shard's workspaces had in this one. After the division this record does not
+// change any more.
 const RecordKey = "budget/escrow"
 
 // Row is the state of one incarnation's tokens of a workspace.
@@ -129,8 +130,8 @@
 // isDivided reports whether the workspaces have moved to shards.
 func (r *Record) isDivided() bool { return r.Format == dividedFormat }
 
-// divide marks the record as one whose workspaces have moved to shards. It must not be
-// changed afterwards.
+// divide marks the record as one whose workspaces have moved to shards. The record must
+// not be changed afterwards.
 func (r *Record) divide() { r.Format, r.Shards = dividedFormat, shardCount }
 
 // forShard returns the initial record of a shard of a divided record: the rows of the
@@ -163,9 +164,9 @@
 	return raw, nil
 }
 
-// RegisterIncarnation registers an incarnation as the current one of its box. The rows of
-// the previous incarnation are added to EndedNet and deleted: a box runs one router at a
-// time, so that one has ended.
+// RegisterIncarnation registers an incarnation as the current one of its box. The rows
+// of the previous incarnation are added to EndedNet and deleted: a box runs one router
+// at a time, so the previous one has ended.
 func (r *Record) RegisterIncarnation(box granitehoist.Box, incarnation granitehoist.Incarnation) {
 	previous, found := r.Boxes[box]
 	if found && previous == incarnation {
--- a/escrow/recordcopy.go
+++ b/escrow/recordcopy.go
@@ -96,9 +96,9 @@
 	return used
 }
 
-// divide divides the record of all workspaces unless that has been done. Several routers
-// may do so at once: one of their writes takes effect, and the others read it. The
-// errors are those of Sync.
+// divide divides the record of all workspaces unless it has been divided already.
+// Several routers may try at once: one write takes effect, and the other routers read
+// the result. The errors are those of Sync.
 func (s *Syncer) divide(ctx context.Context) error {
 	whole := &s.copies.undivided
 	whole.mu.Lock()
--- a/escrow/repay.go
+++ b/escrow/repay.go
@@ -18,8 +18,8 @@
 const maxTransferTries = 3
 
 // ServeRepay handles a neighbour's call of MethodRepay. A total of zero only asks
-// whether this router accepts tokens. The error is ErrUnavailable if it is closing and
-// does not.
+// whether this router accepts tokens; the error is ErrUnavailable if this router is
+// closing. Other totals are always accepted.
 func (s *Syncer) ServeRepay(_ context.Context, p RepayParams) (LendResult, error) {
 	now := s.settings.Clock()
 	if p.Total == 0 && s.settings.Ledger.isClosing() {
@@ -53,8 +53,8 @@
 }
 
 // transferAll transfers all free tokens to neighbours when the router shuts down and the
-// store does not accept them. They may spend them, and return them when the store
-// responds.
+// store does not accept them. The neighbours may spend the tokens, or return them once
+// the store responds.
 func (s *Syncer) transferAll(ctx context.Context) {
 	for _, free := range s.settings.Ledger.surpluses(s.settings.Routers(), s.settings.Clock()) {
 		s.transfer(ctx, free)
--- a/escrow/role.go
+++ b/escrow/role.go
@@ -24,22 +24,23 @@
 	// RoleHolder is the role of the holder in a large fleet: it takes a workspace's tokens
 	// from the record for the requests of all routers, and lends them.
 	RoleHolder
-	// RoleStandIn is the role of a stand-in holder, a router that was asked in place of the
-	// holder: it does the same for a while, with smaller holdings.
+	// RoleStandIn is the role of a stand-in holder: a borrower that was asked in place of
+	// the holder acts as a holder for standInTime, with smaller holdings.
 	RoleStandIn
-	// RoleBorrower is the role of borrowers, all other routers of a large fleet: they own
-	// few or no tokens ahead of requests, and pay for requests with loans of a holder.
+	// RoleBorrower is the role of all other routers of a large fleet. They own few or no
+	// tokens ahead of requests, and pay for requests with loans of a holder.
 	RoleBorrower
 )
 
 // standInTime is how long a router remains a stand-in holder after the last call that
-// asked it to. It is twice lenderBackoff, after which the holder is called again.
+// asked it to be one. It exceeds lenderBackoff, after which borrowers call the holder
+// again.
 const standInTime = 3 * time.Second
 
 // Lender is a neighbour that may lend a workspace's tokens.
 type Lender struct {
 	granitehoist.Peer
-	// IsStandIn is set if it is not the holder and is asked in its place.
+	// IsStandIn is set if the neighbour is asked in place of the holder.
 	IsStandIn bool
 }
 
--- a/escrow/shard.go
+++ b/escrow/shard.go
@@ -15,8 +15,8 @@
 // Holders are chosen by shard.
 type Shard int
 
-// shardCount is the number of shards. It keeps the record of a shard small when there
-// are many thousand workspaces, and gives few workspaces a record each.
+// shardCount is the number of shards. It is large enough that the record of a shard
+// stays small when there are many thousand workspaces.
 const shardCount = 256
 
 // ShardOf returns the shard of a workspace.
--- a/escrow/storehealth.go
+++ b/escrow/storehealth.go
@@ -16,11 +16,11 @@
 
 // storeHealth is what a router knows of the store's availability. The zero value means a
 // store that has not been called. The store counts as unresponsive from the first failed
-// call until the next response; there is no threshold, since a call fails only after its
-// timeout.
+// call until the next response.
 type storeHealth struct {
 	// lastResponse is when the store last responded to this router or to a lender that
-	// is connected to it, and unresponsiveSince when a call first failed since then.
+	// reported to this router. unresponsiveSince is when a call first failed since then,
+	// zero if none has.
 	lastResponse      time.Time
 	unresponsiveSince time.Time
 	// lastDirectResponse is when the store last responded to this router itself.
@@ -64,10 +64,11 @@
 	}
 }
 
-// noteNeighbourUnreachableFor records for how long the store has not responded to a
-// neighbour. If the store responds to this router, an outage there counts as one here.
-func (h *storeHealth) noteNeighbourUnreachableFor(d time.Duration, now time.Time) {
-	if h.unreachableSince.IsZero() && d >= minOutage {
+// noteNeighbourCutOff records for how long the store has not responded to a neighbour.
+// If that is at least minOutage and the store responds to this router, it counts as an
+// outage that ended now.
+func (h *storeHealth) noteNeighbourCutOff(cutOff time.Duration, now time.Time) {
+	if h.cutOffSince.IsZero() && cutOff >= minOutage {
 		h.outageEnded = now
 	}
 }
--- a/escrow/storeretry.go
+++ b/escrow/storeretry.go
@@ -20,11 +20,16 @@
 	maxBackoff = 300 * time.Millisecond
 )
 
-// callTimeout returns how long the calls of a sync may take, at most full: the full time
-// while the store responds and for every fullTimeoutEvery-th attempt while it is
-// unresponsive, else probeTimeout. failures counts the syncs that failed in a row,
-// reached is false until the store has responded with a record. A starting router uses
-// probeTimeout first, to find out soon whether the store is unresponsive.
+// callTimeout returns how long the calls of a sync may take. failures counts the syncs
+// that failed in a row; reached is set once the store has responded with a record.
+//
+//   - The first sync of a router takes up to probeTimeout, to find out soon whether the
+//     store is unresponsive.
+//   - While the store responds, a sync may take the time full.
+//   - After failures, a sync may take the time full if failures is a multiple of
+//     fullTimeoutEvery, and probeTimeout otherwise.
+//
+// The result is never longer than full.
 func callTimeout(failures int, reached bool, full time.Duration) time.Duration {
 	firstCall := failures == 0 && !reached
 	if failures%fullTimeoutEvery == 0 && !firstCall {
--- a/escrow/surplus.go
+++ b/escrow/surplus.go
@@ -14,11 +14,11 @@
 	// minReturnFraction is the fraction of the prepaid total below which a return is not
 	// worth a write.
 	minReturnFraction = 0.005
-	// minReturnFractionAtEnd replaces minReturnFraction below endFraction, where the
-	// holdings of all routers are a large part of the remaining budget.
+	// minReturnFractionAtEnd replaces minReturnFraction near the end of the budget, when
+	// the holdings of all routers are a large part of what is left.
 	minReturnFractionAtEnd = 0.0002
-	// endFraction is the fraction of the prepaid total under which what the store has
-	// left counts as the end of the budget.
+	// endFraction is the fraction of the prepaid total left in the store below which
+	// minReturnFractionAtEnd applies.
 	endFraction = 0.02
 )
 
@@ -33,9 +33,14 @@
 	waiting bool
 }
 
-// tokens returns how many tokens to return to the store: everything at shutdown, what is
-// granted beyond a reduced limit, or what exceeds the target if that is so much that
-// others may need it and it is worth a write.
+// tokens returns how many of the unreserved tokens to return to the store:
+//
+//   - at shutdown, all;
+//   - after the limit was reduced below what is granted, the difference;
+//   - while requests wait, none;
+//   - otherwise what exceeds the target, if the holding is more than returnAboveTarget
+//     times the target and the excess is at least minReturnFraction of the prepaid total
+//     (or the constants that replace these two), and none if not.
 func (r returnInputs) tokens(c conditions) granitehoist.Tokens {
 	switch {
 	case r.unreserved <= 0:
@@ -69,11 +74,11 @@
 }
 
 // maxStrandedFraction is the fraction of the prepaid total that all routers together may
-// keep in remainders that are not worth a call.
+// keep without need, because the amounts are too small to be worth a call.
 const maxStrandedFraction = 0.01
 
-// isSurplus decides whether the free tokens of a borrower are worth the call that repays
-// them: if they exceed the router's part of maxStrandedFraction.
+// isSurplus decides whether free tokens that a borrower does not need are worth the call
+// that repays them: they must exceed an equal part of maxStrandedFraction.
 func isSurplus(free, limit granitehoist.Tokens, routers int) bool {
 	return float64(free) > maxStrandedFraction*float64(limit)/float64(max(1, routers))
 }
--- a/escrow/sync.go
+++ b/escrow/sync.go
@@ -168,8 +168,9 @@
 	return errors.Join(errs...)
 }
 
-// draft drafts a record from its last known version, or from the newest if none is known
-// or it leaves nothing to write. batched means that it is written together with others.
+// draft drafts a record from its last known version. If no version is known, or the
+// known one leaves nothing to write, it reads the record first and drafts from that.
+// batched means that the record is written together with others.
 func (s *Syncer) draft(ctx context.Context, c *recordCopy, batched bool) (draft, error) {
 	fresh := !c.lastEntryValid
 	if fresh {
@@ -252,8 +253,9 @@
 	return changes, nil
 }
 
-// noteWriteFailure updates the record copies after a failed write: after a conflict to
-// the entries that the store returned, else so that they are read again.
+// noteWriteFailure updates the record copies after a failed write. After a conflict they
+// become the entries that the store returned. A copy without such an entry is read again
+// at the next sync.
 func (s *Syncer) noteWriteFailure(drafts []draft, err error) {
 	var conflict *granitehoist.Conflict
 	isConflict := errors.As(err, &conflict)
--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -44,8 +44,9 @@
 	// ShardsRecord reports whether the fleet is large enough to divide the record into
 	// shards, which can't be undone; nil means that it is not.
 	ShardsRecord func() bool
-	// Lenders returns the neighbours that may lend the tokens of a shard, the likeliest
-	// first, and Caller calls them. Nothing is borrowed if either is nil.
+	// Lenders returns the neighbours that may lend the tokens of a shard, in the order in
+	// which they are to be called. Caller calls them. Nothing is borrowed if either is
+	// nil.
 	Lenders func(Shard) []Lender
 	Caller  granitehoist.Caller
 	// Interval is how often Run checks the holdings; zero means DefaultInterval.
@@ -147,11 +148,12 @@
 // them to the store.
 const transferTimeout = 300 * time.Millisecond
 
-// Close returns the free tokens: first to holders where this router is a borrower, then
-// to the store, and to neighbours if the store is unresponsive or the sync fails. After
-// a write of unknown outcome the tokens are already deducted and are not transferred.
-// Only tokens that become free afterwards can still be reserved. It returns the error of
-// the store, also if the tokens were transferred to neighbours.
+// Close returns the free tokens. Where this router is a borrower, it repays them to
+// holders. It returns the others to the store or, if the store is unresponsive or the
+// sync fails, transfers them to neighbours. After a write of unknown outcome the tokens
+// are already deducted and are not transferred. Only tokens that become free afterwards
+// can still be reserved. Close returns the error of the store, also if the tokens were
+// transferred to neighbours.
 func (s *Syncer) Close(ctx context.Context) error {
 	s.settings.Ledger.Close()
 	s.repaySurplus(ctx)
--- a/escrow/syncneeded.go
+++ b/escrow/syncneeded.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// maxRecordAge is the age at which the record is read again, which bounds the age of
-	// what lenders report of it.
+	// maxRecordAge is how long after the last response of the store the record is read
+	// again. It bounds the age of what lenders report of the record.
 	maxRecordAge = 2 * time.Second
-	// staleIdleThreshold is the fraction of the prepaid total under which a Row.Idle
-	// that is too high is corrected.
+	// staleIdleThreshold is the fraction of the prepaid total left in the store below
+	// which a stored Row.Idle that is too high is corrected.
 	staleIdleThreshold = 0.1
-	// staleIdleFraction is the fraction of the prepaid total by which Row.Idle must be
-	// too high to be corrected.
+	// staleIdleFraction is the fraction of the prepaid total by which the stored Row.Idle
+	// must be too high to be corrected.
 	staleIdleFraction = 0.001
 )
 
@@ -27,9 +27,9 @@
 	return now.Sub(lastDirectResponse) > maxRecordAge
 }
 
-// needsSync decides whether a holding justifies a sync: it is low and the store has
-// tokens left, or it is so large that tokens returns some. The state of the store is
-// that of the last sync.
+// needsSync decides whether a holding justifies a sync: it is below refillThreshold
+// while the store has tokens left, or returnInputs.tokens returns some of it. remaining
+// is what the store had left at the last sync.
 func (r returnInputs) needsSync(c conditions) bool {
 	return (r.remaining > 0 && isLow(r.unreserved, r.target, refillThreshold)) || r.tokens(c) > 0
 }
--- a/escrow/target.go
+++ b/escrow/target.go
@@ -10,41 +10,45 @@
 )
 
 const (
-	// DefaultCover is how long holdings should last at the present rate of spending. It
-	// exceeds most outages of the store and limits the tokens that are lost with a
-	// router that crashes.
+	// DefaultCover is how long holdings should last at the present rate of spending. A
+	// longer cover bridges longer outages of the store, and loses more tokens if the
+	// router crashes.
 	DefaultCover = 9 * time.Second
 	// maxHeldFraction is the fraction of the available tokens that all routers together
 	// may hold ahead of requests. Available tokens are those in the store and the
 	// unreserved ones here.
 	maxHeldFraction = 0.5
 	// initialFraction is the fraction of the available tokens that all routers together
-	// hold before requests show the demand. The prepaid total is taken as a measure of
-	// the demand.
+	// hold before their rates of spending are known.
 	initialFraction = 0.2
-	// spareRequests is how many requests of the largest size a router may hold tokens
-	// for where it has next to no demand.
+	// spareRequests is the least that a router holds at any rate of spending, in
+	// requests of the largest bound that it has seen.
 	spareRequests = 1.0
-	// spareFraction is the fraction of the available tokens that all routers together
-	// may hold for such requests.
+	// spareFraction limits the tokens held for spareRequests: it is the fraction of the
+	// available tokens that all routers together may hold for them.
 	spareFraction = 0.15
-	// holderInitialFraction replaces initialFraction at a holder, which can get more
-	// from the store as soon as it is asked.
+	// holderInitialFraction replaces initialFraction at a holder. A holder needs less,
+	// since a loan that exceeds its holding triggers a sync.
 	holderInitialFraction = 0.04
-	// holderMaxHeldFraction replaces maxHeldFraction at a holder. Its holding serves the
-	// shard while the store is unresponsive, and is lost if it crashes.
+	// holderMaxHeldFraction replaces maxHeldFraction at a holder. The holding serves the
+	// loans of the shard while the store is unresponsive, and is lost if the holder
+	// crashes.
 	holderMaxHeldFraction = 0.5
-	// holderEndFraction limits the holding of a holder that has seen no outage, in
-	// proportion to the fraction of the prepaid total that is left, so that little of
-	// the end of a budget is lost if all routers crash. Routers that have seen an outage
-	// expect more of them and ignore the limit.
+	// holderEndFraction limits a holding to
+	//
+	//	holderEndFraction * available tokens / prepaid total
+	//
+	// of the available tokens, so that few tokens are lost if all routers crash near the
+	// end of the budget. It applies to holders that have seen no outage; the others
+	// expect another outage and hold more.
 	holderEndFraction = 0.5
-	// minHolderCover is the least time of the demand that a holder holds tokens for,
-	// also right after an outage. It exceeds DefaultInterval, so that a holder does not
-	// write the record for single requests between two checks.
+	// minHolderCover limits the effect of holderEndFraction and of exposedFraction: they
+	// never reduce a holding below what the holder spends in this time. It exceeds
+	// DefaultInterval, so that a holder does not write the record for single requests
+	// between two checks.
 	minHolderCover = time.Second
-	// standInCover and standInMaxHeldFraction are those of a stand-in holder, which the
-	// holder may replace at any moment.
+	// standInCover and standInMaxHeldFraction replace the cover and maxHeldFraction at a
+	// stand-in holder. They are small because the holder may respond again at any time.
 	standInCover           = time.Second
 	standInMaxHeldFraction = 0.1
 )
@@ -52,28 +56,27 @@
 // conditions are the inputs common to all decisions on holdings.
 type conditions struct {
 	now time.Time
-	// role is the router's for the workspace.
+	// role is the router's role for the workspace.
 	role Role
-	// routers is the number of routers that share the budgets, at least one.
+	// routers is the number of routers that share the budgets, at least one. It is one
+	// for a holder, which holds the tokens for all routers.
 	routers int
-	// cover is the time of its own spending that the router holds tokens for.
+	// cover is how long the holding should last at the router's rate of spending.
 	cover time.Duration
-	// initialFraction is the fraction of the available tokens that all routers hold
-	// before requests show the demand.
+	// initialFraction, spareFraction and maxHeldFraction are the constants of the same
+	// names, or those that replace them for the role.
 	initialFraction float64
-	// spareFraction is the fraction of the available tokens that all routers hold for
-	// their largest request where they have next to no demand.
-	spareFraction float64
-	// maxHeldFraction is the fraction of the available tokens that all routers may hold
-	// ahead of requests.
+	spareFraction   float64
 	maxHeldFraction float64
-	// confidence grows from 0 to 1 within rateWindow of the first request. At 1 the
-	// absence of requests for a workspace means that it has no demand.
+	// confidence is how far the router relies on its measured rates. It is 0 before the
+	// first request of any workspace, and grows to 1 within rateWindow after it. At 1 a
+	// workspace without requests counts as one without demand.
 	confidence float64
-	// exposedFraction is the fraction of a prepaid total that all routers may hold.
+	// exposedFraction is the fraction of a prepaid total that all routers together may
+	// hold; see the function of this name.
 	exposedFraction float64
-	// sawOutage is set if this router has seen an outage of the store, its own or a
-	// neighbour's.
+	// sawOutage is set if the store was unresponsive for at least minOutage, either to
+	// this router or to a neighbour that reported it.
 	sawOutage bool
 	// closing is set if the router is shutting down and is to hold nothing.
 	closing bool
@@ -111,12 +114,17 @@
 	ownRate, othersRate float64
 }
 
-// target returns how many tokens a router should hold ahead of requests: what it spends
-// in c.cover, or an initial part while the demand is unknown, within its part of the
-// fleet's demand in maxHeldFraction of the available tokens. It is enough for the
-// router's largest request, within spareFraction. It is bounded by the router's part of
-// the fleet's demand in exposedFraction of the prepaid total, but not below
-// minHolderCover at a holder.
+// target returns how many tokens a router should hold ahead of requests. The available
+// tokens are those in the store and the unreserved ones here. The rules are, in order:
+//
+//   - Hold what the router spends in c.cover. While c.confidence is below 1, hold at
+//     least an equal part of c.initialFraction of the available tokens, scaled by
+//     1 - c.confidence.
+//   - Hold at most demandFraction of maxHeld.
+//   - Hold at least spareRequests requests of the largest bound, as far as an equal part
+//     of c.spareFraction of the available tokens covers them.
+//   - Hold at most demandFraction of c.exposedFraction of the prepaid total, or minimum
+//     if that is more.
 func (t targetInputs) target(c conditions) granitehoist.Tokens {
 	want := t.ownRate * c.cover.Seconds()
 	available := float64(max(0, t.remaining+max(0, t.unreserved)))
@@ -127,9 +135,9 @@
 	return granitehoist.Tokens(min(max(held, spare), most))
 }
 
-// maxHeld returns the tokens that all routers may hold ahead of requests. At a holder
-// that has seen no outage it shrinks with the remaining budget, but not below
-// minHolderCover.
+// maxHeld returns the tokens that all routers together may hold ahead of requests:
+// c.maxHeldFraction of the available tokens. At a holder that has seen no outage, the
+// limit of holderEndFraction also applies, but does not go below minimum.
 func (t targetInputs) maxHeld(c conditions, available float64) float64 {
 	most := c.maxHeldFraction * available
 	if !c.role.isHolder() || c.sawOutage || t.limit <= 0 {
@@ -139,7 +147,7 @@
 	return min(most, max(end, t.minimum(c)))
 }
 
-// minimum returns the tokens of minHolderCover at a holder, none at other routers.
+// minimum returns what a holder spends in minHolderCover, and zero for other roles.
 func (t targetInputs) minimum(c conditions) float64 {
 	if !c.role.isHolder() {
 		return 0
@@ -147,8 +155,9 @@
 	return t.ownRate * minHolderCover.Seconds()
 }
 
-// demandFraction returns the router's fraction of the fleet's demand, but no less than
-// an equal fraction while the router does not know its own demand yet.
+// demandFraction returns the router's fraction of the fleet's rate of spending, but at
+// least the equal fraction 1/c.routers scaled by 1 - c.confidence. It returns the equal
+// fraction if no router spends anything.
 func (t targetInputs) demandFraction(c conditions) float64 {
 	equal := 1 / float64(c.routers)
 	fleet := t.ownRate + t.othersRate
--- a/escrow/unknownfields.go
+++ b/escrow/unknownfields.go
@@ -109,8 +109,8 @@
 	return json.Marshal(merged)
 }
 
-// addTo adds the fields to an object. Fields of nested objects that it lacks are
-// dropped.
+// addTo adds the fields to an object. The fields of a nested object are dropped if the
+// object does not have that nested object any more.
 func (u unknownFields) addTo(object map[string]any) {
 	for name, value := range u {
 		fields, nested := value.(unknownFields)
--- a/escrow/wait.go
+++ b/escrow/wait.go
@@ -21,12 +21,21 @@
 	outcome Outcome
 }
 
-// decideWait decides whether a request that lacks tokens may wait for them. The wait
-// ends at once if it needs more tokens than the newer source reports, or if the end of
-// the budget withholds it, since neither a sync nor a loan would help. A router that
-// reads the record counts the tokens of the store and its own, since it can't get those
-// of others through the record; with a newer report of a lender it also counts the idle
-// tokens of others, which they lend. Without a source the request waits.
+// decideWait decides whether a request that lacks tokens may wait for them. bound is the
+// request's maximum cost, end the decision of the rules for the end of a budget.
+//
+// The request waits if the tokens that it could get cover its bound and end allows it.
+// These tokens are:
+//
+//   - if the newer source is a lender's report, those in the store, here and idle at the
+//     other routers, which may lend them;
+//   - if it is the record, those in the store and here, since the tokens of other routers
+//     can't be had through the record;
+//   - without a source, unknown, and taken as enough.
+//
+// Otherwise the wait ends, since neither a sync nor a loan would help: as Exhausted if
+// the bound exceeds what remains in the store and at all routers, else as Withheld if
+// end withholds the request, else as Scarce.
 func decideWait(bound granitehoist.Tokens, end endDecision, fleet fleetView, unreserved granitehoist.Tokens) waitDecision {
 	remaining := fleet.totalRemaining(unreserved)
 	var unaffordable bool
--- a/escrow/waiters.go
+++ b/escrow/waiters.go
@@ -17,10 +17,12 @@
 	outcome chan Outcome
 }
 
-// addWaiter queues a claim that was not granted. It grants the claim if admit allows it
-// now, and refuses it if a source younger than maxReportAge shows that waiting can't
-// help. The grant does not call checkBudgetEnd: a request that the end of the budget
-// withholds is granted here if this router has the tokens free.
+// addWaiter queues a claim that was not granted before, unless the wait can end at once:
+//
+//   - If admit allows the claim now, it is granted, also if checkBudgetEnd would withhold
+//     it.
+//   - If the record or a lender's report is younger than maxReportAge, and checkWait
+//     ends the wait, the claim is refused.
 func (l *Ledger) addWaiter(w granitehoist.Workspace, c claim, now time.Time) *waiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
