--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -17,7 +17,8 @@
 	net.Conn
 	reader  *bufio.Reader
 	address string
-	// idlePeriod bounds the reuse of the idle connection. Pool.mu guards it.
+	// idlePeriod is when the connection may be reused while it is idle. Pool.mu guards
+	// idlePeriod.
 	idlePeriod idlePeriod
 }
 
--- a/exchange/down.go
+++ b/exchange/down.go
@@ -30,8 +30,8 @@
 }
 
 // minOpenTime is how long a new connection must stay open for its upstream to count as
-// running. It covers several round trips between availability zones, and delays the retry
-// of a request whose connection was reset.
+// running. It covers several round trips between availability zones. A longer time would
+// delay the retry of a request whose connection was reset.
 const minOpenTime = 15 * time.Millisecond
 
 // IsDown reports whether an address refuses connections or closes a new one within
--- a/exchange/exchange.go
+++ b/exchange/exchange.go
@@ -54,8 +54,8 @@
 }
 
 // Close ends the exchange. It returns the connection to the pool if it can be reused, and
-// closes it otherwise, for example if the body was not read to its end. Close waits up to
-// 5 ms if the request has not been written completely.
+// closes it otherwise, for example if the body was not read to its end. If the last part of
+// the request is still being written, Close waits up to writeResultGrace for it.
 func (r *Response) Close() { r.end(r.complete) }
 
 // Do sends a request and returns the response after its head was read. Errors are of type
--- a/exchange/header.go
+++ b/exchange/header.go
@@ -12,8 +12,8 @@
 // to the framing of one message.
 var hopByHopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect"}
 
-// EndToEndHeader returns a copy of a header without hop-by-hop fields, including those
-// that its Connection field lists.
+// EndToEndHeader returns a copy of a header without the hop-by-hop fields and without the
+// fields that its Connection field lists.
 func EndToEndHeader(h http.Header) http.Header {
 	passed := h.Clone()
 	for _, list := range h.Values("Connection") {
--- a/exchange/reuse.go
+++ b/exchange/reuse.go
@@ -11,8 +11,7 @@
 )
 
 // keepAliveMargin is subtracted from the keep-alive timeout of an upstream, so that no
-// request is sent while the upstream closes the connection. Timeouts are at least 1 s, so
-// at least 0.6 s remain.
+// request is sent while the upstream closes the connection.
 const keepAliveMargin = 400 * time.Millisecond
 
 // idlePeriod is the time for which an idle connection may be reused.
@@ -38,9 +37,10 @@
 }
 
 // reusable reports whether an idle connection may serve a request with the given maxIdle.
-// If the upstream sent a keep-alive timeout, that alone decides. Otherwise the upstream may
-// close the connection while the request is being sent; since a request that is not
-// idempotent can't be repeated then, its maxIdle is shorter.
+// If the upstream sent a keep-alive timeout, the connection is reusable until p.until.
+// Otherwise it must also not have been idle for longer than maxIdle: the upstream may close
+// it at any time, and a request that is lost this way can't be repeated unless it is
+// idempotent.
 func (p idlePeriod) reusable(maxIdle time.Duration, now time.Time) bool {
 	if !now.Before(p.until) {
 		return false
--- a/exchange/writeprogress.go
+++ b/exchange/writeprogress.go
@@ -11,8 +11,8 @@
 
 const (
 	// writeResultGrace is how long the end of an exchange waits for the result of the
-	// writing goroutine, which may arrive after the response. Without the wait a reusable
-	// connection would be closed.
+	// writing goroutine, which may arrive after the response. Without the wait a
+	// connection whose request was written completely could be closed needlessly.
 	writeResultGrace = 5 * time.Millisecond
 	// finalChunkBytes is the size of the last chunk of a request, which is written
 	// separately. Most requests are smaller and are written with one call.
@@ -46,8 +46,8 @@
 }
 
 // complete reports whether the whole request was written. It returns false at once if the
-// last chunk has not been started, which means that the upstream responded early, and
-// otherwise waits up to writeResultGrace for the result of send.
+// last chunk has not been started, which means that the upstream responded before it had
+// read the request. Otherwise it waits up to writeResultGrace for the result of send.
 func (w *writeProgress) complete() bool {
 	if !w.finalChunkStarted.Load() {
 		return false
