--- a/internal/boottime/clock.go
+++ b/internal/boottime/clock.go
@@ -17,8 +17,9 @@
 	// the wall clock that triggers a check. It exceeds the error of reading two clocks one
 	// after the other, and is below the router's shortest timeout (forward's minRetryTime).
 	minSuspension = 5 * time.Millisecond
-	// checkInterval is how often the Clock checks for a suspension that no drift shows,
-	// because the wall clock was set back by the same amount.
+	// checkInterval is how often the Clock checks for a suspension without a drift of the
+	// wall clock, which happens if the wall clock is set back by the length of the
+	// suspension.
 	checkInterval = time.Second
 )
 
@@ -26,7 +27,8 @@
 // New and safe for concurrent use.
 type Clock struct {
 	system system
-	// start is the wall time at the creation of the Clock, startBoot the boot time then.
+	// start and startBoot are the wall time and the time since boot at which the
+	// monotonic time of system.now is zero.
 	start     time.Time
 	startBoot time.Duration
 
@@ -38,7 +40,7 @@
 // system reads the system's clocks.
 type system struct {
 	// now returns the wall time, without a monotonic reading, and the monotonic time
-	// since the start, read at the same moment.
+	// since an arbitrary start, both read at the same moment.
 	now func() (wall time.Time, monotonic time.Duration)
 	// boot returns the time since the machine booted, suspensions included.
 	boot func() (time.Duration, error)
@@ -46,7 +48,7 @@
 
 // state is the result of the last check for a suspension. It is immutable.
 type state struct {
-	// suspended is the total time the machine was suspended since the start.
+	// suspended is the total time the machine was suspended since Clock.start.
 	suspended time.Duration
 	// drift is the drift of the wall clock against the monotonic clock, and checkedAt the
 	// monotonic time, both at that check.
@@ -88,9 +90,9 @@
 }
 
 // Now returns the current time. It never goes back, and does not jump when the wall
-// clock is set. To save the system call, CLOCK_BOOTTIME is read only if the wall clock
-// has drifted against the monotonic clock, as it does by a suspension, and once in each
-// checkInterval.
+// clock is set. To save the system call, it reads CLOCK_BOOTTIME only if the wall clock
+// has drifted against the monotonic clock by minSuspension or more since the last check,
+// as it does during a suspension, or if the last check is checkInterval ago.
 func (c *Clock) Now() time.Time {
 	wall, monotonic := c.system.now()
 	drift := wall.Sub(c.start) - monotonic
--- a/internal/boottime/deadlines.go
+++ b/internal/boottime/deadlines.go
@@ -10,9 +10,9 @@
 )
 
 // Deadlines cancels contexts whose deadline has passed by a clock that counts
-// suspensions. The contexts' own timers fire late by the length of a suspension;
-// CancelExpired cancels those that are due. The zero value is ready to use. It is safe
-// for concurrent use.
+// suspensions. The contexts' own timers fire late by the length of a suspension, so
+// CancelExpired cancels the contexts that are due. The zero value is ready to use. It is
+// safe for concurrent use.
 type Deadlines struct {
 	// mu guards pending.
 	mu      sync.Mutex
--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -34,8 +34,8 @@
 	// Raw holds the bytes of the event, with the empty line that ends it. It is valid
 	// until the next call of the Splitter.
 	Raw []byte
-	// ID is the event's id if HasID is set. An id that is not an integer is
-	// ignored; of several the last counts.
+	// ID is the event's id if HasID is set. An id that is not an integer is ignored. If
+	// the event has several ids, ID is the last one.
 	ID    int64
 	HasID bool
 }
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -32,7 +32,7 @@
 }
 
 // maxErrorBytes limits the message that OnError gets. net/http logs up to 64 KB of stack
-// for a panic; its beginning has the frames next to the panic.
+// for a panic, of which the beginning has the frames next to the panic.
 const maxErrorBytes = 4 << 10
 
 // Server is an HTTP server with its listener.
--- a/internal/pushback/backoff.go
+++ b/internal/pushback/backoff.go
@@ -6,8 +6,8 @@
 import "time"
 
 const (
-	// MaxBackoff bounds a requested backoff. A longer value is treated as an error of the
-	// upstream.
+	// MaxBackoff bounds a requested backoff. A longer value is taken for an error of the
+	// upstream, and shortened to MaxBackoff.
 	MaxBackoff = 10 * time.Minute
 	// initialProbes is the number of concurrent requests allowed right after a backoff.
 	// Each accepted request multiplies it by probeGrowth.
@@ -21,7 +21,7 @@
 // No request is admitted until the backoff ends. Then the number of concurrent requests
 // starts at one and doubles with each accepted request up to the upstream's capacity, so
 // that an upstream that is still overloaded rejects one request of each router instead of
-// all that were waiting.
+// all waiting requests.
 type Backoff struct {
 	// until is the end of the backoff; zero once the upstream has recovered.
 	until time.Time
@@ -47,16 +47,16 @@
 	return r.Inactive() || (!now.Before(r.until) && r.probes < r.maxProbes)
 }
 
-// Remaining returns the time until the backoff ends, and zero after its end, when admission
-// depends on the requests in flight.
+// Remaining returns the time until the backoff ends, and zero after its end. During the
+// recovery Allows may return false although Remaining is zero.
 func (r *Backoff) Remaining(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
 
-// StartProbe counts a request that is sent during the recovery, after Allows allowed it.
-// EndProbe must be called once for each StartProbe.
+// StartProbe counts a request that is sent during the recovery. Allows must have allowed the
+// request. EndProbe must be called once for each StartProbe.
 func (r *Backoff) StartProbe() { r.probes++ }
 
-// EndProbe ends a request counted by StartProbe: the upstream accepted or rejected it, or
-// the outcome is unknown.
+// EndProbe ends a request counted by StartProbe, whether the upstream accepted or rejected
+// it or the outcome is unknown.
 func (r *Backoff) EndProbe() { r.probes-- }
 
 // Accepted records that the upstream accepted a request sent at the given time; requests
@@ -72,6 +72,6 @@
 	}
 }
 
-// Rejected records that the upstream rejected a request without requesting a new backoff,
-// which restarts a recovery in progress with initialProbes.
+// Rejected records that the upstream rejected a request without requesting a new backoff.
+// It restarts a recovery in progress with initialProbes.
 func (r *Backoff) Rejected() { r.maxProbes = min(r.maxProbes, initialProbes) }
--- a/internal/pushback/doc.go
+++ b/internal/pushback/doc.go
@@ -5,6 +5,6 @@
 // it rejects a request (RFC 9110, section 10.2.3), and the gradual recovery afterwards. The
 // edge and the partner router use it.
 //
-// RetryAfter and IsOverload read a response; a Backoff holds the backoff of one upstream.
-// A Backoff is not safe for concurrent use. Begin reading at Backoff.Allows.
+// RetryAfter and IsOverload read a response; a Backoff holds the backoff of one upstream. A
+// Backoff is not safe for concurrent use. Begin reading at Backoff.Allows.
 package pushback
--- a/internal/tomlfile/checker.go
+++ b/internal/tomlfile/checker.go
@@ -16,8 +16,8 @@
 type Key struct {
 	// Table is the name of the table, empty for the keys before the first.
 	Table string
-	// Index counts the [[Table]] headings from 0. It is AnyTable for a [Table], and for
-	// a fault of all tables of the name.
+	// Index is the number of the [[Table]] heading, from 0. It is AnyTable for a [Table],
+	// and for a fault that concerns all tables of the name.
 	Index int
 	// Name is the key within the table.
 	Name string
