--- a/codes.go
+++ b/codes.go
@@ -65,7 +65,8 @@
 	DocumentUnsettled Code = 7006
 )
 
-// ExecutionStatus says what is known about the execution of a request.
+// ExecutionStatus is the execution status of a request: whether an upstream ran it, as far
+// as the router knows.
 type ExecutionStatus string
 
 const (
@@ -102,7 +103,7 @@
 	Code Code
 	// Name is the code's name in responses, logs and metrics.
 	Name string
-	// Execution says whether the request was executed.
+	// Execution is the execution status of a request that ended with the code.
 	Execution ExecutionStatus
 	// Status is the HTTP status of the response.
 	Status int
--- a/upstream.go
+++ b/upstream.go
@@ -25,7 +25,7 @@
 	Stream bool
 	// HideUsage removes the usage that a stream reports from the response to the caller.
 	HideUsage bool
-	// Once forbids the transport to resend the call.
+	// Once is set if the call must not be sent more than once.
 	Once bool
 }
 
