--- a/explain/boxstate.go
+++ b/explain/boxstate.go
@@ -18,9 +18,9 @@
 	startStop *Line
 	// upstreams holds the latest upstream or upstream_gone line of each instance.
 	upstreams map[string]*Line
-	// unreachable is the request line of a refusal because the store did not answer,
-	// logged before any call to the store had failed. It is reset by the line of the
-	// call that failed, or of one that succeeded.
+	// unreachable is the line of the request to be explained if it was refused because
+	// the store did not answer, and no call for the budgets had failed until then. The
+	// line of the next failed call or of the next grant resets it.
 	unreachable *Line
 }
 
--- a/explain/budget.go
+++ b/explain/budget.go
@@ -27,8 +27,8 @@
 // returns one. All amounts are in tokens.
 type BudgetReport struct {
 	Workspace granitehoist.Workspace
-	// Prepaid is the prepaid total at the end of the log, Remaining the tokens left in the
-	// store after the last write of the record.
+	// Prepaid and Remaining are the prepaid total and the tokens left in the store, both
+	// after the last logged write of the record.
 	Prepaid, Remaining granitehoist.Tokens
 	// Used is what finished requests were charged. It lacks requests that were in
 	// progress when their router died.
@@ -50,8 +50,8 @@
 	ended bool
 }
 
-// transfer identifies lender and borrower of loans: from is an incarnation as logged,
-// to the process that logged it.
+// transfer identifies the lender and the borrower of loans and of repayments. from is the
+// lender's incarnation as logged; to is the borrowing process, which logs both.
 type transfer struct{ from, to string }
 
 // budgetRow counts the requests of one rowInterval.
@@ -95,8 +95,8 @@
 	return b, nil
 }
 
-// processName returns a name for the process of a box after a number of starts in the
-// log.
+// processName returns the name by which a BudgetReport identifies the process of a box:
+// the box and the number of its start lines so far in the log.
 func processName(box string, starts int) string { return fmt.Sprintf("%s/%d", box, starts) }
 
 // markEnded records that a process has ended.
--- a/explain/cause.go
+++ b/explain/cause.go
@@ -18,9 +18,9 @@
 // refusal can fail: the timeout of a budget call.
 const lateFailureWindow = escrow.DefaultTimeout
 
-// addLateFailure adds the store call that failed soon after the request was refused
-// because the store did not answer. A version conflict is an answer of the store and
-// not counted.
+// addLateFailure adds the first failed call to the store after boxState.unreachable, if
+// it failed within lateFailureWindow. A version conflict is an answer of the store and
+// is not counted.
 func (s *Timeline) addLateFailure(l *Line, box *boxState) {
 	if box.unreachable == nil || (l.Event != event.BudgetSyncFailed && l.Event != event.StoreLost) {
 		return
@@ -36,16 +36,16 @@
 }
 
 // recordReadSince reports whether the budget record was read between a failed sync and
-// the end of a request, in which case the failure did not cause its outcome. The
-// request's rest_age is the age of that reading, zero if there was none.
+// the end of a request. If so, the failure did not cause the outcome of the request. The
+// key rest_age of the request line is the age of the last read, zero if there was none.
 func recordReadSince(failure, request *Line) bool {
 	age := time.Duration(request.Number("rest_age") * float64(time.Second))
 	return age > 0 && age < request.At-failure.At
 }
 
 // exceedsPrepaid reports whether a request was refused because its maximum cost exceeds
-// the prepaid total. The budget is not consulted for it, and the logged outcome is
-// granted.
+// the prepaid total. The router reserves nothing for such a request, and logs the budget
+// outcome "granted" with the code BudgetExhausted.
 func exceedsPrepaid(request *Line) bool {
 	exhausted := strconv.Itoa(int(granitehoist.BudgetExhausted))
 	return request.Get("code") == exhausted && request.Get("budget") == escrow.Granted.String()
@@ -67,9 +67,9 @@
 	return ""
 }
 
-// closedByRouter returns why the router itself closed the connection of an attempt,
-// empty if the error is another one than net.ErrClosed. A connection that the upstream
-// closes fails with another error.
+// closedByRouter returns why the router itself closed the connection of an attempt. It
+// returns "" if cause, the logged error of the attempt, is not net.ErrClosed, for example
+// because the upstream closed the connection.
 func closedByRouter(cause string) string {
 	switch {
 	case !strings.Contains(cause, net.ErrClosed.Error()):
--- a/explain/facts.go
+++ b/explain/facts.go
@@ -27,8 +27,9 @@
 	}
 }
 
-// addAttempt adds one attempt, and whether its upstream's entry had been deleted
-// before.
+// addAttempt adds one attempt: its result, whether its upstream's entry had been deleted
+// before, why the router closed the connection if it did, what the upstream announced in
+// its response, and the events that the caller had received.
 func (s *Timeline) addAttempt(l *Line, box *boxState) {
 	s.add(l, "attempt %s was sent to upstream %s (entry of version %s, %s of this router's requests there, home %s): %s after %s",
 		l.Get("attempt"), l.Get("upstream"), l.Get("entry"), l.Get("load"), l.Get("home"), attemptOutcome(l), seconds(l.Number("took")))
@@ -92,8 +93,9 @@
 	}
 }
 
-// addCrashEvidence adds how many upstreams crashed while the request may have been
-// running there, and whether it was refused for that.
+// addCrashEvidence adds how many upstreams crashed while this request, or others of its
+// workspace on its route, may have been running there, and for how long requests are
+// refused because of that.
 func (s *Timeline) addCrashEvidence(l *Line) {
 	if left := l.Number("scope_left"); left > 0 {
 		s.add(l, "  upstreams crashed in %s rounds under requests of its workspace on its route, whatever their bodies; all of these are refused for another %s", l.Get("scope_round"), seconds(left))
