--- a/measure/loads.go
+++ b/measure/loads.go
@@ -24,8 +24,8 @@
 	// Changes is the number of configuration changes per second.
 	Changes float64
 	// Batched is set if reports without a waiting request are batched for
-	// regionRecordInterval, so that a region record is written once in that time instead
-	// of once for each box.
+	// regionRecordInterval. A region record is then written once in that time instead of
+	// once for each message of a box.
 	Batched bool
 }
 
@@ -68,7 +68,7 @@
 	maxSegmentCharges = 5000.0
 )
 
-// slopesByName holds the measured slopes by Slope.Name.
+// slopesByName maps Slope.Name to the measured slope.
 type slopesByName map[string]Slope
 
 // traffic is the request rate and the background traffic of a fleet, computed from its
@@ -80,8 +80,8 @@
 	// active is the number of budgets for which one box had requests within
 	// boxReportInterval.
 	active float64
-	// messages is the number of messages of a box per boxReportInterval: one to the
-	// allocator of each shard, with all reports for the shard.
+	// messages is the number of messages that a box sends in a boxReportInterval: one to the
+	// allocator of each shard with active budgets, with all reports for the shard.
 	messages float64
 	// regionRecords is the number of region records of the whole fleet, rowsPerRegionRecord
 	// that of rows per record.
@@ -110,8 +110,8 @@
 	coresPerNano = 1e-9
 	// base64Overhead is the size of base64 text relative to its data.
 	base64Overhead = 4.0 / 3
-	// regionRecordMemoryFactor is an allocator's memory for a region record, as a
-	// multiple of its packed size.
+	// regionRecordMemoryFactor is an allocator's memory for a region record, as a multiple
+	// of the record's packed size.
 	regionRecordMemoryFactor = 3
 	// renewalsPerTTL is how often a member renews its lease and lists the members within
 	// the TTL of the lease; see fleet/registry.go.
@@ -150,9 +150,9 @@
 	}
 }
 
-// keepBudgets returns the load of an allocator, which reads and writes a region record
-// for each report or, if reports are batched, each regionRecordInterval, and reports to
-// the root.
+// keepBudgets returns the load of an allocator. It reads and writes a region record for each
+// message of a box, or once in each regionRecordInterval if reports are batched, and also
+// reports to the root.
 func (t traffic) keepBudgets(by slopesByName) Load {
 	regionRecordBytes := by["page-bytes"].At(t.rowsPerRegionRecord)
 	calls := t.regionRecordWrites + t.regionRecords/rootReportInterval
--- a/measure/samples.go
+++ b/measure/samples.go
@@ -115,7 +115,7 @@
 }
 
 // regionRecordWriteTime returns the allocator's time in nanoseconds for one write of a
-// region record with n rows, including the time of the store.
+// region record with n rows, including the time of the stand-in for the store.
 func regionRecordWriteTime(n int) float64 {
 	store := standin.NewStore(standin.StoreSettings{})
 	key := budget.RegionKey("tuul", 0)
--- a/measure/slopes.go
+++ b/measure/slopes.go
@@ -14,7 +14,8 @@
 type Slope struct {
 	// Name identifies the cost, such as "purse-memory".
 	Name string
-	// Unit is the unit of the cost, such as "B" or "ns", and Per what the size counts.
+	// Unit is the unit of the cost, such as "B" or "ns". Per names what a size is a
+	// number of, such as "budget" or "row".
 	Unit, Per string
 	// Small and Large are the measured sizes.
 	Small, Large int
