--- a/trial/call.go
+++ b/trial/call.go
@@ -27,8 +27,9 @@
 	Cost granitehoist.Tokens
 	// Once is set if the request must not be executed more than once.
 	Once bool
-	// Code is that of the last response. ExecutionStatuses are those of all responses: a
-	// request with Once is sent twice.
+	// Code is the result code of the last response, except that it stays Served if the
+	// request was answered and the second response says that it has already run.
+	// ExecutionStatuses are those of all responses; a request with Once is sent twice.
 	Code              granitehoist.Code
 	ExecutionStatuses []granitehoist.ExecutionStatus
 	// Answered is set if a response with a result was received, and Correct if it was
--- a/trial/run.go
+++ b/trial/run.go
@@ -24,7 +24,7 @@
 	Requests int
 	// Seed is the seed of the load.
 	Seed uint64
-	// Interval is the time between requests; zero selects 4 ms.
+	// Interval is the time between requests; zero selects defaultInterval.
 	Interval time.Duration
 	// Listen is the callers' address of the first router; empty selects a free port.
 	Listen string
@@ -34,8 +34,8 @@
 	Log *zap.Logger
 	// Out receives instructions for use of the fleet during Hold.
 	Out io.Writer
-	// Kill kills one router halfway through the load, and sends requests to engines only,
-	// since executions by plain services for a killed router can't be recovered.
+	// Kill kills one router halfway through the load. The load then has requests to engines
+	// only, since plain services do not list the attempts that a killed router left.
 	Kill bool
 	// Stops is the number of planned stops during the load. Each replaces one router.
 	Stops int
--- a/trial/stops.go
+++ b/trial/stops.go
@@ -18,8 +18,8 @@
 
 // stops counts the planned stops during the load.
 type stops struct {
-	// started counts the started stops, running waits for them to end, and failures counts
-	// the failed ones.
+	// started counts the stops that were started, failures those that failed. running
+	// waits until all have ended.
 	started  int
 	running  sync.WaitGroup
 	failures atomic.Int64
--- a/trial/verify.go
+++ b/trial/verify.go
@@ -17,7 +17,8 @@
 	Requests, Served, Refused, NotRun int
 	// Billed is the number of requests with a charge in the store.
 	Billed int
-	// Overspend is the tokens that upstreams counted in excess of the prepaid ones.
+	// Overspend is the number of tokens that upstreams counted in excess of the prepaid
+	// tokens.
 	Overspend granitehoist.Tokens
 	// FalseRefusals is the number of requests refused for their budget that a single
 	// central counter with the same arrivals and actual costs would have admitted.
@@ -25,16 +26,16 @@
 	// WrongAnswers is the number of responses that belonged to another request or were
 	// incomplete.
 	WrongAnswers int
-	// Duplicates is the number of repeated executions of requests with Outcome.Once, and of
-	// attempts charged more than once.
+	// Duplicates is the number of repeated executions of requests with Outcome.Once, plus
+	// that of repeated charges of an attempt.
 	Duplicates int
 	// Unaccounted is the number of requests without a response, plus that of requests whose
 	// charge does not match the tokens that upstreams counted.
 	Unaccounted int
 	// FalseNotRun is the number of requests that were reported as not run, but ran.
 	FalseNotRun int
-	// Truncated is the number of responses that ended early with an error or a closed
-	// connection.
+	// Truncated is the number of streams that ended with an error, plus that of requests
+	// whose router was killed before the end of the response.
 	Truncated int
 	// Stops is the number of planned stops during the load, StopsFailed that of
 	// failed ones.
@@ -92,8 +93,8 @@
 }
 
 // checkOutcome counts the outcome of one request and compares it with the request's
-// executions. A request without a response or whose router was killed has nothing to
-// compare.
+// executions. There is nothing to compare for a request without a response, or whose
+// router was killed.
 func (v *Result) checkOutcome(o *Outcome, x Executions) {
 	switch {
 	case o.Killed:
@@ -151,7 +152,7 @@
 	}
 }
 
-// overspend returns the tokens counted by the stand-ins in excess of the prepaid ones,
+// overspend returns the tokens counted by the stand-ins in excess of the prepaid tokens,
 // summed over all budgets.
 func (e Observations) overspend() granitehoist.Tokens {
 	balances := maps.Clone(e.Prepaid)
