--- a/cmd/granitehoist-edge/main.go
+++ b/cmd/granitehoist-edge/main.go
@@ -40,15 +40,14 @@
 	// dropped and counted (log_dropped).
 	logQueueLines = 2048
 	// logFlushTimeout limits the writing of queued log lines at exit. It must fit between
-	// the end of the drain (returnShare of the grace period, node/stop.go) and the
-	// platform's SIGKILL.
+	// the end of node.Node.Stop (see returnShare in node/stop.go) and the platform's SIGKILL.
 	logFlushTimeout = 100 * time.Millisecond
 	// memoryShare is the Go memory limit as a share of limits.memoryMb in the settings
-	// file, above which the platform kills the process. The rest is for socket buffers,
-	// which the platform counts as well.
+	// file. The platform kills a process that uses more than limits.memoryMb, socket buffers
+	// included, so the rest is left for those.
 	memoryShare = 0.6
-	// signalQueue is the number of queued signals; further ones are dropped, and one is
-	// enough for a stop.
+	// signalQueue is the number of signals that are queued, for example during a reload;
+	// further ones are dropped.
 	signalQueue = 4
 )
 
@@ -110,8 +109,8 @@
 }
 
 // reload reads the settings file again after SIGHUP and applies what can be changed at run
-// time: the memory limit and the settings that node.Node.Reload applies. It logs the other
-// changed settings, which need a restart. An invalid file changes nothing.
+// time: the memory limit and the settings that node.Node.Reload applies. It logs the names
+// of other changed settings, which need a restart. An invalid file changes nothing.
 func reload(n *node.Node, file string, log *zap.Logger) {
 	config, err := platform.ReadSettings(file)
 	if err != nil {
--- a/cmd/granitehoist/documents.go
+++ b/cmd/granitehoist/documents.go
@@ -80,8 +80,8 @@
 }
 
 // waitAccepted polls the router until the document is accepted, that is, applied by every
-// router that may serve. If that takes longer than a.wait, it prints "pending" and
-// fails.
+// router that may serve. If that takes longer than a.wait, it prints the state "pending"
+// and returns failed.
 func (a applyCommand) waitAccepted(ctx context.Context, signed config.Signed, state router.DocumentState) error {
 	timeout := time.After(a.wait)
 	for !state.Accepted {
--- a/cmd/granitehoist/router.go
+++ b/cmd/granitehoist/router.go
@@ -63,9 +63,11 @@
 	storeWatch = 20 * time.Second
 	// storeWatchGrace is added to storeWatch for the round trip.
 	storeWatchGrace = 5 * time.Second
-	// storeIdleConns allows concurrent writes of requests that must run once.
+	// storeIdleConns is the number of idle connections kept open, so that concurrent writes
+	// for requests that must run at most once need no new connections.
 	storeIdleConns = 8
-	// storeIdleTime exceeds the interval of every periodic call.
+	// storeIdleTime is how long an idle connection is kept open. It exceeds the interval of
+	// every periodic call.
 	storeIdleTime = time.Minute
 )
 
