--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -63,7 +63,7 @@
 	Rows map[granitehoist.Incarnation]Row `json:"rows,omitempty"`
 }
 
-// RegionRecord is the stored record of a region for a shard of budgets.
+// RegionRecord is a region record: the stored accounts of a region for a shard of budgets.
 type RegionRecord struct {
 	Format   int                                      `json:"format"`
 	Members  map[granitehoist.Incarnation]Member      `json:"members"`
