--- a/escrow/account.go
+++ b/escrow/account.go
@@ -41,10 +41,11 @@
 	// bound is the maximum cost of the request, or the size of the loan.
 	bound    granitehoist.Tokens
 	priority granitehoist.Priority
-	// isLoan is set for a loan: the borrower applies the rules for the end of a budget.
+	// isLoan is set for a loan. The rules for the end of a budget don't apply to it here,
+	// since the borrower applies them to its own requests.
 	isLoan bool
-	// countsAsDemand is set if this router holds tokens for such claims: its own
-	// requests, and the loans of a holder.
+	// countsAsDemand is set if the claim counts towards the demand for which this router
+	// holds tokens: for its own requests, and for the loans of a holder.
 	countsAsDemand bool
 }
 
@@ -70,7 +71,8 @@
 	return decideWait(c.bound, a.checkBudgetEnd(c, now), a.fleet, a.owned.unreserved())
 }
 
-// target returns what the router should hold while the store has remaining tokens.
+// target returns how many tokens the router should hold. remaining is what the store has
+// left.
 func (a *account) target(remaining granitehoist.Tokens, c conditions) granitehoist.Tokens {
 	t := targetInputs{
 		remaining: remaining, unreserved: a.owned.unreserved(),
@@ -84,8 +86,8 @@
 	return t.target(c)
 }
 
-// returnInputs returns the inputs of a return of tokens while the store has remaining
-// tokens.
+// returnInputs returns the inputs of a return of tokens to the store. remaining is what
+// the store has left.
 func (a *account) returnInputs(remaining granitehoist.Tokens, c conditions) returnInputs {
 	return returnInputs{
 		unreserved: a.owned.unreserved(), target: a.target(remaining, c),
@@ -93,8 +95,8 @@
 	}
 }
 
-// grant returns the tokens to request from the store, which has remaining tokens.
-// threshold is the fraction of the target below which the holding is filled.
+// grant returns how many tokens to request from the store. remaining is what the store
+// has left; threshold is the fraction of the target below which the holding is filled.
 func (a *account) grant(remaining granitehoist.Tokens, c conditions, threshold float64) granitehoist.Tokens {
 	if remaining <= 0 {
 		return 0
--- a/escrow/borrow.go
+++ b/escrow/borrow.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxLendersPerRound bounds the neighbours that are called for one loan request.
+	// maxLendersPerRound bounds the neighbours that Syncer.borrow calls for a workspace.
 	maxLendersPerRound = 12
 	// DefaultLendWait is how long a lender waits for the store on behalf of a neighbour.
 	// It is well below lendTimeout, to leave time for the network and for another
@@ -22,7 +22,8 @@
 	DefaultLendWait = 45 * time.Millisecond
 )
 
-// borrow calls neighbours in order until no request waits.
+// borrow borrows for the waiting requests of all workspaces. For each workspace it calls
+// the lenders in order, until no request waits or maxLendersPerRound have been called.
 func (s *Syncer) borrow(ctx context.Context) {
 	if s.settings.Caller == nil {
 		return
--- a/escrow/demand.go
+++ b/escrow/demand.go
@@ -8,8 +8,9 @@
 // demand is what a router knows of the requests for a workspace, here and at other
 // routers. Ledger.mu guards it. Rates are in tokens a second.
 type demand struct {
-	// rate is that of this router's own requests and, at a holder, of its loans, counted
-	// by their bounds until they are settled or repaid.
+	// rate is the rate of this router's own requests and, at a holder, of its loans. A
+	// request counts with its bound until it is settled, and with its use afterwards. A
+	// repayment is deducted from the loans.
 	rate rate
 	// othersRate is the sum of the rates in the other rows of the record when it was
 	// last read.
--- a/escrow/fleetview.go
+++ b/escrow/fleetview.go
@@ -18,7 +18,7 @@
 
 // recordView is what this router read in the record itself.
 type recordView struct {
-	// remaining is what the store had left after this router's last write.
+	// remaining is what the store had left after this router's last sync.
 	remaining granitehoist.Tokens
 	// idleOfOthers is the sum of the idle tokens in the rows of other incarnations.
 	idleOfOthers granitehoist.Tokens
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -71,9 +71,9 @@
 	return p
 }
 
-// nextRow returns this router's next row while the store has remaining tokens, and
-// deducts the tokens to be returned from what is owned. threshold is refillThreshold, or
-// jointRefillThreshold if the record is likely to be written for another workspace.
+// nextRow returns this router's next row, with the tokens to be granted and returned. It
+// deducts the latter from what is owned. remaining is what the store has left; threshold
+// is the fraction of the target below which the holding is filled.
 func (a *account) nextRow(row Row, remaining granitehoist.Tokens, c conditions, threshold float64) Row {
 	next := row
 	next.Spent = a.owned.spent
--- a/escrow/sync.go
+++ b/escrow/sync.go
@@ -37,7 +37,7 @@
 }
 
 // syncShards syncs the records that have the given shards. While the store is
-// unresponsive, one of them probes it before the others are synced.
+// unresponsive, it syncs one record first, and the others only if that succeeds.
 func (s *Syncer) syncShards(ctx context.Context, shards []Shard) error {
 	err := s.trySyncShards(ctx, shards)
 	if errors.Is(err, errDivided) {
--- a/escrow/unknownfields.go
+++ b/escrow/unknownfields.go
@@ -15,8 +15,9 @@
 // the object that has them is deleted. A record without such fields is decoded only
 // once.
 
-// unknownFields holds the fields of a stored object that this version does not know:
-// their values, and for nested objects that it knows their unknownFields.
+// unknownFields holds the fields of a stored object that this version does not know, by
+// name. The value of an unknown field is its decoded JSON. A nested object that this
+// version knows, but that has unknown fields, has an unknownFields as its value.
 type unknownFields map[string]any
 
 // decodeWithUnknown decodes an object, and returns the fields that the target does not
