--- a/node/adapter.go
+++ b/node/adapter.go
@@ -17,13 +17,14 @@
 // use.
 type Adapter struct {
 	Store granitehoist.Store
-	// ConfigPrefix and InstancesPrefix are the store's prefixes of the operators' and the
-	// instances' entries; ConfigKey is the key of the configuration.
+	// ConfigPrefix is the store prefix of the entries that operators write. ConfigKey is
+	// the key of the configuration under it. InstancesPrefix is the store prefix of the
+	// instances' announcements.
 	ConfigPrefix    string
 	ConfigKey       string
 	InstancesPrefix string
-	// EvacuatedZone returns the availability zone that an entry under ConfigPrefix asks
-	// to evacuate while it exists, and whether the key is of that kind.
+	// EvacuatedZone returns the availability zone that is evacuated while an entry with
+	// the given key exists. It returns false for keys that evacuate no zone.
 	EvacuatedZone func(key string) (granitehoist.AvailabilityZone, bool)
 	// DecodeConfig and DecodeInstance decode entries that are not deleted. Their errors
 	// name the invalid field.
--- a/node/budgetroles.go
+++ b/node/budgetroles.go
@@ -14,8 +14,8 @@
 // itself. In a large one each shard of the workspaces has one holder, which takes the
 // tokens and lends them to all others. Holders are selected by rendezvous hashing, so
 // that all nodes that know the same boxes select the same ones without coordination, and
-// the loss of a box moves only the shards that it held. Nodes that disagree cost calls
-// and time, but never tokens.
+// the loss of a box moves only the shards that it held. Nodes with different views of the
+// fleet may select different holders. That costs calls and time, but no tokens are lost.
 
 const (
 	// rankedPerShard is the number of nodes ranked for a shard: the holder and its
@@ -27,7 +27,8 @@
 )
 
 // role returns this node's role for the tokens of a shard with the given ranked nodes. A
-// node with an incomplete view borrows: in a starting fleet every node would be a holder.
+// node with an incomplete view is a borrower. Otherwise, while a large fleet starts, every
+// node would see a small fleet and take tokens from the store itself.
 func (v fleetView) role(ranked []peerEntry) escrow.Role {
 	switch {
 	case !v.complete:
--- a/node/configcopy.go
+++ b/node/configcopy.go
@@ -19,7 +19,7 @@
 // be decoded leaves the previous one active.
 type configCopy struct {
 	adapter *Adapter
-	// catalog holds the active configuration, nothing before the first.
+	// catalog holds the active configuration. It is empty before the first one.
 	catalog *catalog.Current
 	// ledger and syncer receive the budgets of the workspaces.
 	ledger *escrow.Ledger
@@ -38,8 +38,8 @@
 }
 
 // applyEntries applies changed entries: first the evacuations, so that a starting router
-// serves no request without them, then ConfigKey. If that is deleted, the last
-// configuration stays active.
+// serves no request without them, then the configuration. If the configuration's entry is
+// deleted or invalid, the last configuration stays active.
 func (c *configCopy) applyEntries(entries []granitehoist.Entry, _ granitehoist.Version) {
 	for _, e := range entries {
 		c.applyEvacuation(e)
@@ -79,7 +79,7 @@
 }
 
 // activate makes a configuration the active one and passes its budgets to the ledger. It
-// does nothing if the active one is as new (catalog.Current.Offer).
+// does nothing if the configuration is not newer than the active one.
 func (c *configCopy) activate(snapshot *catalog.Snapshot) {
 	if !c.catalog.Offer(snapshot) {
 		return
--- a/node/crashload_test.go
+++ b/node/crashload_test.go
@@ -247,8 +247,8 @@
 	otherResponses map[int]int
 }
 
-// record counts a response. Requests sent at least late after the beginning are also
-// counted separately.
+// record counts the response to a request that was sent at the time asked. If asked is at
+// least late after began, it is also counted in lateAsked and lateServed.
 func (t *responseCounts) record(status int, asked time.Time, late time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -315,15 +315,19 @@
 	return &all
 }
 
-// poisonScenario is a load of poison requests with its bounds.
+// poisonScenario configures runPoisonRequest.
 type poisonScenario struct {
 	behindProxy, variedBodies bool
-	// maxCrashes bounds the crashes, maxLateArrivals the arrivals later than 3 s after
-	// the third crash.
+	// maxCrashes bounds the crashes under poison requests. It exceeds the number of rounds
+	// after which package suspect refuses a request or a scope, since several upstreams may
+	// crash in one round. maxLateArrivals bounds the poison requests that reach an upstream
+	// more than 3 s after the third crash: by then all routers know of that crash.
 	maxCrashes, maxLateArrivals int
 }
 
-// runPoisonRequest sends a poison request from four callers alongside regular requests.
+// runPoisonRequest starts four concurrent callers that send poison requests, with the same
+// body or varied bodies, and twelve that send regular requests. It checks the bounds of the
+// scenario, and that at least 95% of the regular requests after settled are served.
 func runPoisonRequest(t *testing.T, scenario poisonScenario) {
 	const routers, upstreams, lasts, settled = 6, 16, 12 * time.Second, 6 * time.Second
 	s := newTestFleet(t, routers)
@@ -383,7 +387,8 @@
 }
 
 // TestPoisonRequestWithVariedBodies guards against evidence that covers one request body
-// only.
+// only. It allows more crashes than the other tests, since only the scope is refused: after
+// more rounds, and with shorter blocks.
 func TestPoisonRequestWithVariedBodies(t *testing.T) {
 	runPoisonRequest(t, poisonScenario{variedBodies: true, maxCrashes: 24, maxLateArrivals: 9})
 }
--- a/node/greeting.go
+++ b/node/greeting.go
@@ -19,8 +19,8 @@
 const (
 	// greetTimeout bounds one greeting, connecting included.
 	greetTimeout = 200 * time.Millisecond
-	// maxGreeted bounds the neighbours greeted at a time. It covers a small fleet, so
-	// that all its nodes learn of a new incarnation at once.
+	// maxGreeted bounds the neighbours greeted at a time. If there are no more neighbours
+	// than that, all of them learn of a new incarnation at once.
 	maxGreeted = 12
 )
 
@@ -29,7 +29,8 @@
 type greeting struct {
 	Self   peerEntry   `json:"self"`
 	Others []peerEntry `json:"others,omitempty"`
-	// Listed says that Others is as the store had it a short while ago (canServeList).
+	// Listed says that the receiver may use Others as its node list: the sender read the
+	// list from the store at most maxListAge ago (canServeList).
 	Listed bool `json:"listed,omitempty"`
 	// Hints are the sender's hints on slow instances, in replies only.
 	Hints []balance.Hint `json:"hints,omitempty"`
@@ -53,8 +54,8 @@
 	calls.Wait()
 }
 
-// greetAddress greets the node at an address, whatever its incarnation: the one in this
-// node's list may have ended.
+// greetAddress greets the node at an address and applies its reply. It accepts any
+// incarnation, since the one in this node's list may have ended.
 func (p *peers) greetAddress(ctx context.Context, address string) (greeting, error) {
 	ctx, cancel := context.WithTimeout(ctx, greetTimeout)
 	defer cancel()
--- a/node/instancecopy.go
+++ b/node/instancecopy.go
@@ -26,8 +26,9 @@
 // version, so that it need not be passed on to other nodes. Instances rewrite their
 // entries as heartbeats.
 //
-// The remaining time of a cold instance shrinks with each entry, which is no change. A
-// longer one is: the instance has become cold again.
+// The ColdFor of a cold instance shrinks from entry to entry until it is zero. A smaller
+// positive value is therefore not a difference. A larger value is one, since the instance
+// has become cold again, and so is zero, since the instance is now warm.
 func isHeartbeat(before, after balance.Instance) bool {
 	before.Version = after.Version
 	if after.ColdFor > 0 && after.ColdFor <= before.ColdFor {
@@ -60,8 +61,8 @@
 	return c
 }
 
-// isRepeated reports whether an entry only repeats the one before. One that cannot be
-// decoded is passed on only if the one before could be.
+// isRepeated reports whether an entry only repeats the one before: either the later one is
+// a heartbeat, or neither can be decoded. It returns false if only one can be decoded.
 func (c *instanceCopy) isRepeated(before, after granitehoist.Entry) bool {
 	instanceBefore, errBefore := c.adapter.DecodeInstance(before)
 	instanceAfter, errAfter := c.adapter.DecodeInstance(after)
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -165,8 +165,8 @@
 	return append(lines, n.configLines()...)
 }
 
-// upstreamLines returns the number of upstreams that get no requests at now, by reason,
-// and the selections that avoided an upstream.
+// upstreamLines returns the numbers of upstreams that are ejected, leaving or backing off
+// at now, and the counts of selections that passed over an upstream.
 func (n *Node) upstreamLines(now time.Time) []string {
 	ejected, leaving, backingOff := 0, 0, 0
 	for _, status := range n.components.table.Statuses(now) {
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -33,8 +33,9 @@
 // may be this node that is cut off. Entries have no lease: that of a dead box stays until
 // a router starts there again.
 //
-// An entry that a node sent of itself replaces the known one. An entry passed on by a
-// third node only adds a missing box, since it may be older than the known one.
+// A greeting contains the sender's own entry and may contain entries of third nodes. The
+// sender's own entry replaces the known entry of its box. An entry of a third node is used
+// only if its box is not known yet, since it may be older than the known entry.
 
 // entrySource says who sent an entry.
 type entrySource int
@@ -85,7 +86,8 @@
 // nodeList is the list of nodes as read from the store.
 type nodeList struct {
 	others []peerEntry
-	// own is the entry of this node's box; its Version is zero if there is none.
+	// own is the store's entry of this node's box. Its Version is zero if the list has no
+	// such entry or the entry cannot be decoded.
 	own granitehoist.Entry
 	// upToDate says that own is this incarnation's entry and need not be written.
 	upToDate bool
--- a/node/node.go
+++ b/node/node.go
@@ -82,13 +82,13 @@
 	return c.Clock
 }
 
-// minWatchInterval is the minimum time between two watches of the store, so that changes
-// within it cost one call. It is well below the time in which routers have to act on a
-// new configuration or a draining upstream.
+// minWatchInterval is the minimum time between two watches of the store. One call then
+// returns all changes of that time. It is well below the time in which routers have to
+// act on a new configuration or a draining upstream.
 const minWatchInterval = 500 * time.Millisecond
 
-// newFollower returns a follower of the prefix in s. s also holds the callbacks for
-// changes; newFollower adds access to the store and to the neighbours.
+// newFollower returns a follower with the prefix and the callbacks in s. newFollower sets
+// the other settings: the store, the neighbours, the clock and the log.
 func (n *Node) newFollower(s follow.Settings) *follow.Follower {
 	s.Store = n.adapter.Store
 	s.MinWatchInterval = minWatchInterval
@@ -151,8 +151,8 @@
 }
 
 // serveErrorLogger returns a function that logs errors of a server: a failure to accept
-// connections, or a panic in a handler. A panic is one line per request; net/http backs
-// off after each failure to accept, up to 1 s.
+// connections, or a panic in a handler. Repeated lines are not suppressed here: each
+// request panics at most once, and net/http waits up to 1 s after a failure to accept.
 func (n *Node) serveErrorLogger(name serverName) func(error) {
 	return func(err error) {
 		n.log.Warn(event.ServeFailed, zap.String("server", string(name)), zap.Error(err))
--- a/node/nodelist.go
+++ b/node/nodelist.go
@@ -28,7 +28,7 @@
 	// at the first start of a fleet: the first list lacks the nodes that start at the
 	// same time.
 	listsAtBootstrap = 2
-	// listsAtStart is that number at any other start.
+	// listsAtStart is the number of lists to read at any other start.
 	listsAtStart = 1
 )
 
@@ -61,9 +61,10 @@
 	}
 }
 
-// shouldGreet decides whether neighbours are greeted after the attempt: once after the
-// first successful read, since they learn of a new incarnation from the store only up to
-// listInterval later, and after every failure, since the store then reports nothing.
+// shouldGreet decides whether neighbours are greeted after the attempt:
+//   - once after the first successful read, since neighbours may read the new entry of
+//     this node from the store only listInterval later;
+//   - after every failure, since this node then learns nothing from the store.
 func (a listAttempt) shouldGreet(greetedBefore bool) bool { return a.failed || !greetedBefore }
 
 // maxListAge is the age up to which a relay serves its node list. It allows for one
@@ -71,8 +72,8 @@
 const maxListAge = 2 * listInterval
 
 // canServeList decides whether a node may serve its node list in place of the store: it
-// must be a relay whose last list is no older than maxListAge. Other nodes have their
-// list from a relay, and it would age with each hop.
+// must be a relay that read the list from the store at most maxListAge ago. Other nodes
+// get their lists from relays, so that their lists may be older.
 func canServeList(isRelay bool, listedAt, now time.Time) bool {
 	return isRelay && now.Sub(listedAt) <= maxListAge
 }
@@ -151,8 +152,9 @@
 	return p.writeEntry(ctx, list.own.Version)
 }
 
-// writeEntry writes the node's own entry if it still has the given version. After a
-// conflict the next list shows the other write.
+// writeEntry writes the node's own entry if the store still has the given version of it,
+// zero if it has none. It returns an error otherwise; the next read of the list then
+// returns the current version.
 func (p *peers) writeEntry(ctx context.Context, expect granitehoist.Version) error {
 	value, err := json.Marshal(p.settings.self)
 	if err != nil {
--- a/node/peers.go
+++ b/node/peers.go
@@ -97,9 +97,10 @@
 // relaysToAsk returns the relays that this node queries instead of the store.
 func (p *peers) relaysToAsk() []granitehoist.Peer { return p.view().relaysToAsk() }
 
-// knowsRelays reports whether this node knows if it is a relay, and if not, which relays
-// to query. At the first start of a fleet that takes two node lists (listsNeeded); until
-// then no node watches the store, since otherwise all of them would.
+// knowsRelays reports whether the followers may watch the store. It returns false only at
+// the first start of a fleet, until this node has read listsAtBootstrap node lists or
+// maxBootstrapWait has passed. Until then no node knows the relays, and all nodes would
+// watch the store.
 func (p *peers) knowsRelays() bool {
 	view := p.view()
 	waiting := p.settings.clock().Sub(p.startedAt) < maxBootstrapWait
@@ -172,7 +173,7 @@
 }
 
 // Call implements granitehoist.Caller. If the address now belongs to another incarnation,
-// the call fails, and a greeting learns that incarnation for the next call.
+// the call fails, and Call greets that incarnation so that the next call can reach it.
 func (p *peers) Call(ctx context.Context, to granitehoist.Peer, method string, params, result any) error {
 	err := p.client.Call(ctx, to, method, params, result)
 	if errors.Is(err, fleet.ErrOtherIncarnation) {
--- a/node/permits.go
+++ b/node/permits.go
@@ -26,13 +26,13 @@
 const methodPermits = "limits.permits"
 
 const (
-	// permitTimeout bounds a call of methodPermits, connecting included. It is also the
-	// longest that a request with a latency target of 0.5 s may wait for a permit.
+	// permitTimeout bounds a call of methodPermits, connecting included. A request with a
+	// latency target of 0.5 s waits for a permit for at most this time (package forward).
 	permitTimeout = 100 * time.Millisecond
 	// permitRetryDelay is the delay before a failed call is retried.
 	permitRetryDelay = 200 * time.Millisecond
-	// minPermitInterval is the minimum time between two rounds of calls, so that
-	// simultaneous requests share one.
+	// minPermitInterval is the minimum delay before permits that were denied are requested
+	// again, so that requests which arrive meanwhile share one call.
 	minPermitInterval = 2 * time.Millisecond
 	// issuerAvoidTime is how long an issuer that did not answer is avoided.
 	issuerAvoidTime = 1500 * time.Millisecond
@@ -68,7 +68,8 @@
 
 // permitGrant is the issuer's response for one upstream.
 type permitGrant struct {
-	// Count permits may be used DueMS milliseconds after the call began.
+	// Count permits may be used from DueMS milliseconds after the start of the call, for
+	// throttle.Validity.
 	Count int     `json:"count,omitempty"`
 	DueMS float64 `json:"due_ms,omitempty"`
 	// RetryMS is the time after which to ask again, in milliseconds, if Count is zero.
@@ -91,8 +92,8 @@
 	}
 }
 
-// waitForDemand waits until the table may need permits again: until it signals so, or
-// until next if that is set.
+// waitForDemand waits until the table may need permits again: until PermitsWanted signals,
+// or until next unless next is zero.
 func (l *rateLimits) waitForDemand(ctx context.Context, next, now time.Time) {
 	var due <-chan time.Time
 	if !next.IsZero() {
@@ -110,7 +111,8 @@
 // issuer is the node to ask for permits.
 type issuer struct {
 	peer granitehoist.Peer
-	// self says that it is this node, known that there is an issuer at all.
+	// self says that the issuer is this node. known is false if no issuer is known.
+	// standsIn says that the issuer is asked because the first in rank is avoided.
 	self, known bool
 	fallback    bool
 }
@@ -129,7 +131,8 @@
 }
 
 // issuerOf returns the node to ask for permits for an upstream: the first in rank, or the
-// second while the first is avoided.
+// second while the first is avoided. It returns the zero issuer if both are avoided or
+// this node does not know the fleet.
 func (l *rateLimits) issuerOf(u granitehoist.Upstream, now time.Time) issuer {
 	ranked := l.peers.issuers(u)
 	for rank, entry := range ranked[:min(2, len(ranked))] {
--- a/node/push.go
+++ b/node/push.go
@@ -25,10 +25,10 @@
 	// pushDelayPerNode times the number of nodes is the minimum time between two messages
 	// to one neighbour, so that a node sends at most 500 messages per second.
 	pushDelayPerNode = 2 * time.Millisecond
-	// minPushDelay is that minimum in small fleets.
+	// minPushDelay is the lower bound of the time between two messages to one neighbour.
 	minPushDelay = 50 * time.Millisecond
-	// pushRetryDelay is the delay before a failed push is retried. All nodes have to
-	// learn of a crash within 3 s.
+	// pushRetryDelay is the delay before a failed push is retried. It allows three retries
+	// within the 3 s in which all nodes have to learn of a crash.
 	pushRetryDelay = 700 * time.Millisecond
 )
 
@@ -157,8 +157,9 @@
 	return err
 }
 
-// isUnknownMethod reports whether a neighbour of an older version lacks a method. It will
-// not gain it before it restarts as another incarnation.
+// isUnknownMethod reports whether a neighbour does not serve a method because it runs an
+// older version of the router. Retries are useless until the neighbour restarts, which
+// makes it another incarnation.
 func isUnknownMethod(err error) bool {
 	var answer *jsonrpc2.Error
 	return errors.As(err, &answer) && answer.Code == jsonrpc2.CodeMethodNotFound
--- a/node/relays.go
+++ b/node/relays.go
@@ -14,18 +14,20 @@
 
 // Relays read the configuration, the instances and the node list from the store; all
 // other nodes query a relay, so that the load on the store does not grow with the fleet.
-// In a fleet of fewer than largeFleet nodes every node is a relay. In a larger one there
-// is a relay for each routersPerRelay nodes, at least minRelays, and at most
-// relaysPerZone per availability zone. Relays are the nodes with the fastest links, ties
-// broken by the lowest hash of the box, taken from the zones in turn, so that all nodes
-// that know the same boxes select the same relays without coordination.
+// In a fleet of fewer than largeFleet nodes every node is a relay. In a larger one the
+// number of relays is one for each routersPerRelay nodes, but at least minRelays, and
+// never more than relaysPerZone times the number of availability zones.
 //
-// Nodes with different views may select different relays. That only costs calls to the
-// store, since nothing depends on a node being the only relay.
+// Relays are taken from the availability zones in turn. Within a zone, nodes with faster
+// links come first, and nodes with equal links are ordered by the hash of their box. All
+// nodes that know the same boxes therefore select the same relays without coordination.
+// Nodes with different views may select different relays, which only costs additional
+// calls to the store.
 const (
 	// largeFleet is the number of nodes from which on only some are relays.
 	largeFleet = 16
-	// relaysPerZone is two, so that a zone keeps a relay when one fails.
+	// relaysPerZone bounds the average number of relays in an availability zone. With two,
+	// a zone keeps a relay when one fails.
 	relaysPerZone = 2
 	// routersPerRelay limits the number of relays, since each makes two calls to the
 	// store per second.
--- a/node/reload.go
+++ b/node/reload.go
@@ -19,8 +19,8 @@
 	return &liveSettings{grace: c.GracePeriod, linkMbps: c.LinkMbps}
 }
 
-// Reload applies the settings of c that a running node can change, GracePeriod and LinkMbps,
-// and returns the names of the other settings that differ from those at the start; they
+// Reload applies the settings of c that a running node can change: GracePeriod and
+// LinkMbps. It returns the names of settings in c that differ from those at the start and
 // need a restart. It returns an error and changes nothing if c is invalid. It is safe for
 // concurrent use.
 func (n *Node) Reload(c *Config) (waiting []string, err error) {
--- a/node/stop.go
+++ b/node/stop.go
@@ -45,8 +45,8 @@
 	phaseServe stopPhase = iota
 	// phaseFinish: new requests are refused as not run; those in progress continue.
 	phaseFinish
-	// phaseReturn: no request is in progress, or its time is over; tokens are returned
-	// and the node removes its entry from the node list.
+	// phaseReturn: no request is in progress, or stopPlan.finishUntil has passed; tokens
+	// are returned and the node removes its entry from the node list.
 	phaseReturn
 )
 
@@ -80,9 +80,9 @@
 	}
 }
 
-// returnTime returns the time limit for a return of tokens that begins at now. It may
-// extend up to minReturnTime past returnUntil: the process may be killed by then, but
-// without the attempt the tokens would be lost anyway.
+// returnTime returns the time limit for a return of tokens that begins at now. The return
+// may last until minReturnTime after now even if returnUntil is earlier. The platform may
+// kill the process before its end, but without the attempt the tokens would be lost too.
 func (p stopPlan) returnTime(now time.Time) time.Duration {
 	return max(minReturnTime, min(p.returnUntil.Sub(now), maxReturnTime))
 }
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -17,16 +17,21 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// A node sends every crash that it observes under a request to all neighbours in
-// parallel, until each has acknowledged it (push.go). Evidence against refused requests
-// is also stored (suspectstore.go).
+// A node observes crashes of upstreams under a request, and successes that clear a
+// request. It sends each of these observations to all neighbours in parallel, until each
+// has acknowledged it (push.go). Evidence against refused requests is also stored
+// (suspectstore.go).
 //
-// A node that starts, or that was stalled, also pulls from some neighbours, since others
-// may not have it in their node list yet. A node that cannot reach most neighbours reads
-// the store.
+// In three cases a node also fetches evidence:
+//   - After its start it pulls from some neighbours, since others may not have it in
+//     their node list yet.
+//   - After it was stalled it pulls too, since pushes that failed meanwhile are retried
+//     only after pushRetryDelay.
+//   - If most of its pushes fail after an observation, it reads the store once.
 
-// methodPushSuspects is the method by which a node sends its observations to a neighbour,
-// methodPullSuspects the one by which it fetches all evidence of a neighbour.
+// methodPushSuspects is the method by which a node sends its observations to a neighbour.
+// methodPullSuspects is the method by which it fetches the records of a neighbour that are
+// not cleared, at most suspect.MaxRecords.
 const (
 	methodPushSuspects = "suspects.push"
 	methodPullSuspects = "suspects.pull"
@@ -51,7 +56,8 @@
 // suspectUpdate is the request of a push and the response to a pull.
 type suspectUpdate struct {
 	Records []suspect.Record `json:"records,omitempty"`
-	// Secret keys the digests of the fleet; only responses to methodPullSuspects have it.
+	// Secret is the key with which all nodes compute the digests of requests. It is set
+	// only in responses to methodPullSuspects, and nil if the sender does not have it.
 	Secret *suspect.Secret `json:"secret,omitempty"`
 }
 
@@ -70,7 +76,7 @@
 	pushWake, storeWake chan struct{}
 	// gate opens when the evidence of the store and of the neighbours has been read.
 	gate *startGate
-	// cutOff says that most neighbours could not be reached.
+	// cutOff asks runStore to read the store once. runPush sets it (isCutOff).
 	cutOff atomic.Bool
 	// pusher sends this node's observations to the neighbours.
 	pusher *pusher[suspectUpdate]
@@ -94,9 +100,9 @@
 	return s
 }
 
-// evidenceSources returns the number of sources that a starting node reads: the store or
-// relays, and neighbours, which also have evidence that does not suffice for a refusal
-// yet. At the first start of the fleet there are none.
+// evidenceSources returns the number of sources of evidence that a starting node reads. One
+// is the store or the relays. The other is the neighbours, which also have the evidence
+// that does not suffice for a refusal yet. At the first start of the fleet it is zero.
 func evidenceSources(bootstrap bool) int32 {
 	if bootstrap {
 		return 0
@@ -183,8 +189,10 @@
 	startedAt, pulledAt, roundAt time.Time
 }
 
-// shouldPull decides whether a node pulls from neighbours: for a while after its start,
-// unless the whole fleet starts for the first time, and whenever it was stalled.
+// shouldPull decides whether a node pulls from neighbours:
+//   - after a stall, that is, if the last round began stallThreshold ago or earlier;
+//   - every pullInterval until pullPeriod after its start, unless the whole fleet starts
+//     for the first time.
 func shouldPull(in pullInputs) bool {
 	if in.now.Sub(in.roundAt) >= stallThreshold {
 		return true
@@ -192,9 +200,9 @@
 	return !in.bootstrap && in.now.Sub(in.startedAt) < pullPeriod && in.now.Sub(in.pulledAt) >= pullInterval
 }
 
-// isCutOff decides whether this node counts as cut off: most of its pushes failed shortly
-// after it observed a crash. It then reads the store, since the pushes of the others do
-// not reach it either.
+// isCutOff decides whether this node counts as cut off: more than half of the pushes of a
+// round failed, less than pullPeriod after its last observation. The pushes of its
+// neighbours may then fail as well, so that it reads the store instead.
 func (s *suspects) isCutOff(r pushResult, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/node/suspectstore.go
+++ b/node/suspectstore.go
@@ -18,10 +18,10 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// The store holds what has to survive a restart of all nodes: the secret that keys the
-// digests, and the evidence against each refused request, under a lease of
-// suspect.DefaultBlockDuration. Each node writes its own observations. Relays read the
-// prefix when they start, the other nodes pull from relays.
+// The store holds what has to survive a restart of all nodes: the secret with which the
+// digests of requests are computed, and the evidence against each refused request, under
+// a lease of suspect.DefaultBlockDuration. Each node writes its own observations. When a
+// relay starts, it reads both from the store. Other nodes pull them from relays.
 const (
 	suspectsPrefix   = "suspects/"
 	suspectSecretKey = suspectsPrefix + "secret"
@@ -65,7 +65,7 @@
 	}
 }
 
-// reloadFromStore reads the store again, for a node that cannot be reached by the others.
+// reloadFromStore reads the store again, for a node that counts as cut off (isCutOff).
 func (s *suspects) reloadFromStore(ctx context.Context) {
 	if err := s.readStore(ctx); err != nil {
 		s.logStoreFailed(err)
@@ -81,8 +81,9 @@
 	}
 }
 
-// maxRelayLoads is the number of attempts in which a node that is no relay queries relays
-// only. By then relays that started at the same time have read the store.
+// maxRelayLoads is the number of attempts in which a node that is not a relay queries only
+// relays. It gives relays that start at the same time enough time to read the store. In
+// later attempts the node reads the store if no relay returns a secret.
 const maxRelayLoads = 6
 
 // load reads the secret and the evidence from relays or from the store, and reports
@@ -158,9 +159,10 @@
 	return nil
 }
 
-// storeAll writes the records that suffice to refuse a request, and deletes those of
-// requests that have succeeded since, which a starting node would otherwise refuse until
-// the lease ends. The block of a scope is shorter than a restart and is not stored.
+// storeAll writes the records that suffice to refuse a request, and deletes the records
+// that were cleared since, whose requests a starting node would otherwise refuse until the
+// lease ends. Records of scopes are not stored, since the block of a scope is shorter than
+// a restart.
 func (s *suspects) storeAll(ctx context.Context, records []suspect.Record) error {
 	for _, r := range records {
 		var err error
--- a/node/suspension.go
+++ b/node/suspension.go
@@ -21,9 +21,9 @@
 	minLoggedSuspension = 50 * time.Millisecond
 )
 
-// watchSuspensions cancels requests whose deadline has passed by the node's clock, which
-// advances during a suspension while timers do not, and logs each suspension, until ctx
-// ends.
+// watchSuspensions cancels requests whose deadline has passed on the node's clock, and
+// logs suspensions of the machine, until ctx ends. The node's clock advances during a
+// suspension; timers do not.
 func (n *Node) watchSuspensions(ctx context.Context) {
 	ticker := time.NewTicker(suspensionInterval)
 	defer ticker.Stop()
