--- a/forward/active.go
+++ b/forward/active.go
@@ -162,9 +162,10 @@
 	}
 }
 
-// pick selects the instance for the next attempt. It checks the deadline first, because
-// no timer fires while the machine is suspended, and the crash records, which may have
-// changed while the request waited for tokens or for the previous attempt.
+// pick selects the instance for the next attempt. Before that it checks the deadline, since
+// no timer fires while the machine is suspended. It also checks the crash records again,
+// since they may have changed while the request waited for tokens or for the previous
+// attempt.
 func (a *activeRequest) pick(ctx context.Context) (*balance.Lease, error) {
 	if left := a.timeLeft(); left <= 0 {
 		return nil, granitehoist.Errorf(granitehoist.DeadlineTooNear, "the deadline passed %s ago", -left)
@@ -208,8 +209,8 @@
 }
 
 // nextAttempt decides whether another attempt follows. If that attempt requires a retry
-// from the budget of the service, nextAttempt takes it, and allows no attempt if there is
-// none.
+// from the budget of the service, and the stall timer has not taken one, nextAttempt takes
+// one. It allows no attempt if the budget has none.
 func (a *activeRequest) nextAttempt(ctx context.Context, result *attemptResult) retryDecision {
 	if result.err == nil {
 		return retryDecision{}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -39,11 +39,12 @@
 // reused.
 const maxRefusalBytes = 64 << 10
 
-// An upstream may close an idle connection while a request is being sent on it. It is then
-// unknown whether the request ran, so a request that must run at most once fails.
+// An upstream may close an idle connection while a request is being sent on it. The router
+// then does not know whether the request ran, so that a request which must run at most
+// once fails. These limits on the idle time of reused connections make that rare.
 const (
-	// maxIdle applies to requests that may run more than once. The pool of package exchange
-	// closes idle connections earlier.
+	// maxIdle applies to requests that may run more than once. It has no effect of its own,
+	// since the pool of package exchange does not reuse connections that were idle so long.
 	maxIdle = time.Minute
 	// maxIdleUnsafe applies to requests that must run at most once.
 	maxIdleUnsafe = 150 * time.Millisecond
--- a/forward/classify.go
+++ b/forward/classify.go
@@ -26,7 +26,8 @@
 	responseBadRequest
 	// responseFailed: a 5xx response of the instance, which may be relayed.
 	responseFailed
-	// responseNotResumed: no continuation of a stream whose beginning the caller has.
+	// responseNotResumed: the response does not continue the stream of which the caller
+	// already has a part.
 	responseNotResumed
 	// responseInvalid: a response that must not be relayed.
 	responseInvalid
@@ -55,8 +56,8 @@
 	return responseUsable
 }
 
-// error returns the error of an attempt with this response, nil for a usable one.
-// retryAfter is the Retry-After of the instance, zero if it sent none.
+// error returns the error of an attempt with this response, nil for responseUsable and
+// responseMissing. retryAfter is the Retry-After of the instance, zero if it sent none.
 func (r responseClass) error(status int, retryAfter time.Duration) error {
 	switch r {
 	case responseRefused, responseMisdirected:
@@ -73,8 +74,10 @@
 }
 
 // instanceResult returns the result of an attempt that is reported to the balancer. ended
-// is set if the caller disconnected or the request's timeout passed: the result is then
-// Unclear unless the response was complete or showed a failure or another instance.
+// is set if the caller disconnected or the request's timeout passed. If it is set, or the
+// response could not be relayed to the caller, the result is Inconclusive, unless the
+// response was complete, a 5xx response, misdirected, or the rejection of an invalid
+// request.
 func instanceResult(r *attemptResult, ended bool) balance.Result {
 	switch {
 	case r.class == responseMisdirected:
--- a/forward/deferred.go
+++ b/forward/deferred.go
@@ -18,8 +18,8 @@
 	// waits if all instances are backing off or at a rate limit. The remainder lets the
 	// caller retry elsewhere.
 	deferredWaitFraction = 0.2
-	// minCrashRecordsWait is the minimum time for which a request waits for the crash
-	// records after the router has started.
+	// minCrashRecordsWait is the lower bound of the time limit for the wait in
+	// awaitCrashRecords, also on routes without a latency target.
 	minCrashRecordsWait = 100 * time.Millisecond
 	// retryAfterJitter is the fraction of a backoff by which the Retry-After of refused
 	// callers is spread, so that they do not all return when the instance admits its
@@ -35,7 +35,7 @@
 
 // awaitCrashRecords waits until a router that has just started has the crash records of
 // the other routers. Without them it could send a request that is known to crash
-// instances.
+// instances. It refuses the request if the records do not arrive in time.
 func (a *activeRequest) awaitCrashRecords(ctx context.Context) error {
 	ready := a.forwarder.settings.SuspectsReady
 	if ready == nil {
@@ -52,8 +52,11 @@
 }
 
 // pickOrWait selects the instance for the next attempt. If all are backing off or at a
-// rate limit it waits for one. If none becomes available in time it returns at once an
-// error with code Overloaded and a Retry-After.
+// rate limit, it waits for one, for at most deferredWait. It returns an error with code
+// Overloaded and a Retry-After if
+//   - too many requests are waiting already,
+//   - the first instance is known to become available only after the wait, or
+//   - the wait ends without an instance.
 func (a *activeRequest) pickOrWait(ctx context.Context) (*balance.Lease, error) {
 	settings := &a.forwarder.settings
 	query := a.query()
@@ -106,10 +109,10 @@
 }
 
 // withEarliestRetryAfter returns the failure of a request that gets no further attempt.
-// If instances refused it, the Retry-After becomes the earliest time at which any
-// instance may accept a request, since that of the last instance may be later. Other
-// errors are returned unchanged; a request that reached no instance may be retried at
-// once.
+// If instances refused the request, the Retry-After becomes the time until any instance
+// may accept a request, since the last instance may have stated a longer one. Other
+// failures are returned unchanged. That includes refusals without a Retry-After: the
+// request reached no instance and may be retried at once.
 func (a *activeRequest) withEarliestRetryAfter(failure error) error {
 	var refused *granitehoist.Error
 	if !errors.As(failure, &refused) || refused.Code != granitehoist.UpstreamRefused || refused.RetryAfter == 0 {
--- a/forward/doc.go
+++ b/forward/doc.go
@@ -11,8 +11,8 @@
 // granitehoist.Sink. A Codec writes the header that upstreams receive and reads the heads
 // of their responses.
 //
-// Each attempt did not run, may have run, or ran. The caller gets an error that means "not
-// run" only if no attempt of its request ran or may have run.
+// An attempt ran, may have run, or did not run (granitehoist.ExecutionStatus). The caller
+// gets an error that means "not run" only if no attempt of its request ran or may have run.
 //
 // # Decisions
 //
@@ -38,9 +38,9 @@
 // A Forwarder owns the number of requests in progress and the stopped flag (both atomic),
 // and a retry budget for each service (guarded by a mutex). Each request has an
 // activeRequest, which only the goroutine that called Forwarder.Serve uses. The
-// configuration (catalog), the token budgets (Budgets), the table of instances (balance) and
-// the connections (exchange) have locks of their own. A Forwarder holds no lock while it
-// calls them.
+// configuration (catalog), the token budgets (Budgets), the table of instances (balance)
+// and the connections (exchange) have locks of their own. A Forwarder holds no lock while
+// it calls them.
 //
 // Begin reading at activeRequest.run in active.go, then activeRequest.forward. The codes of
 // refused requests are in refusal.go; the errors of attempts are in classify.go and
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -43,7 +43,8 @@
 	// without a secret, which recognizes no request.
 	Suspects *suspect.Table
 	// SuspectsReady is closed once Suspects has the records of the other routers; nil means
-	// that it has them. Until then requests wait for a short time.
+	// that it has them. Until then each request waits for a short time and is refused if
+	// the records do not arrive meanwhile.
 	SuspectsReady <-chan struct{}
 	// Retry bounds the retries of the fleet. The zero value allows each router one retry
 	// per service every 10 seconds.
--- a/forward/identify.go
+++ b/forward/identify.go
@@ -13,7 +13,7 @@
 // the services of a split route.
 //
 // A stopping router still reports an unknown route or key, since every other box would
-// refuse the request as well. The priority of a workspace overrides that of its route.
+// refuse the request as well. The priority of a workspace overrides that of the route.
 func identify(s *catalog.Snapshot, r *Request, stopping bool, draw float64) (admission, refusal) {
 	if s == nil {
 		return admission{}, configurationMissing
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -14,7 +14,8 @@
 // refusal is a reason for which the router rejects a request that no upstream has run.
 type refusal int
 
-// The refusals, in the order in which they are checked.
+// The refusals, in the order in which they are checked, except that crashRecordsMissing is
+// checked after serviceMissing.
 const (
 	noRefusal refusal = iota
 	// configurationMissing: the router has no configuration yet.
@@ -81,7 +82,7 @@
 	// maxRetryAfterFraction is the maximum Retry-After for budgets and overload, as a
 	// fraction of the request's remaining timeout, which leaves time for the retry.
 	maxRetryAfterFraction = 0.3
-	// minRetryAfter is the minimum Retry-After under maxRetryAfterFraction.
+	// minRetryAfter is the smallest Retry-After to which capRetryAfter reduces one.
 	minRetryAfter = 50 * time.Millisecond
 )
 
@@ -129,8 +130,8 @@
 	return e
 }
 
-// capRetryAfter limits a Retry-After so that the caller can wait and still be served
-// within timeLeft.
+// capRetryAfter limits a Retry-After to maxRetryAfterFraction of timeLeft, so that the
+// caller can wait and still be served. The result is at least minRetryAfter.
 func capRetryAfter(retryAfter, timeLeft time.Duration) time.Duration {
 	longest := time.Duration(maxRetryAfterFraction * float64(timeLeft))
 	return max(minRetryAfter, min(retryAfter, longest))
--- a/forward/retrybudget.go
+++ b/forward/retrybudget.go
@@ -26,11 +26,11 @@
 }
 
 const (
-	// usedRatioFraction is the fraction of Ratio that is used, since a request and its
-	// retry may be counted in different windows.
+	// usedRatioFraction is the fraction of Ratio that the routers use. The rest is a margin
+	// for requests whose retries fall into the next Window.
 	usedRatioFraction = 0.6
-	// usedBurstFraction is the fraction of Burst that is used, since a restarted router
-	// begins with a full budget.
+	// usedBurstFraction is the fraction of Burst that the routers use. The rest is a margin
+	// for restarted routers, which begin with a full budget.
 	usedBurstFraction = 0.5
 	// defaultRetryWindow is the default of RetrySettings.Window.
 	defaultRetryWindow = 10 * time.Second
--- a/forward/settle.go
+++ b/forward/settle.go
@@ -20,14 +20,14 @@
 	complete bool
 }
 
-// charge returns how many of the reserved tokens the request is charged, an upper bound
-// of what the caller may have received:
+// charge returns how many of the reserved tokens the request is charged. The output part is
+// an upper bound of what the caller may have received. The charge is zero if no attempt ran
+// or may have run. Otherwise it is the sum of
 //
-//   - nothing if no attempt can have run;
-//   - otherwise the prompt, once for all attempts,
-//   - and tokensPerEvent for each relayed event, plus one event if the response was
-//     truncated, since that event may have been in transit. If events are not counted, it
-//     is the whole reserved output.
+//   - the prompt, once for all attempts, and
+//   - the output: tokensPerEvent for each relayed event, and for one more if the response
+//     is incomplete, since an event may have been in transit. It is limited to the reserved
+//     output, and is the whole reserved output if events are not counted.
 func (s settlement) charge() granitehoist.Tokens {
 	if s.runs == 0 {
 		return 0
--- a/forward/stalltimer.go
+++ b/forward/stalltimer.go
@@ -16,8 +16,8 @@
 var errStalled = errors.New("no progress")
 
 // stallTimer cancels an attempt that exceeds its stallLimits if the retry budget allows
-// another; otherwise the attempt continues. The zero value never cancels. Its methods are
-// called by the goroutine of the attempt only.
+// another; otherwise the attempt continues. The zero value never cancels. Only the
+// goroutine of the attempt calls its methods, except fire.
 type stallTimer struct {
 	limits stallLimits
 	// takeRetry takes a retry from the budget and reports whether one was available.
@@ -63,7 +63,7 @@
 	}
 }
 
-// restart starts the wait for the next event. It is called for each event.
+// restart starts the wait for the next event. It is called whenever events have arrived.
 func (t *stallTimer) restart() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -69,8 +69,9 @@
 	return nil
 }
 
-// endStream relays the bytes after the last event. A stream that ends with its connection
-// is complete only if there are none.
+// endStream relays the bytes after the last event. If the end of the connection delimits
+// the body, such bytes are a truncated event: endStream then relays nothing and returns an
+// error with code UpstreamCut.
 func (a *activeRequest) endStream(response *exchange.Response, remaining []byte) error {
 	if !response.Framed && len(remaining) > 0 {
 		return granitehoist.Wrap(granitehoist.UpstreamCut, io.ErrUnexpectedEOF, "the stream ended within an event")
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -18,9 +18,9 @@
 
 // The limits on the attempts of a request (that of its route, the retry budget, the tried
 // instances) apply to one request id. A request that crashes the instances that run it may
-// be repeated with new ids at any router, so that only its content identifies it. Each crash
-// during an attempt is therefore recorded under the digest of the request for all routers,
-// and each request is checked against these records before it is sent.
+// be repeated with new ids at any router, so that only its content identifies it. Each
+// crash during an attempt is therefore recorded under the digest of the request. The
+// routers share these records, and check each request against them before it is sent.
 
 // suspectStatus holds the crash records of a request as of the latest lookup.
 type suspectStatus struct {
@@ -69,9 +69,9 @@
 	return nil
 }
 
-// awaitHold checks the request as checkSuspect does, and holds it back while another
-// cause of the crashes may still be at work (suspect.Verdict.Hold). A request whose hold
-// is longer than the limit is refused as not run.
+// awaitHold checks the request as checkSuspect does, and holds it back for the time that
+// the crash records require (suspect.Verdict.Hold). It refuses a request whose hold is
+// longer than holdLimitFraction and minHoldLimit allow, or than its remaining timeout.
 func (a *activeRequest) awaitHold(ctx context.Context) error {
 	limit := max(minHoldLimit, time.Duration(holdLimitFraction*float64(a.admission.route.TargetLatency)))
 	return a.waitUntilReady(ctx, min(limit, a.timeLeft()), func(time.Time) (*waitReason, error) {
@@ -152,7 +152,7 @@
 
 // recordOutcome records that an attempt succeeded or that the instance crashed during it.
 // An error response counts as neither, since an instance that fails every request would
-// otherwise clear them all.
+// otherwise clear the crash records of all of them.
 func (a *activeRequest) recordOutcome(ctx context.Context, lease *balance.Lease, result *attemptResult) {
 	settings := &a.forwarder.settings
 	switch {
@@ -179,8 +179,9 @@
 }
 
 // instanceCrashed reports whether the instance of a failed attempt crashed: it closed the
-// connection, its address is down, and it was not leaving. An instance that drains or has
-// withdrawn its entry stops as planned.
+// connection, its address is down (exchange.Pool.IsDown), and it was not leaving. An
+// instance that drains or has withdrawn its entry stops as planned. instanceCrashed returns
+// false if ctx has ended.
 func (a *activeRequest) instanceCrashed(ctx context.Context, lease *balance.Lease, err error) bool {
 	settings := &a.forwarder.settings
 	if !exchange.ClosedByPeer(err) || ctx.Err() != nil || settings.Table.IsLeaving(lease.ID) {
--- a/forward/wait.go
+++ b/forward/wait.go
@@ -18,9 +18,10 @@
 	refusal func() error
 }
 
-// waitUntilReady calls check until it returns no reason to wait, and waits in between,
-// for maxWait in total. If the wait would be longer or ctx has ended, it returns the
-// refusal of the reason at once. An error of check ends the wait.
+// waitUntilReady calls check repeatedly until check returns no reason to wait or an error,
+// which it returns. Between the calls it waits, for maxWait in total. It returns the
+// refusal of the reason once ctx has ended, maxWait has passed, or the reason is known to
+// hold for longer than the rest of maxWait.
 func (a *activeRequest) waitUntilReady(ctx context.Context, maxWait time.Duration, check func(now time.Time) (*waitReason, error)) error {
 	clock := a.forwarder.settings.Clock
 	started := clock()
