--- a/node/nodelist.go
+++ b/node/nodelist.go
@@ -22,7 +22,7 @@
 	// listRetryDelay is the delay before a failed read is retried.
 	listRetryDelay = 300 * time.Millisecond
 	// bootstrapListDelay is the delay before the second read at the first start of a
-	// fleet, in which all nodes write their entries.
+	// fleet. It gives all nodes time to write their entries.
 	bootstrapListDelay = 1500 * time.Millisecond
 	// listsAtBootstrap is the number of lists to read before the view counts as complete
 	// at the first start of a fleet: the first list lacks the nodes that start at the
--- a/node/peers.go
+++ b/node/peers.go
@@ -26,7 +26,8 @@
 	// clock returns the current time; nil means time.Now.
 	clock granitehoist.Clock
 	log   *zap.Logger
-	// table supplies and takes the hints and upstream signals of greetings.
+	// table supplies the hints and upstream signals that this node sends in greetings, and
+	// receives those of other nodes.
 	table *balance.Table
 	// bootstrap is Config.Bootstrap.
 	bootstrap bool
--- a/node/push.go
+++ b/node/push.go
@@ -108,7 +108,7 @@
 }
 
 // pendingCache caches the messages of one round by acknowledged version, since most
-// neighbours share one. It is not safe for concurrent use.
+// neighbours have acknowledged the same version. It is not safe for concurrent use.
 type pendingCache[Message any] struct {
 	changesAfter     func(version uint64) (Message, bool, uint64)
 	pendingByVersion map[uint64]pendingMessage[Message]
--- a/node/startgate.go
+++ b/node/startgate.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// A starting node has no evidence against requests that crash upstreams and would forward
-// such a request again. So it forwards nothing, and is not ready, until it has read the
-// evidence, for at most maxEvidenceWait.
+// A starting node has no evidence against requests that crash upstreams, and could forward
+// one of these requests again. It therefore forwards nothing and is not ready until it has
+// read the evidence or maxEvidenceWait has passed.
 
 // maxEvidenceWait bounds the wait for evidence, in case neither the store nor the
 // neighbours answer.
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -74,7 +74,8 @@
 	// pushWake and storeWake wake the goroutines of runPush and runStore. Both have a
 	// capacity of one.
 	pushWake, storeWake chan struct{}
-	// gate opens when the evidence of the store and of the neighbours has been read.
+	// gate opens when the evidence of the store and of the neighbours has been read, or
+	// maxEvidenceWait after the start.
 	gate *startGate
 	// cutOff asks runStore to read the store once. runPush sets it (isCutOff).
 	cutOff atomic.Bool
