--- a/node/nodelist.go
+++ b/node/nodelist.go
@@ -130,8 +130,8 @@
 	return true
 }
 
-// readList reads the node list from the store, and writes the node's own entry if it is
-// missing or that of an earlier incarnation.
+// readList reads the node list from the store, and writes the node's own entry if the
+// stored one is missing or differs, for example since an earlier incarnation wrote it.
 func (p *peers) readList(ctx context.Context) error {
 	entries, _, err := p.settings.store.List(ctx, peersPrefix)
 	if err != nil {
--- a/node/stop.go
+++ b/node/stop.go
@@ -15,14 +15,16 @@
 // The phases of a stop end at fixed fractions of the grace period between SIGTERM and
 // SIGKILL.
 const (
-	// serveShare is the fraction for which new requests are still served: the load
-	// balancer needs two failed health checks, one second apart, to notice that the node
-	// stops. A larger share would leave too little time to finish streams.
+	// serveShare is the fraction of the grace period for which new requests are still
+	// served: the load balancer needs two failed health checks, one second apart, to
+	// notice that the node stops. A larger share would leave too little time to finish
+	// streams.
 	serveShare = 0.32
-	// finishShare is the fraction after which requests still in progress are abandoned.
+	// finishShare is the fraction of the grace period after which requests still in
+	// progress are abandoned.
 	finishShare = 0.95
-	// returnShare is the fraction after which the return of tokens is abandoned, shortly
-	// before the platform kills the process.
+	// returnShare is the fraction of the grace period after which the return of tokens is
+	// abandoned, shortly before the platform kills the process. minReturnTime may extend it.
 	returnShare = 0.97
 	// minReturnTime is the minimum time for the return of tokens, even if requests ran
 	// until finishShare: one call to a slow store.
