--- a/partner/gate/costtracker.go
+++ b/partner/gate/costtracker.go
@@ -74,7 +74,7 @@
 }
 
 // finish releases an unused reservation and records the charge. If there are unsettled
-// attempts, it does the latter in the background, after querying their upstreams.
+// attempts, a background goroutine queries their upstreams first and then records the charge.
 func (t *costTracker) finish() {
 	if t.reserved {
 		t.gate.settings.Budgets.Settle(t.request.plan.budget, t.request.plan.bound, 0)
@@ -95,7 +95,7 @@
 const (
 	// maxResolveAttempts is how often an upstream is queried for the cost of an attempt.
 	maxResolveAttempts = 3
-	// resolveInterval is the delay between these queries.
+	// resolveInterval is the delay between two queries for the cost of one attempt.
 	resolveInterval = 200 * time.Millisecond
 )
 
@@ -118,8 +118,8 @@
 	t.settle(t.request.plan.bound)
 }
 
-// recordCharge enters the charge of the request into the ledger, or releases its place there
-// if there is none.
+// recordCharge enters the charge of the request into the ledger, or releases the request's
+// slot there if isCharged returns false.
 func (t *costTracker) recordCharge() {
 	cost := requestCost{mayHaveRun: t.mayHaveRun, plain: t.isPlain(), wasUnsettled: len(t.unsettled) > 0, tokens: t.charge.Tokens}
 	if !isCharged(cost) {
--- a/partner/gate/crashhistory.go
+++ b/partner/gate/crashhistory.go
@@ -17,9 +17,9 @@
 
 // Callers may repeat a request that crashes upstreams under new ids, which the limit on
 // attempts doesn't cover. The gate therefore records crashes by the digest of the request,
-// and refuses those that package suspect identifies as the cause. The record is local to
-// the router, so that such a request can crash three upstreams for each router; edge
-// routers share the record and lose three in total.
+// and refuses requests that package suspect identifies as the cause. The record is local to
+// the router, so that one request can crash three upstreams at each router. The routers of
+// granitehoist-edge share the record, so that it can crash three in total.
 
 // crashHistory is the result of the latest lookup of a request in the crash table.
 type crashHistory struct {
@@ -29,8 +29,8 @@
 }
 
 // checkCrashHistory looks the request up in the crash table. The error has code
-// CrashesUpstreams if the request is refused, or has to wait for a moment: the gate makes the
-// caller retry instead of queueing the request.
+// CrashesUpstreams if the request is refused or must not be sent yet. In the latter case
+// the gate does not queue the request but asks the caller to retry after the hold.
 func (g *Gate) checkCrashHistory(req *request) error {
 	if !g.crashTable.HasSuspects() {
 		req.crashes.verdict = suspect.Verdict{}
--- a/partner/gate/retry.go
+++ b/partner/gate/retry.go
@@ -37,10 +37,16 @@
 	stopMayHaveRun
 )
 
-// decideRetry decides whether a request may be sent to another upstream. It may while the
-// caller waits, has received no part of the response and sent a valid request; after an
-// attempt that may have run, only if the request is repeatable. The retry budget and the
-// reservation are checked afterwards, since checking them consumes from them.
+// decideRetry decides whether a request may be sent to another upstream. It returns
+// retryAllowed if all of these hold:
+//   - fewer than maxAttempts attempts were made;
+//   - the caller has received no part of the response;
+//   - the deadline has not passed and the caller has not disconnected;
+//   - no upstream rejected the request as invalid;
+//   - no attempt may have run, or the request is repeatable.
+//
+// The caller of decideRetry checks the retry budget and the token reservation afterwards,
+// since a successful check takes from them.
 func decideRetry(s attemptState) retryDecision {
 	switch {
 	case s.attempts >= maxAttempts:
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -43,8 +43,9 @@
 	}
 }
 
-// process evaluates the policies, reserves a place in the ledger and the tokens, sends the
-// request and settles its cost. The request must have been read.
+// process evaluates the policies, reserves a slot in the ledger and the tokens, and sends the
+// request, which must have been read. If an upstream has to be queried for the cost of an
+// attempt, the cost is settled in the background after process has returned.
 func (g *Gate) process(ctx context.Context, req *request) error {
 	if req.plan.once && !req.input.hasID {
 		return granitehoist.Errorf(granitehoist.BadHeader, "a request that is not to be repeated requires the header %s", HeaderRequest)
@@ -57,6 +58,8 @@
 	if req.plan.call.Body, err = req.input.writeBody(priority); err != nil {
 		return granitehoist.Wrap(granitehoist.BadRequest, err, "")
 	}
+	// Refuse the request before anything is reserved. execute repeats the check before each
+	// attempt, since upstreams may have crashed in between.
 	if err := g.checkCrashHistory(req); err != nil {
 		return err
 	}
@@ -104,6 +107,8 @@
 	var binding *once.Binding
 	var uncertain error
 	for attempt := 1; ; attempt++ {
+		// Upstreams may have crashed under this request, also when another caller sent
+		// it, while it waited for tokens or during its last attempt.
 		if err := g.checkCrashHistory(req); err != nil {
 			return g.releaseBinding(ctx, binding, overallError(uncertain, err))
 		}
@@ -135,7 +140,8 @@
 	}
 }
 
-// send makes one attempt and settles its cost.
+// send makes one attempt and passes its outcome to cost. The cost of the attempt is settled
+// at once, or later in the background if the upstream has to be queried.
 func (g *Gate) send(ctx context.Context, req *request, cost *costTracker, slot *route.Slot, id granitehoist.AttemptID) error {
 	u, err := g.findUpstream(req, slot.Upstream)
 	if err != nil {
