--- a/partner/route/pool.go
+++ b/partner/route/pool.go
@@ -123,9 +123,10 @@
 	return best
 }
 
-// earliestReadmission returns the untried member whose ejection ends first, if every
-// untried member is ejected or backing off. untried says whether there is an untried
-// member at all.
+// earliestReadmission returns the member whose ejection ends first. It ignores members
+// that are draining or were tried, and returns nil if any of the others is neither
+// ejected nor backing off, or if all are backing off. untried reports whether there are
+// others.
 func (p *servicePool) earliestReadmission(w Request, now time.Time) (first *member, untried bool) {
 	for _, m := range p.members {
 		if m.draining || w.Tried[m.Name] {
--- a/partner/route/ring.go
+++ b/partner/route/ring.go
@@ -18,8 +18,8 @@
 }
 
 const (
-	// pointsPerMember is the number of virtual nodes of each member. It keeps the
-	// largest share of the ring below twice the mean.
+	// pointsPerMember is the number of virtual nodes of each member. More points make
+	// the members' shares of the ring more even.
 	pointsPerMember = 32
 	// maxRingProbes bounds the points that are examined for one request. If no member at
 	// these points is available, choose falls back to leastLoaded and scan.
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -64,8 +64,8 @@
 	// Targets are the service's upstreams. The slice must not be modified
 	// afterwards; Acquire detects a new configuration by a different slice.
 	Targets []Target
-	// Affinity is a hash; requests with the same one share an upstream. Zero means
-	// no affinity.
+	// Affinity is a hash; requests with the same hash prefer the same upstream. Zero
+	// means no affinity.
 	Affinity uint64
 	Priority granitehoist.Priority
 	// Tried holds the upstreams that earlier attempts used; they are excluded.
@@ -265,7 +265,7 @@
 	s.endProbe(r)
 	pool := s.pool.current()
 	if pool == s.pool || pool.contains(m) {
-		// A successor without the member did not count this request.
+		// A newer pool that lacks the member has not counted this request.
 		pool.inFlight--
 	}
 	switch r {
