--- a/partner/once/doc.go
+++ b/partner/once/doc.go
@@ -19,7 +19,7 @@
 // Package partner/gate, in 'granitehoist router', is the caller. Begin reading at
 // Registry.Bind and checkBindable.
 //
-// granitehoist-edge does without: package forward doesn't retry an unsafe request
-// after an attempt that may have run and keeps no record, so a repetition by the
-// caller is a new request there.
+// granitehoist-edge has no such records. Package forward doesn't retry an unsafe
+// request after an attempt that may have run. If the caller repeats the request, it
+// is a new request there and may run again.
 package once
--- a/partner/once/record.go
+++ b/partner/once/record.go
@@ -47,7 +47,7 @@
 	Request   granitehoist.RequestID
 }
 
-// key returns the store key of the subject's record. It hashes the request id,
+// key returns the store key of the request's record. It hashes the request id,
 // which the caller chooses and which may be long or contain slashes.
 func (s RequestKey) key() string {
 	sum := sha256.Sum256([]byte(s.Request))
