--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -46,8 +46,9 @@
 // Result summarizes one call of Settle.
 type Result struct {
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
-	// Found is the number of attempts that the engines listed, Charged of those charged
-	// by this call, and Running of those that have not ended.
+	// Found is the number of attempts that the engines listed. Charged counts those that
+	// this call charged. Running counts those that have not ended or whose usage the
+	// engine has not reported.
 	Found   int `json:"found"`
 	Charged int `json:"charged"`
 	Running int `json:"running"`
@@ -102,8 +103,8 @@
 	return job.result, s.write(ctx, dead, job.charges)
 }
 
-// settleAttempt stops a running attempt if the job says so, and adds the charge of an
-// uncharged one.
+// settleAttempt stops a running attempt if job.stopRunning is set, and adds a charge for an
+// ended attempt that has none.
 func (s *Settler) settleAttempt(ctx context.Context, job *settlement, e engine, a granitehoist.KnownAttempt) {
 	job.result.Found++
 	charged := job.charged[a.ID]
--- a/partner/orphan/unresponsive.go
+++ b/partner/orphan/unresponsive.go
@@ -13,8 +13,8 @@
 )
 
 // UnresponsiveTimeout is the time without a report after which another router charges a
-// router's attempts. A partitioned router may return later; its own charges then
-// replace those written here.
+// router's attempts. A partitioned router may return later and store its own charges;
+// bill.Merge then drops those that were written in its place.
 const UnresponsiveTimeout = 2 * time.Minute
 
 // lastSeen is the newest state of a router in the region records of its region.
@@ -33,8 +33,8 @@
 
 // UnresponsiveRouters returns, in order, the incarnations of the region that drew on
 // budgets, did not stop gracefully and have not reported for more than
-// UnresponsiveTimeout. It returns the errors of the store, and an error if a region
-// record can't be decoded.
+// UnresponsiveTimeout. It returns the errors of the store, and an error if a region record
+// can't be decoded.
 func (s *Settler) UnresponsiveRouters(ctx context.Context, now time.Time) ([]granitehoist.Incarnation, error) {
 	seen, err := s.readLastSeen(ctx)
 	if err != nil {
