--- a/partner/upstream/engine.go
+++ b/partner/upstream/engine.go
@@ -111,7 +111,7 @@
 	return granitehoist.Errorf(granitehoist.UpstreamBadAnswer, "status %d", r.StatusCode)
 }
 
-// errTooLarge is the cause of the error for a body larger than maxAnswer.
+// errTooLarge is the cause of the error for a body larger than maxBodySize.
 var errTooLarge = errors.New("upstream: response body too large")
 
 // forwardBody forwards a response that is not a stream. It forwards nothing unless the
--- a/partner/upstream/enginestream.go
+++ b/partner/upstream/enginestream.go
@@ -157,7 +157,8 @@
 	usage      granitehoist.Usage
 }
 
-// check validates one event. usageOnly means that it has a usage and no choices.
+// check validates one event and updates the state. done means that data is doneMarker.
+// usageOnly reports whether the event has a usage and no choices.
 func (s *streamState) check(data []byte, done bool) (usageOnly bool, err error) {
 	if done {
 		if !s.choiceSeen || len(s.unfinished) > 0 {
