--- a/partner/bill/collector.go
+++ b/partner/bill/collector.go
@@ -17,8 +17,8 @@
 const (
 	// MaxBatch bounds the number of charges in a batch.
 	MaxBatch = 500
-	// maxSegmentBatches bounds the batches of one segment, so that its 5,000 charges stay
-	// below granitehoist.MaxValueSize.
+	// maxSegmentBatches bounds the batches of one segment, so that a segment of full
+	// batches stays below granitehoist.MaxValueSize.
 	maxSegmentBatches = 10
 )
 
--- a/partner/bill/ledger.go
+++ b/partner/bill/ledger.go
@@ -34,8 +34,7 @@
 	MaxPending int
 }
 
-// DefaultMaxPending bounds a ledger to about 40 MB, half an hour of charges at 57 requests
-// per second (docs/CAPACITY.md).
+// DefaultMaxPending bounds the memory of a ledger to about 40 MB (docs/CAPACITY.md).
 const DefaultMaxPending = 100_000
 
 // NewLedger returns an empty ledger. It panics if the incarnation is empty.
--- a/partner/bill/sender.go
+++ b/partner/bill/sender.go
@@ -24,8 +24,8 @@
 	Failed func(error)
 }
 
-// DefaultInterval is the time between two flushes. It bounds the age of the charges that a
-// crash leaves unconfirmed while the store is reachable.
+// DefaultInterval is the time between two flushes. While the store is reachable, a crash
+// loses only the charges of about the last DefaultInterval.
 const DefaultInterval = time.Second
 
 // Sender writes the charges of a Ledger to the store. It is safe for concurrent use,
