--- a/partner/config/apply.go
+++ b/partner/config/apply.go
@@ -38,11 +38,12 @@
 // maxReadBacks bounds the attempts to read back a write whose outcome is unknown.
 const maxReadBacks = 5
 
-// Apply replaces the stored document whose ChangeID raw names as Previous by raw, the
-// JSON of a Signed. Applying the current document again changes nothing. Errors are
-// *granitehoist.Error with code NotAuthorised, DocumentBad, DocumentConflict if another
-// document was written first, StoreDown if nothing was written, or DocumentUnsettled if
-// the outcome of the write is unknown.
+// Apply stores raw, the JSON of a Signed, in place of the partner's current document. Its
+// Previous must be the ChangeID of the current document, and its Serial the next one.
+// Applying the current document again changes nothing. Errors are *granitehoist.Error with
+// code NotAuthorised, DocumentBad, DocumentConflict if another document was written first,
+// StoreDown if nothing was written, or DocumentUnsettled if the outcome of the write is
+// unknown.
 func Apply(ctx context.Context, s granitehoist.Store, t Trust, raw []byte) (Signed, error) {
 	signed, _, err := t.verify(raw)
 	if err != nil {
--- a/partner/config/policy.go
+++ b/partner/config/policy.go
@@ -26,7 +26,7 @@
 	Name string `toml:"name"`
 	Use  Use    `toml:"use"`
 	// Permit and Priority are CEL programs; package policy lists their inputs. An
-	// empty Priority means the default priority.
+	// empty Priority keeps the request's own priority.
 	Permit   string `toml:"permit"`
 	Priority string `toml:"priority"`
 }
--- a/partner/config/signed.go
+++ b/partner/config/signed.go
@@ -24,9 +24,10 @@
 	// Serial increases with each document of the partner. The signature covers it, which
 	// prevents replay of old documents.
 	Serial granitehoist.Serial `json:"serial"`
-	// ChangeID is unique to the write and identifies it when it is read back after a
-	// lost response. Previous is the ChangeID of the document that this one replaces,
-	// which identifies the earlier write after one more write.
+	// ChangeID is unique to the write. After a lost response it shows whether the stored
+	// document is the one that was written. Previous is the ChangeID of the document that
+	// this one replaces. It shows that the earlier write took effect, even if its response
+	// was lost and its document has been replaced.
 	ChangeID string `json:"change_id"`
 	Previous string `json:"previous,omitempty"`
 	// Signature is the Ed25519 signature over signedBytes by a key of the partner.
