--- a/partner/router/build.go
+++ b/partner/router/build.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// buildBudget constructs the agent for the tokens that this router holds and the budget
-// shards that it keeps for its region.
+// buildBudget constructs the agent for the tokens that this router holds, and an allocator
+// for the budget shards that it may serve for its region.
 func (r *Router) buildBudget() {
 	s := r.settings
 	allocator := budget.NewAllocator(budget.AllocatorSettings{
--- a/partner/router/orphans.go
+++ b/partner/router/orphans.go
@@ -22,8 +22,8 @@
 	maxOrphanRounds = 20
 )
 
-// settleOrphans charges the attempts of the region's crashed routers whenever this router
-// has that role, until ctx ends.
+// settleOrphans charges the attempts of the region's crashed routers every orphanInterval
+// until ctx ends. It skips rounds in which this router does not hold orphanRole.
 func (r *Router) settleOrphans(ctx context.Context) {
 	rounds := map[granitehoist.Incarnation]int{}
 	ticker := time.NewTicker(orphanInterval)
--- a/partner/router/roles.go
+++ b/partner/router/roles.go
@@ -8,10 +8,10 @@
 	"granitehoist.example/granitehoist/partner/budget"
 )
 
-// Roles are assigned to one router of a region by rendezvous hashing over the fleet view.
-// The role of a budget shard's allocator is the key of the shard's region record. Routers
-// with different views may hold a role at the same time, which only causes conflicts at
-// the store.
+// The names of roles. A role is held by one router of a region, chosen by rendezvous
+// hashing over the fleet view. The role of the allocator of a budget shard has the store key
+// of the shard's region record as its name. Routers with different fleet views may hold a
+// role at the same time, which only causes conflicts at the store.
 const (
 	collectorRole = "bill/collector"
 	orphanRole    = "orphan/settler"
--- a/partner/router/stop.go
+++ b/partner/router/stop.go
@@ -13,9 +13,9 @@
 	"granitehoist.example/granitehoist/internal/pause"
 )
 
-// Stop shuts the router down gracefully. It reports not ready and serves on until load
-// balancers have noticed, rejects new requests, waits for those in progress, returns its
-// tokens and writes its charges to the store. If ctx ends first, each remaining step is
+// Stop shuts the router down gracefully. It reports not ready, continues to serve for the
+// ReadinessDelay, rejects new requests, waits for those in progress, returns its tokens and
+// writes its charges to the store. If ctx ends first, each remaining step is
 // cut short. The error joins those of all failed steps.
 func (r *Router) Stop(ctx context.Context) error {
 	r.settings.Log.Info("stopping")
