--- a/partner/report/recorder.go
+++ b/partner/report/recorder.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// bucketLength divides each of Windows.
+	// bucketLength is the resolution of the counts. Each of Windows is a multiple of it.
 	bucketLength = 5 * time.Minute
 	// bucketCount is the number of buckets in the longest of Windows, one day.
 	bucketCount = int64(24 * time.Hour / bucketLength)
@@ -48,8 +48,8 @@
 	keys map[Key]*[bucketCount]bucket
 }
 
-// Add adds counts to a key's bucket for the time now. Keys beyond the first 2,000 are counted
-// under the zero Key, so that totals stay correct.
+// Add adds counts to a key's bucket for the time now. Once maxRecordedKeys keys are
+// recorded, new keys are counted under the zero Key, so that totals stay correct.
 func (r *Recorder) Add(k Key, c Counts, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
