--- a/partner/budget/allocation.go
+++ b/partner/budget/allocation.go
@@ -35,9 +35,9 @@
 type claim struct {
 	// held is what the holder has.
 	held granitehoist.Tokens
-	// least lets the smallest waiting request run, need covers all waiting requests,
-	// and want is all that the holder asks for. Each includes the one before, and all
-	// are in addition to held.
+	// least is enough for the smallest waiting request, need is enough for all waiting
+	// requests, and want is all that the holder asks for. Need includes least, and want
+	// includes need. All three are in addition to held.
 	least, need, want granitehoist.Tokens
 	// rate is the forecast in tokens per second.
 	rate float64
--- a/partner/budget/doc.go
+++ b/partner/budget/doc.go
@@ -6,9 +6,10 @@
 //
 // At any time a token of a budget is unallocated at the root, in the stock of a region,
 // held by an incarnation of a box, or charged. Before a request is sent to an upstream,
-// it reserves an upper bound of its use from what its box holds. Afterwards it is settled
-// at the use that the upstream reports. A box that is cut off continues to spend what it
-// holds and nothing else, so safety depends on no message, lease or clock.
+// it reserves an upper bound of its use from what its box holds. Afterwards the
+// reservation is settled at the use that the upstream reports. A box that is cut off
+// continues to spend what it holds and nothing else, so safety depends on no message,
+// lease or clock.
 //
 // Tokens move by monotonic totals. For each pair of holders, the sender stores the total
 // that it ever sent and deducts it first; the receiver stores the total that it ever saw
@@ -19,10 +20,10 @@
 //
 //   - RootRecord: a stored record per shard of budgets, with the prepaid totals and the
 //     totals granted to and returned by each region.
-//   - RegionRecord: a stored record per shard and region, with the region's stock and a Row for
-//     each incarnation that drew on it.
+//   - RegionRecord: a stored record per shard and region, with the region's stock and a
+//     Row for each incarnation that drew on it.
 //   - Ledger: the in-memory accounts of one incarnation of a box, guarded by a lock. They
-//     are lost with the process; what it held stays in doubt.
+//     are lost with the process, and the tokens that it held stay in doubt.
 //   - Allocator: grants tokens to the boxes of its region by compare-and-swap on both kinds
 //     of records. Any router may run one for any shard; a single one per shard only
 //     avoids write conflicts.
--- a/partner/budget/overview.go
+++ b/partner/budget/overview.go
@@ -20,8 +20,8 @@
 	Held        map[granitehoist.Region]granitehoist.Tokens `json:"held"`
 	InDoubt     granitehoist.Tokens                         `json:"in_doubt"`
 	Charged     granitehoist.Tokens                         `json:"charged"`
-	// InTransit is the number of tokens that the root or a region has sent and the other
-	// has not received yet.
+	// InTransit is the number of tokens that were sent between the root and the regions, in
+	// either direction, and have not been received yet.
 	InTransit granitehoist.Tokens `json:"on_the_way"`
 }
 
--- a/partner/budget/surplus.go
+++ b/partner/budget/surplus.go
@@ -60,8 +60,9 @@
 	a.changed = true
 }
 
-// returnStockSurplus deducts the stock beyond the root's limit as returned to the root, if
-// it is worth a write. live is what the region has that is not in doubt.
+// returnStockSurplus deducts what the region has beyond the root's limit, but at most its
+// stock, as returned to the root. It keeps a surplus that is too small to be worth a write.
+// live is what the region has that is not in doubt.
 func (a *RegionAccount) returnStockSurplus(live granitehoist.Tokens) {
 	surplus := min(a.Stock(), live-a.Limit)
 	if surplus > live/regionSurplusDivisor {
