--- a/partner/gate/prompt.go
+++ b/partner/gate/prompt.go
@@ -65,8 +65,8 @@
 }
 
 // sharedPrefix returns the part of a conversation that all its turns have in common: the
-// contents up to and including the first user message. Conversations with the same system
-// prompt get different prefixes, so that they are spread over the upstreams
+// contents up to and including the first user message. This message is included so that
+// conversations with the same system prompt are spread over the upstreams
 // (docs/design/requests.md).
 func sharedPrefix(messages []chatMessage) []byte {
 	var shared []byte
--- a/partner/gate/read.go
+++ b/partner/gate/read.go
@@ -135,8 +135,9 @@
 	return nil
 }
 
-// planPlain sets the plan of a request to a plain service. Only the safe methods of HTTP may
-// be repeated. The document may mark the other methods of a service as once.
+// planPlain sets the plan of a request to a plain service. Only requests with a safe method
+// of HTTP may be repeated. A request must not run twice if its caller says so, or if the
+// document says so for the service and the method is not safe.
 func (r *request) planPlain(from *http.Request) {
 	safe := from.Method == http.MethodGet || from.Method == http.MethodHead || from.Method == http.MethodOptions
 	offer := r.input.offer
--- a/partner/gate/result.go
+++ b/partner/gate/result.go
@@ -42,8 +42,8 @@
 }
 
 // upstreamResult classifies an attempt for the selection of upstreams. A request that the
-// upstream rejects as malformed is no failure of the upstream. An attempt that ended because
-// of its caller or deadline counts neither way.
+// upstream rejects as malformed is no failure of the upstream. An attempt that failed after
+// its caller disconnected or its deadline passed is inconclusive.
 func upstreamResult(err error, contextDone bool) route.Result {
 	code := granitehoist.CodeOf(err)
 	switch {
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -167,8 +167,9 @@
 }
 
 // findUpstream returns the upstream that was chosen for a request. If the documents changed
-// while the request was queued, this may be one that was added to the service since and that
-// the request's own offer lacks. The error has code NoUpstream if it was removed again.
+// while the request was queued, the request's offer may lack this upstream; findUpstream
+// then looks it up in the current offer of the service. The error has code NoUpstream if
+// both offers lack it.
 func (g *Gate) findUpstream(req *request, name granitehoist.Upstream) (config.Upstream, error) {
 	if u, ok := req.input.offer.Upstream(name); ok {
 		return u, nil
