--- a/partner/route/pool.go
+++ b/partner/route/pool.go
@@ -59,9 +59,10 @@
 	return !m.draining && m.backoff.Allows(now) && m.inFlight < min(m.Concurrency, limit) && !now.Before(m.ejectedUntil) && !tried[m.Name]
 }
 
-// choose returns the member for a request: the one on the ring for its affinity,
-// within the load bound, or else the least loaded. It returns nil if none is
-// available.
+// choose returns the member for a request, or nil if none is available. A request with
+// an affinity gets the first available member on the ring whose load is below the bound.
+// A request without an affinity, or for which the ring has no such member, gets the least
+// loaded member.
 func (p *servicePool) choose(w Request, random *rand.Rand, now time.Time) *member {
 	if len(p.members) == 0 {
 		return nil
@@ -123,10 +124,10 @@
 	return best
 }
 
-// earliestReadmission returns the member whose ejection ends first. It ignores members
-// that are draining or were tried, and returns nil if any of the others is neither
-// ejected nor backing off, or if all are backing off. untried reports whether there are
-// others.
+// earliestReadmission considers the members that are not draining and were not tried;
+// untried reports whether there are any. It returns the one whose ejection ends first,
+// without those that are backing off. It returns nil if a member is neither ejected nor
+// backing off, or if all are backing off.
 func (p *servicePool) earliestReadmission(w Request, now time.Time) (first *member, untried bool) {
 	for _, m := range p.members {
 		if m.draining || w.Tried[m.Name] {
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -251,7 +251,8 @@
 	Succeeded Result = iota
 	// Failed means that the upstream refused or failed the attempt.
 	Failed
-	// Inconclusive counts as neither, for example after the caller disconnected.
+	// Inconclusive means that the result says nothing about the upstream, for example
+	// because the caller disconnected.
 	Inconclusive
 )
 
