--- a/partner/once/record.go
+++ b/partner/once/record.go
@@ -54,10 +54,10 @@
 	return KeyPrefix + string(s.Partner) + "/" + string(s.Workspace) + "/" + hex.EncodeToString(sum[:])
 }
 
-// checkBindable returns nil if a request may be bound, judged by its store entry
-// alone: it has no record, or its record says that no attempt ran. Bound records
-// don't expire, since a paused router may still send the request. The error is
-// a *granitehoist.Error with code AlreadyRun or OnceUnsure.
+// checkBindable returns nil if the store entry of a request allows binding it: there
+// is no record, or the record says that no attempt ran. Bound records don't expire,
+// since a paused router may still send the request. The error is a
+// *granitehoist.Error with code AlreadyRun or OnceUnsure.
 func checkBindable(e granitehoist.Entry) error {
 	if e.Version == 0 {
 		return nil
