--- a/partner/upstream/engineattempts.go
+++ b/partner/upstream/engineattempts.go
@@ -28,7 +28,7 @@
 
 // Stop implements granitehoist.Protocol. It returns false if the engine doesn't report
 // the usage of the attempt within lookupTimeout. The cause is not returned, since callers
-// try again or charge an estimate in any case.
+// try again or charge an estimate whatever the cause.
 func (e *Engine) Stop(ctx context.Context, address string, attempt granitehoist.AttemptID) (granitehoist.Usage, bool) {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
--- a/partner/upstream/enginestream.go
+++ b/partner/upstream/enginestream.go
@@ -75,8 +75,8 @@
 }
 
 // forwardEvents forwards the events of one HTTP response up to doneMarker. The status
-// line and headers are sent with the first event, so that an error before it gets a
-// status of its own.
+// line and headers are sent with the first event, so that an error before the first event
+// can still be sent with its own status.
 func (e *Engine) forwardEvents(r *http.Response, c granitehoist.Call, sink granitehoist.Sink, state *streamState) error {
 	reader := bufio.NewReader(r.Body)
 	for {
