--- a/partner/router/mayserve.go
+++ b/partner/router/mayserve.go
@@ -18,10 +18,10 @@
 	boxes map[granitehoist.Box]bool
 }
 
-// mayServe reports whether a registered router may still be serving. An expired lease is
-// no proof that it is not, since a router that is partitioned from the store goes on
-// serving. Only a router whose lease has expired and whose box is no longer listed is known
-// to have stopped. An empty list counts as no list.
+// mayServe reports whether a registered router may still be serving. An expired lease does
+// not prove that the router has stopped, since a router that is partitioned from the store
+// goes on serving. A router is known to have stopped only if its lease has expired and its
+// box is missing from a list that is not empty.
 func (e servingEvidence) mayServe(m fleet.Member) bool {
 	_, listed := e.boxes[m.Box]
 	return e.live[m.Incarnation] || listed || len(e.boxes) == 0
