--- a/partner/policy/set.go
+++ b/partner/policy/set.go
@@ -6,7 +6,7 @@
 import "granitehoist.example/granitehoist"
 
 // Set holds the policies of one partner for one use: either requests of its own
-// workspaces, or requests of the other partner's workspaces on its capacity.
+// workspaces, or requests of other partners' workspaces on its capacity.
 type Set []*Policy
 
 // Decide permits a request if the set is not empty and every policy in it permits
