--- a/standin/storeserver.go
+++ b/standin/storeserver.go
@@ -28,8 +28,8 @@
 	writeJSON(w, boxlist.List{Boxes: boxes}, err)
 }
 
-// maxBodyBytes limits the size of a request body. Base64 makes the largest value a third
-// larger.
+// maxBodyBytes limits the size of a request body. It leaves room for the base64 encoding of
+// the largest value, which is a third larger, and for the other fields.
 const maxBodyBytes = 2 * granitehoist.MaxValueSize
 
 // decodeBody decodes a JSON body into a pointer. If it can't, it responds with status 400
