--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -112,8 +112,8 @@
 	return &RootRecord{Format: recordFormat, Accounts: map[granitehoist.BudgetID]*RootAccount{}}
 }
 
-// DecodeRegionRecord decodes a stored RegionRecord. It returns an empty RegionRecord for
-// a key that does not exist, and an error for a value that is invalid.
+// DecodeRegionRecord decodes a stored RegionRecord. It returns an empty RegionRecord for a
+// key that does not exist, and an error for a value that is invalid.
 func DecodeRegionRecord(e granitehoist.Entry) (*RegionRecord, error) {
 	record := NewRegionRecord()
 	if e.Version == 0 {
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -23,8 +23,8 @@
 }
 
 // setPrepaid sets the prepaid total of a budget from the configuration with the given
-// serial. An older configuration has no effect. A total below what the regions hold takes
-// effect as they return tokens.
+// serial. An older configuration has no effect. If the total is below what the regions hold,
+// serve sets their limits to zero until they have returned the difference.
 func (r *RootRecord) setPrepaid(k granitehoist.BudgetID, prepaid granitehoist.Tokens, serial granitehoist.Serial) {
 	a := r.account(k)
 	if serial <= a.PrepaidSerial {
