--- a/partner/gate/read.go
+++ b/partner/gate/read.go
@@ -171,8 +171,8 @@
 
 // upstreamPath returns the path and query for a plain service: the caller's without the
 // prefix and the name of the service, with the caller's escaping. It begins with a slash. The
-// route pattern of servePlain ensures that both removed segments exist, which the caller may
-// have escaped as well.
+// route pattern of servePlain ensures that both removed segments exist; the caller may have
+// escaped characters in them.
 func upstreamPath(r *http.Request) string {
 	const leadingParts = 3 // the empty one before the first slash, the prefix and the name
 	parts := strings.SplitN(r.URL.EscapedPath(), "/", leadingParts+1)
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -107,8 +107,8 @@
 	var binding *once.Binding
 	var uncertain error
 	for attempt := 1; ; attempt++ {
-		// Upstreams may have crashed under this request, also when another caller sent
-		// it, while it waited for tokens or during its last attempt.
+		// Since the last check, upstreams may have crashed under this request or under
+		// a repetition of it.
 		if err := g.checkCrashHistory(req); err != nil {
 			return g.releaseBinding(ctx, binding, overallError(uncertain, err))
 		}
