--- a/partner/orphan/unresponsive.go
+++ b/partner/orphan/unresponsive.go
@@ -13,8 +13,8 @@
 )
 
 // UnresponsiveTimeout is the time without a report after which another router charges a
-// router's attempts. A partitioned router may return later and store its own charges;
-// bill.Merge then drops those that were written in its place.
+// router's attempts. A partitioned router may return later and store its own charges for
+// these attempts; bill.Merge then drops the charges that the other router wrote.
 const UnresponsiveTimeout = 2 * time.Minute
 
 // lastSeen is the newest state of a router in the region records of its region.
