--- a/balance/balance.go
+++ b/balance/balance.go
@@ -26,7 +26,7 @@
 	// ones.
 	Draining bool
 	// ColdFor is how long the instance stays cold from the arrival of the announcement. A
-	// cold instance handles a limited request rate (Query.ColdPerSecond). Zero means warm.
+	// cold instance handles a limited request rate (Query.ColdRequestRate). Zero means warm.
 	ColdFor time.Duration
 	// StartedAtMS is the start time of this incarnation in milliseconds since the Unix
 	// epoch; zero if unknown. An instance may restart under the same ID: the announcement
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -22,10 +22,10 @@
 	// MaxEventGap is the route's target for the longest gap between two events of a
 	// stream; zero means none. It determines whether the prompt is heavy (slow.go).
 	MaxEventGap time.Duration
-	// ColdPerSecond is the rate limit of a cold instance of the service, in requests a
+	// ColdRequestRate is the rate limit of a cold instance of the service, in requests a
 	// second from all routers together; zero means no limit.
-	ColdPerSecond float64
-	// Routers is the number of routers that share ColdPerSecond; zero counts as one.
+	ColdRequestRate float64
+	// Routers is the number of routers that share ColdRequestRate; zero counts as one.
 	Routers int
 	// AllowedRegions holds the allowed regions of each rule that names some. A region
 	// must be allowed by all of them.
--- a/escrow/storehealth.go
+++ b/escrow/storehealth.go
@@ -64,11 +64,11 @@
 	}
 }
 
-// noteNeighbourCutOff records for how long the store has not responded to a neighbour.
+// noteNeighbourUnreachableFor records for how long the store has not responded to a neighbour.
 // If that is at least minOutage and the store responds to this router, it counts as an
 // outage that ended now.
-func (h *storeHealth) noteNeighbourCutOff(cutOff time.Duration, now time.Time) {
-	if h.cutOffSince.IsZero() && cutOff >= minOutage {
+func (h *storeHealth) noteNeighbourUnreachableFor(d time.Duration, now time.Time) {
+	if h.unreachableSince.IsZero() && d >= minOutage {
 		h.outageEnded = now
 	}
 }
@@ -77,7 +77,7 @@
 func (h storeHealth) isUnresponsive() bool { return !h.unresponsiveSince.IsZero() }
 
 // unresponsiveFor returns for how long the store has responded neither to this router
-// nor to a lender that reported to it, zero if it responds. Compare cutOffTime.
+// nor to a lender that reported to it, zero if it responds. Compare unreachableFor.
 func (h storeHealth) unresponsiveFor(now time.Time) time.Duration {
 	if !h.isUnresponsive() {
 		return 0
--- a/forward/request.go
+++ b/forward/request.go
@@ -59,8 +59,8 @@
 	// Workspace is nil for routes that need no key.
 	Workspace *catalog.Workspace
 	Priority  granitehoist.Priority
-	// Keyed is set if keys identify callers. Keys must then not be sent to upstreams.
-	Keyed bool
+	// RequireKey is set if keys identify callers. Keys must then not be sent to upstreams.
+	RequireKey bool
 	// Instance is the upstream that must run the attempt; no other may.
 	Instance granitehoist.Upstream
 	// Remaining is the remaining timeout of the request.
--- a/partner/budget/reserve.go
+++ b/partner/budget/reserve.go
@@ -11,7 +11,7 @@
 )
 
 // Reserve reserves bound tokens. If the box holds too few, it waits for more for up to
-// Split.Wait or until ctx is done. Its errors are of type *granitehoist.Error with the codes
+// Split.MaxWait or until ctx is done. Its errors are of type *granitehoist.Error with the codes
 // BudgetExhausted, BudgetUnreachable and DeadlineTooNear; nothing is reserved then. It
 // panics if bound is negative.
 func (a *Agent) Reserve(ctx context.Context, k granitehoist.BudgetID, bound granitehoist.Tokens) error {
