--- a/escrow/account.go
+++ b/escrow/account.go
@@ -26,8 +26,8 @@
 	waiters []*waiter
 	// limitChanged is set if the limit has changed since the last sync.
 	limitChanged bool
-	// standInUntil is until when this router acts as a stand-in holder; zero if it was
-	// never asked to.
+	// standInUntil is until when this router acts as a stand-in holder, zero if no
+	// borrower has asked for that.
 	standInUntil time.Time
 	// refilling is set while the next batch is being borrowed.
 	refilling bool
@@ -36,43 +36,43 @@
 	lendersFailed bool
 }
 
-// claim is a demand for tokens: a request, or a loan to a borrower.
+// claim asks a Ledger to reserve tokens, for a request or for a loan to a borrower.
 type claim struct {
-	// bound is the maximum cost of the request, or the size of the loan.
-	bound    granitehoist.Tokens
+	// maxCost is the maximum cost of the request; for a loan, its size.
+	maxCost  granitehoist.Tokens
 	priority granitehoist.Priority
-	// isLoan is set for a loan. The rules for the end of a budget don't apply to it here,
-	// since the borrower applies them to its own requests.
+	// isLoan is set for a loan. The low-budget rules don't apply to loans, since the
+	// borrower applies them to its own requests.
 	isLoan bool
 	// countsAsDemand is set if the claim counts towards the demand for which this router
 	// holds tokens: for its own requests, and for the loans of a holder.
 	countsAsDemand bool
 }
 
-// checkBudgetEnd applies the rules for the end of a budget to a claim, and grows the
-// ration up to now. Loans are always allowed: the borrower checks its own requests.
-func (a *account) checkBudgetEnd(c claim, now time.Time) endDecision {
+// checkLowBudget applies the low-budget rules to a claim, and refills the ration up to
+// now. Loans are always allowed: the borrower checks its own requests.
+func (a *account) checkLowBudget(c claim, now time.Time) lowBudgetDecision {
 	if c.isLoan {
-		return endAllowed
+		return lowBudgetAllowed
 	}
-	end := budgetEnd{
+	rules := lowBudgetRules{
 		remaining: a.fleet.totalRemaining(a.owned.unreserved()),
 		limit:     a.owned.limit,
 		mean:      a.demand.mean,
 		routers:   a.routers,
 	}
-	decision, ration := end.decide(c.bound, a.ration, now)
+	decision, ration := rules.decide(c.maxCost, a.ration, now)
 	a.ration = ration
 	return decision
 }
 
 // checkWait decides whether a claim may go on waiting.
 func (a *account) checkWait(c claim, now time.Time) waitDecision {
-	return decideWait(c.bound, a.checkBudgetEnd(c, now), a.fleet, a.owned.unreserved())
+	return decideWait(c.maxCost, a.checkLowBudget(c, now), a.fleet, a.owned.unreserved())
 }
 
-// target returns how many tokens the router should hold. remaining is what the store has
-// left.
+// target returns how many unreserved tokens the router should hold for future requests.
+// remaining is what the store has left.
 func (a *account) target(remaining granitehoist.Tokens, c conditions) granitehoist.Tokens {
 	t := targetInputs{
 		remaining: remaining, unreserved: a.owned.unreserved(),
@@ -104,22 +104,22 @@
 	unreserved := a.owned.unreserved()
 	g := grantInputs{
 		remaining: remaining, unreserved: unreserved, threshold: threshold,
-		shortfall: shortfallOf(a.allowedBounds(c.now), remaining, unreserved),
+		shortfall: shortfallOf(a.allowedMaxCosts(c.now), remaining, unreserved),
 		target:    a.target(remaining, c),
 	}
 	return g.grant()
 }
 
-// allowedBounds returns the bounds of the waiting requests that the rules for the end of
-// the budget allow.
-func (a *account) allowedBounds(now time.Time) []granitehoist.Tokens {
-	bounds := make([]granitehoist.Tokens, 0, len(a.waiters))
+// allowedMaxCosts returns the maximum costs of the waiting requests that the low-budget
+// rules allow.
+func (a *account) allowedMaxCosts(now time.Time) []granitehoist.Tokens {
+	maxCosts := make([]granitehoist.Tokens, 0, len(a.waiters))
 	for _, w := range a.waiters {
-		if !a.checkBudgetEnd(w.claim, now).withholds() {
-			bounds = append(bounds, w.bound)
+		if !a.checkLowBudget(w.claim, now).withholds() {
+			maxCosts = append(maxCosts, w.maxCost)
 		}
 	}
-	return bounds
+	return maxCosts
 }
 
 // loanRequestInputs returns the inputs of a loan request for the waiting requests.
@@ -129,9 +129,9 @@
 		rate:       a.demand.rate.value(c.now),
 	}
 	for i, w := range a.waiters {
-		r.waiting += w.bound
-		if i == 0 || w.bound < r.smallest {
-			r.smallest = w.bound
+		r.waiting += w.maxCost
+		if i == 0 || w.maxCost < r.smallest {
+			r.smallest = w.maxCost
 		}
 	}
 	return r
--- a/escrow/admit.go
+++ b/escrow/admit.go
@@ -17,20 +17,20 @@
 	admitted admission = iota
 	// insufficientFree means that the router has fewer free tokens than the claim needs.
 	insufficientFree
-	// heldForPriority means that the free tokens are reserved for requests of higher
+	// reservedForPriority means that the free tokens are reserved for requests of higher
 	// priority.
-	heldForPriority
+	reservedForPriority
 )
 
-// admit decides whether a claim may reserve tokens: the free tokens must cover its bound
-// and the reserve for requests of higher priority. Only tokens that this router owns
-// count, so that no two routers can spend the same token.
-func admit(free, bound, reserve granitehoist.Tokens) admission {
+// admit decides whether a claim may reserve tokens: the free tokens must cover its
+// maximum cost and the reserve for requests of higher priority. Only tokens that this
+// router owns count, so that no two routers can spend the same token.
+func admit(free, maxCost, reserve granitehoist.Tokens) admission {
 	switch {
-	case free < bound:
+	case free < maxCost:
 		return insufficientFree
-	case free < bound+reserve:
-		return heldForPriority
+	case free < maxCost+reserve:
+		return reservedForPriority
 	}
 	return admitted
 }
@@ -56,10 +56,10 @@
 
 // priorityReserve returns how many tokens a request leaves for requests of higher
 // priority: priorityReserveFraction of target for each level between its priority and
-// highest, the highest that this router has seen, but at most target, scaled by
-// outageFraction. target is the target of the last sync; outageFraction is the result of
-// outageRemaining. Without the reserve, requests of low priority would use up a holding
-// that can't be refilled during an outage.
+// highest, at most target, scaled by outageFraction. highest is the highest priority that
+// this router has seen. target is the target of the last sync. outageFraction is the
+// result of outageRemaining. Without the reserve, requests of low priority would use up a
+// holding that can't be refilled during an outage.
 func priorityReserve(priority, highest granitehoist.Priority, target granitehoist.Tokens, outageFraction float64) granitehoist.Tokens {
 	levels := float64(max(0, highest-priority))
 	return granitehoist.Tokens(min(1, priorityReserveFraction*levels) * outageFraction * float64(target))
--- a/escrow/ask.go
+++ b/escrow/ask.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxLendersPerRequest bounds the lenders that are called for one request: the
-	// holder and two stand-ins.
+	// maxLendersPerRequest is the maximum number of lenders that are called for one
+	// request: the holder and two stand-in holders.
 	maxLendersPerRequest = 3
 	// DefaultHedgeAfter is how long a lender may take before the next one is called as
 	// well. It exceeds the usual time of a call between two routers and a write of the
@@ -41,7 +41,7 @@
 	default:
 	}
 	lenders := s.waitForLenders(ctx, w)
-	replies := make(chan bool, len(lenders))
+	responses := make(chan bool, len(lenders))
 	request := s.settings.Ledger.loanRequestFor(w, c)
 	called, pending, responded := 0, 0, false
 	callNext := func() {
@@ -51,7 +51,7 @@
 		lender := lenders[called]
 		called++
 		pending++
-		go func() { replies <- s.borrowFrom(context.WithoutCancel(ctx), lender, request) }()
+		go func() { responses <- s.borrowFrom(context.WithoutCancel(ctx), lender, request) }()
 	}
 	callNext()
 	hedge := time.NewTicker(s.settings.HedgeAfter)
@@ -64,7 +64,7 @@
 			return s.settings.Ledger.abandon(w, queued, s.settings.Clock())
 		case <-hedge.C:
 			callNext()
-		case ok := <-replies:
+		case ok := <-responses:
 			pending--
 			responded = responded || ok
 			callNext()
@@ -76,8 +76,8 @@
 	return s.settings.Ledger.abandon(w, queued, s.settings.Clock())
 }
 
-// refill borrows the next batch for a workspace in the background if it is due. After a
-// failure the next request tries again.
+// refill borrows the next batch for a workspace in the background if the batch is due.
+// After a failure the next request tries again.
 func (s *Syncer) refill(w granitehoist.Workspace) {
 	request, needed := s.settings.Ledger.startRefill(w, s.settings.Clock())
 	if !needed {
@@ -111,15 +111,16 @@
 	return s.wait(ctx, w, queued)
 }
 
-// loanRequestFor returns the loan that a borrower requests for a claim: its bound, less
-// the free tokens unless other requests wait for them as well.
+// loanRequestFor returns the loan that a borrower requests for a claim: its maximum cost,
+// less the free tokens if no other request waits for them. The loan is at least one token
+// in that case.
 func (l *Ledger) loanRequestFor(w granitehoist.Workspace, c claim) loanRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	need := c.bound
+	need := c.maxCost
 	if len(a.waiters) <= 1 {
-		need = max(1, c.bound-max(0, a.owned.free()))
+		need = max(1, c.maxCost-max(0, a.owned.free()))
 	}
 	return loanRequest{workspace: w, need: need, want: need}
 }
--- a/escrow/batch.go
+++ b/escrow/batch.go
@@ -10,23 +10,23 @@
 )
 
 const (
-	// batchCover is how long a batch of borrowed tokens lasts at the router's rate of
-	// spending. It leaves time to borrow the next batch, and is short compared to a
-	// holder's cover.
+	// batchCover is how long a batch lasts at the router's rate of spending. A batch is the
+	// tokens that a borrower borrows for future requests. batchCover leaves time to borrow
+	// the next batch, and is short compared to a holder's cover.
 	batchCover = 2 * time.Second
-	// minBatchRequests is the minimum size of a batch, in requests of the mean bound. A
-	// router that expects fewer in batchCover borrows for each request, since batches at
-	// many routers would tie up much of a budget.
+	// minBatchRequests is the minimum size of a batch, in requests of the mean maximum
+	// cost. A router that expects fewer requests in batchCover borrows for each request,
+	// since batches at many routers would tie up much of a budget.
 	minBatchRequests = 4
-	// batchRefillThreshold is the fraction of a batch under which the next one is
+	// batchRefillThreshold is the fraction of a batch under which the next batch is
 	// borrowed.
 	batchRefillThreshold = 0.5
 )
 
-// batchSizeFor returns how many tokens a borrower keeps ahead of its requests: those of
-// batchCover at its rate in tokens a second if they suffice for minBatchRequests of the
-// mean bound, else none. A router that receives all requests of a workspace then calls
-// its holder about once a second instead of once per request.
+// batchSizeFor returns the size of a borrower's batch: what it spends in batchCover at
+// perSecond tokens a second. If that is less than minBatchRequests times mean, the mean
+// maximum cost of its requests, the size is zero. A router that receives all requests of
+// a workspace then calls its holder about once a second instead of once per request.
 func batchSizeFor(perSecond, mean float64) granitehoist.Tokens {
 	size := perSecond * batchCover.Seconds()
 	if size < minBatchRequests*mean {
@@ -35,8 +35,7 @@
 	return granitehoist.Tokens(size)
 }
 
-// batchSize returns how many tokens this router keeps ahead of its requests as a
-// borrower.
+// batchSize returns the size of this router's batch as a borrower.
 func (a *account) batchSize(now time.Time) granitehoist.Tokens {
 	return batchSizeFor(a.demand.rate.value(now), a.demand.mean)
 }
--- a/escrow/borrow.go
+++ b/escrow/borrow.go
@@ -14,7 +14,8 @@
 )
 
 const (
-	// maxLendersPerRound bounds the neighbours that Syncer.borrow calls for a workspace.
+	// maxLendersPerRound is the maximum number of neighbours that Syncer.borrow calls for
+	// a workspace.
 	maxLendersPerRound = 12
 	// DefaultLendWait is how long a lender waits for the store on behalf of a neighbour.
 	// It is well below lendTimeout, to leave time for the network and for another
@@ -30,7 +31,7 @@
 	}
 	lenders := map[granitehoist.Workspace][]Lender{}
 	for i := range maxLendersPerRound {
-		asked := false
+		called := false
 		for _, request := range s.settings.Ledger.loanRequestsForWaiters(s.settings.Clock()) {
 			if _, ok := lenders[request.workspace]; !ok {
 				lenders[request.workspace] = s.lenders(request.workspace)
@@ -38,10 +39,10 @@
 			if i >= len(lenders[request.workspace]) || ctx.Err() != nil {
 				continue
 			}
-			asked = true
+			called = true
 			s.borrowFrom(ctx, lenders[request.workspace][i], request)
 		}
-		if !asked {
+		if !called {
 			return
 		}
 	}
@@ -57,8 +58,8 @@
 	}
 	var result LendResult
 	if err := s.settings.Caller.Call(ctx, lender.Peer, MethodLend, params, &result); err != nil {
-		// A loan whose reply was lost is included in the next total. Exclude the lender
-		// for a while so that another one is called.
+		// A loan whose response was lost is included in the next total. Exclude the
+		// lender for a while so that another one is called.
 		s.exclude(lender)
 		return false
 	}
@@ -75,9 +76,9 @@
 // The error is always nil.
 //
 // A borrower, and any router if Need is not positive, lends at once as Ledger.Lend does.
-// A router of another role tries to reserve p.Want first. If it owns too little, it
+// A router of another role first tries to reserve Want. If it has too few free tokens, it
 // triggers a sync and waits up to LendWait; a holder does not wait while the store is
-// unresponsive. If it reserved p.Want, it lends all of that, otherwise what Ledger.Lend
+// unresponsive. If it could reserve Want, it lends that amount, otherwise what Ledger.Lend
 // gives.
 func (s *Syncer) ServeLend(ctx context.Context, p LendParams) (LendResult, error) {
 	p.Want = max(p.Want, p.Need)
@@ -89,7 +90,7 @@
 	if p.Need <= 0 || role == RoleBorrower {
 		return ledger.Lend(p, now), nil
 	}
-	c := claim{bound: p.Want, priority: granitehoist.MaxPriority, isLoan: true, countsAsDemand: role.isHolder()}
+	c := claim{maxCost: p.Want, priority: granitehoist.MaxPriority, isLoan: true, countsAsDemand: role.isHolder()}
 	if s.reserveForLoan(ctx, p.Workspace, c, role) {
 		return ledger.lendReserved(p, p.Want, s.settings.Clock()), nil
 	}
--- a/escrow/doc.go
+++ b/escrow/doc.go
@@ -37,7 +37,7 @@
 //   - owned, the only part that decides what may be spent; it states the conservation
 //     rule;
 //   - fleetView, the last reports of the record and of lenders, with their times;
-//   - demand, the rates and sizes of requests;
+//   - demand, the rates and maximum costs of requests;
 //   - ration, the spending limit for the last part of the budget.
 //
 // No call is made while Ledger.mu is held. recordCopy.mu is held during a sync of that
@@ -53,13 +53,13 @@
 //
 // # Where to begin reading
 //
-// Read owned.go, then ledger.go (reserve and settle), plan.go (what a sync grants and
-// returns), sync.go and recordcopy.go (how it is written), run.go and round.go (when),
+// Read owned.go, then ledger.go (reserve and settle), pendingrows.go (what a sync grants
+// and returns), sync.go and recordcopy.go (how it is written), run.go and round.go (when),
 // and ask.go (how a borrower of a large fleet gets tokens). The policies are functions
 // of their inputs and the time:
 //
-//   - admission: admit.go, budgetend.go, wait.go;
-//   - placement of tokens: role.go, shard.go, target.go, exposure.go, grant.go, batch.go,
+//   - admission: admit.go, lowbudget.go, wait.go;
+//   - placement of tokens: role.go, shard.go, target.go, postoutage.go, grant.go, batch.go,
 //     surplus.go, loansize.go, loanrequest.go, syncneeded.go;
 //   - state of the store and of other routers: storehealth.go, fleetview.go;
 //   - control of the syncer: round.go, storeretry.go.
@@ -68,7 +68,7 @@
 //
 // The request's log line has the outcome as budget=; outcome.go says what each outcome
 // means and which rule gives it. The fields free, rest, rest_age and silent of the line
-// are those of Answer: the tokens free here, the tokens remaining in the store, the age
-// of that report, and for how long the store has been unresponsive. The lines of
+// are those of Answer: the free tokens of this router, the tokens remaining in the store,
+// the age of that report, and for how long the store has been unresponsive. The lines of
 // budget_grant and budget_loan show which tokens arrived.
 package escrow
--- a/escrow/endofbudget_test.go
+++ b/escrow/endofbudget_test.go
@@ -33,7 +33,8 @@
 			boxes = append(boxes, b)
 		}
 	})
-	// drain spends at one box until at most keep is left in the store and one request here.
+	// drain spends at one box until at most keep is left in the store and one request
+	// at that box.
 	drain := func(b *box, keep granitehoist.Tokens) {
 		GinkgoHelper()
 		for range 10_000 {
--- a/escrow/fleetview.go
+++ b/escrow/fleetview.go
@@ -9,8 +9,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-// fleetView is what a router knows of the tokens that it doesn't own, from two sources,
-// each with the time of its last report. Ledger.mu guards it.
+// fleetView is what a router knows of the tokens that it doesn't own: those in the store
+// and those of other routers. It has two sources, each with the time of its last report.
+// Ledger.mu guards it.
 type fleetView struct {
 	record recordView
 	lender lenderView
@@ -18,11 +19,12 @@
 
 // recordView is what this router read in the record itself.
 type recordView struct {
-	// remaining is what the store had left after this router's last sync.
+	// remaining is what the store has left according to this router's last sync, after
+	// the grants and returns that the sync prepared.
 	remaining granitehoist.Tokens
-	// idleOfOthers is the sum of the idle tokens in the rows of other incarnations.
+	// idleOfOthers is the sum of Row.Idle over the rows of other incarnations.
 	idleOfOthers granitehoist.Tokens
-	// readAt is when the record was last read, zero if never.
+	// readAt is when a sync last prepared this router's row, zero if none has.
 	readAt time.Time
 	// valid is false until the record has been read under the present limit.
 	valid bool
@@ -30,8 +32,8 @@
 
 // lenderView is the last report of a lender that is connected to the store.
 type lenderView struct {
-	// remaining is what the store had left; totalRemaining adds the idle tokens of all
-	// routers but this one.
+	// remaining is what the store had left. totalRemaining adds the unreserved tokens of
+	// the lender and Row.Idle of the routers other than the lender.
 	remaining      granitehoist.Tokens
 	totalRemaining granitehoist.Tokens
 	// at is when the report arrived, zero if none has.
@@ -39,8 +41,8 @@
 	valid bool
 }
 
-// maxReportAge is how old a report may be for a request to be refused at once because of
-// it. It is a little more than DefaultInterval.
+// maxReportAge limits the age of reports that refuse requests at once: without a report
+// younger than this, a request waits. It is a little more than DefaultInterval.
 const maxReportAge = 800 * time.Millisecond
 
 // isFresh reports whether either source is younger than maxReportAge.
@@ -48,8 +50,8 @@
 	return now.Sub(v.record.readAt) < maxReportAge || now.Sub(v.lender.at) < maxReportAge
 }
 
-// lenderIsNewer reports whether the lender's report arrived after the record was read
-// here, and is to be used instead of it.
+// lenderIsNewer reports whether the lender's report arrived after this router last read
+// the record. The report is then used instead of the record.
 func (v *fleetView) lenderIsNewer() bool {
 	return v.lender.valid && v.lender.at.After(v.record.readAt)
 }
@@ -86,16 +88,17 @@
 	known bool
 }
 
-// totalRemaining returns what remains of the budget in the store, here and at all other
-// routers, according to the newer source. unreserved is what is owned here now; the
-// other terms are as old as their source.
+// totalRemaining returns what remains of the budget in the store, at this router and at
+// other routers, according to the newer source. unreserved is what this router owns and
+// has not reserved now; it can be negative and then counts as zero. The other terms are
+// as old as their source.
 func (v *fleetView) totalRemaining(unreserved granitehoist.Tokens) remainingBudget {
-	here := max(0, unreserved)
+	own := max(0, unreserved)
 	switch {
 	case v.lenderIsNewer():
-		return remainingBudget{tokens: v.lender.totalRemaining + here, known: true}
+		return remainingBudget{tokens: v.lender.totalRemaining + own, known: true}
 	case v.record.valid:
-		total := max(0, v.record.remaining) + here + v.record.idleOfOthers
+		total := max(0, v.record.remaining) + own + v.record.idleOfOthers
 		return remainingBudget{tokens: total, known: true}
 	}
 	return remainingBudget{}
--- a/escrow/grant.go
+++ b/escrow/grant.go
@@ -26,18 +26,20 @@
 
 // grantInputs holds the inputs of the size of a grant.
 type grantInputs struct {
-	// remaining is what the store has left, unreserved what is owned here.
+	// remaining is what the store has left. unreserved is what this router owns and has
+	// not reserved; it can be negative.
 	remaining, unreserved granitehoist.Tokens
-	// target is what should be held ahead of requests, shortfall what waiting requests
-	// need beyond what is owned.
+	// target is how many unreserved tokens this router should hold for future requests.
+	// shortfall is what the waiting requests lack, as far as it can be covered; see
+	// shortfallOf.
 	target, shortfall granitehoist.Tokens
 	// threshold is the fraction of the target under which the holding is filled.
 	threshold float64
 }
 
-// grant decides how many tokens to request from the store. If there is no shortfall and
-// the holding is not low, it requests none. Otherwise it requests the shortfall and what
-// fills the holding up to its target, at most what the store has left.
+// grant returns how many tokens to request from the store. If there is no shortfall and
+// the holding is not low, that is none. Otherwise it is the shortfall and what the holding
+// lacks to its target, but at most what the store has left.
 func (g grantInputs) grant() granitehoist.Tokens {
 	if g.remaining <= 0 {
 		return 0
@@ -48,19 +50,19 @@
 	return max(0, min(g.remaining, g.shortfall+max(0, g.target-max(0, g.unreserved))))
 }
 
-// shortfallOf returns what waiting requests with the given bounds need beyond what is
-// owned. It counts the smallest requests first, as far as the store and the owned tokens
-// can cover them, so that a large one does not block small ones. bounds is sorted in
-// place.
-func shortfallOf(bounds []granitehoist.Tokens, remaining, unreserved granitehoist.Tokens) granitehoist.Tokens {
-	sort.Slice(bounds, func(i, j int) bool { return bounds[i] < bounds[j] })
+// shortfallOf returns how many tokens waiting requests with the given maximum costs need
+// beyond the unreserved ones. It counts the smallest requests first, and only those that
+// the store and the unreserved tokens cover together, so that a large request does not
+// block small ones. maxCosts is sorted in place.
+func shortfallOf(maxCosts []granitehoist.Tokens, remaining, unreserved granitehoist.Tokens) granitehoist.Tokens {
+	sort.Slice(maxCosts, func(i, j int) bool { return maxCosts[i] < maxCosts[j] })
 	own := max(0, unreserved)
 	var sum granitehoist.Tokens
-	for _, bound := range bounds {
-		if sum+bound > remaining+own {
+	for _, maxCost := range maxCosts {
+		if sum+maxCost > remaining+own {
 			break
 		}
-		sum += bound
+		sum += maxCost
 	}
 	return max(0, sum-own)
 }
--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -10,17 +10,17 @@
 	"granitehoist.example/granitehoist"
 )
 
-// conditions returns the inputs common to all decisions on holdings at now. The caller
-// holds mu.
+// conditions returns the inputs common to all decisions on holdings at now, before
+// conditions.withRole. The caller holds mu.
 func (l *Ledger) conditions(routers int, now time.Time) conditions {
 	c := conditions{
 		now: now, routers: max(1, routers), cover: l.settings.Cover,
 		initialFraction: initialFraction, maxHeldFraction: maxHeldFraction, spareFraction: spareFraction,
-		exposedFraction: exposedFraction(l.health.outageEnded, now), closing: l.closing,
+		postOutageHeldFraction: postOutageHeldFraction(l.health.outageEnded, now), closing: l.closing,
 		sawOutage: !l.health.outageEnded.IsZero(),
 	}
 	if !l.firstRequestAt.IsZero() {
-		c.confidence = min(1, now.Sub(l.firstRequestAt).Seconds()/rateWindow.Seconds())
+		c.observedFraction = min(1, now.Sub(l.firstRequestAt).Seconds()/rateWindow.Seconds())
 	}
 	return c
 }
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -70,16 +70,16 @@
 	}
 }
 
-// Reserve reserves bound tokens, and reports whether the router owns that many and the
-// admission rules allow it. Each success must be followed by one Settle. It panics if
-// bound is negative.
-func (l *Ledger) Reserve(w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority, now time.Time) bool {
-	return l.reserve(w, claim{bound: bound, priority: priority, countsAsDemand: true}, now)
+// Reserve reserves maxCost tokens, and reports whether it did: the router must have that
+// many free tokens, and the admission and low-budget rules must allow the request. Each
+// success must be followed by one Settle. It panics if maxCost is negative.
+func (l *Ledger) Reserve(w granitehoist.Workspace, maxCost granitehoist.Tokens, priority granitehoist.Priority, now time.Time) bool {
+	return l.reserve(w, claim{maxCost: maxCost, priority: priority, countsAsDemand: true}, now)
 }
 
 // reserve implements Reserve for any claim.
 func (l *Ledger) reserve(w granitehoist.Workspace, c claim, now time.Time) bool {
-	requireNonNegative(c.bound)
+	requireNonNegative(c.maxCost)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
@@ -87,40 +87,40 @@
 		l.firstRequestAt = now
 	}
 	if c.countsAsDemand {
-		a.demand.observe(c.bound, c.priority)
+		a.demand.observe(c.maxCost, c.priority)
 	}
-	if a.checkBudgetEnd(c, now).withholds() {
+	if a.checkLowBudget(c, now).withholds() {
 		return false
 	}
 	return l.reserveIfAdmitted(a, c, now)
 }
 
-// reserveIfAdmitted reserves for a claim if admit allows it. The bound of a request
-// counts as demand until its use is known. The caller holds mu.
+// reserveIfAdmitted reserves tokens for a claim if admit allows it. The maximum cost of a
+// request counts as demand until Settle records its use. The caller holds mu.
 func (l *Ledger) reserveIfAdmitted(a *account, c claim, now time.Time) bool {
 	reserve := priorityReserve(c.priority, a.demand.highestPriority, a.lastTarget, outageRemaining(l.health.unresponsiveSince, now))
-	if admit(a.owned.free(), c.bound, reserve) != admitted {
+	if admit(a.owned.free(), c.maxCost, reserve) != admitted {
 		return false
 	}
-	a.owned.reserve(c.bound)
+	a.owned.reserve(c.maxCost)
 	if c.countsAsDemand {
-		a.demand.rate.add(c.bound, l.firstRequestAt, now)
+		a.demand.rate.add(c.maxCost, l.firstRequestAt, now)
 	}
 	if !c.isLoan {
-		a.ration = a.ration.less(c.bound)
+		a.ration = a.ration.minus(c.maxCost)
 	}
 	return true
 }
 
-// Settle ends a reservation of bound tokens and records the tokens used. It panics if
+// Settle ends a reservation of maxCost tokens and records the tokens used. It panics if
 // there is no such reservation or if used is negative.
-func (l *Ledger) Settle(w granitehoist.Workspace, bound, used granitehoist.Tokens, now time.Time) {
+func (l *Ledger) Settle(w granitehoist.Workspace, maxCost, used granitehoist.Tokens, now time.Time) {
 	requireNonNegative(used)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(w)
-	a.owned.settle(bound, used)
-	a.demand.rate.add(used-bound, l.firstRequestAt, now)
+	a.owned.settle(maxCost, used)
+	a.demand.rate.add(used-maxCost, l.firstRequestAt, now)
 	l.admitWaiters(a, now)
 }
 
--- a/escrow/lenders.go
+++ b/escrow/lenders.go
@@ -35,15 +35,15 @@
 
 // availableLenders returns the neighbours that are not excluded, or all if none would
 // remain. avoided holds the end of each exclusion by address.
-func availableLenders(all []Lender, avoided map[string]time.Time, now time.Time) []Lender {
-	var answering []Lender
+func availableLenders(all []Lender, excludedUntil map[string]time.Time, now time.Time) []Lender {
+	var available []Lender
 	for _, lender := range all {
-		if now.After(avoided[lender.Address]) {
-			answering = append(answering, lender)
+		if now.After(excludedUntil[lender.Address]) {
+			available = append(available, lender)
 		}
 	}
-	if len(answering) == 0 {
+	if len(available) == 0 {
 		return all
 	}
-	return answering
+	return available
 }
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -29,7 +29,7 @@
 	return l.lendResult(a, p.Borrower, now)
 }
 
-// lendResult returns the reply to a borrower: the total of its loans and, if this router
+// lendResult returns the response to a borrower: the total of its loans and, if this router
 // is connected to the store, what it knows of the budget. The caller holds mu.
 func (l *Ledger) lendResult(a *account, borrower granitehoist.Incarnation, now time.Time) LendResult {
 	result := LendResult{Total: a.owned.lent[borrower]}
@@ -43,16 +43,16 @@
 }
 
 // lendReserved turns a reservation into a loan.
-func (l *Ledger) lendReserved(p LendParams, bound granitehoist.Tokens, now time.Time) LendResult {
+func (l *Ledger) lendReserved(p LendParams, tokens granitehoist.Tokens, now time.Time) LendResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a := l.account(p.Workspace)
-	a.owned.lendReserved(p.Borrower, bound)
+	a.owned.lendReserved(p.Borrower, tokens)
 	return l.lendResult(a, p.Borrower, now)
 }
 
-// RecordLoan records a lender's reply, and reports whether it brought tokens. Late or
-// duplicate replies bring none.
+// RecordLoan records a lender's response, and reports whether it brought tokens. Late or
+// duplicate responses bring none.
 func (l *Ledger) RecordLoan(w granitehoist.Workspace, lender granitehoist.Incarnation, r LendResult, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +72,7 @@
 }
 
 // noteRepayment records a repayment. Repaid tokens were not spent, so a holder deducts
-// them from the demand that it counted for the loan.
+// them from its demand.rate.
 func (l *Ledger) noteRepayment(p RepayParams, now time.Time) {
 	l.mu.Lock()
 	a := l.account(p.Workspace)
@@ -95,7 +95,7 @@
 	return RepayParams{Sender: l.settings.Incarnation, Workspace: s.workspace, Total: a.owned.lent[to]}
 }
 
-// report returns a reply to a neighbour without a new loan.
+// report returns a response to a neighbour without a new loan.
 func (l *Ledger) report(w granitehoist.Workspace, neighbour granitehoist.Incarnation, now time.Time) LendResult {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/loansize.go
+++ b/escrow/loansize.go
@@ -12,17 +12,16 @@
 
 // loanInputs holds the inputs of the size of a loan.
 type loanInputs struct {
-	// free is what the lender may reserve.
+	// free is how many tokens the lender may reserve.
 	free granitehoist.Tokens
-	// need is what one request of the borrower lacks, want what would serve it for a
-	// while.
+	// need and want are LendParams.Need and LendParams.Want.
 	need, want granitehoist.Tokens
 	// waiting is set if requests of the lender wait for tokens themselves.
 	waiting bool
 	// closing is set if the lender is shutting down and returns its tokens.
 	closing bool
-	// allOrNothing is set if no loan below the need is given. Partial loans of a holder
-	// would only scatter the tokens of its shard.
+	// allOrNothing is set if no loan below the need is given, as at a holder: partial
+	// loans of a holder would only scatter the tokens of its shard.
 	allOrNothing bool
 }
 
--- a/escrow/messages.go
+++ b/escrow/messages.go
@@ -14,33 +14,37 @@
 type LendParams struct {
 	Borrower  granitehoist.Incarnation `json:"borrower"`
 	Workspace granitehoist.Workspace   `json:"workspace"`
-	// Need is what one request lacks, Want what would serve for a while, in tokens.
+	// Need is the smallest number of tokens that helps the borrower, usually what one
+	// request lacks. Want is the number requested; the excess over Need is for other
+	// requests.
 	Need granitehoist.Tokens `json:"need"`
 	Want granitehoist.Tokens `json:"want"`
-	// StandIn asks the receiver to act as a holder of the workspace for a while, since
-	// the holders did not help.
+	// StandIn asks the receiver to act as a stand-in holder of the workspace for
+	// standInTime, since the holder did not help.
 	StandIn bool `json:"stand_in,omitempty"`
 }
 
-// LendResult is a lender's reply.
+// LendResult is a lender's response. Some JSON names are older than the names of the
+// fields and stay for compatibility.
 type LendResult struct {
 	// Total is the sum of all loans of the lender to the borrower. It only grows, so
-	// that the next reply makes up for a lost one.
+	// that the next response makes up for a lost one.
 	Total granitehoist.Tokens `json:"total"`
 	// StoreConnected is set if the lender has read the record and the store responded to
-	// it within connectedTime. If it is not set, the fields below are zero.
+	// it within connectedTime. If not, StoreRemaining and TotalRemaining are zero.
 	StoreConnected bool `json:"in_touch,omitempty"`
 	// StoreRemaining is what the store had left when the lender last read the record.
 	StoreRemaining granitehoist.Tokens `json:"rest,omitempty"`
-	// TotalRemaining adds the idle tokens of all routers but the borrower to
-	// StoreRemaining.
+	// TotalRemaining is StoreRemaining plus the lender's unreserved tokens plus Row.Idle
+	// of the routers other than the lender.
 	TotalRemaining granitehoist.Tokens `json:"left,omitempty"`
 }
 
 // MethodRepay transfers tokens to a neighbour that did not request them.
 const MethodRepay = "escrow.repay"
 
-// RepayParams transfers tokens to the receiver.
+// RepayParams transfers tokens to the receiver. The JSON name giver stays for
+// compatibility.
 type RepayParams struct {
 	Sender    granitehoist.Incarnation `json:"giver"`
 	Workspace granitehoist.Workspace   `json:"workspace"`
--- a/escrow/outcome.go
+++ b/escrow/outcome.go
@@ -23,7 +23,7 @@
 	// have enough and the store responds. See decideWait and timeoutOutcome.
 	Scarce
 	// Withheld means that the budget is near its end and the request is too large for
-	// the remainder. See budgetEnd.decide.
+	// the remainder. See lowBudgetRules.decide.
 	Withheld
 	// Unreachable means that this router has too few tokens and the store does not
 	// respond. See timeoutOutcome.
@@ -39,7 +39,7 @@
 // knew it then.
 type Answer struct {
 	Outcome Outcome
-	// Free is what a request could still reserve here.
+	// Free is how many tokens a request could still reserve at this router.
 	Free granitehoist.Tokens
 	// StoreRemaining is what the store had left by the newest report, of the record or
 	// of a lender, and Age the age of that report; both are zero if there was none.
@@ -50,7 +50,7 @@
 	StoreUnresponsiveFor time.Duration
 }
 
-// answer returns an outcome with what the router knows of the workspace.
+// answer returns an outcome with what this router knows of the workspace's budget.
 func (l *Ledger) answer(w granitehoist.Workspace, o Outcome, now time.Time) Answer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/owned.go
+++ b/escrow/owned.go
@@ -14,20 +14,21 @@
 //
 //	granted + sum(borrowed) - returned - sum(lent) = spent + reserved + unreserved
 //
-// tokens. Only the methods below change the terms. Each is a total that only grows,
-// except reserved, which settle and lendReserved reduce. Only unreserved can be
-// negative, by what upstreams used beyond the bounds of their requests; nothing more is
-// reserved until grants or loans have covered it. The tests check the rule on random
-// histories (CheckConservation in export_test.go).
+// tokens. unreserved is computed from the other terms. Only the methods below change
+// those. Each of them is a total that only grows, except reserved, which settle and
+// lendReserved reduce. Only unreserved can be negative: requests that use more than their
+// maximum cost reduce it. Nothing more is reserved until grants or loans have made it
+// positive. The tests check the rule on random histories (CheckConservation in
+// export_test.go).
 type owned struct {
 	// granted and returned are the totals of this incarnation's row. granted includes a
 	// grant only after the store has confirmed it. returned includes a return already
 	// before it is written. A lost write therefore neither creates tokens nor lets
-	// returned ones be spent here.
+	// returned ones be spent.
 	granted  granitehoist.Tokens
 	returned granitehoist.Tokens
-	// spent is the use of the settled requests, reserved the sum of the bounds of the
-	// others.
+	// spent is the sum of the tokens that settled requests used. reserved is the sum of
+	// the maximum costs of unsettled requests and of loans that are about to be lent.
 	spent    granitehoist.Tokens
 	reserved granitehoist.Tokens
 	// lent and borrowed are the totals of all loans, by the incarnation of the other
@@ -40,11 +41,12 @@
 	// limit is the prepaid total in force.
 	limit granitehoist.Tokens
 	// limitUnconfirmed is set if the limit was reduced and the record has not been read
-	// since: the new limit may no longer cover what is free here.
+	// since: the new limit may no longer cover the unreserved tokens.
 	limitUnconfirmed bool
 }
 
-// unreserved returns the tokens that are neither spent nor reserved.
+// unreserved returns the tokens that this incarnation owns and has neither spent nor
+// reserved. It can be negative.
 func (o *owned) unreserved() granitehoist.Tokens {
 	return o.granted - o.returned - o.spent - o.reserved + o.borrowedSum - o.lentSum
 }
@@ -78,19 +80,19 @@
 func (o *owned) returnToStore(tokens granitehoist.Tokens) { o.returned += tokens }
 
 // reserve reserves tokens. The caller has checked that they are free.
-func (o *owned) reserve(bound granitehoist.Tokens) { o.reserved += bound }
+func (o *owned) reserve(tokens granitehoist.Tokens) { o.reserved += tokens }
 
 // settle ends a reservation and records the tokens used. It panics if there is no such
 // reservation.
-func (o *owned) settle(bound, used granitehoist.Tokens) {
-	if o.reserved < bound {
+func (o *owned) settle(maxCost, used granitehoist.Tokens) {
+	if o.reserved < maxCost {
 		panic("escrow: settlement without reservation")
 	}
-	o.reserved -= bound
+	o.reserved -= maxCost
 	o.spent += used
 }
 
-// lend deducts a loan. It must be called before the reply to the borrower is sent.
+// lend deducts a loan. It must be called before the response to the borrower is sent.
 func (o *owned) lend(to granitehoist.Incarnation, tokens granitehoist.Tokens) {
 	if o.lent == nil {
 		o.lent = map[granitehoist.Incarnation]granitehoist.Tokens{}
@@ -100,9 +102,9 @@
 }
 
 // lendReserved turns a reservation into a loan.
-func (o *owned) lendReserved(to granitehoist.Incarnation, bound granitehoist.Tokens) {
-	o.reserved -= bound
-	o.lend(to, bound)
+func (o *owned) lendReserved(to granitehoist.Incarnation, tokens granitehoist.Tokens) {
+	o.reserved -= tokens
+	o.lend(to, tokens)
 }
 
 // borrow records the total of a lender's loans and reports whether it grew. Old messages
--- a/escrow/plan.go
+++ b/escrow/pendingrows.go
@@ -9,11 +9,11 @@
 	"granitehoist.example/granitehoist"
 )
 
-// plan holds this router's rows that one sync is about to write, by workspace.
-type plan map[granitehoist.Workspace]plannedRow
+// pendingRows holds this router's rows that one sync is about to write, by workspace.
+type pendingRows map[granitehoist.Workspace]pendingRow
 
-// plannedRow is a row to be written.
-type plannedRow struct {
+// pendingRow is a row that a sync is about to write.
+type pendingRow struct {
 	row Row
 	// remaining is what the store has left of limit, the prepaid total, after the write.
 	remaining granitehoist.Tokens
@@ -27,19 +27,19 @@
 	return c.role != RoleBorrower || a.owned.limitUnconfirmed || c.closing || a.lendersFailed
 }
 
-// isWrite reports whether the record has to be written.
-func (p plan) isWrite() bool { return len(p) > 0 }
+// needsWrite reports whether the record has to be written.
+func (p pendingRows) needsWrite() bool { return len(p) > 0 }
 
-// prepare puts this router's next rows into r, the record of a scope, and returns the
-// rows that have to be written. Holdings are filled below jointRefillThreshold instead
-// of refillThreshold if batched is set, which means that the record is written together
-// with others, or if anyLow is true. routers is the number of routers that share the
-// budgets. Returned tokens are deducted from what is owned at once; granted tokens are
-// added by confirm.
-func (l *Ledger) prepare(r *Record, in scope, batched bool, routers int, now time.Time) plan {
+// updateRows puts this router's next rows into r, the record of a scope, and returns the
+// rows that have to be written. batched means that r is written together with other
+// records. If batched is set or anyLow is true, holdings are filled below
+// jointRefillThreshold instead of refillThreshold. routers is the number of routers that
+// share the budgets. updateRows deducts returned tokens from owned at once; confirm adds
+// granted ones after the write.
+func (l *Ledger) updateRows(r *Record, in scope, batched bool, routers int, now time.Time) pendingRows {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p := plan{}
+	p := pendingRows{}
 	all := l.conditions(routers, now)
 	threshold := refillThreshold
 	if batched || l.anyLow(in, all) {
@@ -60,7 +60,7 @@
 		after := remaining - (next.Granted - row.Granted) + (next.Returned - row.Returned)
 		if rowNeedsWrite(row, next, remaining, a.owned.limit) {
 			stored.Rows[self] = next
-			p[w] = plannedRow{row: next, remaining: after, limit: a.owned.limit}
+			p[w] = pendingRow{row: next, remaining: after, limit: a.owned.limit}
 		}
 		a.lastTarget = a.target(remaining, c)
 		a.routers = routers
@@ -72,7 +72,7 @@
 }
 
 // nextRow returns this router's next row, with the tokens to be granted and returned. It
-// deducts the latter from what is owned. remaining is what the store has left; threshold
+// deducts the returned tokens from owned. remaining is what the store has left. threshold
 // is the fraction of the target below which the holding is filled.
 func (a *account) nextRow(row Row, remaining granitehoist.Tokens, c conditions, threshold float64) Row {
 	next := row
@@ -87,8 +87,8 @@
 	return next
 }
 
-// confirm completes a sync whose outcome is known: it adds the confirmed grants to what
-// is owned and decides on the waiting requests. r is the record of a scope as stored.
+// confirm completes a sync that succeeded: it adds the confirmed grants to owned and
+// decides on the waiting requests. r is the record of a scope as stored.
 func (l *Ledger) confirm(r *Record, in scope, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/rate.go
+++ b/escrow/rate.go
@@ -18,7 +18,7 @@
 	// stepTokens counts the tokens of the present step, which began at stepStart.
 	stepTokens float64
 	stepStart  time.Time
-	// covered is the time that the mean covers, up to rateWindow.
+	// covered is the total duration of the steps in the mean, up to rateWindow.
 	covered time.Duration
 }
 
@@ -26,12 +26,12 @@
 	// rateStep is the minimum duration of a step.
 	rateStep = 500 * time.Millisecond
 	// rateWindow is the time constant of the mean. It is also the time in which
-	// conditions.confidence grows to 1.
+	// conditions.observedFraction grows to 1.
 	rateWindow = 5 * time.Second
 )
 
-// add counts tokens; a negative amount deducts what was reserved and not used. The first
-// step starts at observedSince, so that time without requests before the first call
+// add counts tokens; a negative amount deducts tokens that were counted and not used. The
+// first step starts at observedSince, so that time without requests before the first call
 // lowers the mean. If observedSince is zero, the first step starts at the first call.
 func (r *rate) add(t granitehoist.Tokens, observedSince, now time.Time) {
 	if r.stepStart.IsZero() {
--- a/escrow/record.go
+++ b/escrow/record.go
@@ -22,8 +22,8 @@
 
 // RecordKey is the store's key of the record of all workspaces. In a large fleet this
 // record is divided: each shard has a record of its own, which starts with the accounts
-// that the shard's workspaces had in this one. After the division this record does not
-// change any more.
+// of the shard's workspaces in the divided record. The divided record does not change any
+// more.
 const RecordKey = "budget/escrow"
 
 // Row is the state of one incarnation's tokens of a workspace.
@@ -31,12 +31,13 @@
 	// Granted and Returned only grow.
 	Granted  granitehoist.Tokens `json:"g"`
 	Returned granitehoist.Tokens `json:"r,omitempty"`
-	// Spent and Idle are as the incarnation last reported. They only affect which
+	// Spent and Idle are the spent and the unreserved tokens of the incarnation when it
+	// last wrote the row; see owned. Idle is at least zero. They only affect which
 	// requests are refused and how large grants are, never what may be spent.
 	Spent granitehoist.Tokens `json:"s,omitempty"`
 	Idle  granitehoist.Tokens `json:"i,omitempty"`
-	// Rate is what the incarnation and its borrowers spend in tokens a second, as it
-	// last reported.
+	// Rate is demand.rate of the incarnation, in tokens a second, when it last wrote the
+	// row.
 	Rate granitehoist.Tokens `json:"v,omitempty"`
 }
 
--- a/escrow/recordcopy.go
+++ b/escrow/recordcopy.go
@@ -11,9 +11,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-// scope is the set of workspaces of one record.
+// scope is the set of workspaces in one record.
 type scope struct {
-	// divided limits the scope to the workspaces of shard; otherwise it has all.
+	// divided is set if the scope has only the workspaces of shard; if not, it has all.
 	divided bool
 	shard   Shard
 }
@@ -31,8 +31,9 @@
 
 	// mu is held during a sync, its calls included, and guards the fields below.
 	mu sync.Mutex
-	// lastEntry is the last known entry of the store if lastEntryValid is set. After a
-	// write of unknown outcome the record has to be read again.
+	// lastEntry is the last known entry of the store. It may be used if lastEntryValid is
+	// set. After a write of unknown outcome lastEntryValid is not set, and the record has
+	// to be read again.
 	lastEntry      granitehoist.Entry
 	lastEntryValid bool
 }
@@ -62,11 +63,11 @@
 
 // markDivided sets the divided record from which the records of shards start. Only the
 // first call has an effect.
-func (c *recordCopies) markDivided(frozen *Record) {
+func (c *recordCopies) markDivided(dividedRecord *Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.base == nil {
-		c.base, c.shards = frozen, map[Shard]*recordCopy{}
+		c.base, c.shards = dividedRecord, map[Shard]*recordCopy{}
 	}
 }
 
@@ -130,7 +131,7 @@
 	}
 	if !record.isDivided() {
 		record.divide()
-		if err := s.write(ctx, []draft{{copy: whole, record: record}}); err != nil {
+		if err := s.write(ctx, []pendingWrite{{copy: whole, record: record}}); err != nil {
 			return err
 		}
 	}
--- a/escrow/repay.go
+++ b/escrow/repay.go
@@ -14,7 +14,8 @@
 	"granitehoist.example/granitehoist/internal/pause"
 )
 
-// maxTransferTries bounds the neighbours that are offered one workspace's tokens.
+// maxTransferTries is the maximum number of neighbours that are offered one workspace's
+// tokens.
 const maxTransferTries = 3
 
 // ServeRepay handles a neighbour's call of MethodRepay. A total of zero only asks
@@ -70,14 +71,14 @@
 	}
 }
 
-// transferTo transfers tokens to a neighbour in two calls: the first asks whether it
-// accepts them, the second transfers them. It reports whether the tokens have been
-// deducted here.
+// transferTo transfers tokens to a neighbour in two calls: the first asks whether the
+// neighbour accepts them, the second transfers them. It reports whether the tokens were
+// deducted from this router's tokens.
 func (s *Syncer) transferTo(ctx context.Context, to granitehoist.Peer, extra surplus) bool {
 	ctx, cancel := context.WithTimeout(ctx, repayTimeout)
 	defer cancel()
-	// Nothing is deducted before the neighbour has responded. If it does not, the error
-	// is dropped and the next neighbour is tried.
+	// Nothing is deducted before the neighbour has accepted. If the call fails, the error
+	// is dropped and the caller tries the next neighbour.
 	ask := RepayParams{Sender: s.settings.Ledger.settings.Incarnation, Workspace: extra.workspace}
 	var result LendResult
 	if err := s.settings.Caller.Call(ctx, to, MethodRepay, ask, &result); err != nil {
--- a/escrow/role.go
+++ b/escrow/role.go
@@ -27,24 +27,25 @@
 	// RoleStandIn is the role of a stand-in holder: a borrower that was asked in place of
 	// the holder acts as a holder for standInTime, with smaller holdings.
 	RoleStandIn
-	// RoleBorrower is the role of all other routers of a large fleet. They own few or no
-	// tokens ahead of requests, and pay for requests with loans of a holder.
+	// RoleBorrower is the role of all other routers of a large fleet. They hold few or no
+	// tokens for future requests, and pay for requests with loans of a holder.
 	RoleBorrower
 )
 
-// standInTime is how long a router remains a stand-in holder after the last call that
-// asked it to be one. It exceeds lenderBackoff, after which borrowers call the holder
+// standInTime is how long a router remains a stand-in holder after the last call with
+// LendParams.StandIn. It exceeds lenderBackoff, after which borrowers call the holder
 // again.
 const standInTime = 3 * time.Second
 
 // Lender is a neighbour that may lend a workspace's tokens.
 type Lender struct {
 	granitehoist.Peer
-	// IsStandIn is set if the neighbour is asked in place of the holder.
+	// IsStandIn is set if the neighbour is called as a stand-in holder.
 	IsStandIn bool
 }
 
-// isHolder reports whether a router with the role lends to a whole fleet.
+// isHolder reports whether a router with the role lends to a whole fleet, as a holder or
+// a stand-in holder.
 func (r Role) isHolder() bool { return r == RoleHolder || r == RoleStandIn }
 
 // role returns this router's role for a workspace. The caller holds mu.
--- a/escrow/round.go
+++ b/escrow/round.go
@@ -20,7 +20,7 @@
 	stepNothing step = iota
 	// stepBorrow borrows from neighbours for waiting requests.
 	stepBorrow
-	// stepSync syncs the record, and also borrows from neighbours if that takes long.
+	// stepSync syncs the record, and also borrows from neighbours if the sync takes long.
 	stepSync
 )
 
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -17,8 +17,8 @@
 const (
 	// syncDelay lets requests that arrive together share a sync.
 	syncDelay = 3 * time.Millisecond
-	// borrowAfter is how long a sync may take before neighbours are asked for loans as
-	// well.
+	// borrowAfter is how long a sync may take before the router also requests loans from
+	// neighbours.
 	borrowAfter = 20 * time.Millisecond
 )
 
@@ -51,8 +51,8 @@
 
 // loopState is the state that Run keeps between rounds.
 type loopState struct {
-	// retryAt is when a store that failed may be called again, and backoff the delay
-	// after its next failure.
+	// retryAt is when a store that failed may be called again. backoff is the delay after
+	// the next failed sync.
 	retryAt time.Time
 	backoff time.Duration
 }
--- a/escrow/storehealth.go
+++ b/escrow/storehealth.go
@@ -16,7 +16,8 @@
 
 // storeHealth is what a router knows of the store's availability. The zero value means a
 // store that has not been called. The store counts as unresponsive from the first failed
-// call until the next response.
+// call until the next response. At a borrower, a response of a holder that is not
+// connected to the store counts as a failed call.
 type storeHealth struct {
 	// lastResponse is when the store last responded to this router or to a lender that
 	// reported to this router. unresponsiveSince is when a call first failed since then,
@@ -26,9 +27,10 @@
 	// lastDirectResponse is when the store last responded to this router itself.
 	lastDirectResponse time.Time
 	// unreachableSince is when a call first failed since the store last responded to this
-	// router itself or to a holder that it borrows from.
+	// router itself or to a holder that it borrows from; zero if none has.
 	unreachableSince time.Time
-	// outageEnded is when the last outage ended, here or at a neighbour.
+	// outageEnded is when the last outage ended at this router or at a neighbour, zero if
+	// there was none.
 	outageEnded time.Time
 }
 
@@ -64,9 +66,9 @@
 	}
 }
 
-// noteNeighbourUnreachableFor records for how long the store has not responded to a neighbour.
-// If that is at least minOutage and the store responds to this router, it counts as an
-// outage that ended now.
+// noteNeighbourUnreachableFor records that the store has not responded to a neighbour for
+// d. If d is at least minOutage and the store responds to this router, an outage counts as
+// ended now.
 func (h *storeHealth) noteNeighbourUnreachableFor(d time.Duration, now time.Time) {
 	if h.unreachableSince.IsZero() && d >= minOutage {
 		h.outageEnded = now
--- a/escrow/storeretry.go
+++ b/escrow/storeretry.go
@@ -6,17 +6,17 @@
 import "time"
 
 const (
-	// DefaultTimeout bounds a call to a store that responds.
+	// DefaultTimeout is the timeout of a call to a store that responds.
 	DefaultTimeout = 1500 * time.Millisecond
-	// probeTimeout bounds the calls to an unresponsive store. It is short because a call
-	// sent before the store recovers waits for its whole timeout.
+	// probeTimeout is the timeout of a call to an unresponsive store. It is short because
+	// a call sent before the store recovers waits for its whole timeout.
 	probeTimeout = 400 * time.Millisecond
 	// fullTimeoutEvery is the number of failed attempts in a row after which one gets
 	// the full timeout again, since the store may only be slow.
 	fullTimeoutEvery = 4
 	// initialBackoff is the first delay after a failed sync.
 	initialBackoff = 150 * time.Millisecond
-	// maxBackoff bounds the delay after failed syncs.
+	// maxBackoff is the longest delay after a failed sync.
 	maxBackoff = 300 * time.Millisecond
 )
 
@@ -38,5 +38,5 @@
 	return min(probeTimeout, full)
 }
 
-// nextBackoff returns the delay after one more failed sync.
+// nextBackoff returns the backoff after one more failed sync.
 func nextBackoff(pause time.Duration) time.Duration { return min(2*pause, maxBackoff) }
--- a/escrow/surplus.go
+++ b/escrow/surplus.go
@@ -8,23 +8,24 @@
 const (
 	// returnAboveTarget is the multiple of the target above which tokens are returned.
 	returnAboveTarget = 2.0
-	// returnAboveTargetAfterOutage replaces returnAboveTarget while holdings are limited
-	// after an outage.
+	// returnAboveTargetAfterOutage replaces returnAboveTarget while
+	// conditions.isLimitedAfterOutage.
 	returnAboveTargetAfterOutage = 1.2
-	// minReturnFraction is the fraction of the prepaid total below which a return is not
-	// worth a write.
+	// minReturnFraction is the smallest return that is worth a write, as a fraction of the
+	// prepaid total.
 	minReturnFraction = 0.005
-	// minReturnFractionAtEnd replaces minReturnFraction near the end of the budget, when
-	// the holdings of all routers are a large part of what is left.
-	minReturnFractionAtEnd = 0.0002
-	// endFraction is the fraction of the prepaid total left in the store below which
-	// minReturnFractionAtEnd applies.
-	endFraction = 0.02
+	// lowBudgetMinReturnFraction replaces minReturnFraction near the end of the budget,
+	// when the holdings of all routers are a large part of what is left.
+	lowBudgetMinReturnFraction = 0.0002
+	// lowBudgetReturnThreshold is the fraction of the prepaid total left in the store below
+	// which lowBudgetMinReturnFraction applies.
+	lowBudgetReturnThreshold = 0.02
 )
 
 // returnInputs holds the inputs of a return of tokens to the store.
 type returnInputs struct {
-	// unreserved is what is owned here, target what should be held.
+	// unreserved is what this router owns and has not reserved. target is how many
+	// unreserved tokens it should hold for future requests.
 	unreserved, target granitehoist.Tokens
 	// remaining is what the store has left; it is negative if the limit was reduced
 	// below what is granted. limit is the prepaid total.
@@ -36,7 +37,7 @@
 // tokens returns how many of the unreserved tokens to return to the store:
 //
 //   - at shutdown, all;
-//   - after the limit was reduced below what is granted, the difference;
+//   - after the limit was reduced below what is granted to all routers, the difference;
 //   - while requests wait, none;
 //   - otherwise what exceeds the target, if the holding is more than returnAboveTarget
 //     times the target and the excess is at least minReturnFraction of the prepaid total
@@ -53,12 +54,12 @@
 		return 0
 	}
 	maxMultiple := returnAboveTarget
-	if c.isExposureLimited() {
+	if c.isLimitedAfterOutage() {
 		maxMultiple = returnAboveTargetAfterOutage
 	}
 	minFraction := minReturnFraction
-	if float64(r.remaining) < endFraction*float64(r.limit) {
-		minFraction = minReturnFractionAtEnd
+	if float64(r.remaining) < lowBudgetReturnThreshold*float64(r.limit) {
+		minFraction = lowBudgetMinReturnFraction
 	}
 	extra := r.unreserved - r.target
 	if float64(r.unreserved) <= maxMultiple*float64(r.target) || float64(extra) < minFraction*float64(r.limit) {
@@ -67,18 +68,18 @@
 	return extra
 }
 
-// surplus is what a router can transfer to a neighbour.
+// surplus is the tokens of a workspace that a router can transfer to a neighbour.
 type surplus struct {
 	workspace granitehoist.Workspace
 	tokens    granitehoist.Tokens
 }
 
-// maxStrandedFraction is the fraction of the prepaid total that all routers together may
-// keep without need, because the amounts are too small to be worth a call.
-const maxStrandedFraction = 0.01
+// maxIdleFraction is the fraction of the prepaid total that all borrowers together may
+// keep beyond two batches each, because the amounts are too small to be worth a call.
+const maxIdleFraction = 0.01
 
 // isSurplus decides whether free tokens that a borrower does not need are worth the call
-// that repays them: they must exceed an equal part of maxStrandedFraction.
+// that repays them: they must exceed an equal part of maxIdleFraction.
 func isSurplus(free, limit granitehoist.Tokens, routers int) bool {
-	return float64(free) > maxStrandedFraction*float64(limit)/float64(max(1, routers))
+	return float64(free) > maxIdleFraction*float64(limit)/float64(max(1, routers))
 }
--- a/escrow/sync.go
+++ b/escrow/sync.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	// conflictTries bounds the attempts of one sync while its writes conflict with those
-	// of other routers.
+	// conflictTries is the maximum number of attempts of one sync whose writes conflict
+	// with those of other routers.
 	conflictTries = 8
-	// conflictPause is the increase of the delay with each attempt.
+	// conflictPause is by how much the delay before an attempt grows with each attempt.
 	conflictPause = time.Millisecond
 )
 
 // Sync writes the ledger's grants and returns into the records of all workspaces for
-// which this router uses them. It starts from the last known version of a record; if
+// which this router uses a record. It starts from the last known version of a record; if
 // that is outdated, the store refuses the write and returns the newest one. After an
 // error the ledger owns no more than the store has confirmed; if the outcome of a write
 // is unknown, the next sync reads whether it took effect. It returns errors of the
@@ -66,9 +66,9 @@
 	return s.syncRecords(ctx, records)
 }
 
-// syncRecords syncs records with one write per granitehoist.MaxChanges of them. If one
-// of the records has another version than expected, the write has no effect, and each of
-// them is synced by itself.
+// syncRecords syncs records in batches of granitehoist.MaxChanges, with one write for each
+// batch. If a record has another version than expected, the write of its batch has no
+// effect, and each record of the batch is then written by itself.
 func (s *Syncer) syncRecords(ctx context.Context, records []*recordCopy) error {
 	var errs []error
 	for batch := range slices.Chunk(records, granitehoist.MaxChanges) {
@@ -128,66 +128,68 @@
 	return callTimeout(int(s.failures.Load()), s.reached.Load(), s.settings.Timeout)
 }
 
-// draft is a record with this router's rows as they are to be written.
-type draft struct {
-	copy    *recordCopy
-	record  *Record
-	planned plan
+// pendingWrite is a record that a sync is about to write. rows are the rows of record
+// that differ from the stored ones.
+type pendingWrite struct {
+	copy   *recordCopy
+	record *Record
+	rows   pendingRows
 }
 
-// attemptSync makes one attempt to sync records that the caller has locked: it drafts
-// each, and writes those that change in one write. A record that can't be drafted does
-// not keep the others from being synced.
+// attemptSync makes one attempt to sync records that the caller has locked: it prepares
+// the write of each, and writes all records that change in one write. A record whose
+// write can't be prepared does not keep other records from being synced.
 func (s *Syncer) attemptSync(ctx context.Context, records []*recordCopy) error {
 	ctx, cancel := context.WithTimeout(ctx, s.callTimeout())
 	defer cancel()
-	drafts := make([]draft, len(records))
+	prepared := make([]pendingWrite, len(records))
 	errs := make([]error, len(records))
-	var drafting sync.WaitGroup
+	var preparing sync.WaitGroup
 	for i, c := range records {
-		drafting.Go(func() { drafts[i], errs[i] = s.draft(ctx, c, len(records) > 1) })
+		preparing.Go(func() { prepared[i], errs[i] = s.prepareWrite(ctx, c, len(records) > 1) })
 	}
-	drafting.Wait()
-	var writes []draft
-	for i, d := range drafts {
+	preparing.Wait()
+	var writes []pendingWrite
+	for i, w := range prepared {
 		switch {
 		case errs[i] != nil:
-		case d.planned.isWrite():
-			writes = append(writes, d)
+		case w.rows.needsWrite():
+			writes = append(writes, w)
 		default:
-			s.settings.Ledger.confirm(d.record, d.copy.scope, s.settings.Clock())
+			s.settings.Ledger.confirm(w.record, w.copy.scope, s.settings.Clock())
 		}
 	}
 	if err := s.write(ctx, writes); err != nil {
 		return errors.Join(append(errs, err)...)
 	}
-	for _, d := range writes {
-		s.logGrants(d.planned, d.copy.lastEntry.Version)
-		s.settings.Ledger.confirm(d.record, d.copy.scope, s.settings.Clock())
+	for _, w := range writes {
+		s.logGrants(w.rows, w.copy.lastEntry.Version)
+		s.settings.Ledger.confirm(w.record, w.copy.scope, s.settings.Clock())
 	}
 	return errors.Join(errs...)
 }
 
-// draft drafts a record from its last known version. If no version is known, or the
-// known one leaves nothing to write, it reads the record first and drafts from that.
-// batched means that the record is written together with others.
-func (s *Syncer) draft(ctx context.Context, c *recordCopy, batched bool) (draft, error) {
+// prepareWrite prepares the write of a record from its last known version. If no version
+// is known, or the known version leaves nothing to write, it reads the record and prepares
+// the write from the version read. batched means that the record is written together with
+// other records.
+func (s *Syncer) prepareWrite(ctx context.Context, c *recordCopy, batched bool) (pendingWrite, error) {
 	fresh := !c.lastEntryValid
 	if fresh {
 		if err := s.read(ctx, c); err != nil {
-			return draft{}, err
+			return pendingWrite{}, err
 		}
 	}
-	record, planned, err := s.plan(c, batched)
-	if err != nil || planned.isWrite() || fresh {
-		return draft{c, record, planned}, err
+	record, rows, err := s.updateRecord(c, batched)
+	if err != nil || rows.needsWrite() || fresh {
+		return pendingWrite{c, record, rows}, err
 	}
-	// The last known version leaves nothing to grant or return; the newest may differ.
+	// The last known version leaves nothing to write; the newest may.
 	if err := s.read(ctx, c); err != nil {
-		return draft{}, err
+		return pendingWrite{}, err
 	}
-	record, planned, err = s.plan(c, batched)
-	return draft{c, record, planned}, err
+	record, rows, err = s.updateRecord(c, batched)
+	return pendingWrite{c, record, rows}, err
 }
 
 // read reads a record from the store.
@@ -203,8 +205,9 @@
 	return nil
 }
 
-// plan adds the ledger's grants and returns to a copy of the last known record.
-func (s *Syncer) plan(c *recordCopy, batched bool) (*Record, plan, error) {
+// updateRecord adds the ledger's grants and returns to a copy of the last known record.
+// It returns the copy and the rows that have to be written.
+func (s *Syncer) updateRecord(c *recordCopy, batched bool) (*Record, pendingRows, error) {
 	record, err := c.decode()
 	if err != nil {
 		c.lastEntryValid = false
@@ -215,40 +218,40 @@
 		return nil, nil, errDivided
 	}
 	record.RegisterIncarnation(s.settings.Box, s.settings.Ledger.settings.Incarnation)
-	return record, s.settings.Ledger.prepare(record, c.scope, batched, s.settings.Routers(), s.settings.Clock()), nil
+	return record, s.settings.Ledger.updateRows(record, c.scope, batched, s.settings.Routers(), s.settings.Clock()), nil
 }
 
 // write replaces the last known records in the store, all or none.
-func (s *Syncer) write(ctx context.Context, drafts []draft) error {
-	if len(drafts) == 0 {
+func (s *Syncer) write(ctx context.Context, writes []pendingWrite) error {
+	if len(writes) == 0 {
 		return nil
 	}
-	changes, err := changesOf(drafts)
+	changes, err := changesOf(writes)
 	if err != nil {
 		return err
 	}
 	version, err := s.settings.Store.CompareAndSwapAll(ctx, changes)
 	if err != nil {
-		s.noteWriteFailure(drafts, err)
+		s.noteWriteFailure(writes, err)
 		return err
 	}
 	s.settings.Ledger.noteStoreResponse(s.settings.Clock())
-	for i, d := range drafts {
-		d.copy.lastEntry = granitehoist.Entry{Key: d.copy.key, Value: changes[i].Value, Version: version}
+	for i, w := range writes {
+		w.copy.lastEntry = granitehoist.Entry{Key: w.copy.key, Value: changes[i].Value, Version: version}
 	}
 	return nil
 }
 
-// changesOf returns the changes that write drafts. It returns an error if one of them is
-// too large.
-func changesOf(drafts []draft) ([]granitehoist.Change, error) {
-	changes := make([]granitehoist.Change, 0, len(drafts))
-	for _, d := range drafts {
-		value, err := d.record.Encode()
+// changesOf returns the changes for the store. It returns an error if a record is too
+// large.
+func changesOf(writes []pendingWrite) ([]granitehoist.Change, error) {
+	changes := make([]granitehoist.Change, 0, len(writes))
+	for _, w := range writes {
+		value, err := w.record.Encode()
 		if err != nil {
 			return nil, err
 		}
-		changes = append(changes, granitehoist.Change{Key: d.copy.key, Value: value, Expect: d.copy.lastEntry.Version})
+		changes = append(changes, granitehoist.Change{Key: w.copy.key, Value: value, Expect: w.copy.lastEntry.Version})
 	}
 	return changes, nil
 }
@@ -256,7 +259,7 @@
 // noteWriteFailure updates the record copies after a failed write. After a conflict they
 // become the entries that the store returned. A copy without such an entry is read again
 // at the next sync.
-func (s *Syncer) noteWriteFailure(drafts []draft, err error) {
+func (s *Syncer) noteWriteFailure(writes []pendingWrite, err error) {
 	var conflict *granitehoist.Conflict
 	isConflict := errors.As(err, &conflict)
 	switch {
@@ -265,18 +268,18 @@
 	case !errors.Is(err, granitehoist.ErrConflict):
 		s.settings.Ledger.noteStoreFailure(s.settings.Clock())
 	}
-	for _, d := range drafts {
+	for _, w := range writes {
 		current, known := granitehoist.Entry{}, false
 		if isConflict {
-			current, known = conflict.Entry(d.copy.key)
+			current, known = conflict.Entry(w.copy.key)
 		}
-		d.copy.lastEntry, d.copy.lastEntryValid = current, known
+		w.copy.lastEntry, w.copy.lastEntryValid = current, known
 	}
 }
 
 // logGrants logs the rows that were written with a version of their record.
-func (s *Syncer) logGrants(planned plan, version granitehoist.Version) {
-	for w, written := range planned {
+func (s *Syncer) logGrants(rows pendingRows, version granitehoist.Version) {
+	for w, written := range rows {
 		s.settings.Log.Info(event.BudgetGrant,
 			zap.String("workspace", string(w)),
 			zap.Int64("granted", int64(written.row.Granted)), zap.Int64("returned", int64(written.row.Returned)),
--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -51,7 +51,7 @@
 	Caller  granitehoist.Caller
 	// Interval is how often Run checks the holdings; zero means DefaultInterval.
 	Interval time.Duration
-	// Timeout bounds a call to the store; zero means DefaultTimeout.
+	// Timeout is the longest that a call to the store may take; zero means DefaultTimeout.
 	Timeout time.Duration
 	// LendWait is how long this router waits for the store on behalf of a neighbour;
 	// zero means DefaultLendWait.
@@ -100,10 +100,10 @@
 	}
 }
 
-// Reserve reserves bound tokens of a workspace. If the router owns too few, it waits for
+// Reserve reserves maxCost tokens of a workspace. If the router owns too few, it waits for
 // a sync or a loan until ctx ends.
-func (s *Syncer) Reserve(ctx context.Context, w granitehoist.Workspace, bound granitehoist.Tokens, priority granitehoist.Priority) Answer {
-	outcome := s.reserve(ctx, w, claim{bound: bound, priority: priority, countsAsDemand: true})
+func (s *Syncer) Reserve(ctx context.Context, w granitehoist.Workspace, maxCost granitehoist.Tokens, priority granitehoist.Priority) Answer {
+	outcome := s.reserve(ctx, w, claim{maxCost: maxCost, priority: priority, countsAsDemand: true})
 	s.refill(w)
 	return s.settings.Ledger.answer(w, outcome, s.settings.Clock())
 }
@@ -132,8 +132,8 @@
 }
 
 // Settle ends a reservation as Ledger.Settle does.
-func (s *Syncer) Settle(w granitehoist.Workspace, bound, used granitehoist.Tokens) {
-	s.settings.Ledger.Settle(w, bound, used, s.settings.Clock())
+func (s *Syncer) Settle(w granitehoist.Workspace, maxCost, used granitehoist.Tokens) {
+	s.settings.Ledger.Settle(w, maxCost, used, s.settings.Clock())
 }
 
 // TriggerSync triggers a round of Run. It does not block.
@@ -144,8 +144,8 @@
 	}
 }
 
-// transferTimeout bounds the transfer of tokens to neighbours when Close fails to return
-// them to the store.
+// transferTimeout is the timeout of the transfer of tokens to neighbours when Close fails
+// to return them to the store.
 const transferTimeout = 300 * time.Millisecond
 
 // Close returns the free tokens. Where this router is a borrower, it repays them to
--- a/escrow/syncneeded.go
+++ b/escrow/syncneeded.go
@@ -11,7 +11,7 @@
 
 const (
 	// maxRecordAge is how long after the last response of the store the record is read
-	// again. It bounds the age of what lenders report of the record.
+	// again. It limits the age of what lenders report of the record.
 	maxRecordAge = 2 * time.Second
 	// staleIdleThreshold is the fraction of the prepaid total left in the store below
 	// which a stored Row.Idle that is too high is corrected.
@@ -27,9 +27,9 @@
 	return now.Sub(lastDirectResponse) > maxRecordAge
 }
 
-// needsSync decides whether a holding justifies a sync: it is below refillThreshold
-// while the store has tokens left, or returnInputs.tokens returns some of it. remaining
-// is what the store had left at the last sync.
+// needsSync decides whether a holding justifies a sync: it is below refillThreshold of its
+// target while the store had tokens left at the last sync, or returnInputs.tokens returns
+// some of it.
 func (r returnInputs) needsSync(c conditions) bool {
 	return (r.remaining > 0 && isLow(r.unreserved, r.target, refillThreshold)) || r.tokens(c) > 0
 }
--- a/escrow/target.go
+++ b/escrow/target.go
@@ -15,14 +15,14 @@
 	// router crashes.
 	DefaultCover = 9 * time.Second
 	// maxHeldFraction is the fraction of the available tokens that all routers together
-	// may hold ahead of requests. Available tokens are those in the store and the
-	// unreserved ones here.
+	// may hold for future requests. The available tokens of a router are those in the
+	// store and its own unreserved ones.
 	maxHeldFraction = 0.5
 	// initialFraction is the fraction of the available tokens that all routers together
 	// hold before their rates of spending are known.
 	initialFraction = 0.2
 	// spareRequests is the least that a router holds at any rate of spending, in
-	// requests of the largest bound that it has seen.
+	// requests of the largest maximum cost that it has seen.
 	spareRequests = 1.0
 	// spareFraction limits the tokens held for spareRequests: it is the fraction of the
 	// available tokens that all routers together may hold for them.
@@ -34,18 +34,19 @@
 	// loans of the shard while the store is unresponsive, and is lost if the holder
 	// crashes.
 	holderMaxHeldFraction = 0.5
-	// holderEndFraction limits a holding to
+	// holderLowBudgetFactor limits the holding of a holder that has seen no outage to the
+	// fraction
 	//
-	//	holderEndFraction * available tokens / prepaid total
+	//	holderLowBudgetFactor * available tokens / prepaid total
 	//
 	// of the available tokens, so that few tokens are lost if all routers crash near the
-	// end of the budget. It applies to holders that have seen no outage; the others
-	// expect another outage and hold more.
-	holderEndFraction = 0.5
-	// minHolderCover limits the effect of holderEndFraction and of exposedFraction: they
-	// never reduce a holding below what the holder spends in this time. It exceeds
-	// DefaultInterval, so that a holder does not write the record for single requests
-	// between two checks.
+	// end of the budget. A holder that has seen an outage expects another one and holds
+	// more.
+	holderLowBudgetFactor = 0.5
+	// minHolderCover limits the effect of holderLowBudgetFactor and of
+	// postOutageHeldFraction: they never reduce a holding below what the holder spends in
+	// this time. It exceeds DefaultInterval, so that a holder does not write the record
+	// for single requests between two checks.
 	minHolderCover = time.Second
 	// standInCover and standInMaxHeldFraction replace the cover and maxHeldFraction at a
 	// stand-in holder. They are small because the holder may respond again at any time.
@@ -68,13 +69,14 @@
 	initialFraction float64
 	spareFraction   float64
 	maxHeldFraction float64
-	// confidence is how far the router relies on its measured rates. It is 0 before the
-	// first request of any workspace, and grows to 1 within rateWindow after it. At 1 a
-	// workspace without requests counts as one without demand.
-	confidence float64
-	// exposedFraction is the fraction of a prepaid total that all routers together may
-	// hold; see the function of this name.
-	exposedFraction float64
+	// observedFraction is the time since the first request of any workspace, as a fraction
+	// of rateWindow: 0 before that request, and at most 1. The higher it is, the more the
+	// router relies on its measured rates. At 1 a workspace without requests counts as one
+	// without demand.
+	observedFraction float64
+	// postOutageHeldFraction is the fraction of a prepaid total that all routers together
+	// may hold after an outage, and 1 at other times; see the function of this name.
+	postOutageHeldFraction float64
 	// sawOutage is set if the store was unresponsive for at least minOutage, either to
 	// this router or to a neighbour that reported it.
 	sawOutage bool
@@ -82,8 +84,8 @@
 	closing bool
 }
 
-// withRole returns the conditions of a router with a role. A borrower holds nothing
-// ahead of its requests.
+// withRole returns the conditions of a router with a role. The target of a borrower is
+// zero; it holds tokens for future requests only as batches (batchSize).
 func (c conditions) withRole(r Role) conditions {
 	c.role = r
 	switch r {
@@ -98,53 +100,56 @@
 	return c
 }
 
-// isExposureLimited reports whether holdings are limited after an outage.
-func (c conditions) isExposureLimited() bool { return c.exposedFraction < 1 }
+// isLimitedAfterOutage reports whether an outage of the store has ended less than
+// postOutageLimitTime ago, so that holdings are limited.
+func (c conditions) isLimitedAfterOutage() bool { return c.postOutageHeldFraction < 1 }
 
 // targetInputs holds the inputs of the target of one workspace's holding. Rates are in
 // tokens a second.
 type targetInputs struct {
-	// remaining is what the store has left, unreserved what is owned here.
+	// remaining is what the store has left. unreserved is what this router owns and has
+	// not reserved; it can be negative.
 	remaining, unreserved granitehoist.Tokens
-	// limit is the prepaid total, largest the largest bound of a request here.
+	// limit is the prepaid total. largest is the largest maximum cost of the claims that
+	// count as this router's demand.
 	limit, largest granitehoist.Tokens
-	// ownRate is the rate of this router's requests and, at a holder, of its loans;
-	// othersRate is the sum of the rates in the rows of other routers, as old as the
-	// record.
+	// ownRate is this router's demand.rate. othersRate is demand.othersRate, or zero at a
+	// holder, whose own rate includes the loans to its borrowers.
 	ownRate, othersRate float64
 }
 
-// target returns how many tokens a router should hold ahead of requests. The available
-// tokens are those in the store and the unreserved ones here. The rules are, in order:
+// target returns how many unreserved tokens a router should hold for future requests. The
+// available tokens are those in the store and the router's own unreserved ones. An equal
+// part is the fraction 1/c.routers. Each of these rules may override the rules before it:
 //
-//   - Hold what the router spends in c.cover. While c.confidence is below 1, hold at
+//   - Hold what the router spends in c.cover. While c.observedFraction is below 1, hold at
 //     least an equal part of c.initialFraction of the available tokens, scaled by
-//     1 - c.confidence.
-//   - Hold at most demandFraction of maxHeld.
-//   - Hold at least spareRequests requests of the largest bound, as far as an equal part
-//     of c.spareFraction of the available tokens covers them.
-//   - Hold at most demandFraction of c.exposedFraction of the prepaid total, or minimum
-//     if that is more.
+//     1 - c.observedFraction.
+//   - Hold at most maxHeld, multiplied by demandFraction.
+//   - Hold at least spareRequests requests of the largest maximum cost, as far as an equal
+//     part of c.spareFraction of the available tokens covers them.
+//   - Hold at most c.postOutageHeldFraction of the prepaid total, multiplied by
+//     demandFraction, or minimum if that is more.
 func (t targetInputs) target(c conditions) granitehoist.Tokens {
 	want := t.ownRate * c.cover.Seconds()
 	available := float64(max(0, t.remaining+max(0, t.unreserved)))
-	want = max(want, c.initialFraction*available/float64(c.routers)*(1-c.confidence))
+	want = max(want, c.initialFraction*available/float64(c.routers)*(1-c.observedFraction))
 	held := min(want, t.maxHeld(c, available)*t.demandFraction(c))
 	spare := min(spareRequests*float64(t.largest), c.spareFraction*available/float64(c.routers))
-	most := max(c.exposedFraction*float64(t.limit)*t.demandFraction(c), t.minimum(c))
+	most := max(c.postOutageHeldFraction*float64(t.limit)*t.demandFraction(c), t.minimum(c))
 	return granitehoist.Tokens(min(max(held, spare), most))
 }
 
-// maxHeld returns the tokens that all routers together may hold ahead of requests:
+// maxHeld returns the tokens that all routers together may hold for future requests:
 // c.maxHeldFraction of the available tokens. At a holder that has seen no outage, the
-// limit of holderEndFraction also applies, but does not go below minimum.
+// limit of holderLowBudgetFactor also applies, but never below minimum.
 func (t targetInputs) maxHeld(c conditions, available float64) float64 {
 	most := c.maxHeldFraction * available
 	if !c.role.isHolder() || c.sawOutage || t.limit <= 0 {
 		return most
 	}
-	end := holderEndFraction * available / float64(t.limit) * available
-	return min(most, max(end, t.minimum(c)))
+	lowBudget := holderLowBudgetFactor * available / float64(t.limit) * available
+	return min(most, max(lowBudget, t.minimum(c)))
 }
 
 // minimum returns what a holder spends in minHolderCover, and zero for other roles.
@@ -164,5 +169,5 @@
 	if fleet <= 0 {
 		return equal
 	}
-	return max(equal*(1-c.confidence), t.ownRate/fleet)
+	return max(equal*(1-c.observedFraction), t.ownRate/fleet)
 }
--- a/escrow/wait.go
+++ b/escrow/wait.go
@@ -21,36 +21,37 @@
 	outcome Outcome
 }
 
-// decideWait decides whether a request that lacks tokens may wait for them. bound is the
-// request's maximum cost, end the decision of the rules for the end of a budget.
+// decideWait decides whether a request that lacks tokens may wait for them. maxCost is the
+// request's maximum cost, decision the result of the low-budget rules, and unreserved what
+// this router owns and has not reserved.
 //
-// The request waits if the tokens that it could get cover its bound and end allows it.
-// These tokens are:
+// The request waits if the tokens that it could get cover its maximum cost and decision
+// allows it. These tokens are:
 //
-//   - if the newer source is a lender's report, those in the store, here and idle at the
-//     other routers, which may lend them;
-//   - if it is the record, those in the store and here, since the tokens of other routers
-//     can't be had through the record;
+//   - if the newer source is a lender's report, what remains in the store and at all
+//     routers, since other routers may lend their tokens;
+//   - if the newer source is the record, what remains in the store and the unreserved
+//     tokens of this router, since the record gives no tokens of other routers;
 //   - without a source, unknown, and taken as enough.
 //
 // Otherwise the wait ends, since neither a sync nor a loan would help: as Exhausted if
-// the bound exceeds what remains in the store and at all routers, else as Withheld if
-// end withholds the request, else as Scarce.
-func decideWait(bound granitehoist.Tokens, end endDecision, fleet fleetView, unreserved granitehoist.Tokens) waitDecision {
+// maxCost exceeds what remains in the store and at all routers, else as Withheld if
+// decision withholds the request, else as Scarce.
+func decideWait(maxCost granitehoist.Tokens, decision lowBudgetDecision, fleet fleetView, unreserved granitehoist.Tokens) waitDecision {
 	remaining := fleet.totalRemaining(unreserved)
 	var unaffordable bool
 	switch {
 	case fleet.lenderIsNewer():
-		unaffordable = bound > remaining.tokens
+		unaffordable = maxCost > remaining.tokens
 	case fleet.record.valid:
-		unaffordable = bound > fleet.record.remaining+max(0, unreserved)
+		unaffordable = maxCost > fleet.record.remaining+max(0, unreserved)
 	}
 	switch {
-	case !unaffordable && !end.withholds():
+	case !unaffordable && !decision.withholds():
 		return waitDecision{}
-	case remaining.known && bound > remaining.tokens:
+	case remaining.known && maxCost > remaining.tokens:
 		return waitDecision{ends: true, outcome: Exhausted}
-	case end.withholds():
+	case decision.withholds():
 		return waitDecision{ends: true, outcome: Withheld}
 	}
 	return waitDecision{ends: true, outcome: Scarce}
@@ -58,8 +59,8 @@
 
 // timeoutOutcome returns the outcome of a wait that timed out: Scarce if the store, or a
 // lender connected to it, responded within unreachableAfter, otherwise Unreachable.
-func timeoutOutcome(lastAnswer, now time.Time) Outcome {
-	if now.Sub(lastAnswer) > unreachableAfter {
+func timeoutOutcome(lastResponse, now time.Time) Outcome {
+	if now.Sub(lastResponse) > unreachableAfter {
 		return Unreachable
 	}
 	return Scarce
--- a/escrow/waiters.go
+++ b/escrow/waiters.go
@@ -19,7 +19,7 @@
 
 // addWaiter queues a claim that was not granted before, unless the wait can end at once:
 //
-//   - If admit allows the claim now, it is granted, also if checkBudgetEnd would withhold
+//   - If admit allows the claim now, it is granted, even if checkLowBudget would withhold
 //     it.
 //   - If the record or a lender's report is younger than maxReportAge, and checkWait
 //     ends the wait, the claim is refused.
@@ -65,15 +65,15 @@
 // admitWaiters grants the waiters that are admitted now, in order of arrival.
 func (l *Ledger) admitWaiters(a *account, now time.Time) {
 	a.resolveWaiters(func(c claim) waitDecision {
-		if a.checkBudgetEnd(c, now).withholds() || !l.reserveIfAdmitted(a, c, now) {
+		if a.checkLowBudget(c, now).withholds() || !l.reserveIfAdmitted(a, c, now) {
 			return waitDecision{}
 		}
 		return waitDecision{ends: true, outcome: Granted}
 	})
 }
 
-// refuseAndAdmitWaiters ends the waits that checkWait refuses, and calls admitWaiters
-// for the others.
+// refuseAndAdmitWaiters refuses the waiters whose wait checkWait ends, and calls
+// admitWaiters for the remaining ones.
 func (l *Ledger) refuseAndAdmitWaiters(a *account, now time.Time) {
 	a.resolveWaiters(func(c claim) waitDecision { return a.checkWait(c, now) })
 	l.admitWaiters(a, now)
