--- a/throttle/doc.go
+++ b/throttle/doc.go
@@ -4,10 +4,10 @@
 // Package throttle enforces a rate limit that an upstream sets for all routers together.
 //
 // An overloaded upstream states the limit in its responses. A router does not see the
-// requests of the others, so one router issues permits for the upstream, and every router
-// needs a permit for each request that it sends there. Package node selects the issuer by
-// rendezvous hashing and transports permit requests; package balance holds permits until
-// they are used or expire.
+// requests of other routers, so one router issues permits for the upstream, and every
+// router needs a permit for each request that it sends to the upstream. Package node
+// selects the issuer by rendezvous hashing and transports permit requests; package
+// balance holds permits until they are used or expire.
 //
 // An Issuer implements the generic cell rate algorithm (ITU-T I.371, virtual scheduling):
 // it tracks when the next permit of each upstream is due and may reserve permits a short
--- a/throttle/issuer.go
+++ b/throttle/issuer.go
@@ -11,10 +11,11 @@
 	"granitehoist.example/granitehoist"
 )
 
-// An upstream must get at most 6 x rate + 5 requests in any 4 s. The constants ensure this:
+// An upstream with a limit of rate requests a second must get at most 6 x rate + 5 requests
+// in any 4 s. The constants ensure this:
 //
-//   - The permits of a grant can be used from the due time of the first one until Validity
-//     later. The others are due up to batchWindow after the first one. The permits used in
+//   - All permits of a grant can be used from the due time of the first one until Validity
+//     later. The last one is due up to batchWindow after the first one. The permits used in
 //     4 s are therefore due within 4.6 s.
 //   - The permits of one issuer that are due within a period number at most the rate times
 //     the sum of the period and maxLateness, plus maxLatenessIntervals, plus one. An
@@ -23,7 +24,7 @@
 // One issuer therefore admits at most 4.7 x rate + 1.5 requests in 4 s. Together with a
 // fallback at reducedRateFraction it admits at most 5.9 x rate + 3.
 const (
-	// Validity is how long a permit may be used after its due time.
+	// Validity is how long the permits of a grant may be used after Grant.Due.
 	Validity = 500 * time.Millisecond
 	// reducedRateFraction is the fraction of the rate at which a fallback, or an issuer
 	// within its startupPeriod, issues permits.
@@ -38,8 +39,8 @@
 	maxLateness          = 100 * time.Millisecond
 	maxLatenessIntervals = 0.5
 	// retryJitter is the maximum random part of the retry delay, in permit intervals for
-	// each request denied since the last grant. It keeps the routers from retrying together
-	// for a single permit.
+	// each request denied since the last grant, the present one included. It keeps the
+	// routers from retrying together for a single permit.
 	retryJitter = 0.5
 	// batchWindow is the longest time between the due times of the first and the last
 	// permit of one grant.
@@ -49,8 +50,8 @@
 	// minRate, in permits a second, replaces lower rates, including zero. Some requests
 	// must be sent to learn from a response that the limit has been lifted.
 	minRate = 0.1
-	// idleTimeout is how long the schedule of an upstream is kept after its next permit
-	// was due.
+	// idleTimeout is the minimum time for which a schedule is kept after nextDue.
+	// It is also the minimum time between two sweeps.
 	idleTimeout = time.Minute
 )
 
@@ -75,7 +76,8 @@
 	Incarnation Incarnation
 	// Rate is the limit set by the upstream, in requests a second.
 	Rate float64
-	// Count is the number of permits wanted; values below one count as one.
+	// Count is the number of permits wanted; values below one count as one. A grant may
+	// have fewer.
 	Count int
 	// MaxWait is the longest time from the request until the first permit is due;
 	// negative values count as zero.
@@ -87,8 +89,8 @@
 
 // Grant is the response to a Request. Either Count or RetryAfter is positive.
 type Grant struct {
-	// Count is the number of permits. They are valid from Due, relative to the request,
-	// until Validity after that.
+	// Count is the number of permits. They are valid from Due until Validity after Due.
+	// Due is relative to the time of the request.
 	Count int
 	Due   time.Duration
 	// RetryAfter is the delay after which to ask again if no permit was granted, relative to
@@ -108,7 +110,7 @@
 	sweptAt time.Time
 }
 
-// schedule tracks the permits of one upstream.
+// schedule tracks the permits of one incarnation of an upstream.
 type schedule struct {
 	// nextDue is the due time of the next permit. It may be in the past; see firstDue.
 	nextDue time.Time
@@ -137,8 +139,8 @@
 	due := s.firstDue(interval, now)
 	if wait := due.Sub(now); wait > max(0, r.MaxWait) {
 		s.denied++
-		spread := time.Duration(i.random.Float64() * float64(interval) * retryJitter * float64(s.denied))
-		return Grant{RetryAfter: wait + spread}
+		jitter := time.Duration(i.random.Float64() * float64(interval) * retryJitter * float64(s.denied))
+		return Grant{RetryAfter: wait + jitter}
 	}
 	s.denied = 0
 	grant := Grant{Due: max(0, due.Sub(now))}
--- a/throttle/strategies_test.go
+++ b/throttle/strategies_test.go
@@ -34,7 +34,7 @@
 
 // result holds the measurements of one simulation run.
 type result struct {
-	// maxInWindow is the largest number of arrivals in any window, allowed its limit.
+	// maxInWindow is the largest number of arrivals in any window, allowed the limit on it.
 	maxInWindow int
 	allowed     float64
 	// utilization is the fraction of the rate that was used after settlingTime.
@@ -140,8 +140,8 @@
 	}
 }
 
-// issuerAndFallback sends half of the routers to an issuer, the others to a fallback, and
-// uses each permit at a random time within its validity.
+// issuerAndFallback sends half of the routers to an issuer, the other half to a fallback,
+// and uses each permit at a random time within its validity.
 func issuerAndFallback(seed uint64, _ int, rate float64) strategy {
 	first, second := NewIssuer(Settings{Seed: seed}), NewIssuer(Settings{Seed: seed + 1})
 	random := rand.New(rand.NewPCG(seed, 13))
