--- a/escrow/lenders.go
+++ b/escrow/lenders.go
@@ -34,7 +34,7 @@
 }
 
 // availableLenders returns the neighbours that are not excluded, or all if none would
-// remain. avoided holds the end of each exclusion by address.
+// remain. excludedUntil holds the end of each exclusion by address.
 func availableLenders(all []Lender, excludedUntil map[string]time.Time, now time.Time) []Lender {
 	var available []Lender
 	for _, lender := range all {
--- a/escrow/recordcopy.go
+++ b/escrow/recordcopy.go
@@ -78,7 +78,8 @@
 	return c.base != nil
 }
 
-// forShards returns the records that have the given shards.
+// forShards returns the records of the given shards; before markDivided, the undivided
+// record.
 func (c *recordCopies) forShards(shards []Shard) []*recordCopy {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/escrow/round.go
+++ b/escrow/round.go
@@ -24,8 +24,8 @@
 	stepSync
 )
 
-// next returns the action of a round: a sync when one is needed, or a loan during the
-// backoff after a failure of the store.
+// next returns the action of a round: nothing if no sync is needed, a loan during the
+// backoff after a failure of the store, otherwise a sync.
 func (r round) next() step {
 	switch {
 	case !r.needed:
--- a/escrow/run.go
+++ b/escrow/run.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	// syncDelay lets requests that arrive together share a sync.
+	// syncDelay is the delay of a triggered round, so that requests that arrive together
+	// share a sync.
 	syncDelay = 3 * time.Millisecond
 	// borrowAfter is how long a sync may take before the router also requests loans from
 	// neighbours.
@@ -81,8 +82,8 @@
 	s.backoff = nextBackoff(s.backoff)
 }
 
-// syncOrBorrow syncs shards, also borrows from neighbours if that takes long or fails,
-// and reports whether the sync succeeded.
+// syncOrBorrow syncs shards and reports whether the sync succeeded. Unless the sync
+// succeeds within borrowAfter, it also borrows from neighbours, from that moment on.
 func (s *Syncer) syncOrBorrow(ctx context.Context, needed []Shard) bool {
 	borrower := time.AfterFunc(borrowAfter, func() { s.borrow(ctx) })
 	err := s.syncShards(ctx, needed)
--- a/escrow/sync.go
+++ b/escrow/sync.go
@@ -37,7 +37,8 @@
 }
 
 // syncShards syncs the records that have the given shards. While the store is
-// unresponsive, it syncs one record first, and the others only if that succeeds.
+// unresponsive, it syncs one record first, and the remaining ones only if the first sync
+// succeeds.
 func (s *Syncer) syncShards(ctx context.Context, shards []Shard) error {
 	err := s.trySyncShards(ctx, shards)
 	if errors.Is(err, errDivided) {
@@ -256,9 +257,9 @@
 	return changes, nil
 }
 
-// noteWriteFailure updates the record copies after a failed write. After a conflict they
-// become the entries that the store returned. A copy without such an entry is read again
-// at the next sync.
+// noteWriteFailure updates the record copies after a failed write. After a conflict a copy
+// becomes the entry that the store returned for it. A copy for which the store returned no
+// entry is read again at the next sync.
 func (s *Syncer) noteWriteFailure(writes []pendingWrite, err error) {
 	var conflict *granitehoist.Conflict
 	isConflict := errors.As(err, &conflict)
--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -149,8 +149,8 @@
 const transferTimeout = 300 * time.Millisecond
 
 // Close returns the free tokens. Where this router is a borrower, it repays them to
-// holders. It returns the others to the store or, if the store is unresponsive or the
-// sync fails, transfers them to neighbours. After a write of unknown outcome the tokens
+// holders. It returns the remaining ones to the store or, if the store is unresponsive or
+// the sync fails, transfers them to neighbours. After a write of unknown outcome the tokens
 // are already deducted and are not transferred. Only tokens that become free afterwards
 // can still be reserved. Close returns the error of the store, also if the tokens were
 // transferred to neighbours.
--- a/escrow/wait.go
+++ b/escrow/wait.go
@@ -57,8 +57,9 @@
 	return waitDecision{ends: true, outcome: Scarce}
 }
 
-// timeoutOutcome returns the outcome of a wait that timed out: Scarce if the store, or a
-// lender connected to it, responded within unreachableAfter, otherwise Unreachable.
+// timeoutOutcome returns the outcome of a wait that timed out, or that ended after the
+// calls to all lenders: Scarce if the store, or a lender connected to it, responded
+// within unreachableAfter, otherwise Unreachable.
 func timeoutOutcome(lastResponse, now time.Time) Outcome {
 	if now.Sub(lastResponse) > unreachableAfter {
 		return Unreachable
--- a/escrow/waiters.go
+++ b/escrow/waiters.go
@@ -9,7 +9,7 @@
 	"granitehoist.example/granitehoist"
 )
 
-// waiter is a request that waits for tokens.
+// waiter is a claim that waits for tokens.
 type waiter struct {
 	claim
 	// outcome receives the outcome of the wait. It is buffered, so that the sender,
@@ -42,8 +42,8 @@
 	return added
 }
 
-// abandon removes a waiter that timed out, and returns the outcome that arrived in the
-// meantime or else that of timeoutOutcome.
+// abandon removes a waiter whose wait ended without an outcome, and returns the result of
+// timeoutOutcome. If an outcome has arrived in the meantime, it returns that outcome.
 func (l *Ledger) abandon(w granitehoist.Workspace, abandoned *waiter, now time.Time) Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
