--- a/escrow/round.go
+++ b/escrow/round.go
@@ -20,12 +20,12 @@
 	stepNothing step = iota
 	// stepBorrow borrows from neighbours for waiting requests.
 	stepBorrow
-	// stepSync syncs the record, and also borrows from neighbours if that takes long.
+	// stepSync syncs the record, and also borrows from neighbours if the sync takes long.
 	stepSync
 )
 
-// next returns the action of a round: a sync when one is needed, or a loan during the
-// backoff after a failure of the store.
+// next returns the action of a round: nothing if no sync is needed, a loan during the
+// backoff after a failure of the store, otherwise a sync.
 func (r round) next() step {
 	switch {
 	case !r.needed:
