--- a/balance/allowedregions.go
+++ b/balance/allowedregions.go
@@ -15,14 +15,14 @@
 
 // allows reports whether the rule allows a region. The empty region of an unknown zone is
 // allowed only if AllowedRegions is empty.
-func (h AllowedRegions) allows(region granitehoist.Region) bool {
-	return len(h) == 0 || slices.Contains(h, region)
+func (r AllowedRegions) allows(region granitehoist.Region) bool {
+	return len(r) == 0 || slices.Contains(r, region)
 }
 
 // allowedByAll reports whether all of the rules allow a region.
 func allowedByAll(constraints []AllowedRegions, region granitehoist.Region) bool {
-	for _, h := range constraints {
-		if !h.allows(region) {
+	for _, r := range constraints {
+		if !r.allows(region) {
 			return false
 		}
 	}
--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -33,16 +33,16 @@
 	t := l.table
 	t.mu.Lock()
 	l.state.backoff.Extend(requested, now)
-	note := BackoffEvent{Instance: l.Instance, Requested: requested, Remaining: l.state.backoff.Remaining(now)}
+	event := BackoffEvent{Instance: l.Instance, Requested: requested, Remaining: l.state.backoff.Remaining(now)}
 	t.wakeWaiters()
 	t.mu.Unlock()
 	if t.settings.OnBackoff != nil {
-		t.settings.OnBackoff(note)
+		t.settings.OnBackoff(event)
 	}
 }
 
-// recordAccepted records that the instance accepted the request. The header of a
-// successful response shows the acceptance long before a stream ends.
+// recordAccepted records that the instance accepted the request. It is called for the
+// header of a successful response, long before a stream ends.
 func (l *Lease) recordAccepted() {
 	l.table.mu.Lock()
 	defer l.table.mu.Unlock()
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -104,9 +104,10 @@
 type instanceState struct {
 	Instance
 	health
-	// inFlight is the number of this router's attempts in progress there.
+	// inFlight is the number of this router's attempts in progress at the instance.
 	inFlight int
-	// queuedTokens counts the prompt tokens of these attempts that await prefill.
+	// queuedTokens counts the uncached prompt tokens of the attempts in progress for which
+	// no event has arrived yet.
 	queuedTokens granitehoist.Tokens
 	// removedAt is when the announcement was removed; zero while the instance is
 	// announced.
@@ -129,13 +130,13 @@
 	limit *limitState
 	// idHash is the hash of the ID, for rendezvous hashing.
 	idHash uint64
-	// eventGap estimates eventGapQuantile of the time between two events of a stream, in
-	// milliseconds.
+	// eventGap estimates the eventGapQuantile of the times between two events of a stream,
+	// in milliseconds.
 	eventGap quantile
 	// slow reports that the instance is slow for its service (serviceState.markSlow).
 	slow bool
-	// prefixSentAt holds, by prefix hash, when this router last sent a prefix that another
-	// instance owned to this one.
+	// prefixSentAt holds, by prefix hash, when this router last sent the prefix to this
+	// instance while another instance owned the prefix.
 	prefixSentAt map[uint64]time.Time
 }
 
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -27,7 +27,8 @@
 	//   - it is in backoff;
 	//   - it is recovering from a backoff, and all allowed probes are in flight;
 	//   - it is rate-limited and this router has no permit;
-	//   - it is recovering or rate-limited, and a waiting request takes precedence.
+	//   - it is recovering from a backoff or rate-limited, and a waiting request takes
+	//     precedence.
 	deferred
 	// removed instances lost their announcement less than removedGrace ago.
 	removed
@@ -49,8 +50,8 @@
 	allowedRegions []AllowedRegions
 	regions        map[granitehoist.AvailabilityZone]granitehoist.Region
 	cold           coldShare
-	// firstInQueue reports that the request may use deferred instances ahead of all
-	// waiting requests.
+	// firstInQueue reports that no waiting request takes precedence over this request
+	// (isFirstInQueue).
 	firstInQueue bool
 	// hasLimited reports that an instance of the service is rate-limited.
 	hasLimited bool
@@ -113,7 +114,7 @@
 // candidates selects the instances that an attempt may use, the first of these that exist:
 //
 //   - all live instances;
-//   - the ejected instance whose ejection ends first, since an attempt there may succeed;
+//   - the ejected instance whose ejection ends first, since it may work again;
 //   - the removed instances.
 //
 // There are no choices if all instances are excluded or deferred.
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -46,8 +46,8 @@
 	Tried map[granitehoist.Upstream]bool
 }
 
-// Pick chooses an instance among the candidates (candidates.go) and counts the attempt as
-// in progress there until Done is called on the lease. It chooses the candidate with the
+// Pick chooses an instance among the candidates (candidates.go). The attempt counts as in
+// progress at the instance until Done is called on the lease. It chooses the candidate with the
 // least cost or, if the query has a Pin, the one with the highest hash (owner.go). Without
 // a candidate it returns an error:
 //
@@ -98,11 +98,11 @@
 }
 
 // addPermitDemands records demand for a permit at each deferred instance that is
-// rate-limited and whose backoff, if any, allows a request. needed reports that the
-// request has no other instance, so that it waits up to its MaxWait; otherwise
-// permitLeadTime applies. The caller holds mu.
+// rate-limited and whose backoff, if any, allows a request. needed reports that Pick has
+// no choices, so that the request waits up to its MaxWait for a permit. Otherwise the
+// request is sent to another instance, and maxAdvanceWait applies. The caller holds mu.
 func (t *Table) addPermitDemands(deferred []*instanceState, needed bool, q *Query, now time.Time) {
-	maxWait := permitLeadTime
+	maxWait := maxAdvanceWait
 	if needed {
 		maxWait = q.MaxWait
 	}
@@ -143,7 +143,8 @@
 	return l.cost()
 }
 
-// uncachedTokens returns the prompt tokens that the instance would have to prefill.
+// uncachedTokens returns the number of prompt tokens that are probably not in the
+// instance's cache (cachesPrefix).
 func (s *instanceState) uncachedTokens(q *Query, owner *instanceState, now time.Time) granitehoist.Tokens {
 	if s.cachesPrefix(q, owner, now) {
 		return q.PromptTokens - q.PrefixTokens
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -10,9 +10,9 @@
 )
 
 // A cold instance handles only a limited request rate and fails above it. The routers
-// enforce that limit without communication: each has an equal share of it. A fractional
-// share is rounded at random in each second. Unused quota expires with its second:
-// otherwise all routers could send what they have saved at once. An instance whose quota
+// enforce the limit without communication: each may use an equal share (coldRateShare). A
+// fractional share is rounded at random in each second. Unused quota expires with its
+// second: otherwise all routers could send what they have saved at once. An instance whose quota
 // is used up is not a candidate, so its prefixes pass to the other candidates (owner.go).
 
 const (
@@ -23,8 +23,8 @@
 	// coldWindow is the period to which the quota applies.
 	coldWindow = time.Second
 	// coldAfterRestore is how long the instances of a zone count as cold after its
-	// evacuation ends. Without requests they may have become cold, and an announcement that
-	// says so may arrive one heartbeat and one store poll after the end.
+	// evacuation ends. Without requests they may have become cold, and the announcement of
+	// an instance with ColdFor may arrive one heartbeat and one store poll after the end.
 	coldAfterRestore = 2 * time.Second
 )
 
@@ -49,7 +49,8 @@
 	return coldUtilization * limit / float64(max(1, routers))
 }
 
-// coldShare is a router's share of the rate limit of each cold instance of a service.
+// coldShare is the request rate that this router may send to each cold instance of a
+// service, in requests a second (coldRateShare), with the source of random numbers.
 type coldShare struct {
 	perSecond float64
 	random    *rand.Rand
@@ -58,12 +59,13 @@
 // coldQuota is the number of requests that a router may still send to a cold instance in
 // the current second. The zero value is that of an instance that has not been cold.
 type coldQuota struct {
-	// phase is a random offset of the seconds, so that the routers do not refresh their
-	// quotas at the same time.
-	phase time.Duration
-	// second is the number of the second to which remaining applies.
-	second    int64
-	remaining int
+	// windowOffset is a random shift of the seconds, so that the routers do not refresh
+	// their quotas at the same time.
+	windowOffset time.Duration
+	// currentSecond is the number of the second to which remaining applies, counted from
+	// the Unix epoch and shifted by windowOffset.
+	currentSecond int64
+	remaining     int
 }
 
 // admitsWhileCold reports whether this router may send a request to a cold instance now.
@@ -76,13 +78,13 @@
 
 // refresh draws a new quota if a new second has begun, and returns the quota.
 func (q *coldQuota) refresh(share coldShare, now time.Time) *coldQuota {
-	if q.second == 0 {
-		q.phase = time.Duration(share.random.Int64N(int64(coldWindow)))
+	if q.currentSecond == 0 {
+		q.windowOffset = time.Duration(share.random.Int64N(int64(coldWindow)))
 	}
-	second := now.Add(q.phase).UnixNano() / int64(coldWindow)
-	if second != q.second {
+	second := now.Add(q.windowOffset).UnixNano() / int64(coldWindow)
+	if second != q.currentSecond {
 		integer, fraction := math.Modf(share.perSecond)
-		q.second, q.remaining = second, int(integer)
+		q.currentSecond, q.remaining = second, int(integer)
 		if share.random.Float64() < fraction {
 			q.remaining++
 		}
--- a/balance/cost.go
+++ b/balance/cost.go
@@ -20,35 +20,34 @@
 	// smallCapacity is the capacity, in concurrent requests, below which the delay of a
 	// request in progress grows in inverse proportion to the capacity.
 	smallCapacity = 16
-	// failureMS is the delay at an instance that fails every attempt: the time of the
-	// failed attempt and of the retry.
+	// failureMS is the delay by a failed attempt: its time and that of the retry.
 	failureMS = 400.0
 	// crossZoneMS is the network delay to another availability zone. It decides only
 	// between almost equal instances.
 	crossZoneMS = 1.0
-	// slowPrefillMS is the additional delay that a heavy prompt causes to concurrent
-	// streams on a slow instance. It usually exceeds the queueing cost of the other
-	// instances.
+	// slowPrefillMS is the penalty for a heavy prompt at a slow instance, where its prefill
+	// delays concurrent streams most. It usually exceeds the queueing cost of instances
+	// that are not slow.
 	slowPrefillMS = 300.0
-	// paceMismatchMS is the penalty for a request that is not heavy: at slow instances if
-	// it prefers the others, and at the others if it prefers slow ones (prefersSlow). It
+	// nonPreferredSpeedMS is the penalty for a request that is not heavy at an instance of
+	// the speed class (slow or not slow) that the request does not prefer (prefersSlow). It
 	// usually exceeds the queueing cost of the preferred instances.
-	paceMismatchMS = 100.0
-	// cacheMissWeight is the additional cost of prefilling a prefix away from its owner,
-	// as a fraction of the prefill time.
+	nonPreferredSpeedMS = 100.0
+	// cacheMissWeight is the penalty for a prefix at an instance that does not own it, as
+	// a fraction of the prefix's prefill time.
 	cacheMissWeight = 0.5
 )
 
 // load is the input of the cost function for one instance.
 type load struct {
-	// queuedTokens counts the tokens of prompts that this router sent to the instance and
-	// for which no event has arrived yet. Requests of other routers are unknown.
+	// queuedTokens counts the uncached prompt tokens of this router's attempts at the
+	// instance for which no event has arrived yet. Attempts of other routers are unknown.
 	queuedTokens granitehoist.Tokens
 	// uncachedTokens counts the tokens of the request's prompt that are probably not in
 	// the instance's cache.
 	uncachedTokens granitehoist.Tokens
-	// unownedPrefixTokens is the length of the request's prefix if the instance does not
-	// own it; zero at the owner.
+	// unownedPrefixTokens is the length of the request's prefix, and zero if the instance
+	// owns the prefix.
 	unownedPrefixTokens granitehoist.Tokens
 	// inFlight is the number of this router's requests in progress at the instance.
 	inFlight int
@@ -72,12 +71,12 @@
 // with the least cost. The terms, in the order of summation (which affects rounding), are:
 //
 //   - the prefill of the queued prompts and of the request's uncached tokens;
-//   - the cache miss at an instance that does not own the prefix: the prefix takes cache
-//     space there, while other routers keep using the owner;
+//   - a penalty at an instance that does not own the prefix: the prefix takes space in
+//     that instance's cache, while other routers keep using the owner;
 //   - the delay by the requests in progress;
 //   - the expected delay by failures;
-//   - a penalty for a heavy prompt at a slow instance, or for another request at an
-//     instance of the speed that it does not prefer (slow.go);
+//   - a penalty for a heavy prompt at a slow instance, or for a request that is not heavy
+//     at an instance of the speed class that the request does not prefer (slow.go);
 //   - the network delay to another availability zone;
 //   - up to one millisecond of random tie-break.
 func (l *load) cost() milliseconds {
@@ -89,7 +88,7 @@
 	case l.slow && l.heavy:
 		cost += slowPrefillMS
 	case !l.heavy && l.slow != l.prefersSlow:
-		cost += paceMismatchMS
+		cost += nonPreferredSpeedMS
 	}
 	if l.crossZone {
 		cost += crossZoneMS
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -18,19 +18,20 @@
 // (candidates.go). All routers agree on the owner of a common prompt prefix by rendezvous
 // hashing (owner.go); another instance is chosen if the owner's queue costs more than its
 // cached prefix saves (prefixcache.go). Heavy prompts, whose prefill delays concurrent
-// streams, avoid slow instances, which get a larger share of the other requests instead
-// (slow.go). Failures increase the cost of an instance; consecutive broken attempts eject
-// it, and each further one doubles the duration (ejection.go). An instance whose
+// streams, avoid slow instances, which get a larger share of the requests that are not
+// heavy (slow.go). Failures increase the cost of an instance; two broken attempts without a
+// success in between eject the instance, and each further one doubles the duration of the
+// ejection (ejection.go). An instance whose
 // announcement was removed is a last resort for a short time (removal.go).
 //
 // Constraints take precedence over cost. Instances in an evacuated zone (evacuation.go), in
 // a region that the request must not go to (allowedregions.go), or about to end (leaving.go) are
 // never candidates. A cold instance is limited to a request rate shared by all routers
 // (cold.go). An instance that sets a rate limit (ratelimit.go) gets only requests with a
-// permit (permit.go), and one that asked for backoff (backoff.go) gets none until it ends.
-// If all instances are deferred in this way, requests wait in priority order (waiting.go).
-// While one instance of a service is rate-limited, the load of each of them is bounded
-// (overload.go). An instance that restarts under its ID starts without observations
+// permit (permit.go), and one that asked for backoff gets none until the backoff ends
+// (backoff.go). If all instances are deferred in this way, requests wait in priority order
+// (waiting.go). While an instance of a service is rate-limited, the load of each instance
+// of the service is limited (overload.go). An instance that restarts under its ID starts without observations
 // (membership.go).
 //
 // Start reading at Table.Pick in choice.go.
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -10,14 +10,14 @@
 	firstEjection = 400 * time.Millisecond
 	// maxEjection is the longest duration of an ejection.
 	maxEjection = 4 * time.Second
-	// maxEjectionDoublings limits the exponent to prevent overflow. firstEjection reaches
-	// maxEjection with fewer doublings.
+	// maxEjectionDoublings limits the doublings of firstEjection to prevent overflow. Fewer
+	// doublings reach maxEjection.
 	maxEjectionDoublings = 5
-	// ejectAfterFailures is the number of consecutive broken attempts that eject an
-	// instance. A single one may be chance.
+	// ejectAfterFailures is the number of broken attempts without a success in between
+	// that eject an instance. A single one may be chance.
 	ejectAfterFailures = 2
-	// refusedDivisor divides firstEjection to give the short ejection after a refusal,
-	// since a full instance soon has capacity again.
+	// refusedDivisor divides the duration of a first ejection to give that of the ejection
+	// after a refusal. It is shorter because a full instance soon has capacity again.
 	refusedDivisor = 4
 	// failureWeight is the weight of the newest attempt in the moving average of
 	// failures.
--- a/balance/feedback.go
+++ b/balance/feedback.go
@@ -8,7 +8,7 @@
 // Feedback is the information in one response about its instance, independent of the
 // outcome of the request. The zero value carries no information.
 type Feedback struct {
-	// Rate is the rate information.
+	// Rate is the information about the rate limit of the instance.
 	Rate RateFeedback
 	// Leaving reports that the instance is about to end and accepts no further requests.
 	Leaving bool
@@ -21,17 +21,17 @@
 // Observe records the information in a response of the instance. It must not be called
 // for a response of another instance that has taken over the address. Most responses carry
 // no information and need no lock.
-func (l *Lease) Observe(s Feedback, now time.Time) {
-	if l.mayChangeLimit(s.Rate) {
-		l.recordRate(s.Rate, now)
+func (l *Lease) Observe(f Feedback, now time.Time) {
+	if l.mayChangeLimit(f.Rate) {
+		l.recordRate(f.Rate, now)
 	}
-	if s.Leaving {
+	if f.Leaving {
 		l.recordLeaving(now)
 	}
-	if s.Backoff > 0 {
-		l.recordBackoff(s.Backoff, now)
+	if f.Backoff > 0 {
+		l.recordBackoff(f.Backoff, now)
 	}
-	if s.Accepted && l.isProbe {
+	if f.Accepted && l.isProbe {
 		l.recordAccepted()
 	}
 }
--- a/balance/hints.go
+++ b/balance/hints.go
@@ -11,7 +11,7 @@
 )
 
 // Hint names the slow instances of a service. A router that has just started uses the
-// hints of another one until it has observations of its own.
+// hints of another router until it has observations of its own.
 type Hint struct {
 	Service granitehoist.Service `json:"service"`
 	// Slow holds the slow instances, at most maxHinted.
@@ -40,8 +40,8 @@
 	return hints
 }
 
-// ApplyHints replaces the hints for the named services. A hint counts for an instance as
-// long as this router has observed fewer than minEventGaps event gaps there.
+// ApplyHints replaces the hints for the services that hints names. A hint counts for an
+// instance until this router has observed minEventGaps event gaps of the instance.
 func (t *Table) ApplyHints(hints []Hint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -18,18 +18,18 @@
 	// Slow reports that the instance is slow for its service, Heavy that the prompt is
 	// heavy (slow.go).
 	Slow, Heavy bool
-	// Load is the number of this router's other requests that were in progress there.
+	// Load is the number of this router's other attempts in progress at the instance.
 	Load int
 
 	table   *Table
 	service *serviceState
 	state   *instanceState
-	// limited reports that the instance was rate-limited when it was chosen.
+	// limited reports that the instance was rate-limited when Pick chose it.
 	limited bool
-	// isProbe reports that the request probes the instance after a backoff and its
-	// outcome is still unknown.
+	// isProbe reports that the attempt is a probe after a backoff (backoff.go) whose outcome
+	// is still unknown.
 	isProbe bool
-	// pendingTokens counts the prompt tokens that await prefill.
+	// pendingTokens counts the uncached prompt tokens; zero from the first event on.
 	pendingTokens granitehoist.Tokens
 	// picked is when the instance was chosen. lastEvent is when the newest event of the
 	// stream arrived; zero before the first one.
@@ -53,12 +53,12 @@
 	l.lastEvent = now
 }
 
-// minPrefillTokens is the shortest prompt from which the prefill rate is estimated. For
-// shorter prompts, request overhead dominates the time.
+// minPrefillTokens is the least number of uncached prompt tokens from which the prefill
+// rate is estimated. With fewer tokens, request overhead dominates the time.
 const minPrefillTokens granitehoist.Tokens = 2000
 
-// observePrefill records the prefill rate of the prompt. The caller holds the table's
-// lock.
+// observePrefill records the prefill rate of a prompt with at least minPrefillTokens. The
+// caller holds the table's lock.
 func (l *Lease) observePrefill(now time.Time) {
 	elapsed := now.Sub(l.picked)
 	if l.pendingTokens >= minPrefillTokens && elapsed > 0 {
@@ -66,9 +66,9 @@
 	}
 }
 
-// observeEventGap records the gap before events that arrived together at now. Unless the
-// instance is cold, the gap divided by the number of events is a sample of its event gap.
-// The caller holds the table's lock.
+// observeEventGap records the time between the previous event and events that arrived
+// together at now. Unless the instance is cold, this time divided by the number of events
+// is a sample of the instance's event gap. The caller holds the table's lock.
 func (l *Lease) observeEventGap(events int, now time.Time) {
 	gap := now.Sub(l.lastEvent)
 	l.longestEventGap = max(l.longestEventGap, gap)
--- a/balance/leaving.go
+++ b/balance/leaving.go
@@ -5,14 +5,14 @@
 
 import "time"
 
-// An instance that is about to end says so in its responses as well as in its
+// An instance that is about to end reports leaving in its responses as well as in its
 // announcement, so that routers learn of it while the store is unavailable. Every response
 // of the instance counts, including refusals, stream headers and truncated responses.
 //
-// Within an incarnation, leaving is final. A response without the signal that arrives
-// later may have been sent earlier, and an announcement that does not say so may be stale.
-// The table therefore remembers leaving incarnations separately from announcements, even
-// while the instance has none.
+// An incarnation that is leaving stays so. A later response that does not report leaving
+// may have been sent earlier, and an announcement that does not report it may be stale.
+// The table therefore remembers leaving incarnations separately from announcements, also
+// of instances that are not announced.
 
 const (
 	// leavingRetention is how long a leaving incarnation is remembered after the last
@@ -94,7 +94,7 @@
 // mergeLeaving applies the records of another router. It remembers incarnations that are
 // not in the table, since they may be announced later.
 func (t *Table) mergeLeaving(records []LeavingRecord, now time.Time) {
-	var notes []LeavingEvent
+	var learned []LeavingEvent
 	t.mu.Lock()
 	for _, r := range records {
 		s, found := t.instances[r.Upstream]
@@ -102,12 +102,12 @@
 		case !found || s.StartedAtMS != r.StartedAtMS:
 			t.leavingIncarnations.add(r.incarnation(), now)
 		case t.recordLeaving(s, now):
-			notes = append(notes, LeavingEvent{Instance: s.Instance})
+			learned = append(learned, LeavingEvent{Instance: s.Instance})
 		}
 	}
 	t.mu.Unlock()
-	for _, note := range notes {
-		t.notifyLeaving(note)
+	for _, event := range learned {
+		t.notifyLeaving(event)
 	}
 }
 
@@ -123,8 +123,8 @@
 }
 
 // notifyLeaving calls the OnLeaving callback. The caller holds no lock.
-func (t *Table) notifyLeaving(note LeavingEvent) {
+func (t *Table) notifyLeaving(event LeavingEvent) {
 	if t.settings.OnLeaving != nil {
-		t.settings.OnLeaving(note)
+		t.settings.OnLeaving(event)
 	}
 }
--- a/balance/limitrecord.go
+++ b/balance/limitrecord.go
@@ -13,13 +13,13 @@
 // receiver ignores unknown fields and takes missing ones as zero.
 type LimitRecord struct {
 	Upstream    granitehoist.Upstream `json:"upstream"`
-	StartedAtMS int64                 `json:"born,omitempty"`
+	StartedAtMS int64                 `json:"born,omitempty"` // the JSON name stays for compatibility
 	// Limited reports whether the instance has a rate limit. Rate is the limit in requests
 	// a second.
 	Limited bool `json:"limited"`
 	Rate    Rate `json:"rate,omitempty"`
-	// AgeMS is the age of the information in milliseconds. An age is used because the
-	// clocks of the two machines may differ.
+	// AgeMS is the time since knownLimit.asOf in milliseconds. It is not a time of day,
+	// because the clocks of the two routers may differ.
 	AgeMS float64 `json:"age_ms"`
 }
 
@@ -41,8 +41,8 @@
 // maxPendingLimits is the maximum number of records kept for instances not announced yet.
 const maxPendingLimits = 128
 
-// limitRecord returns the known rate limit of an instance. The caller holds the table's
-// lock.
+// limitRecord returns the known rate limit of an instance as a record. The caller holds
+// the table's lock.
 func (s *instanceState) limitRecord(now time.Time) LimitRecord {
 	record := LimitRecord{Upstream: s.ID, StartedAtMS: s.StartedAtMS}
 	if s.limit != nil {
@@ -77,9 +77,9 @@
 	return s.limitRecord(now), true
 }
 
-// MergeLimits applies the records of another router. It keeps records of instances that
-// are not in the table until they are announced. It ignores a record of another incarnation
-// than the one in the table.
+// MergeLimits applies the records of another router. A record of an instance that is not
+// in the table is kept until the instance is announced. A record of an incarnation other
+// than the one in the table is ignored.
 func (t *Table) MergeLimits(records []LimitRecord, now time.Time) {
 	var changes []LimitChange
 	t.mu.Lock()
@@ -96,9 +96,9 @@
 	t.notifyLimitChanges(changes)
 }
 
-// keepPendingLimit keeps a record of an instance that is not announced yet. It drops all
-// earlier ones if there are too many, since most of them then belong to instances that
-// will not appear. The caller holds mu.
+// keepPendingLimit keeps a record of an instance that is not announced yet. At
+// maxPendingLimits it first drops all records, since most of them then belong to instances
+// that will not be announced. The caller holds mu.
 func (t *Table) keepPendingLimit(r LimitRecord, now time.Time) {
 	if len(t.pendingLimits) >= maxPendingLimits {
 		clear(t.pendingLimits)
--- a/balance/overload.go
+++ b/balance/overload.go
@@ -3,10 +3,11 @@
 
 package balance
 
-// Where many instances of a service are rate-limited, the excess load goes to the others,
-// which may become overloaded: requests queue up there and time out after their prefill.
-// The load of each instance is therefore bounded while one of the service is rate-limited.
-// A request that finds no instance with capacity waits for a permit or is refused at once.
+// If many instances of a service are rate-limited, the excess load goes to the remaining
+// instances. These may become overloaded: requests queue up and time out after their
+// prefill. While any instance of a service is rate-limited, the load of each instance of
+// the service is therefore limited. A request that finds no instance with capacity waits
+// for a permit or is refused at once.
 //
 // A router estimates the load of an instance as its own load times the number of routers.
 
@@ -14,9 +15,9 @@
 	// maxLoadFactor is the maximum number of requests at an instance as a multiple of its
 	// capacity: as many may be queued as are running.
 	maxLoadFactor = 2
-	// minCapacityPerRouter is the least capacity per router for which the load estimate
-	// is used. Below it, single requests at one router distort the estimate, and the load
-	// is not bounded.
+	// minCapacityPerRouter is the least capacity of an instance, divided by the number of
+	// routers, from which the load of the instance is limited. Below it, single requests
+	// at one router distort the estimate.
 	minCapacityPerRouter = 2
 )
 
--- a/balance/permit.go
+++ b/balance/permit.go
@@ -10,9 +10,10 @@
 // AddPermits. A rate-limited instance without a permit is not a candidate; a request
 // without another instance waits for a permit (waiting.go) or is refused.
 
-// permitLeadTime is the longest time until a requested permit is due if the request that
-// lacked it can use another instance. A later request then uses the permit.
-const permitLeadTime = 100 * time.Millisecond
+// maxAdvanceWait is the MaxWait of a permit request for which no request is waiting, since
+// the request that lacked the permit is sent to another instance. A later request uses the
+// permit.
+const maxAdvanceWait = 100 * time.Millisecond
 
 // PermitRequest asks for permits for one instance.
 type PermitRequest struct {
@@ -20,7 +21,7 @@
 	Limit LimitRecord
 	// Count is the number of permits wanted, at least one.
 	Count int
-	// MaxWait is the longest time until the first permit is due.
+	// MaxWait is the longest acceptable time until the first permit is due.
 	MaxWait time.Duration
 }
 
@@ -53,14 +54,15 @@
 
 // permitDemand is a router's demand for permits for one instance.
 type permitDemand struct {
-	// count is the number of requests that lacked a permit since the last permit request.
-	// maxWait is the longest time until a permit is due that one of them accepts.
+	// count is the number of requests that lacked a permit since the last permit request;
+	// at least one while queued. maxWait is the longest wait for a permit that any of these
+	// requests accepts.
 	count   int
 	maxWait time.Duration
 	// queued reports that the instance is in the table's awaitingPermits.
 	queued bool
-	// pending reports that a permit request is in flight. notBefore is the earliest time
-	// of the next one after its response.
+	// pending reports that a permit request is in flight. notBefore is the earliest time of
+	// the next permit request, as set by the last response.
 	pending   bool
 	notBefore time.Time
 }
@@ -112,14 +114,15 @@
 // isLimited reports whether the instance is rate-limited and so requires permits.
 func (s *instanceState) isLimited() bool { return s.limit != nil && s.limit.known.limited }
 
-// lacksPermit reports whether the instance is rate-limited and the request has no permit
-// to use. mayUse is false if a waiting request takes precedence.
+// lacksPermit reports whether the instance is rate-limited and the request can use no
+// permit. mayUse is false if a waiting request takes precedence.
 func (s *instanceState) lacksPermit(mayUse bool, now time.Time) bool {
 	return s.isLimited() && !(s.limit.hasPermit(now) && mayUse)
 }
 
-// addPermitDemand records demand for a permit for an instance. counted reports that the
-// request is waiting and was counted before. The caller holds mu.
+// addPermitDemand records the demand of a request for a permit for an instance. counted
+// reports that an earlier call counted the request, which is waiting now. The caller
+// holds mu.
 func (t *Table) addPermitDemand(s *instanceState, counted bool, maxWait time.Duration) {
 	demand := &s.limit.demand
 	if !counted {
@@ -139,8 +142,8 @@
 // requests. It is meant for one receiver.
 func (t *Table) PermitsWanted() <-chan struct{} { return t.permitsWanted }
 
-// PermitRequests returns the permit requests to send now, and when to call it again unless
-// PermitsWanted signals earlier. That time is zero if no request is scheduled. AddPermits
+// PermitRequests returns the permit requests to send now, and the time of the next call
+// unless PermitsWanted signals earlier; zero if no request is scheduled. AddPermits
 // must be called with the response to each returned request.
 func (t *Table) PermitRequests(now time.Time) (requests []PermitRequest, next time.Time) {
 	t.mu.Lock()
@@ -170,20 +173,20 @@
 
 // AddPermits applies the response to a request returned by PermitRequests. Responses for
 // unknown incarnations are ignored.
-func (t *Table) AddPermits(a PermitResponse) {
+func (t *Table) AddPermits(r PermitResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s, found := t.instances[a.Incarnation.ID]
-	if !found || s.StartedAtMS != a.Incarnation.StartedAtMS || s.limit == nil {
+	s, found := t.instances[r.Incarnation.ID]
+	if !found || s.StartedAtMS != r.Incarnation.StartedAtMS || s.limit == nil {
 		return
 	}
 	demand := &s.limit.demand
 	demand.pending = false
-	if a.Count > 0 {
-		s.limit.permits = append(s.limit.permits, permitBatch{count: a.Count, due: a.Due, expires: a.Expires})
-		demand.notBefore = a.Due
+	if r.Count > 0 {
+		s.limit.permits = append(s.limit.permits, permitBatch{count: r.Count, due: r.Due, expires: r.Expires})
+		demand.notBefore = r.Due
 	} else {
-		demand.notBefore = a.RetryAt
+		demand.notBefore = r.RetryAt
 	}
 	if demand.queued {
 		t.signalPermitsWanted()
--- a/balance/prefixcache.go
+++ b/balance/prefixcache.go
@@ -13,9 +13,9 @@
 	maxRememberedPrefixes = 512
 )
 
-// prefixCached estimates whether an instance has a prefix in its cache: it owns the
-// prefix, or this router sent the prefix there at sentAt, less than prefixCacheTime ago.
-// A zero sentAt means never. Upstreams don't report the contents of their caches.
+// prefixCached estimates whether an instance has a prefix in its cache: the instance owns
+// the prefix, or this router sent the prefix to the instance less than prefixCacheTime ago
+// (sentAt). A zero sentAt means never. Upstreams don't report the contents of their caches.
 func prefixCached(owner bool, sentAt, now time.Time) bool {
 	return owner || (!sentAt.IsZero() && now.Sub(sentAt) < prefixCacheTime)
 }
@@ -26,7 +26,7 @@
 }
 
 // rememberPrefix records that a prefix was sent to an instance that does not own it. At
-// maxRememberedPrefixes it drops all earlier records.
+// maxRememberedPrefixes it first drops all earlier records.
 func (s *instanceState) rememberPrefix(prefixHash uint64, now time.Time) {
 	if s.prefixSentAt == nil || len(s.prefixSentAt) >= maxRememberedPrefixes {
 		s.prefixSentAt = map[uint64]time.Time{}
--- a/balance/quantile.go
+++ b/balance/quantile.go
@@ -33,7 +33,7 @@
 func (q *quantile) hasSamples(samples int) bool { return q.samples >= samples }
 
 const (
-	// minEventGaps is the number of event gaps from which the pace of an instance counts
+	// minEventGaps is the number of samples from which the event gap of an instance counts
 	// as known. They come from several streams, since prefills of long prompts can make
 	// the gaps of a single stream long at any instance.
 	minEventGaps = 200
@@ -43,7 +43,7 @@
 	// prefillRateQuantile is the quantile of the observed prefill rates that estimates the
 	// rate without queueing. It is high because queued prompts show lower rates.
 	prefillRateQuantile = 0.75
-	// eventGapQuantile is the quantile of the event gaps that serves as an instance's
-	// pace. It is low because gaps during a prefill are longer.
+	// eventGapQuantile is the quantile of the observed times between two events that
+	// estimates an instance's event gap. It is low because gaps during a prefill are longer.
 	eventGapQuantile = 0.1
 )
--- a/balance/ratelimit.go
+++ b/balance/ratelimit.go
@@ -10,16 +10,16 @@
 
 // An overloaded instance states in its responses how many requests a second it accepts
 // from all routers together. Routers that know of a limit need a permit (permit.go) for
-// each request, because no router sees the requests of the others.
+// each request, because a router does not see the requests of other routers.
 //
-// This file maintains a router's view of the limit. Each view has a time to which it
-// refers (knownLimit.asOf):
+// This file maintains a router's view of the limit (knownLimit). A view states the limit
+// that was in force at one time, asOf:
 //
 //   - A response that does not relax the limit (a first, an equal or a lower rate) always
-//     replaces the view. The time is that of its arrival.
+//     replaces the view; asOf is its arrival.
 //   - A response that relaxes the limit (a higher rate, or none) may have been sent before
-//     the limit was set. The time is therefore that of its request, and the response is
-//     ignored if this is before the time of the current view.
+//     the limit was set. It replaces the view only if its request was sent at asOf of the
+//     current view or later; the new asOf is the time of the request.
 
 // Rate is a number of requests a second.
 type Rate float64
@@ -38,14 +38,14 @@
 }
 
 // Stated reports whether the response states a rate, valid or not.
-func (s RateFeedback) Stated() bool { return s.HasRate || s.Unreadable }
+func (f RateFeedback) Stated() bool { return f.HasRate || f.Unreadable }
 
 // String returns the rate, "unreadable", or "none".
-func (s RateFeedback) String() string {
+func (f RateFeedback) String() string {
 	switch {
-	case s.HasRate:
-		return strconv.FormatFloat(float64(s.Rate), 'g', -1, 64)
-	case s.Unreadable:
+	case f.HasRate:
+		return strconv.FormatFloat(float64(f.Rate), 'g', -1, 64)
+	case f.Unreadable:
 		return "unreadable"
 	}
 	return "none"
@@ -56,7 +56,7 @@
 type knownLimit struct {
 	limited bool
 	rate    Rate
-	// asOf is the time to which the information refers.
+	// asOf is the time at which the limit, or its absence, was in force.
 	asOf time.Time
 	// version is the table's updateVersion when a response to this router set or lifted
 	// the limit; zero if the information came from another router.
@@ -65,19 +65,20 @@
 
 // withResponse returns the view after a response that arrived at now to a request sent at
 // sent.
-func (k knownLimit) withResponse(s RateFeedback, sent, now time.Time) knownLimit {
+func (k knownLimit) withResponse(f RateFeedback, sent, now time.Time) knownLimit {
 	switch {
-	case s.Unreadable, !s.HasRate && !s.FromInstance:
+	case f.Unreadable, !f.HasRate && !f.FromInstance:
 		return k
-	case s.HasRate && (!k.limited || s.Rate <= k.rate):
-		return knownLimit{limited: true, rate: s.Rate, asOf: now, version: k.version}
+	case f.HasRate && (!k.limited || f.Rate <= k.rate):
+		return knownLimit{limited: true, rate: f.Rate, asOf: now, version: k.version}
 	case sent.Before(k.asOf):
 		return k
 	}
-	return knownLimit{limited: s.HasRate, rate: s.Rate, asOf: sent, version: k.version}
+	return knownLimit{limited: f.HasRate, rate: f.Rate, asOf: sent, version: k.version}
 }
 
-// merged returns the view after another router reported its own: the more recent one.
+// merged returns the view after another router reported its view: the one with the later
+// asOf.
 func (k knownLimit) merged(other knownLimit) knownLimit {
 	if !other.asOf.After(k.asOf) {
 		return k
--- a/balance/slow.go
+++ b/balance/slow.go
@@ -13,44 +13,44 @@
 )
 
 // An upstream interleaves chunks of prompt prefill with the decoding of its other
-// requests, which delays the events of concurrent streams. A prompt is heavy if its prefill
-// takes more than heavyPauseFraction of Query.MaxEventGap. The pace of an instance is
-// eventGapQuantile of its event gaps, so a higher pace means a slower instance. An instance
-// is slow if its pace exceeds slowThreshold times the median of its service. Delays are
-// longest at slow instances, so heavy prompts avoid them, and a larger part of the other
-// requests goes there instead.
+// requests, which delays the events of concurrent streams. A prompt is heavy if the prefill
+// of all its tokens takes more than heavyPauseFraction of Query.MaxEventGap. An instance is
+// slow if its event gap (instanceState.eventGap) exceeds slowThreshold times the median of
+// the event gaps of its service's instances. Delays are longest at slow instances.
+// Therefore heavy prompts avoid slow instances, which get a larger part of the requests
+// that are not heavy.
 
 const (
 	// heavyPauseFraction is the fraction of Query.MaxEventGap above which the prefill time
 	// makes a prompt heavy. It is below one because several prefills may delay the same
 	// event, and because the prefill rate is an estimate.
 	heavyPauseFraction = 0.25
-	// slowThreshold and slowExitThreshold are multiples of the service's median pace: an
+	// slowThreshold and slowExitThreshold are multiples of the service's median event gap: an
 	// instance becomes slow above the first and stays slow above the second. The
 	// hysteresis keeps noise from changing prefix owners.
 	slowThreshold, slowExitThreshold = 1.15, 1.08
-	// slowUpdateInterval is the interval at which slow instances are determined.
+	// slowUpdateInterval is the least time between two determinations of the slow instances.
 	slowUpdateInterval = time.Second
 )
 
 // isHeavy reports whether the prefill of a prompt at tokensPerMS takes more than
-// heavyPauseFraction of the allowed event gap. Zero or less means no limit.
-func isHeavy(prompt granitehoist.Tokens, tokensPerMS float64, allowed time.Duration) bool {
-	if allowed <= 0 {
+// heavyPauseFraction of maxEventGap. If maxEventGap is zero or negative, no prompt is heavy.
+func isHeavy(prompt granitehoist.Tokens, tokensPerMS float64, maxEventGap time.Duration) bool {
+	if maxEventGap <= 0 {
 		return false
 	}
-	reading := float64(prompt) / tokensPerMS
-	return reading > heavyPauseFraction*float64(allowed.Milliseconds())
+	prefillMS := float64(prompt) / tokensPerMS
+	return prefillMS > heavyPauseFraction*float64(maxEventGap.Milliseconds())
 }
 
-// isSlow reports whether an instance is slow, given its pace in milliseconds between two
-// events, the median pace of the service, and whether it was slow before.
-func isSlow(pace, median float64, before bool) bool {
+// isSlow reports whether an instance is slow, given its event gap and the median event gap
+// of its service, both in milliseconds, and whether the instance was slow before.
+func isSlow(eventGap, median float64, before bool) bool {
 	threshold := slowThreshold
 	if before {
 		threshold = slowExitThreshold
 	}
-	return pace > threshold*median
+	return eventGap > threshold*median
 }
 
 // serviceState holds a table's state of one service. It is guarded by the lock of its
@@ -69,14 +69,14 @@
 }
 
 // markSlow determines the slow instances, at most once in slowUpdateInterval: by their
-// observed pace or, while that is unknown, by a hint.
+// event gaps or, for an instance whose event gap is unknown, by the hints.
 func (s *serviceState) markSlow(now time.Time) {
 	if now.Sub(s.slowUpdatedAt) < slowUpdateInterval {
 		return
 	}
 	s.slowUpdatedAt = now
 	s.slowCount = 0
-	median := s.medianPace()
+	median := s.medianEventGap()
 	for _, i := range s.instances {
 		i.slow = isSlow(i.eventGap.value, median, i.slow)
 		if !i.eventGap.hasSamples(minEventGaps) {
@@ -88,19 +88,20 @@
 	}
 }
 
-// medianPace returns the median of the known paces, infinity if none is known.
-func (s *serviceState) medianPace() float64 {
-	paces := make([]float64, 0, len(s.instances))
+// medianEventGap returns the median of the known event gaps in milliseconds, infinity
+// if none is known.
+func (s *serviceState) medianEventGap() float64 {
+	gaps := make([]float64, 0, len(s.instances))
 	for _, i := range s.instances {
 		if i.eventGap.hasSamples(minEventGaps) {
-			paces = append(paces, i.eventGap.value)
+			gaps = append(gaps, i.eventGap.value)
 		}
 	}
-	if len(paces) == 0 {
+	if len(gaps) == 0 {
 		return math.Inf(1)
 	}
-	sort.Float64s(paces)
-	return paces[len(paces)/2]
+	sort.Float64s(gaps)
+	return gaps[len(gaps)/2]
 }
 
 // tokensPerMS returns the prefill rate of the service, promptTokensPerMS while it is
@@ -112,9 +113,10 @@
 	return s.prefillRate.value
 }
 
-// slowWeight is the ratio of the requests at a slow instance to those at another one,
-// heavy prompts not counted. With a lower value, more streams run beside heavy prompts and
-// are delayed; with a higher one, slow instances are overloaded.
+// slowWeight is the ratio of the number of requests at a slow instance to that at an
+// instance that is not slow, heavy prompts not counted. With a lower value, more streams
+// run beside heavy prompts and are delayed; with a higher one, slow instances are
+// overloaded.
 const slowWeight = 3.5
 
 // prefersSlow decides by a random draw in [0, 1) whether a request that is not heavy
--- a/balance/slow_test.go
+++ b/balance/slow_test.go
@@ -24,7 +24,7 @@
 )
 
 var _ = DescribeTable("An instance is slow",
-	func(pace float64, before, want bool) { Expect(isSlow(pace, 20, before)).To(Equal(want)) },
+	func(eventGap float64, before, want bool) { Expect(isSlow(eventGap, 20, before)).To(Equal(want)) },
 	Entry("far above the median", 23.1, false, true),
 	Entry("not a little above it", 22.9, false, false),
 	Entry("a little above it, if it was slow before", 22.9, true, true),
@@ -124,6 +124,6 @@
 	})
 
 	It("has no median without a known pace", func() {
-		Expect((&serviceState{}).medianPace()).To(Equal(math.Inf(1)))
+		Expect((&serviceState{}).medianEventGap()).To(Equal(math.Inf(1)))
 	})
 })
--- a/balance/status.go
+++ b/balance/status.go
@@ -23,8 +23,8 @@
 	return t.skipCounts
 }
 
-// countSkips updates the skip counts after the selection for a call of Pick, whether or
-// not it has choices. The caller holds mu.
+// countSkips updates the skip counts for a call of Pick with the given selection. The
+// caller holds mu.
 func (t *Table) countSkips(s *selection) {
 	if s.leaving > 0 {
 		t.skipCounts.Leaving++
--- a/balance/updates.go
+++ b/balance/updates.go
@@ -19,12 +19,12 @@
 }
 
 // HasAny reports whether there is any information.
-func (n Updates) HasAny() bool { return len(n.Limits)+len(n.Leaving) > 0 }
+func (u Updates) HasAny() bool { return len(u.Limits)+len(u.Leaving) > 0 }
 
 // LeavingRecord reports that one incarnation of an instance is about to end.
 type LeavingRecord struct {
 	Upstream    granitehoist.Upstream `json:"upstream"`
-	StartedAtMS int64                 `json:"born,omitempty"`
+	StartedAtMS int64                 `json:"born,omitempty"` // the JSON name stays for compatibility
 }
 
 // incarnation returns the incarnation that the record describes.
@@ -52,8 +52,8 @@
 	return updates, t.updateVersion
 }
 
-// Snapshot returns the full current information about all instances, whether from
-// responses to this router or from other routers.
+// Snapshot returns the current rate limits and the leaving instances, whether this router
+// learned of them from responses or from other routers.
 func (t *Table) Snapshot(now time.Time) Updates {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/waiting.go
+++ b/balance/waiting.go
@@ -13,8 +13,8 @@
 // A request waits if all instances that it may use are deferred because of a backoff or a
 // rate limit. Waiting requests are served by priority: a deferred instance serves no
 // request while one of higher priority waits for the same service, and no new request
-// while one of equal priority waits. The number of waiting requests is limited to what
-// these instances can serve within the longest wait.
+// while one of equal priority waits. The number of waiting requests is limited
+// (maxWaiters).
 
 // Waiter is a request that waits for a deferred instance. Close must be called exactly
 // once.
@@ -38,7 +38,7 @@
 	return w, true
 }
 
-// Close removes the request from the waiting ones.
+// Close ends the wait of the request.
 func (w *Waiter) Close() {
 	w.table.mu.Lock()
 	defer w.table.mu.Unlock()
@@ -55,12 +55,12 @@
 	return count
 }
 
-// maxWaiters returns the maximum number of waiting requests, each waiting at most
-// maxWait. It is one plus the number of requests that this router alone could send in that
-// time:
+// maxWaiters returns the maximum number of requests that may wait for the service, given
+// the longest wait of a new one. It is one plus the sum, at most maxWaitersPerService, over
+// the instances of the number of requests that this router alone could send within maxWait:
 //
 //   - to a rate-limited instance, its rate times maxWait;
-//   - to an instance that is in backoff or recovers from it, its concurrency.
+//   - to any other instance that is in backoff or recovers from it, its concurrency.
 func (s *serviceState) maxWaiters(maxWait time.Duration) int {
 	sum := 0.0
 	for _, i := range s.instances {
@@ -74,7 +74,7 @@
 	return 1 + int(math.Min(maxWaitersPerService, sum))
 }
 
-// maxWaitersPerService bounds the number that maxWaiters adds to one.
+// maxWaitersPerService limits the sum in maxWaiters.
 const maxWaitersPerService = 1000
 
 // isFirstInQueue reports whether a query takes precedence over all waiting requests at
@@ -89,8 +89,8 @@
 	return true
 }
 
-// DeferredChanged returns a channel that is closed when waiting requests may find an
-// instance that was unavailable before.
+// DeferredChanged returns a channel that is closed when a waiting request may find an
+// instance.
 func (t *Table) DeferredChanged() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -115,7 +115,7 @@
 type Deferral struct {
 	// RetryIn is the time until an instance may accept a request; zero if unknown.
 	RetryIn time.Duration
-	// Backoff reports that this time is set by a backoff rather than by a permit.
+	// Backoff reports that a backoff, rather than the wait for a permit, determines RetryIn.
 	Backoff bool
 }
 
@@ -143,7 +143,7 @@
 	return &deferredError{service: service, Deferral: earliestDeferral(deferred, now)}
 }
 
-// earliestDeferral returns the deferral of the instance that may accept a request first.
+// earliestDeferral returns the deferral with the least RetryIn.
 // There must be at least one instance.
 func earliestDeferral(deferred []*instanceState, now time.Time) Deferral {
 	first := deferred[0].deferral(now)
@@ -155,8 +155,8 @@
 	return first
 }
 
-// deferral returns how long an instance is deferred: until its backoff ends or, if it is
-// rate-limited and that is later, until timeToPermit has passed.
+// deferral returns how long an instance is deferred: until its backoff has ended and, if
+// the instance is rate-limited, timeToPermit has passed.
 func (s *instanceState) deferral(now time.Time) Deferral {
 	backoff := s.backoff.Remaining(now)
 	if !s.isLimited() {
