--- a/balance/cold.go
+++ b/balance/cold.go
@@ -12,8 +12,9 @@
 // A cold instance handles only a limited request rate and fails above it. The routers
 // enforce the limit without communication: each may use an equal share (coldRateShare). A
 // fractional share is rounded at random in each second. Unused quota expires with its
-// second: otherwise all routers could send what they have saved at once. An instance whose quota
-// is used up is not a candidate, so its prefixes pass to the other candidates (owner.go).
+// second: otherwise all routers could send what they have saved at once. An instance whose
+// quota is used up is not a candidate, so its prefixes pass to the other candidates
+// (owner.go).
 
 const (
 	// coldUtilization is the fraction of a cold instance's rate limit that the routers
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -24,15 +24,15 @@
 // ejection (ejection.go). An instance whose
 // announcement was removed is a last resort for a short time (removal.go).
 //
-// Constraints take precedence over cost. Instances in an evacuated zone (evacuation.go), in
-// a region that the request must not go to (allowedregions.go), or about to end (leaving.go) are
-// never candidates. A cold instance is limited to a request rate shared by all routers
-// (cold.go). An instance that sets a rate limit (ratelimit.go) gets only requests with a
-// permit (permit.go), and one that asked for backoff gets none until the backoff ends
-// (backoff.go). If all instances are deferred in this way, requests wait in priority order
-// (waiting.go). While an instance of a service is rate-limited, the load of each instance
-// of the service is limited (overload.go). An instance that restarts under its ID starts without observations
-// (membership.go).
+// Constraints take precedence over cost. Instances in an evacuated zone (evacuation.go),
+// in a region that the request must not go to (allowedregions.go), or about to end
+// (leaving.go) are never candidates. A cold instance is limited to a request rate shared
+// by all routers (cold.go). An instance that sets a rate limit (ratelimit.go) gets only
+// requests with a permit (permit.go), and one that asked for backoff gets none until the
+// backoff ends (backoff.go). If all instances are deferred in this way, requests wait in
+// priority order (waiting.go). While an instance of a service is rate-limited, the load
+// of each instance of the service is limited (overload.go). An instance that restarts
+// under its ID starts without observations (membership.go).
 //
 // Start reading at Table.Pick in choice.go.
 package balance
--- a/balance/limitrecord.go
+++ b/balance/limitrecord.go
@@ -12,8 +12,9 @@
 // LimitRecord reports the rate limit of an instance from one router to another. A
 // receiver ignores unknown fields and takes missing ones as zero.
 type LimitRecord struct {
-	Upstream    granitehoist.Upstream `json:"upstream"`
-	StartedAtMS int64                 `json:"born,omitempty"` // the JSON name stays for compatibility
+	Upstream granitehoist.Upstream `json:"upstream"`
+	// The JSON name of StartedAtMS stays for compatibility.
+	StartedAtMS int64 `json:"born,omitempty"`
 	// Limited reports whether the instance has a rate limit. Rate is the limit in requests
 	// a second.
 	Limited bool `json:"limited"`
--- a/balance/updates.go
+++ b/balance/updates.go
@@ -23,8 +23,9 @@
 
 // LeavingRecord reports that one incarnation of an instance is about to end.
 type LeavingRecord struct {
-	Upstream    granitehoist.Upstream `json:"upstream"`
-	StartedAtMS int64                 `json:"born,omitempty"` // the JSON name stays for compatibility
+	Upstream granitehoist.Upstream `json:"upstream"`
+	// The JSON name of StartedAtMS stays for compatibility.
+	StartedAtMS int64 `json:"born,omitempty"`
 }
 
 // incarnation returns the incarnation that the record describes.
