--- a/suspect/block.go
+++ b/suspect/block.go
@@ -6,29 +6,31 @@
 import "time"
 
 const (
-	// firstScopeBlock is the duration of the first block of a scope. Each further early
-	// round doubles it, up to maxScopeBlock. After a block the requests of the scope are tried
-	// again at one upstream, so that a scope refused by mistake recovers within seconds.
-	firstScopeBlock = 5 * time.Second
-	maxScopeBlock   = 30 * time.Second
+	// initialScopeBlockDuration is the duration of the first block of a scope. Each further
+	// early round doubles it, up to maxScopeBlockDuration. After a block the requests of the
+	// scope are tried again at one upstream, so that a scope refused by mistake recovers
+	// within seconds.
+	initialScopeBlockDuration = 5 * time.Second
+	maxScopeBlockDuration     = 30 * time.Second
 )
 
-// blockDuration returns how long a request or scope with sufficient evidence is refused.
+// blockDuration returns how long the request or scope of an entry with sufficient evidence
+// is refused.
 func (t *Table) blockDuration(e *entry) time.Duration {
 	if !e.isScope {
 		return t.settings.BlockDuration
 	}
 	early, _ := e.earlyRound()
 	doublings := min(max(0, early-scopeEarlyRoundsToRefuse), 3)
-	return min(maxScopeBlock, firstScopeBlock<<doublings)
+	return min(maxScopeBlockDuration, initialScopeBlockDuration<<doublings)
 }
 
-// clearMassFailure does nothing unless a mass failure is in progress. Then it clears the
-// highest round of each entry if it became known within massFailureWindow, since it began
-// with the mass failure before the table recognised it. First rounds stay, because a
-// request that is not yet suspect may crash every upstream that runs it. The caller holds
-// mu.
-func (t *Table) clearMassFailure(now time.Time) {
+// clearMassFailureRounds does nothing unless a mass failure is in progress. Then it clears
+// the highest round of each entry whose highest round was reached within massFailureWindow:
+// that round began with the mass failure, before the table recognised the mass failure. First
+// rounds stay, because a request that is not yet suspect may crash every upstream that runs
+// it. The caller holds mu.
+func (t *Table) clearMassFailureRounds(now time.Time) {
 	if !t.crashes.inMassFailure(now) {
 		return
 	}
--- a/suspect/digest.go
+++ b/suspect/digest.go
@@ -35,8 +35,8 @@
 	Body      []byte
 }
 
-// Scope identifies all requests of a workspace on a route. It covers callers that vary the
-// body, so that each of their requests has another digest.
+// Scope identifies all requests of a workspace on a route. It detects callers that vary the
+// body: each of their requests has another digest, but all have the same scope.
 type Scope struct {
 	// Workspace is empty on routes that need no API key.
 	Workspace granitehoist.Workspace
@@ -48,20 +48,20 @@
 func (s Scope) requestKey() *RequestKey { return &RequestKey{Target: s.Route, Workspace: s.Workspace} }
 
 // digest returns the HMAC-SHA-256 of the request key, truncated to digestBytes.
-func (f *RequestKey) digest(secret *Secret) Digest {
+func (k *RequestKey) digest(secret *Secret) Digest {
 	mac := hmac.New(sha256.New, secret[:])
-	writeField(mac, []byte(f.Method))
-	writeField(mac, []byte(f.Host))
-	writeField(mac, []byte(f.Target))
-	writeField(mac, []byte(f.Workspace))
-	writeField(mac, f.Body)
+	writeField(mac, []byte(k.Method))
+	writeField(mac, []byte(k.Host))
+	writeField(mac, []byte(k.Target))
+	writeField(mac, []byte(k.Workspace))
+	writeField(mac, k.Body)
 	var d Digest
 	copy(d[:], mac.Sum(nil))
 	return d
 }
 
-// Hash returns the first eight bytes of the digest as a number, and one instead of zero. It
-// is the same on all routers.
+// Hash returns the first eight bytes of the digest as a number, and one instead of zero.
+// Routers with the same secret return the same number.
 func (d Digest) Hash() uint64 { return max(1, binary.BigEndian.Uint64(d[:])) }
 
 // writeField writes a field prefixed by its length, so that ("ab", "c") and ("a", "bc")
--- a/suspect/evidence.go
+++ b/suspect/evidence.go
@@ -25,23 +25,24 @@
 	return Incarnation(string(id) + "@" + strconv.FormatInt(startedMS, 10))
 }
 
-// Crash is the crash of an upstream while a request may have been running there.
+// Crash is the crash of an upstream while a request may have been running there. The JSON
+// names stay for compatibility.
 type Crash struct {
 	// Incarnation is the incarnation of the upstream.
 	Incarnation Incarnation `json:"life"`
 	// Round is the round of the crash; see evidence. Usually it is one more than the highest
 	// round that the router knew of when it sent the request (Observation.toCrash).
 	Round int `json:"round"`
-	// EarlyRound is the round of the crash if only early crashes are counted, which happen
-	// before the first event of the response arrives. It is zero if the crash was not early.
+	// EarlyRound is the round of the crash among the early crashes alone, which happen before
+	// the first event of the response arrives. It is zero if the crash was not early.
 	EarlyRound int `json:"early,omitempty"`
 	// Cleared says that the crash is attributed to another cause, since the request
 	// succeeded later or many upstreams crashed at once.
 	Cleared bool `json:"cleared,omitempty"`
 }
 
-// openRound returns the round of the crash, and zero if it is cleared.
-func (c Crash) openRound() int {
+// unclearedRound returns the round of the crash, and zero if it is cleared.
+func (c Crash) unclearedRound() int {
 	if c.Cleared {
 		return 0
 	}
@@ -50,14 +51,14 @@
 
 // evidence is the set of crashes under one request. The zero value is empty.
 //
-// Crashes form one round if no attempt was sent with knowledge of another crash of the
-// round. They may have a common cause other than the request, for example a loss of power.
-// Early crashes are also counted in rounds of their own, and fewer of these suffice for a
-// refusal: unrelated crashes mostly hit streams in progress. Evidence of several routers is
-// merged by union, in any order.
+// Crashes form one round if each of the attempts was sent by a router that did not know of
+// any crash of that round. They may have a common cause other than the request, for example
+// a loss of power. Early crashes are also counted in early rounds. Fewer early rounds suffice
+// for a refusal, since unrelated crashes mostly hit streams in progress. Evidence of several
+// routers is merged by union, in any order.
 type evidence struct {
 	// crashes has at most one entry for each incarnation and maxCrashes in total, ordered
-	// by descending open round.
+	// by descending uncleared round.
 	crashes []Crash
 }
 
@@ -65,28 +66,28 @@
 // that the early crashes that suffice for a refusal can be kept.
 const maxCrashes = 8
 
-// openCrashes returns the number of crashes that are not cleared.
-func (e *evidence) openCrashes() int {
-	open := 0
+// unclearedCrashes returns the number of crashes that are not cleared.
+func (e *evidence) unclearedCrashes() int {
+	count := 0
 	for _, c := range e.crashes {
 		if !c.Cleared {
-			open++
+			count++
 		}
 	}
-	return open
+	return count
 }
 
 // round returns the highest round that is not cleared, and zero if there is none.
 func (e *evidence) round() int {
 	highest := 0
 	for _, c := range e.crashes {
-		highest = max(highest, c.openRound())
+		highest = max(highest, c.unclearedRound())
 	}
 	return highest
 }
 
-// earlyRound returns the highest round of the early crashes that are not cleared, and
-// the number of these crashes.
+// earlyRound returns the highest early round that is not cleared, and the number of early
+// crashes that are not cleared.
 func (e *evidence) earlyRound() (round, crashes int) {
 	for _, c := range e.crashes {
 		if c.EarlyRound == 0 || c.Cleared {
@@ -122,7 +123,7 @@
 
 // trim sorts the crashes and drops those beyond maxCrashes.
 func (e *evidence) trim() {
-	slices.SortStableFunc(e.crashes, func(a, b Crash) int { return cmp.Compare(b.openRound(), a.openRound()) })
+	slices.SortStableFunc(e.crashes, func(a, b Crash) int { return cmp.Compare(b.unclearedRound(), a.unclearedRound()) })
 	if len(e.crashes) > maxCrashes {
 		e.crashes = e.crashes[:maxCrashes]
 	}
@@ -154,12 +155,10 @@
 }
 
 const (
-	// earlyRoundsToRefuse is the number of rounds of early crashes from which a request is
-	// refused.
+	// earlyRoundsToRefuse is the number of early rounds from which a request is refused.
 	earlyRoundsToRefuse = 3
-	// roundsToRefuse is the number of rounds of any crashes from which a request is refused.
-	// It is higher than earlyRoundsToRefuse, since late crashes are more often unrelated to
-	// the request.
+	// roundsToRefuse is the number of rounds from which a request is refused. It is higher
+	// than earlyRoundsToRefuse, since late crashes are more often unrelated to the request.
 	roundsToRefuse = 5
 	// earlyCrashesToRefuse is the number of early crashes from which earlyRoundsToRefuse-1
 	// rounds suffice. A request that arrives at many routers at once crashes many upstreams
--- a/suspect/observation.go
+++ b/suspect/observation.go
@@ -11,7 +11,7 @@
 	Incarnation Incarnation
 	// Verdict is the verdict on the request at the time it was sent.
 	Verdict Verdict
-	// Early says that no event of the response had arrived.
+	// Early says that no event of the response had arrived before the crash.
 	Early bool
 	// Sent is when the request was sent.
 	Sent time.Time
@@ -19,9 +19,9 @@
 	IsScope bool
 }
 
-// toCrash returns the observed crash with its rounds. A crash belongs to the round of the
+// toCrash returns the observed crash with its rounds. The crash belongs to the rounds of the
 // verdict if the request should have been held or a mass failure was in progress, and to the
-// next round otherwise.
+// next rounds otherwise. Each is at least one.
 func (o Observation) toCrash(inMassFailure bool) Crash {
 	next := 1
 	if o.Verdict.Hold > 0 || inMassFailure {
--- a/suspect/recentcrashes.go
+++ b/suspect/recentcrashes.go
@@ -13,8 +13,8 @@
 	maxRecentCrashes = 4096
 	// massFailureCrashes is the number of upstreams that have to crash within
 	// massFailureWindow for a mass failure, such as a loss of power. One suspect request
-	// crashes fewer in that time: all routers send it to the same upstream, or to one of two
-	// while they see different sets of upstreams.
+	// crashes fewer upstreams within massFailureWindow: all routers send the request to the
+	// same upstream, or to one of two while the routers see different sets of upstreams.
 	massFailureWindow  = 50 * time.Millisecond
 	massFailureCrashes = 4
 )
@@ -27,18 +27,18 @@
 
 // recentCrash holds when one incarnation crashed.
 type recentCrash struct {
-	// knownAt is when this router learned of the crash. observedAt is when it observed the
-	// crash itself, and zero if it only received a report. Reports may be late, so that
-	// only observedAt is used as the time of the crash.
+	// knownAt is when this router learned of the crash. observedAt is when this router
+	// observed the crash, and zero if it only received a report. Reports may be late, so
+	// that only observedAt is used as the time of the crash.
 	knownAt, observedAt time.Time
 }
 
 // record adds a crash. observed says that this router observed it itself.
-func (c *recentCrashes) record(l Incarnation, observed bool, now time.Time) {
+func (c *recentCrashes) record(incarnation Incarnation, observed bool, now time.Time) {
 	if c.byIncarnation == nil {
 		c.byIncarnation = map[Incarnation]recentCrash{}
 	}
-	crash, known := c.byIncarnation[l]
+	crash, known := c.byIncarnation[incarnation]
 	switch {
 	case !known && len(c.byIncarnation) >= maxRecentCrashes:
 		return
@@ -48,7 +48,7 @@
 	if observed && crash.observedAt.IsZero() {
 		crash.observedAt = now
 	}
-	c.byIncarnation[l] = crash
+	c.byIncarnation[incarnation] = crash
 }
 
 // inMassFailure reports whether this router observed the crashes of at least
@@ -64,16 +64,16 @@
 }
 
 // knownBefore reports whether the crash of an incarnation was known before t.
-func (c *recentCrashes) knownBefore(l Incarnation, t time.Time) bool {
-	crash, known := c.byIncarnation[l]
+func (c *recentCrashes) knownBefore(incarnation Incarnation, t time.Time) bool {
+	crash, known := c.byIncarnation[incarnation]
 	return known && crash.knownAt.Before(t)
 }
 
 // sweep deletes the crashes that have been known for longer than recentCrashRetention.
 func (c *recentCrashes) sweep(now time.Time) {
-	for l, crash := range c.byIncarnation {
+	for incarnation, crash := range c.byIncarnation {
 		if now.Sub(crash.knownAt) > recentCrashRetention {
-			delete(c.byIncarnation, l)
+			delete(c.byIncarnation, incarnation)
 		}
 	}
 }
--- a/suspect/record.go
+++ b/suspect/record.go
@@ -58,8 +58,8 @@
 }
 
 // ObservedAfter returns the records that this router changed by its own observations after
-// a version of the table, the oldest change first. It returns at most MaxRecords of them,
-// and the version to pass to the next call, which returns those that follow.
+// a version of the table: the MaxRecords ones with the oldest changes, oldest first. It also
+// returns the version to pass to the next call, which returns the records that follow.
 func (t *Table) ObservedAfter(version uint64) ([]Record, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,10 +78,10 @@
 func (t *Table) Uncleared() []Record {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	open := t.sorted(
+	uncleared := t.sorted(
 		func(e *entry) bool { return e.round() > 0 },
 		func(a, b *entry) int { return b.compare(a) })
-	return records(open[:min(len(open), MaxRecords)])
+	return records(uncleared[:min(len(uncleared), MaxRecords)])
 }
 
 func records(entries []*entry) []Record {
--- a/suspect/secret.go
+++ b/suspect/secret.go
@@ -50,12 +50,12 @@
 func (t *Table) Secret() *Secret { return t.secret.Load() }
 
 // Digest returns the digest of a request, and false while no secret is set.
-func (t *Table) Digest(f *RequestKey) (Digest, bool) {
+func (t *Table) Digest(k *RequestKey) (Digest, bool) {
 	secret := t.secret.Load()
 	if secret == nil {
 		return Digest{}, false
 	}
-	return f.digest(secret), true
+	return k.digest(secret), true
 }
 
 // ScopeDigest returns the digest of a scope, and false while no secret is set.
--- a/suspect/table.go
+++ b/suspect/table.go
@@ -17,8 +17,8 @@
 	// find the evidence there.
 	DefaultBlockDuration = 10 * time.Minute
 	// DefaultRetention is the default of Settings.Retention. It exceeds
-	// DefaultBlockDuration: between the end of a block and that of the retention, one more
-	// round suffices to refuse the request again.
+	// DefaultBlockDuration: after the end of a block and before the end of the retention, one
+	// more round suffices to refuse the request again.
 	DefaultRetention = 30 * time.Minute
 	// DefaultMaxEntries is the default of Settings.MaxEntries. An entry takes about 0.2 KB,
 	// and a crash adds one for each request that was running on the upstream.
@@ -27,9 +27,9 @@
 
 // Settings configures a Table. The zero value selects the defaults.
 type Settings struct {
-	// BlockDuration is how long a request is refused after this router learned of its
-	// latest round; zero means DefaultBlockDuration. Scopes have shorter blocks
-	// (firstScopeBlock).
+	// BlockDuration is how long a request is refused from the time at which its evidence
+	// suffices; each higher round restarts the block. Zero means DefaultBlockDuration. Scopes
+	// have shorter blocks (initialScopeBlockDuration).
 	BlockDuration time.Duration
 	// Retention is how long evidence is kept after its last change; zero means
 	// DefaultRetention. Cleared evidence is kept for a shorter time (clearedRetention).
@@ -65,11 +65,12 @@
 	digest Digest
 	// isScope says that the digest identifies a scope.
 	isScope bool
-	// changedAt is when the evidence last changed here.
+	// changedAt is when the evidence last changed in this table.
 	changedAt time.Time
-	// roundAt is when the highest round became known here.
+	// roundAt is when a crash last raised the highest round in this table.
 	roundAt time.Time
-	// refusedUntil is when the block expires; zero if the evidence does not suffice.
+	// refusedUntil is when the block expires; zero if the evidence does not suffice for a
+	// refusal.
 	refusedUntil time.Time
 	// observedVersion is the table's version at the last change by an observation of this
 	// router; zero if all evidence was received from others.
@@ -103,8 +104,8 @@
 }
 
 // RecordCrash records that an upstream crashed while a request may have been running there,
-// and returns the resulting verdict. It adds no evidence if the request was sent after the
-// crash was known.
+// and returns the resulting verdict. It adds no evidence if the request was sent after
+// this router learned of the crash.
 func (t *Table) RecordCrash(d Digest, o Observation, now time.Time) Verdict {
 	t.mu.Lock()
 	e := t.entryOf(d, now)
@@ -124,11 +125,11 @@
 }
 
 // RecordDown records that an upstream incarnation has ended for an unknown reason. Later
-// calls of RecordCrash add no evidence for requests sent to it after that.
-func (t *Table) RecordDown(l Incarnation, now time.Time) {
+// calls of RecordCrash add no evidence for requests sent to the incarnation after now.
+func (t *Table) RecordDown(incarnation Incarnation, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.crashes.record(l, false, now)
+	t.crashes.record(incarnation, false, now)
 }
 
 // RecordSuccess records that a request succeeded, which clears all crashes in its entry.
@@ -196,7 +197,7 @@
 		e.refusedUntil = now.Add(t.blockDuration(e))
 	}
 	t.updateSuspectCount(before, e.round())
-	t.clearMassFailure(now)
+	t.clearMassFailureRounds(now)
 	return true
 }
 
--- a/suspect/verdict.go
+++ b/suspect/verdict.go
@@ -10,16 +10,16 @@
 )
 
 // Verdict summarises the evidence against a request at one point in time. The zero value
-// means that there is none.
+// means that there is no evidence.
 type Verdict struct {
-	// Round is the highest round of crashes; zero if there is no evidence.
+	// Round is the highest round that is not cleared; zero if there is none.
 	Round int
-	// EarlyRound is the highest round of early crashes; zero if there were none.
+	// EarlyRound is the highest early round that is not cleared; zero if there is none.
 	EarlyRound int
 	// Crashes is the number of crashes under the request that are not cleared.
 	Crashes int
-	// Hold is the time for which the request must not be sent, so that crashes with a common
-	// cause form one round (SettleTime).
+	// Hold is the remaining time for which the request must not be sent, so that crashes with
+	// a common cause form one round (SettleTime).
 	Hold time.Duration
 	// Refused says that the request must not be sent until BlockRemaining has passed.
 	Refused        bool
@@ -44,7 +44,7 @@
 
 // verdict summarises the evidence at the given time.
 func (e *entry) verdict(now time.Time) Verdict {
-	v := Verdict{Round: e.round(), Crashes: e.openCrashes()}
+	v := Verdict{Round: e.round(), Crashes: e.unclearedCrashes()}
 	v.EarlyRound, _ = e.earlyRound()
 	if v.Round > 0 {
 		v.Hold = max(0, SettleTime-now.Sub(e.roundAt))
