--- a/catalog/doc.go
+++ b/catalog/doc.go
@@ -5,12 +5,12 @@
 // services behind them, and the keys and prepaid budgets of workspaces.
 //
 // granitehoist-edge uses it: package platform decodes the operators' file into a Document,
-// package node builds a Snapshot from it and offers that to a Current, and package forward
-// reads the Current for each request.
+// package node builds a Snapshot from the Document and offers the Snapshot to a Current, and
+// package forward reads the Current for each request.
 //
 // A Snapshot is immutable, so that a request sees the same configuration from beginning to
-// end. A Current holds the newest Snapshot without a lock and never goes back to an older
-// version, as numbered by the platform's store. Nothing is kept on disk: after a start, a
+// end. A Current holds the Snapshot with the newest version, as numbered by the platform's
+// store, and never returns to an older one. Nothing is kept on disk: after a start, a
 // router has no configuration until the store or a neighbour sends one.
 //
 // Begin reading at Snapshot.Match and Current.Offer.
--- a/catalog/document.go
+++ b/catalog/document.go
@@ -12,7 +12,8 @@
 // RouteName identifies a route within a configuration.
 type RouteName string
 
-// RouteKind determines how often a request of a route may run and how it is answered.
+// RouteKind determines how often a request of a route may run and whether its response is a
+// stream.
 type RouteKind int
 
 // The kinds of routes.
@@ -21,8 +22,8 @@
 	Safe RouteKind = iota
 	// Unsafe requests run at most once.
 	Unsafe
-	// Stream requests are answered with a sequence of events. They run at most once
-	// unless Route.Resume is set.
+	// Stream requests get a sequence of events in response. They run at most once unless
+	// Route.Resume is set.
 	Stream
 )
 
@@ -35,7 +36,8 @@
 // Share is the part of a route's requests that goes to one service.
 type Share struct {
 	Service granitehoist.Service
-	// Weight is relative to the sum of the weights of the route. It must not be negative.
+	// Weight, divided by the sum of the weights of the route, is the fraction of the
+	// requests. It must not be negative.
 	Weight float64
 }
 
@@ -45,7 +47,7 @@
 	Name RouteName
 	// Host is compared without port and case.
 	Host string
-	// Prefix is the path prefix. It begins and ends with a slash.
+	// Prefix is the path prefix, which begins and ends with a slash.
 	Prefix string
 	Kind   RouteKind
 	// Timeout is the time from the arrival of a request to its deadline; zero means none.
@@ -57,8 +59,8 @@
 	MaxEventGap time.Duration
 	Priority    granitehoist.Priority
 	Split       []Share
-	// MaxAttempts bounds the attempts that ran or may have run one request; zero means one.
-	// A request that is not Repeatable has one such attempt at most.
+	// MaxAttempts is the maximum number of attempts of one request that ran it or may have
+	// run it; zero means one. The maximum is one for routes that are not Repeatable.
 	MaxAttempts int
 	// Anonymous routes need no API key, even if Document.RequireKey is set.
 	Anonymous bool
@@ -77,7 +79,7 @@
 }
 
 // MayRunAgain reports whether a request of the route may be attempted again. runs is the
-// number of attempts that ran or may have run.
+// number of attempts so far that ran the request or may have run it.
 func (r *Route) MayRunAgain(runs int) bool {
 	return r.Repeatable() && runs < max(1, r.MaxAttempts)
 }
@@ -88,31 +90,32 @@
 	// TokensPerEvent is the maximum number of tokens in one event of a stream; zero if
 	// events are not counted.
 	TokensPerEvent granitehoist.Tokens
-	// ColdRequestRate bounds the requests per second that all routers together send to an
-	// upstream during its warm-up; zero means no bound.
+	// ColdRequestRate is the maximum number of requests per second that all routers together
+	// send to an upstream during its warm-up; zero means no limit.
 	ColdRequestRate float64
 }
 
 // Workspace holds the keys, priority, regions and budget of a customer.
 type Workspace struct {
 	Name granitehoist.Workspace
-	// Keys are the API keys that identify its requests. A key belongs to one workspace.
+	// Keys are the API keys of the workspace's requests. A key belongs to one workspace.
 	Keys []string
-	// Priority replaces that of the route if HasPriority is set.
+	// Priority replaces Route.Priority if HasPriority is set.
 	Priority    granitehoist.Priority
 	HasPriority bool
-	// AllowedRegions restricts the regions like Route.AllowedRegions. If both are set,
-	// both apply.
+	// AllowedRegions restricts the requests of the workspace like Route.AllowedRegions. If
+	// both are set, both apply.
 	AllowedRegions []granitehoist.Region
-	// Prepaid is the total budget over all time; it applies if Limited is set.
+	// Prepaid is the total budget over all time. It applies if Limited is set.
 	Prepaid granitehoist.Tokens
 	Limited bool
 }
 
-// Limits bounds what clients may send. Header and idle connection limits are constants in
-// package node, since its servers start before a configuration is available.
+// Limits holds the configurable limits on what clients may send. The limits of headers and
+// idle connections are constants in package node, since the servers of package node start
+// before a configuration is available.
 type Limits struct {
-	// BodyBytes bounds the body of a request; zero if the configuration sets none.
+	// BodyBytes is the maximum size of a request's body; zero if the configuration sets none.
 	BodyBytes int64
 }
 
