--- a/fleet/call.go
+++ b/fleet/call.go
@@ -17,21 +17,22 @@
 
 // envelope holds the parameters of a call: the incarnation that it is addressed to and the
 // parameters of the method. The incarnation guards against an address that another router,
-// even one of another fleet, has taken over since the caller learned it.
+// even one of another fleet, has taken over since the caller learned the address.
 type envelope struct {
 	To     granitehoist.Incarnation `json:"to"`
 	Params json.RawMessage          `json:"params"`
 }
 
-// ErrOtherIncarnation means that the address belongs to another router than the one called.
-// The call was not run.
+// ErrOtherIncarnation means that a router of another incarnation than the one called has the
+// address. The call was not run.
 var ErrOtherIncarnation = errors.New("fleet: another incarnation has the address")
 
 // otherIncarnationCode is the JSON-RPC error code of ErrOtherIncarnation, from the range
 // that JSON-RPC 2.0 reserves for servers (-32000 to -32099).
 const otherIncarnationCode = -32001
 
-// discardLog drops the library's log lines, since errors are returned to the caller.
+// discardLog drops the log lines of package jsonrpc2, since errors are returned to the
+// caller.
 var discardLog = log.New(io.Discard, "", 0)
 
 // newStream returns a stream of JSON messages on conn, each prefixed by its length.
--- a/fleet/client.go
+++ b/fleet/client.go
@@ -29,13 +29,13 @@
 
 // ClientSettings configures a Client. The zero value selects the defaults.
 type ClientSettings struct {
-	// Timeout bounds a call including the connection setup; zero means
+	// Timeout is the maximum duration of a call including the connection setup; zero means
 	// defaultCallTimeout. An earlier deadline of the call's context takes precedence.
 	Timeout time.Duration
 }
 
 // defaultCallTimeout is the default of ClientSettings.Timeout. It exceeds the time for which
-// a receiver may hold a call until something changes.
+// a receiver may hold a call while it waits for a change.
 const defaultCallTimeout = time.Second
 
 // NewClient returns a client without connections.
@@ -47,7 +47,8 @@
 // Call implements granitehoist.Caller. Its errors wrap ErrOtherIncarnation if another
 // incarnation responded, a *jsonrpc2.Error if the method failed at the receiver, and the
 // context's error if no response arrived in time. A call without a response closes the
-// connection, which may be dead without an error; other calls in progress on it fail too.
+// connection, since the connection may be dead without an error. Other calls in progress on
+// the connection then fail too.
 func (c *Client) Call(ctx context.Context, to granitehoist.Peer, method string, params, result any) error {
 	raw, err := json.Marshal(params)
 	if err != nil {
@@ -70,8 +71,8 @@
 	return eris.Wrapf(err, "fleet: call of %s at %s", method, to.Address)
 }
 
-// conn returns the connection to an address, and opens one if there is none. If two are
-// opened concurrently, the one that is added first is used.
+// conn returns the connection to an address, and opens one if there is none. Of two
+// connections opened concurrently, the one that is added to conns first is used.
 func (c *Client) conn(ctx context.Context, address string) (*jsonrpc2.Conn, error) {
 	c.mu.Lock()
 	conn, ok := c.conns[address]
@@ -115,7 +116,7 @@
 	}
 }
 
-// rejectCalls is the handler of client connections, on which the server must not call.
+// rejectCalls is the handler of a client's connections. It rejects calls from the server.
 type rejectCalls struct{}
 
 // Handle implements jsonrpc2.Handler.
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -8,10 +8,10 @@
 // is addressed to; a router that has taken over the address rejects it with
 // ErrOtherIncarnation. Both granitehoist-edge and 'granitehoist router' use calls.
 //
-// Membership (Registry, View) is used by 'granitehoist router' only. A router writes its
-// entry to the store under a lease, and the others read the list. Roles are assigned by
-// rendezvous hashing over the View. Two routers with different views may both act in a role.
-// This must be safe; it may only cost efficiency.
+// Membership (Registry, View) is used by 'granitehoist router' only. Each router writes
+// its entry to the store under a lease and reads the entries of all routers. Roles are
+// assigned by rendezvous hashing over the View. Two routers with different views may both
+// act in a role. The role must be safe in this case, though it may be less efficient.
 //
 // # Membership of granitehoist-edge
 //
@@ -19,19 +19,21 @@
 // once, without a lease, under the key of their box:
 //
 //   - Lease renewals cost writes in proportion to the size of the fleet.
-//   - The roles of a dead router in a Registry must move to another one, so its entry has
-//     to expire. Package node assigns no roles by this list: it skips a neighbour that does
-//     not respond, and the entry is replaced when the box restarts.
-//   - In large fleets only relays read node's list, and neighbours update each other while
-//     the store is unavailable. Registry uses the list in the store only.
+//   - The roles of a dead router in a Registry must move to another router, so the entry of
+//     the dead router has to expire. Package node assigns no roles by its list: it skips a
+//     neighbour that does not respond, and the entry is replaced when the box restarts.
+//   - In large fleets only relays read the list of package node from the store, and
+//     neighbours update each other while the store is unavailable. Registry always reads
+//     its list from the store.
 //
-// Registry also fails on an entry that it cannot decode, while node logs and skips it. Both
-// write under "boxes/" in different formats, so the two programs must not share a store.
+// Registry also fails on an entry that it cannot decode, while package node logs and skips
+// such an entry. Both packages write under "boxes/" in different formats, so the two
+// programs must not share a store.
 //
 // # State
 //
-// Registry holds the router's own entry, its lease and the last view. In the store only this
-// router writes its two entries, except that another router may delete the one under
+// Registry holds the router's own entry, its lease and the last view. Only the router itself
+// writes its two entries in the store, but another router may delete the entry under
 // ServingPrefix with DeregisterServing. Client and Server hold their connections. All three
 // are safe for concurrent use. A View is immutable.
 //
--- a/fleet/entries.go
+++ b/fleet/entries.go
@@ -12,8 +12,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// readMembers returns the members under a prefix. It returns an error if any entry cannot be
-// decoded, since ignoring a router that may serve would be unsafe.
+// readMembers returns the members whose entries are under a prefix. It returns an error if
+// any entry cannot be decoded, since ignoring a router that may serve would be unsafe.
 func readMembers(ctx context.Context, s granitehoist.Store, prefix string) ([]Member, error) {
 	entries, _, err := s.List(ctx, prefix)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return members, nil
 }
 
-// maxDeleteAttempts bounds the attempts of deleteKey after a lost response or a conflicting
-// write.
+// maxDeleteAttempts is the maximum number of attempts of deleteKey. A lost response or a
+// conflicting write needs another attempt.
 const maxDeleteAttempts = 3
 
 // deleteKey deletes a key regardless of its value. It returns nil if the key does not exist.
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -16,8 +16,9 @@
 )
 
 // Prefixes of the routers' entries in the store. Entries under LivePrefix have a lease and
-// expire unless it is renewed. Entries under ServingPrefix have none: a router without a
-// connection to the store may still serve, and its entry stays until it has stopped.
+// expire unless the lease is renewed. Entries under ServingPrefix have no lease: a router
+// without a connection to the store may still serve, and its entry stays until the router
+// has stopped.
 const (
 	LivePrefix    = "boxes/"
 	ServingPrefix = "serving/"
@@ -29,26 +30,28 @@
 	Store granitehoist.Store
 }
 
-// DefaultTTL is the TTL of the lease, and so how long a dead router stays in the views of
-// others. A shorter TTL costs more renewals. A longer one leaves roles with a dead router
-// for longer.
+// DefaultTTL is the TTL of a router's lease. A dead router stays in the views of other
+// routers for this time. A shorter TTL costs more renewals. A longer one leaves roles with a
+// dead router for longer.
 const DefaultTTL = 15 * time.Second
 
-// renewalsPerTTL is the number of renewals within a TTL. Two of them in a row may fail.
+// renewalsPerTTL is the number of renewals within a TTL. The lease survives two consecutive
+// failures.
 const renewalsPerTTL = 3
 
 // Registry maintains a router's entry in the store and its view of the fleet. The last view
 // stays in use while the store is unavailable. It is safe for concurrent use.
 type Registry struct {
 	settings RegistrySettings
-	// refreshSlot holds a value while a Refresh runs. Concurrent calls would each obtain a
-	// lease, and the entry could be written under one that is not renewed.
+	// refreshSlot holds a value while a Refresh runs, so that only one runs at a time.
+	// Concurrent calls would each obtain a lease, and the entry could be written under a
+	// lease that is not renewed.
 	refreshSlot chan struct{}
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// self is the desired entry. written is the entry last written to the store, under
-	// lease.
+	// self is the desired entry of this router. written is the entry last written to the
+	// store, and lease is its lease.
 	self    Member
 	written Member
 	lease   granitehoist.LeaseID
@@ -77,14 +80,14 @@
 	return r.view
 }
 
-// Interval returns the time between two calls of Refresh.
+// Interval returns the interval at which the caller should call Refresh.
 func (r *Registry) Interval() time.Duration { return DefaultTTL / renewalsPerTTL }
 
 // Refresh renews the router's entry and updates the view. Other routers have this one in
-// their views from its first Refresh until its lease expires or its entry is removed. If
-// another Refresh is running, it waits for that one, and returns the context's error if ctx
-// ends first. Other errors are those of the store, or name an entry that cannot be decoded.
-// After an error the view is unchanged.
+// their views from its first Refresh until its lease expires or its entry is removed. Refresh
+// waits while another call of Refresh runs, and returns the context's error if ctx ends
+// first. Other errors are those of the store, or name an entry that cannot be decoded. After
+// an error the view is unchanged.
 func (r *Registry) Refresh(ctx context.Context) error {
 	select {
 	case r.refreshSlot <- struct{}{}:
@@ -132,8 +135,8 @@
 	return nil
 }
 
-// renewLease renews a lease if there is one. It returns the action that the entry needs, and
-// the store's error.
+// renewLease renews a lease if there is one. changed says that the entry differs from the one
+// last written. renewLease returns the action that the entry needs, and the store's error.
 func (r *Registry) renewLease(ctx context.Context, lease granitehoist.LeaseID, changed bool) (renewalResult, error) {
 	if lease == "" {
 		return needsLease, nil
@@ -164,7 +167,7 @@
 }
 
 // Leave marks the router as stopping, so that it takes no roles. The next Refresh writes
-// this to the store.
+// the mark to the store.
 func (r *Registry) Leave() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/fleet/renewal.go
+++ b/fleet/renewal.go
@@ -22,7 +22,7 @@
 	// deleted the entry. A new lease is granted and the entry written under it.
 	needsLease
 	// renewalFailed means that the store rejected the renewal or did not respond. The lease
-	// may still exist, so the next refresh renews it instead of granting another one.
+	// may still exist, so the next refresh renews the lease instead of obtaining another one.
 	renewalFailed
 )
 
--- a/fleet/server.go
+++ b/fleet/server.go
@@ -47,13 +47,14 @@
 
 // ServerSettings configures a Server.
 type ServerSettings struct {
-	// Self is the incarnation of this router; calls addressed to another are rejected.
+	// Self is the incarnation of this router. Calls addressed to another incarnation are
+	// rejected, except Greetings.
 	Self granitehoist.Incarnation
 	// Methods holds the handlers by method name.
 	Methods map[string]HandlerFunc
 	// Greetings holds the handlers of methods that a caller may use before it knows the
-	// incarnation at an address. Their replies must name the incarnation. A method must not
-	// be in both maps.
+	// incarnation at an address. Their responses must name the incarnation. A method must
+	// not be in both Methods and Greetings.
 	Greetings map[string]HandlerFunc
 }
 
@@ -66,9 +67,9 @@
 	return &Server{self: s.Self, methods: s.Methods, greetings: s.Greetings, conns: map[*jsonrpc2.Conn]struct{}{}}
 }
 
-// Serve accepts connections from a listener until Close is called, and then returns nil. It
-// returns the listener's error if accepting fails before. If Close has already been called,
-// it closes the listener and returns.
+// Serve accepts connections from a listener until Close is called, and then returns nil. If
+// accepting fails before, it returns the listener's error. If Close has already been called,
+// Serve closes the listener and returns the error of closing.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	s.listener = listener
@@ -137,7 +138,7 @@
 }
 
 // Close closes the listener and all connections, and waits until they have ended. Calls in
-// progress continue, but their replies are lost.
+// progress continue, but their responses are lost.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
--- a/fleet/serving.go
+++ b/fleet/serving.go
@@ -13,11 +13,11 @@
 	"granitehoist.example/granitehoist/store"
 )
 
-// RegisterServing adds the router to those that may serve. It must succeed before the router
-// reads its configuration and before its first request. The entry has no lease, since a
-// router without a connection to the store continues to serve. The error is that of the
-// store; the entry may have been written nevertheless, and RegisterServing can be called
-// again.
+// RegisterServing adds the router to the routers that may serve. It must succeed before
+// the router reads its configuration and before its first request. The entry has no
+// lease, since a router without a connection to the store continues to serve. The error
+// is that of the store. Despite an error the entry may have been written; RegisterServing
+// can be called again.
 func (r *Registry) RegisterServing(ctx context.Context) error {
 	raw, err := json.Marshal(r.settings.Self)
 	if err != nil {
@@ -38,9 +38,9 @@
 	return readMembers(ctx, s, ServingPrefix)
 }
 
-// DeregisterServing removes a router from those that may serve. It must be called only after
-// the router has stopped: by the router itself, or by another one if the platform or an
-// operator reports that the router has ended.
+// DeregisterServing removes a router from the routers that may serve. It must be called only
+// after the router has stopped: by the router itself, or by another router after the platform
+// or an operator has reported the end of the first.
 func DeregisterServing(ctx context.Context, s granitehoist.Store, m Member) error {
 	return deleteKey(ctx, s, ServingPrefix+memberKey(m))
 }
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -11,7 +11,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Member is the entry of a router in the store.
+// Member is the entry of a router in the store. The JSON names "place" and "peers" stay for
+// compatibility.
 type Member struct {
 	Box         granitehoist.Box              `json:"box"`
 	Incarnation granitehoist.Incarnation      `json:"incarnation"`
@@ -29,7 +30,7 @@
 	return granitehoist.Peer{Incarnation: m.Incarnation, Address: m.PeerAddress}
 }
 
-// View is an immutable list of members as one router last read it. The zero value is empty.
+// View is an immutable list of members. The zero value is empty.
 type View struct {
 	members []Member
 }
