--- a/store/swap.go
+++ b/store/swap.go
@@ -10,13 +10,14 @@
 	"granitehoist.example/granitehoist"
 )
 
-// maxReadBacks bounds how often the key of a write with a lost response is read back.
+// maxReadBacks is the maximum number of times that Swap reads the key of a write with a lost
+// response.
 const maxReadBacks = 3
 
-// Create writes a key that must not exist and returns its version. If the response is lost
-// it reads the key back and compares the value, which must be unique to this write. It
+// Create writes a key that must not exist and returns its version. If the response is lost,
+// Create reads the key back and compares the value, which must be unique to this write. It
 // returns ErrConflict if the key has another value, ErrUnavailable if the store rejected the
-// first write, and ErrUnknown if the outcome cannot be determined.
+// first attempt to write, and ErrUnknown if the outcome cannot be determined.
 func Create(ctx context.Context, s granitehoist.Store, key string, value []byte) (granitehoist.Version, error) {
 	return Swap(ctx, s, granitehoist.Change{Key: key, Value: value})
 }
@@ -42,17 +43,17 @@
 			return 0, granitehoist.ErrConflict
 		case pending:
 		}
-		// The write is pending. It is safe to repeat it, since at most one write with
-		// the same condition can succeed.
+		// The write is pending. Repeating it is safe, since at most one write with the
+		// same condition can succeed.
 		version, err = s.CompareAndSwap(ctx, change)
 		if err == nil {
 			return version, nil
 		}
 		if errors.Is(err, granitehoist.ErrUnavailable) {
-			// The store rejected this write only; the first may still take effect.
+			// The store rejected this attempt; an earlier one may still take effect.
 			return 0, granitehoist.ErrUnknown
 		}
 	}
-	// A conflict in the last attempt may be with the delayed first write.
+	// A conflict in the last attempt may be with an earlier attempt that took effect late.
 	return 0, granitehoist.ErrUnknown
 }
