--- a/balance/choice.go
+++ b/balance/choice.go
@@ -47,9 +47,9 @@
 }
 
 // Pick chooses an instance among the candidates (candidates.go). The attempt counts as in
-// progress at the instance until Done is called on the lease. It chooses the candidate
-// with the least cost or, if the query has a Pin, the one with the highest hash
-// (owner.go). Without a candidate it returns an error:
+// progress at the instance until Done is called on the lease. If the query has a Pin, Pick
+// chooses the candidate with the highest hash (owner.go), otherwise the one with the least
+// cost (cost.go). Without a candidate it returns an error:
 //
 //   - If an instance is deferred, DeferralOf returns the deferral in the error.
 //   - Otherwise the error has code NoUpstream and no Retry-After.
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -1,7 +1,8 @@
 // Copyright ©2026 The granitehoist Authors. All rights reserved.
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
-// Package balance chooses the upstream instance of each attempt among those announced.
+// Package balance chooses the upstream instance of each attempt among the announced
+// instances.
 //
 // The edge router granitehoist-edge uses it: package node adds and removes instances as
 // its copy of the store changes, and package forward picks an instance for each attempt
@@ -16,13 +17,13 @@
 //
 // Pick chooses the instance with the least estimated cost (cost.go) among the candidates
 // (candidates.go). All routers agree on the owner of a common prompt prefix by rendezvous
-// hashing (owner.go); another instance is chosen if the owner's queue costs more than its
+// hashing (owner.go). Another instance is chosen if the owner's queue costs more than its
 // cached prefix saves (prefixcache.go). Heavy prompts, whose prefill delays concurrent
 // streams, avoid slow instances, which get a larger share of the requests that are not
-// heavy (slow.go). Failures increase the cost of an instance; two broken attempts without a
-// success in between eject the instance, and each further one doubles the duration of the
-// ejection (ejection.go). An instance whose
-// announcement was removed is a last resort for a short time (removal.go).
+// heavy (slow.go). Failures increase the cost of an instance. Two broken attempts without
+// a success in between eject the instance, and each further one doubles the duration of
+// the ejection (ejection.go). An instance whose announcement was removed is a last resort
+// for a short time (removal.go).
 //
 // Constraints take precedence over cost. Instances in an evacuated zone (evacuation.go),
 // in a region that the request must not go to (allowedregions.go), or about to end
--- a/balance/leaving.go
+++ b/balance/leaving.go
@@ -9,7 +9,7 @@
 // announcement, so that routers learn of it while the store is unavailable. Every response
 // of the instance counts, including refusals, stream headers and truncated responses.
 //
-// An incarnation that is leaving stays so. A later response that does not report leaving
+// A leaving incarnation remains leaving. A later response that does not report leaving
 // may have been sent earlier, and an announcement that does not report it may be stale.
 // The table therefore remembers leaving incarnations separately from announcements, also
 // of instances that are not announced.
--- a/balance/membership.go
+++ b/balance/membership.go
@@ -13,9 +13,9 @@
 
 // Announce records an announcement that arrived at now. It returns the previous
 // announcement of the ID and whether there was one. An announcement with an older version
-// or of an earlier incarnation is ignored. Any other cancels an earlier removal. A new
-// incarnation starts without observations, and attempts at the previous one do not affect
-// it.
+// or of an earlier incarnation is ignored. Any other announcement cancels an earlier
+// removal. A new incarnation starts without observations. Attempts at the previous
+// incarnation do not affect it.
 func (t *Table) Announce(i Instance, now time.Time) (before Instance, found bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/balance/status.go
+++ b/balance/status.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// SkipCounts counts calls of Pick, including those for waiting requests and those that
+// SkipCounts counts calls of Pick, including calls for waiting requests and calls that
 // found no instance.
 type SkipCounts struct {
-	// Leaving counts the calls for which a draining or leaving instance was excluded,
-	// Deferred those for which an instance was deferred.
+	// Leaving counts the calls that excluded a draining or leaving instance. Deferred counts
+	// the calls that found a deferred instance.
 	Leaving, Deferred int64
 }
 
