--- a/suspect/digest.go
+++ b/suspect/digest.go
@@ -43,8 +43,8 @@
 	Route     string
 }
 
-// requestKey returns the fields whose digest identifies the scope. They differ from those
-// of any request because Method is empty.
+// requestKey returns the fields whose digest identifies the scope. They differ from the
+// fields of any request because Method is empty.
 func (s Scope) requestKey() *RequestKey { return &RequestKey{Target: s.Route, Workspace: s.Workspace} }
 
 // digest returns the HMAC-SHA-256 of the request key, truncated to digestBytes.
--- a/suspect/doc.go
+++ b/suspect/doc.go
@@ -7,7 +7,8 @@
 // A Digest identifies a request by its content, so that every router recognises it under
 // any ID. A Table holds the evidence by digest: the upstream processes that crashed while
 // the request may have been running there, as observed by this router (RecordCrash,
-// RecordSuccess) and as reported by others (Merge). Lookup returns the verdict on a request.
+// RecordSuccess) and as reported by other routers (Merge). Lookup returns the verdict on
+// a request.
 //
 // Crashes are counted in rounds. A suspect request is held for SettleTime after each round
 // and refused after several. A Scope, which is all requests of a workspace on a route, is
--- a/suspect/evidence.go
+++ b/suspect/evidence.go
@@ -16,7 +16,7 @@
 type Incarnation string
 
 // IncarnationOf returns the incarnation of an upstream. startedMS is its start time in
-// milliseconds since the Unix epoch, and zero if that is unknown. The start time
+// milliseconds since the Unix epoch, and zero if unknown. The start time
 // distinguishes the incarnations of an upstream that keeps its ID over a restart.
 func IncarnationOf(id granitehoist.Upstream, startedMS int64) Incarnation {
 	if startedMS == 0 {
@@ -62,8 +62,8 @@
 	crashes []Crash
 }
 
-// maxCrashes bounds the crashes kept for one request. It exceeds earlyCrashesToRefuse, so
-// that the early crashes that suffice for a refusal can be kept.
+// maxCrashes is the maximum number of crashes kept for one request. It exceeds
+// earlyCrashesToRefuse, so that the early crashes that suffice for a refusal can be kept.
 const maxCrashes = 8
 
 // unclearedCrashes returns the number of crashes that are not cleared.
--- a/suspect/recentcrashes.go
+++ b/suspect/recentcrashes.go
@@ -8,8 +8,8 @@
 const (
 	// recentCrashRetention is how long a crash is kept after this router learned of it.
 	recentCrashRetention = 5 * time.Second
-	// maxRecentCrashes bounds the crashes that are kept. It exceeds the number of upstreams
-	// that a router is connected to.
+	// maxRecentCrashes is the maximum number of crashes kept. It exceeds the number of
+	// upstreams that a router is connected to.
 	maxRecentCrashes = 4096
 	// massFailureCrashes is the number of upstreams that have to crash within
 	// massFailureWindow for a mass failure, such as a loss of power. One suspect request
--- a/suspect/record.go
+++ b/suspect/record.go
@@ -37,7 +37,7 @@
 	return before.sufficient(r.Scope)
 }
 
-// MaxRecords bounds the records of one message.
+// MaxRecords is the maximum number of records in one message.
 const MaxRecords = 64
 
 // MarshalText implements encoding.TextMarshaler.
--- a/suspect/table.go
+++ b/suspect/table.go
@@ -14,7 +14,7 @@
 const (
 	// DefaultBlockDuration is the default of Settings.BlockDuration. It equals the longest
 	// lease TTL of the platform's store, so that routers that start during a block still
-	// find the evidence there.
+	// find the evidence in the store.
 	DefaultBlockDuration = 10 * time.Minute
 	// DefaultRetention is the default of Settings.Retention. It exceeds
 	// DefaultBlockDuration: after the end of a block and before the end of the retention, one
@@ -34,7 +34,7 @@
 	// Retention is how long evidence is kept after its last change; zero means
 	// DefaultRetention. Cleared evidence is kept for a shorter time (clearedRetention).
 	Retention time.Duration
-	// MaxEntries bounds the entries of the table; zero means DefaultMaxEntries.
+	// MaxEntries is the maximum number of entries in the table; zero means DefaultMaxEntries.
 	MaxEntries int
 	// OnObserved, if set, is called after each observation of this router that changes the
 	// evidence. No lock is held during the call.
@@ -219,7 +219,7 @@
 }
 
 // Counts returns the number of entries with evidence that is not cleared, and the number of
-// those refused at the given time.
+// entries whose request or scope is refused at the given time.
 func (t *Table) Counts(now time.Time) (suspects, refused int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
