--- a/follow/relays.go
+++ b/follow/relays.go
@@ -64,7 +64,7 @@
 }
 
 // shouldHold reports whether a relay holds a call until a change. The relay responds at once
-// if there are changes. It also does if its copy is missing or stale, so that the caller can
+// if there are changes, or if the relay's copy is missing or stale, so that the caller can
 // poll another relay.
 func shouldHold(update Update, wait time.Duration) bool {
 	return wait > 0 && len(update.Entries) == 0 && update.HasCopy && update.Age <= maxRelayAge
@@ -114,8 +114,9 @@
 	s.failures[relay.Address] = relayFailure{result: result, at: now}
 }
 
-// outageReported reports whether the relays agree that the store is unavailable: at least
-// minOutageReports of them, or all if there are fewer, were stale within outageReportTTL.
+// outageReported reports whether the relays agree that the store is unavailable: the last
+// result that was not fresh is relayStale, at most outageReportTTL ago, for at least
+// minOutageReports relays, or for all relays if there are fewer.
 func (s *relaySelector) outageReported(relays []granitehoist.Peer, now time.Time) bool {
 	reports := 0
 	for _, relay := range relays {
--- a/follow/storefailures.go
+++ b/follow/storefailures.go
@@ -12,12 +12,13 @@
 	// defaultMaxRetryDelayFactor is the default of Settings.MaxRetryDelay as a multiple of
 	// RetryDelay. It is small, so that the recovery of the store is detected soon.
 	defaultMaxRetryDelayFactor = 2
-	// probeWatchTimeout bounds the watches while the store fails. A watch that began before
-	// the store recovered gets no response, so a longer timeout would delay the detection
-	// of the recovery.
+	// probeWatchTimeout is the timeout of watches while the store fails. A watch that
+	// began before the store recovered gets no response, so a longer timeout would delay
+	// the detection of the recovery.
 	probeWatchTimeout = 100 * time.Millisecond
-	// firstListTimeout bounds the first list. It is short because a router is not ready
-	// before it has a copy: if the store does not respond, the neighbours are queried next.
+	// firstListTimeout is the timeout of the first list. It is short because a router is
+	// not ready before it has a copy: if the store does not respond, the neighbours are
+	// queried next.
 	firstListTimeout = 800 * time.Millisecond
 	// fullTimeoutEvery is the interval, in consecutive failed steps, at which a call gets its
 	// full timeout, since the store may only be slow.
