--- a/balance/status.go
+++ b/balance/status.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// SkipCounts counts calls of Pick, including those for waiting requests and those that
+// SkipCounts counts calls of Pick, including calls for waiting requests and calls that
 // found no instance.
 type SkipCounts struct {
-	// Leaving counts the calls for which a draining or leaving instance was excluded,
-	// Deferred those for which an instance was deferred.
+	// Leaving counts the calls that excluded a draining or leaving instance. Deferred counts
+	// the calls that found a deferred instance.
 	Leaving, Deferred int64
 }
 
@@ -23,8 +23,8 @@
 	return t.skipCounts
 }
 
-// countSkips updates the skip counts after the selection for a call of Pick, whether or
-// not it has choices. The caller holds mu.
+// countSkips updates the skip counts for a call of Pick with the given selection. The
+// caller holds mu.
 func (t *Table) countSkips(s *selection) {
 	if s.leaving > 0 {
 		t.skipCounts.Leaving++
