--- a/node/budgetroles.go
+++ b/node/budgetroles.go
@@ -12,7 +12,7 @@
 
 // In a small fleet every node takes tokens from the budget record in the store for
 // itself. In a large one each shard of the workspaces has one holder, which takes the
-// tokens and lends them to all others. Holders are selected by rendezvous hashing, so
+// tokens and lends them to all other nodes. Holders are selected by rendezvous hashing, so
 // that all nodes that know the same boxes select the same ones without coordination, and
 // the loss of a box moves only the shards that it held. Nodes with different views of the
 // fleet may select different holders. That costs calls and time, but no tokens are lost.
@@ -27,8 +27,8 @@
 )
 
 // role returns this node's role for the tokens of a shard with the given ranked nodes. A
-// node with an incomplete view is a borrower. Otherwise, while a large fleet starts, every
-// node would see a small fleet and take tokens from the store itself.
+// node with an incomplete view is a borrower: while a large fleet starts, its nodes would
+// see a small fleet, and every node would take tokens from the store itself.
 func (v fleetView) role(ranked []peerEntry) escrow.Role {
 	switch {
 	case !v.complete:
--- a/node/components.go
+++ b/node/components.go
@@ -17,8 +17,8 @@
 // components holds the parts of a node that serve requests. They are set once, by
 // newComponents; each guards its own state and is safe for concurrent use.
 type components struct {
-	// meter counts the bytes on the connections of callers and upstreams.
-	meter *linkmeter.Meter
+	// linkMeter counts the bytes on the connections of callers and upstreams.
+	linkMeter *linkmeter.Meter
 	// table holds the instances and selects among them.
 	table *balance.Table
 	// pool holds the connections to instances.
@@ -43,7 +43,7 @@
 // newComponents builds the components of a node. current holds the configuration that
 // they use, self is the node's own entry.
 func newComponents(n *Node, self peerEntry, current *catalog.Current) *components {
-	c := &components{meter: &linkmeter.Meter{}, deadlines: &boottime.Deadlines{}}
+	c := &components{linkMeter: &linkmeter.Meter{}, deadlines: &boottime.Deadlines{}}
 	c.signals = newUpstreamSignals(n)
 	c.limits = newRateLimits(n)
 	c.table = balance.New(balance.Settings{
@@ -54,7 +54,7 @@
 		OnLeaving:     c.signals.onLeaving,
 		OnBackoff:     c.signals.onBackoff,
 	})
-	c.pool = exchange.NewPool(exchange.Settings{Clock: n.clock, OnOpen: n.counters.counter(metricConnections), Meter: c.meter})
+	c.pool = exchange.NewPool(exchange.Settings{Clock: n.clock, OnOpen: n.counters.counter(metricConnections), Meter: c.linkMeter})
 	c.peers = newPeers(peersSettings{
 		self:      self,
 		store:     n.adapter.Store,
--- a/node/doc.go
+++ b/node/doc.go
@@ -3,8 +3,8 @@
 
 // Package node assembles the router that the program granitehoist-edge runs. A Node
 // follows the configuration and the upstreams' announcements in the store, serves
-// callers, keeps the prepaid token budgets in step with the store, answers the other
-// routers of the fleet (its neighbours) and stops gracefully. Adapter holds everything
+// callers, keeps the prepaid token budgets in step with the store, serves the calls
+// of the other routers of the fleet (its neighbours) and stops gracefully. Adapter holds everything
 // that depends on the platform.
 //
 // # State
@@ -39,8 +39,8 @@
 //   - nodelist.go: whose node list is trusted, and when it is read again;
 //   - neighbours.go: which neighbours are known, and by which entry;
 //   - instancecopy.go: when an instance counts as removed;
-//   - suspects.go: when evidence is pulled from neighbours, and when this node counts as
-//     cut off;
+//   - suspects.go: when evidence is pulled from neighbours, and when it is read from the
+//     store again;
 //   - permits.go: which node issues the permits of an upstream, and which one replaces it;
 //   - push.go: when observations are sent to which neighbour, and when again.
 //
--- a/node/greeting.go
+++ b/node/greeting.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// serveGreet answers a neighbour's greeting. It applies only the sender's own entry,
+// serveGreet serves a neighbour's greeting. It applies only the sender's own entry,
 // since callers send no others.
 func (p *peers) serveGreet(_ context.Context, g greeting) (greeting, error) {
 	p.applyGreeting(greeting{Self: g.Self})
--- a/node/instancecopy.go
+++ b/node/instancecopy.go
@@ -18,7 +18,7 @@
 
 // isInstanceRemoval decides whether an entry removes its instance: only if it was
 // deleted, or is missing in a newer list, which package follow reports as a deletion. An
-// instance that does not answer is not removed, and an entry that cannot be decoded
+// instance that does not respond is not removed, and an entry that cannot be decoded
 // leaves the last valid one in force.
 func isInstanceRemoval(e granitehoist.Entry) bool { return e.Deleted }
 
--- a/node/loglimiter.go
+++ b/node/loglimiter.go
@@ -24,20 +24,20 @@
 
 // allow reports whether a line on an upstream may be logged at now, and if so records it.
 // It forgets upstreams whose last line is older than logLineInterval.
-func (p *logLimiter) allow(u granitehoist.Upstream, now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for other, at := range p.last {
+func (l *logLimiter) allow(u granitehoist.Upstream, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for other, at := range l.last {
 		if now.Sub(at) >= logLineInterval {
-			delete(p.last, other)
+			delete(l.last, other)
 		}
 	}
-	if _, recent := p.last[u]; recent {
+	if _, recent := l.last[u]; recent {
 		return false
 	}
-	if p.last == nil {
-		p.last = map[granitehoist.Upstream]time.Time{}
+	if l.last == nil {
+		l.last = map[granitehoist.Upstream]time.Time{}
 	}
-	p.last[u] = now
+	l.last[u] = now
 	return true
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -17,7 +17,7 @@
 	"granitehoist.example/granitehoist/forward"
 )
 
-// Names of the metrics.
+// Names of the metrics. Some keep an older word for compatibility.
 const (
 	metricActiveRequests      = "active_requests"
 	metricRouters             = "routers"
--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -29,7 +29,7 @@
 
 // A neighbour is known from the first node list or greeting that names its box, and
 // removed only when a list lacks its box: one read from the store, or one that a relay
-// read a short while ago (canServeList). A neighbour that does not answer stays, since it
+// read a short while ago (canServeList). A neighbour that does not respond stays, since it
 // may be this node that is cut off. Entries have no lease: that of a dead box stays until
 // a router starts there again.
 //
--- a/node/nodelist.go
+++ b/node/nodelist.go
@@ -61,9 +61,11 @@
 	}
 }
 
-// shouldGreet decides whether neighbours are greeted after the attempt:
-//   - once after the first successful read, since neighbours may read the new entry of
-//     this node from the store only listInterval later;
+// shouldGreet decides whether neighbours are greeted after the attempt. greetedBefore says
+// that they were greeted after an earlier success and that no attempt has failed since.
+// They are greeted:
+//   - after the first success, at the start and after failures, since neighbours may read
+//     the new entry of this node from the store only listInterval later;
 //   - after every failure, since this node then learns nothing from the store.
 func (a listAttempt) shouldGreet(greetedBefore bool) bool { return a.failed || !greetedBefore }
 
@@ -91,8 +93,8 @@
 	for ctx.Err() == nil {
 		err := p.refreshList(ctx)
 		attempt := listAttempt{failed: err != nil, complete: p.view().complete}
-		// The error is not logged here: it counts in store_calls, and the followers log
-		// store_lost when the store does not answer.
+		// The error is not logged: the metric store_calls counts it, and the followers
+		// log the event store_lost when the store does not respond.
 		if attempt.shouldGreet(greeted) {
 			p.greetNeighbours(ctx)
 			greeted = !attempt.failed
--- a/node/permits.go
+++ b/node/permits.go
@@ -18,7 +18,7 @@
 )
 
 // Each upstream with a rate limit has one node that issues the permits for it, selected
-// by rendezvous hashing. If that node does not answer, the next in rank issues permits at
+// by rendezvous hashing. If that node does not respond, the next in rank issues permits at
 // a fraction of the rate. A node that reaches neither, or does not know the fleet yet,
 // sends the upstream nothing.
 
@@ -34,7 +34,7 @@
 	// minPermitInterval is the minimum delay before permits that were denied are requested
 	// again, so that requests which arrive meanwhile share one call.
 	minPermitInterval = 2 * time.Millisecond
-	// issuerAvoidTime is how long an issuer that did not answer is avoided.
+	// issuerAvoidTime is how long an issuer that did not respond is avoided.
 	issuerAvoidTime = 1500 * time.Millisecond
 	// issuerShards is the number of groups of upstreams that share an issuer; peers
 	// caches the ranking of each group.
@@ -47,7 +47,8 @@
 // permitsParams holds the parameters of methodPermits. A node of an older version does
 // not serve the method and counts as unreachable.
 type permitsParams struct {
-	// Fallback says that the node ranked before the called one did not answer.
+	// Fallback says that the node ranked before the called one did not respond. Its JSON
+	// name stays for compatibility.
 	Fallback bool            `json:"stands_in,omitempty"`
 	Permits  []permitRequest `json:"permits"`
 }
@@ -68,8 +69,8 @@
 
 // permitGrant is the issuer's response for one upstream.
 type permitGrant struct {
-	// Count permits may be used from DueMS milliseconds after the start of the call, for
-	// throttle.Validity.
+	// Count is the number of permits granted. They become valid DueMS milliseconds after
+	// the start of the call, and stay valid for throttle.Validity.
 	Count int     `json:"count,omitempty"`
 	DueMS float64 `json:"due_ms,omitempty"`
 	// RetryMS is the time after which to ask again, in milliseconds, if Count is zero.
@@ -112,7 +113,7 @@
 type issuer struct {
 	peer granitehoist.Peer
 	// self says that the issuer is this node. known is false if no issuer is known.
-	// standsIn says that the issuer is asked because the first in rank is avoided.
+	// fallback says that the issuer is asked because the first in rank is avoided.
 	self, known bool
 	fallback    bool
 }
--- a/node/push.go
+++ b/node/push.go
@@ -18,7 +18,7 @@
 
 const (
 	// pushTimeout bounds one message, connecting included. Neighbours in the same fleet
-	// answer within milliseconds.
+	// respond within milliseconds.
 	pushTimeout = 200 * time.Millisecond
 	// maxPushes bounds the number of messages in progress.
 	maxPushes = 32
@@ -39,8 +39,8 @@
 	peers  *peers
 	clock  granitehoist.Clock
 	method string
-	// changesAfter returns the observations made after a version, whether there are any,
-	// and the version that they reach.
+	// changesAfter returns the observations that this node made after a version of its
+	// table, whether there are any, and the version of the table that includes them.
 	changesAfter func(version uint64) (Message, bool, uint64)
 
 	// mu guards acknowledged.
@@ -58,16 +58,17 @@
 
 // pushResult counts the outcome of one round of pushes.
 type pushResult struct {
-	// called is the number of messages sent, failed that of messages without an answer.
-	called, failed int
-	// waiting is the number of neighbours whose retry is not due yet.
-	waiting int
+	// sent is the number of messages sent, failed the number of those that got no
+	// response.
+	sent, failed int
+	// pendingRetries is the number of neighbours whose retry is not due yet.
+	pendingRetries int
 }
 
 // delay returns the minimum time until the next round, zero if nothing was sent and no
 // retry is pending. routers is the size of the fleet.
 func (r pushResult) delay(routers int) time.Duration {
-	if r.called == 0 && r.waiting == 0 {
+	if r.sent == 0 && r.pendingRetries == 0 {
 		return 0
 	}
 	return max(minPushDelay, time.Duration(routers)*pushDelayPerNode)
@@ -90,10 +91,10 @@
 		case !pending.nonEmpty:
 			continue
 		case now.Before(state.retryAt):
-			result.waiting++
+			result.pendingRetries++
 			continue
 		}
-		result.called++
+		result.sent++
 		calls.Go(func() error {
 			if p.push(ctx, other.peer(), pending) != nil {
 				failed.Add(1)
@@ -114,7 +115,8 @@
 	pendingByVersion map[uint64]pendingMessage[Message]
 }
 
-// pendingMessage is the message for neighbours that acknowledged an earlier version.
+// pendingMessage holds the observations that a neighbour has not acknowledged yet. A
+// neighbour that acknowledges the message has acknowledged version.
 type pendingMessage[Message any] struct {
 	message  Message
 	nonEmpty bool
@@ -161,8 +163,8 @@
 // older version of the router. Retries are useless until the neighbour restarts, which
 // makes it another incarnation.
 func isUnknownMethod(err error) bool {
-	var answer *jsonrpc2.Error
-	return errors.As(err, &answer) && answer.Code == jsonrpc2.CodeMethodNotFound
+	var callError *jsonrpc2.Error
+	return errors.As(err, &callError) && callError.Code == jsonrpc2.CodeMethodNotFound
 }
 
 // progressOf returns the progress of a neighbour, zero if nothing was pushed to it.
--- a/node/ratelimits.go
+++ b/node/ratelimits.go
@@ -25,7 +25,7 @@
 	issuer   *throttle.Issuer
 	clock    granitehoist.Clock
 	counters *counters
-	// avoidedIssuers holds the issuers that did not answer.
+	// avoidedIssuers holds the issuers that did not respond.
 	avoidedIssuers avoidedPeers
 }
 
--- a/node/reload.go
+++ b/node/reload.go
@@ -23,7 +23,7 @@
 // LinkMbps. It returns the names of settings in c that differ from those at the start and
 // need a restart. It returns an error and changes nothing if c is invalid. It is safe for
 // concurrent use.
-func (n *Node) Reload(c *Config) (waiting []string, err error) {
+func (n *Node) Reload(c *Config) (restartNeeded []string, err error) {
 	if err := c.Check(); err != nil {
 		return nil, err
 	}
--- a/node/servers.go
+++ b/node/servers.go
@@ -111,7 +111,7 @@
 		IdleTimeout:   idleTimeout,
 		HeaderBytes:   headerBytes,
 		OnError:       n.serveErrorLogger(callersServer),
-	}, n.components.meter.Listener(l.callers))
+	}, n.components.linkMeter.Listener(l.callers))
 	s.ready = httpserver.New(httpserver.Settings{
 		Handler:       http.HandlerFunc(n.serveReady),
 		HeaderTimeout: headerTimeout,
--- a/node/shedding.go
+++ b/node/shedding.go
@@ -57,21 +57,21 @@
 }
 
 // observe adds a reading and reports whether the box sheds callers from then on.
-func (w *linkMonitor) observe(r linkmeter.Reading) bool {
-	w.readings = append(w.readings, r)
-	if len(w.readings) <= linkWindowIntervals || w.capacity <= 0 {
-		return w.shedding
+func (m *linkMonitor) observe(r linkmeter.Reading) bool {
+	m.readings = append(m.readings, r)
+	if len(m.readings) <= linkWindowIntervals || m.capacity <= 0 {
+		return m.shedding
 	}
-	load := r.Rate(w.readings[0]) / w.capacity
-	w.readings = w.readings[1:]
-	sinceChange := r.At.Sub(w.changedAt)
+	load := r.Rate(m.readings[0]) / m.capacity
+	m.readings = m.readings[1:]
+	sinceChange := r.At.Sub(m.changedAt)
 	switch {
-	case !w.shedding && load > shedAboveLoad && sinceChange >= minSheddingInterval:
-		w.shedding, w.changedAt = true, r.At
-	case w.shedding && load < stopSheddingBelowLoad && sinceChange >= minSheddingTime:
-		w.shedding, w.changedAt = false, r.At
+	case !m.shedding && load > shedAboveLoad && sinceChange >= minSheddingInterval:
+		m.shedding, m.changedAt = true, r.At
+	case m.shedding && load < stopSheddingBelowLoad && sinceChange >= minSheddingTime:
+		m.shedding, m.changedAt = false, r.At
 	}
-	return w.shedding
+	return m.shedding
 }
 
 const (
@@ -94,7 +94,7 @@
 		linkMbps := n.live.Load().linkMbps
 		watch.capacity = linkMbps * bitsPerMbit / bitsPerByte
 		before := watch.shedding
-		after := watch.observe(n.components.meter.Read(n.clock()))
+		after := watch.observe(n.components.linkMeter.Read(n.clock()))
 		if before == after {
 			continue
 		}
--- a/node/startgate.go
+++ b/node/startgate.go
@@ -14,7 +14,7 @@
 // read the evidence or maxEvidenceWait has passed.
 
 // maxEvidenceWait bounds the wait for evidence, in case neither the store nor the
-// neighbours answer.
+// neighbours respond.
 const maxEvidenceWait = 500 * time.Millisecond
 
 // startGate is open once a node may forward requests. It is safe for concurrent use.
--- a/node/stop.go
+++ b/node/stop.go
@@ -15,17 +15,17 @@
 // The phases of a stop end at fixed fractions of the grace period between SIGTERM and
 // SIGKILL.
 const (
-	// serveShare is the fraction of the grace period for which new requests are still
+	// serveUntilFraction is the fraction of the grace period for which new requests are still
 	// served: the load balancer needs two failed health checks, one second apart, to
-	// notice that the node stops. A larger share would leave too little time to finish
+	// notice that the node stops. A larger fraction would leave too little time to finish
 	// streams.
-	serveShare = 0.32
-	// finishShare is the fraction of the grace period after which requests still in
+	serveUntilFraction = 0.32
+	// finishUntilFraction is the fraction of the grace period after which requests still in
 	// progress are abandoned.
-	finishShare = 0.95
-	// returnShare is the fraction of the grace period after which the return of tokens is
+	finishUntilFraction = 0.95
+	// returnUntilFraction is the fraction of the grace period after which the return of tokens is
 	// abandoned, shortly before the platform kills the process. minReturnTime may extend it.
-	returnShare = 0.97
+	returnUntilFraction = 0.97
 	// minReturnTime is the minimum time for the return of tokens, even if requests ran
 	// until finishShare: one call to a slow store.
 	minReturnTime = 300 * time.Millisecond
@@ -64,8 +64,8 @@
 // newStopPlan returns the plan of a stop that was ordered at start, with grace left until
 // the process is killed.
 func newStopPlan(start time.Time, grace time.Duration) stopPlan {
-	at := func(share float64) time.Time { return start.Add(time.Duration(share * float64(grace))) }
-	return stopPlan{serveUntil: at(serveShare), finishUntil: at(finishShare), returnUntil: at(returnShare)}
+	at := func(fraction float64) time.Time { return start.Add(time.Duration(fraction * float64(grace))) }
+	return stopPlan{serveUntil: at(serveUntilFraction), finishUntil: at(finishUntilFraction), returnUntil: at(returnUntilFraction)}
 }
 
 // phase returns the phase at now with the given number of requests in progress.
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -23,10 +23,10 @@
 // (suspectstore.go).
 //
 // In three cases a node also fetches evidence:
-//   - After its start it pulls from some neighbours, since others may not have it in
-//     their node list yet.
-//   - After it was stalled it pulls too, since pushes that failed meanwhile are retried
-//     only after pushRetryDelay.
+//   - After its start it pulls from some neighbours, since a neighbour pushes to it only
+//     once it is in that neighbour's node list.
+//   - After its process was stalled it pulls too, since neighbours retry the pushes that
+//     failed meanwhile only after pushRetryDelay.
 //   - If most of its pushes fail after an observation, it reads the store once.
 
 // methodPushSuspects is the method by which a node sends its observations to a neighbour.
@@ -41,8 +41,9 @@
 	// maxPullPeers is the number of neighbours pulled from at a time: some may have no
 	// evidence yet.
 	maxPullPeers = 3
-	// pullInterval is the time between two rounds of pulls, and pullPeriod how long a
-	// starting node repeats them: by then all nodes have read a list that contains it.
+	// pullInterval is the time between two rounds of pulls. pullPeriod is how long a
+	// starting node repeats them: by then all nodes have read a list that contains the
+	// starting node.
 	pullInterval = time.Second
 	pullPeriod   = 2 * listInterval
 	// startPollInterval is the interval at which a starting node checks whether it knows
@@ -77,8 +78,9 @@
 	// gate opens when the evidence of the store and of the neighbours has been read, or
 	// maxEvidenceWait after the start.
 	gate *startGate
-	// cutOff asks runStore to read the store once. runPush sets it (isCutOff).
-	cutOff atomic.Bool
+	// storeReadRequested asks runStore to read the store once. runPush sets it when
+	// shouldReadStore says so.
+	storeReadRequested atomic.Bool
 	// pusher sends this node's observations to the neighbours.
 	pusher *pusher[suspectUpdate]
 
@@ -103,7 +105,7 @@
 
 // evidenceSources returns the number of sources of evidence that a starting node reads. One
 // is the store or the relays. The other is the neighbours, which also have the evidence
-// that does not suffice for a refusal yet. At the first start of the fleet it is zero.
+// that does not suffice for a refusal yet. There is none at the first start of the fleet.
 func evidenceSources(bootstrap bool) int32 {
 	if bootstrap {
 		return 0
@@ -129,7 +131,7 @@
 	}
 }
 
-// pullAtStart pulls from some neighbours, and reports whether one of them answered or
+// pullAtStart pulls from some neighbours, and reports whether one of them responded or
 // there are none. It asks several, since those that have just started have no evidence.
 func (s *suspects) pullAtStart(ctx context.Context) bool {
 	neighbours := s.peers.nextNeighbours(maxPullPeers)
@@ -163,17 +165,17 @@
 // ends.
 func (s *suspects) runPush(ctx context.Context) {
 	started := s.clock()
-	pulled, round := started, started
+	pulledAt, roundAt := started, started
 	for ctx.Err() == nil {
 		now := s.clock()
-		if shouldPull(pullInputs{bootstrap: s.bootstrap, now: now, startedAt: started, pulledAt: pulled, roundAt: round}) {
+		if shouldPull(pullInputs{bootstrap: s.bootstrap, now: now, startedAt: started, pulledAt: pulledAt, roundAt: roundAt}) {
 			s.pull(ctx, s.peers.nextNeighbours(maxPullPeers))
-			pulled = now
+			pulledAt = now
 		}
-		round = now
+		roundAt = now
 		result := s.pusher.pushAll(ctx, now)
-		if s.isCutOff(result, now) {
-			s.cutOff.Store(true)
+		if s.shouldReadStore(result, now) {
+			s.storeReadRequested.Store(true)
 			wake(s.storeWake)
 		}
 		s.table.Sweep(now)
@@ -201,13 +203,13 @@
 	return !in.bootstrap && in.now.Sub(in.startedAt) < pullPeriod && in.now.Sub(in.pulledAt) >= pullInterval
 }
 
-// isCutOff decides whether this node counts as cut off: more than half of the pushes of a
-// round failed, less than pullPeriod after its last observation. The pushes of its
-// neighbours may then fail as well, so that it reads the store instead.
-func (s *suspects) isCutOff(r pushResult, now time.Time) bool {
+// shouldReadStore decides whether this node reads the evidence from the store: if more
+// than half of the pushes of a round failed, less than pullPeriod after its last
+// observation. The pushes of its neighbours to this node may then fail as well.
+func (s *suspects) shouldReadStore(r pushResult, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return 2*r.failed > r.called && now.Sub(s.observedAt) < pullPeriod
+	return 2*r.failed > r.sent && now.Sub(s.observedAt) < pullPeriod
 }
 
 // waitToPush waits until there may be something to push: for the minimum delay after a
@@ -227,19 +229,19 @@
 	}
 }
 
-// pull fetches the evidence of neighbours, and returns how many of them answered.
+// pull fetches the evidence of neighbours, and returns how many of them responded.
 func (s *suspects) pull(ctx context.Context, neighbours []peerEntry) int {
 	var calls sync.WaitGroup
-	var answered atomic.Int32
+	var responded atomic.Int32
 	for _, other := range neighbours {
 		calls.Go(func() {
 			if s.pullFrom(ctx, other.peer()) == nil {
-				answered.Add(1)
+				responded.Add(1)
 			}
 		})
 	}
 	calls.Wait()
-	return int(answered.Load())
+	return int(responded.Load())
 }
 
 // pullFrom fetches the evidence of one neighbour. Its error is that of the call, which a
--- a/node/suspectstore.go
+++ b/node/suspectstore.go
@@ -48,7 +48,7 @@
 		if len(records) == suspect.MaxRecords {
 			continue
 		}
-		if s.cutOff.Swap(false) {
+		if s.storeReadRequested.Swap(false) {
 			s.reloadFromStore(ctx)
 		}
 		waitForWake(ctx, s.storeWake)
@@ -65,7 +65,7 @@
 	}
 }
 
-// reloadFromStore reads the store again, for a node that counts as cut off (isCutOff).
+// reloadFromStore reads the stored evidence again, as storeReadRequested asks.
 func (s *suspects) reloadFromStore(ctx context.Context) {
 	if err := s.readStore(ctx); err != nil {
 		s.logStoreFailed(err)
--- a/node/updates.go
+++ b/node/updates.go
@@ -32,13 +32,13 @@
 	After  granitehoist.Version `json:"after"`
 	// Wait is in nanoseconds; a receiver grants at most maxUpdatesWait.
 	Wait time.Duration `json:"wait,omitempty"`
-	// Cut is how long the caller has been without an answer from the store, in
+	// Cut is how long the caller has been without a response from the store, in
 	// nanoseconds.
 	Cut time.Duration `json:"cut,omitempty"`
 }
 
 // askUpdates queries a router for changes, and tells it how long this node has been
-// without an answer from the store.
+// without a response from the store.
 func (n *Node) askUpdates(ctx context.Context, to granitehoist.Peer, prefix string, after granitehoist.Version, wait time.Duration) (follow.Update, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+updatesCallTimeout)
 	defer cancel()
@@ -50,7 +50,7 @@
 	return packed.Unpack()
 }
 
-// serveUpdates answers another router. For a prefix that this node does not follow it
+// serveUpdates serves another router's query for changes. For a prefix that this node does not follow it
 // returns an empty update, which changes nothing at the caller.
 func (n *Node) serveUpdates(ctx context.Context, params updatesParams) (follow.PackedUpdate, error) {
 	n.components.ledger.NoteNeighbourUnreachableFor(params.Cut, n.clock())
--- a/node/upstreamsignals.go
+++ b/node/upstreamsignals.go
@@ -75,26 +75,26 @@
 
 // onLeaving handles an upstream that is leaving. It is called once per incarnation of the
 // upstream; the change of its entry in the store may come much later, or never.
-func (s *upstreamSignals) onLeaving(note balance.LeavingEvent) {
-	if note.Observed {
+func (s *upstreamSignals) onLeaving(e balance.LeavingEvent) {
+	if e.Observed {
 		wake(s.pushWake)
 	}
 	s.log.Info(event.UpstreamLeaving,
-		zap.String("upstream", string(note.ID)),
-		zap.String("service", string(note.Service)),
-		zap.Bool("observed", note.Observed))
+		zap.String("upstream", string(e.ID)),
+		zap.String("service", string(e.Service)),
+		zap.Bool("observed", e.Observed))
 }
 
 // onBackoff handles an upstream that asked this node to back off.
-func (s *upstreamSignals) onBackoff(note balance.BackoffEvent) {
-	if !s.backoffLog.allow(note.ID, s.clock()) {
+func (s *upstreamSignals) onBackoff(e balance.BackoffEvent) {
+	if !s.backoffLog.allow(e.ID, s.clock()) {
 		return
 	}
 	s.log.Info(event.UpstreamBackoff,
-		zap.String("upstream", string(note.ID)),
-		zap.String("service", string(note.Service)),
-		zap.Duration("asked", note.Requested),
-		zap.Duration("left", note.Remaining))
+		zap.String("upstream", string(e.ID)),
+		zap.String("service", string(e.Service)),
+		zap.Duration("asked", e.Requested),
+		zap.Duration("left", e.Remaining))
 }
 
 // runPush pushes observations to the neighbours until ctx ends.
