--- a/node/doc.go
+++ b/node/doc.go
@@ -3,9 +3,9 @@
 
 // Package node assembles the router that the program granitehoist-edge runs. A Node
 // follows the configuration and the upstreams' announcements in the store, serves
-// callers, keeps the prepaid token budgets in step with the store, serves the calls
-// of the other routers of the fleet (its neighbours) and stops gracefully. Adapter holds everything
-// that depends on the platform.
+// callers, keeps the prepaid token budgets in step with the store, serves the calls of the
+// other routers of the fleet (its neighbours) and stops gracefully. Adapter holds
+// everything that depends on the platform.
 //
 // # State
 //
--- a/node/stop.go
+++ b/node/stop.go
@@ -27,7 +27,7 @@
 	// abandoned, shortly before the platform kills the process. minReturnTime may extend it.
 	returnUntilFraction = 0.97
 	// minReturnTime is the minimum time for the return of tokens, even if requests ran
-	// until finishShare: one call to a slow store.
+	// until finishUntilFraction: one call to a slow store.
 	minReturnTime = 300 * time.Millisecond
 	// maxReturnTime bounds the return of tokens if more of the grace period remains:
 	// about five calls to a slow store.
--- a/node/updates.go
+++ b/node/updates.go
@@ -50,8 +50,8 @@
 	return packed.Unpack()
 }
 
-// serveUpdates serves another router's query for changes. For a prefix that this node does not follow it
-// returns an empty update, which changes nothing at the caller.
+// serveUpdates serves another router's query for changes. For a prefix that this node does
+// not follow it returns an empty update, which changes nothing at the caller.
 func (n *Node) serveUpdates(ctx context.Context, params updatesParams) (follow.PackedUpdate, error) {
 	n.components.ledger.NoteNeighbourUnreachableFor(params.Cut, n.clock())
 	for _, f := range []*follow.Follower{n.configs.follower, n.instances.follower} {
