--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -24,7 +24,7 @@
 	class  responseClass
 	// unsent is set if no byte was sent.
 	unsent bool
-	// retryTaken is set if a retry for another attempt was taken from the budget.
+	// retryTaken is set if the stall timer took a retry from the retry budget.
 	retryTaken bool
 	// failure is a 5xx response of the instance, which is relayed if no other attempt
 	// follows. It is nil for other outcomes; err is set with it.
@@ -41,7 +41,7 @@
 
 // An upstream may close an idle connection while a request is being sent on it. The router
 // then does not know whether the request ran, so that a request which must run at most
-// once fails. These limits on the idle time of reused connections make that rare.
+// once fails. The limits on the idle time of reused connections make this failure rare.
 const (
 	// maxIdle applies to requests that may run more than once. It has no effect of its own,
 	// since the pool of package exchange does not reuse connections that were idle so long.
--- a/forward/classify.go
+++ b/forward/classify.go
@@ -38,17 +38,17 @@
 // classifyHead returns the meaning of a response head from its status and what the Codec
 // read in it. started is set if the caller has a part of an earlier instance's stream,
 // which only a successful response can continue.
-func classifyHead(v HeadInfo, status int, started bool) responseClass {
+func classifyHead(head HeadInfo, status int, started bool) responseClass {
 	switch {
-	case v.NotRun && v.Misdirected:
+	case head.NotRun && head.Misdirected:
 		return responseMisdirected
-	case v.NotRun && v.BadRequest:
+	case head.NotRun && head.BadRequest:
 		return responseBadRequest
-	case v.NotRun:
+	case head.NotRun:
 		return responseRefused
 	case started && status >= http.StatusMultipleChoices:
 		return responseNotResumed
-	case !v.Usable:
+	case !head.Usable:
 		return responseInvalid
 	case status >= http.StatusInternalServerError:
 		return responseFailed
@@ -74,10 +74,13 @@
 }
 
 // instanceResult returns the result of an attempt that is reported to the balancer. ended
-// is set if the caller disconnected or the request's timeout passed. If it is set, or the
-// response could not be relayed to the caller, the result is Inconclusive, unless the
-// response was complete, a 5xx response, misdirected, or the rejection of an invalid
-// request.
+// is set if the caller disconnected or the request's timeout passed.
+//
+// Attempts that were misdirected, got a 5xx response, were relayed completely or got a
+// rejection of an invalid request have the same result whether or not the request ended.
+// Any other attempt is Inconclusive if the request ended or the response could not be
+// written to the caller. Otherwise it is Refused if the instance refused the request, and
+// Broken if not.
 func instanceResult(r *attemptResult, ended bool) balance.Result {
 	switch {
 	case r.class == responseMisdirected:
--- a/forward/log.go
+++ b/forward/log.go
@@ -14,7 +14,8 @@
 	"granitehoist.example/granitehoist/internal/event"
 )
 
-// logEnd logs the end of a request.
+// logEnd logs the end of a request. "fate" is whether the request ran, "first" the time to
+// the response head. The keys of log lines stay for compatibility.
 func (a *activeRequest) logEnd(report Report, err error) {
 	fields := []zap.Field{
 		zap.String("request", string(a.request.ID)),
@@ -62,9 +63,10 @@
 	}
 }
 
-// budgetFields returns the reserved ("bound") and the charged ("used") tokens, and the
+// budgetFields returns the maximum cost ("bound") and the charged tokens ("used"), and the
 // state of the budget on this box at the time of the reservation. "rest" is the remaining
-// balance in the store.
+// balance in the store, "silent" how long neither the
+// store nor a lender has responded.
 func (a *activeRequest) budgetFields() []zap.Field {
 	budget := a.progress.budget
 	return []zap.Field{
@@ -79,7 +81,7 @@
 }
 
 // feedbackFields returns what a response states about its instance, without fields that
-// it does not state.
+// the response does not state. "rest" is the requested backoff.
 func feedbackFields(s balance.Feedback) []zap.Field {
 	var fields []zap.Field
 	if s.Rate.Stated() {
@@ -95,7 +97,9 @@
 }
 
 // logAttempt logs an attempt. took is its duration, from before the request was sent.
-// "crashed" is logged if the upstream crashed during the attempt.
+// "entry" is the version of the instance's entry, "home" whether the instance owns the
+// prefix of the prompt, "pause" the longest gap between events, and "after" the last event
+// that the caller has. "crashed" is logged if the upstream crashed during the attempt.
 func (a *activeRequest) logAttempt(l *balance.Lease, result *attemptResult, took time.Duration) {
 	fields := []zap.Field{
 		zap.String("request", string(a.request.ID)),
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -37,7 +37,8 @@
 	largerThanBudget
 	// budgetExhausted: all prepaid tokens are spent.
 	budgetExhausted
-	// budgetScarce: the store has no tokens left, but other boxes have reserved some.
+	// budgetScarce: this router could not get enough tokens, although the store responds
+	// and the budget may have enough.
 	budgetScarce
 	// budgetWithheld: the remaining tokens are set aside for smaller requests.
 	budgetWithheld
@@ -48,7 +49,7 @@
 	// instancesDeferred: all instances are backing off or at a rate limit, and none accepts
 	// the request in time.
 	instancesDeferred
-	// refusedByInstance: the instances to which it was sent did not run the request.
+	// refusedByInstance: the instances to which the request was sent did not run it.
 	refusedByInstance
 )
 
@@ -82,7 +83,7 @@
 	// maxRetryAfterFraction is the maximum Retry-After for budgets and overload, as a
 	// fraction of the request's remaining timeout, which leaves time for the retry.
 	maxRetryAfterFraction = 0.3
-	// minRetryAfter is the smallest Retry-After to which capRetryAfter reduces one.
+	// minRetryAfter is the minimum result of capRetryAfter.
 	minRetryAfter = 50 * time.Millisecond
 )
 
--- a/forward/retrybudget.go
+++ b/forward/retrybudget.go
@@ -12,8 +12,8 @@
 	"granitehoist.example/granitehoist/internal/retrybudget"
 )
 
-// RetrySettings bound the attempts of all routers together beyond the first of each
-// request. Each router uses an equal share.
+// RetrySettings bound the retries of the fleet, that is, the attempts beyond the first of
+// each request. Each router may make an equal share of them.
 type RetrySettings struct {
 	// Ratio is the number of retries allowed per request of a service.
 	Ratio float64
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -36,11 +36,11 @@
 // isSuspect reports whether there are crash records of the request or its scope.
 func (s *suspectStatus) isSuspect() bool { return s.verdict.Round > 0 || s.scopeVerdict.Round > 0 }
 
-// hold returns how long the request must still be held back.
-func (s *suspectStatus) hold() time.Duration { return s.longestHold().Hold }
+// hold returns how long the request must still be delayed (suspect.Verdict.Hold).
+func (s *suspectStatus) hold() time.Duration { return s.longerHoldVerdict().Hold }
 
-// longestHold returns the verdict with the longer hold.
-func (s *suspectStatus) longestHold() suspect.Verdict {
+// longerHoldVerdict returns the verdict with the longer hold, on the request or its scope.
+func (s *suspectStatus) longerHoldVerdict() suspect.Verdict {
 	if s.scopeVerdict.Hold > s.verdict.Hold {
 		return s.scopeVerdict
 	}
@@ -69,9 +69,9 @@
 	return nil
 }
 
-// awaitHold checks the request as checkSuspect does, and holds it back for the time that
-// the crash records require (suspect.Verdict.Hold). It refuses a request whose hold is
-// longer than holdLimitFraction and minHoldLimit allow, or than its remaining timeout.
+// awaitHold checks the request as checkSuspect does, and delays it until its hold is over.
+// It refuses a request whose hold is longer than holdLimitFraction and minHoldLimit allow,
+// or than the remaining timeout of the request.
 func (a *activeRequest) awaitHold(ctx context.Context) error {
 	limit := max(minHoldLimit, time.Duration(holdLimitFraction*float64(a.admission.route.TargetLatency)))
 	return a.waitUntilReady(ctx, min(limit, a.timeLeft()), func(time.Time) (*waitReason, error) {
@@ -82,15 +82,15 @@
 		if s.hold() <= 0 {
 			return nil, nil
 		}
-		return &waitReason{left: s.hold(), refusal: func() error { return s.longestHold().HoldRefusal() }}, nil
+		return &waitReason{left: s.hold(), refusal: func() error { return s.longerHoldVerdict().HoldRefusal() }}, nil
 	})
 }
 
 const (
-	// holdLimitFraction is the fraction of the route's latency target for which a request
-	// is held back at most.
+	// holdLimitFraction is the maximum hold of a request, as a fraction of the route's
+	// latency target.
 	holdLimitFraction = 0.5
-	// minHoldLimit is the minimum of that limit, also on routes without a target.
+	// minHoldLimit is the minimum of the maximum hold, also on routes without a target.
 	minHoldLimit = 400 * time.Millisecond
 )
 
