--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// takeIdle removes and returns the most recently used connection that is reusable, and
-// closes the others that it finds. It returns nil if there is none.
+// takeIdle removes and returns the most recently used connection that is reusable, and nil
+// if there is none. It closes the connections that it finds not to be reusable.
 func (p *Pool) takeIdle(address string, maxIdle time.Duration, now time.Time) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
