--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -7,7 +7,8 @@
 // holds no state.
 package event
 
-// Name is the name of an event, the value of the key "event" of a log line.
+// Name is the name of an event, the value of the key "event" of a log line. Some values
+// keep an older word for compatibility.
 type Name = string
 
 // Process events. Package node logs them, except Reload and ReloadFailed
--- a/internal/pushback/backoff.go
+++ b/internal/pushback/backoff.go
@@ -32,46 +32,46 @@
 
 // Extend records that a response received at now requests a backoff of d, capped at
 // MaxBackoff. It never moves the end of a backoff to an earlier time.
-func (r *Backoff) Extend(d time.Duration, now time.Time) {
-	if until := now.Add(min(d, MaxBackoff)); until.After(r.until) {
-		r.until = until
+func (b *Backoff) Extend(d time.Duration, now time.Time) {
+	if until := now.Add(min(d, MaxBackoff)); until.After(b.until) {
+		b.until = until
 	}
-	r.maxProbes = initialProbes
+	b.maxProbes = initialProbes
 }
 
 // Inactive reports whether neither a backoff nor the recovery from one is in force.
-func (r *Backoff) Inactive() bool { return r.until.IsZero() }
+func (b *Backoff) Inactive() bool { return b.until.IsZero() }
 
 // Allows reports whether a request may be sent to the upstream now.
-func (r *Backoff) Allows(now time.Time) bool {
-	return r.Inactive() || (!now.Before(r.until) && r.probes < r.maxProbes)
+func (b *Backoff) Allows(now time.Time) bool {
+	return b.Inactive() || (!now.Before(b.until) && b.probes < b.maxProbes)
 }
 
 // Remaining returns the time until the backoff ends, and zero after its end. During the
 // recovery Allows may return false although Remaining is zero.
-func (r *Backoff) Remaining(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
+func (b *Backoff) Remaining(now time.Time) time.Duration { return max(0, b.until.Sub(now)) }
 
 // StartProbe counts a request that is sent during the recovery. Allows must have allowed the
 // request. EndProbe must be called once for each StartProbe.
-func (r *Backoff) StartProbe() { r.probes++ }
+func (b *Backoff) StartProbe() { b.probes++ }
 
 // EndProbe ends a request counted by StartProbe, whether the upstream accepted or rejected
 // it or the outcome is unknown.
-func (r *Backoff) EndProbe() { r.probes-- }
+func (b *Backoff) EndProbe() { b.probes-- }
 
 // Accepted records that the upstream accepted a request sent at the given time; requests
 // sent before the end of the backoff are ignored. capacity is the number of requests that
 // the upstream runs concurrently, above which the recovery is complete.
-func (r *Backoff) Accepted(sent time.Time, capacity int) {
-	if r.Inactive() || sent.Before(r.until) {
+func (b *Backoff) Accepted(sent time.Time, capacity int) {
+	if b.Inactive() || sent.Before(b.until) {
 		return
 	}
-	r.maxProbes *= probeGrowth
-	if r.maxProbes > capacity {
-		r.until, r.maxProbes = time.Time{}, 0
+	b.maxProbes *= probeGrowth
+	if b.maxProbes > capacity {
+		b.until, b.maxProbes = time.Time{}, 0
 	}
 }
 
 // Rejected records that the upstream rejected a request without requesting a new backoff.
 // It restarts a recovery in progress with initialProbes.
-func (r *Backoff) Rejected() { r.maxProbes = min(r.maxProbes, initialProbes) }
+func (b *Backoff) Rejected() { b.maxProbes = min(b.maxProbes, initialProbes) }
