--- a/node/stop.go
+++ b/node/stop.go
@@ -15,16 +15,17 @@
 // The phases of a stop end at fixed fractions of the grace period between SIGTERM and
 // SIGKILL.
 const (
-	// serveUntilFraction is the fraction of the grace period for which new requests are still
-	// served: the load balancer needs two failed health checks, one second apart, to
+	// serveUntilFraction is the fraction of the grace period for which new requests are
+	// still served: the load balancer needs two failed health checks, one second apart, to
 	// notice that the node stops. A larger fraction would leave too little time to finish
 	// streams.
 	serveUntilFraction = 0.32
-	// finishUntilFraction is the fraction of the grace period after which requests still in
-	// progress are abandoned.
+	// finishUntilFraction is the fraction of the grace period after which requests still
+	// in progress are abandoned.
 	finishUntilFraction = 0.95
-	// returnUntilFraction is the fraction of the grace period after which the return of tokens is
-	// abandoned, shortly before the platform kills the process. minReturnTime may extend it.
+	// returnUntilFraction is the fraction of the grace period after which the return of
+	// tokens is abandoned, shortly before the platform kills the process. The return may
+	// last longer because of minReturnTime.
 	returnUntilFraction = 0.97
 	// minReturnTime is the minimum time for the return of tokens, even if requests ran
 	// until finishUntilFraction: one call to a slow store.
