--- a/explain/boxstate.go
+++ b/explain/boxstate.go
@@ -18,10 +18,10 @@
 	startStop *Line
 	// upstreams holds the latest upstream or upstream_gone line of each instance.
 	upstreams map[string]*Line
-	// unreachable is the line of the request to be explained if it was refused because
-	// the store did not answer, and no call for the budgets had failed until then. The
-	// line of the next failed call or of the next grant resets it.
-	unreachable *Line
+	// unexplainedRefusal is the line of the request to be explained, if it was refused
+	// because the store did not respond although no call for the budgets had failed
+	// before. The line of the next failed call or of the next grant resets it.
+	unexplainedRefusal *Line
 }
 
 func newBoxState() *boxState {
@@ -39,7 +39,7 @@
 	case event.BudgetSyncFailed:
 		b.failedSync = l
 	case event.BudgetGrant:
-		b.failedSync, b.unreachable = nil, nil
+		b.failedSync, b.unexplainedRefusal = nil, nil
 	case event.Start:
 		*b = *newBoxState()
 		b.startStop = l
--- a/explain/budget.go
+++ b/explain/budget.go
@@ -34,15 +34,19 @@
 	// progress when their router died.
 	Used granitehoist.Tokens
 
+	// holders has an entry for each router process to which the store granted tokens, by
+	// the name of the process (processName).
 	holders map[string]*holder
 	// borrowed holds the total lent by each lender to each borrowing process, and
 	// repaid the total paid back.
 	borrowed, repaid map[transfer]granitehoist.Tokens
 	rows             map[time.Duration]*budgetRow
-	remainingAt      time.Duration
+	// remainingAt is Line.At of the line from which Prepaid and Remaining were read.
+	remainingAt time.Duration
 }
 
-// holder is a router process to which the store granted tokens.
+// holder is a router process to which the store granted tokens. granted and returned are
+// the totals in the last line that the process logged about them.
 type holder struct {
 	box               string
 	granted, returned granitehoist.Tokens
@@ -101,8 +105,8 @@
 
 // markEnded records that a process has ended.
 func (b *BudgetReport) markEnded(process string) {
-	if t, ok := b.holders[process]; ok {
-		t.ended = true
+	if h, ok := b.holders[process]; ok {
+		h.ended = true
 	}
 }
 
@@ -122,12 +126,12 @@
 
 // addGrant adds a line about a written budget record.
 func (b *BudgetReport) addGrant(l *Line, process string) {
-	t, ok := b.holders[process]
+	h, ok := b.holders[process]
 	if !ok {
-		t = &holder{box: l.Box}
-		b.holders[process] = t
+		h = &holder{box: l.Box}
+		b.holders[process] = h
 	}
-	t.granted, t.returned = tokens(l, "granted"), tokens(l, "returned")
+	h.granted, h.returned = tokens(l, "granted"), tokens(l, "returned")
 	if l.At >= b.remainingAt {
 		b.remainingAt, b.Remaining, b.Prepaid = l.At, tokens(l, "rest"), tokens(l, "prepaid")
 	}
@@ -135,8 +139,8 @@
 
 // addTransfer records the total of a loan or repayment line. Totals only grow, so the
 // largest is kept.
-func (b *BudgetReport) addTransfer(totals map[transfer]granitehoist.Tokens, between transfer, l *Line) {
-	totals[between] = max(totals[between], tokens(l, "total"))
+func (b *BudgetReport) addTransfer(totals map[transfer]granitehoist.Tokens, parties transfer, l *Line) {
+	totals[parties] = max(totals[parties], tokens(l, "total"))
 }
 
 // addRequest counts a finished request.
@@ -170,12 +174,12 @@
 	p.line("budget of %s: prepaid %d, the store had %d left, used %d (%s)", b.Workspace, b.Prepaid, b.Remaining, b.Used, percent(b.Used, b.Prepaid))
 	p.line("taken from the store:")
 	for _, name := range slices.Sorted(maps.Keys(b.holders)) {
-		t := b.holders[name]
+		h := b.holders[name]
 		state := "at the end of the log"
-		if t.ended {
+		if h.ended {
 			state = "by a process that has ended: what it had left is lost"
 		}
-		p.line("  %-24s %10d, of which %d returned, %s", t.box, t.granted, t.returned, state)
+		p.line("  %-24s %10d, of which %d returned, %s", h.box, h.granted, h.returned, state)
 	}
 	p.line("lent by (net of repayments):")
 	lent := b.lentBy()
@@ -193,11 +197,11 @@
 // lentBy returns each lender's loans net of repayments.
 func (b *BudgetReport) lentBy() map[string]granitehoist.Tokens {
 	lent := map[string]granitehoist.Tokens{}
-	for between, total := range b.borrowed {
-		lent[between.from] += total
+	for parties, total := range b.borrowed {
+		lent[parties.from] += total
 	}
-	for between, total := range b.repaid {
-		lent[between.from] -= total
+	for parties, total := range b.repaid {
+		lent[parties.from] -= total
 	}
 	return lent
 }
--- a/explain/cause.go
+++ b/explain/cause.go
@@ -18,21 +18,21 @@
 // refusal can fail: the timeout of a budget call.
 const lateFailureWindow = escrow.DefaultTimeout
 
-// addLateFailure adds the first failed call to the store after boxState.unreachable, if
-// it failed within lateFailureWindow. A version conflict is an answer of the store and
-// is not counted.
-func (s *Timeline) addLateFailure(l *Line, box *boxState) {
-	if box.unreachable == nil || (l.Event != event.BudgetSyncFailed && l.Event != event.StoreLost) {
+// addLateFailure adds the first failed call to the store after
+// boxState.unexplainedRefusal, if it failed within lateFailureWindow. A version conflict
+// is a response of the store and is not counted.
+func (t *Timeline) addLateFailure(l *Line, box *boxState) {
+	if box.unexplainedRefusal == nil || (l.Event != event.BudgetSyncFailed && l.Event != event.StoreLost) {
 		return
 	}
 	cause := l.Get("error")
 	if strings.Contains(cause, granitehoist.ErrConflict.Error()) {
 		return
 	}
-	if l.At-box.unreachable.At <= lateFailureWindow {
-		s.add(l, "  %s later the router logged %s: %s", secondsBetween(box.unreachable, l), l.Event, cause)
+	if l.At-box.unexplainedRefusal.At <= lateFailureWindow {
+		t.add(l, "  %s later the router logged %s: %s", secondsBetween(box.unexplainedRefusal, l), l.Event, cause)
 	}
-	box.unreachable = nil
+	box.unexplainedRefusal = nil
 }
 
 // recordReadSince reports whether the budget record was read between a failed sync and
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -71,12 +71,12 @@
 
 // Write prints one line for each fact, with the time in seconds since the first fact
 // and the box. It returns the first error of w.
-func (s *Timeline) Write(w io.Writer) error {
-	if _, err := fmt.Fprintf(w, "request %s\n", s.Request); err != nil {
+func (t *Timeline) Write(w io.Writer) error {
+	if _, err := fmt.Fprintf(w, "request %s\n", t.Request); err != nil {
 		return err
 	}
-	for _, t := range s.facts {
-		if _, err := fmt.Fprintf(w, "%9.3f s  %-22s %s\n", (t.at - s.facts[0].at).Seconds(), t.box, t.text); err != nil {
+	for _, f := range t.facts {
+		if _, err := fmt.Fprintf(w, "%9.3f s  %-22s %s\n", (f.at - t.facts[0].at).Seconds(), f.box, f.text); err != nil {
 			return err
 		}
 	}
--- a/explain/facts.go
+++ b/explain/facts.go
@@ -13,43 +13,43 @@
 )
 
 // add appends a fact read from a line.
-func (s *Timeline) add(l *Line, format string, args ...any) {
-	s.facts = append(s.facts, fact{l.At, l.Box, fmt.Sprintf(format, args...)})
+func (t *Timeline) add(l *Line, format string, args ...any) {
+	t.facts = append(t.facts, fact{l.At, l.Box, fmt.Sprintf(format, args...)})
 }
 
 // addLine adds the facts of a line about the request.
-func (s *Timeline) addLine(l *Line, box *boxState) {
+func (t *Timeline) addLine(l *Line, box *boxState) {
 	switch l.Event {
 	case event.Attempt:
-		s.addAttempt(l, box)
+		t.addAttempt(l, box)
 	case event.Request:
-		s.addOutcome(l, box)
+		t.addOutcome(l, box)
 	}
 }
 
 // addAttempt adds one attempt: its result, whether its upstream's entry had been deleted
 // before, why the router closed the connection if it did, what the upstream announced in
 // its response, and the events that the caller had received.
-func (s *Timeline) addAttempt(l *Line, box *boxState) {
-	s.add(l, "attempt %s was sent to upstream %s (entry of version %s, %s of this router's requests there, home %s): %s after %s",
+func (t *Timeline) addAttempt(l *Line, box *boxState) {
+	t.add(l, "attempt %s was sent to upstream %s (entry of version %s, %s of this router's requests there, home %s): %s after %s",
 		l.Get("attempt"), l.Get("upstream"), l.Get("entry"), l.Get("load"), l.Get("home"), attemptOutcome(l), seconds(l.Number("took")))
 	if up, ok := box.upstreams[l.Get("upstream")]; ok && up.Event == event.UpstreamGone {
-		s.add(l, "  the upstream's entry had been deleted %s before", secondsBetween(up, l))
+		t.add(l, "  the upstream's entry had been deleted %s before", secondsBetween(up, l))
 	}
 	if closer := closedByRouter(l.Get("error")); closer != "" {
-		s.add(l, "  the router closed this connection itself: %s", closer)
+		t.add(l, "  the router closed this connection itself: %s", closer)
 	}
 	if limit := l.Get("limit"); limit != "" {
-		s.add(l, "  the upstream said that it takes %s requests a second from all routers together", limit)
+		t.add(l, "  the upstream said that it takes %s requests a second from all routers together", limit)
 	}
 	if l.Get("leaving") == "true" {
-		s.add(l, "  the upstream announced that it is shutting down")
+		t.add(l, "  the upstream announced that it is shutting down")
 	}
 	if rest := l.Number("rest"); rest > 0 {
-		s.add(l, "  the upstream asked this router to back off for %s", seconds(rest))
+		t.add(l, "  the upstream asked this router to back off for %s", seconds(rest))
 	}
 	if after := l.Number("after"); after > 0 {
-		s.add(l, "  the caller had events up to %.0f by then", after)
+		t.add(l, "  the caller had events up to %.0f by then", after)
 	}
 }
 
@@ -62,73 +62,73 @@
 
 // addOutcome adds the result of the request and the state of the box at the decision:
 // the configuration, the budget, and whether the router was stopping.
-func (s *Timeline) addOutcome(l *Line, box *boxState) {
-	s.add(l, "the request on route %s of workspace %q, service %s, was decided under configuration %s", l.Get("route"), l.Get("workspace"), l.Get("service"), l.Get("config"))
+func (t *Timeline) addOutcome(l *Line, box *boxState) {
+	t.add(l, "the request on route %s of workspace %q, service %s, was decided under configuration %s", l.Get("route"), l.Get("workspace"), l.Get("service"), l.Get("config"))
 	if box.config != nil && box.config.Get("version") != l.Get("config") {
-		s.add(l, "  configuration %s has come into force since", box.config.Get("version"))
+		t.add(l, "  configuration %s has come into force since", box.config.Get("version"))
 	}
 	switch {
 	case l.Get("bound") == "":
 	case exceedsPrepaid(l):
-		s.add(l, "  it needed at most %s tokens, more than the whole prepaid total, so the budget was not asked", l.Get("bound"))
+		t.add(l, "  it needed at most %s tokens, more than the whole prepaid total, so the budget was not asked", l.Get("bound"))
 	default:
-		s.add(l, "  it needed at most %s tokens; the budget said %s", l.Get("bound"), l.Get("budget"))
+		t.add(l, "  it needed at most %s tokens; the budget said %s", l.Get("bound"), l.Get("budget"))
 	}
 	if used := l.Get("used"); used != "" {
-		s.add(l, "  it was charged %s tokens", used)
+		t.add(l, "  it was charged %s tokens", used)
 	}
 	if l.Get("budget") != "" && l.Get("budget") != "granted" {
-		s.addBudgetCause(l, box)
+		t.addBudgetCause(l, box)
 	}
-	s.addCrashEvidence(l)
+	t.addCrashEvidence(l)
 	if waited := l.Number("permit_wait"); waited > 0 {
-		s.add(l, "  every eligible upstream was in back-off or has a request rate limit shared by all routers; it waited %s for a permit or for the end of a back-off", seconds(waited))
+		t.add(l, "  every eligible upstream was in back-off or has a request rate limit shared by all routers; it waited %s for a permit or for the end of a back-off", seconds(waited))
 	}
-	s.add(l, "it ended with %s after %s; %s attempts, %s events; reported to the caller with %s", codeText(l.Get("code")), seconds(l.Number("took")), l.Get("attempts"), l.Get("events"), executionText(l.Get("fate")))
+	t.add(l, "it ended with %s after %s; %s attempts, %s events; reported to the caller with %s", codeText(l.Get("code")), seconds(l.Number("took")), l.Get("attempts"), l.Get("events"), executionText(l.Get("fate")))
 	if detail := l.Get("detail"); detail != "" {
-		s.add(l, "  in detail: %s", detail)
+		t.add(l, "  in detail: %s", detail)
 	}
 	if box.startStop != nil && box.startStop.Event == event.Stop {
-		s.add(l, "  the router had been told to stop %s before", secondsBetween(box.startStop, l))
+		t.add(l, "  the router had been told to stop %s before", secondsBetween(box.startStop, l))
 	}
 }
 
 // addCrashEvidence adds how many upstreams crashed while this request, or others of its
 // workspace on its route, may have been running there, and for how long requests are
 // refused because of that.
-func (s *Timeline) addCrashEvidence(l *Line) {
+func (t *Timeline) addCrashEvidence(l *Line) {
 	if left := l.Number("scope_left"); left > 0 {
-		s.add(l, "  upstreams crashed in %s rounds under requests of its workspace on its route, whatever their bodies; all of these are refused for another %s", l.Get("scope_round"), seconds(left))
+		t.add(l, "  upstreams crashed in %s rounds under requests of its workspace on its route, whatever their bodies; all of these are refused for another %s", l.Get("scope_round"), seconds(left))
 	}
 	if l.Get("digest") == "" {
 		return
 	}
-	s.add(l, "  %s upstreams crashed while the same request (digest %s) may have been running there, in %s rounds, %s of them before any event; grep for the digest", l.Get("crashes"), l.Get("digest"), l.Get("round"), l.Get("early"))
+	t.add(l, "  %s upstreams crashed while the same request (digest %s) may have been running there, in %s rounds, %s of them before any event; grep for the digest", l.Get("crashes"), l.Get("digest"), l.Get("round"), l.Get("early"))
 	if left := l.Number("left"); left > 0 {
-		s.add(l, "  it is refused for that, for another %s", seconds(left))
+		t.add(l, "  it is refused for that, for another %s", seconds(left))
 	}
 }
 
 // addBudgetCause adds why the request got no tokens: the tokens the router owned, the
-// age of its copy of the record, and whether the store answered.
-func (s *Timeline) addBudgetCause(l *Line, box *boxState) {
+// age of its copy of the record, and for how long the store had not responded.
+func (t *Timeline) addBudgetCause(l *Line, box *boxState) {
 	if meaning := outcomeMeaning(l.Get("budget")); meaning != "" {
-		s.add(l, "  %s means that %s", l.Get("budget"), meaning)
+		t.add(l, "  %s means that %s", l.Get("budget"), meaning)
 	}
-	s.add(l, "  the router owned %s free tokens; the store had %s left, as read %s before", l.Get("free"), l.Get("rest"), seconds(l.Number("rest_age")))
-	unansweredFor := l.Number("silent")
-	if unansweredFor > 0 {
-		s.add(l, "  the store had not answered calls for the budgets for %s", seconds(unansweredFor))
+	t.add(l, "  the router owned %s free tokens; the store had %s left, as read %s before", l.Get("free"), l.Get("rest"), seconds(l.Number("rest_age")))
+	unresponsiveFor := l.Number("silent")
+	if unresponsiveFor > 0 {
+		t.add(l, "  the store had not answered calls for the budgets for %s", seconds(unresponsiveFor))
 	}
-	if unansweredFor <= 0 && l.Get("budget") == escrow.Unreachable.String() {
-		s.add(l, "  no call for the budgets had failed yet, but none was answered in time either")
-		box.unreachable = l
+	if unresponsiveFor <= 0 && l.Get("budget") == escrow.Unreachable.String() {
+		t.add(l, "  no call for the budgets had failed yet, but none was answered in time either")
+		box.unexplainedRefusal = l
 	}
 	if box.failedSync != nil && !recordReadSince(box.failedSync, l) {
-		s.add(l, "  the last sync of the budgets failed %s before: %s", secondsBetween(box.failedSync, l), box.failedSync.Get("error"))
+		t.add(l, "  the last sync of the budgets failed %s before: %s", secondsBetween(box.failedSync, l), box.failedSync.Get("error"))
 	}
 	if lost := box.longestOutage(); lost != nil {
-		s.add(l, "  the store had not answered for %s: %s", secondsBetween(lost, l), lost.Get("error"))
+		t.add(l, "  the store had not answered for %s: %s", secondsBetween(lost, l), lost.Get("error"))
 	}
 }
 
