--- a/cmd/granitehoist-edge/main.go
+++ b/cmd/granitehoist-edge/main.go
@@ -40,12 +40,13 @@
 	// dropped and counted (log_dropped).
 	logQueueLines = 2048
 	// logFlushTimeout limits the writing of queued log lines at exit. It must fit between
-	// the end of node.Node.Stop (see returnShare in node/stop.go) and the platform's SIGKILL.
+	// the end of node.Node.Stop (see returnUntilFraction in node/stop.go) and the
+	// platform's SIGKILL.
 	logFlushTimeout = 100 * time.Millisecond
-	// memoryShare is the Go memory limit as a share of limits.memoryMb in the settings
-	// file. The platform kills a process that uses more than limits.memoryMb, socket buffers
-	// included, so the rest is left for those.
-	memoryShare = 0.6
+	// memoryFraction is the Go memory limit as a fraction of limits.memoryMb in the
+	// settings file. The platform kills a process that uses more than limits.memoryMb,
+	// socket buffers included, so the remaining fraction is left for socket buffers.
+	memoryFraction = 0.6
 	// signalQueue is the number of signals that are queued, for example during a reload;
 	// further ones are dropped.
 	signalQueue = 4
@@ -104,7 +105,7 @@
 // limitMemory sets Go's memory limit, if the configuration has one.
 func limitMemory(c *node.Config) {
 	if c.MemoryLimit > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(c.MemoryLimit)))
+		debug.SetMemoryLimit(int64(memoryFraction * float64(c.MemoryLimit)))
 	}
 }
 
@@ -117,11 +118,11 @@
 		log.Error(event.ReloadFailed, zap.Error(err))
 		return
 	}
-	needRestart, err := n.Reload(config)
+	restartNeeded, err := n.Reload(config)
 	if err != nil {
 		log.Error(event.ReloadFailed, zap.Error(err))
 		return
 	}
 	limitMemory(config)
-	log.Info(event.Reload, zap.String("file", file), zap.Strings("waiting_for_restart", needRestart))
+	log.Info(event.Reload, zap.String("file", file), zap.Strings("waiting_for_restart", restartNeeded))
 }
--- a/cmd/granitehoist/admin.go
+++ b/cmd/granitehoist/admin.go
@@ -28,25 +28,26 @@
 const (
 	// defaultAdmin is the admin address of the first router of examples/site.
 	defaultAdmin = "http://127.0.0.1:8082"
-	// operatorTimeout limits one call. Some calls read all records of a kind from the
+	// adminTimeout limits one call. Some calls read all records of a kind from the
 	// store, so it is longer than the timeout of a request.
-	operatorTimeout = 30 * time.Second
+	adminTimeout = 30 * time.Second
 )
 
-// operator is a client of a router's admin address.
-type operator struct {
+// adminClient is a client of a router's admin address.
+type adminClient struct {
 	address *string
 }
 
-// newOperator adds the flag router to a command and returns a client for its value.
-func newOperator(clause *kingpin.CmdClause) operator {
-	return operator{clause.Flag("router", "Admin address of any router.").Default(defaultAdmin).String()}
+// newAdminClient adds the flag --router to a command, and returns a client of the router at
+// the address in the flag.
+func newAdminClient(clause *kingpin.CmdClause) adminClient {
+	return adminClient{clause.Flag("router", "Admin address of any router.").Default(defaultAdmin).String()}
 }
 
 // call sends a request and decodes the response into result. It returns the router's
 // error, or why there was no response.
-func (o operator) call(ctx context.Context, s *sling.Sling, result any) error {
-	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
+func (c adminClient) call(ctx context.Context, s *sling.Sling, result any) error {
+	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
 	request, err := s.Request()
 	if err != nil {
@@ -66,7 +67,7 @@
 }
 
 // base returns a request builder with the router's address.
-func (o operator) base() *sling.Sling { return sling.New().Base(*o.address) }
+func (c adminClient) base() *sling.Sling { return sling.New().Base(*c.address) }
 
 // tablePadding is the number of spaces between two columns.
 const tablePadding = 2
@@ -81,10 +82,10 @@
 // newBudgets returns the command that shows the allocation of tokens.
 func newBudgets(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("budget", "Inspect budgets.").Command("show", "Show the allocation of each budget's tokens.")
-	o := newOperator(clause)
+	c := newAdminClient(clause)
 	return command{clause, func(ctx context.Context) error {
 		var budgets []budget.Overview
-		if err := o.call(ctx, o.base().Get(router.PathBudgets), &budgets); err != nil {
+		if err := c.call(ctx, c.base().Get(router.PathBudgets), &budgets); err != nil {
 			return err
 		}
 		table := newTable(out, "BUDGET", "PREPAID", "UNALLOCATED", "REGION STOCK", "HELD BY BOXES", "OF THEM IN DOUBT", "CHARGED", "ON THE WAY")
@@ -98,10 +99,10 @@
 // newBills returns the command that shows the charges.
 func newBills(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("bills", "Show the charges of each budget.")
-	o := newOperator(clause)
+	c := newAdminClient(clause)
 	return command{clause, func(ctx context.Context) error {
 		var bills []bill.Summary
-		if err := o.call(ctx, o.base().Get(router.PathBills), &bills); err != nil {
+		if err := c.call(ctx, c.base().Get(router.PathBills), &bills); err != nil {
 			return err
 		}
 		table := newTable(out, "BUDGET", "REQUESTS", "TOKENS", "OF THEM ESTIMATED", "ON THE PARTNER'S CAPACITY")
@@ -125,11 +126,11 @@
 // newSettle returns the command that charges the attempts of a terminated router.
 func newSettle(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("settle", "Charge the attempts of a router that is known to have terminated, and end those still running.")
-	o := newOperator(clause)
+	c := newAdminClient(clause)
 	incarnation := clause.Arg("incarnation", "The router's incarnation, as its log lines name it.").Required().String()
 	return command{clause, func(ctx context.Context) error {
 		var result orphan.Result
-		if err := o.call(ctx, o.base().Post(router.PathOrphans+*incarnation), &result); err != nil {
+		if err := c.call(ctx, c.base().Post(router.PathOrphans+*incarnation), &result); err != nil {
 			return err
 		}
 		fmt.Fprintf(out, "incarnation=%s found=%d charged=%d running=%d unreached=%d\n", result.Incarnation, result.Found, result.Charged, result.Running, len(result.UnreachableEngines))
@@ -140,10 +141,10 @@
 // newReportBurn returns the command that shows the error budget burn rates.
 func newReportBurn(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("report", "Reports on the fleet.").Command("burn", "Service-level burn by service, workspace and availability zone over several windows.")
-	o := newOperator(clause)
+	c := newAdminClient(clause)
 	return command{clause, func(ctx context.Context) error {
 		var burn report.BurnReport
-		if err := o.call(ctx, o.base().Get(router.PathBurn), &burn); err != nil {
+		if err := c.call(ctx, c.base().Get(router.PathBurn), &burn); err != nil {
 			return err
 		}
 		return report.WriteBurn(out, burn)
--- a/cmd/granitehoist/documents.go
+++ b/cmd/granitehoist/documents.go
@@ -24,8 +24,8 @@
 
 // applyCommand holds the arguments of the command apply.
 type applyCommand struct {
-	operator operator
-	out      io.Writer
+	admin adminClient
+	out   io.Writer
 	// file is the path of the document, keyFile that of the partner's secret key.
 	file, keyFile string
 	// wait limits the wait for acceptance.
@@ -35,12 +35,12 @@
 // newApply returns the command that signs and applies a document.
 func newApply(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("apply", "Sign a partner's document and apply it.")
-	o := newOperator(clause)
+	c := newAdminClient(clause)
 	keyFile := clause.Flag("key", "File of the partner's secret key.").Required().String()
 	wait := clause.Flag("wait", "How long to wait until every router has applied it.").Default("10s").Duration()
 	file := clause.Arg("file", "The document.").Required().String()
 	return command{clause, func(ctx context.Context) error {
-		a := applyCommand{operator: o, out: out, file: *file, keyFile: *keyFile, wait: *wait}
+		a := applyCommand{admin: c, out: out, file: *file, keyFile: *keyFile, wait: *wait}
 		return a.run(ctx)
 	}}
 }
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	state, err := a.operator.document(ctx, document.Partner)
+	state, err := a.admin.document(ctx, document.Partner)
 	if err != nil {
 		return err
 	}
@@ -72,8 +72,8 @@
 		Previous: state.Current.Signed.ChangeID,
 	}
 	signed.Sign(key)
-	put := a.operator.base().Put(documentPath(document.Partner)).BodyJSON(signed)
-	if err := a.operator.call(ctx, put, &state); err != nil {
+	put := a.admin.base().Put(documentPath(document.Partner)).BodyJSON(signed)
+	if err := a.admin.call(ctx, put, &state); err != nil {
 		return err
 	}
 	return a.waitAccepted(ctx, signed, state)
@@ -94,7 +94,7 @@
 		case <-time.After(acceptancePollInterval):
 		}
 		var err error
-		if state, err = a.operator.document(ctx, signed.Partner); err != nil {
+		if state, err = a.admin.document(ctx, signed.Partner); err != nil {
 			return err
 		}
 	}
@@ -106,9 +106,9 @@
 func documentPath(p granitehoist.Partner) string { return router.PathDocuments + string(p) }
 
 // document returns a partner's document and the boxes that have applied it.
-func (o operator) document(ctx context.Context, p granitehoist.Partner) (router.DocumentState, error) {
+func (c adminClient) document(ctx context.Context, p granitehoist.Partner) (router.DocumentState, error) {
 	var state router.DocumentState
-	err := o.call(ctx, o.base().Get(documentPath(p)), &state)
+	err := c.call(ctx, c.base().Get(documentPath(p)), &state)
 	return state, err
 }
 
@@ -124,10 +124,10 @@
 // newShow returns the command that shows a document.
 func newShow(app *kingpin.Application, out io.Writer) command {
 	clause := app.Command("show", "Show a partner's document and the boxes that have applied it.")
-	o := newOperator(clause)
+	c := newAdminClient(clause)
 	partner := clause.Arg("partner", "The partner.").Required().String()
 	return command{clause, func(ctx context.Context) error {
-		state, err := o.document(ctx, granitehoist.Partner(*partner))
+		state, err := c.document(ctx, granitehoist.Partner(*partner))
 		if err != nil {
 			return err
 		}
--- a/cmd/granitehoist/router.go
+++ b/cmd/granitehoist/router.go
@@ -59,9 +59,10 @@
 const (
 	// storeTimeout limits one call.
 	storeTimeout = 2 * time.Second
-	// storeWatch is the long-poll time of a watch. It sets the call rate of an idle router.
-	storeWatch = 20 * time.Second
-	// storeWatchGrace is added to storeWatch for the round trip.
+	// storeWatchWait is the long-poll time of a watch. It sets the call rate of an idle
+	// router.
+	storeWatchWait = 20 * time.Second
+	// storeWatchGrace is added to storeWatchWait for the round trip.
 	storeWatchGrace = 5 * time.Second
 	// storeIdleConns is the number of idle connections kept open, so that concurrent writes
 	// for requests that must run at most once need no new connections.
@@ -81,7 +82,7 @@
 	return platform.NewStore(platform.StoreSettings{
 		Address:    address,
 		Timeout:    storeTimeout,
-		WatchWait:  storeWatch,
+		WatchWait:  storeWatchWait,
 		WatchGrace: storeWatchGrace,
 		Client:     client,
 	})
