--- a/cmd/granitehoist/admin.go
+++ b/cmd/granitehoist/admin.go
@@ -38,8 +38,8 @@
 	address *string
 }
 
-// newAdminClient adds the flag --router to a command, and returns a client of the router at
-// the address in the flag.
+// newAdminClient adds the flag --router to a command, and returns a client of the router
+// at the address in the flag.
 func newAdminClient(clause *kingpin.CmdClause) adminClient {
 	return adminClient{clause.Flag("router", "Admin address of any router.").Default(defaultAdmin).String()}
 }
