--- a/node/neighbours.go
+++ b/node/neighbours.go
@@ -27,11 +27,11 @@
 	return granitehoist.Peer{Incarnation: e.Incarnation, Address: e.Address}
 }
 
-// A neighbour is known from the first node list or greeting that names its box, and
-// removed only when a list lacks its box: one read from the store, or one that a relay
-// read a short while ago (canServeList). A neighbour that does not respond stays, since it
-// may be this node that is cut off. Entries have no lease: that of a dead box stays until
-// a router starts there again.
+// A neighbour is known from the first node list or greeting that names its box. It is
+// removed only when a node list lacks its box: a list that this node read from the store,
+// or a list that a relay read from the store a short while ago (canServeList). A
+// neighbour that does not respond stays, since it may be this node that is cut off.
+// Entries have no lease: the entry of a dead box stays until a router starts there again.
 //
 // A greeting contains the sender's own entry and may contain entries of third nodes. The
 // sender's own entry replaces the known entry of its box. An entry of a third node is used
--- a/node/node.go
+++ b/node/node.go
@@ -151,7 +151,7 @@
 }
 
 // serveErrorLogger returns a function that logs errors of a server: a failure to accept
-// connections, or a panic in a handler. Repeated lines are not suppressed here: each
+// connections, or a panic in a handler. Repeated lines are not suppressed: each
 // request panics at most once, and net/http waits up to 1 s after a failure to accept.
 func (n *Node) serveErrorLogger(name serverName) func(error) {
 	return func(err error) {
--- a/node/ratelimits.go
+++ b/node/ratelimits.go
@@ -11,7 +11,8 @@
 
 // An overloaded upstream states how many requests per second it accepts from all routers
 // together. The limit is pushed to all nodes (upstreamsignals.go). From then on a node
-// sends to the upstream only with a permit, which one node issues for all (permits.go).
+// sends to the upstream only with a permit, which one node issues for all nodes
+// (permits.go).
 
 // methodPushLimits is the method by which a node tells a neighbour that a rate limit
 // started or ended.
--- a/node/relays.go
+++ b/node/relays.go
@@ -37,8 +37,8 @@
 	minRelays = 4
 )
 
-// fleetView is an immutable snapshot of the fleet as one node sees it. Its methods, here
-// and in budgetroles.go, assign the node's roles.
+// fleetView is an immutable snapshot of the fleet as one node sees it. Its methods,
+// in relays.go and budgetroles.go, assign the node's roles.
 type fleetView struct {
 	self peerEntry
 	// others holds the neighbours, one entry per box.
--- a/node/stop.go
+++ b/node/stop.go
@@ -124,7 +124,7 @@
 	n.servers.calls.Close()
 	n.components.pool.Close()
 	// Connections to neighbours end with the process: a call in progress that failed
-	// because its connection was closed here would be logged as a lost relay.
+	// because stop closed its connection would be logged as a lost relay.
 }
 
 // returnTokens returns the unused tokens and removes the node's entry, within the time
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -132,7 +132,8 @@
 }
 
 // pullAtStart pulls from some neighbours, and reports whether one of them responded or
-// there are none. It asks several, since those that have just started have no evidence.
+// there are none. It pulls from several, since neighbours that have just started have no
+// evidence.
 func (s *suspects) pullAtStart(ctx context.Context) bool {
 	neighbours := s.peers.nextNeighbours(maxPullPeers)
 	return len(neighbours) == 0 || s.pull(ctx, neighbours) > 0
--- a/node/suspectstore.go
+++ b/node/suspectstore.go
@@ -159,10 +159,10 @@
 	return nil
 }
 
-// storeAll writes the records that suffice to refuse a request, and deletes the records
-// that were cleared since, whose requests a starting node would otherwise refuse until the
-// lease ends. Records of scopes are not stored, since the block of a scope is shorter than
-// a restart.
+// storeAll writes the records that suffice to refuse a request. It deletes the stored
+// record of a request that was cleared; otherwise a starting node would refuse the
+// request until the lease ends. Records of scopes are not stored, since the block of a
+// scope is shorter than a restart.
 func (s *suspects) storeAll(ctx context.Context, records []suspect.Record) error {
 	for _, r := range records {
 		var err error
--- a/node/upstreamsignals.go
+++ b/node/upstreamsignals.go
@@ -15,10 +15,10 @@
 )
 
 // Upstreams signal in their responses that they have a rate limit shared by all routers,
-// that they are leaving, or that this router should back off. A node that observes one of
-// the first two pushes it to all neighbours (push.go), so that they learn of it without a
-// request of their own. A request to back off is not pushed: it applies to this router
-// only, and the other routers may continue to use the upstream.
+// that they are leaving, or that this router should back off. A node that observes a rate
+// limit or a departure pushes it to all neighbours (push.go), so that they learn of it
+// without a request of their own. A request to back off is not pushed: it applies to this
+// router only, and the other routers may continue to use the upstream.
 
 // methodPushSignals is the method by which a node sends its observations to a neighbour.
 // Older versions of the router read only the rate limits in them.
