--- a/forward/deferred.go
+++ b/forward/deferred.go
@@ -27,8 +27,8 @@
 	retryAfterJitter = 0.25
 )
 
-// deferredWait returns how long a request waits at most if all instances are deferred, that
-// is, backing off or at a rate limit.
+// deferredWait returns how long a request waits at most if all instances are deferred,
+// that is, backing off or at a rate limit.
 func (a *activeRequest) deferredWait() time.Duration {
 	wait := time.Duration(deferredWaitFraction * float64(a.admission.route.TargetLatency))
 	return max(0, min(wait, a.timeLeft()-minRetryTime))
--- a/forward/log.go
+++ b/forward/log.go
@@ -63,10 +63,10 @@
 	}
 }
 
-// budgetFields returns the maximum cost ("bound") and the charged tokens ("used"), and the
-// state of the budget on this box at the time of the reservation. "rest" is the remaining
-// balance in the store, "silent" how long neither the
-// store nor a lender has responded.
+// budgetFields returns the maximum cost ("bound") and the charged tokens ("used"), and
+// the state of the budget on this box at the time of the reservation. "rest" is the
+// remaining balance in the store, "silent" how long neither the store nor a lender has
+// responded.
 func (a *activeRequest) budgetFields() []zap.Field {
 	budget := a.progress.budget
 	return []zap.Field{
--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -35,7 +35,8 @@
 	serviceMissing
 	// largerThanBudget: the maximum cost exceeds the prepaid total.
 	largerThanBudget
-	// budgetExhausted: all prepaid tokens are spent.
+	// budgetExhausted: too few prepaid tokens are left in the store and at all routers
+	// together.
 	budgetExhausted
 	// budgetScarce: this router could not get enough tokens, although the store responds
 	// and the budget may have enough.
@@ -65,8 +66,8 @@
 	noInstanceRetry = 500 * time.Millisecond
 	// deferredRetry is the wait for a deferred instance that stated no time.
 	deferredRetry = 300 * time.Millisecond
-	// scarceRetry is the time within which other boxes return reserved tokens that they
-	// don't need.
+	// scarceRetry is the time within which other routers return tokens that they don't
+	// need.
 	scarceRetry = 900 * time.Millisecond
 	// unreachableRetry covers an outage of the store of some seconds, so that callers
 	// which retry only once do not do so during it.
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -81,9 +81,10 @@
 	return resumable && in.route.MayRunAgain(in.runs)
 }
 
-// errorForCaller returns the error for the caller if no further attempt follows: that of
-// the last attempt, or the earlier error if only an earlier attempt may have run, because
-// the request as a whole may then have run. earlier is nil if there was one attempt.
+// errorForCaller returns the error that the caller gets if no further attempt follows. It
+// is the error of the last attempt, unless the last attempt did not run and an earlier
+// one ran or may have run. Then it is the earlier error, because the request as a whole
+// may have run. earlier is nil if there was one attempt.
 func errorForCaller(earlier, last error) error {
 	if earlier != nil && executionOf(earlier) != granitehoist.NotRun && executionOf(last) == granitehoist.NotRun {
 		return earlier
--- a/forward/stalltimer.go
+++ b/forward/stalltimer.go
@@ -15,9 +15,9 @@
 // errStalled is the cause with which a stallTimer cancels an attempt.
 var errStalled = errors.New("no progress")
 
-// stallTimer cancels an attempt that exceeds its stallLimits if the retry budget allows
-// another; otherwise the attempt continues. The zero value never cancels. Only the
-// goroutine of the attempt calls its methods, except fire.
+// stallTimer cancels an attempt that exceeds its stallLimits, if the retry budget allows
+// another attempt. Otherwise the stalled attempt continues. The zero value never cancels.
+// Only the goroutine of the attempt calls its methods, except fire.
 type stallTimer struct {
 	limits stallLimits
 	// takeRetry takes a retry from the budget and reports whether one was available.
--- a/forward/stream.go
+++ b/forward/stream.go
@@ -16,8 +16,8 @@
 // streamBufferBytes is the size of the read buffer of a stream.
 const streamBufferBytes = 4096
 
-// relayStream relays each event as soon as it is complete. It holds the head back until
-// the first event, so that another instance can respond until then.
+// relayStream relays each event as soon as it is complete. It relays the head only with
+// the first event, so that another instance can serve the request until then.
 func (a *activeRequest) relayStream(response *exchange.Response, lease *balance.Lease, timer *stallTimer) error {
 	var splitter eventstream.Splitter
 	buffer := make([]byte, streamBufferBytes)
@@ -70,8 +70,8 @@
 }
 
 // endStream relays the bytes after the last event. If the end of the connection delimits
-// the body, such bytes are a truncated event: endStream then relays nothing and returns an
-// error with code UpstreamCut.
+// the body, these bytes are a truncated event: endStream then relays nothing and returns
+// an error with code UpstreamCut.
 func (a *activeRequest) endStream(response *exchange.Response, remaining []byte) error {
 	if !response.Framed && len(remaining) > 0 {
 		return granitehoist.Wrap(granitehoist.UpstreamCut, io.ErrUnexpectedEOF, "the stream ended within an event")
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -16,11 +16,12 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// The limits on the attempts of a request (that of its route, the retry budget, the tried
-// instances) apply to one request id. A request that crashes the instances that run it may
-// be repeated with new ids at any router, so that only its content identifies it. Each
-// crash during an attempt is therefore recorded under the digest of the request. The
-// routers share these records, and check each request against them before it is sent.
+// The limits on the attempts of a request (the limit of its route, the retry budget, the
+// instances already tried) apply to one request id. A request that crashes the instances
+// that run it may be repeated with new ids at any router, so that only its content
+// identifies it. Each crash during an attempt is therefore recorded under the digest of
+// the request. The routers share these records, and check each request against them
+// before it is sent.
 
 // suspectStatus holds the crash records of a request as of the latest lookup.
 type suspectStatus struct {
@@ -152,7 +153,7 @@
 
 // recordOutcome records that an attempt succeeded or that the instance crashed during it.
 // An error response counts as neither, since an instance that fails every request would
-// otherwise clear the crash records of all of them.
+// otherwise clear the crash records of all requests.
 func (a *activeRequest) recordOutcome(ctx context.Context, lease *balance.Lease, result *attemptResult) {
 	settings := &a.forwarder.settings
 	switch {
