--- a/exchange/conn.go
+++ b/exchange/conn.go
@@ -17,8 +17,8 @@
 	net.Conn
 	reader  *bufio.Reader
 	address string
-	// idlePeriod is when the connection may be reused while it is idle. Pool.mu guards
-	// idlePeriod.
+	// idlePeriod is the time during which the idle connection may be reused. Pool.mu
+	// guards idlePeriod.
 	idlePeriod idlePeriod
 }
 
--- a/exchange/down.go
+++ b/exchange/down.go
@@ -35,10 +35,10 @@
 const minOpenTime = 15 * time.Millisecond
 
 // IsDown reports whether an address refuses connections or closes a new one within
-// minOpenTime. It distinguishes a crashed upstream from one whose connection was reset. A
-// proxy or a supervisor that holds the socket may still accept connections for a crashed
-// upstream, but closes them. IsDown opens a connection, sends nothing and closes it. It
-// takes up to downTimeout, and returns false if ctx ends first.
+// minOpenTime. It distinguishes a crashed upstream from a running one that reset a
+// connection. A proxy or a supervisor that holds the socket may still accept connections
+// for a crashed upstream, but closes them. IsDown opens a connection, sends nothing and
+// closes it. It takes up to downTimeout, and returns false if ctx ends first.
 func (p *Pool) IsDown(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, downTimeout)
 	defer cancel()
