--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -35,7 +35,7 @@
 
 // Events of the configuration, the upstreams, the store, the fleet and the budgets.
 // Package follow logs those from StoreLost to RelayLost, package escrow those of the
-// budgets, and package node the others.
+// budgets, and package node the other events.
 const (
 	ConfigInForce     Name = "config_in_force"
 	ConfigBad         Name = "config_bad"
