--- a/forward/stalllimits.go
+++ b/forward/stalllimits.go
@@ -16,8 +16,8 @@
 	firstEventFraction = 0.55
 	// minFirstEventWait is the minimum wait for a first event, whatever the target.
 	minFirstEventWait = 150 * time.Millisecond
-	// allowedPromptTokensPerMS extends the wait for the first event by one millisecond
-	// per this number of prompt tokens. It is well below the rate promptTokensPerMS of
+	// allowedPromptTokensPerMS is the number of prompt tokens that extend the wait for the
+	// first event by one millisecond. It is well below the rate promptTokensPerMS of
 	// package balance, to tolerate slow instances.
 	allowedPromptTokensPerMS granitehoist.Tokens = 12
 	// maxEventGap is the maximum time between two events of a stream. Another attempt can
--- a/node/nodelist.go
+++ b/node/nodelist.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// refreshList reads the node list from a relay if this node is not one, otherwise or on
-// failure from the store. Its error is that of the store.
+// refreshList reads the node list from a relay. If this node is a relay itself, or no relay
+// returns a usable list, it reads the list from the store. Its error is that of the store.
 func (p *peers) refreshList(ctx context.Context) error {
 	for _, relay := range p.relaysToAsk() {
 		reply, err := p.greetAddress(ctx, relay.Address)
--- a/node/push.go
+++ b/node/push.go
@@ -39,8 +39,8 @@
 	peers  *peers
 	clock  granitehoist.Clock
 	method string
-	// changesAfter returns the observations that this node made after a version of its
-	// table, whether there are any, and the version of the table that includes them.
+	// changesAfter returns observations that this node made after a version of its table,
+	// whether there are any, and the version to pass to the next call.
 	changesAfter func(version uint64) (Message, bool, uint64)
 
 	// mu guards acknowledged.
@@ -50,7 +50,8 @@
 
 // pushProgress says how much a neighbour has acknowledged.
 type pushProgress struct {
-	// version is the latest version acknowledged.
+	// version is the version of the table up to which the neighbour has acknowledged this
+	// node's observations.
 	version uint64
 	// retryAt is the earliest time of the next push after a failed one.
 	retryAt time.Time
@@ -116,7 +117,7 @@
 }
 
 // pendingMessage holds the observations that a neighbour has not acknowledged yet. A
-// neighbour that acknowledges the message has acknowledged version.
+// neighbour that acknowledges the message has acknowledged them up to version.
 type pendingMessage[Message any] struct {
 	message  Message
 	nonEmpty bool
