--- a/internal/boottime/deadlines.go
+++ b/internal/boottime/deadlines.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// Deadlines cancels contexts whose deadline has passed on a clock that counts
-// suspensions of the machine. The contexts' own timers fire late by the length of a suspension, so
+// Deadlines cancels contexts whose deadline has passed on a clock that counts suspensions
+// of the machine. The contexts' own timers fire late by the length of a suspension, so
 // CancelExpired cancels the contexts that are due. The zero value is ready to use. It is
 // safe for concurrent use.
 type Deadlines struct {
