--- a/forward/refusal.go
+++ b/forward/refusal.go
@@ -35,9 +35,11 @@
 	serviceMissing
 	// largerThanBudget: the maximum cost exceeds the prepaid total.
 	largerThanBudget
-	// budgetExhausted: all prepaid tokens are spent.
+	// budgetExhausted: too few prepaid tokens are left in the store and at all routers
+	// together.
 	budgetExhausted
-	// budgetScarce: the store has no tokens left, but other boxes have reserved some.
+	// budgetScarce: this router could not get enough tokens, although the store responds
+	// and the budget may have enough.
 	budgetScarce
 	// budgetWithheld: the remaining tokens are set aside for smaller requests.
 	budgetWithheld
@@ -48,7 +50,7 @@
 	// instancesDeferred: all instances are backing off or at a rate limit, and none accepts
 	// the request in time.
 	instancesDeferred
-	// refusedByInstance: the instances to which it was sent did not run the request.
+	// refusedByInstance: the instances to which the request was sent did not run it.
 	refusedByInstance
 )
 
@@ -64,8 +66,8 @@
 	noInstanceRetry = 500 * time.Millisecond
 	// deferredRetry is the wait for a deferred instance that stated no time.
 	deferredRetry = 300 * time.Millisecond
-	// scarceRetry is the time within which other boxes return reserved tokens that they
-	// don't need.
+	// scarceRetry is the time within which other routers return tokens that they don't
+	// need.
 	scarceRetry = 900 * time.Millisecond
 	// unreachableRetry covers an outage of the store of some seconds, so that callers
 	// which retry only once do not do so during it.
@@ -82,7 +84,7 @@
 	// maxRetryAfterFraction is the maximum Retry-After for budgets and overload, as a
 	// fraction of the request's remaining timeout, which leaves time for the retry.
 	maxRetryAfterFraction = 0.3
-	// minRetryAfter is the smallest Retry-After to which capRetryAfter reduces one.
+	// minRetryAfter is the minimum result of capRetryAfter.
 	minRetryAfter = 50 * time.Millisecond
 )
 
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -16,11 +16,12 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// The limits on the attempts of a request (that of its route, the retry budget, the tried
-// instances) apply to one request id. A request that crashes the instances that run it may
-// be repeated with new ids at any router, so that only its content identifies it. Each
-// crash during an attempt is therefore recorded under the digest of the request. The
-// routers share these records, and check each request against them before it is sent.
+// The limits on the attempts of a request (the limit of its route, the retry budget, the
+// instances already tried) apply to one request id. A request that crashes the instances
+// that run it may be repeated with new ids at any router, so that only its content
+// identifies it. Each crash during an attempt is therefore recorded under the digest of
+// the request. The routers share these records, and check each request against them
+// before it is sent.
 
 // suspectStatus holds the crash records of a request as of the latest lookup.
 type suspectStatus struct {
@@ -36,11 +37,11 @@
 // isSuspect reports whether there are crash records of the request or its scope.
 func (s *suspectStatus) isSuspect() bool { return s.verdict.Round > 0 || s.scopeVerdict.Round > 0 }
 
-// hold returns how long the request must still be held back.
-func (s *suspectStatus) hold() time.Duration { return s.longestHold().Hold }
+// hold returns how long the request must still be delayed (suspect.Verdict.Hold).
+func (s *suspectStatus) hold() time.Duration { return s.longerHoldVerdict().Hold }
 
-// longestHold returns the verdict with the longer hold.
-func (s *suspectStatus) longestHold() suspect.Verdict {
+// longerHoldVerdict returns the verdict with the longer hold, on the request or its scope.
+func (s *suspectStatus) longerHoldVerdict() suspect.Verdict {
 	if s.scopeVerdict.Hold > s.verdict.Hold {
 		return s.scopeVerdict
 	}
@@ -69,9 +70,9 @@
 	return nil
 }
 
-// awaitHold checks the request as checkSuspect does, and holds it back for the time that
-// the crash records require (suspect.Verdict.Hold). It refuses a request whose hold is
-// longer than holdLimitFraction and minHoldLimit allow, or than its remaining timeout.
+// awaitHold checks the request as checkSuspect does, and delays it until its hold is over.
+// It refuses a request whose hold is longer than holdLimitFraction and minHoldLimit allow,
+// or than the remaining timeout of the request.
 func (a *activeRequest) awaitHold(ctx context.Context) error {
 	limit := max(minHoldLimit, time.Duration(holdLimitFraction*float64(a.admission.route.TargetLatency)))
 	return a.waitUntilReady(ctx, min(limit, a.timeLeft()), func(time.Time) (*waitReason, error) {
@@ -82,15 +83,15 @@
 		if s.hold() <= 0 {
 			return nil, nil
 		}
-		return &waitReason{left: s.hold(), refusal: func() error { return s.longestHold().HoldRefusal() }}, nil
+		return &waitReason{left: s.hold(), refusal: func() error { return s.longerHoldVerdict().HoldRefusal() }}, nil
 	})
 }
 
 const (
-	// holdLimitFraction is the fraction of the route's latency target for which a request
-	// is held back at most.
+	// holdLimitFraction is the maximum hold of a request, as a fraction of the route's
+	// latency target.
 	holdLimitFraction = 0.5
-	// minHoldLimit is the minimum of that limit, also on routes without a target.
+	// minHoldLimit is the minimum of the maximum hold, also on routes without a target.
 	minHoldLimit = 400 * time.Millisecond
 )
 
@@ -152,7 +153,7 @@
 
 // recordOutcome records that an attempt succeeded or that the instance crashed during it.
 // An error response counts as neither, since an instance that fails every request would
-// otherwise clear the crash records of all of them.
+// otherwise clear the crash records of all requests.
 func (a *activeRequest) recordOutcome(ctx context.Context, lease *balance.Lease, result *attemptResult) {
 	settings := &a.forwarder.settings
 	switch {
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -7,7 +7,8 @@
 // holds no state.
 package event
 
-// Name is the name of an event, the value of the key "event" of a log line.
+// Name is the name of an event, the value of the key "event" of a log line. Some values
+// keep an older word for compatibility.
 type Name = string
 
 // Process events. Package node logs them, except Reload and ReloadFailed
@@ -34,7 +35,7 @@
 
 // Events of the configuration, the upstreams, the store, the fleet and the budgets.
 // Package follow logs those from StoreLost to RelayLost, package escrow those of the
-// budgets, and package node the others.
+// budgets, and package node the other events.
 const (
 	ConfigInForce     Name = "config_in_force"
 	ConfigBad         Name = "config_bad"
--- a/node/suspectstore.go
+++ b/node/suspectstore.go
@@ -48,7 +48,7 @@
 		if len(records) == suspect.MaxRecords {
 			continue
 		}
-		if s.cutOff.Swap(false) {
+		if s.storeReadRequested.Swap(false) {
 			s.reloadFromStore(ctx)
 		}
 		waitForWake(ctx, s.storeWake)
@@ -65,7 +65,7 @@
 	}
 }
 
-// reloadFromStore reads the store again, for a node that counts as cut off (isCutOff).
+// reloadFromStore reads the stored evidence again, as storeReadRequested asks.
 func (s *suspects) reloadFromStore(ctx context.Context) {
 	if err := s.readStore(ctx); err != nil {
 		s.logStoreFailed(err)
@@ -159,10 +159,10 @@
 	return nil
 }
 
-// storeAll writes the records that suffice to refuse a request, and deletes the records
-// that were cleared since, whose requests a starting node would otherwise refuse until the
-// lease ends. Records of scopes are not stored, since the block of a scope is shorter than
-// a restart.
+// storeAll writes the records that suffice to refuse a request. It deletes the stored
+// record of a request that was cleared; otherwise a starting node would refuse the
+// request until the lease ends. Records of scopes are not stored, since the block of a
+// scope is shorter than a restart.
 func (s *suspects) storeAll(ctx context.Context, records []suspect.Record) error {
 	for _, r := range records {
 		var err error
