--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -56,10 +56,10 @@
 	// wakeups has a value if wake was called since the last round began.
 	wakeups chan struct{}
 	// roundMu serializes rounds and Close, so that Close starts after the last round. It
-	// guards unanswered.
+	// guards unresolvedLoans.
 	roundMu sync.Mutex
-	// unanswered holds the loans for which the lender's answer was lost.
-	unanswered []unansweredLoan
+	// unresolvedLoans holds the loan requests whose responses were lost.
+	unresolvedLoans []unresolvedLoan
 }
 
 // NewAgent returns an Agent. It panics if a required setting is missing.
@@ -111,7 +111,7 @@
 func (a *Agent) syncRound(ctx context.Context) {
 	a.roundMu.Lock()
 	defer a.roundMu.Unlock()
-	a.retryUnanswered(ctx)
+	a.retryLoans(ctx)
 	now := a.settings.Clock()
 	reports, urgent := a.settings.Ledger.Reports(now)
 	err := a.send(ctx, reports, SyncParams{Urgent: urgent}, now)
--- a/partner/budget/allocator.go
+++ b/partner/budget/allocator.go
@@ -43,7 +43,7 @@
 	// Split returns the Split of a budget; nil means the zero Split for all.
 	Split func(granitehoist.BudgetID) Split
 	// BatchDelay is how long a message that is not urgent may be delayed to share a write
-	// with others; zero means no delay.
+	// with other messages; zero means no delay.
 	BatchDelay time.Duration
 }
 
@@ -52,12 +52,13 @@
 const DefaultShards = 8
 
 const (
-	// maxConflictAttempts bounds the attempts to update a record that others write
-	// concurrently.
+	// maxConflictAttempts bounds the attempts to update a record that other Allocators
+	// write concurrently.
 	maxConflictAttempts = 20
 	// maxLostWriteRetries bounds the retries after writes whose outcome is unknown.
 	maxLostWriteRetries = 3
-	// conflictBackoff is the linear backoff after each write conflict.
+	// conflictBackoff is the backoff after a write conflict, multiplied by the number of
+	// earlier attempts.
 	conflictBackoff = time.Millisecond
 )
 
@@ -75,8 +76,8 @@
 // Sync processes a box's message: it records the reports and grants tokens. All reports
 // must be of shard s. After an error the grants may have been written or not; it is safe
 // to send the message again. The errors are ErrUnknownIncarnation and those of the store.
-func (k *Allocator) Sync(ctx context.Context, s Shard, params SyncParams, now time.Time) (SyncResult, error) {
-	result, err := k.group(s).Do(ctx, syncItem{params: params, now: now})
+func (a *Allocator) Sync(ctx context.Context, s Shard, params SyncParams, now time.Time) (SyncResult, error) {
+	result, err := a.group(s).Do(ctx, syncItem{params: params, now: now})
 	if err != nil {
 		return SyncResult{}, err
 	}
@@ -89,12 +90,12 @@
 // SyncAll processes the messages of several boxes with one write, as Sync does with
 // messages that arrive together. A result has Unknown set where Sync would return
 // ErrUnknownIncarnation.
-func (k *Allocator) SyncAll(ctx context.Context, s Shard, messages []SyncParams, now time.Time) ([]SyncResult, error) {
+func (a *Allocator) SyncAll(ctx context.Context, s Shard, messages []SyncParams, now time.Time) ([]SyncResult, error) {
 	items := make([]syncItem, len(messages))
 	for i, params := range messages {
 		items[i] = syncItem{params: params, now: now}
 	}
-	return k.serve(ctx, s, items)
+	return a.serve(ctx, s, items)
 }
 
 // ErrUnknownIncarnation means that a message was refused: its incarnation has closed, or
@@ -102,26 +103,26 @@
 var ErrUnknownIncarnation = eris.New("budget: unknown incarnation")
 
 // group returns the batch of pending messages of a shard.
-func (k *Allocator) group(s Shard) *batch.Group[syncItem, SyncResult] {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	g, ok := k.shards[s]
+func (a *Allocator) group(s Shard) *batch.Group[syncItem, SyncResult] {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	g, ok := a.shards[s]
 	if !ok {
 		g = batch.New(batch.Settings[syncItem, SyncResult]{
 			Commit: func(ctx context.Context, items []syncItem) ([]SyncResult, error) {
-				return k.serve(ctx, s, items)
+				return a.serve(ctx, s, items)
 			},
-			Linger: k.settings.BatchDelay,
+			Linger: a.settings.BatchDelay,
 			Urgent: func(item syncItem) bool { return item.params.Urgent },
 		})
-		k.shards[s] = g
+		a.shards[s] = g
 	}
 	return g
 }
 
-// serve processes messages of one shard with one write. Its time is the latest arrival of a
-// message. It retries after conflicts and after writes whose outcome is unknown.
-func (k *Allocator) serve(ctx context.Context, s Shard, items []syncItem) ([]SyncResult, error) {
+// serve processes messages of one shard with one write. It uses the latest arrival time of
+// the messages as the time of them all. It retries after conflicts and after writes whose outcome is unknown.
+func (a *Allocator) serve(ctx context.Context, s Shard, items []syncItem) ([]SyncResult, error) {
 	now := items[0].now
 	for _, item := range items {
 		if item.now.After(now) {
@@ -130,7 +131,7 @@
 	}
 	lost := 0
 	for attempt := range maxConflictAttempts {
-		results, err := k.attempt(ctx, s, items, now)
+		results, err := a.attempt(ctx, s, items, now)
 		switch {
 		case errors.Is(err, granitehoist.ErrConflict):
 			// Another router has changed the record since it was read.
@@ -148,8 +149,8 @@
 // returns grants only after the store has confirmed the write. After a write whose outcome
 // is unknown, the next attempt reads what is stored. Messages contain running totals, so
 // processing them twice is harmless.
-func (k *Allocator) attempt(ctx context.Context, s Shard, items []syncItem, now time.Time) ([]SyncResult, error) {
-	entry, err := k.settings.Store.Get(ctx, RegionKey(k.settings.Region, s))
+func (a *Allocator) attempt(ctx context.Context, s Shard, items []syncItem, now time.Time) ([]SyncResult, error) {
+	entry, err := a.settings.Store.Get(ctx, RegionKey(a.settings.Region, s))
 	if err != nil {
 		return nil, err
 	}
@@ -167,18 +168,18 @@
 		reports.add(item.params)
 	}
 	reports.addUnconfirmedReturns(record)
-	if err := k.refill(ctx, s, record, reports, now); err != nil {
+	if err := a.refill(ctx, s, record, reports, now); err != nil {
 		return nil, err
 	}
-	replies := k.grantAll(record, reports, now)
-	if err := k.write(ctx, entry, record); err != nil {
+	replies := a.grantAll(record, reports, now)
+	if err := a.write(ctx, entry, record); err != nil {
 		return nil, err
 	}
 	if record.hasUnconfirmedReturns() && len(items) > 0 {
 		// Report returned tokens to the root now, since other regions may need them.
 		// An error can be ignored: the stored record contains the returns, and the
 		// next message of any box makes the region report them.
-		_, _ = k.attempt(ctx, s, nil, now)
+		_, _ = a.attempt(ctx, s, nil, now)
 	}
 	for i, item := range items {
 		if !results[i].Unknown {
@@ -216,10 +217,10 @@
 }
 
 // grantAll grants tokens from the region's stock, budget by budget.
-func (k *Allocator) grantAll(record *RegionRecord, reports reportsByBudget, now time.Time) map[granitehoist.Incarnation][]Reply {
+func (a *Allocator) grantAll(record *RegionRecord, reports reportsByBudget, now time.Time) map[granitehoist.Incarnation][]Reply {
 	replies := map[granitehoist.Incarnation][]Reply{}
 	for _, budget := range sortedKeys(reports) {
-		for id, reply := range record.grant(budget, reports[budget], k.settings.Split(budget), now) {
+		for id, reply := range record.grant(budget, reports[budget], a.settings.Split(budget), now) {
 			replies[id] = append(replies[id], reply)
 		}
 	}
@@ -227,7 +228,7 @@
 }
 
 // write stores a record if it differs from the entry that it was read from.
-func (k *Allocator) write(ctx context.Context, entry granitehoist.Entry, record any) error {
+func (a *Allocator) write(ctx context.Context, entry granitehoist.Entry, record any) error {
 	raw, err := encodeRecord(entry.Key, record)
 	if err != nil {
 		return err
@@ -235,6 +236,6 @@
 	if bytes.Equal(raw, entry.Value) {
 		return nil
 	}
-	_, err = k.settings.Store.CompareAndSwap(ctx, granitehoist.Change{Key: entry.Key, Value: raw, Expect: entry.Version})
+	_, err = a.settings.Store.CompareAndSwap(ctx, granitehoist.Change{Key: entry.Key, Value: raw, Expect: entry.Version})
 	return err
 }
--- a/partner/budget/doc.go
+++ b/partner/budget/doc.go
@@ -6,7 +6,7 @@
 //
 // At any time a token of a budget is unallocated at the root, in the stock of a region,
 // held by an incarnation of a box, or charged. Before a request is sent to an upstream,
-// it reserves an upper bound of its use from what its box holds. Afterwards the
+// its maximum cost is reserved from what its box holds. Afterwards the
 // reservation is settled at the use that the upstream reports. A box that is cut off
 // continues to spend what it holds and nothing else, so safety depends on no message,
 // lease or clock.
--- a/partner/budget/ledger.go
+++ b/partner/budget/ledger.go
@@ -47,55 +47,56 @@
 }
 
 // Incarnation returns the incarnation that holds the tokens.
-func (p *Ledger) Incarnation() granitehoist.Incarnation { return p.incarnation }
+func (l *Ledger) Incarnation() granitehoist.Incarnation { return l.incarnation }
 
 // account returns the account of a budget and creates it if needed.
-func (p *Ledger) account(k granitehoist.BudgetID) *account {
-	a, ok := p.accounts[k]
+func (l *Ledger) account(k granitehoist.BudgetID) *account {
+	a, ok := l.accounts[k]
 	if !ok {
 		a = &account{}
-		p.accounts[k] = a
+		l.accounts[k] = a
 	}
 	return a
 }
 
-// Reserve reserves bound tokens of a budget, and reports whether the box has that many free.
-// It panics if bound is negative. Each successful Reserve must be followed by one Settle.
-func (p *Ledger) Reserve(k granitehoist.BudgetID, bound granitehoist.Tokens) bool {
-	mustNotBeNegative(bound)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.account(k).reserve(bound)
+// Reserve reserves maxCost tokens of a budget and returns true, or returns false if the box
+// has fewer free. It panics if maxCost is negative. Each successful Reserve must be followed by one Settle.
+func (l *Ledger) Reserve(k granitehoist.BudgetID, maxCost granitehoist.Tokens) bool {
+	mustNotBeNegative(maxCost)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.account(k).reserve(maxCost)
 }
 
-// Settle ends a reservation of bound tokens and charges the use that the upstream reported.
-// A use beyond bound is charged in full, which may make the free tokens negative until more
-// arrive. urgent reports whether the box should return tokens now because others may wait
-// for them. Settle panics if less than bound is reserved or if used is negative.
-func (p *Ledger) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens, now time.Time) (urgent bool) {
+// Settle ends a reservation of maxCost tokens and charges the use that the upstream reported.
+// A use beyond maxCost is charged in full, which may make the free tokens negative until more
+// arrive. urgent reports whether the box should return tokens now because requests at other
+// boxes may wait for them. Settle panics if less than maxCost is reserved or if used is
+// negative.
+func (l *Ledger) Settle(k granitehoist.BudgetID, maxCost, used granitehoist.Tokens, now time.Time) (urgent bool) {
 	mustNotBeNegative(used)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a := p.account(k)
-	if a.reserved < bound {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.account(k)
+	if a.reserved < maxCost {
 		panic("budget: Settle of more tokens than are reserved")
 	}
-	a.reserved -= bound
+	a.reserved -= maxCost
 	a.totals.Spent += used
 	a.demand.spending.add(used, now)
-	a.demand.largest = max(a.demand.largest, bound)
+	a.demand.largest = max(a.demand.largest, maxCost)
 	a.changed = true
 	a.serveWaiters()
 	return a.hasUrgentSurplus()
 }
 
 // HasPending reports whether the next reports should not be delayed. This is so if requests
-// of the box wait for tokens, or if the box has a surplus for which requests elsewhere may
-// wait.
-func (p *Ledger) HasPending() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, a := range p.accounts {
+// of the box wait for tokens, or if the box has a surplus for which requests at other
+// boxes may wait.
+func (l *Ledger) HasPending() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, a := range l.accounts {
 		if len(a.demand.waiters) > 0 || a.hasUrgentSurplus() {
 			return true
 		}
@@ -104,11 +105,11 @@
 }
 
 // waitingBudgets returns the budgets with waiting requests, in order.
-func (p *Ledger) waitingBudgets() []granitehoist.BudgetID {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (l *Ledger) waitingBudgets() []granitehoist.BudgetID {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var waiting []granitehoist.BudgetID
-	for k, a := range p.accounts {
+	for k, a := range l.accounts {
 		if len(a.demand.waiters) > 0 {
 			waiting = append(waiting, k)
 		}
@@ -119,11 +120,11 @@
 
 // Close makes later reports return all free tokens. A closed Ledger accepts no grant and no
 // loan, so that the region can revoke grants that the Ledger has not seen.
-func (p *Ledger) Close() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.closing = true
-	for _, a := range p.accounts {
+func (l *Ledger) Close() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closing = true
+	for _, a := range l.accounts {
 		a.changed = true
 	}
 }
@@ -138,8 +139,8 @@
 // account is the state of one budget on a box, guarded by the lock of the Ledger.
 //
 // The box holds totals.Held() tokens, including the reserved ones. Only Ledger.Settle
-// can make the free tokens negative, by a use beyond the reserved bound; the box then serves
-// no request of the budget until it has received more.
+// can make the free tokens negative, by a use beyond the reserved maximum cost. The box
+// then serves no request of the budget until it has received more tokens.
 type account struct {
 	totals   Totals
 	reserved granitehoist.Tokens
@@ -162,9 +163,9 @@
 	received bool
 	// receivedAt is when the reply arrived.
 	receivedAt time.Time
-	// target is what the box should hold.
+	// target is the number of tokens that the box should hold.
 	target granitehoist.Tokens
-	// remaining is what the whole budget had left.
+	// remaining is the number of tokens that the whole budget had left.
 	remaining granitehoist.Tokens
 	// lenders are the boxes of the region with the largest holdings.
 	lenders []granitehoist.Incarnation
@@ -173,7 +174,7 @@
 // demand describes what the box's requests need of a budget.
 type demand struct {
 	spending forecast
-	// largest is the largest bound of a request so far.
+	// largest is the largest maximum cost of a request so far.
 	largest granitehoist.Tokens
 	// waiters are in order of arrival.
 	waiters []*Waiter
@@ -183,10 +184,10 @@
 func (a *account) free() granitehoist.Tokens { return a.totals.Held() - a.reserved }
 
 // reserve reserves tokens and reports whether enough were free.
-func (a *account) reserve(bound granitehoist.Tokens) bool {
-	if a.free() < bound {
+func (a *account) reserve(maxCost granitehoist.Tokens) bool {
+	if a.free() < maxCost {
 		return false
 	}
-	a.reserved += bound
+	a.reserved += maxCost
 	return true
 }
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -12,8 +12,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// loanDivisor limits a loan to the tokens that the lender can spare divided by it, so that
-// some are left for other borrowers.
+// loanDivisor limits a loan to the tokens that the lender can spare divided by loanDivisor, so
+// that some are left for other borrowers.
 const loanDivisor = 2
 
 // minLenderCover is the time for which a lender keeps enough tokens for its own forecast
@@ -23,13 +23,13 @@
 // Lend transfers part of the free tokens to another box and returns the total ever lent
 // to it. It lends nothing more if the borrower has not received all earlier loans, so a
 // duplicated message has no effect. A closed Ledger lends nothing.
-func (p *Ledger) Lend(b BorrowParams, now time.Time) BorrowResult {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a := p.account(b.Budget)
+func (l *Ledger) Lend(b BorrowParams, now time.Time) BorrowResult {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.account(b.Budget)
 	total := a.lent[b.Incarnation]
 	more := min(b.Want-max(total, b.Known), a.lendable(minLenderCover, now))
-	if more > 0 && b.Known >= total && b.Incarnation != p.incarnation && !p.closing {
+	if more > 0 && b.Known >= total && b.Incarnation != l.incarnation && !l.closing {
 		if a.lent == nil {
 			a.lent = map[granitehoist.Incarnation]granitehoist.Tokens{}
 		}
@@ -38,7 +38,7 @@
 		a.totals.Lent += more
 		a.changed = true
 	}
-	return BorrowResult{Incarnation: p.incarnation, Total: total}
+	return BorrowResult{Incarnation: l.incarnation, Total: total}
 }
 
 // lendable returns the most that the box may lend: a part of what is free beyond its own
@@ -50,32 +50,32 @@
 }
 
 // LoanRequest returns the message that asks a lender for what the waiting requests of a
-// budget lack and for one more request of the largest size. It returns false if they lack
+// budget lack and for one more request of the largest maximum cost. It returns false if they lack
 // nothing or the Ledger is closed.
-func (p *Ledger) LoanRequest(k granitehoist.BudgetID, lender granitehoist.Incarnation) (BorrowParams, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a, ok := p.accounts[k]
+func (l *Ledger) LoanRequest(k granitehoist.BudgetID, lender granitehoist.Incarnation) (BorrowParams, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a, ok := l.accounts[k]
 	if !ok {
 		return BorrowParams{}, false
 	}
 	shortfall := a.demand.waiting() - a.free()
-	if shortfall <= 0 || p.closing {
+	if shortfall <= 0 || l.closing {
 		return BorrowParams{}, false
 	}
 	known := a.borrowed[lender]
-	return BorrowParams{Incarnation: p.incarnation, Budget: k, Known: known, Want: known + shortfall + a.demand.largest}, true
+	return BorrowParams{Incarnation: l.incarnation, Budget: k, Known: known, Want: known + shortfall + a.demand.largest}, true
 }
 
-// ApplyLoan processes a lender's answer. A delayed or duplicated answer has no effect. An
-// answer after Close has none either: the region may have removed the incarnation's rows,
+// ApplyLoan processes a lender's response. A delayed or duplicated response has no effect. A
+// response after Close has none either: the region may have removed the incarnation's rows,
 // so that the tokens could not be returned.
-func (p *Ledger) ApplyLoan(k granitehoist.BudgetID, r BorrowResult) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a := p.account(k)
+func (l *Ledger) ApplyLoan(k granitehoist.BudgetID, r BorrowResult) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.account(k)
 	more := r.Total - a.borrowed[r.Incarnation]
-	if more <= 0 || r.Incarnation == p.incarnation || p.closing {
+	if more <= 0 || r.Incarnation == l.incarnation || l.closing {
 		return
 	}
 	if a.borrowed == nil {
@@ -88,18 +88,18 @@
 }
 
 // lenders returns the boxes that the last reply named as lenders for a budget.
-func (p *Ledger) lenders(k granitehoist.BudgetID) []granitehoist.Incarnation {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if a, ok := p.accounts[k]; ok {
+func (l *Ledger) lenders(k granitehoist.BudgetID) []granitehoist.Incarnation {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if a, ok := l.accounts[k]; ok {
 		return a.reply.lenders
 	}
 	return nil
 }
 
-// unansweredLoan is a loan request whose answer was lost, so that the lender may have
-// deducted tokens.
-type unansweredLoan struct {
+// unresolvedLoan names a loan request whose response was lost. The lender may have deducted
+// tokens for it.
+type unresolvedLoan struct {
 	peer   granitehoist.Peer
 	budget granitehoist.BudgetID
 }
@@ -122,29 +122,30 @@
 	}
 }
 
-// borrowFrom sends one loan request. If its answer is lost, the next round repeats it,
-// since the lender may have deducted tokens.
+// borrowFrom sends one loan request. If the response is lost, the lender may have deducted
+// tokens; the next round then asks the lender for the total lent.
 func (a *Agent) borrowFrom(ctx context.Context, peer granitehoist.Peer, params BorrowParams) {
 	var result BorrowResult
 	if err := a.settings.Caller.Call(ctx, peer, MethodBorrow, params, &result); err != nil {
 		a.settings.OnError(fmt.Errorf("budget: borrow from %s: %w", peer.Incarnation, err))
-		if len(a.unanswered) < maxUnansweredLoans {
-			a.unanswered = append(a.unanswered, unansweredLoan{peer, params.Budget})
+		if len(a.unresolvedLoans) < maxUnresolvedLoans {
+			a.unresolvedLoans = append(a.unresolvedLoans, unresolvedLoan{peer, params.Budget})
 		}
 		return
 	}
 	a.settings.Ledger.ApplyLoan(params.Budget, result)
 }
 
-// maxUnansweredLoans bounds the loan requests to be repeated. What the lender deducted for
-// a dropped one stays unused until the next loan between the two boxes.
-const maxUnansweredLoans = 1000
+// maxUnresolvedLoans is the most loan requests whose responses the next round asks for again.
+// Tokens that a lender deducted for a request beyond these stay unused until the next loan
+// between the two boxes.
+const maxUnresolvedLoans = 1000
 
-// retryUnanswered asks lenders whose answers were lost for the totals that they lent. It
-// drops lenders that are no longer peers.
-func (a *Agent) retryUnanswered(ctx context.Context) {
-	loans := a.unanswered
-	a.unanswered = nil
+// retryLoans asks lenders whose responses were lost for the totals that they lent. It drops
+// lenders that are no longer peers.
+func (a *Agent) retryLoans(ctx context.Context) {
+	loans := a.unresolvedLoans
+	a.unresolvedLoans = nil
 	peers := a.settings.Peers()
 	for _, loan := range loans {
 		if slices.Contains(peers, loan.peer) {
--- a/partner/budget/messages.go
+++ b/partner/budget/messages.go
@@ -41,13 +41,13 @@
 	// Totals are the box's own totals.
 	Totals Totals `json:"t"`
 	// Want, Need and Least are totals that include the earlier grants. Want is all that
-	// the box asks for. Need is enough for all waiting requests, and Least for the
-	// smallest of them.
+	// the box asks for. Need is enough for all waiting requests. Least is enough for the
+	// smallest waiting request.
 	Want  granitehoist.Tokens `json:"w"`
 	Need  granitehoist.Tokens `json:"n"`
 	Least granitehoist.Tokens `json:"y"`
-	// Rate is the forecast in tokens per second. Largest is the largest bound of a
-	// request so far.
+	// Rate is the forecast spending rate in tokens per second. Largest is the largest
+	// maximum cost of a request so far.
 	Rate    float64             `json:"f"`
 	Largest granitehoist.Tokens `json:"m"`
 }
@@ -57,7 +57,8 @@
 	Box         granitehoist.Box         `json:"box"`
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
 	Reports     []Report                 `json:"asks"`
-	// Urgent means that requests wait for the answer.
+	// Urgent means that the Allocator should not delay the message to share a write, since
+	// requests may wait for the response or the box is closing.
 	Urgent bool `json:"urgent,omitempty"`
 	// Closing means that the box is stopping and that its reports return all it holds.
 	Closing bool `json:"closing,omitempty"`
@@ -68,7 +69,8 @@
 	Budget granitehoist.BudgetID `json:"k"`
 	// Granted is the total granted to the incarnation.
 	Granted granitehoist.Tokens `json:"g"`
-	// Target is what the box should hold; it returns what it has beyond that.
+	// Target is the number of tokens that the box should hold. The box returns free tokens
+	// beyond Target.
 	Target granitehoist.Tokens `json:"t"`
 	// Remaining is what the whole budget has left according to the last reports of all
 	// holders. It is never less than what the box could still get.
@@ -78,7 +80,7 @@
 	Lenders []granitehoist.Incarnation `json:"b,omitempty"`
 }
 
-// SyncResult is the Allocator's answer to a SyncParams.
+// SyncResult is the Allocator's response to a SyncParams.
 type SyncResult struct {
 	Replies []Reply `json:"replies"`
 	// Unknown means that the message was refused; see ErrUnknownIncarnation.
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -26,12 +26,12 @@
 	// Totals.Granted is the total that the region has granted. The other totals are as
 	// last reported.
 	Totals Totals `json:"t"`
-	// Rate is the last reported forecast in tokens per second. Largest is the largest
-	// bound of a request.
+	// Rate is the last reported forecast spending rate in tokens per second. Largest is the
+	// largest maximum cost of a request.
 	Rate    float64             `json:"f,omitempty"`
 	Largest granitehoist.Tokens `json:"m,omitempty"`
-	// Need is what the incarnation's requests waited for at its last report. Least is what
-	// the smallest of them waited for.
+	// Need is the number of tokens that the incarnation's waiting requests lack, by its last
+	// report and less later grants. Least is what the smallest waiting request lacks.
 	Need  granitehoist.Tokens `json:"n,omitempty"`
 	Least granitehoist.Tokens `json:"y,omitempty"`
 }
@@ -39,10 +39,10 @@
 // Member is the state of one incarnation in a region.
 type Member struct {
 	Box granitehoist.Box `json:"box"`
-	// LastSeen is the time of its last report in Unix seconds. It may be too early by up
+	// LastSeen is the time of the incarnation's last report in Unix seconds. It may be too early by up
 	// to seenResolution.
 	LastSeen int64 `json:"seen"`
-	// Closed means that it stopped gracefully and holds nothing.
+	// Closed means that the incarnation stopped gracefully and holds nothing.
 	Closed bool `json:"closed,omitempty"`
 }
 
@@ -53,7 +53,7 @@
 	Returned granitehoist.Tokens `json:"out,omitempty"`
 	// Confirmed is the part of Returned that the root has confirmed.
 	Confirmed granitehoist.Tokens `json:"conf,omitempty"`
-	// Retired has the sums of removed rows.
+	// Retired has the sums of removed rows. The JSON name stays for compatibility.
 	Retired Totals `json:"folded"`
 	// ReportedAt is when the account was last reported to the root, in Unix seconds.
 	ReportedAt int64 `json:"told,omitempty"`
@@ -77,12 +77,12 @@
 	// Granted is the total granted to the region. Returned is the total that it returned.
 	Granted  granitehoist.Tokens `json:"g,omitempty"`
 	Returned granitehoist.Tokens `json:"b,omitempty"`
-	// Spent is the total charged in the region. Live is what it holds that is not in doubt.
-	// Both are as last reported.
+	// Spent is the total charged in the region, as last reported. Live is the number of
+	// tokens in the region that are not in doubt, as last reported, plus the last grant.
 	Spent granitehoist.Tokens `json:"s,omitempty"`
 	Live  granitehoist.Tokens `json:"live,omitempty"`
-	// Rate is the region's forecast in tokens per second. Largest is the largest bound of a
-	// request. Both are as last reported at LastSeen, in Unix seconds.
+	// Rate is the region's forecast spending rate in tokens per second. Largest is the
+	// largest maximum cost of a request. Both are as last reported at LastSeen, in Unix seconds.
 	Rate     float64             `json:"f,omitempty"`
 	Largest  granitehoist.Tokens `json:"m,omitempty"`
 	LastSeen int64               `json:"seen,omitempty"`
@@ -234,20 +234,21 @@
 	return held
 }
 
-// inDoubtAfter is the time without a report after which the tokens of an incarnation count
-// as in doubt. These tokens are shown as in doubt and left out of the totals by which the
-// other tokens are divided. They stay with the incarnation and are granted to nobody else.
+// inDoubtAfter is the time after an incarnation's last report from which its tokens are in
+// doubt: it may have failed, so the tokens may never be spent or returned. Tokens in doubt
+// are left out of the totals by which grants are divided. They stay with the incarnation and
+// are granted to nobody else.
 const inDoubtAfter = 3 * reportInterval
 
 // InDoubt returns the tokens held by incarnations without a report for inDoubtAfter.
-func (p *RegionRecord) InDoubt(k granitehoist.BudgetID, now time.Time) granitehoist.Tokens {
-	a, ok := p.Accounts[k]
+func (r *RegionRecord) InDoubt(k granitehoist.BudgetID, now time.Time) granitehoist.Tokens {
+	a, ok := r.Accounts[k]
 	if !ok {
 		return 0
 	}
 	var inDoubt granitehoist.Tokens
 	for incarnation, row := range a.Rows {
-		seen := time.Unix(p.Members[incarnation].LastSeen, 0)
+		seen := time.Unix(r.Members[incarnation].LastSeen, 0)
 		if now.Sub(seen) > inDoubtAfter {
 			inDoubt += row.Totals.Held()
 		}
--- a/partner/budget/refill.go
+++ b/partner/budget/refill.go
@@ -14,11 +14,11 @@
 // refill reports all budgets of reports to the root if the report of any of them is due.
 // It merges the root's replies, which contain grants and confirm returns, into the region's
 // record.
-func (k *Allocator) refill(ctx context.Context, s Shard, record *RegionRecord, reports reportsByBudget, now time.Time) error {
+func (a *Allocator) refill(ctx context.Context, s Shard, record *RegionRecord, reports reportsByBudget, now time.Time) error {
 	var regionReports []RegionReport
 	due := false
 	for _, budget := range sortedKeys(reports) {
-		regionReport := record.prepareReport(budget, k.settings.Split(budget), now)
+		regionReport := record.prepareReport(budget, a.settings.Split(budget), now)
 		due = due || record.Accounts[budget].isRootReportDue(regionReport, now)
 		regionReports = append(regionReports, regionReport)
 	}
@@ -26,7 +26,7 @@
 		return nil
 	}
 	for range maxConflictAttempts {
-		replies, err := k.reportToRoot(ctx, s, regionReports, now)
+		replies, err := a.reportToRoot(ctx, s, regionReports, now)
 		if errors.Is(err, granitehoist.ErrConflict) {
 			continue
 		}
@@ -64,8 +64,8 @@
 
 // reportToRoot updates the root record and returns its replies. They are valid only if the
 // error is nil, since grants count only once they are written.
-func (k *Allocator) reportToRoot(ctx context.Context, s Shard, reports []RegionReport, now time.Time) ([]regionReply, error) {
-	entry, err := k.settings.Store.Get(ctx, RootKey(s))
+func (a *Allocator) reportToRoot(ctx context.Context, s Shard, reports []RegionReport, now time.Time) ([]regionReply, error) {
+	entry, err := a.settings.Store.Get(ctx, RootKey(s))
 	if err != nil {
 		return nil, err
 	}
@@ -75,10 +75,10 @@
 	}
 	replies := make([]regionReply, 0, len(reports))
 	for _, report := range reports {
-		if prepaid, serial, ok := k.settings.Prepaid(report.Budget); ok {
+		if prepaid, serial, ok := a.settings.Prepaid(report.Budget); ok {
 			root.setPrepaid(report.Budget, prepaid, serial)
 		}
-		replies = append(replies, root.serve(k.settings.Region, report, k.settings.Split(report.Budget), now))
+		replies = append(replies, root.serve(a.settings.Region, report, a.settings.Split(report.Budget), now))
 	}
-	return replies, k.write(ctx, entry, root)
+	return replies, a.write(ctx, entry, root)
 }
--- a/partner/budget/region.go
+++ b/partner/budget/region.go
@@ -10,55 +10,55 @@
 	"granitehoist.example/granitehoist"
 )
 
-// seenResolution is the resolution of Member.LastSeen in seconds. It saves writing the record
-// for reports that change nothing else, and is well below inDoubtAfter.
+// seenResolution is the resolution of Member.LastSeen in seconds. A report that would change
+// only LastSeen, by less than this, needs no write. It is well below inDoubtAfter.
 const seenResolution = int64(reportInterval / time.Second)
 
 // applyReports merges the reports of a message into the record. It returns false if the
 // message must be refused: its incarnation has closed, or it names grants that the region
 // never made.
-func (p *RegionRecord) applyReports(s SyncParams, now time.Time) bool {
-	if p.Members[s.Incarnation].Closed {
-		// Accept a closing message that is repeated since its answer was lost.
+func (r *RegionRecord) applyReports(s SyncParams, now time.Time) bool {
+	if r.Members[s.Incarnation].Closed {
+		// Accept a closing message that is repeated since its response was lost.
 		return s.Closing
 	}
 	for _, report := range s.Reports {
-		if !p.acceptsReport(s.Incarnation, report) {
+		if !r.acceptsReport(s.Incarnation, report) {
 			return false
 		}
 	}
 	for _, report := range s.Reports {
-		p.mergeReport(s.Incarnation, report)
+		r.mergeReport(s.Incarnation, report)
 		if s.Closing {
-			p.revokeUnseenGrants(s.Incarnation, report)
+			r.revokeUnseenGrants(s.Incarnation, report)
 		}
 	}
-	member := Member{Box: s.Box, LastSeen: p.Members[s.Incarnation].LastSeen}
+	member := Member{Box: s.Box, LastSeen: r.Members[s.Incarnation].LastSeen}
 	if now.Unix()-member.LastSeen >= seenResolution {
 		member.LastSeen = now.Unix()
 	}
-	if s.Closing && p.holdsNothing(s.Incarnation) {
-		p.retire(s.Incarnation)
+	if s.Closing && r.holdsNothing(s.Incarnation) {
+		r.retire(s.Incarnation)
 		member.Closed = true
 	}
-	p.Members[s.Incarnation] = member
+	r.Members[s.Incarnation] = member
 	return true
 }
 
-// acceptsReport reports whether the record has made the grants that a report names. This
-// refuses messages that arrive after their incarnation's row was removed, which would
-// otherwise be counted twice.
-func (p *RegionRecord) acceptsReport(i granitehoist.Incarnation, report Report) bool {
+// acceptsReport reports whether the region has made the grants that a report names. It
+// returns false for a report that arrives after its incarnation's row was added to Retired,
+// since the report's totals would be counted twice.
+func (r *RegionRecord) acceptsReport(i granitehoist.Incarnation, report Report) bool {
 	var granted granitehoist.Tokens
-	if a, ok := p.Accounts[report.Budget]; ok {
+	if a, ok := r.Accounts[report.Budget]; ok {
 		granted = a.Rows[i].Totals.Granted
 	}
 	return report.Totals.Granted <= granted
 }
 
 // mergeReport merges the report of one budget into the incarnation's row.
-func (p *RegionRecord) mergeReport(i granitehoist.Incarnation, report Report) {
-	a := p.account(report.Budget)
+func (r *RegionRecord) mergeReport(i granitehoist.Incarnation, report Report) {
+	a := r.account(report.Budget)
 	row := a.Rows[i]
 	row.Totals = row.Totals.merge(report.Totals)
 	row.Rate = report.Rate
@@ -70,19 +70,19 @@
 
 // revokeUnseenGrants undoes grants that an incarnation had not seen when it closed. A
 // closed incarnation accepts no grant.
-func (p *RegionRecord) revokeUnseenGrants(i granitehoist.Incarnation, report Report) {
-	a := p.account(report.Budget)
+func (r *RegionRecord) revokeUnseenGrants(i granitehoist.Incarnation, report Report) {
+	a := r.account(report.Budget)
 	row := a.Rows[i]
 	row.Totals.Granted = report.Totals.Granted
 	a.Rows[i] = row
 }
 
 // account returns the account of a budget and creates it if needed.
-func (p *RegionRecord) account(k granitehoist.BudgetID) *RegionAccount {
-	a, ok := p.Accounts[k]
+func (r *RegionRecord) account(k granitehoist.BudgetID) *RegionAccount {
+	a, ok := r.Accounts[k]
 	if !ok {
 		a = &RegionAccount{}
-		p.Accounts[k] = a
+		r.Accounts[k] = a
 	}
 	if a.Rows == nil {
 		a.Rows = map[granitehoist.Incarnation]Row{}
@@ -91,8 +91,8 @@
 }
 
 // holdsNothing reports whether an incarnation holds no tokens of any budget.
-func (p *RegionRecord) holdsNothing(i granitehoist.Incarnation) bool {
-	for _, a := range p.Accounts {
+func (r *RegionRecord) holdsNothing(i granitehoist.Incarnation) bool {
+	for _, a := range r.Accounts {
 		if a.Rows[i].Totals.Held() != 0 {
 			return false
 		}
@@ -101,8 +101,8 @@
 }
 
 // retire removes an incarnation's rows and keeps their sums.
-func (p *RegionRecord) retire(i granitehoist.Incarnation) {
-	for _, a := range p.Accounts {
+func (r *RegionRecord) retire(i granitehoist.Incarnation) {
+	for _, a := range r.Accounts {
 		row, ok := a.Rows[i]
 		if !ok {
 			continue
@@ -126,14 +126,14 @@
 // grant divides the stock of one budget among the reports about it and raises the grants of
 // their rows. applyReports must have been called with them. The replies may be sent only
 // after the record is written.
-func (p *RegionRecord) grant(k granitehoist.BudgetID, reports map[granitehoist.Incarnation]Report, split Split, now time.Time) map[granitehoist.Incarnation]Reply {
-	a := p.account(k)
+func (r *RegionRecord) grant(k granitehoist.BudgetID, reports map[granitehoist.Incarnation]Report, split Split, now time.Time) map[granitehoist.Incarnation]Reply {
+	a := r.account(k)
 	ids := sortedKeys(reports)
 	claims := make([]*claim, len(ids))
 	for n, id := range ids {
 		claims[n] = a.newClaim(a.Rows[id], reports[id])
 	}
-	live, rate := p.liveTokens(a, now)
+	live, rate := r.liveTokens(a, now)
 	available := live
 	if a.Limit == 0 {
 		// The root has recalled all tokens of the region.
@@ -141,7 +141,7 @@
 	}
 	remaining := live + a.RemainingElsewhere + a.Returned - a.Confirmed
 	reserve := min(idleReserve(remaining, len(a.Rows)), available/granitehoist.Tokens(max(1, len(a.Rows))))
-	allocate(claims, supply{stock: a.Stock(), total: available, rate: rate, idleReserve: reserve}, split.withDefaults())
+	allocate(claims, supply{grantable: a.Stock(), total: available, rate: rate, idleReserve: reserve}, split.withDefaults())
 	replies := make(map[granitehoist.Incarnation]Reply, len(ids))
 	for n, id := range ids {
 		row := a.Rows[id]
@@ -188,13 +188,13 @@
 	}
 }
 
-// liveTokens returns the region's tokens that are not in doubt, and the forecast of their
-// holders in tokens per second.
-func (p *RegionRecord) liveTokens(a *RegionAccount, now time.Time) (granitehoist.Tokens, float64) {
+// liveTokens returns the region's tokens that are not in doubt, stock included, and the
+// forecast spending rate of their holders in tokens per second.
+func (r *RegionRecord) liveTokens(a *RegionAccount, now time.Time) (granitehoist.Tokens, float64) {
 	total := a.Stock()
 	var rate float64
 	for _, id := range sortedKeys(a.Rows) {
-		if now.Sub(time.Unix(p.Members[id].LastSeen, 0)) > inDoubtAfter {
+		if now.Sub(time.Unix(r.Members[id].LastSeen, 0)) > inDoubtAfter {
 			continue
 		}
 		total += a.Rows[id].Totals.Held()
@@ -209,15 +209,17 @@
 	// Received is the total of the root's grants that the region has seen. Returned is the
 	// total that the region has returned.
 	Received, Returned granitehoist.Tokens
-	// Spent is the total charged in the region. Live is what the region has that is not
-	// in doubt.
+	// Spent is the total charged in the region. Live is the number of tokens in the region
+	// that are not in doubt, stock included.
 	Spent, Live granitehoist.Tokens
-	// Rate is the region's forecast in tokens per second.
+	// Rate is the region's forecast spending rate in tokens per second.
 	Rate float64
-	// Largest is the largest bound of a request. LargestSum is the sum of the largest
-	// bounds of all boxes.
+	// Largest is the largest maximum cost of a request. LargestSum adds up the largest
+	// maximum cost at each box.
 	Largest, LargestSum granitehoist.Tokens
-	// Least, Need and Want are as in Report, but in addition to what the region has.
+	// Least, Need and Want are numbers of tokens. Least is what the smallest waiting
+	// request lacks beyond the region's stock, and Need is what all waiting requests lack.
+	// Want is all that the region asks for, Need included.
 	Least, Need, Want granitehoist.Tokens
 }
 
@@ -225,9 +227,9 @@
 // the root's limit as returned, unless the stock can serve some of the waiting requests but
 // not all. The report does not contain this return, since the record must be written first;
 // the next one does.
-func (p *RegionRecord) prepareReport(k granitehoist.BudgetID, split Split, now time.Time) RegionReport {
-	a := p.account(k)
-	live, rate := p.liveTokens(a, now)
+func (r *RegionRecord) prepareReport(k granitehoist.BudgetID, split Split, now time.Time) RegionReport {
+	a := r.account(k)
+	live, rate := r.liveTokens(a, now)
 	report := RegionReport{Budget: k, Spent: a.Spent(), Rate: rate}
 	for _, id := range sortedKeys(a.Rows) {
 		row := a.Rows[id]
@@ -253,8 +255,8 @@
 }
 
 // hasUnconfirmedReturns reports whether the root has yet to confirm returned tokens.
-func (p *RegionRecord) hasUnconfirmedReturns() bool {
-	for _, a := range p.Accounts {
+func (r *RegionRecord) hasUnconfirmedReturns() bool {
+	for _, a := range r.Accounts {
 		if a.Returned > a.Confirmed {
 			return true
 		}
@@ -263,11 +265,11 @@
 }
 
 // applyReply merges the root's reply into the record.
-func (p *RegionRecord) applyReply(r regionReply, now time.Time) {
-	a := p.account(r.Budget)
+func (r *RegionRecord) applyReply(reply regionReply, now time.Time) {
+	a := r.account(reply.Budget)
 	a.ReportedAt = now.Unix()
-	a.Confirmed = max(a.Confirmed, r.Returned)
-	a.Received = max(a.Received, r.Granted)
-	a.Limit = r.Limit
-	a.RemainingElsewhere = r.RemainingElsewhere
+	a.Confirmed = max(a.Confirmed, reply.Returned)
+	a.Received = max(a.Received, reply.Granted)
+	a.Limit = reply.Limit
+	a.RemainingElsewhere = reply.RemainingElsewhere
 }
--- a/partner/budget/report.go
+++ b/partner/budget/report.go
@@ -21,28 +21,28 @@
 )
 
 // Reports returns the reports that are due, in order of their budgets. urgent is true if
-// requests may wait for the replies, on this box or elsewhere, or if the Ledger is closed.
-// Reports deducts the surplus of
-// each reported account. If a report is lost, the totals in the next one include it.
-func (p *Ledger) Reports(now time.Time) (reports []Report, urgent bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for k, a := range p.accounts {
-		if !a.isReportDue(p.closing, now) {
+// requests, on this box or another, may wait for the replies, or if the Ledger is closed.
+// Reports deducts the surplus of each reported account. If a report is lost, the totals in
+// the next report include that surplus.
+func (l *Ledger) Reports(now time.Time) (reports []Report, urgent bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for k, a := range l.accounts {
+		if !a.isReportDue(l.closing, now) {
 			continue
 		}
 		surplus := a.hasUrgentSurplus()
-		report := p.report(k, a, now)
+		report := l.report(k, a, now)
 		reports = append(reports, report)
 		urgent = urgent || surplus || report.Need > report.Totals.Granted
 	}
 	sort.Slice(reports, func(i, j int) bool { return reports[i].Budget < reports[j].Budget })
-	return reports, urgent || p.closing
+	return reports, urgent || l.closing
 }
 
 // isReportDue reports whether the account should be reported now. A report is due
 //   - at once if the box is closing, if requests wait for tokens, or if the box has a surplus
-//     for which requests elsewhere may wait;
+//     for which requests at other boxes may wait;
 //   - after shortfallInterval if the free tokens are below half of the target;
 //   - after reportInterval otherwise, if the account has changed or holds tokens.
 func (a *account) isReportDue(closing bool, now time.Time) bool {
@@ -57,8 +57,8 @@
 }
 
 // report deducts the account's surplus as returned and builds its report.
-func (p *Ledger) report(k granitehoist.BudgetID, a *account, now time.Time) Report {
-	a.returnSurplus(p.closing)
+func (l *Ledger) report(k granitehoist.BudgetID, a *account, now time.Time) Report {
+	a.returnSurplus(l.closing)
 	a.reportedAt = now
 	granted := a.totals.Granted
 	report := Report{
@@ -70,11 +70,11 @@
 		Need:    granted,
 		Least:   granted,
 	}
-	if p.closing {
+	if l.closing {
 		return report
 	}
 	shortfall := a.demand.waiting() - a.free()
-	headroom := max(tokensFor(report.Rate, p.split(k).Cover), idleReserveRequests*a.demand.largest)
+	headroom := max(tokensFor(report.Rate, l.split(k).Cover), idleReserveRequests*a.demand.largest)
 	report.Need += max(0, shortfall)
 	report.Least += max(0, a.demand.smallestWaiting()-a.free())
 	report.Want += max(0, shortfall+headroom)
@@ -82,18 +82,18 @@
 }
 
 // Apply processes the replies to reports. Grants are totals, so a delayed or duplicated
-// reply grants nothing twice; it only replaces the target, the remaining tokens and the
+// reply grants nothing twice. Each reply replaces the target, the remaining tokens and the
 // lenders.
-func (p *Ledger) Apply(reports []Report, replies []Reply, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (l *Ledger) Apply(reports []Report, replies []Reply, now time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	reported := make(map[granitehoist.BudgetID]Totals, len(reports))
 	for _, report := range reports {
 		reported[report.Budget] = report.Totals
 	}
 	for _, r := range replies {
-		a := p.account(r.Budget)
-		if !p.closing {
+		a := l.account(r.Budget)
+		if !l.closing {
 			a.totals.Granted = max(a.totals.Granted, r.Granted)
 		}
 		a.reply = lastReply{received: true, receivedAt: now, target: r.Target, remaining: r.Remaining, lenders: r.Lenders}
--- a/partner/budget/reserve.go
+++ b/partner/budget/reserve.go
@@ -10,16 +10,16 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Reserve reserves bound tokens. If the box holds too few, it waits for more for up to
-// Split.MaxWait or until ctx is done. Its errors are of type *granitehoist.Error with the codes
+// Reserve reserves maxCost tokens. If the box holds too few, it waits for more for up to
+// Split.Wait or until ctx is done. Its errors are of type *granitehoist.Error with the codes
 // BudgetExhausted, BudgetUnreachable and DeadlineTooNear; nothing is reserved then. It
-// panics if bound is negative.
-func (a *Agent) Reserve(ctx context.Context, k granitehoist.BudgetID, bound granitehoist.Tokens) error {
+// panics if maxCost is negative.
+func (a *Agent) Reserve(ctx context.Context, k granitehoist.BudgetID, maxCost granitehoist.Tokens) error {
 	ledger := a.settings.Ledger
-	if ledger.Reserve(k, bound) {
+	if ledger.Reserve(k, maxCost) {
 		return nil
 	}
-	waiter := ledger.Wait(k, bound, a.settings.Clock())
+	waiter := ledger.Wait(k, maxCost, a.settings.Clock())
 	a.wake()
 	timer := time.NewTimer(ledger.split(k).Wait)
 	defer timer.Stop()
@@ -54,9 +54,9 @@
 }
 
 // Settle ends a reservation, as Ledger.Settle does, and starts a round of reports at once if
-// the box should return tokens that others may wait for.
-func (a *Agent) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens) {
-	if a.settings.Ledger.Settle(k, bound, used, a.settings.Clock()) {
+// the box should return tokens that requests at other boxes may wait for.
+func (a *Agent) Settle(k granitehoist.BudgetID, maxCost, used granitehoist.Tokens) {
+	if a.settings.Ledger.Settle(k, maxCost, used, a.settings.Clock()) {
 		a.wake()
 	}
 }
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -16,9 +16,11 @@
 	Granted granitehoist.Tokens
 	// Returned is the total that the root has taken back.
 	Returned granitehoist.Tokens
-	// Limit is how much the region should hold; it returns what it has beyond that.
+	// Limit is how many tokens the region should have. The region returns its tokens beyond
+	// Limit.
 	Limit granitehoist.Tokens
-	// RemainingElsewhere is what the budget has left outside the region.
+	// RemainingElsewhere is the number of tokens of the budget that are unallocated or in
+	// other regions, without those in doubt.
 	RemainingElsewhere granitehoist.Tokens
 }
 
@@ -76,7 +78,7 @@
 	}
 	total := unallocated + elsewhere + c.held
 	allocate([]*claim{c}, supply{
-		stock:       unallocated,
+		grantable:   unallocated,
 		total:       total,
 		rate:        rate + row.Rate,
 		idleReserve: idleReserve(total, len(a.Regions)),
@@ -97,8 +99,9 @@
 	}
 }
 
-// otherRegions returns what the other regions hold, and their forecast in tokens per
-// second.
+// otherRegions returns the tokens in all regions but the given one that are not in doubt,
+// and the forecast spending rate of these regions in tokens per second. The rate leaves out
+// regions without a report for regionStaleAfter.
 func (a *RootAccount) otherRegions(region granitehoist.Region, now time.Time) (granitehoist.Tokens, float64) {
 	var held granitehoist.Tokens
 	var rate float64
--- a/partner/budget/rules_test.go
+++ b/partner/budget/rules_test.go
@@ -29,7 +29,7 @@
 		a.reply = lastReply{received: true, receivedAt: testTime, target: target}
 	}
 	for _, bound := range waiting {
-		a.demand.waiters = append(a.demand.waiters, &Waiter{bound: bound})
+		a.demand.waiters = append(a.demand.waiters, &Waiter{maxCost: bound})
 	}
 	return a
 }
@@ -151,11 +151,11 @@
 		supply supply
 		want   []granitehoist.Tokens
 	}{
-		{"the smallest request first", []claim{large, small}, supply{stock: 65, total: 65, rate: 2}, []granitehoist.Tokens{0, 10}},
-		{"other requests of a holder after its smallest", []claim{large, small}, supply{stock: 75, total: 75, rate: 2}, []granitehoist.Tokens{65, 10}},
-		{"no partial grant for a request", []claim{large}, supply{stock: 59, total: 59, rate: 1}, []granitehoist.Tokens{0}},
-		{"an idle reserve", []claim{idle}, supply{stock: 1000, total: 1000, rate: 0, idleReserve: 100}, []granitehoist.Tokens{100}},
-		{"no idle reserve too small for a request", []claim{idle}, supply{stock: 1000, total: 1000, rate: 0, idleReserve: 9}, []granitehoist.Tokens{0}},
+		{"the smallest request first", []claim{large, small}, supply{grantable: 65, total: 65, rate: 2}, []granitehoist.Tokens{0, 10}},
+		{"other requests of a holder after its smallest", []claim{large, small}, supply{grantable: 75, total: 75, rate: 2}, []granitehoist.Tokens{65, 10}},
+		{"no partial grant for a request", []claim{large}, supply{grantable: 59, total: 59, rate: 1}, []granitehoist.Tokens{0}},
+		{"an idle reserve", []claim{idle}, supply{grantable: 1000, total: 1000, rate: 0, idleReserve: 100}, []granitehoist.Tokens{100}},
+		{"no idle reserve too small for a request", []claim{idle}, supply{grantable: 1000, total: 1000, rate: 0, idleReserve: 9}, []granitehoist.Tokens{0}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			claims := make([]*claim, len(test.claims))
--- a/partner/budget/split.go
+++ b/partner/budget/split.go
@@ -36,14 +36,14 @@
 	DefaultWait = 2 * time.Second
 )
 
-// Split values of each weighting.
+// Covers and shares of the weightings.
 const (
-	// refusalsCover lets a box that is cut off serve for two hours at its forecast.
-	refusalsCover = 2 * time.Hour
-	refusalsShare = 0.9
-	// overspendCover lets a box that is cut off serve for over an hour at its forecast.
-	overspendCover = 75 * time.Minute
-	overspendShare = 0.85
+	// weighRefusalsCover lets a box that is cut off serve for two hours at its forecast.
+	weighRefusalsCover = 2 * time.Hour
+	weighRefusalsShare = 0.9
+	// weighOverspendCover lets a box that is cut off serve for over an hour at its forecast.
+	weighOverspendCover = 75 * time.Minute
+	weighOverspendShare = 0.85
 )
 
 // Weighting names a predefined Split.
@@ -63,9 +63,9 @@
 func NewSplit(w Weighting) (Split, bool) {
 	switch w {
 	case WeighRefusals:
-		return Split{Cover: refusalsCover, Share: refusalsShare}.withDefaults(), true
+		return Split{Cover: weighRefusalsCover, Share: weighRefusalsShare}.withDefaults(), true
 	case WeighOverspend:
-		return Split{Cover: overspendCover, Share: overspendShare}.withDefaults(), true
+		return Split{Cover: weighOverspendCover, Share: weighOverspendShare}.withDefaults(), true
 	}
 	return Split{}, false
 }
--- a/partner/budget/surplus.go
+++ b/partner/budget/surplus.go
@@ -5,7 +5,7 @@
 
 import "granitehoist.example/granitehoist"
 
-// A small surplus is kept, since its return costs a message or a write.
+// The return of a surplus costs a message or a write, so a small surplus is kept.
 const (
 	// boxSurplusDivisor sets the smallest surplus that a box returns: its target divided
 	// by this.
@@ -15,12 +15,13 @@
 	regionSurplusDivisor = 16
 )
 
-// isScarce reports whether the target of the last reply is too low for the largest request
-// of the box. The budget then has so little left that requests wait for a grant each.
+// isScarce reports whether the target of the last reply is below the largest maximum cost of
+// the box's requests. The budget then has so little left that each request waits for its own
+// grant.
 func (a *account) isScarce() bool { return a.reply.received && a.reply.target < a.demand.largest }
 
-// hasUrgentSurplus reports whether the account has a surplus that requests elsewhere may
-// wait for.
+// hasUrgentSurplus reports whether the account has a surplus that requests at other
+// boxes may wait for.
 func (a *account) hasUrgentSurplus() bool {
 	return a.isScarce() && a.free() > max(a.reply.target, a.demand.waiting())
 }
@@ -30,9 +31,10 @@
 //   - all free tokens if the box is closing;
 //   - zero before the first reply;
 //   - all free tokens if the budget is scarce and they are too few for the smallest waiting
-//     request, since they may serve a request elsewhere;
-//   - otherwise the free tokens beyond both the target and what requests wait for. Unless
-//     the budget is scarce, a surplus too small to be worth a message counts as zero.
+//     request, since they may serve a request at another box;
+//   - otherwise the free tokens beyond the larger of the target and the maximum costs of all
+//     waiting requests. Unless the budget is scarce, a surplus of at most the target divided
+//     by boxSurplusDivisor counts as zero.
 func (a *account) surplus(closing bool) granitehoist.Tokens {
 	if closing {
 		return a.free()
@@ -50,7 +52,7 @@
 	return 0
 }
 
-// returnSurplus deducts the surplus as returned.
+// returnSurplus adds the surplus to the total of returned tokens.
 func (a *account) returnSurplus(closing bool) {
 	surplus := a.surplus(closing)
 	if surplus <= 0 {
@@ -60,9 +62,10 @@
 	a.changed = true
 }
 
-// returnStockSurplus deducts what the region has beyond the root's limit, but at most its
-// stock, as returned to the root. It keeps a surplus that is too small to be worth a write.
-// live is what the region has that is not in doubt.
+// returnStockSurplus adds the region's surplus to the total of tokens returned to the root.
+// The surplus is the part of live beyond the root's limit, but at most the stock. live is
+// the number of tokens in the region that are not in doubt. A surplus of at most live
+// divided by regionSurplusDivisor is kept.
 func (a *RegionAccount) returnStockSurplus(live granitehoist.Tokens) {
 	surplus := min(a.Stock(), live-a.Limit)
 	if surplus > live/regionSurplusDivisor {
--- a/partner/budget/wait.go
+++ b/partner/budget/wait.go
@@ -14,7 +14,7 @@
 // the budget is known to have too few. The lock of the Ledger guards the other fields.
 type Waiter struct {
 	Done    chan struct{}
-	bound   granitehoist.Tokens
+	maxCost granitehoist.Tokens
 	ended   bool
 	granted bool
 }
@@ -43,38 +43,39 @@
 // at once, without a new report.
 const remainingTTL = time.Second
 
-// Wait reserves bound tokens at once, as Reserve does, or returns a Waiter for them. The
-// caller must end the wait with EndWait. Wait panics if bound is negative.
-func (p *Ledger) Wait(k granitehoist.BudgetID, bound granitehoist.Tokens, now time.Time) *Waiter {
-	mustNotBeNegative(bound)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	w := &Waiter{Done: make(chan struct{}), bound: bound}
-	a := p.account(k)
+// Wait returns a Waiter for maxCost tokens. The wait is over at once if the box has that many
+// free, which are then reserved, or if the budget is known to have too few. The caller must
+// call EndWait. Wait panics if maxCost is negative.
+func (l *Ledger) Wait(k granitehoist.BudgetID, maxCost granitehoist.Tokens, now time.Time) *Waiter {
+	mustNotBeNegative(maxCost)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	w := &Waiter{Done: make(chan struct{}), maxCost: maxCost}
+	a := l.account(k)
 	switch {
-	case a.reserve(bound):
+	case a.reserve(maxCost):
 		w.finish(true)
-	case a.reply.provesExhausted(bound, now):
+	case a.reply.provesExhausted(maxCost, now):
 		w.finish(false)
 	default:
 		a.demand.waiters = append(a.demand.waiters, w)
-		a.demand.largest = max(a.demand.largest, bound)
+		a.demand.largest = max(a.demand.largest, maxCost)
 		a.changed = true
 	}
 	return w
 }
 
-// provesExhausted reports whether a request can be refused at once, since a reply within
-// remainingTTL said that the whole budget has fewer tokens than its bound.
-func (r lastReply) provesExhausted(bound granitehoist.Tokens, now time.Time) bool {
-	return r.received && bound > r.remaining && now.Sub(r.receivedAt) < remainingTTL
+// provesExhausted reports whether a request can be refused at once: a reply within
+// remainingTTL said that the whole budget has fewer tokens than the request's maximum cost.
+func (r lastReply) provesExhausted(maxCost granitehoist.Tokens, now time.Time) bool {
+	return r.received && maxCost > r.remaining && now.Sub(r.receivedAt) < remainingTTL
 }
 
 // EndWait ends a wait and returns its outcome.
-func (p *Ledger) EndWait(k granitehoist.BudgetID, w *Waiter, now time.Time) Outcome {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	a := p.account(k)
+func (l *Ledger) EndWait(k granitehoist.BudgetID, w *Waiter, now time.Time) Outcome {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	a := l.account(k)
 	switch {
 	case w.ended && w.granted:
 		return Granted
@@ -82,7 +83,7 @@
 		return Exhausted
 	}
 	a.removeWaiter(w)
-	return a.reply.timeoutOutcome(p.split(k).Wait, now)
+	return a.reply.timeoutOutcome(l.split(k).Wait, now)
 }
 
 // timeoutOutcome returns the outcome of a wait that got no tokens in time. wait is the
@@ -95,7 +96,7 @@
 	return Unreachable
 }
 
-// removeWaiter removes a request from the waiting ones.
+// removeWaiter removes a request from the waiting requests.
 func (a *account) removeWaiter(w *Waiter) {
 	a.demand.waiters = slices.DeleteFunc(a.demand.waiters, func(other *Waiter) bool { return other == w })
 }
@@ -106,7 +107,7 @@
 		return
 	}
 	a.demand.waiters = slices.DeleteFunc(a.demand.waiters, func(w *Waiter) bool {
-		reserved := a.reserve(w.bound)
+		reserved := a.reserve(w.maxCost)
 		if reserved {
 			w.finish(true)
 		}
@@ -117,7 +118,7 @@
 // rejectWaiters ends the waits for more tokens than the whole budget has left.
 func (a *account) rejectWaiters() {
 	a.demand.waiters = slices.DeleteFunc(a.demand.waiters, func(w *Waiter) bool {
-		tooLarge := w.bound > a.reply.remaining
+		tooLarge := w.maxCost > a.reply.remaining
 		if tooLarge {
 			w.finish(false)
 		}
@@ -125,22 +126,22 @@
 	})
 }
 
-// waiting returns the sum of the bounds of the waiting requests.
+// waiting returns the sum of the maximum costs of the waiting requests.
 func (d *demand) waiting() granitehoist.Tokens {
 	var sum granitehoist.Tokens
 	for _, w := range d.waiters {
-		sum += w.bound
+		sum += w.maxCost
 	}
 	return sum
 }
 
-// smallestWaiting returns the smallest bound of the waiting requests, or zero if there are
-// none.
+// smallestWaiting returns the smallest maximum cost of a waiting request, or zero if no
+// request waits.
 func (d *demand) smallestWaiting() granitehoist.Tokens {
 	var smallest granitehoist.Tokens
 	for i, w := range d.waiters {
-		if i == 0 || w.bound < smallest {
-			smallest = w.bound
+		if i == 0 || w.maxCost < smallest {
+			smallest = w.maxCost
 		}
 	}
 	return smallest
