--- a/partner/gate/binding.go
+++ b/partner/gate/binding.go
@@ -25,8 +25,9 @@
 	return g.settings.Once.Bind(ctx, key, id, g.settings.Clock())
 }
 
-// finishBinding records that a bound request got a response; b is nil for other requests.
-// On error the record stays bound, and later requests with the same id fail with OnceUnsure.
+// finishBinding records that a bound request got a response. It does nothing if b is nil, as
+// for requests that are not bound. On error the record stays bound, and later requests with
+// the same id fail with OnceUnsure.
 func (g *Gate) finishBinding(ctx context.Context, req *request, b *once.Binding) {
 	if b == nil {
 		return
@@ -39,7 +40,7 @@
 }
 
 // releaseBinding releases a binding if err says that the request did not run, so that the
-// caller may repeat it. It returns err. If the release fails the record stays bound.
+// caller may repeat the request. It returns err. If the release fails the record stays bound.
 func (g *Gate) releaseBinding(ctx context.Context, b *once.Binding, err error) error {
 	if b == nil || granitehoist.CodeOf(err).Info().Execution != granitehoist.NotRun {
 		return err
--- a/partner/gate/charge.go
+++ b/partner/gate/charge.go
@@ -20,8 +20,8 @@
 const (
 	// keepReservation leaves the reservation to the next attempt.
 	keepReservation settlement = iota
-	// settleBound spends the whole reservation.
-	settleBound
+	// settleMaxCost spends the whole reservation.
+	settleMaxCost
 	// settleUsage spends the usage that the upstream reported.
 	settleUsage
 	// queryUpstream keeps the reservation until the upstream has reported the cost.
@@ -30,14 +30,14 @@
 
 // decideSettlement decides how an attempt is settled. An attempt that did not run costs
 // nothing. A plain service costs its price even if the response was lost, since it can't be
-// queried. An engine costs the usage that it reports; if the attempt failed the report may
-// be incomplete, so the engine is queried.
+// queried. An engine costs the usage that it reports. If it reported none or the attempt
+// failed, which can make the report incomplete, the engine is queried.
 func decideSettlement(a attemptOutcome) settlement {
 	switch {
 	case a.code.Info().Execution == granitehoist.NotRun:
 		return keepReservation
 	case a.plain:
-		return settleBound
+		return settleMaxCost
 	case a.usage.Reported && a.code == granitehoist.Served:
 		return settleUsage
 	}
@@ -54,9 +54,9 @@
 	tokens       granitehoist.Tokens
 }
 
-// isCharged reports whether a request gets a charge. It gets none if no attempt can have
-// run, or if a queried engine reported no cost, which means that the attempt never arrived.
-// Otherwise it gets one, even of zero tokens.
+// isCharged reports whether a request gets a charge. A request gets none if no attempt can
+// have run, or if an engine was queried and all attempts together cost zero tokens, which
+// means that no attempt arrived. Otherwise it gets a charge, even of zero tokens.
 func isCharged(c requestCost) bool {
 	neverArrived := !c.plain && c.wasUnsettled && c.tokens == 0
 	return c.mayHaveRun && !neverArrived
--- a/partner/gate/completion.go
+++ b/partner/gate/completion.go
@@ -11,8 +11,8 @@
 	"granitehoist.example/granitehoist/partner/config"
 )
 
-// allowedFields are the fields of a completion request that can't raise its cost above the
-// bound. Others, such as a chat template of the caller, are refused.
+// allowedFields are the fields of a completion request that can't raise its cost above
+// maxCost. A request with any other field, such as a chat template, is refused.
 var allowedFields = map[string]bool{
 	"model": true, "messages": true, "prompt": true, "max_tokens": true, "max_completion_tokens": true,
 	"stream": true, "stream_options": true, "temperature": true, "top_p": true, "top_k": true, "min_p": true,
@@ -24,8 +24,8 @@
 const (
 	// maxChoices is the largest number of choices of one request.
 	maxChoices = 8
-	// maxTokenCount is the largest maximum of output tokens. It keeps the bound of a request
-	// from overflowing.
+	// maxTokenCount is the largest maximum of output tokens. It keeps the maximum cost
+	// of a request from overflowing.
 	maxTokenCount = granitehoist.Tokens(math.MaxInt32)
 )
 
@@ -34,7 +34,7 @@
 	fields map[string]json.RawMessage
 	// bodyBytes is the size of the body.
 	bodyBytes int
-	// textBytes is the size of the prompt's text, which bounds its tokens.
+	// textBytes is the size of the prompt's text. The text has at most this many tokens.
 	textBytes int
 	model     granitehoist.Model
 	stream    bool
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// readMaxTokens reads the caller's maximum, which may be in either of two fields, or in both
-// if they are equal.
+// readMaxTokens reads the caller's maximum of output tokens for one choice. It may be in
+// either of two fields, or in both with the same value.
 func (c *completion) readMaxTokens() error {
 	for _, name := range []string{"max_tokens", "max_completion_tokens"} {
 		var n *float64
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// upstreamBody returns the body for the engine: the caller's with max_tokens and the
-// priority set, and with the usage requested if it is a stream.
+// upstreamBody returns the body for the engine: the caller's body with max_tokens and
+// priority set. In a request for a stream it also requests the usage.
 func (c *completion) upstreamBody(s config.Service, p granitehoist.Priority) ([]byte, error) {
 	const added = 3 // max_tokens, priority and stream_options
 	fields := make(map[string]any, len(c.fields)+added)
--- a/partner/gate/costtracker.go
+++ b/partner/gate/costtracker.go
@@ -18,7 +18,7 @@
 type costTracker struct {
 	gate    *Gate
 	request *request
-	// reserved is set while the bound of an attempt is reserved and not settled.
+	// reserved is set while the maximum cost of an attempt is reserved and not settled.
 	reserved bool
 	charge   bill.Charge
 	// mayHaveRun is set if an attempt may have run.
@@ -32,12 +32,12 @@
 	address string
 }
 
-// reserve reserves the bound of one attempt, unless it is reserved already.
+// reserve reserves the maximum cost of one attempt, unless it is reserved already.
 func (t *costTracker) reserve(ctx context.Context) error {
 	if t.reserved {
 		return nil
 	}
-	if err := t.gate.settings.Budgets.Reserve(ctx, t.request.plan.budget, t.request.plan.bound); err != nil {
+	if err := t.gate.settings.Budgets.Reserve(ctx, t.request.plan.budget, t.request.plan.maxCost); err != nil {
 		return err
 	}
 	t.reserved = true
@@ -47,7 +47,7 @@
 func (t *costTracker) isPlain() bool { return t.request.input.model == "" }
 
 // attemptEnded records the end of an attempt and settles it, unless its upstream has to be
-// queried. An attempt that did not run leaves its reservation to the next one.
+// queried. An attempt that did not run leaves its reservation to the next attempt.
 func (t *costTracker) attemptEnded(id granitehoist.AttemptID, u config.Upstream, usage granitehoist.Usage, err error) {
 	action := decideSettlement(attemptOutcome{code: granitehoist.CodeOf(err), plain: t.isPlain(), usage: usage})
 	if action == keepReservation {
@@ -58,8 +58,8 @@
 	t.charge.Attempts = append(t.charge.Attempts, id)
 	t.charge.Upstream = u.Name
 	switch action {
-	case settleBound:
-		t.settle(t.request.plan.bound)
+	case settleMaxCost:
+		t.settle(t.request.plan.maxCost)
 	case settleUsage:
 		t.settle(usage.Total())
 	case queryUpstream:
@@ -69,7 +69,7 @@
 
 // settle ends one reservation with the used tokens.
 func (t *costTracker) settle(tokens granitehoist.Tokens) {
-	t.gate.settings.Budgets.Settle(t.request.plan.budget, t.request.plan.bound, tokens)
+	t.gate.settings.Budgets.Settle(t.request.plan.budget, t.request.plan.maxCost, tokens)
 	t.charge.Tokens += tokens
 }
 
@@ -77,7 +77,7 @@
 // attempts, a background goroutine queries their upstreams first and then records the charge.
 func (t *costTracker) finish() {
 	if t.reserved {
-		t.gate.settings.Budgets.Settle(t.request.plan.budget, t.request.plan.bound, 0)
+		t.gate.settings.Budgets.Settle(t.request.plan.budget, t.request.plan.maxCost, 0)
 		t.reserved = false
 	}
 	if len(t.unsettled) == 0 {
@@ -100,7 +100,7 @@
 )
 
 // resolveUnsettled stops an unsettled attempt and settles its cost. If the upstream doesn't
-// report it, the whole bound is charged and the charge is marked as estimated.
+// report the cost, the maximum cost is charged and the charge is marked as estimated.
 func (t *costTracker) resolveUnsettled(a unsettledAttempt) {
 	protocol := t.gate.settings.Protocols[t.request.input.offer.Kind]
 	for try := range maxResolveAttempts {
@@ -115,11 +115,11 @@
 		}
 	}
 	t.charge.Estimated = true
-	t.settle(t.request.plan.bound)
+	t.settle(t.request.plan.maxCost)
 }
 
-// recordCharge enters the charge of the request into the ledger, or releases the request's
-// slot there if isCharged returns false.
+// recordCharge enters the charge of the request into the ledger of charges. If isCharged
+// returns false, it releases the request's slot in that ledger instead.
 func (t *costTracker) recordCharge() {
 	cost := requestCost{mayHaveRun: t.mayHaveRun, plain: t.isPlain(), wasUnsettled: len(t.unsettled) > 0, tokens: t.charge.Tokens}
 	if !isCharged(cost) {
--- a/partner/gate/crashhistory.go
+++ b/partner/gate/crashhistory.go
@@ -15,22 +15,24 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// Callers may repeat a request that crashes upstreams under new ids, which the limit on
-// attempts doesn't cover. The gate therefore records crashes by the digest of the request,
-// and refuses requests that package suspect identifies as the cause. The record is local to
-// the router, so that one request can crash three upstreams at each router. The routers of
-// granitehoist-edge share the record, so that it can crash three in total.
+// A caller may repeat a request that crashes upstreams under a new id. The limit on
+// attempts doesn't cover such repetitions. The gate therefore records crashes by the
+// digest of the request, and refuses requests that package suspect identifies as the
+// cause. The record is local to the router, so that one request can crash three upstreams
+// at each router. The routers of granitehoist-edge share the record, so that one request
+// can crash three upstreams in total.
 
 // crashHistory is the result of the latest lookup of a request in the crash table.
 type crashHistory struct {
-	// digest is that of the request; zero until it is needed.
+	// digest is the digest of the request; zero until it is needed.
 	digest  suspect.Digest
 	verdict suspect.Verdict
 }
 
 // checkCrashHistory looks the request up in the crash table. The error has code
-// CrashesUpstreams if the request is refused or must not be sent yet. In the latter case
-// the gate does not queue the request but asks the caller to retry after the hold.
+// CrashesUpstreams if the request is refused or must not be sent yet. A
+// request that must not be sent yet is not queued: the error asks the caller to retry after
+// Verdict.Hold.
 func (g *Gate) checkCrashHistory(req *request) error {
 	if !g.crashTable.HasSuspects() {
 		req.crashes.verdict = suspect.Verdict{}
--- a/partner/gate/gate.go
+++ b/partner/gate/gate.go
@@ -18,7 +18,7 @@
 type Gate struct {
 	settings Settings
 	mux      *http.ServeMux
-	// attempts counts the attempts of this incarnation; it is part of their ids.
+	// attempts counts the attempts of this incarnation. Each attempt's id contains its number.
 	attempts atomic.Uint64
 	unready  atomic.Bool
 	draining atomic.Bool
@@ -28,7 +28,7 @@
 	// an upstream is down.
 	crashTable *suspect.Table
 	prober     *exchange.Pool
-	// background counts the requests that have been answered but whose cost is not settled.
+	// background counts the requests whose response is sent but whose cost is not settled.
 	background sync.WaitGroup
 }
 
@@ -80,7 +80,7 @@
 	HeaderDeadline = "Granitehoist-Deadline-Ms"
 	// HeaderOnce is "true" for a request that is not to be repeated.
 	HeaderOnce = "Granitehoist-Once"
-	// HeaderBudget names a budget of the workspace to use instead of the key's.
+	// HeaderBudget names a budget of the workspace to use instead of the budget of the key.
 	HeaderBudget = "Granitehoist-Budget"
 	// HeaderCode is the numbered result code of a response.
 	HeaderCode = "Granitehoist-Code"
@@ -88,8 +88,8 @@
 	HeaderExecution = "Granitehoist-Fate"
 )
 
-// ServeHTTP implements http.Handler. It sets the read deadline first, which also bounds
-// refusals that are sent before the body is read: net/http reads the rest of the body
+// ServeHTTP implements http.Handler. It sets the read deadline first, so that the deadline
+// also applies to a refusal before the body is read: net/http reads the rest of the body
 // before it responds.
 func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	limits := g.settings.Limits
@@ -119,8 +119,8 @@
 // Drain makes the gate unready and refuses new requests. Requests in progress continue.
 func (g *Gate) Drain() { g.draining.Store(true) }
 
-// Wait blocks until the cost of each answered request is settled. It must be called after
-// the last request has been answered.
+// Wait blocks until the cost of each request is settled. It must be called after the last
+// response has been sent.
 func (g *Gate) Wait() { g.background.Wait() }
 
 // availability returns the current state of the gate.
--- a/partner/gate/metrics.go
+++ b/partner/gate/metrics.go
@@ -23,8 +23,8 @@
 	metrics.GetOrRegisterTimer(name, g.settings.Metrics).Update(d)
 }
 
-// recordChunk records the arrival of a chunk of the response: the time to the first token
-// for the first one, and the time between tokens for later ones of a stream.
+// recordChunk records the arrival of a chunk of the response. The first chunk records the time
+// to the first token; each later chunk of a stream records the time since the last chunk.
 func (g *Gate) recordChunk(req *request) {
 	now := g.settings.Clock()
 	p := &req.progress
--- a/partner/gate/prompt.go
+++ b/partner/gate/prompt.go
@@ -17,7 +17,8 @@
 	Type string `json:"type"`
 }
 
-// readPrompt reads the prompt and checks that it is text only, whose bytes bound its tokens.
+// readPrompt reads the prompt and checks that it is text only. Text has at most one token for
+// each byte.
 func (c *completion) readPrompt() error {
 	messages, chat := c.fields["messages"]
 	prompt, plain := c.fields["prompt"]
@@ -79,8 +80,9 @@
 	return shared
 }
 
-// textBytes returns an upper bound of the tokens of a message: the bytes of its content and
-// role, or, if it has content parts or other fields, the bytes of all fields.
+// textBytes returns the size of a message's text, which is also the most tokens that the text
+// can have. It is the bytes of the content and role. If the message has content parts or
+// other fields, it is the bytes of the names and values of all fields.
 func (m chatMessage) textBytes() int {
 	var content, role string
 	simple := len(m) == 2 && json.Unmarshal(m["content"], &content) == nil && json.Unmarshal(m["role"], &role) == nil
@@ -94,7 +96,8 @@
 	return size
 }
 
-// checkContent rejects content whose bytes don't bound its tokens, such as an image.
+// checkContent rejects content that may have more tokens than bytes, such as a reference to
+// an image.
 func checkContent(raw json.RawMessage) error {
 	var text string
 	if len(raw) == 0 || string(raw) == "null" || json.Unmarshal(raw, &text) == nil {
--- a/partner/gate/read.go
+++ b/partner/gate/read.go
@@ -53,8 +53,8 @@
 	return req, err
 }
 
-// findBudget returns the budget to charge: the one that the caller named, or the key's. The
-// error is a *granitehoist.Error with code BudgetUnknown.
+// findBudget returns the budget to charge: the budget that the caller named, or the budget of
+// the key if named is empty. The error is a *granitehoist.Error with code BudgetUnknown.
 func findBudget(view *config.View, identity config.Identity, named string) (granitehoist.BudgetID, error) {
 	name := named
 	if name == "" {
@@ -99,11 +99,11 @@
 	r.sink.stream = c.stream
 }
 
-// planCompletion sets the plan of a completion request. Unless its caller excludes it, a
-// completion may be repeated after an attempt that may have run: this costs tokens of the
-// budget but has no side effects.
+// planCompletion sets the plan of a completion request. Unless its caller sets
+// HeaderOnce, a completion may be repeated after an attempt that may have run. The repetition
+// costs tokens of the budget but has no side effects.
 func (r *request) planCompletion(c *completion, path string) {
-	r.plan.bound = c.bound(r.input.offer.Service)
+	r.plan.maxCost = c.maxCost(r.input.offer.Service)
 	r.plan.affinity = route.PrefixAffinity(c.prefix)
 	r.plan.once = r.input.options.once
 	r.plan.repeatable = !r.plan.once
@@ -135,13 +135,13 @@
 	return nil
 }
 
-// planPlain sets the plan of a request to a plain service. Only requests with a safe method
-// of HTTP may be repeated. A request must not run twice if its caller says so, or if the
-// document says so for the service and the method is not safe.
+// planPlain sets the plan of a request to a plain service. Only requests with a safe HTTP
+// method may be repeated. A request must not run twice if its caller sets HeaderOnce, or if
+// its method is not safe and the document sets Once for the service.
 func (r *request) planPlain(from *http.Request) {
 	safe := from.Method == http.MethodGet || from.Method == http.MethodHead || from.Method == http.MethodOptions
 	offer := r.input.offer
-	r.plan.bound = offer.Price
+	r.plan.maxCost = offer.Price
 	r.plan.once = r.input.options.once || (offer.Once && !safe)
 	r.plan.repeatable = safe && !r.plan.once
 	r.plan.call = granitehoist.Call{
@@ -155,9 +155,9 @@
 // ownHeaderPrefix begins the names of all headers of the gate but HeaderRequest.
 const ownHeaderPrefix = "Granitehoist-"
 
-// forwardedHeader returns the headers that are forwarded to a plain service, which excludes
-// those addressed to the gate. Underscores in names match hyphens, since some services treat
-// both alike.
+// forwardedHeader returns the headers that are forwarded to a plain service, without the
+// headers addressed to the gate. Underscores in names match hyphens, since some services
+// treat both alike.
 func forwardedHeader(h http.Header) http.Header {
 	passed := upstream.EndToEndHeader(h, "Authorization", "Content-Length", "Host")
 	for name := range passed {
@@ -169,10 +169,10 @@
 	return passed
 }
 
-// upstreamPath returns the path and query for a plain service: the caller's without the
-// prefix and the name of the service, with the caller's escaping. It begins with a slash. The
-// route pattern of servePlain ensures that both removed segments exist; the caller may have
-// escaped characters in them.
+// upstreamPath returns the path and query for a plain service: the caller's path and query
+// without the prefix and the name of the service, with the caller's escaping. It begins
+// with a slash. The route pattern of servePlain ensures that both removed segments exist;
+// the caller may have escaped characters in them.
 func upstreamPath(r *http.Request) string {
 	const leadingParts = 3 // the empty one before the first slash, the prefix and the name
 	parts := strings.SplitN(r.URL.EscapedPath(), "/", leadingParts+1)
--- a/partner/gate/refusals.go
+++ b/partner/gate/refusals.go
@@ -25,7 +25,7 @@
 	Code    int    `json:"code"`
 	Type    string `json:"type"`
 	Message string `json:"message"`
-	// Execution says whether the request ran.
+	// Execution says whether the request ran. Its JSON name stays for compatibility.
 	Execution granitehoist.ExecutionStatus `json:"fate"`
 	Advice    granitehoist.Advice          `json:"advice"`
 	Request   granitehoist.RequestID       `json:"request_id"`
@@ -76,14 +76,14 @@
 const (
 	// upstreamRetryAfter applies if no upstream is available or none has capacity.
 	upstreamRetryAfter = time.Second
-	// ledgerRetryAfter applies if the ledger is full, which lasts until the store responds
-	// again.
+	// ledgerRetryAfter applies if the ledger of charges is full, which lasts until the
+	// store responds again.
 	ledgerRetryAfter = 10 * time.Second
 )
 
 // retryAfter returns the delay after which a refused caller may retry, zero for no advice. A
-// delay in the error itself takes precedence, such as that of budget.Agent if it can't
-// obtain tokens.
+// delay in the error itself takes precedence, such as the one that budget.Agent sets if it
+// can't obtain tokens.
 func retryAfter(e *granitehoist.Error) time.Duration {
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
--- a/partner/gate/request.go
+++ b/partner/gate/request.go
@@ -11,9 +11,9 @@
 	"granitehoist.example/granitehoist/partner/report"
 )
 
-// request is the state of one request. The goroutine that serves it owns it until it is
-// answered. If the cost of an attempt is unsettled then, a background goroutine reads input
-// and plan, which no longer change.
+// request is the state of one request. It belongs to the goroutine that serves the
+// request until the response is sent. If the cost of an attempt is then unsettled, a
+// background goroutine reads input and plan, which no longer change.
 type request struct {
 	input    callerRequest
 	plan     requestPlan
@@ -48,9 +48,9 @@
 // attempt.
 type requestPlan struct {
 	budget granitehoist.BudgetID
-	// bound is reserved for each attempt and is an upper bound of its cost.
-	bound granitehoist.Tokens
-	// affinity is the hash by which requests prefer the same upstream, zero for none.
+	// maxCost is the most tokens that one attempt can cost. It is reserved for each attempt.
+	maxCost granitehoist.Tokens
+	// affinity is a hash; requests with the same hash prefer the same upstream. Zero means none.
 	affinity uint64
 	// once means that the request must not run twice.
 	once bool
--- a/partner/gate/result.go
+++ b/partner/gate/result.go
@@ -12,8 +12,8 @@
 )
 
 // overallError returns the result of several attempts. uncertain is the error of an earlier
-// attempt that may have run, nil if there is none, and last is the newest error. An attempt
-// that did not run doesn't replace one that may have.
+// attempt that may have run, nil if there is none, and last is the newest error. The
+// error of an attempt that did not run doesn't replace uncertain.
 func overallError(uncertain, last error) error {
 	if uncertain != nil && granitehoist.CodeOf(last).Info().Execution == granitehoist.NotRun {
 		return uncertain
@@ -21,9 +21,9 @@
 	return last
 }
 
-// finalError returns the result for a caller that may have disconnected, which cancels the
-// running attempt. An error after which the request may have run becomes CallerGone; the
-// error of a request that did not run keeps its code.
+// finalError returns the result for a caller that may have disconnected. A disconnection
+// cancels the running attempt. An error after which the request may have run becomes
+// CallerGone; the error of a request that did not run keeps its code.
 func finalError(err error, disconnected bool) error {
 	if err == nil || !disconnected || granitehoist.CodeOf(err).Info().Execution == granitehoist.NotRun {
 		return err
--- a/partner/gate/retry.go
+++ b/partner/gate/retry.go
@@ -15,7 +15,7 @@
 type attemptState struct {
 	// attempts is the number of attempts so far.
 	attempts int
-	// code is that of overallError for the attempts so far.
+	// code is the result code of overallError for the attempts so far.
 	code granitehoist.Code
 	// repeatable means that the request may run twice.
 	repeatable bool
@@ -46,7 +46,7 @@
 //   - no attempt may have run, or the request is repeatable.
 //
 // The caller of decideRetry checks the retry budget and the token reservation afterwards,
-// since a successful check takes from them.
+// since a successful check takes from the retry budget or reserves tokens.
 func decideRetry(s attemptState) retryDecision {
 	switch {
 	case s.attempts >= maxAttempts:
--- a/partner/gate/rules_test.go
+++ b/partner/gate/rules_test.go
@@ -112,8 +112,8 @@
 		func(a attemptOutcome, want settlement) { Expect(decideSettlement(a)).To(Equal(want)) },
 		Entry("refused", attemptOutcome{code: granitehoist.UpstreamRefused, usage: reported}, keepReservation),
 		Entry("a plain service refused", attemptOutcome{code: granitehoist.UpstreamRefused, plain: true}, keepReservation),
-		Entry("a plain service responded", attemptOutcome{code: granitehoist.Served, plain: true}, settleBound),
-		Entry("the response of a plain service was lost", attemptOutcome{code: granitehoist.UpstreamLost, plain: true}, settleBound),
+		Entry("a plain service responded", attemptOutcome{code: granitehoist.Served, plain: true}, settleMaxCost),
+		Entry("the response of a plain service was lost", attemptOutcome{code: granitehoist.UpstreamLost, plain: true}, settleMaxCost),
 		Entry("an engine responded", attemptOutcome{code: granitehoist.Served, usage: reported}, settleUsage),
 		Entry("an engine responded without usage", attemptOutcome{code: granitehoist.Served}, queryUpstream),
 		Entry("the response of an engine was truncated after its usage", attemptOutcome{code: granitehoist.UpstreamCut, usage: reported}, queryUpstream),
@@ -134,16 +134,16 @@
 	service := config.Service{MaxOutput: 100, DefaultOutput: 50}
 	tokens := func(n granitehoist.Tokens) *granitehoist.Tokens { return &n }
 
-	DescribeTable("promptBound adds the template's tokens to one for each byte",
-		func(p promptSize, want granitehoist.Tokens) { Expect(promptBound(p)).To(Equal(want)) },
+	DescribeTable("maxPromptTokens adds the template's tokens to one for each byte",
+		func(p promptSize, want granitehoist.Tokens) { Expect(maxPromptTokens(p)).To(Equal(want)) },
 		Entry("a plain prompt", promptSize{textBytes: 10}, granitehoist.Tokens(74)),
 		Entry("two messages", promptSize{textBytes: 10, messages: 2}, granitehoist.Tokens(106)),
 		Entry("tools", promptSize{textBytes: 10, messages: 1, schemaBytes: 100}, granitehoist.Tokens(290)),
 	)
 
-	DescribeTable("outputBound is capped at the maximum of the service",
+	DescribeTable("maxOutputTokens is capped at the maximum of the service",
 		func(requested *granitehoist.Tokens, want granitehoist.Tokens) {
-			Expect(outputBound(requested, service)).To(Equal(want))
+			Expect(maxOutputTokens(requested, service)).To(Equal(want))
 		},
 		Entry("none requested", nil, granitehoist.Tokens(50)),
 		Entry("fewer", tokens(7), granitehoist.Tokens(7)),
--- a/partner/gate/run.go
+++ b/partner/gate/run.go
@@ -43,9 +43,10 @@
 	}
 }
 
-// process evaluates the policies, reserves a slot in the ledger and the tokens, and sends the
-// request, which must have been read. If an upstream has to be queried for the cost of an
-// attempt, the cost is settled in the background after process has returned.
+// process evaluates the policies, reserves a slot in the ledger of charges and the
+// request's maximum cost, and sends the request, which must have been read. If an upstream
+// has to be queried for the cost of an attempt, the cost is settled in the background
+// after process has returned.
 func (g *Gate) process(ctx context.Context, req *request) error {
 	if req.plan.once && !req.input.hasID {
 		return granitehoist.Errorf(granitehoist.BadHeader, "a request that is not to be repeated requires the header %s", HeaderRequest)
@@ -59,7 +60,7 @@
 		return granitehoist.Wrap(granitehoist.BadRequest, err, "")
 	}
 	// Refuse the request before anything is reserved. execute repeats the check before each
-	// attempt, since upstreams may have crashed in between.
+	// attempt, since upstreams may crash in the meantime.
 	if err := g.checkCrashHistory(req); err != nil {
 		return err
 	}
@@ -184,9 +185,9 @@
 }
 
 // acquireRetry reports whether the request may be sent to another upstream. If so, it has
-// taken a retry from the retry budget and reserved the tokens of an attempt. If the
-// reservation fails the caller gets the error of the last attempt, which is the reason why
-// the request did not succeed.
+// taken a retry from the retry budget and reserved the maximum cost of an attempt. The error
+// of a failed reservation is dropped: the caller gets err, the reason why the last attempt
+// failed.
 func (g *Gate) acquireRetry(ctx context.Context, req *request, cost *costTracker, err error, attempt int) bool {
 	decision := decideRetry(attemptState{
 		attempts:        attempt,
--- a/partner/gate/settings.go
+++ b/partner/gate/settings.go
@@ -25,9 +25,9 @@
 type Budgets interface {
 	// Reserve reserves tokens. It may wait for them, as the split of the budget allows. The
 	// error is a *granitehoist.Error.
-	Reserve(ctx context.Context, k granitehoist.BudgetID, bound granitehoist.Tokens) error
-	// Settle ends a reservation of bound tokens, of which used were spent.
-	Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens)
+	Reserve(ctx context.Context, k granitehoist.BudgetID, maxCost granitehoist.Tokens) error
+	// Settle ends a reservation of maxCost tokens and charges used tokens, which may be more.
+	Settle(k granitehoist.BudgetID, maxCost, used granitehoist.Tokens)
 }
 
 // Settings configure a Gate. They must not change after New. All fields but Burn and Limits
@@ -77,10 +77,10 @@
 
 // complete reports whether all required settings are set.
 func (s *Settings) complete() bool {
-	identified := s.Incarnation != ""
-	connected := s.View != nil && s.Budgets != nil && s.Ledger != nil && s.Once != nil && s.Table != nil && s.Protocols != nil
-	equipped := s.Clock != nil && s.Random != nil && s.Log != nil && s.Metrics != nil
-	return identified && connected && equipped
+	hasIncarnation := s.Incarnation != ""
+	hasDependencies := s.View != nil && s.Budgets != nil && s.Ledger != nil && s.Once != nil && s.Table != nil && s.Protocols != nil
+	hasRuntime := s.Clock != nil && s.Random != nil && s.Log != nil && s.Metrics != nil
+	return hasIncarnation && hasDependencies && hasRuntime
 }
 
 func (l *Limits) setDefaults() {
--- a/partner/route/pool.go
+++ b/partner/route/pool.go
@@ -47,44 +47,45 @@
 	failures int
 	// ejectedUntil is when the ejection ends.
 	ejectedUntil time.Time
-	// backoff is the pause in requests that the upstream asked this router for.
+	// backoff is the backoff that the upstream requested from this router.
 	backoff pushback.Backoff
 	// draining members get no new requests.
 	draining bool
 }
 
-// available reports whether a member may take one more request now. limit bounds its
-// requests in flight in addition to Concurrency.
+// available reports whether a member may take one more request now. The number of
+// its requests in flight must be below both limit and Concurrency.
 func (m *member) available(limit int, tried map[granitehoist.Upstream]bool, now time.Time) bool {
 	return !m.draining && m.backoff.Allows(now) && m.inFlight < min(m.Concurrency, limit) && !now.Before(m.ejectedUntil) && !tried[m.Name]
 }
 
 // choose returns the member for a request, or nil if none is available. A request with
-// an affinity gets the first available member on the ring whose load is below the bound.
-// A request without an affinity, or for which the ring has no such member, gets the least
-// loaded member.
-func (p *servicePool) choose(w Request, random *rand.Rand, now time.Time) *member {
+// an affinity gets the first available member on the ring with fewer than loadLimit
+// requests in flight. A request without an affinity, or for which firstOnRing finds no
+// member, gets a member from leastLoaded or, failing that, from scan.
+func (p *servicePool) choose(req Request, random *rand.Rand, now time.Time) *member {
 	if len(p.members) == 0 {
 		return nil
 	}
-	if w.Affinity != 0 {
-		if m := p.firstOnRing(w, loadLimit(p.inFlight, len(p.members)), now); m != nil {
+	if req.Affinity != 0 {
+		if m := p.firstOnRing(req, loadLimit(p.inFlight, len(p.members)), now); m != nil {
 			return m
 		}
 	}
-	if m := p.leastLoaded(w, random, now); m != nil {
+	if m := p.leastLoaded(req, random, now); m != nil {
 		return m
 	}
-	return p.scan(w, now)
+	return p.scan(req, now)
 }
 
-// firstOnRing returns the first available member on the ring, beginning at the point of
-// the request's affinity. It returns nil if there is none within maxRingProbes points.
-func (p *servicePool) firstOnRing(w Request, limit int, now time.Time) *member {
-	start := sort.Search(len(p.ring), func(i int) bool { return p.ring[i].hash >= w.Affinity })
-	for probe := range min(maxRingProbes, len(p.ring)) {
-		m := p.members[p.ring[(start+probe)%len(p.ring)].member]
-		if m.available(limit, w.Tried, now) {
+// firstOnRing returns the first available member on the ring, beginning at the first point
+// whose hash is at least the request's affinity. It returns nil if none of maxRingPoints
+// points has an available member.
+func (p *servicePool) firstOnRing(req Request, limit int, now time.Time) *member {
+	start := sort.Search(len(p.ring), func(i int) bool { return p.ring[i].hash >= req.Affinity })
+	for step := range min(maxRingPoints, len(p.ring)) {
+		m := p.members[p.ring[(start+step)%len(p.ring)].member]
+		if m.available(limit, req.Tried, now) {
 			return m
 		}
 	}
@@ -96,41 +97,43 @@
 
 // leastLoaded returns the available member with the fewest requests: among all in a
 // small pool, among two random ones in a large one (M. Mitzenmacher, "The Power of Two
-// Choices in Randomized Load Balancing", 1996). It returns nil if none is available.
-func (p *servicePool) leastLoaded(w Request, random *rand.Rand, now time.Time) *member {
+// Choices in Randomized Load Balancing", 1996). It returns nil if none of these is
+// available.
+func (p *servicePool) leastLoaded(req Request, random *rand.Rand, now time.Time) *member {
 	if len(p.members) <= maxFullScan {
-		return p.scan(w, now)
+		return p.scan(req, now)
 	}
 	a, b := p.members[random.IntN(len(p.members))], p.members[random.IntN(len(p.members))]
 	if b.inFlight < a.inFlight {
 		a, b = b, a
 	}
 	for _, m := range []*member{a, b} {
-		if m.available(m.Concurrency, w.Tried, now) {
+		if m.available(m.Concurrency, req.Tried, now) {
 			return m
 		}
 	}
 	return nil
 }
 
-// scan returns the available member with the fewest requests among all, or nil.
-func (p *servicePool) scan(w Request, now time.Time) *member {
+// scan returns the available member with the fewest requests in flight, or nil if no member
+// is available.
+func (p *servicePool) scan(req Request, now time.Time) *member {
 	var best *member
 	for _, m := range p.members {
-		if m.available(m.Concurrency, w.Tried, now) && (best == nil || m.inFlight < best.inFlight) {
+		if m.available(m.Concurrency, req.Tried, now) && (best == nil || m.inFlight < best.inFlight) {
 			best = m
 		}
 	}
 	return best
 }
 
-// earliestReadmission considers the members that are not draining and were not tried;
-// untried reports whether there are any. It returns the one whose ejection ends first,
-// without those that are backing off. It returns nil if a member is neither ejected nor
-// backing off, or if all are backing off.
-func (p *servicePool) earliestReadmission(w Request, now time.Time) (first *member, untried bool) {
+// earliestReadmission returns the candidate whose ejection ends first. The candidates are
+// the members that are not draining, not backing off and not in req.Tried. It returns nil if
+// there is no candidate, or if one is not ejected. untried reports whether any member is
+// neither draining nor in req.Tried.
+func (p *servicePool) earliestReadmission(req Request, now time.Time) (first *member, untried bool) {
 	for _, m := range p.members {
-		if m.draining || w.Tried[m.Name] {
+		if m.draining || req.Tried[m.Name] {
 			continue
 		}
 		if !m.backoff.Allows(now) {
@@ -147,11 +150,12 @@
 	return first, untried || first != nil
 }
 
-// shortestBackoff returns the time until the first backoff ends and true, if every
-// untried member that is not draining is backing off.
-func (p *servicePool) shortestBackoff(w Request, now time.Time) (remaining time.Duration, all bool) {
+// shortestBackoff considers the members that are not draining and not in req.Tried. If there
+// are any and all are backing off, it returns the time until the first backoff ends, and
+// true. Otherwise it returns zero and false.
+func (p *servicePool) shortestBackoff(req Request, now time.Time) (remaining time.Duration, all bool) {
 	for _, m := range p.members {
-		if m.draining || w.Tried[m.Name] {
+		if m.draining || req.Tried[m.Name] {
 			continue
 		}
 		wait := m.backoff.Remaining(now)
--- a/partner/route/queue.go
+++ b/partner/route/queue.go
@@ -17,16 +17,16 @@
 
 // waiter is a queued request.
 type waiter struct {
-	want Request
-	// granted receives the slot of the request. It is buffered, so that serveQueue does not
-	// block.
+	request Request
+	// granted receives the slot of the request. The channel is buffered, so that
+	// serveQueue does not block.
 	granted chan *Slot
 }
 
 // add inserts a request behind those of the same or a higher priority.
-func (q *queue) add(w Request) *waiter {
-	added := &waiter{want: w, granted: make(chan *Slot, 1)}
-	pos := sort.Search(len(*q), func(i int) bool { return (*q)[i].want.Priority < w.Priority })
+func (q *queue) add(req Request) *waiter {
+	added := &waiter{request: req, granted: make(chan *Slot, 1)}
+	pos := sort.Search(len(*q), func(i int) bool { return (*q)[i].request.Priority < req.Priority })
 	*q = append(*q, nil)
 	copy((*q)[pos+1:], (*q)[pos:])
 	(*q)[pos] = added
@@ -45,19 +45,19 @@
 
 // serveQueue assigns free capacity to queued requests in order. It stops at the first
 // request without an available upstream, unless that request is a retry: the upstreams
-// that a retry excludes may be available to the requests behind it. The caller holds
-// mu.
+// that a retry excludes may be available to later requests in the queue. The caller
+// holds mu.
 func (t *Table) serveQueue(p *servicePool, now time.Time) {
 	for i := 0; i < len(p.waiters); {
 		w := p.waiters[i]
 		// A request that can't be assigned stays queued until its deadline, whether
 		// or not an upstream is eligible.
-		slot, _ := t.assign(p, w.want, now)
+		slot, _ := t.assign(p, w.request, now)
 		switch {
 		case slot != nil:
 			p.waiters = slices.Delete(p.waiters, i, i+1)
 			w.granted <- slot
-		case len(w.want.Tried) == 0:
+		case len(w.request.Tried) == 0:
 			return
 		default:
 			i++
--- a/partner/route/ring.go
+++ b/partner/route/ring.go
@@ -21,9 +21,9 @@
 	// pointsPerMember is the number of virtual nodes of each member. More points make
 	// the members' shares of the ring more even.
 	pointsPerMember = 32
-	// maxRingProbes bounds the points that are examined for one request. If no member at
+	// maxRingPoints is the most points that are examined for one request. If no member at
 	// these points is available, choose falls back to leastLoaded and scan.
-	maxRingProbes = 64
+	maxRingPoints = 64
 	// loadSlack is how far a member's load may exceed the average, as a fraction of
 	// it, before requests with affinity go to the next member on the ring.
 	loadSlack = 0.25
@@ -44,8 +44,9 @@
 }
 
 // loadLimit returns the number of requests that one member may have in flight from
-// this router under the load bound: the average over all members after one more
-// request, plus the slack. members must be positive.
+// this router before requests with affinity go to the next member on the ring. This is
+// the average over all members after one more request, raised by loadSlack, rounded down
+// and increased by one. members must be positive.
 func loadLimit(inFlight, members int) int {
 	average := float64(inFlight+1) / float64(members)
 	return int(average*(1+loadSlack)) + 1
--- a/partner/route/table.go
+++ b/partner/route/table.go
@@ -19,7 +19,7 @@
 // Target is an upstream that can be chosen.
 type Target struct {
 	Name granitehoist.Upstream
-	// Concurrency bounds the requests in flight from this router.
+	// Concurrency is the most requests in flight from this router.
 	Concurrency int
 }
 
@@ -80,19 +80,19 @@
 // no eligible upstream. It is Overloaded if none became available in time, if the queue
 // is full, or if all upstreams are backing off; in the last case RetryAfter is the time
 // until the first backoff ends.
-func (t *Table) Acquire(ctx context.Context, w Request, now time.Time) (*Slot, error) {
+func (t *Table) Acquire(ctx context.Context, req Request, now time.Time) (*Slot, error) {
 	t.mu.Lock()
-	pool := t.currentPool(w)
-	slot, eligible := t.assign(pool, w, now)
+	pool := t.currentPool(req)
+	slot, eligible := t.assign(pool, req, now)
 	if slot != nil {
 		t.mu.Unlock()
 		return slot, nil
 	}
-	if err := t.checkWait(pool, w, eligible, now); err != nil {
+	if err := t.checkWait(pool, req, eligible, now); err != nil {
 		t.mu.Unlock()
 		return nil, err
 	}
-	queued := pool.waiters.add(w)
+	queued := pool.waiters.add(req)
 	t.mu.Unlock()
 	select {
 	case slot := <-queued.granted:
@@ -103,14 +103,13 @@
 }
 
 // checkWait returns nil if a request without an available upstream may be queued, and
-// otherwise the reason for its refusal. eligible says that an upstream could be chosen
-// if it had capacity. The caller holds mu.
-func (t *Table) checkWait(pool *servicePool, w Request, eligible bool, now time.Time) error {
+// otherwise the reason for its refusal. eligible is as returned by assign. The caller holds mu.
+func (t *Table) checkWait(pool *servicePool, req Request, eligible bool, now time.Time) error {
 	if !eligible {
-		return granitehoist.Errorf(granitehoist.NoUpstream, "service %s", w.Service)
+		return granitehoist.Errorf(granitehoist.NoUpstream, "service %s", req.Service)
 	}
-	if remaining, all := pool.shortestBackoff(w, now); all {
-		overloaded := granitehoist.Errorf(granitehoist.Overloaded, "all upstreams of service %s are backing off", w.Service)
+	if remaining, all := pool.shortestBackoff(req, now); all {
+		overloaded := granitehoist.Errorf(granitehoist.Overloaded, "all upstreams of service %s are backing off", req.Service)
 		overloaded.RetryAfter = remaining
 		return overloaded
 	}
@@ -122,22 +121,22 @@
 
 // currentPool returns the service's pool and replaces it if the targets changed. The
 // new pool takes over the members' state and the queued requests. The caller holds mu.
-func (t *Table) currentPool(w Request) *servicePool {
-	p, exists := t.pools[w.Service]
-	if exists && sameSlice(p.targets, w.Targets) {
+func (t *Table) currentPool(req Request) *servicePool {
+	p, exists := t.pools[req.Service]
+	if exists && sameSlice(p.targets, req.Targets) {
 		return p
 	}
-	if exists && slices.Equal(p.targets, w.Targets) {
-		p.targets = w.Targets
+	if exists && slices.Equal(p.targets, req.Targets) {
+		p.targets = req.Targets
 		return p
 	}
-	next := t.buildPool(w.Targets)
+	next := t.buildPool(req.Targets)
 	if exists {
 		next.waiters = p.waiters
 		p.waiters = nil
 		p.successor = next
 	}
-	t.pools[w.Service] = next
+	t.pools[req.Service] = next
 	return next
 }
 
@@ -164,14 +163,14 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// assign chooses an available upstream and reserves a slot there. If all untried
-// upstreams are ejected, it uses the one whose ejection ends first. eligible is false
-// if no upstream could be chosen even with capacity. The caller holds mu.
-func (t *Table) assign(p *servicePool, w Request, now time.Time) (slot *Slot, eligible bool) {
-	if m := p.choose(w, t.random, now); m != nil {
+// assign chooses an available upstream and reserves a slot at it. If there is none, it uses
+// the upstream that earliestReadmission returns, if that has capacity. eligible is false if
+// all upstreams are draining or were tried. The caller holds mu.
+func (t *Table) assign(p *servicePool, req Request, now time.Time) (slot *Slot, eligible bool) {
+	if m := p.choose(req, t.random, now); m != nil {
 		return t.reserve(p, m, now), true
 	}
-	first, untried := p.earliestReadmission(w, now)
+	first, untried := p.earliestReadmission(req, now)
 	if first != nil && first.inFlight < first.Concurrency {
 		return t.reserve(p, first, now), true
 	}
@@ -189,17 +188,17 @@
 	return slot
 }
 
-// SetDraining replaces the set of draining upstreams. They get no new requests; those
-// in flight continue.
-func (t *Table) SetDraining(leaving map[granitehoist.Upstream]bool) {
+// SetDraining replaces the set of draining upstreams. They get no new requests;
+// requests in flight continue.
+func (t *Table) SetDraining(draining map[granitehoist.Upstream]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for name, m := range t.members {
-		m.draining = leaving[name]
+		m.draining = draining[name]
 	}
-	for name := range leaving {
+	for name := range draining {
 		if _, ok := t.members[name]; !ok {
-			t.members[name] = &member{Target: Target{Name: name}, draining: leaving[name]}
+			t.members[name] = &member{Target: Target{Name: name}, draining: draining[name]}
 		}
 	}
 }
@@ -211,8 +210,8 @@
 	table    *Table
 	pool     *servicePool
 	member   *member
-	// acquiredAt is when the upstream was chosen. probe says that the upstream had not yet
-	// recovered from a backoff then.
+	// acquiredAt is when the upstream was chosen. probe says that the upstream had not
+	// recovered from a backoff at that time.
 	acquiredAt time.Time
 	probe      bool
 }
