--- a/partner/bill/bill.go
+++ b/partner/bill/bill.go
@@ -26,8 +26,8 @@
 	Service  granitehoist.Service  `json:"service"`
 	Upstream granitehoist.Upstream `json:"upstream"`
 	Tokens   granitehoist.Tokens   `json:"tokens"`
-	// Estimated is set if the upstream reported no usage and the reserved upper bound
-	// was charged.
+	// Estimated is set if the upstream reported no usage of an attempt and the attempt's
+	// maximum cost was charged.
 	Estimated bool `json:"estimated,omitempty"`
 	// Orphan is set if another router made the charge from the upstream's record of
 	// an attempt whose incarnation crashed. Such a charge has no Seq, and is ignored
--- a/partner/bill/collector.go
+++ b/partner/bill/collector.go
@@ -23,7 +23,7 @@
 )
 
 // Collector writes batches of charges to segments in the store. Batches that arrive
-// while a segment is being written share the next one. It is safe for concurrent use.
+// while a segment is being written share the next segment. It is safe for concurrent use.
 type Collector struct {
 	settings CollectorSettings
 	group    *batch.Group[Batch, CollectResult]
--- a/partner/bill/segment.go
+++ b/partner/bill/segment.go
@@ -13,7 +13,8 @@
 	"granitehoist.example/granitehoist/internal/pack"
 )
 
-// segmentFormat is the format version of stored segments; others are rejected.
+// segmentFormat is the format version of stored segments; a segment of another format is
+// rejected.
 const segmentFormat = 1
 
 // Segment is a stored record of charges. ID is its store key.
--- a/partner/bill/sender.go
+++ b/partner/bill/sender.go
@@ -77,7 +77,7 @@
 }
 
 // send sends a batch to the region's collector and, if that fails, writes it through the
-// local one. The error of the remote call is dropped, since the local write decides. The
+// local Collector. The error of the remote call is dropped, since the local write decides. The
 // batch may then be in two segments; readers count it once.
 func (s *Sender) send(ctx context.Context, b Batch) error {
 	if peer, ok := s.settings.RemoteCollector(); ok {
--- a/partner/boxlist/boxlist.go
+++ b/partner/boxlist/boxlist.go
@@ -26,7 +26,7 @@
 }
 
 // defaultTimeout bounds a call. It equals the polling interval of package partner/router,
-// so that a poll ends before the next one is due.
+// so that a poll ends before the next poll is due.
 const defaultTimeout = 2 * time.Second
 
 // idleConnTimeout is the time after which an unused connection is closed.
--- a/partner/config/apply.go
+++ b/partner/config/apply.go
@@ -35,15 +35,15 @@
 	return c, nil
 }
 
-// maxReadBacks bounds the attempts to read back a write whose outcome is unknown.
+// maxReadBacks bounds the attempts to read a document after a write of unknown outcome.
 const maxReadBacks = 5
 
 // Apply stores raw, the JSON of a Signed, in place of the partner's current document. Its
-// Previous must be the ChangeID of the current document, and its Serial the next one.
-// Applying the current document again changes nothing. Errors are *granitehoist.Error with
-// code NotAuthorised, DocumentBad, DocumentConflict if another document was written first,
-// StoreDown if nothing was written, or DocumentUnsettled if the outcome of the write is
-// unknown.
+// Previous must be the ChangeID of the current document, and its Serial one more than the
+// Serial of the current document. Applying the current document again changes nothing.
+// Errors are *granitehoist.Error with code NotAuthorised, DocumentBad, DocumentConflict if
+// another document was written first, StoreDown if nothing was written, or
+// DocumentUnsettled if the outcome of the write is unknown.
 func Apply(ctx context.Context, s granitehoist.Store, t Trust, raw []byte) (Signed, error) {
 	signed, _, err := t.verify(raw)
 	if err != nil {
--- a/partner/config/document.go
+++ b/partner/config/document.go
@@ -34,7 +34,8 @@
 	return &d, nil
 }
 
-// document checks all parts of a document. Parts that others refer to come first.
+// document checks all parts of a document. A part that other parts refer to is checked
+// before them.
 func (c checker) document(d *Document) {
 	c.name("", 0, "partner", string(d.Partner))
 	services := c.services(d)
--- a/partner/config/follower.go
+++ b/partner/config/follower.go
@@ -29,9 +29,9 @@
 // defaultPause limits a router to two store calls per second during an outage.
 const defaultPause = 500 * time.Millisecond
 
-// Follower watches the documents in the store and keeps a view of those in force. A
-// document that can't be decoded, or that its partner did not sign, leaves the previous one
-// in force. View may be called concurrently with Run.
+// Follower watches the documents in the store and keeps a view of the documents in force.
+// A document that can't be decoded, or that its partner did not sign, leaves the partner's
+// previous document in force. View may be called concurrently with Run.
 type Follower struct {
 	settings FollowerSettings
 	watcher  *follow.Follower
@@ -70,7 +70,7 @@
 // Run may be in progress. Failed and Changed are called on its goroutine.
 func (f *Follower) Run(ctx context.Context) { f.watcher.Run(ctx) }
 
-// apply puts documents in force that are valid and newer than those of the view. Deleted
+// apply puts the valid documents in force that are newer than the documents of the view. Deleted
 // entries are ignored.
 func (f *Follower) apply(entries []granitehoist.Entry) {
 	view := f.View()
--- a/partner/config/service.go
+++ b/partner/config/service.go
@@ -27,8 +27,8 @@
 	Kind Kind                 `toml:"kind"`
 	// Models lists the models that an engine service offers.
 	Models []granitehoist.Model `toml:"models"`
-	// MaxOutput bounds the output tokens of one response. DefaultOutput is the bound of
-	// a request that sets none. Both apply to engines only.
+	// MaxOutput is the most output tokens of one choice of a response. DefaultOutput applies
+	// instead to a request that sets no maximum. Both apply to engines only.
 	MaxOutput     granitehoist.Tokens `toml:"max_output"`
 	DefaultOutput granitehoist.Tokens `toml:"default_output"`
 	// Price is the cost of one call of a plain service, in tokens.
--- a/partner/config/view.go
+++ b/partner/config/view.go
@@ -65,7 +65,7 @@
 }
 
 // With returns a view in which d, with the given serial, replaces its partner's document.
-// It returns v itself if the serial is not newer than the one in force. It panics if the
+// It returns v itself if the serial is not above the serial in force. It panics if the
 // document has faults.
 func (v *View) With(d *Document, serial granitehoist.Serial) *View {
 	if serial <= v.Serial(d.Partner) {
@@ -212,7 +212,8 @@
 	return nil, false
 }
 
-// Offers returns all services, those of the caller's partner first, then by partner name.
+// Offers returns all services: first the services of the caller's partner, then those of all
+// other partners by partner name.
 func (v *View) Offers(caller granitehoist.Partner) []*Offer {
 	var offers []*Offer
 	for _, p := range v.partnersFrom(caller) {
@@ -223,7 +224,8 @@
 	return offers
 }
 
-// partnersFrom returns the partners with a document, the caller's first, then by name.
+// partnersFrom returns the partners with a document: first the caller's partner, then all
+// other partners by name.
 func (v *View) partnersFrom(caller granitehoist.Partner) []*partnerView {
 	partners := make([]*partnerView, 0, len(v.partners))
 	for _, p := range v.partners {
--- a/partner/once/doc.go
+++ b/partner/once/doc.go
@@ -14,12 +14,12 @@
 // A Registry is stateless; all state is in the records. A Binding keeps the
 // record that it wrote last and belongs to one goroutine. Records are never
 // deleted. The package needs only the compare-and-swap of granitehoist.Store;
-// store.Swap reads a record back if the reply to a write was lost.
+// store.Swap reads a record back if the response to a write was lost.
 //
 // Package partner/gate, in 'granitehoist router', is the caller. Begin reading at
 // Registry.Bind and checkBindable.
 //
 // granitehoist-edge has no such records. Package forward doesn't retry an unsafe
-// request after an attempt that may have run. If the caller repeats the request, it
-// is a new request there and may run again.
+// request after an attempt that may have run. If the caller repeats the request,
+// granitehoist-edge treats the repetition as a new request, which may run again.
 package once
--- a/partner/once/record.go
+++ b/partner/once/record.go
@@ -24,7 +24,8 @@
 	Bound State = "bound"
 	// Done means that the upstream has responded.
 	Done State = "done"
-	// Released means that no attempt ran, so that the request may be bound again.
+	// Released means that no attempt ran, so that the request may be bound again. The
+	// stored value stays for compatibility.
 	Released State = "free"
 )
 
@@ -49,9 +50,9 @@
 
 // key returns the store key of the request's record. It hashes the request id,
 // which the caller chooses and which may be long or contain slashes.
-func (s RequestKey) key() string {
-	sum := sha256.Sum256([]byte(s.Request))
-	return KeyPrefix + string(s.Partner) + "/" + string(s.Workspace) + "/" + hex.EncodeToString(sum[:])
+func (k RequestKey) key() string {
+	sum := sha256.Sum256([]byte(k.Request))
+	return KeyPrefix + string(k.Partner) + "/" + string(k.Workspace) + "/" + hex.EncodeToString(sum[:])
 }
 
 // checkBindable returns nil if the store entry of a request allows binding it: there
--- a/partner/once/registry.go
+++ b/partner/once/registry.go
@@ -45,8 +45,8 @@
 // the fleet. The error is a *granitehoist.Error with code AlreadyRun or OnceUnsure if
 // the request is already bound, or OnceUnavailable if the store doesn't respond.
 // After an error the request must not be sent.
-func (r *Registry) Bind(ctx context.Context, s RequestKey, attempt granitehoist.AttemptID, now time.Time) (*Binding, error) {
-	key := s.key()
+func (r *Registry) Bind(ctx context.Context, k RequestKey, attempt granitehoist.AttemptID, now time.Time) (*Binding, error) {
+	key := k.key()
 	current, err := r.store.Get(ctx, key)
 	if err != nil {
 		return nil, granitehoist.Wrap(granitehoist.OnceUnavailable, err, "")
@@ -66,7 +66,7 @@
 }
 
 // conflict returns the error for a request whose record another router changed
-// between the read and the write.
+// after Bind had read the record and before Bind wrote it.
 func (r *Registry) conflict(ctx context.Context, key string) error {
 	current, err := r.store.Get(ctx, key)
 	if err != nil {
--- a/partner/orphan/charge.go
+++ b/partner/orphan/charge.go
@@ -39,15 +39,15 @@
 // newCharge returns the charge for an attempt of the failed router. It returns false
 // if the attempt id is malformed, or if no budget in force has the hash in the id, as
 // after the budget was removed from the documents.
-func (j *settlement) newCharge(a granitehoist.KnownAttempt, e engine) (bill.Charge, bool) {
-	dead := j.result.Incarnation
-	parts, ok := a.ID.Parts(dead)
-	budget := j.budgets[parts.BudgetHash]
+func (s *settlement) newCharge(a granitehoist.KnownAttempt, e engine) (bill.Charge, bool) {
+	failed := s.result.Incarnation
+	parts, ok := a.ID.Parts(failed)
+	budget := s.budgets[parts.BudgetHash]
 	if !ok || budget == "" {
 		return bill.Charge{}, false
 	}
 	return bill.Charge{
-		Incarnation: dead,
+		Incarnation: failed,
 		Request:     parts.Request,
 		Attempts:    []granitehoist.AttemptID{a.ID},
 		Budget:      budget,
@@ -56,6 +56,6 @@
 		Upstream:    e.Name,
 		Tokens:      a.Usage.Total(),
 		Orphan:      true,
-		At:          j.now,
+		At:          s.now,
 	}, true
 }
--- a/partner/orphan/doc.go
+++ b/partner/orphan/doc.go
@@ -9,7 +9,7 @@
 // router of the region at a time, in 'granitehoist router', lists these attempts and
 // writes a charge for each that no bill segment contains. If the failed router's own
 // charge reaches the store later, both charges contain the attempt's id, and bill.Merge
-// drops the one written here.
+// drops the orphan charge.
 //
 // The unspent tokens of the failed router are not recovered: plain services keep no
 // list of attempts, and loans to other boxes may be in transit, so it can't be proved
@@ -25,6 +25,6 @@
 // Begin reading at Settler.Settle. lastSeen.isUnresponsive decides which routers are
 // settled, and classifyAttempt which attempts are charged.
 //
-// granitehoist-edge writes no charges. There, package escrow counts the tokens that a
+// granitehoist-edge writes no charges. Its package escrow counts the tokens that a
 // failed box held as spent.
 package orphan
--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -46,8 +46,8 @@
 // Result summarizes one call of Settle.
 type Result struct {
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
-	// Found is the number of attempts that the engines listed. Charged counts those that
-	// this call charged. Running counts those that have not ended or whose usage the
+	// Found is the number of attempts that the engines listed. Charged is the number that
+	// this call charged. Running is the number that have not ended or whose usage the
 	// engine has not reported.
 	Found   int `json:"found"`
 	Charged int `json:"charged"`
@@ -83,14 +83,14 @@
 // if the router is known to have stopped. Repeated calls charge no attempt twice. Settle
 // returns the errors of the store. An unreachable engine is not an error: it is listed
 // in Result.UnreachableEngines and queried again by the next call.
-func (s *Settler) Settle(ctx context.Context, dead granitehoist.Incarnation, stop bool, now time.Time) (Result, error) {
-	job := &settlement{stopRunning: stop, budgets: s.budgetsByHash(), now: now, result: Result{Incarnation: dead}}
+func (s *Settler) Settle(ctx context.Context, failed granitehoist.Incarnation, stop bool, now time.Time) (Result, error) {
+	job := &settlement{stopRunning: stop, budgets: s.budgetsByHash(), now: now, result: Result{Incarnation: failed}}
 	var err error
-	if job.charged, err = s.readCharged(ctx, dead); err != nil {
+	if job.charged, err = s.readCharged(ctx, failed); err != nil {
 		return job.result, err
 	}
 	for _, e := range s.engines() {
-		attempts, err := s.settings.Engines.List(ctx, e.Address, granitehoist.AttemptPrefix(dead))
+		attempts, err := s.settings.Engines.List(ctx, e.Address, granitehoist.AttemptPrefix(failed))
 		if err != nil {
 			job.result.UnreachableEngines = append(job.result.UnreachableEngines, e.Name)
 			continue
@@ -100,7 +100,7 @@
 		}
 	}
 	job.result.Charged = len(job.charges)
-	return job.result, s.write(ctx, dead, job.charges)
+	return job.result, s.write(ctx, failed, job.charges)
 }
 
 // settleAttempt stops a running attempt if job.stopRunning is set, and adds a charge for an
@@ -137,13 +137,13 @@
 }
 
 // readCharged returns the attempts of an incarnation that are in bill segments.
-func (s *Settler) readCharged(ctx context.Context, dead granitehoist.Incarnation) (map[granitehoist.AttemptID]bool, error) {
+func (s *Settler) readCharged(ctx context.Context, failed granitehoist.Incarnation) (map[granitehoist.AttemptID]bool, error) {
 	charges, err := bill.Read(ctx, s.settings.Store)
 	if err != nil {
 		return nil, err
 	}
 	charged := map[granitehoist.AttemptID]bool{}
-	prefix := granitehoist.AttemptPrefix(dead)
+	prefix := granitehoist.AttemptPrefix(failed)
 	for _, c := range charges {
 		for _, attempt := range c.Attempts {
 			if strings.HasPrefix(string(attempt), prefix) {
@@ -168,12 +168,12 @@
 
 // write stores the charges under the first unused key. Two routers that settle
 // concurrently write two segments; readers count each attempt once.
-func (s *Settler) write(ctx context.Context, dead granitehoist.Incarnation, charges []bill.Charge) error {
+func (s *Settler) write(ctx context.Context, failed granitehoist.Incarnation, charges []bill.Charge) error {
 	if len(charges) == 0 {
 		return nil
 	}
 	for n := range maxOrphanSegments {
-		key := bill.OrphanKey(dead, n)
+		key := bill.OrphanKey(failed, n)
 		raw, err := bill.EncodeSegment(key, charges)
 		if err != nil {
 			return err
@@ -182,5 +182,5 @@
 			return err
 		}
 	}
-	return eris.Errorf("orphan: more than %d segments for incarnation %s", maxOrphanSegments, dead)
+	return eris.Errorf("orphan: more than %d segments for incarnation %s", maxOrphanSegments, failed)
 }
--- a/partner/orphan/unresponsive.go
+++ b/partner/orphan/unresponsive.go
@@ -12,16 +12,16 @@
 	"granitehoist.example/granitehoist/partner/budget"
 )
 
-// UnresponsiveTimeout is the time without a report after which another router charges a
-// router's attempts. A partitioned router may return later and store its own charges for
-// these attempts; bill.Merge then drops the charges that the other router wrote.
+// UnresponsiveTimeout is the time after the last report of a router from which another router
+// charges the first router's attempts. A partitioned router may return later and store its
+// own charges for these attempts; bill.Merge then drops the orphan charges.
 const UnresponsiveTimeout = 2 * time.Minute
 
 // lastSeen is the newest state of a router in the region records of its region.
 type lastSeen struct {
-	// at is the time of its newest report, in seconds since the Unix epoch.
+	// at is the time of the router's newest report, in seconds since the Unix epoch.
 	at int64
-	// closed means that it stopped gracefully, with all its charges in the store.
+	// closed means that the router stopped gracefully, with all its charges in the store.
 	closed bool
 }
 
--- a/partner/policy/policy.go
+++ b/partner/policy/policy.go
@@ -52,8 +52,8 @@
 }
 
 // Error returns the policy, the program and the reason.
-func (f *ProgramError) Error() string {
-	return fmt.Sprintf("policy %q, program %s: %s", f.Policy, f.Program, f.Reason)
+func (e *ProgramError) Error() string {
+	return fmt.Sprintf("policy %q, program %s: %s", e.Policy, e.Program, e.Reason)
 }
 
 // defaultPriorityProgram yields the request's own priority.
--- a/partner/policy/set.go
+++ b/partner/policy/set.go
@@ -11,8 +11,8 @@
 
 // Decide permits a request if the set is not empty and every policy in it permits
 // the request. It returns the lowest priority that any of the policies yields. A
-// denied request yields an error with code PolicyDenied, and a failed program one
-// with code PolicyFailed.
+// denied request yields an error with code PolicyDenied. A failed program yields an
+// error with code PolicyFailed.
 func (s Set) Decide(r Request) (granitehoist.Priority, error) {
 	if len(s) == 0 {
 		return 0, granitehoist.Errorf(granitehoist.PolicyDenied, "no policy permits workspace %s of %s on %s of %s", r.Workspace, r.Partner, r.Service, r.Owner)
--- a/partner/report/burn.go
+++ b/partner/report/burn.go
@@ -14,8 +14,8 @@
 // BurnReport is the burn-rate report of a fleet, over the routers that could be reached.
 type BurnReport struct {
 	Rows []Row `json:"rows"`
-	// Asked lists the boxes whose counts are in Rows, Unreached those whose routers
-	// could not be reached.
+	// Asked lists the boxes whose counts are in Rows. Unreachable lists the boxes whose
+	// routers could not be reached. The JSON names stay for compatibility.
 	Asked       []granitehoist.Box `json:"asked"`
 	Unreachable []granitehoist.Box `json:"unreached"`
 }
--- a/partner/report/counts.go
+++ b/partner/report/counts.go
@@ -24,15 +24,16 @@
 type Counts struct {
 	// Requests counts all ended requests, whatever their result.
 	Requests int `json:"requests"`
-	// FirstTokens counts responses with a first token and TokenGaps gaps between tokens;
-	// SlowFirstTokens and SlowTokenGaps count those that missed the objective.
+	// FirstTokens counts the responses with a first token, and SlowFirstTokens the responses
+	// whose first token missed firstTokenObjective. TokenGaps counts the gaps between
+	// tokens, and SlowTokenGaps the gaps that missed tokenGapObjective.
 	FirstTokens     int `json:"first"`
 	SlowFirstTokens int `json:"slow_first"`
 	TokenGaps       int `json:"between"`
 	SlowTokenGaps   int `json:"slow_between"`
-	// Refused counts requests rejected for lack of budget, capacity or upstreams,
-	// Errors those that failed in an upstream or a router. Client errors count as
-	// neither.
+	// Refused counts the requests rejected for lack of budget, capacity or upstreams.
+	// Errors counts the requests that failed in an upstream or a router. A client error
+	// counts as neither.
 	Refused int `json:"refused"`
 	Errors  int `json:"errors"`
 }
--- a/partner/report/metrics.go
+++ b/partner/report/metrics.go
@@ -13,8 +13,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// quantiles lists the quantiles written for each timer; 0.95 is that of the service level
-// objectives.
+// quantiles lists the quantiles written for each timer; 0.95 is the quantile of the service
+// level objectives.
 var quantiles = []float64{0.5, 0.95, 0.99}
 
 const metricPrefix = "granitehoist_"
--- a/partner/router/doc.go
+++ b/partner/router/doc.go
@@ -19,8 +19,8 @@
 // servingEvidence.mayServe (can a router still be serving), newDocumentState (is a
 // document accepted) and leavingUpstreams.
 //
-// Package node is the counterpart in granitehoist-edge. Membership differs: there a box
-// registers its address once, without a lease, and in fleets of 16 boxes or more only
-// relays list the others; here each router renews a lease and lists the others through
-// fleet.Registry (docs/design/fleet.md).
+// Package node is the counterpart in granitehoist-edge. Membership differs. In
+// granitehoist-edge a box registers its address once, without a lease, and in fleets of 16
+// boxes or more only relays list the boxes. In this package each router renews a lease and
+// lists the routers through fleet.Registry (docs/design/fleet.md).
 package router
--- a/partner/router/documents.go
+++ b/partner/router/documents.go
@@ -19,8 +19,9 @@
 	Partner granitehoist.Partner `json:"partner"`
 	// Current is the stored document.
 	Current config.Current `json:"current"`
-	// InForce lists the boxes that apply it and Waiting those that do not yet or can't
-	// be reached. The document is accepted when it is stored and Waiting is empty.
+	// InForce lists the boxes whose router has the stored document or a newer one in force.
+	// Waiting lists the boxes whose router has not or can't be reached. The document is
+	// accepted when it is stored and Waiting is empty.
 	InForce  []granitehoist.Box `json:"in_force"`
 	Waiting  []granitehoist.Box `json:"waiting"`
 	Accepted bool               `json:"accepted"`
--- a/partner/router/leaving.go
+++ b/partner/router/leaving.go
@@ -16,7 +16,7 @@
 const leavingInterval = 2 * time.Second
 
 // watchLeaving polls the platform's list of boxes until ctx ends and stops new requests to
-// upstreams on leaving boxes. While the list can't be read, the last one stays in use.
+// upstreams on leaving boxes. While the list can't be read, the last list stays in use.
 func (r *Router) watchLeaving(ctx context.Context) {
 	if r.settings.Platform == nil {
 		return
@@ -39,9 +39,9 @@
 	}
 }
 
-// leavingUpstreams returns the upstreams that get no new requests: those on boxes that the
-// platform lists as leaving. boxes is the platform's list, which may be stale; its value is
-// true for a leaving box.
+// leavingUpstreams returns the upstreams that get no new requests: the upstreams on boxes
+// that the platform lists as leaving. boxes is the platform's list, which may be stale; a
+// value is true for a leaving box.
 func leavingUpstreams(offers []*config.Offer, boxes map[granitehoist.Box]bool) map[granitehoist.Upstream]bool {
 	leaving := map[granitehoist.Upstream]bool{}
 	for _, offer := range offers {
--- a/partner/router/mayserve.go
+++ b/partner/router/mayserve.go
@@ -14,7 +14,7 @@
 type servingEvidence struct {
 	// live holds the routers whose lease was valid when the view was read.
 	live map[granitehoist.Incarnation]bool
-	// boxes is the platform's list of boxes, empty if there is none.
+	// boxes is the platform's list of boxes, empty if there is no list.
 	boxes map[granitehoist.Box]bool
 }
 
@@ -28,7 +28,7 @@
 }
 
 // servingMembers returns the routers that may be serving, and removes the registrations of
-// the others.
+// all other routers.
 func (r *Router) servingMembers(ctx context.Context) ([]fleet.Member, error) {
 	registered, err := fleet.ListServing(ctx, r.settings.Store)
 	if err != nil {
--- a/partner/router/stop.go
+++ b/partner/router/stop.go
@@ -14,9 +14,9 @@
 )
 
 // Stop shuts the router down gracefully. It reports not ready, continues to serve for the
-// ReadinessDelay, rejects new requests, waits for those in progress, returns its tokens and
-// writes its charges to the store. If ctx ends first, each remaining step is
-// cut short. The error joins those of all failed steps.
+// ReadinessDelay, rejects new requests, waits for the requests in progress, returns its
+// tokens and writes its charges to the store. If ctx ends first, each remaining step is
+// cut short. The error joins the errors of all failed steps.
 func (r *Router) Stop(ctx context.Context) error {
 	r.settings.Log.Info("stopping")
 	failures := stopFailures{log: r.settings.Log}
--- a/partner/upstream/doc.go
+++ b/partner/upstream/doc.go
@@ -2,7 +2,7 @@
 // Use of this source code is governed by the MIT licence in the file LICENSE.
 
 // Package upstream implements the protocols of model engines and plain services. It
-// checks that each response is complete and belongs to the attempt that it answers.
+// checks that each response is complete and belongs to the attempt that was sent.
 //
 // An engine speaks the OpenAI-compatible protocol over HTTP. The attempt id is sent as
 // X-Request-Id, and the engine derives the id of its response from it, so that the
@@ -20,8 +20,8 @@
 //
 // granitehoist-edge uses package exchange instead, which writes HTTP itself because the
 // standard library may send a request twice on a reused connection, and platform.Codec
-// for upstreams with another protocol. Here, calls that must run at most once use a new
-// connection.
+// for upstreams with another protocol. In this package, calls that must run at most once
+// use a new connection.
 //
 // Begin reading at Engine.Do, then at sender.open and Engine.forwardStream.
 package upstream
--- a/partner/upstream/engine.go
+++ b/partner/upstream/engine.go
@@ -38,7 +38,7 @@
 type EngineUsage struct {
 	PromptTokens     granitehoist.Tokens `json:"prompt_tokens"`
 	CompletionTokens granitehoist.Tokens `json:"completion_tokens"`
-	// TotalTokens is the sum of the other two. It is ignored when read.
+	// TotalTokens is the sum of PromptTokens and CompletionTokens. It is ignored when read.
 	TotalTokens granitehoist.Tokens `json:"total_tokens"`
 	Details     *PromptDetails      `json:"prompt_tokens_details,omitempty"`
 }
@@ -73,9 +73,9 @@
 	Error json.RawMessage `json:"error"`
 }
 
-// belongsTo reports whether the id of the response was derived from the attempt's.
-func (a *engineResponse) belongsTo(attempt granitehoist.AttemptID) bool {
-	return strings.HasSuffix(a.ID, "-"+string(attempt))
+// belongsTo reports whether the id of the response was derived from the id of the attempt.
+func (r *engineResponse) belongsTo(attempt granitehoist.AttemptID) bool {
+	return strings.HasSuffix(r.ID, "-"+string(attempt))
 }
 
 // Do implements granitehoist.Protocol. The error is a *granitehoist.Error. Its code is
@@ -144,8 +144,8 @@
 }
 
 // finished reports whether each choice has a finish reason.
-func (a *engineResponse) finished() bool {
-	for _, choice := range a.Choices {
+func (r *engineResponse) finished() bool {
+	for _, choice := range r.Choices {
 		if choice.FinishReason == nil || *choice.FinishReason == "" {
 			return false
 		}
--- a/partner/upstream/enginestream.go
+++ b/partner/upstream/enginestream.go
@@ -33,7 +33,7 @@
 
 // forwardStream forwards the events of a response, and doneMarker only if each choice has
 // a finish reason. An interrupted stream is resumed at the same engine, from the event
-// after the last complete one.
+// after the last complete event.
 func (e *Engine) forwardStream(ctx context.Context, r *http.Response, c granitehoist.Call, sink granitehoist.Sink) (granitehoist.Usage, error) {
 	state := streamState{attempt: c.Attempt, unfinished: map[int]bool{}}
 	err := e.forwardEvents(r, c, sink, &state)
@@ -90,11 +90,11 @@
 		}
 		data = bytes.TrimSpace(data)
 		done := bytes.Equal(data, doneMarker)
-		hidden, err := state.check(data, done)
+		usageOnly, err := state.check(data, done)
 		if err != nil {
 			return err
 		}
-		if hidden && c.HideUsage {
+		if usageOnly && c.HideUsage {
 			continue
 		}
 		if !state.headersSent {
@@ -166,28 +166,28 @@
 		}
 		return false, nil
 	}
-	var a engineResponse
-	if err := json.Unmarshal(data, &a); err != nil {
+	var response engineResponse
+	if err := json.Unmarshal(data, &response); err != nil {
 		return false, granitehoist.Wrap(granitehoist.UpstreamBadAnswer, err, "")
 	}
-	if len(a.Error) > 0 && string(a.Error) != "null" {
+	if len(response.Error) > 0 && string(response.Error) != "null" {
 		return false, granitehoist.Errorf(granitehoist.UpstreamCut, "the upstream reported an error in the stream")
 	}
-	if !a.belongsTo(s.attempt) {
+	if !response.belongsTo(s.attempt) {
 		return false, granitehoist.Errorf(granitehoist.AnswerCrossed, "")
 	}
-	if len(a.Choices) > 0 {
+	if len(response.Choices) > 0 {
 		s.choiceSeen = true
 		s.events++
 	}
-	for _, choice := range a.Choices {
+	for _, choice := range response.Choices {
 		s.unfinished[choice.Index] = true
 		if choice.FinishReason != nil && *choice.FinishReason != "" {
 			delete(s.unfinished, choice.Index)
 		}
 	}
-	if usage := a.Usage.usage(); usage.Reported {
+	if usage := response.Usage.usage(); usage.Reported {
 		s.usage = usage
 	}
-	return a.Usage != nil && len(a.Choices) == 0, nil
+	return response.Usage != nil && len(response.Choices) == 0, nil
 }
