--- a/standin/activeanswer.go
+++ b/standin/activeresponse.go
@@ -14,9 +14,9 @@
 	"granitehoist.example/granitehoist/partner/upstream"
 )
 
-// activeAnswer is an answer that is being sent. Its fields don't change except faults, which
-// are cleared when its stream is resumed. engine.mu guards execution.
-type activeAnswer struct {
+// activeResponse is a response that is being sent. Its fields don't change except faults,
+// which are cleared when its stream is resumed. engine.mu guards execution.
+type activeResponse struct {
 	engine    *Engine
 	execution *Execution
 	faults    requestFaults
@@ -28,7 +28,7 @@
 
 // produceNext waits for the delay of the i-th word and counts the word as output. It returns
 // false if the attempt was cancelled or the caller closed the connection.
-func (a *activeAnswer) produceNext(i int, r *http.Request) bool {
+func (a *activeResponse) produceNext(i int, r *http.Request) bool {
 	delay := a.engine.settings.TokenDelay
 	if i == 0 {
 		delay = a.engine.settings.FirstDelay
@@ -40,13 +40,13 @@
 }
 
 // outputTokens returns the number of tokens generated so far.
-func (a *activeAnswer) outputTokens() granitehoist.Tokens {
+func (a *activeResponse) outputTokens() granitehoist.Tokens {
 	a.engine.mu.Lock()
 	defer a.engine.mu.Unlock()
 	return a.execution.Output
 }
 
-func (a *activeAnswer) usage() *upstream.EngineUsage {
+func (a *activeResponse) usage() *upstream.EngineUsage {
 	if a.faults.noUsage {
 		return nil
 	}
@@ -57,8 +57,8 @@
 
 var finishReasonStop = "stop"
 
-// complete sends the answer as a single body.
-func (a *activeAnswer) complete(w http.ResponseWriter, r *http.Request) {
+// complete sends the response as a single body.
+func (a *activeResponse) complete(w http.ResponseWriter, r *http.Request) {
 	for i := range a.words {
 		if !a.produceNext(i, r) {
 			panic(http.ErrAbortHandler)
@@ -77,9 +77,9 @@
 	writeJSON(w, Completion{ID: a.id, Object: "completion", Model: a.request.Model, Choices: []Choice{c}, Usage: a.usage()}, nil)
 }
 
-// stream sends the answer as events, beginning with the word at index from. Only words that
-// were not generated before are delayed and counted.
-func (a *activeAnswer) stream(w http.ResponseWriter, r *http.Request, from int) {
+// stream sends the response as events, beginning with the word at index from. Only words that
+// the engine has not generated before are delayed and counted.
+func (a *activeResponse) stream(w http.ResponseWriter, r *http.Request, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i, word := range a.words {
 		if i < from {
@@ -89,7 +89,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if a.faults.cut && i == len(a.words)/2 {
-			a.engine.hold(a)
+			a.engine.keepStream(a)
 			panic(http.ErrAbortHandler)
 		}
 		if i > 0 {
@@ -113,7 +113,7 @@
 }
 
 // send writes and flushes one event.
-func (a *activeAnswer) send(w http.ResponseWriter, c Completion) {
+func (a *activeResponse) send(w http.ResponseWriter, c Completion) {
 	raw, err := json.Marshal(c)
 	if err != nil {
 		panic("standin: encode completion: " + err.Error())
--- a/standin/completion.go
+++ b/standin/completion.go
@@ -26,7 +26,7 @@
 }
 
 // ChatMessage is a chat message of the caller or the engine or, without a role, a part of
-// one in a stream.
+// a streamed message.
 type ChatMessage struct {
 	Role    string      `json:"role,omitempty"`
 	Content ChatContent `json:"content"`
@@ -59,15 +59,15 @@
 	return nil
 }
 
-// The token counts and answer lengths of an Engine.
+// The token counts and response lengths of an Engine.
 const (
 	// messageTokens is the number of tokens of a chat message besides its text.
 	messageTokens = 4
 	// bytesPerToken is the number of bytes of text per token.
 	bytesPerToken = 4
-	// minWords is the number of words of the shortest answer.
+	// minWords is the number of words of the shortest response.
 	minWords = 4
-	// wordCounts is the number of different answer lengths.
+	// wordCounts is the number of different response lengths.
 	wordCounts = 28
 )
 
@@ -83,16 +83,16 @@
 	return text, granitehoist.Tokens(max(1, tokens))
 }
 
-// Cost returns the tokens that an Engine reports for a prompt of one chat message, input
-// and output, with at most limit output tokens.
+// Cost returns the tokens, input and output, that an Engine reports for a prompt of one chat
+// message with at most limit output tokens.
 func Cost(prompt string, limit int) granitehoist.Tokens {
 	request := CompletionRequest{Messages: []ChatMessage{{Content: ChatContent(prompt)}}}
 	_, tokens := request.prompt()
 	return tokens + granitehoist.Tokens(len(Answer(prompt, limit)))
 }
 
-// Answer returns the words of an Engine's answer to a prompt, one token each and at most
-// limit. It is deterministic, so callers can check answers.
+// Answer returns the words of an Engine's response to a prompt, one token each and at most
+// limit. It is deterministic, so callers can check responses.
 func Answer(prompt string, limit int) []string {
 	seed := xxhash.Sum64String(prompt)
 	count := min(limit, minWords+int(seed%wordCounts))
@@ -113,7 +113,7 @@
 	FinishReason *string      `json:"finish_reason"`
 }
 
-// Completion is the answer of an Engine, or one event of a streamed answer.
+// Completion is the response of an Engine, or one event of a streamed response.
 type Completion struct {
 	ID      string                `json:"id"`
 	Object  string                `json:"object"`
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -27,12 +27,12 @@
 type EngineFaults struct {
 	// RefuseEvery returns status 503 without running the request.
 	RefuseEvery int
-	// CutEvery closes the connection in the middle of an answer. A stream can be resumed
+	// CutEvery closes the connection in the middle of a response. A stream can be resumed
 	// unless NoResume is set.
 	CutEvery int
 	// NoResume ends the attempt of an interrupted stream, so that it can't be resumed.
 	NoResume bool
-	// WrongIDEvery returns the answer with the id of another request.
+	// WrongIDEvery returns the response with the id of another request.
 	WrongIDEvery int
 	// NoUsageEvery omits the usage.
 	NoUsageEvery int
@@ -40,8 +40,8 @@
 	Draining bool
 }
 
-// Engine is a fake model engine, which answers a prompt with Answer. Use NewEngine. It is
-// safe for concurrent use.
+// Engine is a fake model engine, which responds to a prompt with the words of Answer. Use
+// NewEngine. It is safe for concurrent use.
 type Engine struct {
 	settings EngineSettings
 
@@ -75,7 +75,7 @@
 	return mux
 }
 
-// serveCompletion runs a request and sends the answer as one body or as a stream. The
+// serveCompletion runs a request and sends the response as one body or as a stream. The
 // attempt ends with the connection, unless its stream can be resumed.
 func (e *Engine) serveCompletion(w http.ResponseWriter, r *http.Request) {
 	var request CompletionRequest
@@ -84,23 +84,23 @@
 	}
 	attempt := granitehoist.AttemptID(r.Header.Get(upstream.HeaderAttempt))
 	prompt, tokens := request.prompt()
-	x, p := e.startExecution(attempt, prompt, tokens)
+	x, faults := e.startExecution(attempt, prompt, tokens)
 	if x == nil {
 		http.Error(w, "leaving", http.StatusServiceUnavailable)
 		return
 	}
 	defer e.endExecution(x)
-	answerID := string(attempt)
-	if p.cross {
-		answerID = "of-another-request"
+	responseID := string(attempt)
+	if faults.wrongID {
+		responseID = "of-another-request"
 	}
 	w.Header().Set(upstream.HeaderAttempt, string(attempt))
-	a := activeAnswer{
+	a := activeResponse{
 		engine:    e,
 		execution: x,
-		faults:    p,
+		faults:    faults,
 		request:   &request,
-		id:        "cmpl-" + answerID,
+		id:        "cmpl-" + responseID,
 		chat:      strings.Contains(r.URL.Path, "chat"),
 		words:     Answer(prompt, request.MaxTokens),
 	}
@@ -116,7 +116,7 @@
 func (e *Engine) serveResume(w http.ResponseWriter, r *http.Request) {
 	attempt := granitehoist.AttemptID(r.Header.Get(upstream.HeaderAttempt))
 	from, err := strconv.Atoi(r.URL.Query().Get("from"))
-	a := e.takeHeld(attempt)
+	a := e.takeStream(attempt)
 	if err != nil || a == nil {
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
--- a/standin/execution.go
+++ b/standin/execution.go
@@ -19,8 +19,8 @@
 	Ended bool
 	// Runs is the number of times that the attempt was executed.
 	Runs int
-	// answer is the attempt's interrupted stream if resumable is set.
-	answer    *activeAnswer
+	// response is the attempt's interrupted stream if resumable is set.
+	response  *activeResponse
 	resumable bool
 }
 
@@ -41,7 +41,7 @@
 
 // requestFaults are the faults that the engine injects into one request.
 type requestFaults struct {
-	cut, cross, noUsage bool
+	cut, wrongID, noUsage bool
 }
 
 // maxRecordedText is the number of bytes of a prompt that an Execution keeps.
@@ -54,14 +54,14 @@
 	defer e.mu.Unlock()
 	e.requests++
 	refuse := e.faults.Draining || isEveryNth(e.faults.RefuseEvery, e.requests)
-	p := requestFaults{
+	faults := requestFaults{
 		cut:     isEveryNth(e.faults.CutEvery, e.requests),
-		cross:   isEveryNth(e.faults.WrongIDEvery, e.requests),
+		wrongID: isEveryNth(e.faults.WrongIDEvery, e.requests),
 		noUsage: isEveryNth(e.faults.NoUsageEvery, e.requests),
 	}
 	x, ok := e.executions[attempt]
 	if refuse || (ok && x.Ended) {
-		return nil, p
+		return nil, faults
 	}
 	if !ok {
 		x = &Execution{Attempt: attempt, Text: text[:min(len(text), maxRecordedText)]}
@@ -69,7 +69,7 @@
 	}
 	x.Runs++
 	x.Prompt += prompt
-	return x, p
+	return x, faults
 }
 
 // produce counts one output token. It returns false if the attempt has ended.
@@ -90,19 +90,19 @@
 	x.Ended = x.Ended || !x.resumable
 }
 
-// hold keeps an interrupted stream so that it can be resumed, unless NoResume is set.
-func (e *Engine) hold(a *activeAnswer) {
+// keepStream keeps an interrupted stream so that it can be resumed, unless NoResume is set.
+func (e *Engine) keepStream(a *activeResponse) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.faults.NoResume {
 		a.execution.resumable = true
-		a.execution.answer = a
+		a.execution.response = a
 	}
 }
 
-// takeHeld returns the interrupted stream of an attempt without its faults, or nil if there
-// is none that can be resumed.
-func (e *Engine) takeHeld(id granitehoist.AttemptID) *activeAnswer {
+// takeStream returns the interrupted stream of an attempt without its faults, or nil if
+// the attempt has no stream that can be resumed.
+func (e *Engine) takeStream(id granitehoist.AttemptID) *activeResponse {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	x, ok := e.executions[id]
@@ -110,6 +110,6 @@
 		return nil
 	}
 	x.resumable = false
-	x.answer.faults = requestFaults{}
-	return x.answer
+	x.response.faults = requestFaults{}
+	return x.response
 }
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -17,11 +17,11 @@
 // PlainFaults are the faults that a Plain service injects. A count n affects every n-th
 // request; zero affects none.
 type PlainFaults struct {
-	// LoseEvery runs the request and closes the connection without an answer.
+	// LoseEvery runs the request and closes the connection without a response.
 	LoseEvery int
-	// WrongIDEvery returns the answer with the id of another request.
+	// WrongIDEvery returns the response with the id of another request.
 	WrongIDEvery int
-	// Delay is added before each answer. Zero adds none.
+	// Delay is added before each response. Zero adds none.
 	Delay time.Duration
 }
 
@@ -32,7 +32,7 @@
 	mu       sync.Mutex
 	faults   PlainFaults
 	requests int
-	// runs counts the executions by path and body, attempts by attempt id.
+	// runs counts the executions by path and body, attempts counts them by attempt id.
 	runs     map[string]int
 	attempts map[granitehoist.AttemptID]int
 }
@@ -63,7 +63,7 @@
 	return maps.Clone(p.attempts)
 }
 
-// PlainAnswer is the body of a Plain service's answer.
+// PlainAnswer is the body of a Plain service's response.
 type PlainAnswer struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -83,14 +83,14 @@
 		return
 	}
 	attempt := granitehoist.AttemptID(r.Header.Get(upstream.HeaderAttempt))
-	faults, lose, cross := p.run(r.URL.Path+" "+string(body), attempt)
+	faults, lose, wrongID := p.run(r.URL.Path+" "+string(body), attempt)
 	if faults.Delay > 0 {
 		time.Sleep(faults.Delay)
 	}
 	if lose {
 		panic(http.ErrAbortHandler)
 	}
-	if cross {
+	if wrongID {
 		attempt = "of-another-request"
 	}
 	w.Header().Set(upstream.HeaderAttempt, string(attempt))
@@ -98,7 +98,7 @@
 }
 
 // run counts one execution and returns the faults to inject.
-func (p *Plain) run(pathAndBody string, attempt granitehoist.AttemptID) (faults PlainFaults, lose, cross bool) {
+func (p *Plain) run(pathAndBody string, attempt granitehoist.AttemptID) (faults PlainFaults, lose, wrongID bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.requests++
--- a/standin/storefaults.go
+++ b/standin/storefaults.go
@@ -28,7 +28,7 @@
 }
 
 // StoreCalls holds the numbers of calls of a Store. Lease calls count as writes. A watch
-// counts again each time that a write wakes it.
+// counts again each time that a write wakes the watch.
 type StoreCalls struct {
 	Reads, Writes, Watches int
 }
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -29,8 +29,8 @@
 
 // ReceivedRequest is a request as received by a Worker.
 type ReceivedRequest struct {
-	// Number is the number of the request at this worker, Conn that of its connection,
-	// both from 1.
+	// Number is the number of the request at this worker, and Conn the number of its
+	// connection, both from 1.
 	Number, Conn int
 	ID           string
 	Target       string
@@ -42,14 +42,14 @@
 	After int
 }
 
-// NewWorker starts a worker on a loopback port. It calls answer for each request, from
+// NewWorker starts a worker on a loopback port. It calls respond for each request, from
 // several goroutines at once. It returns an error if it can't listen.
-func NewWorker(instance string, answer func(ReceivedRequest) WorkerResponse) (*Worker, error) {
+func NewWorker(instance string, respond func(ReceivedRequest) WorkerResponse) (*Worker, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	w := &Worker{instance: instance, respond: answer, listener: listener, conns: map[net.Conn]struct{}{}}
+	w := &Worker{instance: instance, respond: respond, listener: listener, conns: map[net.Conn]struct{}{}}
 	w.done.Go(w.accept)
 	return w, nil
 }
@@ -116,7 +116,7 @@
 	}
 }
 
-// serve answers the requests of a connection in sequence.
+// serve responds to the requests of a connection in sequence.
 func (w *Worker) serve(conn net.Conn, number int) {
 	defer func() {
 		// Close may have closed it already.
@@ -132,8 +132,8 @@
 			return
 		}
 		received := w.newReceivedRequest(request, number)
-		answer := w.respond(received)
-		if !answer.Early {
+		response := w.respond(received)
+		if !response.Early {
 			if received.Body, err = io.ReadAll(request.Body); err != nil {
 				return
 			}
@@ -141,10 +141,10 @@
 		w.mu.Lock()
 		w.requests = append(w.requests, received)
 		w.mu.Unlock()
-		if !w.writeResponse(conn, received, answer) {
+		if !w.writeResponse(conn, received, response) {
 			return
 		}
-		if answer.Early {
+		if response.Early {
 			// A truncated body makes the next ReadRequest fail.
 			_, _ = io.Copy(io.Discard, request.Body)
 		}
--- a/standin/workerresponse.go
+++ b/standin/workerresponse.go
@@ -22,20 +22,20 @@
 	Body   string
 	// Events, unless zero, makes the response a stream of that many events.
 	Events int
-	// Gap is the delay before each event, Delay that before the head.
+	// Gap is the delay before each event, Delay the delay before the head.
 	Gap, Delay time.Duration
 	// Cut truncates the response.
 	Cut Cut
 	// Hang sends nothing and waits for the router to close the connection.
 	Hang bool
 	// ExtraBefore and ExtraAfter are bytes sent before and after the response, which
-	// are not part of it.
+	// are not part of the response.
 	ExtraBefore, ExtraAfter string
 	// Unframed omits the length; closing the connection ends the response.
 	Unframed bool
 	// Early responds before the request body has been read.
 	Early bool
-	// NotRun marks the response as that of a request that did not run.
+	// NotRun marks the response as a response to a request that did not run.
 	NotRun bool
 	// WrongID sends the id of another request.
 	WrongID bool
@@ -65,52 +65,52 @@
 }
 
 // writeResponse writes a response and reports whether the connection stays open.
-func (w *Worker) writeResponse(conn net.Conn, request ReceivedRequest, a WorkerResponse) bool {
-	time.Sleep(a.Delay)
-	if a.Hang {
+func (w *Worker) writeResponse(conn net.Conn, request ReceivedRequest, response WorkerResponse) bool {
+	time.Sleep(response.Delay)
+	if response.Hang {
 		// Wait until the router closes or resets the connection.
 		_, _ = io.Copy(io.Discard, conn)
 		return false
 	}
 	if expected := request.Header.Get("Expect-Instance"); expected != "" && expected != w.instance {
-		a = WorkerResponse{Status: http.StatusMisdirectedRequest, NoSeal: true}
+		response = WorkerResponse{Status: http.StatusMisdirectedRequest, NoSeal: true}
 	}
-	if _, err := io.WriteString(conn, a.ExtraBefore); err != nil {
+	if _, err := io.WriteString(conn, response.ExtraBefore); err != nil {
 		return false
 	}
-	if a.Events > 0 {
-		return w.writeStream(conn, request, a)
+	if response.Events > 0 {
+		return w.writeStream(conn, request, response)
 	}
-	if a.Cut.Crash {
+	if response.Cut.Crash {
 		w.Crash()
 		return false
 	}
-	body := a.Body
-	if a.Cut.Set {
-		body = body[:min(a.Cut.After, len(body))]
+	body := response.Body
+	if response.Cut.Set {
+		body = body[:min(response.Cut.After, len(body))]
 	}
-	framing := "Content-Length: " + strconv.Itoa(len(a.Body)) + "\r\n"
-	if a.Unframed {
+	framing := "Content-Length: " + strconv.Itoa(len(response.Body)) + "\r\n"
+	if response.Unframed {
 		framing = "Connection: close\r\n"
 	}
-	if _, err := io.WriteString(conn, w.head(request, a, framing)+body); err != nil {
+	if _, err := io.WriteString(conn, w.head(request, response, framing)+body); err != nil {
 		return false
 	}
-	return w.finishAnswer(conn, a)
+	return w.finishResponse(conn, response)
 }
 
-// finishAnswer completes a response and reports whether the connection stays open.
-func (w *Worker) finishAnswer(conn net.Conn, a WorkerResponse) bool {
-	if a.Cut.Set && !a.Cut.FIN {
+// finishResponse completes a response and reports whether the connection stays open.
+func (w *Worker) finishResponse(conn net.Conn, response WorkerResponse) bool {
+	if response.Cut.Set && !response.Cut.FIN {
 		reset(conn)
 	}
-	if a.Cut.Set || a.Unframed {
+	if response.Cut.Set || response.Unframed {
 		return false
 	}
-	if a.ExtraAfter == "" {
+	if response.ExtraAfter == "" {
 		return true
 	}
-	_, err := io.WriteString(conn, a.ExtraAfter)
+	_, err := io.WriteString(conn, response.ExtraAfter)
 	return err == nil
 }
 
@@ -123,30 +123,30 @@
 }
 
 // head returns the status line and header of a response.
-func (w *Worker) head(request ReceivedRequest, a WorkerResponse, framing string) string {
-	status := a.Status
+func (w *Worker) head(request ReceivedRequest, response WorkerResponse, framing string) string {
+	status := response.Status
 	if status == 0 {
 		status = http.StatusOK
 	}
 	id := request.ID
-	if a.WrongID {
+	if response.WrongID {
 		id = "another-" + id
 	}
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "HTTP/1.1 %d %s\r\nAttempt-Id: %s\r\n%s", status, http.StatusText(status), id, framing)
-	if !a.NoSeal && !a.NotRun {
+	if !response.NoSeal && !response.NotRun {
 		fmt.Fprintf(&head, "Response-Seal: %s.%s\r\n", w.instance, id)
 	}
-	for _, limit := range a.RateLimit {
+	for _, limit := range response.RateLimit {
 		fmt.Fprintf(&head, "Server-Limit: %s\r\n", limit)
 	}
-	for _, value := range a.Leaving {
+	for _, value := range response.Leaving {
 		fmt.Fprintf(&head, "Server-Leaving: %s\r\n", value)
 	}
-	for _, value := range a.RetryAfter {
+	for _, value := range response.RetryAfter {
 		fmt.Fprintf(&head, "Retry-After: %s\r\n", value)
 	}
-	if a.NotRun {
+	if response.NotRun {
 		head.WriteString("Not-Executed: 1\r\n")
 	}
 	head.WriteString("\r\n")
@@ -157,44 +157,44 @@
 func StreamEvent(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s-%d\n\n", n, id, n) }
 
 // writeStream writes the events of a stream and reports whether the connection stays open.
-func (w *Worker) writeStream(conn net.Conn, request ReceivedRequest, a WorkerResponse) bool {
+func (w *Worker) writeStream(conn net.Conn, request ReceivedRequest, response WorkerResponse) bool {
 	framing := "Transfer-Encoding: chunked\r\nContent-Type: text/event-stream\r\n"
-	if a.Unframed {
+	if response.Unframed {
 		framing = "Connection: close\r\nContent-Type: text/event-stream\r\n"
 	}
-	if _, err := io.WriteString(conn, w.head(request, a, framing)); err != nil {
+	if _, err := io.WriteString(conn, w.head(request, response, framing)); err != nil {
 		return false
 	}
-	for n := request.After + 1; n <= a.Events; n++ {
-		time.Sleep(a.Gap)
-		if a.Cut.Crash && n > a.Cut.After {
+	for n := request.After + 1; n <= response.Events; n++ {
+		time.Sleep(response.Gap)
+		if response.Cut.Crash && n > response.Cut.After {
 			w.Crash()
 			return false
 		}
 		event := StreamEvent(request.ID, n)
-		if a.Cut.Set && n > a.Cut.After {
-			if a.Cut.MidEvent {
+		if response.Cut.Set && n > response.Cut.After {
+			if response.Cut.MidEvent {
 				// The connection closes next, so an error is ignored.
-				_ = w.writeChunk(conn, a, event[:len(event)/2])
+				_ = w.writeChunk(conn, response, event[:len(event)/2])
 			}
-			return w.finishAnswer(conn, a)
+			return w.finishResponse(conn, response)
 		}
-		if err := w.writeChunk(conn, a, event); err != nil {
+		if err := w.writeChunk(conn, response, event); err != nil {
 			return false
 		}
 	}
-	if a.Unframed {
+	if response.Unframed {
 		return false
 	}
 	if _, err := io.WriteString(conn, "0\r\n\r\n"); err != nil {
 		return false
 	}
-	return w.finishAnswer(conn, a)
+	return w.finishResponse(conn, response)
 }
 
 // writeChunk sends text as one chunk, or unchanged if the response is unframed.
-func (w *Worker) writeChunk(conn net.Conn, a WorkerResponse, text string) error {
-	if !a.Unframed {
+func (w *Worker) writeChunk(conn net.Conn, response WorkerResponse, text string) error {
+	if !response.Unframed {
 		text = fmt.Sprintf("%x\r\n%s\r\n", len(text), text)
 	}
 	_, err := io.Copy(conn, strings.NewReader(text))
