--- a/doc.go
+++ b/doc.go
@@ -21,7 +21,7 @@
 // callers, and the tools. Its packages are below partner: router (the daemon), gate (the
 // path of a request), config (signed documents), policy (CEL programs), budget (prepaid
 // tokens), bill (charges), once (at-most-once requests), route (choice of an upstream),
-// upstream (protocols of engines and services), orphan (charges of dead routers), report
+// upstream (protocols of engines and services), orphan (charges of failed routers), report
 // (service levels), settings (the TOML file) and boxlist (the platform's list of boxes).
 //
 // Both use follow (copies of the store's keys), fleet (membership and calls between
--- a/ids.go
+++ b/ids.go
@@ -47,18 +47,18 @@
 // AttemptID identifies one attempt of a request at an upstream.
 type AttemptID string
 
-// Serial is the sequence number of a partner's document, from 1. Later documents have larger
-// ones.
+// Serial is the sequence number of a partner's document, from 1. A later document has a larger
+// serial.
 type Serial uint64
 
 // Tokens is a number of prepaid tokens, the unit of budgets and charges.
 type Tokens int64
 
-// Priority orders requests that wait for the same upstream; larger ones are served first.
+// Priority orders requests that wait for the same upstream; a larger priority is served first.
 type Priority int
 
-// The range of a Priority. The platform's priority classes have the same range, but 0 is the
-// most urgent; package platform converts them.
+// The range of a Priority. The platform's priority classes have the same range, but class 0
+// is the most urgent; package platform converts them.
 const (
 	// MinPriority is served last.
 	MinPriority Priority = 0
--- a/store.go
+++ b/store.go
@@ -21,10 +21,10 @@
 	Key string `json:"key"`
 	// Value has up to MaxValueSize bytes. It is nil if the key does not exist.
 	Value []byte `json:"value,omitempty"`
-	// Version is that of the last write to the key, or zero if the key does not exist.
+	// Version is the version of the last write to the key, or zero if the key does not exist.
 	Version Version `json:"version"`
-	// Deleted marks a deletion, whose version is Version. Only Watch returns such
-	// entries.
+	// Deleted marks a deletion, whose version is Version. Only Watch returns entries of
+	// deletions.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
@@ -62,8 +62,8 @@
 // Conflict is an ErrConflict with the current entries of the keys, if the store returned
 // them.
 type Conflict struct {
-	// Current holds the entries of the write's keys when it was refused, including those
-	// that had the expected version.
+	// Current holds the entries of the write's keys when the write was refused, including
+	// the keys that had the expected version.
 	Current []Entry
 }
 
@@ -139,10 +139,10 @@
 	Address string
 }
 
-// Caller sends one message to another router and waits for its reply.
+// Caller sends one message to another router and waits for the response.
 // Implementations are safe for concurrent use.
 type Caller interface {
-	// Call calls method with params and decodes the reply into result, a pointer. A
+	// Call calls method with params and decodes the response into result, a pointer. A
 	// receiver of another incarnation refuses the call without effect. After any other
 	// error the call may have taken effect.
 	Call(ctx context.Context, to Peer, method string, params, result any) error
--- a/upstream.go
+++ b/upstream.go
@@ -31,14 +31,14 @@
 
 // Usage is the token usage of an attempt as reported by the upstream.
 type Usage struct {
-	// Prompt is the number of input tokens, Output that of generated tokens, and Cached
-	// the part of Prompt that came from the engine's cache.
+	// Prompt is the number of input tokens, and Cached the part of them that came from the
+	// engine's cache. Output is the number of generated tokens.
 	Prompt, Output, Cached Tokens
 	// Reported is false if the upstream did not report any usage.
 	Reported bool
 }
 
-// Total returns the number of tokens to charge. Cached tokens cost as much as others.
+// Total returns the number of tokens to charge. Cached tokens cost as much as all other tokens.
 func (u Usage) Total() Tokens { return u.Prompt + u.Output }
 
 // Sink receives a response as it arrives. It is used by one goroutine and only receives data
@@ -59,11 +59,11 @@
 	// response was complete and belonged to the attempt. Otherwise the error is an *Error
 	// whose code says whether the upstream may have run the call.
 	Do(ctx context.Context, c Call, sink Sink) (Usage, error)
-	// Stop cancels an attempt of unknown outcome, if the protocol supports that, and
+	// Stop cancels an attempt of unknown outcome, if the protocol supports this, and
 	// returns its usage. It returns false if the usage can't be determined.
 	Stop(ctx context.Context, address string, attempt AttemptID) (Usage, bool)
 	// List returns the attempts recorded by an upstream whose ids begin with prefix. It
-	// returns none and no error if the protocol doesn't support listing.
+	// returns no attempts and no error if the protocol doesn't support listing.
 	List(ctx context.Context, address, prefix string) ([]KnownAttempt, error)
 }
 
