--- a/measure/loads.go
+++ b/measure/loads.go
@@ -14,7 +14,7 @@
 	Boxes    float64
 	Regions  float64
 	Requests float64
-	// Budgets is the number of budgets in use, Upstreams that of upstreams.
+	// Budgets is the number of budgets in use, Upstreams the number of upstreams.
 	Budgets   float64
 	Upstreams float64
 	// ReportKeys is the number of pairs of service and workspace that one router serves in a
@@ -47,7 +47,8 @@
 	Cores, Memory, Bytes, Writes, Reads float64
 }
 
-// Intervals of the fleet's messages in seconds. They must match the code named.
+// Intervals of the fleet's messages in seconds. Each must match the code that its comment
+// names.
 const (
 	// boxReportInterval is the interval at which a box reports its spending of a budget:
 	// reportInterval in partner/budget/report.go.
@@ -84,14 +85,14 @@
 	// allocator of each shard with active budgets, with all reports for the shard.
 	messages float64
 	// regionRecords is the number of region records of the whole fleet, rowsPerRegionRecord
-	// that of rows per record.
+	// the number of rows in each record.
 	regionRecords, rowsPerRegionRecord float64
 	// regionRecordWrites is the rate of region record writes of the whole fleet.
 	regionRecordWrites float64
 }
 
-// newTraffic computes the traffic of a fleet. The active budgets are an upper bound, which
-// assumes a different budget for each request.
+// newTraffic computes the traffic of a fleet. The number of active budgets is an upper
+// bound, since it assumes a different budget for each request.
 func newTraffic(f FleetSize) traffic {
 	t := traffic{size: f, boxRequests: f.Requests / f.Boxes}
 	t.active = min(f.Budgets, t.boxRequests*boxReportInterval)
--- a/measure/slopes.go
+++ b/measure/slopes.go
@@ -12,7 +12,8 @@
 
 // Slope is a linear cost model, measured at two sizes.
 type Slope struct {
-	// Name identifies the cost, such as "purse-memory".
+	// Name identifies the cost, such as "purse-memory". In names a purse is a budget.Ledger,
+	// an ask a report of a box, and a page a region record.
 	Name string
 	// Unit is the unit of the cost, such as "B" or "ns". Per names what a size is a
 	// number of, such as "budget" or "row".
