--- a/trial/call.go
+++ b/trial/call.go
@@ -27,9 +27,9 @@
 	Cost granitehoist.Tokens
 	// Once is set if the request must not be executed more than once.
 	Once bool
-	// Code is the result code of the last response, except that it stays Served if the
-	// request was answered and the second response says that it has already run.
-	// ExecutionStatuses are those of all responses; a request with Once is sent twice.
+	// Code is the result code of the last response. A request with Once is sent twice; Code
+	// stays Served if the first response was a result and the second says that the request
+	// has already run. ExecutionStatuses are the execution statuses of all responses.
 	Code              granitehoist.Code
 	ExecutionStatuses []granitehoist.ExecutionStatus
 	// Answered is set if a response with a result was received, and Correct if it was
@@ -49,7 +49,7 @@
 	outcome Outcome
 	kind    requestKind
 	prompt  string
-	// address is that of the router to which the request was last sent.
+	// address is the address of the router to which the request was last sent.
 	address string
 	// truncated is set if the response ended without an end marker.
 	truncated bool
--- a/trial/executions.go
+++ b/trial/executions.go
@@ -23,16 +23,16 @@
 var storeFaults = standin.StoreFaults{LoseEvery: 7}
 
 // injectFaults enables the faults of the store and the engines.
-func (s *Fleet) injectFaults() {
-	s.Store.Fail(storeFaults)
-	for i, engine := range s.engines {
+func (f *Fleet) injectFaults() {
+	f.Store.Fail(storeFaults)
+	for i, engine := range f.engines {
 		engine.Fail(engineFaults[i%enginesPerPool])
 	}
 }
 
 // executions returns the executions recorded by the stand-ins, by the request ID with
 // which every prompt and body begins.
-func (s *Fleet) executions() map[granitehoist.RequestID]Executions {
+func (f *Fleet) executions() map[granitehoist.RequestID]Executions {
 	executions := map[granitehoist.RequestID]Executions{}
 	add := func(text string, runs int, tokens granitehoist.Tokens) {
 		id, _, _ := strings.Cut(text, " ")
@@ -41,12 +41,12 @@
 		x.Tokens += tokens
 		executions[granitehoist.RequestID(id)] = x
 	}
-	for _, e := range s.engines {
+	for _, e := range f.engines {
 		for _, x := range e.Executions() {
 			add(x.Text, x.Runs, x.Prompt+x.Output)
 		}
 	}
-	for _, p := range s.plain {
+	for _, p := range f.plain {
 		for request, runs := range p.Runs() {
 			_, text, _ := strings.Cut(request, " ")
 			add(text, runs, granitehoist.Tokens(runs)*plainPrice)
@@ -56,9 +56,9 @@
 }
 
 // prepaid returns the prepaid tokens of each budget.
-func (s *Fleet) prepaid() map[granitehoist.BudgetID]granitehoist.Tokens {
+func (f *Fleet) prepaid() map[granitehoist.BudgetID]granitehoist.Tokens {
 	prepaid := map[granitehoist.BudgetID]granitehoist.Tokens{}
-	for partner, d := range s.documents {
+	for partner, d := range f.documents {
 		for _, b := range d.Budgets {
 			prepaid[granitehoist.NewBudgetID(partner, b.Workspace, b.Name)] = b.Tokens
 		}
--- a/trial/fleet.go
+++ b/trial/fleet.go
@@ -42,8 +42,8 @@
 	enginesPerPool = 3
 	// plainPerService is the number of processes of each plain service.
 	plainPerService = 2
-	// unready is how long a stopping router still serves while reporting not ready.
-	unready = 50 * time.Millisecond
+	// readinessDelay is how long a stopping router still serves while reporting not ready.
+	readinessDelay = 50 * time.Millisecond
 	// inForcePollInterval is the interval of checks of a router's documents.
 	inForcePollInterval = 5 * time.Millisecond
 )
@@ -61,7 +61,7 @@
 	killed []*router.Router
 	stops  stops
 
-	// The fields below do not change after NewFleet. servers are those of the stand-ins.
+	// The fields below do not change after NewFleet. servers are the servers of the stand-ins.
 	engines   []*standin.Engine
 	plain     []*standin.Plain
 	servers   []*httpserver.Server
@@ -85,38 +85,38 @@
 // NewFleet starts the stand-ins and the routers, and waits until all routers have applied
 // the documents.
 func NewFleet(ctx context.Context, ss FleetSettings) (*Fleet, error) {
-	s := &Fleet{
+	f := &Fleet{
 		Store:     standin.NewStore(standin.StoreSettings{}),
 		documents: map[granitehoist.Partner]*config.Document{Tuul: tuulDocument(), Lima: limaDocument()},
 		keys:      map[granitehoist.Partner]ed25519.PrivateKey{},
 		log:       ss.Log,
 	}
-	if s.log == nil {
-		s.log = zap.NewNop()
+	if f.log == nil {
+		f.log = zap.NewNop()
 	}
 	defaults.Set(&ss.Listen, anyPort)
-	if err := s.startStandins(ss.Engines); err != nil {
+	if err := f.startStandins(ss.Engines); err != nil {
 		return nil, err
 	}
-	if err := s.makeKeys(); err != nil {
+	if err := f.makeKeys(); err != nil {
 		return nil, err
 	}
-	if err := s.startRouters(ss.Listen); err != nil {
+	if err := f.startRouters(ss.Listen); err != nil {
 		return nil, err
 	}
 	for _, partner := range partners {
-		if err := s.apply(ctx, partner); err != nil {
+		if err := f.apply(ctx, partner); err != nil {
 			return nil, err
 		}
 	}
-	return s, s.waitInForce(ctx, s.Routers...)
+	return f, f.waitInForce(ctx, f.Routers...)
 }
 
 // standinHeaderTimeout limits the reading of a request's header by a stand-in.
 const standinHeaderTimeout = time.Minute
 
 // serve starts a handler on a free loopback port and returns its URL.
-func (s *Fleet) serve(h http.Handler) (string, error) {
+func (f *Fleet) serve(h http.Handler) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", eris.Wrap(err, "trial: stand-in")
@@ -127,7 +127,7 @@
 		// The stand-ins abort responses on purpose, so these errors are expected.
 		OnError: func(error) {},
 	}, listener)
-	s.servers = append(s.servers, server)
+	f.servers = append(f.servers, server)
 	// Serve returns after Close. If it fails earlier, the routers see a stand-in that
 	// refuses connections, and Verify counts the effects.
 	go func() { _ = server.Serve() }()
@@ -136,41 +136,41 @@
 
 // makeKeys generates each partner's signing key and adds it to the keys that the routers
 // trust.
-func (s *Fleet) makeKeys() error {
+func (f *Fleet) makeKeys() error {
 	for _, partner := range partners {
 		public, private, err := ed25519.GenerateKey(rand.Reader)
 		if err != nil {
 			return eris.Wrap(err, "trial: keys")
 		}
-		s.keys[partner] = private
-		s.trust = append(s.trust, settings.Trust{Partner: partner, Keys: []string{base64.StdEncoding.EncodeToString(public)}})
+		f.keys[partner] = private
+		f.trust = append(f.trust, settings.Trust{Partner: partner, Keys: []string{base64.StdEncoding.EncodeToString(public)}})
 	}
 	return nil
 }
 
 // apply signs a partner's document and writes it to the store.
-func (s *Fleet) apply(ctx context.Context, partner granitehoist.Partner) error {
-	text, err := toml.Marshal(s.documents[partner])
+func (f *Fleet) apply(ctx context.Context, partner granitehoist.Partner) error {
+	text, err := toml.Marshal(f.documents[partner])
 	if err != nil {
 		return eris.Wrap(err, "trial: document")
 	}
 	signed := config.Signed{Partner: partner, Text: string(text), Serial: 1, ChangeID: granitehoist.NewID("c", rand.Reader)}
-	signed.Sign(s.keys[partner])
+	signed.Sign(f.keys[partner])
 	raw, err := json.Marshal(signed)
 	if err != nil {
 		return eris.Wrap(err, "trial: document")
 	}
-	trust := config.Trust{partner: {s.keys[partner].Public().(ed25519.PublicKey)}}
-	_, err = config.Apply(ctx, s.Store, trust, raw)
+	trust := config.Trust{partner: {f.keys[partner].Public().(ed25519.PublicKey)}}
+	_, err = config.Apply(ctx, f.Store, trust, raw)
 	return err
 }
 
 // Close kills the routers and closes the servers of the stand-ins.
-func (s *Fleet) Close() {
-	for _, r := range s.Routers {
+func (f *Fleet) Close() {
+	for _, r := range f.Routers {
 		r.Kill()
 	}
-	for _, server := range s.servers {
+	for _, server := range f.servers {
 		server.Close()
 	}
 }
--- a/trial/load.go
+++ b/trial/load.go
@@ -44,7 +44,7 @@
 
 // load sends one request per interval to a random router, and returns the outcomes in the
 // order of sending.
-func (s *Fleet) load(ctx context.Context, settings Settings) []*Outcome {
+func (f *Fleet) load(ctx context.Context, settings Settings) []*Outcome {
 	random := rand.New(rand.NewPCG(settings.Seed, 1))
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	defer client.CloseIdleConnections()
@@ -52,27 +52,27 @@
 	calls := make([]*call, settings.Requests)
 	var group sync.WaitGroup
 	for i := range calls {
-		if settings.stopDue(i, s.stops.started) {
-			s.replaceRouter(ctx, random.IntN(len(s.Routers)))
+		if settings.stopDue(i, f.stops.started) {
+			f.replaceRouter(ctx, random.IntN(len(f.Routers)))
 		}
 		c := newCall(i, kinds[random.IntN(len(kinds))])
 		calls[i] = c
 		first, second := random.Int(), random.Int()
-		address := s.address(first)
+		address := f.address(first)
 		group.Go(func() {
 			c.send(ctx, client, address)
 			if c.kind.once {
-				c.send(ctx, client, s.address(second))
+				c.send(ctx, client, f.address(second))
 			}
 		})
 		if settings.Kill && i == len(calls)/2 {
-			s.killRouter(random.IntN(len(s.Routers)))
+			f.killRouter(random.IntN(len(f.Routers)))
 		}
 		time.Sleep(settings.Interval)
 	}
 	group.Wait()
-	s.stops.running.Wait()
-	return s.outcomes(calls)
+	f.stops.running.Wait()
+	return f.outcomes(calls)
 }
 
 // stopDue reports whether a router is to be stopped before request i, after the given
@@ -82,27 +82,27 @@
 }
 
 // outcomes returns the outcomes of finished calls and sets Killed.
-func (s *Fleet) outcomes(calls []*call) []*Outcome {
+func (f *Fleet) outcomes(calls []*call) []*Outcome {
 	outcomes := make([]*Outcome, len(calls))
 	for i, c := range calls {
-		c.outcome.Killed = (c.outcome.Err != nil || c.truncated) && s.isKilled(c.address)
+		c.outcome.Killed = (c.outcome.Err != nil || c.truncated) && f.isKilled(c.address)
 		outcomes[i] = &c.outcome
 	}
 	return outcomes
 }
 
 // address returns the callers' address of the n-th ready router, modulo their number.
-func (s *Fleet) address(n int) string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.Routers[n%len(s.Routers)].CallersAddress()
+func (f *Fleet) address(n int) string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.Routers[n%len(f.Routers)].CallersAddress()
 }
 
-func (s *Fleet) isKilled(address string) bool {
-	return slices.ContainsFunc(s.killed, func(r *router.Router) bool { return r.CallersAddress() == address })
+func (f *Fleet) isKilled(address string) bool {
+	return slices.ContainsFunc(f.killed, func(r *router.Router) bool { return r.CallersAddress() == address })
 }
 
-// weighted returns each request kind as often as its weight, optionally only those for
+// weighted returns each request kind as often as its weight, optionally only the kinds for
 // engines.
 func weighted(enginesOnly bool) []requestKind {
 	var kinds []requestKind
--- a/trial/routers.go
+++ b/trial/routers.go
@@ -18,17 +18,17 @@
 	"granitehoist.example/granitehoist/platform"
 )
 
-// startRouters starts all routers. The first one listens for callers on listen, the others
-// on any free port.
-func (s *Fleet) startRouters(listen string) error {
+// startRouters starts all routers. The first router listens for callers on listen, each other
+// router on any free port.
+func (f *Fleet) startRouters(listen string) error {
 	for _, partner := range partners {
 		for _, zone := range zones[granitehoist.Region(partner)] {
 			for i := range routersPerZone {
-				r, err := s.startRouter(partner, zone, i, listen)
+				r, err := f.startRouter(partner, zone, i, listen)
 				if err != nil {
 					return err
 				}
-				s.Routers = append(s.Routers, r)
+				f.Routers = append(f.Routers, r)
 				listen = anyPort
 			}
 		}
@@ -41,8 +41,8 @@
 
 // startRouter starts the i-th router of an availability zone. Its settings are marshalled
 // and parsed, so that the defaults and checks of a settings file apply.
-func (s *Fleet) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) (*router.Router, error) {
-	file := s.routerSettings(partner, zone, i, listen)
+func (f *Fleet) startRouter(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) (*router.Router, error) {
+	file := f.routerSettings(partner, zone, i, listen)
 	text, err := toml.Marshal(file)
 	if err != nil {
 		return nil, eris.Wrap(err, "trial: settings")
@@ -53,9 +53,9 @@
 	}
 	r, err := router.New(router.Settings{
 		Router:   parsed,
-		Store:    platform.NewStore(platform.StoreSettings{Address: s.storeURL}),
-		Platform: boxlist.New(boxlist.Settings{Address: s.storeURL}),
-		Log:      s.log.Named(string(file.Box)),
+		Store:    platform.NewStore(platform.StoreSettings{Address: f.storeURL}),
+		Platform: boxlist.New(boxlist.Settings{Address: f.storeURL}),
+		Log:      f.log.Named(string(file.Box)),
 	})
 	if err != nil {
 		return nil, err
@@ -65,24 +65,24 @@
 }
 
 // routerSettings returns the settings of the i-th router of an availability zone.
-func (s *Fleet) routerSettings(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) settings.Router {
+func (f *Fleet) routerSettings(partner granitehoist.Partner, zone granitehoist.AvailabilityZone, i int, listen string) settings.Router {
 	return settings.Router{
 		Partner: partner,
 		Region:  granitehoist.Region(partner),
 		Zone:    zone,
 		Box:     granitehoist.Box(fmt.Sprintf("%s-%d", zone, i+1)),
-		Store:   s.storeURL,
+		Store:   f.storeURL,
 		Listen:  settings.Listen{Callers: listen, Peers: anyPort, Admin: anyPort},
-		Trust:   s.trust,
-		Limits:  settings.Limits{ReadinessDelay: settings.Duration(unready)},
+		Trust:   f.trust,
+		Limits:  settings.Limits{ReadinessDelay: settings.Duration(readinessDelay)},
 		Splits:  []settings.Split{{Partner: Tuul, Weighting: "refusals"}, {Partner: Lima, Weighting: "overspend"}},
 	}
 }
 
 // waitInForce waits until the routers have applied the documents of both partners.
-func (s *Fleet) waitInForce(ctx context.Context, routers ...*router.Router) error {
+func (f *Fleet) waitInForce(ctx context.Context, routers ...*router.Router) error {
 	for _, r := range routers {
-		for len(r.View().Serials()) < len(s.documents) {
+		for len(r.View().Serials()) < len(f.documents) {
 			pause.For(ctx, inForcePollInterval)
 			if ctx.Err() != nil {
 				return eris.New("trial: the routers have not applied all documents")
@@ -93,12 +93,12 @@
 }
 
 // stopRouters stops all routers gracefully.
-func (s *Fleet) stopRouters(ctx context.Context) error {
-	for _, r := range s.Routers {
+func (f *Fleet) stopRouters(ctx context.Context) error {
+	for _, r := range f.Routers {
 		if err := r.Stop(ctx); err != nil {
 			return err
 		}
 	}
-	s.Routers = nil
+	f.Routers = nil
 	return nil
 }
--- a/trial/upstreams.go
+++ b/trial/upstreams.go
@@ -13,14 +13,14 @@
 )
 
 // startStandins starts the store and the upstreams of every service.
-func (s *Fleet) startStandins(engines standin.EngineSettings) error {
+func (f *Fleet) startStandins(engines standin.EngineSettings) error {
 	var err error
-	if s.storeURL, err = s.serve(s.Store.Handler()); err != nil {
+	if f.storeURL, err = f.serve(f.Store.Handler()); err != nil {
 		return err
 	}
-	for partner, document := range s.documents {
+	for partner, document := range f.documents {
 		for _, service := range document.Services {
-			if err := s.startService(partner, service, engines); err != nil {
+			if err := f.startService(partner, service, engines); err != nil {
 				return err
 			}
 		}
@@ -29,15 +29,15 @@
 }
 
 // startService starts the upstreams of a service and adds them to the partner's document.
-func (s *Fleet) startService(partner granitehoist.Partner, service config.Service, engines standin.EngineSettings) error {
+func (f *Fleet) startService(partner granitehoist.Partner, service config.Service, engines standin.EngineSettings) error {
 	count := plainPerService
 	if service.Kind == config.KindEngine {
 		count = enginesPerPool
 	}
 	serviceZones := zones[granitehoist.Region(partner)]
-	d := s.documents[partner]
+	d := f.documents[partner]
 	for i := range count {
-		address, err := s.serve(s.newUpstream(service, engines))
+		address, err := f.serve(f.newUpstream(service, engines))
 		if err != nil {
 			return err
 		}
@@ -53,13 +53,13 @@
 }
 
 // newUpstream returns a stand-in for a service and registers it for Fleet.executions.
-func (s *Fleet) newUpstream(service config.Service, engines standin.EngineSettings) http.Handler {
+func (f *Fleet) newUpstream(service config.Service, engines standin.EngineSettings) http.Handler {
 	if service.Kind == config.KindEngine {
 		engine := standin.NewEngine(engines)
-		s.engines = append(s.engines, engine)
+		f.engines = append(f.engines, engine)
 		return engine.Handler()
 	}
 	plain := standin.NewPlain()
-	s.plain = append(s.plain, plain)
+	f.plain = append(f.plain, plain)
 	return plain.Handler()
 }
--- a/trial/verify.go
+++ b/trial/verify.go
@@ -27,31 +27,31 @@
 	// incomplete.
 	WrongAnswers int
 	// Duplicates is the number of repeated executions of requests with Outcome.Once, plus
-	// that of repeated charges of an attempt.
+	// the number of repeated charges of an attempt.
 	Duplicates int
-	// Unaccounted is the number of requests without a response, plus that of requests whose
-	// charge does not match the tokens that upstreams counted.
+	// Unaccounted is the number of requests without a response, plus the number of requests
+	// whose charge does not match the tokens that upstreams counted.
 	Unaccounted int
 	// FalseNotRun is the number of requests that were reported as not run, but ran.
 	FalseNotRun int
-	// Truncated is the number of streams that ended with an error, plus that of requests
+	// Truncated is the number of streams that ended with an error, plus the number of requests
 	// whose router was killed before the end of the response.
 	Truncated int
-	// Stops is the number of planned stops during the load, StopsFailed that of
-	// failed ones.
+	// Stops is the number of planned stops during the load, StopsFailed the number of
+	// planned stops that failed.
 	Stops, StopsFailed int
 }
 
 // Passed reports whether no guarantee was violated. False refusals and responses that were
-// reported to the caller as cut violate none.
-func (v Result) Passed() bool {
-	return v.Overspend == 0 && v.WrongAnswers == 0 && v.Duplicates == 0 && v.Unaccounted == 0 && v.FalseNotRun == 0 && v.StopsFailed == 0
+// reported to the caller as cut violate no guarantee.
+func (r Result) Passed() bool {
+	return r.Overspend == 0 && r.WrongAnswers == 0 && r.Duplicates == 0 && r.Unaccounted == 0 && r.FalseNotRun == 0 && r.StopsFailed == 0
 }
 
-// String returns the verdict as one line of key=value pairs.
-func (v Result) String() string {
+// String returns the result as one line of key=value pairs.
+func (r Result) String() string {
 	return fmt.Sprintf("requests=%d served=%d refused=%d not_run=%d billed=%d overspend=%d false_refusals=%d crossed=%d doubled=%d lost=%d untrue=%d cut=%d stops=%d stops_failed=%d",
-		v.Requests, v.Served, v.Refused, v.NotRun, v.Billed, v.Overspend, v.FalseRefusals, v.WrongAnswers, v.Duplicates, v.Unaccounted, v.FalseNotRun, v.Truncated, v.Stops, v.StopsFailed)
+		r.Requests, r.Served, r.Refused, r.NotRun, r.Billed, r.Overspend, r.FalseRefusals, r.WrongAnswers, r.Duplicates, r.Unaccounted, r.FalseNotRun, r.Truncated, r.Stops, r.StopsFailed)
 }
 
 // Executions is the number of executions of one request by the stand-ins, and the tokens
@@ -76,7 +76,7 @@
 // Verify compares the responses and the charges with the executions by the stand-ins. It
 // does not set Stops and StopsFailed.
 func Verify(e Observations) Result {
-	v := Result{
+	r := Result{
 		Requests:      len(e.Outcomes),
 		Overspend:     e.overspend(),
 		FalseRefusals: e.falseRefusals(),
@@ -86,41 +86,41 @@
 		charges[c.Request] = append(charges[c.Request], c)
 	}
 	for _, o := range e.Outcomes {
-		v.checkOutcome(o, e.Executions[o.ID])
-		v.checkCharges(e.Executions[o.ID], charges[o.ID])
+		r.checkOutcome(o, e.Executions[o.ID])
+		r.checkCharges(e.Executions[o.ID], charges[o.ID])
 	}
-	return v
+	return r
 }
 
 // checkOutcome counts the outcome of one request and compares it with the request's
 // executions. There is nothing to compare for a request without a response, or whose
 // router was killed.
-func (v *Result) checkOutcome(o *Outcome, x Executions) {
+func (r *Result) checkOutcome(o *Outcome, x Executions) {
 	switch {
 	case o.Killed:
-		v.Truncated++
+		r.Truncated++
 		return
 	case o.Err != nil:
-		v.Unaccounted++
+		r.Unaccounted++
 		return
 	case o.Code == granitehoist.Served:
-		v.Served++
+		r.Served++
 	case o.StreamFailed:
-		v.Truncated++
+		r.Truncated++
 	default:
-		v.Refused++
+		r.Refused++
 	}
 	if o.Answered && !o.Correct {
-		v.WrongAnswers++
+		r.WrongAnswers++
 	}
 	if allNotRun(o.ExecutionStatuses) {
-		v.NotRun++
+		r.NotRun++
 		if x.Runs > 0 {
-			v.FalseNotRun++
+			r.FalseNotRun++
 		}
 	}
 	if o.Once && x.Runs > 1 {
-		v.Duplicates += x.Runs - 1
+		r.Duplicates += x.Runs - 1
 	}
 }
 
@@ -130,25 +130,25 @@
 	return !slices.ContainsFunc(statuses, func(f granitehoist.ExecutionStatus) bool { return f != granitehoist.NotRun })
 }
 
-// checkCharges compares the charges of one request with its executions: there must be both
-// or neither, with the same tokens, and no attempt may be charged twice.
-func (v *Result) checkCharges(x Executions, charges []bill.Charge) {
+// checkCharges compares the charges of one request with its executions: either both
+// exist, with the same tokens, or neither, and no attempt may be charged twice.
+func (r *Result) checkCharges(x Executions, charges []bill.Charge) {
 	var tokens granitehoist.Tokens
 	charged := map[granitehoist.AttemptID]bool{}
 	for _, c := range charges {
 		tokens += c.Tokens
 		for _, attempt := range c.Attempts {
 			if charged[attempt] {
-				v.Duplicates++
+				r.Duplicates++
 			}
 			charged[attempt] = true
 		}
 	}
 	if len(charges) > 0 {
-		v.Billed++
+		r.Billed++
 	}
 	if tokens != x.Tokens || (x.Runs > 0) != (len(charges) > 0) {
-		v.Unaccounted++
+		r.Unaccounted++
 	}
 }
 
