--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -116,7 +116,7 @@
 	reports, urgent := a.settings.Ledger.Reports(now)
 	err := a.send(ctx, reports, SyncParams{Urgent: urgent}, now)
 	if err != nil {
-		// Reports contain running totals, so the next round replaces lost ones.
+		// Reports contain running totals, so the next round replaces lost reports.
 		a.settings.OnError(err)
 	}
 	a.borrow(ctx, err != nil)
--- a/partner/budget/allocator.go
+++ b/partner/budget/allocator.go
@@ -75,7 +75,7 @@
 
 // Sync processes a box's message: it records the reports and grants tokens. All reports
 // must be of shard s. After an error the grants may have been written or not; it is safe
-// to send the message again. The errors are ErrUnknownIncarnation and those of the store.
+// to send the message again. The errors are ErrUnknownIncarnation and the errors of the store.
 func (a *Allocator) Sync(ctx context.Context, s Shard, params SyncParams, now time.Time) (SyncResult, error) {
 	result, err := a.group(s).Do(ctx, syncItem{params: params, now: now})
 	if err != nil {
@@ -121,7 +121,8 @@
 }
 
 // serve processes messages of one shard with one write. It uses the latest arrival time of
-// the messages as the time of them all. It retries after conflicts and after writes whose outcome is unknown.
+// the messages as the time of them all. It retries after conflicts and after writes whose
+// outcome is unknown.
 func (a *Allocator) serve(ctx context.Context, s Shard, items []syncItem) ([]SyncResult, error) {
 	now := items[0].now
 	for _, item := range items {
--- a/partner/budget/doc.go
+++ b/partner/budget/doc.go
@@ -31,7 +31,8 @@
 //     Its lock serializes its rounds; no call is made under the lock of a Ledger.
 //
 // The package depends on conditional writes of the store, on a granitehoist.Caller for
-// calls between routers, such as that of package fleet, and on its caller for the time.
+// calls between routers, such as the Caller of package fleet, and on its own callers for
+// the time.
 //
 // 'granitehoist router' uses this package. granitehoist-edge uses package escrow, with
 // one record for all regions and loans between routers: its platform allows more writes
--- a/partner/budget/ledger.go
+++ b/partner/budget/ledger.go
@@ -59,8 +59,9 @@
 	return a
 }
 
-// Reserve reserves maxCost tokens of a budget and returns true, or returns false if the box
-// has fewer free. It panics if maxCost is negative. Each successful Reserve must be followed by one Settle.
+// Reserve reserves maxCost tokens of a budget and returns true, or returns false if the
+// box has fewer free. It panics if maxCost is negative. Each successful Reserve must be
+// followed by one Settle.
 func (l *Ledger) Reserve(k granitehoist.BudgetID, maxCost granitehoist.Tokens) bool {
 	mustNotBeNegative(maxCost)
 	l.mu.Lock()
@@ -138,7 +139,7 @@
 
 // account is the state of one budget on a box, guarded by the lock of the Ledger.
 //
-// The box holds totals.Held() tokens, including the reserved ones. Only Ledger.Settle
+// The box holds totals.Held() tokens, including reserved tokens. Only Ledger.Settle
 // can make the free tokens negative, by a use beyond the reserved maximum cost. The box
 // then serves no request of the budget until it has received more tokens.
 type account struct {
@@ -158,7 +159,7 @@
 }
 
 // lastReply is the state from the latest reply about a budget. Its zero value means that
-// there was none.
+// there was no reply.
 type lastReply struct {
 	received bool
 	// receivedAt is when the reply arrived.
--- a/partner/budget/messages.go
+++ b/partner/budget/messages.go
@@ -18,7 +18,7 @@
 	Borrowed granitehoist.Tokens `json:"b,omitempty"`
 }
 
-// Held returns the tokens that the incarnation has, including reserved ones.
+// Held returns the tokens that the incarnation has, including reserved tokens.
 func (t Totals) Held() granitehoist.Tokens {
 	return t.Granted - t.Returned - t.Spent - t.Lent + t.Borrowed
 }
@@ -72,8 +72,9 @@
 	// Target is the number of tokens that the box should hold. The box returns free tokens
 	// beyond Target.
 	Target granitehoist.Tokens `json:"t"`
-	// Remaining is what the whole budget has left according to the last reports of all
-	// holders. It is never less than what the box could still get.
+	// Remaining is the number of tokens that the whole budget has left and that are not in
+	// doubt, according to the last reports of all holders. It is never less than what the
+	// box could still get.
 	Remaining granitehoist.Tokens `json:"x"`
 	// Lenders names the incarnations of the region with the largest holdings, if the
 	// grant does not cover the need.
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -20,7 +20,7 @@
 	// Limit.
 	Limit granitehoist.Tokens
 	// RemainingElsewhere is the number of tokens of the budget that are unallocated or in
-	// other regions, without those in doubt.
+	// other regions and not in doubt.
 	RemainingElsewhere granitehoist.Tokens
 }
 
@@ -118,11 +118,11 @@
 	return held, rate
 }
 
-// regionCoverFactor is the ratio of a region's cover to that of a box.
+// regionCoverFactor is the ratio of a region's cover to a box's cover.
 const regionCoverFactor = 2
 
-// forRegions returns the split between regions. Its Cover and Share are larger than those of
-// boxes, so that regions write the root record, which they share, less often.
+// forRegions returns the split between regions. Its Cover and Share are larger than in
+// the split between boxes, so that regions write the root record, which they share, less often.
 func (s Split) forRegions() Split {
 	s.Cover *= regionCoverFactor
 	s.Share = (1 + s.Share) / 2
--- a/partner/budget/wait.go
+++ b/partner/budget/wait.go
@@ -10,8 +10,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Waiter is a request that waits for tokens. Done is closed once they are reserved for it or
-// the budget is known to have too few. The lock of the Ledger guards the other fields.
+// Waiter is a request that waits for maxCost tokens. Done is closed once the tokens are
+// reserved for the request or the budget is known to have too few. The lock of the Ledger
+// guards the fields except Done.
 type Waiter struct {
 	Done    chan struct{}
 	maxCost granitehoist.Tokens
@@ -33,9 +34,10 @@
 const (
 	// Granted means that the tokens are reserved and must be settled.
 	Granted Outcome = iota
-	// Exhausted means that the budget has too few tokens left.
+	// Exhausted means that the budget has too few tokens left, or that a reply arrived
+	// within Split.Wait before the end of the wait but the box got too few tokens.
 	Exhausted
-	// Unreachable means that no reply came during the wait.
+	// Unreachable means that no reply arrived within Split.Wait before the end of the wait.
 	Unreachable
 )
 
@@ -43,9 +45,9 @@
 // at once, without a new report.
 const remainingTTL = time.Second
 
-// Wait returns a Waiter for maxCost tokens. The wait is over at once if the box has that many
-// free, which are then reserved, or if the budget is known to have too few. The caller must
-// call EndWait. Wait panics if maxCost is negative.
+// Wait returns a Waiter for maxCost tokens. Its Done is closed at once if the box has that
+// many free tokens, which are then reserved, or if the budget is known to have too few. The
+// caller must call EndWait. Wait panics if maxCost is negative.
 func (l *Ledger) Wait(k granitehoist.BudgetID, maxCost granitehoist.Tokens, now time.Time) *Waiter {
 	mustNotBeNegative(maxCost)
 	l.mu.Lock()
--- a/partner/gate/costtracker.go
+++ b/partner/gate/costtracker.go
@@ -13,8 +13,8 @@
 )
 
 // costTracker tracks the cost of one request across its attempts: the reservation, the used
-// tokens and the charge. It is used by one goroutine at a time, the one that serves the
-// request and then the one that settles it.
+// tokens and the charge. It is used by one goroutine at a time: first by the goroutine
+// that serves the request, then by the goroutine that settles the cost.
 type costTracker struct {
 	gate    *Gate
 	request *request
--- a/partner/gate/refusals.go
+++ b/partner/gate/refusals.go
@@ -82,7 +82,7 @@
 )
 
 // retryAfter returns the delay after which a refused caller may retry, zero for no advice. A
-// delay in the error itself takes precedence, such as the one that budget.Agent sets if it
+// delay in the error itself takes precedence, such as the delay that budget.Agent sets if it
 // can't obtain tokens.
 func retryAfter(e *granitehoist.Error) time.Duration {
 	if e.RetryAfter > 0 {
--- a/partner/policy/doc.go
+++ b/partner/policy/doc.go
@@ -10,7 +10,7 @@
 // evaluation costs more than costLimit, denies the request.
 //
 // 'granitehoist router' evaluates the policies of the active configuration through
-// config.View, and 'granitehoist check' compiles those of a configuration to be
+// config.View, and 'granitehoist check' compiles the policies of a configuration to be
 // checked. granitehoist-edge has no policies.
 //
 // The package keeps no state. A compiled Policy is immutable and safe for
--- a/partner/route/pool.go
+++ b/partner/route/pool.go
@@ -95,10 +95,10 @@
 // maxFullScan is the largest pool in which leastLoaded examines every member.
 const maxFullScan = 16
 
-// leastLoaded returns the available member with the fewest requests: among all in a
-// small pool, among two random ones in a large one (M. Mitzenmacher, "The Power of Two
-// Choices in Randomized Load Balancing", 1996). It returns nil if none of these is
-// available.
+// leastLoaded returns the available member with the fewest requests in flight: among all
+// members of a pool of up to maxFullScan, among two random members of a larger pool (M.
+// Mitzenmacher, "The Power of Two Choices in Randomized Load Balancing", 1996). It returns
+// nil if none of these is available.
 func (p *servicePool) leastLoaded(req Request, random *rand.Rand, now time.Time) *member {
 	if len(p.members) <= maxFullScan {
 		return p.scan(req, now)
--- a/partner/route/queue.go
+++ b/partner/route/queue.go
@@ -23,7 +23,7 @@
 	granted chan *Slot
 }
 
-// add inserts a request behind those of the same or a higher priority.
+// add inserts a request behind the queued requests of the same or a higher priority.
 func (q *queue) add(req Request) *waiter {
 	added := &waiter{request: req, granted: make(chan *Slot, 1)}
 	pos := sort.Search(len(*q), func(i int) bool { return (*q)[i].request.Priority < req.Priority })
--- a/trial/doc.go
+++ b/trial/doc.go
@@ -8,8 +8,8 @@
 //
 // A Fleet owns the stand-ins and the routers. Only Fleet.load changes the list of routers,
 // under Fleet.mu, since concurrent requests read it. Each call of the load has its own
-// Outcome, which is read after all calls have ended. The routers are those of package
-// partner/router, the stand-ins those of package standin.
+// Outcome, which is read after all calls have ended. Package partner/router provides
+// the routers, package standin the stand-ins.
 //
 // 'granitehoist try' runs it, and the benchmark of partner/router uses a Fleet. Begin
 // reading at Run, then at Verify, which checks the guarantees.
