--- a/partner/budget/doc.go
+++ b/partner/budget/doc.go
@@ -6,7 +6,7 @@
 //
 // At any time a token of a budget is unallocated at the root, in the stock of a region,
 // held by an incarnation of a box, or charged. Before a request is sent to an upstream,
-// it reserves an upper bound of its use from what its box holds. Afterwards the
+// its maximum cost is reserved from what its box holds. Afterwards the
 // reservation is settled at the use that the upstream reports. A box that is cut off
 // continues to spend what it holds and nothing else, so safety depends on no message,
 // lease or clock.
@@ -31,7 +31,8 @@
 //     Its lock serializes its rounds; no call is made under the lock of a Ledger.
 //
 // The package depends on conditional writes of the store, on a granitehoist.Caller for
-// calls between routers, such as that of package fleet, and on its caller for the time.
+// calls between routers, such as the Caller of package fleet, and on its own callers for
+// the time.
 //
 // 'granitehoist router' uses this package. granitehoist-edge uses package escrow, with
 // one record for all regions and loans between routers: its platform allows more writes
