--- a/partner/budget/differential_test.go
+++ b/partner/budget/differential_test.go
@@ -119,7 +119,7 @@
 		return
 	}
 	r.waiter = r.box.ledger.Wait(k, r.bound, c.now)
-	r.until = c.now.Add(c.split.Wait)
+	r.until = c.now.Add(c.split.MaxWait)
 	r.box.nextSync = c.now
 }
 
--- a/partner/budget/reserve.go
+++ b/partner/budget/reserve.go
@@ -11,7 +11,7 @@
 )
 
 // Reserve reserves maxCost tokens. If the box holds too few, it waits for more for up to
-// Split.Wait or until ctx is done. Its errors are of type *granitehoist.Error with the codes
+// Split.MaxWait or until ctx is done. Its errors are of type *granitehoist.Error with the codes
 // BudgetExhausted, BudgetUnreachable and DeadlineTooNear; nothing is reserved then. It
 // panics if maxCost is negative.
 func (a *Agent) Reserve(ctx context.Context, k granitehoist.BudgetID, maxCost granitehoist.Tokens) error {
@@ -21,7 +21,7 @@
 	}
 	waiter := ledger.Wait(k, maxCost, a.settings.Clock())
 	a.wake()
-	timer := time.NewTimer(ledger.split(k).Wait)
+	timer := time.NewTimer(ledger.split(k).MaxWait)
 	defer timer.Stop()
 	select {
 	case <-waiter.Done:
--- a/partner/budget/split.go
+++ b/partner/budget/split.go
@@ -22,8 +22,8 @@
 	// the budget. A holding should last for at most Share times this lifetime, even if
 	// Cover is longer. Zero means DefaultShare.
 	Share float64
-	// Wait bounds how long a request waits for tokens. Zero means DefaultWait.
-	Wait time.Duration
+	// MaxWait bounds how long a request waits for tokens. Zero means DefaultWait.
+	MaxWait time.Duration
 }
 
 // Defaults of a Split.
@@ -74,7 +74,7 @@
 func (s Split) withDefaults() Split {
 	defaults.Set(&s.Cover, DefaultCover)
 	defaults.Set(&s.Share, DefaultShare)
-	defaults.Set(&s.Wait, DefaultWait)
+	defaults.Set(&s.MaxWait, DefaultWait)
 	return s
 }
 
--- a/partner/budget/wait.go
+++ b/partner/budget/wait.go
@@ -35,9 +35,9 @@
 	// Granted means that the tokens are reserved and must be settled.
 	Granted Outcome = iota
 	// Exhausted means that the budget has too few tokens left, or that a reply arrived
-	// within Split.Wait before the end of the wait but the box got too few tokens.
+	// within Split.MaxWait before the end of the wait but the box got too few tokens.
 	Exhausted
-	// Unreachable means that no reply arrived within Split.Wait before the end of the wait.
+	// Unreachable means that no reply arrived within Split.MaxWait before the end of the wait.
 	Unreachable
 )
 
@@ -85,7 +85,7 @@
 		return Exhausted
 	}
 	a.removeWaiter(w)
-	return a.reply.timeoutOutcome(l.split(k).Wait, now)
+	return a.reply.timeoutOutcome(l.split(k).MaxWait, now)
 }
 
 // timeoutOutcome returns the outcome of a wait that got no tokens in time. wait is the
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -224,7 +224,7 @@
 		// Parse rejects unknown weightings.
 		split, _ := budget.NewSplit(s.Weighting)
 		if s.MaxWait > 0 {
-			split.Wait = time.Duration(s.MaxWait)
+			split.MaxWait = time.Duration(s.MaxWait)
 		}
 		return split
 	}
