--- a/balance/slow_test.go
+++ b/balance/slow_test.go
@@ -29,7 +29,7 @@
 	Entry("not a little above it", 22.9, false, false),
 	Entry("a little above it, if it was slow before", 22.9, true, true),
 	Entry("no longer near the median", 21.5, true, false),
-	Entry("not while its pace is unknown", 0.0, false, false),
+	Entry("not while its event gap is unknown", 0.0, false, false),
 )
 
 var _ = Describe("A quantile", func() {
@@ -123,7 +123,7 @@
 		Expect(t.instances["i-0"].eventGap.samples).To(BeZero())
 	})
 
-	It("has no median without a known pace", func() {
+	It("has no median without a known event gap", func() {
 		Expect((&serviceState{}).medianEventGap()).To(Equal(math.Inf(1)))
 	})
 })
--- a/escrow/owned.go
+++ b/escrow/owned.go
@@ -14,9 +14,9 @@
 //
 //	granted + sum(borrowed) - returned - sum(lent) = spent + reserved + unreserved
 //
-// tokens. unreserved is computed from the other terms. Only the methods below change
-// those. Each of them is a total that only grows, except reserved, which settle and
-// lendReserved reduce. Only unreserved can be negative: requests that use more than their
+// tokens. unreserved is computed from the other terms, which only the methods below change.
+// Every other term except reserved is a total that only grows; settle and lendReserved
+// reduce reserved. Only unreserved can be negative: requests that use more than their
 // maximum cost reduce it. Nothing more is reserved until grants or loans have made it
 // positive. The tests check the rule on random histories (CheckConservation in
 // export_test.go).
--- a/escrow/target.go
+++ b/escrow/target.go
@@ -34,14 +34,13 @@
 	// loans of the shard while the store is unresponsive, and is lost if the holder
 	// crashes.
 	holderMaxHeldFraction = 0.5
-	// holderLowBudgetFactor limits the holding of a holder that has seen no outage to the
-	// fraction
+	// holderLowBudgetFactor limits the holding of a holder that has seen no outage to
 	//
-	//	holderLowBudgetFactor * available tokens / prepaid total
+	//	holderLowBudgetFactor * available² / prepaid total
 	//
-	// of the available tokens, so that few tokens are lost if all routers crash near the
-	// end of the budget. A holder that has seen an outage expects another one and holds
-	// more.
+	// where available is the number of available tokens. The held share of them shrinks as
+	// the budget runs out, so that few tokens are lost if all routers crash near its end. A
+	// holder that has seen an outage expects another one and holds more.
 	holderLowBudgetFactor = 0.5
 	// minHolderCover limits the effect of holderLowBudgetFactor and of
 	// postOutageHeldFraction: they never reduce a holding below what the holder spends in
@@ -161,8 +160,8 @@
 }
 
 // demandFraction returns the router's fraction of the fleet's rate of spending, but at
-// least the equal fraction 1/c.routers scaled by 1 - c.confidence. It returns the equal
-// fraction if no router spends anything.
+// least the equal fraction 1/c.routers scaled by 1 - c.observedFraction. It returns the
+// equal fraction if no router spends anything.
 func (t targetInputs) demandFraction(c conditions) float64 {
 	equal := 1 / float64(c.routers)
 	fleet := t.ownRate + t.othersRate
--- a/explain/boxstate.go
+++ b/explain/boxstate.go
@@ -18,9 +18,9 @@
 	startStop *Line
 	// upstreams holds the latest upstream or upstream_gone line of each instance.
 	upstreams map[string]*Line
-	// unexplainedRefusal is the line of the request to be explained, if it was refused
-	// because the store did not respond although no call for the budgets had failed
-	// before. The line of the next failed call or of the next grant resets it.
+	// unexplainedRefusal is the line of the explained request if it was refused because
+	// the store did not respond, but the line reports no earlier failed budget call. It
+	// is reset by the next failed call or the next grant.
 	unexplainedRefusal *Line
 }
 
--- a/node/suspectstore.go
+++ b/node/suspectstore.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// reloadFromStore reads the stored evidence again, as storeReadRequested asks.
+// reloadFromStore reads the stored evidence once more and logs an error. It then waits
+// storeRetryDelay, so that repeated requests do not overload the store.
 func (s *suspects) reloadFromStore(ctx context.Context) {
 	if err := s.readStore(ctx); err != nil {
 		s.logStoreFailed(err)
--- a/partner/budget/allocator.go
+++ b/partner/budget/allocator.go
@@ -120,9 +120,9 @@
 	return g
 }
 
-// serve processes messages of one shard with one write. It uses the latest arrival time of
-// the messages as the time of them all. It retries after conflicts and after writes whose
-// outcome is unknown.
+// serve processes messages of one shard with one write. All messages count as arrived when
+// the last of them did. It retries after conflicts and after writes whose outcome is
+// unknown.
 func (a *Allocator) serve(ctx context.Context, s Shard, items []syncItem) ([]SyncResult, error) {
 	now := items[0].now
 	for _, item := range items {
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -136,9 +136,8 @@
 	a.settings.Ledger.ApplyLoan(params.Budget, result)
 }
 
-// maxUnresolvedLoans is the most loan requests whose responses the next round asks for again.
-// Tokens that a lender deducted for a request beyond these stay unused until the next loan
-// between the two boxes.
+// maxUnresolvedLoans bounds the list of loan requests with lost responses. Tokens deducted for
+// a loan request that is not listed stay unused until the next loan between the two boxes.
 const maxUnresolvedLoans = 1000
 
 // retryLoans asks lenders whose responses were lost for the totals that they lent. It drops
--- a/partner/gate/prompt.go
+++ b/partner/gate/prompt.go
@@ -17,8 +17,8 @@
 	Type string `json:"type"`
 }
 
-// readPrompt reads the prompt and checks that it is text only. Text has at most one token for
-// each byte.
+// readPrompt reads the prompt. It rejects content other than text, since the maximum cost is
+// computed from the size of the prompt, which bounds the tokens only of text.
 func (c *completion) readPrompt() error {
 	messages, chat := c.fields["messages"]
 	prompt, plain := c.fields["prompt"]
--- a/suspect/table.go
+++ b/suspect/table.go
@@ -67,7 +67,8 @@
 	isScope bool
 	// changedAt is when the evidence last changed in this table.
 	changedAt time.Time
-	// roundAt is when a crash last raised the highest round in this table.
+	// roundAt is when this entry's highest round last rose: the time at which this table
+	// learned of the crash, whether observed here or reported by another router.
 	roundAt time.Time
 	// refusedUntil is when the block expires; zero if the evidence does not suffice for a
 	// refusal.
--- a/throttle/issuer.go
+++ b/throttle/issuer.go
@@ -12,17 +12,15 @@
 )
 
 // An upstream with a limit of rate requests a second must get at most 6 x rate + 5 requests
-// in any 4 s. The constants ensure this:
+// in any 4 s, even if a fallback issues permits at the same time. The constants ensure this
+// by two bounds:
 //
-//   - All permits of a grant can be used from the due time of the first one until Validity
-//     later. The last one is due up to batchWindow after the first one. The permits used in
-//     4 s are therefore due within 4.6 s.
-//   - The permits of one issuer that are due within a period number at most the rate times
-//     the sum of the period and maxLateness, plus maxLatenessIntervals, plus one. An
-//     overdue permit counts as due when it is issued.
-//
-// One issuer therefore admits at most 4.7 x rate + 1.5 requests in 4 s. Together with a
-// fallback at reducedRateFraction it admits at most 5.9 x rate + 3.
+//   - The permits of a grant can be used from Grant.Due until Validity later, and the last
+//     one is due at most batchWindow after Grant.Due. A permit is therefore used close to
+//     its due time.
+//   - The due times of an issuer's permits are at least one interval apart. A permit that
+//     is overdue by more than maxLateness plus maxLatenessIntervals intervals is not issued.
+//     This bounds the number of overdue permits that are issued at once.
 const (
 	// Validity is how long the permits of a grant may be used after Grant.Due.
 	Validity = 500 * time.Millisecond
