--- a/node/crashload_test.go
+++ b/node/crashload_test.go
@@ -387,8 +387,7 @@
 }
 
 // TestPoisonRequestWithVariedBodies guards against evidence that covers one request body
-// only. It allows more crashes than the other tests, since only the scope is refused: after
-// more rounds, and with shorter blocks.
+// only.
 func TestPoisonRequestWithVariedBodies(t *testing.T) {
 	runPoisonRequest(t, poisonScenario{variedBodies: true, maxCrashes: 24, maxLateArrivals: 9})
 }
