--- a/measure/loads.go
+++ b/measure/loads.go
@@ -49,7 +49,7 @@
 // Times of the fleet's messages in seconds, as the code has them.
 const (
 	// boxReport is the time after which a box reports a budget that it spent
-	// on: reportInterval in partner/budget/asks.go.
+	// on: reportInterval in partner/budget/report.go.
 	boxReport = 10.0
 	// pageInterval is the time that reports are gathered for at the full size:
 	// the setting budget.gather, "10s".
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -16,56 +16,56 @@
 	"granitehoist.example/granitehoist/internal/pause"
 )
 
-// AgentSettings configure an Agent.
+// AgentSettings configures an Agent.
 type AgentSettings struct {
 	Box    granitehoist.Box
 	Purse  *Purse
 	Keeper *Keeper
-	// Caller reaches other routers.
+	// Caller makes the calls to other routers.
 	Caller granitehoist.Caller
-	// RemoteKeeper returns the router that keeps a shard for this region, and false
-	// if that is this router or there is none.
+	// RemoteKeeper returns the router whose Keeper serves a shard for this region. It
+	// returns false if that is this router or if there is none.
 	RemoteKeeper func(Shard) (granitehoist.Peer, bool)
 	// Peers returns the other routers of the region.
 	Peers func() []granitehoist.Peer
 	Clock granitehoist.Clock
-	// Interval is the time between messages; zero stands for
-	// DefaultInterval. A request that waits sends one at once.
+	// Interval is the time between rounds of messages; zero means DefaultInterval. A
+	// waiting request starts a round at once.
 	Interval time.Duration
-	// Failed is called with each error; nil ignores them. Sync and Borrow are
-	// tried again with the next message.
+	// Failed is called with each error; nil ignores them. The next round repeats the
+	// failed calls.
 	Failed func(error)
-	// Shards is the number of shards; zero stands for DefaultShards.
+	// Shards is the number of shards; zero means DefaultShards.
 	Shards int
 }
 
 const (
-	// DefaultInterval is the time between two rounds of messages; a round holds only the
-	// accounts that are due.
+	// DefaultInterval is the default time between two rounds of messages. A round
+	// contains only the accounts whose report is due.
 	DefaultInterval = time.Second
-	// waitingInterval is that time while requests wait: a twentieth of DefaultWait, so
-	// that tokens are asked for several times during a wait.
+	// waitingInterval is the time between rounds while requests wait, short enough for
+	// several rounds within DefaultWait.
 	waitingInterval = DefaultWait / 20
 )
 
-// Agent keeps a Purse filled: it sends its messages to the keepers of the
-// region, acts as keeper itself if they can't be reached, and borrows from
-// other boxes while the store does not answer. It is safe for concurrent use.
+// Agent keeps the accounts of a box supplied with tokens. It sends reports to the
+// region's Keepers, falls back to the local Keeper if they can't be reached, and borrows
+// from other boxes for requests that still wait. It is safe for concurrent use.
 type Agent struct {
 	settings AgentSettings
-	// wakeups holds a value if kick was called since the last step began.
+	// wakeups has a value if wake was called since the last round began.
 	wakeups chan struct{}
-	// running is held during a step and a Close, so that Close begins after the
-	// last step. It guards unanswered.
-	running sync.Mutex
-	// unanswered are loans whose answers were lost.
+	// roundMu serializes rounds and Close, so that Close starts after the last round. It
+	// guards unanswered.
+	roundMu sync.Mutex
+	// unanswered holds the loans for which the lender's answer was lost.
 	unanswered []unansweredLoan
 }
 
-// NewAgent returns an agent. It panics if a needed setting is missing.
+// NewAgent returns an Agent. It panics if a required setting is missing.
 func NewAgent(s AgentSettings) *Agent {
 	if s.Purse == nil || s.Keeper == nil || s.Caller == nil || s.RemoteKeeper == nil || s.Peers == nil || s.Clock == nil {
-		panic("budget: agent lacks a setting")
+		panic("budget: AgentSettings lacks a required field")
 	}
 	defaults.Set(&s.Interval, DefaultInterval)
 	defaults.Set(&s.Shards, DefaultShards)
@@ -75,15 +75,15 @@
 	return &Agent{settings: s, wakeups: make(chan struct{}, 1)}
 }
 
-// kick makes Run send the next messages at once.
-func (a *Agent) kick() {
+// wake makes Run start the next round at once.
+func (a *Agent) wake() {
 	select {
 	case a.wakeups <- struct{}{}:
 	default:
 	}
 }
 
-// Run sends messages until ctx ends.
+// Run sends rounds of messages until ctx is done.
 func (a *Agent) Run(ctx context.Context) {
 	timer := time.NewTimer(a.settings.Interval)
 	defer timer.Stop()
@@ -94,42 +94,42 @@
 		case <-timer.C:
 		case <-a.wakeups:
 		}
-		a.step(ctx)
-		timer.Reset(a.pause())
+		a.syncRound(ctx)
+		timer.Reset(a.nextDelay())
 	}
 }
 
-// pause returns the time until the next message.
-func (a *Agent) pause() time.Duration {
+// nextDelay returns the time until the next round.
+func (a *Agent) nextDelay() time.Duration {
 	if a.settings.Purse.Busy() {
 		return min(waitingInterval, a.settings.Interval)
 	}
 	return a.settings.Interval
 }
 
-// step sends one round of messages and applies the replies.
-func (a *Agent) step(ctx context.Context) {
-	a.running.Lock()
-	defer a.running.Unlock()
+// syncRound sends one round of reports, applies the replies and borrows what is missing.
+func (a *Agent) syncRound(ctx context.Context) {
+	a.roundMu.Lock()
+	defer a.roundMu.Unlock()
 	a.retryUnanswered(ctx)
 	now := a.settings.Clock()
-	asks, urgent := a.settings.Purse.Asks(now)
-	err := a.send(ctx, asks, SyncParams{Urgent: urgent}, now)
+	reports, urgent := a.settings.Purse.Asks(now)
+	err := a.send(ctx, reports, SyncParams{Urgent: urgent}, now)
 	if err != nil {
-		// Nothing is lost: the asks hold totals, and the next round sends them.
+		// Reports contain running totals, so the next round replaces lost ones.
 		a.settings.Failed(err)
 	}
 	a.borrow(ctx, err != nil)
 }
 
-// send sends asks to the keepers, to all shards at the same time, and returns the
-// first error. params holds what the messages have in common.
-func (a *Agent) send(ctx context.Context, asks []Ask, params SyncParams, now time.Time) error {
+// send sends reports to the Keepers of all shards concurrently, applies the replies and
+// returns the first error. params holds the fields that all messages share.
+func (a *Agent) send(ctx context.Context, reports []Ask, params SyncParams, now time.Time) error {
 	params.Box, params.Incarnation = a.settings.Box, a.settings.Purse.Incarnation()
 	byShard := map[Shard][]Ask{}
-	for _, ask := range asks {
-		s := shardOf(ask.Budget, a.settings.Shards)
-		byShard[s] = append(byShard[s], ask)
+	for _, report := range reports {
+		s := shardOf(report.Budget, a.settings.Shards)
+		byShard[s] = append(byShard[s], report)
 	}
 	var group errgroup.Group
 	for s, part := range byShard {
@@ -147,15 +147,15 @@
 	return group.Wait()
 }
 
-// ShardSync is the message between routers: a SyncParams and its shard.
+// ShardSync is the message of MethodSync: a SyncParams and its shard.
 type ShardSync struct {
 	Shard  Shard      `json:"shard"`
 	Params SyncParams `json:"params"`
 }
 
-// sync sends a message to the shard's keeper, or acts as keeper if that fails.
-// The error of the call is not reported: any router may act as keeper, and if
-// this router's own try fails its error says what is wrong with the store.
+// sync sends a message to the shard's Keeper, or to the local one if that fails. It drops
+// the error of the remote call: any router may serve the shard, and a failure of the
+// local Keeper reports what is wrong with the store.
 func (a *Agent) sync(ctx context.Context, s Shard, params SyncParams, now time.Time) (SyncResult, error) {
 	if peer, ok := a.settings.RemoteKeeper(s); ok {
 		result, err := a.call(ctx, peer, ShardSync{Shard: s, Params: params})
@@ -166,7 +166,7 @@
 	return a.settings.Keeper.Sync(ctx, s, params, now)
 }
 
-// call sends a message to another router.
+// call sends a message to the Keeper of another router.
 func (a *Agent) call(ctx context.Context, peer granitehoist.Peer, message ShardSync) (SyncResult, error) {
 	packed, err := pack.NewMessage(message)
 	if err != nil {
@@ -179,7 +179,7 @@
 	return result.Value()
 }
 
-// ServeSync serves MethodSync for another router's agent.
+// ServeSync handles MethodSync for the agent of another router.
 func (a *Agent) ServeSync(ctx context.Context, m pack.Message[ShardSync]) (pack.Message[SyncResult], error) {
 	s, err := m.Value()
 	if err != nil {
@@ -193,30 +193,28 @@
 }
 
 const (
-	// closeTries is how often a stopping router tries to return its tokens. With
-	// one try 5 of 1,500 planned stops failed, with ten none (commit 7466cfe,
-	// which also made calls name their receiver). The value was chosen.
-	closeTries = 10
-	// closePause is the time between two tries.
-	closePause = 100 * time.Millisecond
+	// closeAttempts is how often Close tries to return the tokens.
+	closeAttempts = 10
+	// closeRetryDelay is the time between two attempts.
+	closeRetryDelay = 100 * time.Millisecond
 )
 
-// Close returns all tokens to the pages. It must be called when no reservation
-// is left and the context of Run has ended. An error means that some tokens
-// are still recorded as held by this router; they stay in doubt.
+// Close returns all tokens to the region. It must be called after the last reservation was
+// settled and the context of Run is done. On an error some tokens stay recorded as held
+// by this router and will count as in doubt.
 func (a *Agent) Close(ctx context.Context) error {
-	a.running.Lock()
-	defer a.running.Unlock()
+	a.roundMu.Lock()
+	defer a.roundMu.Unlock()
 	a.settings.Purse.Close()
 	var err error
-	for range closeTries {
+	for range closeAttempts {
 		now := a.settings.Clock()
-		// All messages of a stop are urgent.
-		asks, _ := a.settings.Purse.Asks(now)
-		if err = a.send(ctx, asks, SyncParams{Closing: true, Urgent: true}, now); err == nil {
+		// Messages of a closing router must not be delayed for batching.
+		reports, _ := a.settings.Purse.Asks(now)
+		if err = a.send(ctx, reports, SyncParams{Closing: true, Urgent: true}, now); err == nil {
 			return nil
 		}
-		pause.For(ctx, closePause)
+		pause.For(ctx, closeRetryDelay)
 		if ctx.Err() != nil {
 			return err
 		}
--- /dev/null
+++ b/partner/budget/allocation.go
@@ -0,0 +1,154 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package budget
+
+import (
+	"sort"
+	"time"
+
+	"granitehoist.example/granitehoist"
+)
+
+const (
+	// shrinkBelowLifetime is the remaining lifetime of a budget, at the forecast rate of
+	// all holders, below which holdings shrink faster than the budget does.
+	shrinkBelowLifetime = 60 * time.Second
+	// shrinkBelowRequests is the number of largest requests that the budget can still
+	// pay for, below which holdings shrink faster than the budget does.
+	shrinkBelowRequests = 20
+)
+
+// Every holder keeps an idle reserve for a few of its largest requests even if its
+// forecast is lower, so that it can serve for a while after it is cut off.
+const (
+	// idleReserveRequests is how many of its largest requests the idle reserve of a
+	// holder covers.
+	idleReserveRequests = 16
+	// idleReserveDivisor bounds the sum of all idle reserves: the budget's remaining
+	// tokens divided by it.
+	idleReserveDivisor = 10
+)
+
+// claim is the demand of one holder for a share of an amount. The holder is an incarnation
+// that draws on its region's stock, or a region that draws on unallocated tokens.
+type claim struct {
+	// held is what the holder has.
+	held granitehoist.Tokens
+	// least lets the smallest waiting request run, need covers all waiting requests,
+	// and want is all that the holder asks for. Each includes the one before, and all
+	// are in addition to held.
+	least, need, want granitehoist.Tokens
+	// rate is the forecast in tokens per second.
+	rate float64
+	// largest is the largest bound of a request at the holder. largestSum is the sum of
+	// the largest bounds of all boxes there.
+	largest, largestSum granitehoist.Tokens
+	// grant is the result, in addition to held. limit is how much the holder should
+	// hold.
+	grant, limit granitehoist.Tokens
+}
+
+// supply is what a region or root record can grant, with totals over all holders,
+// including those without a claim.
+type supply struct {
+	// stock is what can be granted now.
+	stock granitehoist.Tokens
+	// total is the sum of the stock and all holdings.
+	total granitehoist.Tokens
+	// rate is the forecast of all holders in tokens per second.
+	rate float64
+	// idleReserve bounds the idle reserve of each holder.
+	idleReserve granitehoist.Tokens
+}
+
+// allocate divides the stock among claims and sets the grant and limit of each. The sum
+// of the grants never exceeds the stock.
+//
+// Waiting requests come first. Each holder gets what its smallest waiting request needs,
+// in ascending order and never a part of it, then what its other requests need. The rest
+// of the stock fills holdings up to their limits.
+func allocate(claims []*claim, s supply, split Split) {
+	var largest granitehoist.Tokens
+	for _, c := range claims {
+		largest = max(largest, c.largest)
+	}
+	cover := horizon(s.total, largest, s.rate, split)
+	for _, c := range claims {
+		c.limit = c.limitAt(cover, s.idleReserve)
+	}
+	stock := grantWaiting(claims, s.stock)
+	for _, c := range claims {
+		more := min(c.want-c.grant, c.limit-c.held-c.grant, stock)
+		if more > 0 {
+			c.grant += more
+			stock -= more
+		}
+	}
+}
+
+// grantWaiting grants what waiting requests need and returns the remaining stock.
+func grantWaiting(claims []*claim, stock granitehoist.Tokens) granitehoist.Tokens {
+	waiting := waitingClaims(claims)
+	for _, c := range waiting {
+		if c.least <= stock {
+			c.grant = c.least
+			stock -= c.least
+		}
+	}
+	for _, c := range waiting {
+		if c.grant < c.least {
+			continue
+		}
+		more := min(c.need-c.grant, stock)
+		c.grant += more
+		stock -= more
+	}
+	return stock
+}
+
+// waitingClaims returns the claims with waiting requests, smallest request first.
+func waitingClaims(claims []*claim) []*claim {
+	var waiting []*claim
+	for _, c := range claims {
+		if c.need > 0 {
+			waiting = append(waiting, c)
+		}
+	}
+	sort.SliceStable(waiting, func(i, j int) bool { return waiting[i].least < waiting[j].least })
+	return waiting
+}
+
+// horizon returns how long a holding should last at the forecast: the shorter of
+// split.Cover and split.Share of the budget's remaining lifetime. It shrinks near the end
+// of a budget, so that the last tokens stay where any request can use them, and is zero
+// when at most two of the largest requests fit. rate is in tokens per second.
+func horizon(total, largest granitehoist.Tokens, rate float64, split Split) time.Duration {
+	if rate <= 0 || total <= 2*largest {
+		return 0
+	}
+	lifetime := float64(total) / rate
+	shrink := min(1, lifetime/shrinkBelowLifetime.Seconds())
+	if largest > 0 {
+		shrink = min(shrink, float64(total)/float64(shrinkBelowRequests*largest))
+	}
+	cover := min(split.Cover.Seconds(), split.Share*lifetime)
+	return time.Duration(shrink * cover * float64(time.Second))
+}
+
+// idleReserve returns the bound on each holder's idle reserve, from the remaining tokens
+// of the budget and the number of holders.
+func idleReserve(remaining granitehoist.Tokens, holders int) granitehoist.Tokens {
+	return remaining / granitehoist.Tokens(idleReserveDivisor*max(1, holders))
+}
+
+// limitAt returns how much the holder should hold: its forecast over cover, or its idle
+// reserve if that is larger and pays for its largest request.
+func (c *claim) limitAt(cover time.Duration, reserve granitehoist.Tokens) granitehoist.Tokens {
+	limit := tokensFor(c.rate, cover)
+	buffer := min(idleReserveRequests*c.largestSum, reserve)
+	if buffer >= c.largest {
+		limit = max(limit, buffer)
+	}
+	return limit
+}
--- a/partner/budget/export_test.go
+++ b/partner/budget/export_test.go
@@ -9,14 +9,13 @@
 	"granitehoist.example/granitehoist"
 )
 
-// State is what a purse has of one budget.
+// State is the state of one account of a Purse.
 type State struct {
 	Totals Totals
 	Free   granitehoist.Tokens
 }
 
-// State returns the state of one budget, the zero State if the box has none of
-// it.
+// State returns the state of an account, or the zero State if there is none.
 func (p *Purse) State(k granitehoist.BudgetID, _ time.Time) State {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/partner/budget/forecast.go
+++ b/partner/budget/forecast.go
@@ -10,15 +10,14 @@
 	"granitehoist.example/granitehoist"
 )
 
-// forecastWindow is the time constant of the decay. The value came with
-// the measurement of commit 82e9a37 and was chosen.
+// forecastWindow is the time constant of the exponential decay.
 const forecastWindow = 5 * time.Minute
 
-// forecast estimates a rate of spending in tokens a second, by exponential
-// decay. Its zero value has seen nothing.
+// forecast estimates a spending rate in tokens per second by exponential decay. Its zero
+// value is an estimate of zero.
 type forecast struct {
 	perSecond float64
-	at        time.Time
+	updatedAt time.Time
 }
 
 // add records tokens spent at now.
@@ -33,12 +32,12 @@
 	return f.perSecond
 }
 
-// decay brings the estimate to now. A time before the last one changes nothing.
+// decay advances the estimate to now. A time before the last update has no effect.
 func (f *forecast) decay(now time.Time) {
-	past := now.Sub(f.at)
-	if past <= 0 {
+	elapsed := now.Sub(f.updatedAt)
+	if elapsed <= 0 {
 		return
 	}
-	f.perSecond *= math.Exp(-past.Seconds() / forecastWindow.Seconds())
-	f.at = now
+	f.perSecond *= math.Exp(-elapsed.Seconds() / forecastWindow.Seconds())
+	f.updatedAt = now
 }
--- a/partner/budget/purse.go
+++ b/partner/budget/ledger.go
@@ -11,7 +11,7 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Purse is what one incarnation of a box holds of each budget. It is safe for
+// Purse holds the accounts of one incarnation of a box, one for each budget. It is safe for
 // concurrent use and makes no calls.
 type Purse struct {
 	incarnation granitehoist.Incarnation
@@ -22,19 +22,18 @@
 	closing  bool
 }
 
-// PurseSettings configure a Purse.
+// PurseSettings configures a Purse.
 type PurseSettings struct {
-	// Incarnation is the id of this run of the router. It must be set.
+	// Incarnation identifies this run of the router. It is required.
 	Incarnation granitehoist.Incarnation
-	// Split returns the split of a budget; nil stands for the zero Split.
+	// Split returns the Split of a budget; nil means the zero Split for all.
 	Split func(granitehoist.BudgetID) Split
 }
 
-// NewPurse returns an empty purse. It panics if the settings have no
-// incarnation.
+// NewPurse returns an empty Purse. It panics if Incarnation is missing.
 func NewPurse(s PurseSettings) *Purse {
 	if s.Incarnation == "" {
-		panic("budget: purse without incarnation")
+		panic("budget: PurseSettings needs Incarnation")
 	}
 	if s.Split == nil {
 		s.Split = func(granitehoist.BudgetID) Split { return Split{} }
@@ -47,10 +46,10 @@
 	}
 }
 
-// Incarnation returns the incarnation that owns the purse.
+// Incarnation returns the incarnation that holds the tokens.
 func (p *Purse) Incarnation() granitehoist.Incarnation { return p.incarnation }
 
-// account returns the account of a budget, a new one at the first call.
+// account returns the account of a budget and creates it if needed.
 func (p *Purse) account(k granitehoist.BudgetID) *account {
 	a, ok := p.accounts[k]
 	if !ok {
@@ -60,9 +59,8 @@
 	return a
 }
 
-// Reserve sets bound tokens of a budget aside, and reports whether the box has
-// that many free. It panics if bound is negative. One Settle must follow each
-// successful Reserve.
+// Reserve reserves bound tokens of a budget, and reports whether the box has that many free.
+// It panics if bound is negative. Each successful Reserve must be followed by one Settle.
 func (p *Purse) Reserve(k granitehoist.BudgetID, bound granitehoist.Tokens) bool {
 	mustNotBeNegative(bound)
 	p.mu.Lock()
@@ -70,58 +68,56 @@
 	return p.account(k).reserve(bound)
 }
 
-// Settle ends a reservation of bound tokens with the use that the upstream
-// reported. If used is larger than bound the whole use is charged, and the
-// box's free tokens may be below zero until more arrive. urgent reports whether
-// the box now has tokens to give back that others may wait for. It panics if there
-// is no such reservation or if used is negative.
+// Settle ends a reservation of bound tokens and charges the use that the upstream reported.
+// A use beyond bound is charged in full, which may make the free tokens negative until more
+// arrive. urgent reports whether the box should return tokens now because others may wait
+// for them. Settle panics if less than bound is reserved or if used is negative.
 func (p *Purse) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens, now time.Time) (urgent bool) {
 	mustNotBeNegative(used)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.account(k)
 	if a.reserved < bound {
-		panic("budget: settlement without reservation")
+		panic("budget: Settle of more tokens than are reserved")
 	}
 	a.reserved -= bound
 	a.totals.Spent += used
 	a.demand.spending.add(used, now)
 	a.demand.largest = max(a.demand.largest, bound)
 	a.changed = true
-	a.wake()
-	return a.hasIdle()
+	a.serveWaiters()
+	return a.hasUrgentSurplus()
 }
 
-// Busy reports whether requests wait for tokens, here or elsewhere, that the
-// next messages may bring.
+// Busy reports whether requests wait for tokens, on this box or elsewhere, so that the next
+// reports should not be delayed.
 func (p *Purse) Busy() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range p.accounts {
-		if len(a.demand.waiters) > 0 || a.hasIdle() {
+		if len(a.demand.waiters) > 0 || a.hasUrgentSurplus() {
 			return true
 		}
 	}
 	return false
 }
 
-// budgetsAwaited returns the budgets for which requests wait.
-func (p *Purse) budgetsAwaited() []granitehoist.BudgetID {
+// waitingBudgets returns the budgets with waiting requests, in order.
+func (p *Purse) waitingBudgets() []granitehoist.BudgetID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var short []granitehoist.BudgetID
+	var waiting []granitehoist.BudgetID
 	for k, a := range p.accounts {
 		if len(a.demand.waiters) > 0 {
-			short = append(short, k)
+			waiting = append(waiting, k)
 		}
 	}
-	sort.Slice(short, func(i, j int) bool { return short[i] < short[j] })
-	return short
+	sort.Slice(waiting, func(i, j int) bool { return waiting[i] < waiting[j] })
+	return waiting
 }
 
-// Close makes the following Asks return everything that is free. After it the
-// purse accepts no grant and no loan, so that the page can take back what it
-// granted and the purse has not seen.
+// Close makes later reports return all free tokens. A closed Purse accepts no grant and no
+// loan, so that the region can revoke grants that it has not seen.
 func (p *Purse) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,63 +127,61 @@
 	}
 }
 
-// mustNotBeNegative panics on an amount that only a fault of the program brings.
+// mustNotBeNegative panics if an amount is negative, which is a programming error.
 func mustNotBeNegative(t granitehoist.Tokens) {
 	if t < 0 {
-		panic("budget: negative amount")
+		panic("budget: negative number of tokens")
 	}
 }
 
-// account is what a purse has of one budget. The lock of the purse guards it.
+// account is the state of one budget on a box, guarded by the lock of the Purse.
 //
-// The tokens that the box holds are always totals.Held(): what it received less
-// what it gave away and charged. Each total only grows, and the reserved tokens
-// are a part of what is held. Only Purse.Settle may make the free tokens
-// negative, by a use beyond the reserved bound; the box then runs nothing on the
-// budget until it has received more.
+// The box holds totals.Held() tokens, of which reserved ones are a part. Only Purse.Settle
+// can make the free tokens negative, by a use beyond the reserved bound; the box then serves
+// no request of the budget until it has received more.
 type account struct {
 	totals   Totals
 	reserved granitehoist.Tokens
-	// lent and borrowed are the totals for each other box.
+	// lent and borrowed are the totals by the other box's incarnation.
 	lent     map[granitehoist.Incarnation]granitehoist.Tokens
 	borrowed map[granitehoist.Incarnation]granitehoist.Tokens
 
 	reply  lastReply
 	demand demand
 
-	// changed is set when there is something to report to the Keeper, and
-	// reportedAt is when the last report was made.
+	// changed is set if there is something to report. reportedAt is the time of the last
+	// report.
 	changed    bool
 	reportedAt time.Time
 }
 
-// lastReply is what the Keeper last said about a budget. Its zero value stands
-// for no reply.
+// lastReply is the state from the latest reply about a budget. Its zero value means that
+// there was none.
 type lastReply struct {
 	received bool
-	// at is when the reply arrived.
-	at time.Time
+	// receivedAt is when the reply arrived.
+	receivedAt time.Time
 	// target is what the box should hold.
 	target granitehoist.Tokens
 	// remaining is what the whole budget had left.
 	remaining granitehoist.Tokens
-	// lenders are the boxes of the region that hold most.
+	// lenders are the boxes of the region with the largest holdings.
 	lenders []granitehoist.Incarnation
 }
 
-// demand is what the box's requests need of a budget.
+// demand describes what the box's requests need of a budget.
 type demand struct {
 	spending forecast
-	// largest is the largest bound of a request seen.
+	// largest is the largest bound of a request so far.
 	largest granitehoist.Tokens
-	// waiters are in the order of arrival.
+	// waiters are in order of arrival.
 	waiters []*Waiter
 }
 
 // free returns the tokens that are held and not reserved.
 func (a *account) free() granitehoist.Tokens { return a.totals.Held() - a.reserved }
 
-// reserve sets tokens aside, and reports whether enough are free.
+// reserve reserves tokens and reports whether enough were free.
 func (a *account) reserve(bound granitehoist.Tokens) bool {
 	if a.free() < bound {
 		return false
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -12,22 +12,21 @@
 	"granitehoist.example/granitehoist"
 )
 
-// lendParts is the part of its spare tokens that a box lends: one in lendParts, so that a
-// box that several others ask does not give all to the first.
-const lendParts = 2
+// loanDivisor is the divisor of the tokens that a box can spare: it lends one part of so
+// many, so that something is left for other borrowers.
+const loanDivisor = 2
 
-// leastCover is how long a box's own demand is kept from other boxes that want to borrow:
-// three DefaultIntervals, since the lender goes on while a loan is under way.
-const leastCover = 3 * DefaultInterval
+// minLenderCover is the time for which a lender keeps its own forecast demand.
+const minLenderCover = 3 * DefaultInterval
 
-// Lend gives part of what is free to another box and returns the total ever
-// lent to it. A doubled message lends nothing more.
+// Lend transfers part of the free tokens to another box and returns the total ever lent
+// to it. A duplicated message lends nothing more.
 func (p *Purse) Lend(b BorrowParams, now time.Time) BorrowResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.account(b.Budget)
 	total := a.lent[b.Incarnation]
-	more := min(b.Want-max(total, b.Known), a.lendable(leastCover, now))
+	more := min(b.Want-max(total, b.Known), a.lendable(minLenderCover, now))
 	if more > 0 && b.Known >= total && b.Incarnation != p.incarnation && !p.closing {
 		if a.lent == nil {
 			a.lent = map[granitehoist.Incarnation]granitehoist.Tokens{}
@@ -40,16 +39,16 @@
 	return BorrowResult{Incarnation: p.incarnation, Total: total}
 }
 
-// lendable decides how many tokens a box lends at most: a part of what is free
-// beyond what its own requests wait for and what it spends within least at its
-// forecast. It is negative if the box has too few tokens for itself.
-func (a *account) lendable(least time.Duration, now time.Time) granitehoist.Tokens {
-	keep := a.demand.waiting() + tokensFor(a.demand.spending.rate(now), least)
-	return (a.free() - keep) / lendParts
+// lendable returns the most that the box may lend: a part of what is free beyond its own
+// waiting requests and its forecast spending over cover. It is negative if the box has too
+// few tokens itself.
+func (a *account) lendable(cover time.Duration, now time.Time) granitehoist.Tokens {
+	needed := a.demand.waiting() + tokensFor(a.demand.spending.rate(now), cover)
+	return (a.free() - needed) / loanDivisor
 }
 
-// LoanRequest returns the message that asks a lender for what requests of a
-// budget wait for, and false if none wait.
+// LoanRequest returns the message that asks a lender for what the waiting requests of a
+// budget lack, and false if they lack nothing.
 func (p *Purse) LoanRequest(k granitehoist.BudgetID, lender granitehoist.Incarnation) (BorrowParams, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,17 +56,17 @@
 	if !ok {
 		return BorrowParams{}, false
 	}
-	missing := a.demand.waiting() - a.free()
-	if missing <= 0 || p.closing {
+	shortfall := a.demand.waiting() - a.free()
+	if shortfall <= 0 || p.closing {
 		return BorrowParams{}, false
 	}
 	known := a.borrowed[lender]
-	return BorrowParams{Incarnation: p.incarnation, Budget: k, Known: known, Want: known + missing + a.demand.largest}, true
+	return BorrowParams{Incarnation: p.incarnation, Budget: k, Known: known, Want: known + shortfall + a.demand.largest}, true
 }
 
-// TakeLoan processes a lender's answer. An old or doubled answer changes nothing,
-// and neither does one that comes after Close: the page may have closed the
-// incarnation's rows by then, so that it could not give the tokens back.
+// TakeLoan processes a lender's answer. A delayed or duplicated answer has no effect.
+// Neither has one after Close, since the region may have removed the incarnation's rows
+// and could not take the tokens back.
 func (p *Purse) TakeLoan(k granitehoist.BudgetID, r BorrowResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,10 +81,10 @@
 	a.borrowed[r.Incarnation] = r.Total
 	a.totals.Borrowed += more
 	a.changed = true
-	a.wake()
+	a.serveWaiters()
 }
 
-// lenders returns the boxes that the Keeper last named for a budget.
+// lenders returns the boxes that the last reply named as lenders for a budget.
 func (p *Purse) lenders(k granitehoist.BudgetID) []granitehoist.Incarnation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -95,19 +94,20 @@
 	return nil
 }
 
-// unansweredLoan is a loan that the lender may have given: its answer was lost.
+// unansweredLoan is a loan request whose answer was lost, so that the lender may have
+// deducted tokens.
 type unansweredLoan struct {
 	peer   granitehoist.Peer
 	budget granitehoist.BudgetID
 }
 
-// borrow asks the boxes that the keepers named, or all of the region if no
-// keeper could be reached, for what requests still wait for.
+// borrow requests the tokens that requests still wait for from the lenders named in the
+// last reply, or from all boxes of the region if no Keeper could be reached.
 func (a *Agent) borrow(ctx context.Context, unreachable bool) {
-	for _, k := range a.settings.Purse.budgetsAwaited() {
-		named := a.settings.Purse.lenders(k)
+	for _, k := range a.settings.Purse.waitingBudgets() {
+		lenders := a.settings.Purse.lenders(k)
 		for _, peer := range a.settings.Peers() {
-			if !unreachable && !slices.Contains(named, peer.Incarnation) {
+			if !unreachable && !slices.Contains(lenders, peer.Incarnation) {
 				continue
 			}
 			params, short := a.settings.Purse.LoanRequest(k, peer.Incarnation)
@@ -119,13 +119,13 @@
 	}
 }
 
-// borrowFrom makes one call. If its answer is lost the lender may have
-// deducted tokens, which retryUnanswered fetches with the next step.
+// borrowFrom sends one loan request. If its answer is lost, the next round repeats it,
+// since the lender may have deducted tokens.
 func (a *Agent) borrowFrom(ctx context.Context, peer granitehoist.Peer, params BorrowParams) {
 	var result BorrowResult
 	if err := a.settings.Caller.Call(ctx, peer, MethodBorrow, params, &result); err != nil {
 		a.settings.Failed(fmt.Errorf("budget: borrow from %s: %w", peer.Incarnation, err))
-		if len(a.unanswered) < maxUnanswered {
+		if len(a.unanswered) < maxUnansweredLoans {
 			a.unanswered = append(a.unanswered, unansweredLoan{peer, params.Budget})
 		}
 		return
@@ -133,13 +133,12 @@
 	a.settings.Purse.TakeLoan(params.Budget, result)
 }
 
-// maxUnanswered bounds the loans that are asked for again, so that their list does not
-// grow while no box answers. What a dropped loan deducted at its lender stays unused until
-// the pair's next loan.
-const maxUnanswered = 1000
+// maxUnansweredLoans bounds the loan requests to be repeated. What the lender deducted for
+// a dropped one stays unused until the next loan between the two boxes.
+const maxUnansweredLoans = 1000
 
-// retryUnanswered asks lenders whose answers were lost what they have lent. It
-// gives up on a lender that is no longer among the peers of the region.
+// retryUnanswered asks lenders whose answers were lost for the totals that they lent. It
+// drops lenders that are no longer peers.
 func (a *Agent) retryUnanswered(ctx context.Context) {
 	loans := a.unanswered
 	a.unanswered = nil
@@ -151,7 +150,7 @@
 	}
 }
 
-// ServeBorrow serves MethodBorrow for another router's agent.
+// ServeBorrow handles MethodBorrow for the agent of another router.
 func (a *Agent) ServeBorrow(_ context.Context, b BorrowParams) (BorrowResult, error) {
 	return a.settings.Purse.Lend(b, a.settings.Clock()), nil
 }
--- a/partner/budget/overview.go
+++ b/partner/budget/overview.go
@@ -11,7 +11,7 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Overview is where the tokens of one budget are, as the store has it.
+// Overview tells where the tokens of one budget are, according to the store.
 type Overview struct {
 	Budget      granitehoist.BudgetID                       `json:"budget"`
 	Prepaid     granitehoist.Tokens                         `json:"prepaid"`
@@ -20,12 +20,11 @@
 	Held        map[granitehoist.Region]granitehoist.Tokens `json:"held"`
 	InDoubt     granitehoist.Tokens                         `json:"in_doubt"`
 	Charged     granitehoist.Tokens                         `json:"charged"`
-	// OnTheWay is given and not yet received, between root and regions.
+	// OnTheWay is in transit between the root and the regions.
 	OnTheWay granitehoist.Tokens `json:"on_the_way"`
 }
 
-// States is the records of all budgets as they were read at one time. It does not
-// change.
+// States is a snapshot of the records of all budgets. It is immutable.
 type States struct {
 	shards int
 	now    time.Time
@@ -33,8 +32,8 @@
 	pages  map[Shard]map[granitehoist.Region]*Page
 }
 
-// ReadStates reads all records from the store. Pages of shards beyond the count,
-// which an earlier and larger count of shards may have left, are not counted.
+// ReadStates reads all records from the store. It ignores the records of shards beyond the
+// count, which a larger count in the past may have left.
 func ReadStates(ctx context.Context, s granitehoist.Store, shards int, now time.Time) (*States, error) {
 	states := &States{shards: shards, now: now, roots: map[Shard]*Root{}, pages: map[Shard]map[granitehoist.Region]*Page{}}
 	for shard := range Shard(shards) {
@@ -52,28 +51,28 @@
 		return nil, err
 	}
 	for _, e := range entries {
-		page, err := DecodePage(e)
+		record, err := DecodePage(e)
 		if err != nil {
 			return nil, err
 		}
 		region, _, _ := strings.Cut(strings.TrimPrefix(e.Key, pagePrefix), "/")
 		for shard := range Shard(shards) {
 			if e.Key == PageKey(granitehoist.Region(region), shard) {
-				states.pages[shard][granitehoist.Region(region)] = page
+				states.pages[shard][granitehoist.Region(region)] = record
 			}
 		}
 	}
 	return states, nil
 }
 
-// Of returns the overviews of budgets. prepaid returns what was prepaid on a
-// budget that has no record at the root yet.
+// Of returns the overviews of budgets. prepaid returns the prepaid total of a budget
+// without a root account.
 func (s *States) Of(ids []granitehoist.BudgetID, prepaid func(granitehoist.BudgetID) (granitehoist.Tokens, granitehoist.Serial, bool)) []Overview {
 	overviews := make([]Overview, len(ids))
 	for i, k := range ids {
 		overviews[i] = s.overview(k)
 		if s.roots[shardOf(k, s.shards)].Accounts[k] == nil {
-			// A budget that no document names counts as zero.
+			// A budget that the configuration does not name counts as zero.
 			tokens, _, _ := prepaid(k)
 			overviews[i].Prepaid, overviews[i].Unallocated = tokens, tokens
 		}
@@ -81,8 +80,8 @@
 	return overviews
 }
 
-// overview adds up one budget. The records were read one after the other, so the
-// sums may be off by what moved meanwhile.
+// overview sums up one budget. The records were read one after the other, so the sums may
+// be off by what moved in between.
 func (s *States) overview(k granitehoist.BudgetID) Overview {
 	o := Overview{Budget: k, Stock: map[granitehoist.Region]granitehoist.Tokens{}, Held: map[granitehoist.Region]granitehoist.Tokens{}}
 	shard := shardOf(k, s.shards)
@@ -93,8 +92,8 @@
 			o.OnTheWay += row.Given - row.Back
 		}
 	}
-	for region, page := range s.pages[shard] {
-		a := page.Accounts[k]
+	for region, record := range s.pages[shard] {
+		a := record.Accounts[k]
 		if a == nil {
 			continue
 		}
@@ -102,7 +101,7 @@
 		o.Stock[region] = a.Stock()
 		o.Held[region] = a.Held()
 		o.Charged += a.Spent()
-		o.InDoubt += page.InDoubt(k, s.now)
+		o.InDoubt += record.InDoubt(k, s.now)
 	}
 	return o
 }
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -17,124 +17,125 @@
 	"granitehoist.example/granitehoist/internal/pack"
 )
 
-// recordFormat is the format number of the stored records. A router refuses all
-// others.
+// recordFormat is the format number of the stored records. Records of any other format are
+// refused.
 const recordFormat = 1
 
-// Row is what a page has of one incarnation and budget.
+// Row is the state of one incarnation in an account of a region.
 type Row struct {
-	// Totals holds the grants as written here and all else as last reported.
+	// Totals has the grants as made by the region and all else as last reported.
 	Totals Totals `json:"t"`
-	// Rate is the forecast last reported, in tokens a second, and Largest the
-	// largest bound of a request.
+	// Rate is the last reported forecast in tokens per second. Largest is the largest
+	// bound of a request.
 	Rate    float64             `json:"f,omitempty"`
 	Largest granitehoist.Tokens `json:"m,omitempty"`
-	// Need is what requests of the incarnation waited for at its last report,
-	// and Least what the smallest of them did.
+	// Need is what the incarnation's requests waited for at its last report. Least is what
+	// the smallest of them waited for.
 	Need  granitehoist.Tokens `json:"n,omitempty"`
 	Least granitehoist.Tokens `json:"y,omitempty"`
 }
 
-// Member is what a page has of one incarnation.
+// Member is the state of one incarnation in a region.
 type Member struct {
 	Box granitehoist.Box `json:"box"`
-	// Seen is when it last reported, in Unix seconds.
+	// Seen is the time of its last report in Unix seconds, to seenResolution.
 	Seen int64 `json:"seen"`
-	// Closed says that it stopped gracefully and holds nothing.
+	// Closed means that it stopped gracefully and holds nothing.
 	Closed bool `json:"closed,omitempty"`
 }
 
 // PageAccount is a region's part of one budget.
 type PageAccount struct {
-	// Received is the total received from the root, Sent the total returned.
+	// Received is the total received from the root. Sent is the total returned to it.
 	Received granitehoist.Tokens `json:"in,omitempty"`
 	Sent     granitehoist.Tokens `json:"out,omitempty"`
-	// Confirmed is the part of Sent that the root has said it took back.
+	// Confirmed is the part of Sent that the root has confirmed.
 	Confirmed granitehoist.Tokens `json:"conf,omitempty"`
-	// Folded holds the sums of rows that were removed.
+	// Folded has the sums of removed rows.
 	Folded Totals `json:"folded"`
 	// ReportedAt is when the account was last reported to the root, in Unix seconds.
 	ReportedAt int64 `json:"told,omitempty"`
-	// Limit is what the root lets the region hold, and Elsewhere what the
-	// whole budget has left outside the region, as the root last said.
+	// Limit is how much the region may hold, and Elsewhere what the whole budget has left
+	// outside the region, both as of the root's last reply.
 	Limit     granitehoist.Tokens `json:"limit,omitempty"`
 	Elsewhere granitehoist.Tokens `json:"else,omitempty"`
-	// Rows holds the incarnations that drew on the page.
+	// Rows holds the incarnations that drew on the region's stock.
 	Rows map[granitehoist.Incarnation]Row `json:"rows,omitempty"`
 }
 
-// Page is the record of a region and a shard of budgets.
+// Page is the stored record of a region for a shard of budgets.
 type Page struct {
 	Format   int                                    `json:"format"`
 	Members  map[granitehoist.Incarnation]Member    `json:"members"`
 	Accounts map[granitehoist.BudgetID]*PageAccount `json:"accounts"`
 }
 
-// RegionRow is what the root has of a region and one budget.
+// RegionRow is the state of one region in a root account.
 type RegionRow struct {
-	// Given is the total given to the region and Back the total taken back.
+	// Given is the total granted to the region. Back is the total that it returned.
 	Given granitehoist.Tokens `json:"g,omitempty"`
 	Back  granitehoist.Tokens `json:"b,omitempty"`
-	// Spent is the region's total of charges and Live what it holds that is
-	// not in doubt, as last reported.
+	// Spent is the total charged in the region. Live is what it holds that is not in doubt.
+	// Both are as last reported.
 	Spent granitehoist.Tokens `json:"s,omitempty"`
 	Live  granitehoist.Tokens `json:"live,omitempty"`
-	// Rate is the region's forecast and Largest the largest bound of a
-	// request, as last reported at the Unix second Seen.
+	// Rate is the region's forecast in tokens per second. Largest is the largest bound of a
+	// request. Both are as last reported at Seen, in Unix seconds.
 	Rate    float64             `json:"f,omitempty"`
 	Largest granitehoist.Tokens `json:"m,omitempty"`
 	Seen    int64               `json:"seen,omitempty"`
 }
 
-// RootAccount is one budget at the root.
+// RootAccount is one budget in a root record.
 type RootAccount struct {
 	Prepaid granitehoist.Tokens `json:"prepaid"`
-	// PrepaidAt is the serial of the document that Prepaid was read from.
+	// PrepaidAt is the serial of the configuration that Prepaid was read from.
 	PrepaidAt granitehoist.Serial               `json:"at"`
 	Regions   map[granitehoist.Region]RegionRow `json:"regions,omitempty"`
 }
 
-// Root is the record of a shard of budgets.
+// Root is the stored record of all regions for a shard of budgets.
 type Root struct {
 	Format   int                                    `json:"format"`
 	Accounts map[granitehoist.BudgetID]*RootAccount `json:"accounts"`
 }
 
-// NewPage returns a page without accounts.
+// NewPage returns a Page without accounts.
 func NewPage() *Page {
 	return &Page{Format: recordFormat, Members: map[granitehoist.Incarnation]Member{}, Accounts: map[granitehoist.BudgetID]*PageAccount{}}
 }
 
-// newRoot returns a root without accounts.
+// newRoot returns a Root without accounts.
 func newRoot() *Root {
 	return &Root{Format: recordFormat, Accounts: map[granitehoist.BudgetID]*RootAccount{}}
 }
 
-// DecodePage reads a stored page. A key that does not exist is an empty page;
-// anything else that can't be read is an error and never an empty page.
+// DecodePage decodes a stored Page. It returns an empty Page for a key that does not exist,
+// and an error for a value that is invalid.
 func DecodePage(e granitehoist.Entry) (*Page, error) {
-	page := NewPage()
+	record := NewPage()
 	if e.Version == 0 {
-		return page, nil
+		return record, nil
 	}
-	if err := decodeRecord(e, page, &page.Format); err != nil {
+	if err := decodeRecord(e, record, &record.Format); err != nil {
 		return nil, err
 	}
-	if page.Members == nil || page.Accounts == nil {
-		return nil, eris.Errorf("budget: record %s lacks its tables", e.Key)
+	if record.Members == nil || record.Accounts == nil {
+		return nil, eris.Errorf("budget: record %s has no members or no accounts", e.Key)
 	}
-	for k, a := range page.Accounts {
+	for k, a := range record.Accounts {
 		if a == nil {
-			return nil, eris.Errorf("budget: record %s has no account %s", e.Key, k)
+			return nil, eris.Errorf("budget: record %s has a null account %s", e.Key, k)
 		}
 		if a.Stock() < 0 {
-			return nil, eris.Errorf("budget: record %s granted more of %s than it received", e.Key, k)
+			return nil, eris.Errorf("budget: record %s granted more tokens of %s than it received", e.Key, k)
 		}
 	}
-	return page, nil
+	return record, nil
 }
 
-// DecodeRoot reads a stored root, as DecodePage does a page.
+// DecodeRoot decodes a stored Root. It returns an empty Root for a key that does not exist,
+// and an error for a value that is invalid.
 func DecodeRoot(e granitehoist.Entry) (*Root, error) {
 	root := newRoot()
 	if e.Version == 0 {
@@ -144,38 +145,38 @@
 		return nil, err
 	}
 	if root.Accounts == nil {
-		return nil, eris.Errorf("budget: record %s lacks its table", e.Key)
+		return nil, eris.Errorf("budget: record %s has no accounts", e.Key)
 	}
 	for k, a := range root.Accounts {
 		if a == nil {
-			return nil, eris.Errorf("budget: record %s has no account %s", e.Key, k)
+			return nil, eris.Errorf("budget: record %s has a null account %s", e.Key, k)
 		}
 	}
 	return root, nil
 }
 
-// decodeRecord unpacks a stored record and checks its format, which is a field of
-// record.
+// decodeRecord unpacks a stored record and checks its format number. format points to the
+// field of record that has it.
 func decodeRecord(e granitehoist.Entry, record any, format *int) error {
 	*format = 0
 	if err := pack.Unpack(e.Value, record); err != nil {
-		return eris.Wrapf(err, "budget: record %s can't be read", e.Key)
+		return eris.Wrapf(err, "budget: decode record %s", e.Key)
 	}
 	if *format != recordFormat {
-		return eris.Errorf("budget: record %s has format %d and not %d", e.Key, *format, recordFormat)
+		return eris.Errorf("budget: record %s has format %d, want %d", e.Key, *format, recordFormat)
 	}
 	return nil
 }
 
-// encodeRecord returns the stored form, or an error if it is larger than the
-// store takes.
+// encodeRecord returns the stored form of a record, or an error if it is larger than
+// granitehoist.MaxValueSize.
 func encodeRecord(key string, record any) ([]byte, error) {
 	raw, err := pack.Pack(record)
 	if err != nil {
-		return nil, eris.Wrapf(err, "budget: record %s can't be written", key)
+		return nil, eris.Wrapf(err, "budget: encode record %s", key)
 	}
 	if len(raw) > granitehoist.MaxValueSize {
-		return nil, eris.Errorf("budget: record %s has %d bytes, more than the store takes; raise the number of shards", key, len(raw))
+		return nil, eris.Errorf("budget: record %s has %d bytes, more than the store accepts; raise the number of shards", key, len(raw))
 	}
 	return raw, nil
 }
@@ -183,27 +184,28 @@
 // Shard numbers a group of budgets that share their records.
 type Shard int
 
-// shardOf returns the shard of a budget. All routers must use the same count.
+// shardOf returns the shard of a budget. count is the number of shards, which must be the
+// same on all routers.
 func shardOf(k granitehoist.BudgetID, count int) Shard {
 	return Shard(xxhash.Sum64String(string(k)) % uint64(count))
 }
 
 const (
-	// pagePrefix begins the store's keys of pages.
+	// pagePrefix is the prefix of the store keys of Pages.
 	pagePrefix = "budget/page/"
-	// rootPrefix begins the store's keys of roots.
+	// rootPrefix is the prefix of the store keys of Roots.
 	rootPrefix = "budget/root/"
 )
 
-// PageKey returns the store's key of a page.
+// PageKey returns the store key of a Page.
 func PageKey(r granitehoist.Region, s Shard) string {
 	return fmt.Sprintf("%s%s/%04d", pagePrefix, r, s)
 }
 
-// RootKey returns the store's key of a root.
+// RootKey returns the store key of a Root.
 func RootKey(s Shard) string { return fmt.Sprintf("%s%04d", rootPrefix, s) }
 
-// Stock returns the tokens that the region has and no incarnation holds.
+// Stock returns the region's tokens that no incarnation holds.
 func (a *PageAccount) Stock() granitehoist.Tokens {
 	stock := a.Received - a.Sent - a.Folded.Granted + a.Folded.Returned
 	for _, row := range a.Rows {
@@ -212,7 +214,7 @@
 	return stock
 }
 
-// Spent returns the charges of the region, as last reported.
+// Spent returns the total charged in the region, as last reported.
 func (a *PageAccount) Spent() granitehoist.Tokens {
 	spent := a.Folded.Spent
 	for _, row := range a.Rows {
@@ -221,7 +223,7 @@
 	return spent
 }
 
-// Held returns what incarnations hold, as last reported.
+// Held returns the tokens that the incarnations hold, as last reported.
 func (a *PageAccount) Held() granitehoist.Tokens {
 	var held granitehoist.Tokens
 	for _, row := range a.Rows {
@@ -230,38 +232,36 @@
 	return held
 }
 
-// doubtAfter is how long an incarnation may be silent before what it holds counts as in
-// doubt: it is shown so, and left out when tokens are divided. Nobody else gets those
-// tokens. It is three times reportInterval.
-const doubtAfter = 3 * reportInterval
+// inDoubtAfter is the time without a report after which the tokens of an incarnation count
+// as in doubt. They are shown as such and ignored when tokens are divided, but are granted
+// to nobody else.
+const inDoubtAfter = 3 * reportInterval
 
-// InDoubt returns what is held by incarnations that have been silent for
-// doubtAfter.
+// InDoubt returns the tokens held by incarnations without a report for inDoubtAfter.
 func (p *Page) InDoubt(k granitehoist.BudgetID, now time.Time) granitehoist.Tokens {
 	a, ok := p.Accounts[k]
 	if !ok {
 		return 0
 	}
-	var doubt granitehoist.Tokens
+	var inDoubt granitehoist.Tokens
 	for incarnation, row := range a.Rows {
 		seen := time.Unix(p.Members[incarnation].Seen, 0)
-		if now.Sub(seen) > doubtAfter {
-			doubt += row.Totals.Held()
+		if now.Sub(seen) > inDoubtAfter {
+			inDoubt += row.Totals.Held()
 		}
 	}
-	return doubt
+	return inDoubt
 }
 
-// Unallocated returns the tokens that no region has. It is below zero after
-// the prepaid amount was reduced under what regions have.
+// Unallocated returns the tokens that no region has. It is negative if the prepaid total
+// was reduced below what the regions have.
 func (a *RootAccount) Unallocated() granitehoist.Tokens {
-	left := a.Prepaid
+	remaining := a.Prepaid
 	for _, row := range a.Regions {
-		left -= row.Given - row.Back
+		remaining -= row.Given - row.Back
 	}
-	return left
+	return remaining
 }
 
-// sorted returns the keys of a map in order, so that what is worked out from
-// it does not depend on chance.
-func sorted[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
+// sortedKeys returns the keys of a map in ascending order, for deterministic results.
+func sortedKeys[K cmp.Ordered, V any](m map[K]V) []K { return slices.Sorted(maps.Keys(m)) }
--- /dev/null
+++ b/partner/budget/report.go
@@ -0,0 +1,104 @@
+// Copyright ©2026 The granitehoist Authors. All rights reserved.
+// Use of this source code is governed by the MIT licence in the file LICENSE.
+
+package budget
+
+import (
+	"sort"
+	"time"
+
+	"granitehoist.example/granitehoist"
+)
+
+// Intervals between reports of one account while no request waits for tokens.
+const (
+	// reportInterval is the longest time between two reports of an account that holds
+	// tokens or has changed.
+	reportInterval = 10 * time.Second
+	// shortfallInterval is the time between two reports of an account that holds less
+	// than half of its target or limit.
+	shortfallInterval = time.Second
+)
+
+// Asks returns the reports that are due, in order of their budgets. urgent says whether
+// requests wait for the replies, on this box or elsewhere. Asks deducts the surplus of
+// each reported account. If a report is lost, the totals in the next one include it.
+func (p *Purse) Asks(now time.Time) (reports []Ask, urgent bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for k, a := range p.accounts {
+		if !a.isReportDue(p.closing, now) {
+			continue
+		}
+		surplus := a.hasUrgentSurplus()
+		report := p.report(k, a, now)
+		reports = append(reports, report)
+		urgent = urgent || surplus || report.Need > report.Totals.Granted
+	}
+	sort.Slice(reports, func(i, j int) bool { return reports[i].Budget < reports[j].Budget })
+	return reports, urgent || p.closing
+}
+
+// isReportDue reports whether the account should be reported now: at once if requests wait
+// for tokens, on this box or elsewhere, or if the box is closing; after shortfallInterval
+// if the account is below half of its target; and otherwise after reportInterval if there
+// is something to report.
+func (a *account) isReportDue(closing bool, now time.Time) bool {
+	elapsed := now.Sub(a.reportedAt)
+	switch {
+	case closing || len(a.demand.waiters) > 0 || a.hasUrgentSurplus():
+		return true
+	case a.reply.received && a.free() < a.reply.target/2:
+		return elapsed >= shortfallInterval
+	}
+	return elapsed >= reportInterval && (a.changed || a.totals.Held() != 0)
+}
+
+// report deducts the account's surplus as returned and builds its report.
+func (p *Purse) report(k granitehoist.BudgetID, a *account, now time.Time) Ask {
+	a.returnSurplus(p.closing)
+	a.reportedAt = now
+	granted := a.totals.Granted
+	report := Ask{
+		Budget:  k,
+		Totals:  a.totals,
+		Rate:    a.demand.spending.rate(now),
+		Largest: a.demand.largest,
+		Want:    granted,
+		Need:    granted,
+		Least:   granted,
+	}
+	if p.closing {
+		return report
+	}
+	shortfall := a.demand.waiting() - a.free()
+	headroom := max(tokensFor(report.Rate, p.split(k).Cover), idleReserveRequests*a.demand.largest)
+	report.Need += max(0, shortfall)
+	report.Least += max(0, a.demand.smallestWaiting()-a.free())
+	report.Want += max(0, shortfall+headroom)
+	return report
+}
+
+// Apply processes the replies to reports. Grants are totals, so a delayed or duplicated
+// reply grants nothing twice; it only replaces the target, the remaining tokens and the
+// lenders.
+func (p *Purse) Apply(reports []Ask, replies []Reply, now time.Time) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	reported := make(map[granitehoist.BudgetID]Totals, len(reports))
+	for _, report := range reports {
+		reported[report.Budget] = report.Totals
+	}
+	for _, r := range replies {
+		a := p.account(r.Budget)
+		if !p.closing {
+			a.totals.Granted = max(a.totals.Granted, r.Granted)
+		}
+		a.reply = lastReply{received: true, receivedAt: now, target: r.Target, remaining: r.Left, lenders: r.Lenders}
+		a.serveWaiters()
+		a.rejectWaiters()
+		before := reported[r.Budget]
+		before.Granted = a.totals.Granted
+		a.changed = a.totals != before || len(a.demand.waiters) > 0
+	}
+}
--- a/partner/budget/reserve.go
+++ b/partner/budget/reserve.go
@@ -10,37 +10,35 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Reserve sets bound tokens aside. If the box holds too few it waits for more
-// for up to the split's Wait, or until ctx ends. Its errors are *Error with codes
-// BudgetExhausted, BudgetUnreachable and DeadlineTooNear; nothing is reserved
-// then. It panics if bound is negative.
+// Reserve reserves bound tokens. If the box holds too few, it waits for more for up to
+// Split.Wait or until ctx is done. Its errors are of type *granitehoist.Error with the codes
+// BudgetExhausted, BudgetUnreachable and DeadlineTooNear; nothing is reserved then. It
+// panics if bound is negative.
 func (a *Agent) Reserve(ctx context.Context, k granitehoist.BudgetID, bound granitehoist.Tokens) error {
-	purse := a.settings.Purse
-	if purse.Reserve(k, bound) {
+	ledger := a.settings.Purse
+	if ledger.Reserve(k, bound) {
 		return nil
 	}
-	waiter := purse.Wait(k, bound, a.settings.Clock())
-	a.kick()
-	timer := time.NewTimer(purse.split(k).Wait)
+	waiter := ledger.Wait(k, bound, a.settings.Clock())
+	a.wake()
+	timer := time.NewTimer(ledger.split(k).Wait)
 	defer timer.Stop()
 	select {
 	case <-waiter.Done:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	outcome := purse.EndWait(k, waiter, a.settings.Clock())
-	if purse.Busy() {
-		a.kick()
+	outcome := ledger.EndWait(k, waiter, a.settings.Clock())
+	if ledger.Busy() {
+		a.wake()
 	}
 	return outcomeError(ctx, outcome, k)
 }
 
-// unreachableRetry is the Retry-After of a request that was refused because no tokens of
-// its budget could be fetched.
-const unreachableRetry = 5 * time.Second
+// unreachableRetryAfter is the Retry-After of a request refused with BudgetUnreachable.
+const unreachableRetryAfter = 5 * time.Second
 
-// outcomeError returns the error of a wait that ended, nil if tokens were
-// granted.
+// outcomeError returns the error for the outcome of a wait, or nil for Granted.
 func outcomeError(ctx context.Context, o Outcome, k granitehoist.BudgetID) error {
 	switch {
 	case o == Granted:
@@ -51,14 +49,14 @@
 		return granitehoist.Errorf(granitehoist.DeadlineTooNear, "while waiting for tokens of budget %s", k)
 	}
 	e := granitehoist.Errorf(granitehoist.BudgetUnreachable, "budget %s", k)
-	e.RetryAfter = unreachableRetry
+	e.RetryAfter = unreachableRetryAfter
 	return e
 }
 
-// Settle ends a reservation, as Purse.Settle does. If the box now has tokens to
-// give back that others may wait for, it sends them at once.
+// Settle ends a reservation, as Purse.Settle does, and starts a round of reports at once if
+// the box should return tokens that others may wait for.
 func (a *Agent) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens) {
 	if a.settings.Purse.Settle(k, bound, used, a.settings.Clock()) {
-		a.kick()
+		a.wake()
 	}
 }
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -9,32 +9,32 @@
 	"granitehoist.example/granitehoist"
 )
 
-// regionReply is the root's answer about one budget.
+// regionReply is the root's reply to the report of one budget.
 type regionReply struct {
 	Budget granitehoist.BudgetID
-	// Given is the total that the root has given to the region.
+	// Given is the total granted to the region.
 	Given granitehoist.Tokens
 	// Returned is the total that the root has taken back.
 	Returned granitehoist.Tokens
-	// Limit is what the region should hold; it gives back what is beyond.
+	// Limit is how much the region should hold; it returns what it has beyond that.
 	Limit granitehoist.Tokens
 	// Elsewhere is what the budget has left outside the region.
 	Elsewhere granitehoist.Tokens
 }
 
-// setPrepaid sets the prepaid total of a budget as the document of a serial has
-// it. An older document changes nothing. A total below what regions hold comes
-// into force as they return tokens.
-func (r *Root) setPrepaid(k granitehoist.BudgetID, prepaid granitehoist.Tokens, at granitehoist.Serial) {
+// setPrepaid sets the prepaid total of a budget from the configuration with the given
+// serial. An older configuration has no effect. A total below what the regions hold takes
+// effect as they return tokens.
+func (r *Root) setPrepaid(k granitehoist.BudgetID, prepaid granitehoist.Tokens, serial granitehoist.Serial) {
 	a := r.account(k)
-	if at <= a.PrepaidAt {
+	if serial <= a.PrepaidAt {
 		return
 	}
 	a.Prepaid = prepaid
-	a.PrepaidAt = at
+	a.PrepaidAt = serial
 }
 
-// account returns the root's account of a budget, a new one at the first call.
+// account returns the account of a budget and creates it if needed.
 func (r *Root) account(k granitehoist.BudgetID) *RootAccount {
 	a, ok := r.Accounts[k]
 	if !ok {
@@ -47,40 +47,39 @@
 	return a
 }
 
-// regionSilentAfter is how long a region may be silent before its forecast is left out
-// when tokens are divided. It is 30 times rootInterval, so that a region that is cut off
-// for a while keeps its part.
-const regionSilentAfter = 30 * rootInterval
+// regionStaleAfter is the time without a report after which the forecast of a region is
+// ignored. It is long, so that a region that is cut off for a while keeps its share.
+const regionStaleAfter = 30 * rootInterval
 
-// serve processes a region's report and gives it what the budget allows. The
-// region gets it only once the root is written.
-func (r *Root) serve(region granitehoist.Region, ask RegionAsk, split Split, now time.Time) regionReply {
-	a := r.account(ask.Budget)
+// serve merges a region's report into the root record and grants what the budget allows.
+// The reply may be used only after the record is written.
+func (r *Root) serve(region granitehoist.Region, report RegionAsk, split Split, now time.Time) regionReply {
+	a := r.account(report.Budget)
 	row := a.Regions[region]
-	row.Back = max(row.Back, ask.Returned)
-	row.Spent = max(row.Spent, ask.Spent)
-	row.Live, row.Rate, row.Largest, row.Seen = ask.Live, ask.Rate, ask.Largest, now.Unix()
-	// What was given before and the page has not seen yet is on its way.
-	onTheWay := row.Given - ask.Received
+	row.Back = max(row.Back, report.Returned)
+	row.Spent = max(row.Spent, report.Spent)
+	row.Live, row.Rate, row.Largest, row.Seen = report.Live, report.Rate, report.Largest, now.Unix()
+	// Earlier grants that the region has not seen yet are in transit.
+	inTransit := row.Given - report.Received
 	a.Regions[region] = row
 
 	unallocated := max(0, a.Unallocated())
-	elsewhere, rate := a.others(region, now)
+	elsewhere, rate := a.otherRegions(region, now)
 	c := &claim{
-		held:       row.Live + onTheWay,
-		need:       max(0, ask.Need-onTheWay),
-		least:      max(0, ask.Least-onTheWay),
-		want:       max(0, ask.Want-onTheWay),
+		held:       row.Live + inTransit,
+		need:       max(0, report.Need-inTransit),
+		least:      max(0, report.Least-inTransit),
+		want:       max(0, report.Want-inTransit),
 		rate:       row.Rate,
 		largest:    row.Largest,
-		largestSum: ask.LargestSum,
+		largestSum: report.LargestSum,
 	}
 	total := unallocated + elsewhere + c.held
-	allot([]*claim{c}, supply{
-		stock: unallocated,
-		total: total,
-		rate:  rate + row.Rate,
-		quiet: quietShare(total, len(a.Regions)),
+	allocate([]*claim{c}, supply{
+		stock:       unallocated,
+		total:       total,
+		rate:        rate + row.Rate,
+		idleReserve: idleReserve(total, len(a.Regions)),
 	}, split.withDefaults().forRegions())
 	row.Given += c.grant
 	row.Live += c.grant
@@ -90,7 +89,7 @@
 		limit = 0
 	}
 	return regionReply{
-		Budget:    ask.Budget,
+		Budget:    report.Budget,
 		Given:     row.Given,
 		Returned:  row.Back,
 		Limit:     limit,
@@ -98,32 +97,31 @@
 	}
 }
 
-// others returns what the other regions hold and their forecast in tokens a
+// otherRegions returns what the other regions hold, and their forecast in tokens per
 // second.
-func (a *RootAccount) others(region granitehoist.Region, now time.Time) (granitehoist.Tokens, float64) {
+func (a *RootAccount) otherRegions(region granitehoist.Region, now time.Time) (granitehoist.Tokens, float64) {
 	var held granitehoist.Tokens
 	var rate float64
-	for _, name := range sorted(a.Regions) {
+	for _, name := range sortedKeys(a.Regions) {
 		row := a.Regions[name]
 		if name == region {
 			continue
 		}
 		held += max(0, row.Live)
-		if now.Sub(time.Unix(row.Seen, 0)) <= regionSilentAfter {
+		if now.Sub(time.Unix(row.Seen, 0)) <= regionStaleAfter {
 			rate += row.Rate
 		}
 	}
 	return held, rate
 }
 
-// regionCovers is how many times a box's cover a region's holding should last.
-const regionCovers = 2
+// regionCoverFactor is the ratio of a region's cover to that of a box.
+const regionCoverFactor = 2
 
-// forRegions returns the split between regions. They hold tokens for longer than
-// boxes, and a larger share, since a write at the root costs more: all regions
-// write the same record. The share lies halfway between the boxes' and all.
+// forRegions returns the split between regions. Regions hold tokens for longer than boxes,
+// and a larger share, since all regions write the same root record.
 func (s Split) forRegions() Split {
-	s.Cover *= regionCovers
+	s.Cover *= regionCoverFactor
 	s.Share = (1 + s.Share) / 2
 	return s
 }
--- a/partner/budget/split.go
+++ b/partner/budget/split.go
@@ -10,61 +10,57 @@
 	"granitehoist.example/granitehoist/internal/defaults"
 )
 
-// Split sets how the tokens of a partner's budgets are spread. Its zero value
-// works. No value of it can cause overspend: it trades refusals while parts of
-// the fleet are cut off against tokens that are in doubt when a box dies.
+// Split configures how the tokens of a partner's budgets are spread over boxes. The zero
+// value is ready to use. No Split can cause overspend: it trades refusals while parts of the
+// fleet are cut off against tokens in doubt after a box has failed.
 type Split struct {
-	// Cover is how long a box's holding should last at its forecast. Zero
-	// stands for DefaultCover.
+	// Cover is how long a box's holding should last at its forecast. Zero means
+	// DefaultCover.
 	Cover time.Duration
-	// Share, from 0 to 1, bounds Cover near the end of a budget: a holding lasts
-	// for at most this part of the time for which the budget lasts at the
-	// forecast of all holders. Zero stands for DefaultShare.
+	// Share, from 0 to 1, bounds Cover near the end of a budget: a holding lasts for at
+	// most this fraction of the budget's remaining lifetime at the forecast of all holders.
+	// Zero means DefaultShare.
 	Share float64
-	// Wait bounds how long a request waits for tokens before it is refused.
-	// Zero stands for DefaultWait.
+	// Wait bounds how long a request waits for tokens. Zero means DefaultWait.
 	Wait time.Duration
 }
 
 // Defaults of a Split.
 const (
-	// DefaultCover is for budgets without a weighting.
+	// DefaultCover is the cover of budgets without a weighting.
 	DefaultCover = 30 * time.Minute
-	// DefaultShare is for budgets without a weighting.
+	// DefaultShare is the share of budgets without a weighting.
 	DefaultShare = 0.8
-	// DefaultWait leaves time for a few messages to the keeper.
+	// DefaultWait leaves time for a few rounds of reports.
 	DefaultWait = 2 * time.Second
 )
 
-// The split of each weighting. With a cover of 5 min and a share of 0.5 the
-// narrow one refused 20 % of payable requests in the measured cut of an hour,
-// so both now last for more than an hour (docs/design/budgets.md). The exact
-// values were chosen.
+// Split values of each weighting. Both survive a partition of an hour with few refusals.
 const (
 	// refusalsCover lasts through an outage of two hours.
 	refusalsCover = 2 * time.Hour
-	// refusalsShare refused 0.205 % in the measured cut of an hour.
+	// refusalsShare is the share for WeighRefusals.
 	refusalsShare = 0.9
 	// overspendCover lasts through an outage of an hour.
 	overspendCover = 75 * time.Minute
-	// overspendShare refused 0.287 % in the measured cut of an hour.
+	// overspendShare is the share for WeighOverspend.
 	overspendShare = 0.85
 )
 
-// Weighting names a ready-made Split.
+// Weighting names a predefined Split.
 type Weighting string
 
-// The weightings.
+// Weightings.
 const (
-	// WeighRefusals spreads tokens widely, so that a box that is cut off can
-	// go on for long.
+	// WeighRefusals favors large holdings, so that a box that is cut off can serve for
+	// long.
 	WeighRefusals Weighting = "refusals"
-	// WeighOverspend keeps holdings small, so that little is in doubt when a
-	// box dies.
+	// WeighOverspend favors small holdings, so that few tokens are in doubt after a box
+	// has failed.
 	WeighOverspend Weighting = "overspend"
 )
 
-// NewSplit returns the Split of a weighting, and false for an unknown one.
+// NewSplit returns the Split of a weighting, and false for an unknown weighting.
 func NewSplit(w Weighting) (Split, bool) {
 	switch w {
 	case WeighRefusals:
@@ -75,7 +71,7 @@
 	return Split{}, false
 }
 
-// withDefaults returns the split with its unset values filled in.
+// withDefaults returns the split with defaults for zero values.
 func (s Split) withDefaults() Split {
 	defaults.Set(&s.Cover, DefaultCover)
 	defaults.Set(&s.Share, DefaultShare)
@@ -83,7 +79,7 @@
 	return s
 }
 
-// tokensFor returns what a rate in tokens a second spends in a duration.
+// tokensFor returns the tokens spent in d at a rate in tokens per second.
 func tokensFor(rate float64, d time.Duration) granitehoist.Tokens {
 	return granitehoist.Tokens(rate * d.Seconds())
 }
--- a/partner/budget/surplus.go
+++ b/partner/budget/surplus.go
@@ -5,34 +5,32 @@
 
 import "granitehoist.example/granitehoist"
 
-// A small surplus stays where it is, since a return costs a message or a write.
-// Commit 82e9a37 brought both bounds in, after it had measured that boxes gave
-// back and asked for the same tokens with each message.
+// A small surplus is kept, since its return costs a message or a write.
 const (
-	// boxSurplusParts: a box returns a surplus only if it is more than its target divided
+	// boxSurplusDivisor sets the smallest surplus that a box returns: its target divided
 	// by this.
-	boxSurplusParts = 8
-	// regionSurplusParts: a region returns a surplus only if it is more than what the
-	// region has divided by this.
-	regionSurplusParts = 16
+	boxSurplusDivisor = 8
+	// regionSurplusDivisor sets the smallest surplus that a region returns: its live
+	// tokens divided by this.
+	regionSurplusDivisor = 16
 )
 
-// scarce reports whether the budget has so little left that a box should not
-// keep what one of its requests needs. Each request is then decided at the page.
-func (a *account) scarce() bool { return a.reply.received && a.reply.target < a.demand.largest }
+// isScarce reports whether the budget has so little left that the box should not hold
+// enough for its largest request. Requests then wait for a grant each.
+func (a *account) isScarce() bool { return a.reply.received && a.reply.target < a.demand.largest }
 
-// hasIdle reports whether the account has tokens that it should not keep and
-// that others may wait for.
-func (a *account) hasIdle() bool {
-	return a.scarce() && a.free() > max(a.reply.target, a.demand.waiting())
+// hasUrgentSurplus reports whether the account has a surplus that requests elsewhere may
+// wait for.
+func (a *account) hasUrgentSurplus() bool {
+	return a.isScarce() && a.free() > max(a.reply.target, a.demand.waiting())
 }
 
-// surplus decides how many tokens a box returns to its page, from its totals as
-// they are now and the Keeper's last reply, of any age. It returns what is free
-// beyond both the target and what requests wait for, if that is worth a message.
-// While the budget is scarce any surplus is, and a box returns even what its
-// waiting requests could use if it is less than the smallest of them needs: that
-// part may serve a request elsewhere. A box that stops returns all that is free.
+// surplus returns the number of tokens that the box should return to its region. These are
+// the free tokens beyond both the target of the last reply and what requests wait for, if
+// they are worth a message. A scarce budget makes any surplus worth one, and the box also
+// returns free tokens that are too few for its smallest waiting request, since they may
+// serve a request elsewhere. A closing box returns all free tokens. The result may be
+// negative.
 func (a *account) surplus(closing bool) granitehoist.Tokens {
 	if closing {
 		return a.free()
@@ -42,15 +40,15 @@
 	}
 	surplus := a.free() - max(a.reply.target, a.demand.waiting())
 	switch {
-	case a.scarce() && a.free() < a.demand.smallestWaiting():
+	case a.isScarce() && a.free() < a.demand.smallestWaiting():
 		return a.free()
-	case a.scarce() || surplus > a.reply.target/boxSurplusParts:
+	case a.isScarce() || surplus > a.reply.target/boxSurplusDivisor:
 		return surplus
 	}
 	return 0
 }
 
-// returnSurplus counts the surplus as returned.
+// returnSurplus deducts the surplus as returned.
 func (a *account) returnSurplus(closing bool) {
 	surplus := a.surplus(closing)
 	if surplus <= 0 {
@@ -60,11 +58,11 @@
 	a.changed = true
 }
 
-// returnSurplus counts stock beyond the root's limit as sent to the root, if it
-// is worth a write. live is what the region has that is not in doubt.
-func (a *PageAccount) returnSurplus(live granitehoist.Tokens) {
+// returnStockSurplus deducts the stock beyond the root's limit as returned to the root, if
+// it is worth a write. live is what the region has that is not in doubt.
+func (a *PageAccount) returnStockSurplus(live granitehoist.Tokens) {
 	surplus := min(a.Stock(), live-a.Limit)
-	if surplus > live/regionSurplusParts {
+	if surplus > live/regionSurplusDivisor {
 		a.Sent += surplus
 	}
 }
--- a/partner/budget/wait.go
+++ b/partner/budget/wait.go
@@ -10,9 +10,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Waiter is a request that waits for tokens. Done is closed when they are
-// reserved for it or when the budget has too few. The lock of the purse guards
-// the other fields.
+// Waiter is a request that waits for tokens. Done is closed once they are reserved for it or
+// the budget is known to have too few. The lock of the Purse guards the other fields.
 type Waiter struct {
 	Done    chan struct{}
 	bound   granitehoist.Tokens
@@ -20,33 +19,32 @@
 	granted bool
 }
 
-// end closes Done. It is called once, under the lock of the purse.
-func (w *Waiter) end(granted bool) {
+// finish closes Done. It must be called only once, with the lock of the Purse held.
+func (w *Waiter) finish(granted bool) {
 	w.ended = true
 	w.granted = granted
 	close(w.Done)
 }
 
-// Outcome is how a wait ended.
+// Outcome is the result of a wait.
 type Outcome int
 
-// The outcomes of a wait.
+// Outcomes of a wait.
 const (
-	// Granted says that the tokens are reserved and must be settled.
+	// Granted means that the tokens are reserved and must be settled.
 	Granted Outcome = iota
-	// Exhausted says that the budget has too few tokens left.
+	// Exhausted means that the budget has too few tokens left.
 	Exhausted
-	// Unreachable says that no answer came while the request waited.
+	// Unreachable means that no reply came during the wait.
 	Unreachable
 )
 
-// remainingFresh is how long the Keeper's statement that a budget has too few tokens
-// refuses further requests without asking again.
-const remainingFresh = time.Second
+// remainingTTL is how long a reply that a budget has too few tokens is used to refuse
+// further requests without a new report.
+const remainingTTL = time.Second
 
-// Wait reserves as Reserve does, or returns a Waiter that ends when tokens
-// arrive or when the budget is found to have too few. The caller must end the
-// wait with EndWait. It panics if bound is negative.
+// Wait reserves bound tokens at once, as Reserve does, or returns a Waiter for them. The
+// caller must end the wait with EndWait. Wait panics if bound is negative.
 func (p *Purse) Wait(k granitehoist.BudgetID, bound granitehoist.Tokens, now time.Time) *Waiter {
 	mustNotBeNegative(bound)
 	p.mu.Lock()
@@ -55,9 +53,9 @@
 	a := p.account(k)
 	switch {
 	case a.reserve(bound):
-		w.end(true)
-	case a.reply.exhausts(bound, now):
-		w.end(false)
+		w.finish(true)
+	case a.reply.provesExhausted(bound, now):
+		w.finish(false)
 	default:
 		a.demand.waiters = append(a.demand.waiters, w)
 		a.demand.largest = max(a.demand.largest, bound)
@@ -66,11 +64,10 @@
 	return w
 }
 
-// exhausts decides whether a request is refused at once: the Keeper said within
-// remainingFresh that the whole budget has fewer tokens than the request's
-// bound.
-func (r lastReply) exhausts(bound granitehoist.Tokens, now time.Time) bool {
-	return r.received && bound > r.remaining && now.Sub(r.at) < remainingFresh
+// provesExhausted reports whether a request can be refused at once, since a reply within
+// remainingTTL said that the whole budget has fewer tokens than its bound.
+func (r lastReply) provesExhausted(bound granitehoist.Tokens, now time.Time) bool {
+	return r.received && bound > r.remaining && now.Sub(r.receivedAt) < remainingTTL
 }
 
 // EndWait ends a wait and returns its outcome.
@@ -84,51 +81,50 @@
 	case w.ended:
 		return Exhausted
 	}
-	a.remove(w)
-	return a.reply.unservedOutcome(p.split(k).Wait, now)
+	a.removeWaiter(w)
+	return a.reply.timeoutOutcome(p.split(k).Wait, now)
 }
 
-// unservedOutcome decides the outcome for a request that got no tokens in time. If
-// the Keeper replied during the wait, it granted too little and the budget is
-// exhausted; otherwise no keeper could be reached.
-func (r lastReply) unservedOutcome(wait time.Duration, now time.Time) Outcome {
-	if r.received && now.Sub(r.at) < wait {
+// timeoutOutcome returns the outcome of a wait that got no tokens in time. A reply during the
+// wait means that the budget is exhausted; otherwise no Keeper could be reached.
+func (r lastReply) timeoutOutcome(wait time.Duration, now time.Time) Outcome {
+	if r.received && now.Sub(r.receivedAt) < wait {
 		return Exhausted
 	}
 	return Unreachable
 }
 
-// remove takes a request out of those that wait.
-func (a *account) remove(w *Waiter) {
+// removeWaiter removes a request from the waiting ones.
+func (a *account) removeWaiter(w *Waiter) {
 	a.demand.waiters = slices.DeleteFunc(a.demand.waiters, func(other *Waiter) bool { return other == w })
 }
 
-// wake reserves for each waiting request that fits, in the order of arrival.
-func (a *account) wake() {
+// serveWaiters reserves tokens for each waiting request that fits, in order of arrival.
+func (a *account) serveWaiters() {
 	if len(a.demand.waiters) == 0 {
 		return
 	}
 	a.demand.waiters = slices.DeleteFunc(a.demand.waiters, func(w *Waiter) bool {
 		reserved := a.reserve(w.bound)
 		if reserved {
-			w.end(true)
+			w.finish(true)
 		}
 		return reserved
 	})
 }
 
-// refuse ends the waits that the whole budget can't serve.
-func (a *account) refuse() {
+// rejectWaiters ends the waits for more tokens than the whole budget has left.
+func (a *account) rejectWaiters() {
 	a.demand.waiters = slices.DeleteFunc(a.demand.waiters, func(w *Waiter) bool {
 		tooLarge := w.bound > a.reply.remaining
 		if tooLarge {
-			w.end(false)
+			w.finish(false)
 		}
 		return tooLarge
 	})
 }
 
-// waiting returns the sum of the bounds that requests wait for.
+// waiting returns the sum of the bounds of the waiting requests.
 func (d *demand) waiting() granitehoist.Tokens {
 	var sum granitehoist.Tokens
 	for _, w := range d.waiters {
@@ -137,8 +133,8 @@
 	return sum
 }
 
-// smallestWaiting returns the smallest bound that a request waits for, zero if
-// none waits.
+// smallestWaiting returns the smallest bound of the waiting requests, or zero if there are
+// none.
 func (d *demand) smallestWaiting() granitehoist.Tokens {
 	var smallest granitehoist.Tokens
 	for i, w := range d.waiters {
