--- a/balance/backoff.go
+++ b/balance/backoff.go
@@ -20,8 +20,8 @@
 	return i.Capacity
 }
 
-// RestNote is the event that an instance asked this router to back off.
-type RestNote struct {
+// BackoffEvent is the event that an instance asked this router to back off.
+type BackoffEvent struct {
 	Instance
 	// Requested is the requested backoff, Remaining the time until the backoff ends.
 	Requested, Remaining time.Duration
@@ -32,7 +32,7 @@
 	t := l.table
 	t.mu.Lock()
 	l.state.backoff.Extend(requested, now)
-	note := RestNote{Instance: l.Instance, Requested: requested, Remaining: l.state.backoff.Remaining(now)}
+	note := BackoffEvent{Instance: l.Instance, Requested: requested, Remaining: l.state.backoff.Remaining(now)}
 	t.wakeWaiters()
 	t.mu.Unlock()
 	if t.settings.OnBackoff != nil {
@@ -69,10 +69,10 @@
 		return
 	}
 	switch r {
-	case Good, Failed:
+	case Succeeded, Failed:
 		l.state.backoff.Accepted(l.picked, l.concurrency())
 	case Refused:
 		l.state.backoff.Rejected()
-	case Broken, Unclear, Moved:
+	case Broken, Inconclusive, Misdirected:
 	}
 }
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -59,10 +59,10 @@
 	OnLimitChange func(LimitChange)
 	// OnLeaving, if set, is called without a lock held when the table learns that an
 	// instance is leaving, once for each incarnation.
-	OnLeaving func(LeavingNote)
+	OnLeaving func(LeavingEvent)
 	// OnBackoff, if set, is called without a lock held when an instance asks this router
 	// to back off.
-	OnBackoff func(RestNote)
+	OnBackoff func(BackoffEvent)
 }
 
 // Table holds the instances of all services and, for each instance, this router's
@@ -87,7 +87,7 @@
 	// leavingIncarnations holds the incarnations that reported that they are leaving.
 	leavingIncarnations leavingSet
 	// skipCounts counts the choices that passed over an instance.
-	skipCounts Spared
+	skipCounts SkipCounts
 	// awaitingPermits holds the instances for which permits are wanted.
 	awaitingPermits []*instanceState
 
@@ -115,7 +115,7 @@
 	// zero if another router reported it first.
 	leavingVersion uint64
 	// backoff is the backoff that the instance requested from this router.
-	backoff pushback.Rest
+	backoff pushback.Backoff
 	// coldUntil is when the instance is expected to be warm; zero if it never was cold.
 	coldUntil time.Time
 	// coldQuota is what this router may send in the current second while the instance is
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -38,7 +38,7 @@
 	// evacuated holds the evacuated zones according to this router's copy of the
 	// operators' settings.
 	evacuated map[granitehoist.AvailabilityZone]bool
-	homes     []Homes
+	homes     []AllowedRegions
 	regions   map[granitehoist.AvailabilityZone]granitehoist.Region
 	cold      coldShare
 	// firstInQueue reports that the request may use deferred instances ahead of all
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -29,7 +29,7 @@
 	Routers int
 	// AllowedRegions holds the allowed regions of each rule that names some. A region must be
 	// allowed by all of them.
-	AllowedRegions []Homes
+	AllowedRegions []AllowedRegions
 	// Pin, unless zero, selects the instance by rendezvous hashing instead of by cost:
 	// all routers with the same instances select the same one for the same number.
 	Pin uint64
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -29,8 +29,8 @@
 
 // The results of attempts.
 const (
-	// Good means that the instance handled the request.
-	Good Result = iota
+	// Succeeded means that the instance handled the request.
+	Succeeded Result = iota
 	// Failed means that the instance responded with an error of its own.
 	Failed
 	// Refused means that the instance refused the request, for example because it is
@@ -38,11 +38,11 @@
 	Refused
 	// Broken means that no usable response arrived.
 	Broken
-	// Unclear gives no information about the instance, for example because the caller
+	// Inconclusive gives no information about the instance, for example because the caller
 	// disconnected.
-	Unclear
-	// Moved means that another instance now has the address.
-	Moved
+	Inconclusive
+	// Misdirected means that another instance now has the address.
+	Misdirected
 )
 
 // health summarizes the results of this router's attempts at an instance. The zero value
@@ -77,7 +77,7 @@
 // A new ejection replaces the previous one, even if that would have lasted longer.
 func (h health) withResult(r Result, ejection time.Duration, now time.Time) health {
 	switch r {
-	case Good:
+	case Succeeded:
 		h.failuresInRow = 0
 		h.failureRate -= h.failureRate * failureWeight
 	case Failed:
@@ -90,9 +90,9 @@
 		if h.failuresInRow >= ejectAfterFailures {
 			h.ejectedUntil = now.Add(ejectionAfter(h.failuresInRow, ejection))
 		}
-	case Moved:
+	case Misdirected:
 		h.ejectedUntil = now.Add(maxEjection)
-	case Unclear:
+	case Inconclusive:
 	}
 	return h
 }
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -9,18 +9,18 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Homes are the regions to which a rule of the operators confines a request. An empty
+// AllowedRegions are the regions to which a rule of the operators confines a request. An empty
 // value allows all regions.
-type Homes []granitehoist.Region
+type AllowedRegions []granitehoist.Region
 
 // allows reports whether the rule allows a region. The empty region of an unknown zone is
 // allowed only if Homes is empty.
-func (h Homes) allows(region granitehoist.Region) bool {
+func (h AllowedRegions) allows(region granitehoist.Region) bool {
 	return len(h) == 0 || slices.Contains(h, region)
 }
 
 // allowedByAll reports whether all of the rules allow a region.
-func allowedByAll(homes []Homes, region granitehoist.Region) bool {
+func allowedByAll(homes []AllowedRegions, region granitehoist.Region) bool {
 	for _, h := range homes {
 		if !h.allows(region) {
 			return false
--- a/balance/leaving.go
+++ b/balance/leaving.go
@@ -67,8 +67,8 @@
 	return first
 }
 
-// LeavingNote is the event that this router learned that an instance is leaving.
-type LeavingNote struct {
+// LeavingEvent is the event that this router learned that an instance is leaving.
+type LeavingEvent struct {
 	Instance
 	// Observed reports that the information came from a response to this router, not from
 	// another router.
@@ -86,14 +86,14 @@
 	}
 	t.mu.Unlock()
 	if changed {
-		t.notifyLeaving(LeavingNote{Instance: l.Instance, Observed: true})
+		t.notifyLeaving(LeavingEvent{Instance: l.Instance, Observed: true})
 	}
 }
 
 // mergeLeaving applies the records of another router. Records of incarnations that are
 // not announced yet are kept until they are.
 func (t *Table) mergeLeaving(records []LeavingRecord, now time.Time) {
-	var notes []LeavingNote
+	var notes []LeavingEvent
 	t.mu.Lock()
 	for _, r := range records {
 		s, found := t.instances[r.Upstream]
@@ -101,7 +101,7 @@
 		case !found || s.StartedAtMS != r.StartedAtMS:
 			t.leavingIncarnations.add(r.incarnation(), now)
 		case t.recordLeaving(s, now):
-			notes = append(notes, LeavingNote{Instance: s.Instance})
+			notes = append(notes, LeavingEvent{Instance: s.Instance})
 		}
 	}
 	t.mu.Unlock()
@@ -122,7 +122,7 @@
 }
 
 // notifyLeaving calls the LeavingNoted callback. The caller holds no lock.
-func (t *Table) notifyLeaving(note LeavingNote) {
+func (t *Table) notifyLeaving(note LeavingEvent) {
 	if t.settings.OnLeaving != nil {
 		t.settings.OnLeaving(note)
 	}
--- a/balance/limitrecord.go
+++ b/balance/limitrecord.go
@@ -12,8 +12,8 @@
 // LimitRecord reports the rate limit of an instance from one router to another. A
 // receiver ignores unknown fields and takes missing ones as zero.
 type LimitRecord struct {
-	Upstream granitehoist.Upstream `json:"upstream"`
-	StartedAtMS     int64                 `json:"born,omitempty"`
+	Upstream    granitehoist.Upstream `json:"upstream"`
+	StartedAtMS int64                 `json:"born,omitempty"`
 	// Limited reports that the instance has a rate limit, Rate in requests a second.
 	Limited bool `json:"limited"`
 	Rate    Rate `json:"rate,omitempty"`
@@ -23,7 +23,9 @@
 }
 
 // Incarnation returns the incarnation that the record describes.
-func (r LimitRecord) Incarnation() Incarnation { return Incarnation{ID: r.Upstream, Born: r.StartedAtMS} }
+func (r LimitRecord) Incarnation() Incarnation {
+	return Incarnation{ID: r.Upstream, Born: r.StartedAtMS}
+}
 
 // maxLimitAgeMS is one day, to which the age of a record is clamped.
 const maxLimitAgeMS = 24 * 60 * 60 * 1000
@@ -161,10 +163,10 @@
 // mayChangeLimit reports whether a response can change the known limit. A response
 // without a rate cannot if no limit was known when the instance was chosen: any limit
 // learned since then is newer than the request.
-func (l *Lease) mayChangeLimit(statement RateStatement) bool { return statement.HasRate || l.limited }
+func (l *Lease) mayChangeLimit(statement RateFeedback) bool { return statement.HasRate || l.limited }
 
 // recordRate applies the rate information in a response of the instance.
-func (l *Lease) recordRate(statement RateStatement, now time.Time) {
+func (l *Lease) recordRate(statement RateFeedback, now time.Time) {
 	t := l.table
 	t.mu.Lock()
 	before := l.state.knownLimit()
--- a/balance/permit.go
+++ b/balance/permit.go
@@ -24,8 +24,8 @@
 	MaxWait time.Duration
 }
 
-// PermitAnswer is the response to a PermitRequest.
-type PermitAnswer struct {
+// PermitResponse is the response to a PermitRequest.
+type PermitResponse struct {
 	Incarnation Incarnation
 	// Count permits are valid from Due until Expires.
 	Count        int
@@ -170,7 +170,7 @@
 
 // AddPermits applies the response to a request returned by PermitRequests. Responses for
 // unknown incarnations are ignored.
-func (t *Table) AddPermits(a PermitAnswer) {
+func (t *Table) AddPermits(a PermitResponse) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, found := t.instances[a.Incarnation.ID]
--- a/balance/ratelimit.go
+++ b/balance/ratelimit.go
@@ -20,12 +20,12 @@
 // Rate is a number of requests a second.
 type Rate float64
 
-// RateStatement is the rate information in one response: the rate that the instance
+// RateFeedback is the rate information in one response: the rate that the instance
 // accepts from all routers together. The zero value carries no information.
-type RateStatement struct {
+type RateFeedback struct {
 	// HasRate reports that the response states Rate.
 	HasRate bool
-	Rate  Rate
+	Rate    Rate
 	// Unreadable reports that the response states an invalid rate.
 	Unreadable bool
 	// FromInstance reports that the response certainly comes from the instance, so that the
@@ -34,10 +34,10 @@
 }
 
 // Stated reports whether the response states a rate, valid or not.
-func (s RateStatement) Stated() bool { return s.HasRate || s.Unreadable }
+func (s RateFeedback) Stated() bool { return s.HasRate || s.Unreadable }
 
 // String returns the rate, "unreadable", or "none".
-func (s RateStatement) String() string {
+func (s RateFeedback) String() string {
 	switch {
 	case s.HasRate:
 		return strconv.FormatFloat(float64(s.Rate), 'g', -1, 64)
@@ -61,7 +61,7 @@
 
 // withResponse returns the view after a response that arrived at now to a request sent at
 // sent.
-func (k knownLimit) withResponse(s RateStatement, sent, now time.Time) knownLimit {
+func (k knownLimit) withResponse(s RateFeedback, sent, now time.Time) knownLimit {
 	switch {
 	case s.Unreadable, !s.HasRate && !s.FromInstance:
 		return k
@@ -86,7 +86,7 @@
 	Instance
 	// Limited reports that there is a limit of Rate; otherwise the limit was lifted.
 	Limited bool
-	Rate  Rate
+	Rate    Rate
 	// Observed reports that the information came from a response to this router, not from
 	// another router.
 	Observed bool
--- a/balance/statement.go
+++ b/balance/statement.go
@@ -5,11 +5,11 @@
 
 import "time"
 
-// Statement is the information in one response about its instance, independent of the
+// Feedback is the information in one response about its instance, independent of the
 // outcome of the request. The zero value carries no information.
-type Statement struct {
+type Feedback struct {
 	// Rate is the rate information.
-	Rate RateStatement
+	Rate RateFeedback
 	// Leaving reports that the instance is about to end and accepts no further requests.
 	Leaving bool
 	// Backoff is the backoff requested from this router; zero if none.
@@ -21,7 +21,7 @@
 // Observe records the information in a response of the instance. A response of
 // another instance that has taken over the address carries none. Most responses carry no
 // information and need no lock.
-func (l *Lease) Observe(s Statement, now time.Time) {
+func (l *Lease) Observe(s Feedback, now time.Time) {
 	if l.mayChangeLimit(s.Rate) {
 		l.recordRate(s.Rate, now)
 	}
--- a/balance/status.go
+++ b/balance/status.go
@@ -8,16 +8,16 @@
 	"time"
 )
 
-// Spared counts the choices, including those for waiting requests, that passed over at
+// SkipCounts counts the choices, including those for waiting requests, that passed over at
 // least one instance because of information in its responses.
-type Spared struct {
+type SkipCounts struct {
 	// Leaving counts choices that passed over a leaving instance, Deferred those that
 	// passed over an instance in backoff or without a permit.
 	Leaving, Deferred int64
 }
 
 // SkipCounts returns the counts since the table was created.
-func (t *Table) SkipCounts() Spared {
+func (t *Table) SkipCounts() SkipCounts {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.skipCounts
@@ -53,10 +53,10 @@
 	statuses := make([]Status, 0, len(t.instances))
 	for _, s := range t.instances {
 		statuses = append(statuses, Status{
-			Instance: s.Instance,
-			Ejected:  s.ejected(now) || !s.removedAt.IsZero(),
-			Leaving:  s.isLeaving(),
-			BackingOff:  s.backoff.Remaining(now) > 0,
+			Instance:   s.Instance,
+			Ejected:    s.ejected(now) || !s.removedAt.IsZero(),
+			Leaving:    s.isLeaving(),
+			BackingOff: s.backoff.Remaining(now) > 0,
 		})
 	}
 	sort.Slice(statuses, func(i, j int) bool { return statuses[i].ID < statuses[j].ID })
--- a/balance/updates.go
+++ b/balance/updates.go
@@ -9,9 +9,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-// News carries, from one router to another, information that instances gave in their
+// Updates carries, from one router to another, information that instances gave in their
 // responses. A receiver ignores unknown fields; a missing field carries no information.
-type News struct {
+type Updates struct {
 	// Limits holds the rate limits that were set or lifted.
 	Limits []LimitRecord `json:"limits,omitempty"`
 	// Leaving holds the incarnations that are about to end.
@@ -19,23 +19,25 @@
 }
 
 // HasAny reports whether there is any information.
-func (n News) HasAny() bool { return len(n.Limits)+len(n.Leaving) > 0 }
+func (n Updates) HasAny() bool { return len(n.Limits)+len(n.Leaving) > 0 }
 
 // LeavingRecord reports that one incarnation of an instance is about to end.
 type LeavingRecord struct {
-	Upstream granitehoist.Upstream `json:"upstream"`
-	StartedAtMS     int64                 `json:"born,omitempty"`
+	Upstream    granitehoist.Upstream `json:"upstream"`
+	StartedAtMS int64                 `json:"born,omitempty"`
 }
 
 // incarnation returns the incarnation that the record describes.
-func (r LeavingRecord) incarnation() Incarnation { return Incarnation{ID: r.Upstream, Born: r.StartedAtMS} }
+func (r LeavingRecord) incarnation() Incarnation {
+	return Incarnation{ID: r.Upstream, Born: r.StartedAtMS}
+}
 
 // UpdatesSince returns the information from responses to this router since a version of the
 // table, and the current version.
-func (t *Table) UpdatesSince(version uint64, now time.Time) (News, uint64) {
+func (t *Table) UpdatesSince(version uint64, now time.Time) (Updates, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var updates News
+	var updates Updates
 	if t.updateVersion <= version {
 		return updates, version
 	}
@@ -52,10 +54,10 @@
 
 // Snapshot returns the full current information about all instances, whether from
 // responses to this router or from other routers.
-func (t *Table) Snapshot(now time.Time) News {
+func (t *Table) Snapshot(now time.Time) Updates {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var updates News
+	var updates Updates
 	for _, s := range t.instances {
 		if s.isLimited() {
 			updates.Limits = append(updates.Limits, s.limitRecord(now))
@@ -68,7 +70,7 @@
 }
 
 // MergeUpdates applies the information of another router.
-func (t *Table) MergeUpdates(updates News, now time.Time) {
+func (t *Table) MergeUpdates(updates Updates, now time.Time) {
 	t.MergeLimits(updates.Limits, now)
 	t.mergeLeaving(updates.Leaving, now)
 }
--- a/catalog/document.go
+++ b/catalog/document.go
@@ -12,13 +12,13 @@
 // RouteName identifies a route within a configuration.
 type RouteName string
 
-// Kind determines how often a request of a route may run and how it is answered.
-type Kind int
+// RouteKind determines how often a request of a route may run and how it is answered.
+type RouteKind int
 
 // The kinds of routes.
 const (
 	// Safe requests may run more than once.
-	Safe Kind = iota
+	Safe RouteKind = iota
 	// Unsafe requests run at most once.
 	Unsafe
 	// Stream requests are answered with a sequence of events. They run at most once
@@ -28,7 +28,7 @@
 
 // String returns the name of the kind for logs. It panics if the kind is not one of the
 // constants above.
-func (k Kind) String() string {
+func (k RouteKind) String() string {
 	return [...]string{"safe", "unsafe", "stream"}[k]
 }
 
@@ -47,16 +47,16 @@
 	Host string
 	// Prefix is the path prefix. It begins and ends with a slash.
 	Prefix string
-	Kind   Kind
+	Kind   RouteKind
 	// Timeout is the time from the arrival of a request to its deadline; zero means none.
 	Timeout time.Duration
 	// TargetLatency is the target latency of a response; zero means none.
 	TargetLatency time.Duration
 	// MaxEventGap is the target for the longest gap between two events of a stream; zero means
 	// none.
-	MaxEventGap    time.Duration
-	Priority granitehoist.Priority
-	Split    []Share
+	MaxEventGap time.Duration
+	Priority    granitehoist.Priority
+	Split       []Share
 	// MaxAttempts bounds the upstreams that may run one request, including the first;
 	// zero means one.
 	MaxAttempts int
@@ -123,8 +123,8 @@
 	Services   []Service
 	Workspaces []Workspace
 	// RequireKey says that routes which are not anonymous require a key.
-	RequireKey  bool
-	Limits Limits
+	RequireKey bool
+	Limits     Limits
 }
 
 // PickService chooses a service of the split at random in proportion to the weights. point
--- a/catalog/snapshot.go
+++ b/catalog/snapshot.go
@@ -39,7 +39,7 @@
 		Version:         version,
 		Revision:        d.Revision,
 		Limits:          d.Limits,
-		RequireKey:           d.RequireKey,
+		RequireKey:      d.RequireKey,
 		routesByHost:    map[string][]*Route{},
 		services:        map[granitehoist.Service]*Service{},
 		workspaces:      map[granitehoist.Workspace]*Workspace{},
--- a/cmd/granitehoist/operator.go
+++ b/cmd/granitehoist/operator.go
@@ -142,7 +142,7 @@
 	clause := app.Command("report", "Reports on the fleet.").Command("burn", "Service-level burn by service, workspace and availability zone over several windows.")
 	o := newOperator(clause)
 	return command{clause, func(ctx context.Context) error {
-		var burn report.Burn
+		var burn report.BurnReport
 		if err := o.call(ctx, o.base().Get(router.PathBurn), &burn); err != nil {
 			return err
 		}
--- a/cmd/granitehoist/router.go
+++ b/cmd/granitehoist/router.go
@@ -79,7 +79,7 @@
 	return platform.NewStore(platform.StoreSettings{
 		Address:    address,
 		Timeout:    storeTimeout,
-		WatchWait:      storeWatch,
+		WatchWait:  storeWatch,
 		WatchGrace: storeWatchGrace,
 		Client:     client,
 	})
--- a/codes.go
+++ b/codes.go
@@ -65,17 +65,17 @@
 	DocumentUnsettled Code = 7006
 )
 
-// Fate says what is known about the execution of a request.
-type Fate string
+// ExecutionStatus says what is known about the execution of a request.
+type ExecutionStatus string
 
 const (
 	// NotRun means that no byte of the request can have reached an upstream, or that the
 	// upstream reported that it did not run the request.
-	NotRun Fate = "not run"
+	NotRun ExecutionStatus = "not run"
 	// Ran means that an upstream ran the request.
-	Ran Fate = "ran"
+	Ran ExecutionStatus = "ran"
 	// MayHaveRun means that the outcome is unknown to the router.
-	MayHaveRun Fate = "may have run"
+	MayHaveRun ExecutionStatus = "may have run"
 )
 
 // Advice is the action that a result code recommends to the caller.
@@ -103,7 +103,7 @@
 	// Name is the code's name in responses, logs and metrics.
 	Name string
 	// Execution says whether the request was executed.
-	Execution Fate
+	Execution ExecutionStatus
 	// Status is the HTTP status of the response.
 	Status int
 	// Advice is the recommended action of the caller.
--- a/escrow/borrow.go
+++ b/escrow/borrow.go
@@ -82,7 +82,7 @@
 		ledger.standIn(p.Workspace, now)
 	}
 	role := ledger.Role(p.Workspace, now)
-	if p.Need <= 0 || role == Asks {
+	if p.Need <= 0 || role == RoleBorrower {
 		return ledger.Lend(p, now), nil
 	}
 	c := claim{bound: p.Want, priority: granitehoist.MaxPriority, isLoan: true, countsAsDemand: role.isHolder()}
--- a/escrow/holdings.go
+++ b/escrow/holdings.go
@@ -105,7 +105,7 @@
 	c := l.conditions(0, now)
 	var requests []loanRequest
 	for w, a := range l.accounts {
-		if len(a.waiters) == 0 || a.owned.limitUnconfirmed || l.role(w, a, now) == Asks {
+		if len(a.waiters) == 0 || a.owned.limitUnconfirmed || l.role(w, a, now) == RoleBorrower {
 			continue
 		}
 		request := a.loanRequestInputs(c).forWaiters(c)
@@ -124,7 +124,7 @@
 	var found []surplus
 	for w, a := range l.accounts {
 		free := a.owned.free()
-		if free <= 0 || len(a.waiters) > 0 || (l.role(w, a, now) != Asks && !l.closing) {
+		if free <= 0 || len(a.waiters) > 0 || (l.role(w, a, now) != RoleBorrower && !l.closing) {
 			continue
 		}
 		extra := free - 2*a.batchSize(now)
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -183,7 +183,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.role(w, l.account(w), now) != Asks:
+	case l.role(w, l.account(w), now) != RoleBorrower:
 	case inTouch:
 		l.health.noteHolderResponse(now)
 	default:
--- a/escrow/messages.go
+++ b/escrow/messages.go
@@ -42,7 +42,7 @@
 
 // RepayParams transfers tokens to the receiver.
 type RepayParams struct {
-	Sender     granitehoist.Incarnation `json:"giver"`
+	Sender    granitehoist.Incarnation `json:"giver"`
 	Workspace granitehoist.Workspace   `json:"workspace"`
 	// Total is the sum of all tokens that the giver has lent or transferred to the
 	// receiver. It only grows. Zero transfers nothing and only asks whether the receiver
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -24,7 +24,7 @@
 // borrower does so only after the limit was reduced, at shutdown, and when no lender
 // responds; all other roles always do.
 func (a *account) usesRecord(c conditions) bool {
-	return c.role != Asks || a.owned.limitUnconfirmed || c.closing || a.lendersFailed
+	return c.role != RoleBorrower || a.owned.limitUnconfirmed || c.closing || a.lendersFailed
 }
 
 // isWrite reports whether the record has to be written.
--- a/escrow/record.go
+++ b/escrow/record.go
@@ -46,7 +46,7 @@
 type StoredAccount struct {
 	// EndedNet is the sum of Row.Net over incarnations that have ended.
 	EndedNet granitehoist.Tokens              `json:"f,omitempty"`
-	Rows   map[granitehoist.Incarnation]Row `json:"rows,omitempty"`
+	Rows     map[granitehoist.Incarnation]Row `json:"rows,omitempty"`
 }
 
 // Outstanding returns the tokens that were granted and not returned.
--- a/escrow/role.go
+++ b/escrow/role.go
@@ -18,18 +18,18 @@
 type Role int
 
 const (
-	// Shares is the role of every router of a small fleet: it takes tokens from the
+	// RoleDirect is the role of every router of a small fleet: it takes tokens from the
 	// record for its own requests.
-	Shares Role = iota
-	// Holds is the role of the holder in a large fleet: it takes a workspace's tokens
+	RoleDirect Role = iota
+	// RoleHolder is the role of the holder in a large fleet: it takes a workspace's tokens
 	// from the record for the requests of all routers, and lends them.
-	Holds
-	// StandsIn is the role of a stand-in holder, a router that was asked in place of the
+	RoleHolder
+	// RoleStandIn is the role of a stand-in holder, a router that was asked in place of the
 	// holder: it does the same for a while, with smaller holdings.
-	StandsIn
-	// Asks is the role of borrowers, all other routers of a large fleet: they own few or
+	RoleStandIn
+	// RoleBorrower is the role of borrowers, all other routers of a large fleet: they own few or
 	// no tokens ahead of requests, and pay for requests with loans of a holder.
-	Asks
+	RoleBorrower
 )
 
 // standInTime is how long a router remains a stand-in holder after the last call that
@@ -44,16 +44,16 @@
 }
 
 // isHolder reports whether a router with the role lends to a whole fleet.
-func (r Role) isHolder() bool { return r == Holds || r == StandsIn }
+func (r Role) isHolder() bool { return r == RoleHolder || r == RoleStandIn }
 
 // role returns this router's role for a workspace. The caller holds mu.
 func (l *Ledger) role(w granitehoist.Workspace, a *account, now time.Time) Role {
 	if l.settings.Role == nil {
-		return Shares
+		return RoleDirect
 	}
 	role := l.settings.Role(ShardOf(w))
-	if role == Asks && now.Before(a.standsInUntil) {
-		return StandsIn
+	if role == RoleBorrower && now.Before(a.standsInUntil) {
+		return RoleStandIn
 	}
 	return role
 }
--- a/escrow/syncer.go
+++ b/escrow/syncer.go
@@ -113,7 +113,7 @@
 		return Granted
 	}
 	queued := s.settings.Ledger.addWaiter(w, c, s.settings.Clock())
-	if s.settings.Ledger.Role(w, s.settings.Clock()) == Asks && !c.isLoan {
+	if s.settings.Ledger.Role(w, s.settings.Clock()) == RoleBorrower && !c.isLoan {
 		return s.borrowForRequest(ctx, w, c, queued)
 	}
 	s.TriggerSync()
--- a/escrow/target.go
+++ b/escrow/target.go
@@ -84,13 +84,13 @@
 func (c conditions) withRole(r Role) conditions {
 	c.role = r
 	switch r {
-	case Holds:
+	case RoleHolder:
 		c.routers, c.initialFraction, c.maxHeldFraction = 1, holderInitialFraction, holderMaxHeldFraction
-	case StandsIn:
+	case RoleStandIn:
 		c.routers, c.initialFraction, c.maxHeldFraction, c.cover = 1, 0, standInMaxHeldFraction, standInCover
-	case Asks:
+	case RoleBorrower:
 		c.cover, c.initialFraction, c.spareFraction = 0, 0, 0
-	case Shares:
+	case RoleDirect:
 	}
 	return c
 }
--- a/exchange/down.go
+++ b/exchange/down.go
@@ -17,10 +17,10 @@
 // or hangs, which does not count as down.
 const downTimeout = 100 * time.Millisecond
 
-// ConnectionEnded reports whether an error of an exchange means that the peer closed or
+// ClosedByPeer reports whether an error of an exchange means that the peer closed or
 // reset the connection before the response was complete. It returns false for exchanges
 // that this router cancelled or that timed out.
-func ConnectionEnded(err error) bool {
+func ClosedByPeer(err error) bool {
 	for _, closed := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
 		if errors.Is(err, closed) {
 			return true
@@ -45,7 +45,7 @@
 	c, err := p.dial(ctx, address)
 	if err != nil {
 		// A reset may arrive while the connection is being established.
-		return errors.Is(err, syscall.ECONNREFUSED) || ConnectionEnded(err)
+		return errors.Is(err, syscall.ECONNREFUSED) || ClosedByPeer(err)
 	}
 	defer discard(c)
 	return closesImmediately(c)
@@ -57,5 +57,5 @@
 		return false
 	}
 	_, err := c.Read(make([]byte, 1))
-	return ConnectionEnded(err)
+	return ClosedByPeer(err)
 }
--- a/explain/budget.go
+++ b/explain/budget.go
@@ -23,9 +23,9 @@
 // rowInterval is the time that one row of the table of Budget.Write covers.
 const rowInterval = 2 * time.Second
 
-// Budget summarises the log lines about one workspace's prepaid tokens. ReadBudget
+// BudgetReport summarises the log lines about one workspace's prepaid tokens. ReadBudget
 // returns one. All amounts are in tokens.
-type Budget struct {
+type BudgetReport struct {
 	Workspace granitehoist.Workspace
 	// Prepaid is the prepaid total at the end of the log, Remaining the tokens left in the
 	// store after the last write of the record.
@@ -64,8 +64,8 @@
 // ReadBudget reads a log and collects the lines about a workspace's prepaid tokens. It
 // returns ErrNoBudget if there are none, and an error if log can't be read or has a
 // line longer than maxLineBytes.
-func ReadBudget(log io.Reader, workspace granitehoist.Workspace) (*Budget, error) {
-	b := &Budget{
+func ReadBudget(log io.Reader, workspace granitehoist.Workspace) (*BudgetReport, error) {
+	b := &BudgetReport{
 		Workspace: workspace, holders: map[string]*holder{}, rows: map[time.Duration]*budgetRow{},
 		borrowed: map[transfer]granitehoist.Tokens{}, repaid: map[transfer]granitehoist.Tokens{},
 	}
@@ -73,7 +73,7 @@
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		line, ok := Parse(scanner.Text())
+		line, ok := ParseLine(scanner.Text())
 		if !ok {
 			continue
 		}
@@ -100,14 +100,14 @@
 func processName(box string, starts int) string { return fmt.Sprintf("%s/%d", box, starts) }
 
 // markEnded records that a process has ended.
-func (b *Budget) markEnded(process string) {
+func (b *BudgetReport) markEnded(process string) {
 	if t, ok := b.holders[process]; ok {
 		t.ended = true
 	}
 }
 
 // add evaluates a line about the workspace that a process logged.
-func (b *Budget) add(l *Line, process string) {
+func (b *BudgetReport) add(l *Line, process string) {
 	switch l.Event {
 	case event.BudgetGrant:
 		b.addGrant(l, process)
@@ -121,7 +121,7 @@
 }
 
 // addGrant adds a line about a written budget record.
-func (b *Budget) addGrant(l *Line, process string) {
+func (b *BudgetReport) addGrant(l *Line, process string) {
 	t, ok := b.holders[process]
 	if !ok {
 		t = &holder{box: l.Box}
@@ -135,12 +135,12 @@
 
 // addTransfer records the total of a loan or repayment line. Totals only grow, so the
 // largest is kept.
-func (b *Budget) addTransfer(totals map[transfer]granitehoist.Tokens, between transfer, l *Line) {
+func (b *BudgetReport) addTransfer(totals map[transfer]granitehoist.Tokens, between transfer, l *Line) {
 	totals[between] = max(totals[between], tokens(l, "total"))
 }
 
 // addRequest counts a finished request.
-func (b *Budget) addRequest(l *Line) {
+func (b *BudgetReport) addRequest(l *Line) {
 	outcome := l.Get("budget")
 	if outcome == "" {
 		return
@@ -165,7 +165,7 @@
 
 // Write prints the totals, the processes with grants, the lenders, and a table over
 // time. It returns the first error of w.
-func (b *Budget) Write(w io.Writer) error {
+func (b *BudgetReport) Write(w io.Writer) error {
 	p := printer{w: w}
 	p.line("budget of %s: prepaid %d, the store had %d left, used %d (%s)", b.Workspace, b.Prepaid, b.Remaining, b.Used, percent(b.Used, b.Prepaid))
 	p.line("taken from the store:")
@@ -191,7 +191,7 @@
 }
 
 // lentBy returns each lender's loans net of repayments.
-func (b *Budget) lentBy() map[string]granitehoist.Tokens {
+func (b *BudgetReport) lentBy() map[string]granitehoist.Tokens {
 	lent := map[string]granitehoist.Tokens{}
 	for between, total := range b.borrowed {
 		lent[between.from] += total
--- a/explain/cause.go
+++ b/explain/cause.go
@@ -21,7 +21,7 @@
 // addLateFailure adds the store call that failed soon after the request was refused
 // because the store did not answer. A version conflict is an answer of the store and
 // not counted.
-func (s *Story) addLateFailure(l *Line, box *boxState) {
+func (s *Timeline) addLateFailure(l *Line, box *boxState) {
 	if box.unreachable == nil || (l.Event != event.BudgetSyncFailed && l.Event != event.StoreLost) {
 		return
 	}
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -21,8 +21,8 @@
 // maxLineBytes bounds a line of the log in bytes; Read fails for a longer one.
 const maxLineBytes = 1 << 20
 
-// Story holds the facts of a log about one request, in order of time. Read returns one.
-type Story struct {
+// Timeline holds the facts of a log about one request, in order of time. Read returns one.
+type Timeline struct {
 	Request granitehoist.RequestID
 	facts   []fact
 }
@@ -38,13 +38,13 @@
 // Read reads a log and collects the facts about one request. It skips lines without an
 // event. It returns ErrNoRequest if no line has the request, and an error if log can't
 // be read or has a line longer than maxLineBytes.
-func Read(log io.Reader, request granitehoist.RequestID) (*Story, error) {
-	story := &Story{Request: request}
+func Read(log io.Reader, request granitehoist.RequestID) (*Timeline, error) {
+	story := &Timeline{Request: request}
 	boxes := map[string]*boxState{}
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
-		line, ok := Parse(scanner.Text())
+		line, ok := ParseLine(scanner.Text())
 		if !ok {
 			continue
 		}
@@ -71,7 +71,7 @@
 
 // Write prints one line for each fact, with the time in seconds since the first fact
 // and the box. It returns the first error of w.
-func (s *Story) Write(w io.Writer) error {
+func (s *Timeline) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "request %s\n", s.Request); err != nil {
 		return err
 	}
--- a/explain/facts.go
+++ b/explain/facts.go
@@ -13,12 +13,12 @@
 )
 
 // add appends a fact read from a line.
-func (s *Story) add(l *Line, format string, args ...any) {
+func (s *Timeline) add(l *Line, format string, args ...any) {
 	s.facts = append(s.facts, fact{l.At, l.Box, fmt.Sprintf(format, args...)})
 }
 
 // addLine adds the facts of a line about the request.
-func (s *Story) addLine(l *Line, box *boxState) {
+func (s *Timeline) addLine(l *Line, box *boxState) {
 	switch l.Event {
 	case event.Attempt:
 		s.addAttempt(l, box)
@@ -29,7 +29,7 @@
 
 // addAttempt adds one attempt, and whether its upstream's entry had been deleted
 // before.
-func (s *Story) addAttempt(l *Line, box *boxState) {
+func (s *Timeline) addAttempt(l *Line, box *boxState) {
 	s.add(l, "attempt %s was sent to upstream %s (entry of version %s, %s of this router's requests there, home %s): %s after %s",
 		l.Get("attempt"), l.Get("upstream"), l.Get("entry"), l.Get("load"), l.Get("home"), attemptOutcome(l), seconds(l.Number("took")))
 	if up, ok := box.upstreams[l.Get("upstream")]; ok && up.Event == event.UpstreamGone {
@@ -61,7 +61,7 @@
 
 // addOutcome adds the result of the request and the state of the box at the decision:
 // the configuration, the budget, and whether the router was stopping.
-func (s *Story) addOutcome(l *Line, box *boxState) {
+func (s *Timeline) addOutcome(l *Line, box *boxState) {
 	s.add(l, "the request on route %s of workspace %q, service %s, was decided under configuration %s", l.Get("route"), l.Get("workspace"), l.Get("service"), l.Get("config"))
 	if box.config != nil && box.config.Get("version") != l.Get("config") {
 		s.add(l, "  configuration %s has come into force since", box.config.Get("version"))
@@ -94,7 +94,7 @@
 
 // addCrashEvidence adds how many upstreams crashed while the request may have been
 // running there, and whether it was refused for that.
-func (s *Story) addCrashEvidence(l *Line) {
+func (s *Timeline) addCrashEvidence(l *Line) {
 	if left := l.Number("scope_left"); left > 0 {
 		s.add(l, "  upstreams crashed in %s rounds under requests of its workspace on its route, whatever their bodies; all of these are refused for another %s", l.Get("scope_round"), seconds(left))
 	}
@@ -109,7 +109,7 @@
 
 // addBudgetCause adds why the request got no tokens: the tokens the router owned, the
 // age of its copy of the record, and whether the store answered.
-func (s *Story) addBudgetCause(l *Line, box *boxState) {
+func (s *Timeline) addBudgetCause(l *Line, box *boxState) {
 	if meaning := outcomeMeaning(l.Get("budget")); meaning != "" {
 		s.add(l, "  %s means that %s", l.Get("budget"), meaning)
 	}
--- a/explain/line.go
+++ b/explain/line.go
@@ -35,9 +35,9 @@
 	return value
 }
 
-// Parse parses a log line, which may have a time in seconds and the name of the box as
+// ParseLine parses a log line, which may have a time in seconds and the name of the box as
 // a prefix. It returns false for a line without an event.
-func Parse(text string) (Line, bool) {
+func ParseLine(text string) (Line, bool) {
 	l := Line{fields: map[string]string{}}
 	start := strings.Index(text, "ts=")
 	if start < 0 {
--- a/fleet/registry.go
+++ b/fleet/registry.go
@@ -15,11 +15,11 @@
 	"granitehoist.example/granitehoist/store"
 )
 
-// Prefixes of the routers' entries in the store. Entries under KeyPrefix have a lease and
+// Prefixes of the routers' entries in the store. Entries under LivePrefix have a lease and
 // expire unless it is renewed. Those under ServingPrefix stay as long as the router may
 // serve, which it does even without a connection to the store.
 const (
-	KeyPrefix     = "boxes/"
+	LivePrefix    = "boxes/"
 	ServingPrefix = "serving/"
 )
 
@@ -93,7 +93,7 @@
 	if err := r.renewEntry(ctx); err != nil {
 		return err
 	}
-	members, err := readMembers(ctx, r.settings.Store, KeyPrefix)
+	members, err := readMembers(ctx, r.settings.Store, LivePrefix)
 	if err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 	return classifyRenewal(err, changed), err
 }
 
-func (r *Registry) key() string { return KeyPrefix + memberKey(r.settings.Self) }
+func (r *Registry) key() string { return LivePrefix + memberKey(r.settings.Self) }
 
 // memberKey returns a member's key without the prefix.
 func memberKey(m Member) string {
@@ -174,5 +174,5 @@
 	if err := deleteKey(ctx, r.settings.Store, r.key()); err != nil {
 		return err
 	}
-	return Withdraw(ctx, r.settings.Store, r.settings.Self)
+	return DeregisterServing(ctx, r.settings.Store, r.settings.Self)
 }
--- a/fleet/serving.go
+++ b/fleet/serving.go
@@ -31,14 +31,14 @@
 	return err
 }
 
-// Serving returns the routers that may serve, whether live or not. It returns an error if
+// ListServing returns the routers that may serve, whether live or not. It returns an error if
 // any entry cannot be decoded.
-func Serving(ctx context.Context, s granitehoist.Store) ([]Member, error) {
+func ListServing(ctx context.Context, s granitehoist.Store) ([]Member, error) {
 	return readMembers(ctx, s, ServingPrefix)
 }
 
-// Withdraw removes a router from those that may serve. The router itself calls it after it
+// DeregisterServing removes a router from those that may serve. The router itself calls it after it
 // has stopped, or another one if the platform or an operator reports its end.
-func Withdraw(ctx context.Context, s granitehoist.Store, m Member) error {
+func DeregisterServing(ctx context.Context, s granitehoist.Store, m Member) error {
 	return deleteKey(ctx, s, ServingPrefix+memberKey(m))
 }
--- a/follow/prober.go
+++ b/follow/prober.go
@@ -13,10 +13,10 @@
 // the delay of changes if the store fails for the relays only.
 const probeInterval = 2500 * time.Millisecond
 
-// Prober limits the rate at which a router behind relays probes a store that does not respond
+// StoreProber limits the rate at which a router behind relays probes a store that does not respond
 // to the relays. The followers of a router share one, so that a result counts for all of
 // them. The zero value is ready to use. It is safe for concurrent use.
-type Prober struct {
+type StoreProber struct {
 	mu sync.Mutex
 	// lastProbeAt is when the last probe began; zero if there was none. storeResponds says
 	// that the last recorded call succeeded.
@@ -26,7 +26,7 @@
 
 // allow reports whether the store may be called now. The call counts as a probe if the last
 // one failed.
-func (p *Prober) allow(now time.Time) bool {
+func (p *StoreProber) allow(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.storeResponds {
@@ -40,7 +40,7 @@
 }
 
 // record stores whether a call to the store succeeded.
-func (p *Prober) record(responded bool) {
+func (p *StoreProber) record(responded bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.storeResponds = responded
--- a/follow/settings.go
+++ b/follow/settings.go
@@ -28,7 +28,7 @@
 	// Neighbours.
 	FetchUpdates func(ctx context.Context, to granitehoist.Peer, prefix string, after granitehoist.Version, wait time.Duration) (Update, error)
 	// Prober is shared by the followers of one router; nil means a separate one.
-	Prober *Prober
+	Prober *StoreProber
 	// OnChange is called with the entries that an update changed, including deletions, and
 	// the version of the update. It is also called for the first update, possibly without
 	// entries. It runs on the goroutine of Run; nil ignores changes.
@@ -57,10 +57,10 @@
 
 // setDefaults replaces zero values by defaults, so that no function is nil afterwards.
 func (s *Settings) setDefaults() {
-	defaults.Set(&s.RetryDelay, DefaultPause)
+	defaults.Set(&s.RetryDelay, DefaultRetryDelay)
 	defaults.Set(&s.MaxRetryDelay, defaultMaxPauseFactor*s.RetryDelay)
 	if s.Prober == nil {
-		s.Prober = &Prober{}
+		s.Prober = &StoreProber{}
 	}
 	if s.OnChange == nil {
 		s.OnChange = func([]granitehoist.Entry, granitehoist.Version) {}
--- a/follow/storefailures.go
+++ b/follow/storefailures.go
@@ -6,9 +6,9 @@
 import "time"
 
 const (
-	// DefaultPause is the default of Settings.Pause. It limits a router to a few calls a
+	// DefaultRetryDelay is the default of Settings.Pause. It limits a router to a few calls a
 	// second while the store fails.
-	DefaultPause = 250 * time.Millisecond
+	DefaultRetryDelay = 250 * time.Millisecond
 	// defaultMaxPauseFactor is the default of Settings.MaxPause as a multiple of Pause. It
 	// is small, so that the recovery of the store is detected soon.
 	defaultMaxPauseFactor = 2
--- a/forward/active.go
+++ b/forward/active.go
@@ -242,13 +242,13 @@
 // query returns the balancer query for the next attempt.
 func (a *activeRequest) query() balance.Query {
 	query := balance.Query{
-		Service:       a.admission.service.Name,
-		Tried:         a.progress.tried,
-		ColdPerSecond: a.admission.service.ColdRequestRate,
-		Routers:       a.forwarder.settings.Routers(),
-		AllowedRegions:         a.homes(),
-		Pin:           a.pin(),
-		Priority:      a.admission.priority,
+		Service:        a.admission.service.Name,
+		Tried:          a.progress.tried,
+		ColdPerSecond:  a.admission.service.ColdRequestRate,
+		Routers:        a.forwarder.settings.Routers(),
+		AllowedRegions: a.homes(),
+		Pin:            a.pin(),
+		Priority:       a.admission.priority,
 	}
 	if a.request.MaxCost == nil {
 		return query
@@ -264,8 +264,8 @@
 
 // homes returns the region constraints of the route and the workspace; usually there are
 // none.
-func (a *activeRequest) homes() []balance.Homes {
-	var homes []balance.Homes
+func (a *activeRequest) homes() []balance.AllowedRegions {
+	var homes []balance.AllowedRegions
 	if len(a.admission.route.AllowedRegions) > 0 {
 		homes = append(homes, a.admission.route.AllowedRegions)
 	}
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -30,7 +30,7 @@
 	// follows. It is nil for other outcomes; err is set with it.
 	failure *bufferedResponse
 	// statement is what the response states about the instance.
-	statement balance.Statement
+	statement balance.Feedback
 	// crashed is set if the instance crashed while it may have been running the request.
 	crashed bool
 }
--- a/forward/classify.go
+++ b/forward/classify.go
@@ -37,7 +37,7 @@
 // classifyHead returns the meaning of a response head from its status and what the Codec
 // read in it. started is set if the caller has a part of an earlier instance's stream,
 // which only a successful response can continue.
-func classifyHead(v Verdict, status int, started bool) responseClass {
+func classifyHead(v HeadInfo, status int, started bool) responseClass {
 	switch {
 	case v.NotRun && v.Misdirected:
 		return responseMisdirected
@@ -78,13 +78,13 @@
 func instanceResult(r *attemptResult, ended bool) balance.Result {
 	switch {
 	case r.class == responseMisdirected:
-		return balance.Moved
+		return balance.Misdirected
 	case r.class == responseFailed:
 		return balance.Failed
 	case r.err == nil, r.class == responseBadRequest:
-		return balance.Good
+		return balance.Succeeded
 	case ended, granitehoist.CodeOf(r.err) == granitehoist.CallerGone:
-		return balance.Unclear
+		return balance.Inconclusive
 	case r.class == responseRefused:
 		return balance.Refused
 	}
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -19,9 +19,9 @@
 	"granitehoist.example/granitehoist/suspect"
 )
 
-// Funds reserves and settles the prepaid tokens of workspaces. Implementations must be
+// Budgets reserves and settles the prepaid tokens of workspaces. Implementations must be
 // safe for concurrent use.
-type Funds interface {
+type Budgets interface {
 	// Reserve reserves maxCost tokens of a workspace, waiting for them until ctx ends.
 	Reserve(ctx context.Context, w granitehoist.Workspace, maxCost granitehoist.Tokens, priority granitehoist.Priority) escrow.Answer
 	// Settle ends a granted reservation of maxCost tokens, of which used were spent, from
@@ -33,7 +33,7 @@
 type Settings struct {
 	// Catalog holds the configuration in force.
 	Catalog *catalog.Current
-	Budgets   Funds
+	Budgets Budgets
 	// Table selects instances.
 	Table *balance.Table
 	// Pool sends requests to instances.
--- a/forward/log.go
+++ b/forward/log.go
@@ -80,7 +80,7 @@
 
 // statementFields returns what a response states about its instance, without fields that
 // it does not state.
-func statementFields(s balance.Statement) []zap.Field {
+func statementFields(s balance.Feedback) []zap.Field {
 	var fields []zap.Field
 	if s.Rate.Stated() {
 		fields = append(fields, zap.Stringer("limit", s.Rate))
--- a/forward/relay.go
+++ b/forward/relay.go
@@ -65,7 +65,7 @@
 	}
 	a.progress.started = true
 	a.progress.firstByteAt = a.forwarder.settings.Clock()
-	if err := a.sink.Start(status, exchange.PassedOn(header)); err != nil {
+	if err := a.sink.Start(status, exchange.EndToEndHeader(header)); err != nil {
 		return granitehoist.Wrap(granitehoist.CallerGone, err, "")
 	}
 	return nil
--- a/forward/request.go
+++ b/forward/request.go
@@ -76,8 +76,8 @@
 	Header http.Header
 }
 
-// Verdict is what a Codec reads in the head of a response.
-type Verdict struct {
+// HeadInfo is what a Codec reads in the head of a response.
+type HeadInfo struct {
 	// NotRun is set if the upstream did not run the request and never will.
 	NotRun bool
 	// Misdirected is set if another instance has the address. It implies NotRun.
@@ -90,7 +90,7 @@
 	// RetryAfter is the Retry-After of the response; zero if it has none.
 	RetryAfter time.Duration
 	// Feedback is what the response states about the upstream itself.
-	Feedback balance.Statement
+	Feedback balance.Feedback
 }
 
 // Codec translates between requests and the protocol of upstreams. Implementations must
@@ -102,5 +102,5 @@
 	// false for a late response to an earlier request on the connection.
 	Matches(r *Request, h http.Header) bool
 	// ReadHead interprets the head of a response.
-	ReadHead(h ResponseHead) Verdict
+	ReadHead(h ResponseHead) HeadInfo
 }
--- a/forward/retry.go
+++ b/forward/retry.go
@@ -25,7 +25,7 @@
 	route *catalog.Route
 	// execution is whether the latest attempt ran. unsent is set if no byte of it was
 	// sent.
-	execution granitehoist.Fate
+	execution granitehoist.ExecutionStatus
 	unsent    bool
 	// badRequest is set if the upstream rejected the request as invalid.
 	badRequest bool
@@ -92,11 +92,13 @@
 }
 
 // executionOf returns whether an attempt with result err ran: Ran for nil.
-func executionOf(err error) granitehoist.Fate { return granitehoist.CodeOf(err).Info().Execution }
+func executionOf(err error) granitehoist.ExecutionStatus {
+	return granitehoist.CodeOf(err).Info().Execution
+}
 
 // requestExecution returns whether a request with result err ran, as stated in the log.
 // runs is the number of its attempts that ran or may have run.
-func requestExecution(err error, runs int) granitehoist.Fate {
+func requestExecution(err error, runs int) granitehoist.ExecutionStatus {
 	switch {
 	case err == nil:
 		return granitehoist.Ran
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -108,7 +108,7 @@
 		now := settings.Clock()
 		a.progress.tried[lease.ID] = true
 		lease.Done(balance.Broken, now)
-		settings.Suspects.RecordDown(suspect.LifeOf(lease.ID, lease.StartedAtMS), now)
+		settings.Suspects.RecordDown(suspect.IncarnationOf(lease.ID, lease.StartedAtMS), now)
 	}
 }
 
@@ -118,7 +118,7 @@
 	if a.progress.suspectStatus.digest != (suspect.Digest{}) {
 		return true
 	}
-	facts := suspect.Facts{
+	facts := suspect.RequestKey{
 		Method: a.request.Method,
 		Host:   a.request.Host,
 		Target: a.request.Target,
@@ -165,10 +165,10 @@
 	case a.instanceCrashed(ctx, lease, result.err) && a.computeDigests():
 		result.crashed = true
 		observed := suspect.Observation{
-			Incarnation:  suspect.LifeOf(lease.ID, lease.StartedAtMS),
-			Verdict: a.progress.suspectStatus.verdict,
-			Early: !lease.HasEvents(),
-			Sent:  lease.PickedAt(),
+			Incarnation: suspect.IncarnationOf(lease.ID, lease.StartedAtMS),
+			Verdict:     a.progress.suspectStatus.verdict,
+			Early:       !lease.HasEvents(),
+			Sent:        lease.PickedAt(),
 		}
 		now := settings.Clock()
 		verdict := settings.Suspects.RecordCrash(a.progress.suspectStatus.digest, observed, now)
@@ -183,7 +183,7 @@
 // withdrawn its entry stops as planned.
 func (a *activeRequest) instanceCrashed(ctx context.Context, lease *balance.Lease, err error) bool {
 	settings := &a.forwarder.settings
-	if !exchange.ConnectionEnded(err) || ctx.Err() != nil || settings.Table.IsLeaving(lease.ID) {
+	if !exchange.ClosedByPeer(err) || ctx.Err() != nil || settings.Table.IsLeaving(lease.ID) {
 		return false
 	}
 	return settings.Pool.IsDown(ctx, lease.Address)
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -22,7 +22,7 @@
 	ReturnFailed Name = "return_failed"
 	LeaveFailed  Name = "leave_failed"
 	LogDropped   Name = "log_dropped"
-	Woke         Name = "woke"
+	Resumed      Name = "woke"
 )
 
 // Request events, logged by package forward.
@@ -45,7 +45,7 @@
 	UpstreamBad       Name = "upstream_bad"
 	UpstreamLimit     Name = "upstream_limit"
 	UpstreamLeaving   Name = "upstream_leaving"
-	UpstreamRests     Name = "upstream_rests"
+	UpstreamBackoff   Name = "upstream_rests"
 	StoreLost         Name = "store_lost"
 	StoreRegained     Name = "store_regained"
 	HistoryGone       Name = "history_gone"
@@ -64,9 +64,9 @@
 // All returns the names of all events, in the order of the groups above.
 func All() []Name {
 	return []Name{
-		Start, Stop, Stopped, Reload, ReloadFailed, ServeFailed, ReturnFailed, LeaveFailed, LogDropped, Woke,
+		Start, Stop, Stopped, Reload, ReloadFailed, ServeFailed, ReturnFailed, LeaveFailed, LogDropped, Resumed,
 		Request, Attempt, Suspect,
-		ConfigInForce, ConfigBad, ZoneEvacuated, ZoneRestored, Upstream, UpstreamGone, UpstreamBad, UpstreamLimit, UpstreamLeaving, UpstreamRests, StoreLost, StoreRegained, HistoryGone,
+		ConfigInForce, ConfigBad, ZoneEvacuated, ZoneRestored, Upstream, UpstreamGone, UpstreamBad, UpstreamLimit, UpstreamLeaving, UpstreamBackoff, StoreLost, StoreRegained, HistoryGone,
 		CopyFromNeighbour, RelayLost, Shedding, PeerBad, SuspectBad, SuspectKeepFailed, BudgetGrant, BudgetLoan, BudgetRepaid, BudgetSyncFailed,
 	}
 }
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -184,7 +184,7 @@
 	server := httpserver.New(httpserver.Settings{
 		Handler:       handler,
 		HeaderTimeout: stepTimeout,
-		OnError:        func(err error) { failures <- err },
+		OnError:       func(err error) { failures <- err },
 	}, listener)
 	result := serve(server)
 	if response, err := http.Get("http://" + listener.Addr().String()); err == nil {
--- a/internal/pushback/rest.go
+++ b/internal/pushback/rest.go
@@ -6,23 +6,23 @@
 import "time"
 
 const (
-	// MaxRest bounds a requested backoff. A longer value is treated as an error of the
+	// MaxBackoff bounds a requested backoff. A longer value is treated as an error of the
 	// upstream.
-	MaxRest = 10 * time.Minute
+	MaxBackoff = 10 * time.Minute
 	// initialProbes is the number of concurrent requests allowed right after a backoff.
 	// Each accepted request multiplies it by probeGrowth.
 	initialProbes = 1
 	probeGrowth   = 2
 )
 
-// Rest is the backoff that one upstream requested, and the recovery from it. In the zero
+// Backoff is the backoff that one upstream requested, and the recovery from it. In the zero
 // value no backoff is in force. It is not safe for concurrent use.
 //
 // No request is admitted until the backoff ends. Then the number of concurrent requests
 // starts at one and doubles with each accepted request up to the upstream's capacity, so
 // that an upstream that is still overloaded rejects one request of each router instead of
 // all that were waiting.
-type Rest struct {
+type Backoff struct {
 	// until is the end of the backoff; zero once the upstream has recovered.
 	until time.Time
 	// maxProbes bounds the requests in flight that were sent after the backoff; probes
@@ -32,37 +32,37 @@
 
 // Extend records that a response received at now requests a backoff of d, capped at MaxRest.
 // It never moves the end of a backoff to an earlier time.
-func (r *Rest) Extend(d time.Duration, now time.Time) {
-	if until := now.Add(min(d, MaxRest)); until.After(r.until) {
+func (r *Backoff) Extend(d time.Duration, now time.Time) {
+	if until := now.Add(min(d, MaxBackoff)); until.After(r.until) {
 		r.until = until
 	}
 	r.maxProbes = initialProbes
 }
 
 // Inactive reports whether neither a backoff nor the recovery from one is in force.
-func (r *Rest) Inactive() bool { return r.until.IsZero() }
+func (r *Backoff) Inactive() bool { return r.until.IsZero() }
 
 // Allows reports whether a request may be sent to the upstream now.
-func (r *Rest) Allows(now time.Time) bool {
+func (r *Backoff) Allows(now time.Time) bool {
 	return r.Inactive() || (!now.Before(r.until) && r.probes < r.maxProbes)
 }
 
 // Remaining returns the time until the backoff ends, and zero after its end, when admission
 // depends on the requests in flight.
-func (r *Rest) Remaining(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
+func (r *Backoff) Remaining(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
 
 // StartProbe counts a request that is sent during the recovery, after Admits allowed it. EndTry
 // must be called once for each StartProbe.
-func (r *Rest) StartProbe() { r.probes++ }
+func (r *Backoff) StartProbe() { r.probes++ }
 
 // EndProbe ends a request counted by Try: the upstream accepted or rejected it, or the outcome
 // is unknown.
-func (r *Rest) EndProbe() { r.probes-- }
+func (r *Backoff) EndProbe() { r.probes-- }
 
 // Accepted records that the upstream accepted a request sent at the given time; requests sent
 // before the end of the backoff are ignored. capacity is the number of requests that the
 // upstream runs concurrently, above which the recovery is complete.
-func (r *Rest) Accepted(sent time.Time, capacity int) {
+func (r *Backoff) Accepted(sent time.Time, capacity int) {
 	if r.Inactive() || sent.Before(r.until) {
 		return
 	}
@@ -74,4 +74,4 @@
 
 // Rejected records that the upstream rejected a request without requesting a new backoff,
 // which restarts a recovery in progress with initialProbes.
-func (r *Rest) Rejected() { r.maxProbes = min(r.maxProbes, initialProbes) }
+func (r *Backoff) Rejected() { r.maxProbes = min(r.maxProbes, initialProbes) }
--- a/internal/pushback/retryafter.go
+++ b/internal/pushback/retryafter.go
@@ -28,8 +28,8 @@
 	return time.Duration(min(longest, maxRetryAfterSeconds) * float64(time.Second))
 }
 
-// TurnsAway reports whether an HTTP status (429 or 503) rejects the request, so that its
+// IsOverload reports whether an HTTP status (429 or 503) rejects the request, so that its
 // Retry-After applies to further requests to the upstream.
-func TurnsAway(status int) bool {
+func IsOverload(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
--- a/measure/loads.go
+++ b/measure/loads.go
@@ -19,8 +19,8 @@
 	Upstreams float64
 	// ReportKeys is the number of pairs of service and workspace that one router serves in a
 	// day.
-	ReportKeys   float64
-	Shards float64
+	ReportKeys float64
+	Shards     float64
 	// Changes is the number of configuration changes per second.
 	Changes float64
 	// Batched is set if reports without a waiting request are batched for pageInterval,
--- a/node/budgetroles.go
+++ b/node/budgetroles.go
@@ -31,13 +31,13 @@
 func (v fleetView) role(ranked []peerEntry) escrow.Role {
 	switch {
 	case !v.complete:
-		return escrow.Asks
+		return escrow.RoleBorrower
 	case v.isSmall():
-		return escrow.Shares
+		return escrow.RoleDirect
 	case ranked[0].Box == v.self.Box:
-		return escrow.Holds
+		return escrow.RoleHolder
 	}
-	return escrow.Asks
+	return escrow.RoleBorrower
 }
 
 // dividesRecord reports whether the fleet is so large that the budget record is split
--- a/node/components.go
+++ b/node/components.go
@@ -47,12 +47,12 @@
 	c.signals = newUpstreamSignals(n)
 	c.limits = newRateLimits(n)
 	c.table = balance.New(balance.Settings{
-		Zone:         n.config.Zone,
-		Seed:         uint64(n.clock().UnixNano()),
-		Regions:      n.config.Regions,
+		Zone:          n.config.Zone,
+		Seed:          uint64(n.clock().UnixNano()),
+		Regions:       n.config.Regions,
 		OnLimitChange: c.signals.onLimitChange,
-		OnLeaving: c.signals.onLeaving,
-		OnBackoff:    c.signals.onBackoff,
+		OnLeaving:     c.signals.onLeaving,
+		OnBackoff:     c.signals.onBackoff,
 	})
 	c.pool = exchange.NewPool(exchange.Settings{Clock: n.clock, OnOpen: n.counters.counter(metricConnections), Meter: c.meter})
 	c.peers = newPeers(peersSettings{
@@ -69,19 +69,19 @@
 	c.ledger = escrow.NewLedger(escrow.LedgerSettings{Incarnation: n.incarnation, Role: c.peers.role})
 	c.syncer = newSyncer(n, c.ledger, c.peers)
 	c.forwarder = forward.New(forward.Settings{
-		Catalog:   current,
-		Budgets:     c.syncer,
-		Table:     c.table,
-		Pool:      c.pool,
-		Codec:     n.adapter.Codec,
-		Suspects:  c.suspects.table,
-		SuspectsReady:  c.suspects.gate.opened,
-		Retry:     n.config.RetryBudget,
-		Routers:   c.peers.routers,
-		Clock:     n.clock,
-		Deadlines: c.deadlines,
-		Log:       n.log,
-		OnEnd:     n.counters.countRequest,
+		Catalog:       current,
+		Budgets:       c.syncer,
+		Table:         c.table,
+		Pool:          c.pool,
+		Codec:         n.adapter.Codec,
+		Suspects:      c.suspects.table,
+		SuspectsReady: c.suspects.gate.opened,
+		Retry:         n.config.RetryBudget,
+		Routers:       c.peers.routers,
+		Clock:         n.clock,
+		Deadlines:     c.deadlines,
+		Log:           n.log,
+		OnEnd:         n.counters.countRequest,
 	})
 	return c
 }
@@ -90,15 +90,15 @@
 // looked up at each call, since they change with the fleet.
 func newSyncer(n *Node, ledger *escrow.Ledger, peers *peers) *escrow.Syncer {
 	return escrow.NewSyncer(escrow.SyncerSettings{
-		Box:     n.config.Box,
-		Ledger:  ledger,
-		Store:   n.adapter.Store,
-		Routers: peers.routers,
+		Box:          n.config.Box,
+		Ledger:       ledger,
+		Store:        n.adapter.Store,
+		Routers:      peers.routers,
 		ShardsRecord: peers.dividesRecord,
-		Lenders: peers.lenders,
-		Caller:  peers,
-		Clock:   n.clock,
-		Log:     n.log,
+		Lenders:      peers.lenders,
+		Caller:       peers,
+		Clock:        n.clock,
+		Log:          n.log,
 	})
 }
 
--- a/node/config.go
+++ b/node/config.go
@@ -21,12 +21,12 @@
 	// Regions maps each availability zone to its region.
 	Regions map[granitehoist.AvailabilityZone]granitehoist.Region
 	// PeerIP and PeerPort form the address at which neighbours reach the node.
-	PeerIP       string
+	PeerIP   string
 	PeerPort int
 	// CallerAddress and Ready are the listening addresses, as IP:PORT, for callers and for the
 	// platform's health checks.
-	CallerAddress string
-	ReadinessAddress   string
+	CallerAddress    string
+	ReadinessAddress string
 	// LinkMbps is the bandwidth of the box's network link in Mbit/s, zero if unknown.
 	LinkMbps float64
 	// MetricsAddress is the listening address, as IP:PORT, for metrics; if empty, none are
@@ -40,7 +40,7 @@
 	// MemoryLimit is the size in bytes above which the platform kills the process; zero means
 	// no limit.
 	MemoryLimit int64
-	RetryBudget  forward.RetrySettings
+	RetryBudget forward.RetrySettings
 	// Clock returns the current time; nil means time.Now, which does not advance while
 	// the machine is suspended (package internal/boottime).
 	Clock granitehoist.Clock
--- a/node/greeting.go
+++ b/node/greeting.go
@@ -35,7 +35,7 @@
 	Hints []balance.Hint `json:"hints,omitempty"`
 	// News holds the rate limits and departures of upstreams known to the sender, in
 	// replies only.
-	balance.News
+	balance.Updates
 }
 
 // greetNeighbours sends this node's entry to neighbours and learns their current
@@ -63,7 +63,7 @@
 	if err == nil {
 		p.applyGreeting(reply)
 		p.settings.table.ApplyHints(reply.Hints)
-		p.settings.table.MergeUpdates(reply.News, p.settings.clock())
+		p.settings.table.MergeUpdates(reply.Updates, p.settings.clock())
 	}
 	return reply, err
 }
@@ -87,10 +87,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return greeting{
-		Self:   p.settings.self,
-		Others: p.others,
-		Hints:  p.settings.table.Hints(),
-		News:   p.settings.table.Snapshot(p.settings.clock()),
-		Listed: canServeList(p.viewLocked().isRelay(), p.listedAt, p.settings.clock()),
+		Self:    p.settings.self,
+		Others:  p.others,
+		Hints:   p.settings.table.Hints(),
+		Updates: p.settings.table.Snapshot(p.settings.clock()),
+		Listed:  canServeList(p.viewLocked().isRelay(), p.listedAt, p.settings.clock()),
 	}, nil
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -45,8 +45,8 @@
 	metricLogLinesDropped  = "log_dropped"
 )
 
-// Metrics returns the names of all metrics.
-func Metrics() []string {
+// MetricNames returns the names of all metrics.
+func MetricNames() []string {
 	return []string{
 		metricActiveRequests, metricRouters, metricConfigVersion, metricConfigAge, metricInstancesAge, metricBudgetFree, metricBudgetSpent, metricStoreRemaining,
 		metricRequests, metricAttempts, metricRefusals, metricDuration, metricFirstByte, metricConnections, metricSuspects, metricSuspectsRefused, metricUpstreamsEjected, metricUpstreamsLeaving, metricUpstreamsResting, metricAvoidedChoices, metricUpstreamLimit, metricPermits, metricStoreCalls, metricLogLinesDropped,
--- a/node/node.go
+++ b/node/node.go
@@ -35,7 +35,7 @@
 	instances  *instanceCopy
 	servers    *servers
 	// prober limits the calls that the followers make to an unreachable store.
-	prober follow.Prober
+	prober follow.StoreProber
 
 	// stopping is set once, by Stop. shedding is set by watchLink only.
 	stopping atomic.Bool
--- a/node/permits.go
+++ b/node/permits.go
@@ -162,7 +162,7 @@
 		l.counters.count(int64(len(requests)), metricPermits, "result=%q", "failed")
 		l.avoidedIssuers.add(from.peer.Address, now.Add(issuerAvoidTime))
 		for _, r := range requests {
-			l.table.AddPermits(balance.PermitAnswer{Incarnation: r.Limit.Incarnation(), RetryAt: now.Add(permitRetryDelay)})
+			l.table.AddPermits(balance.PermitResponse{Incarnation: r.Limit.Incarnation(), RetryAt: now.Add(permitRetryDelay)})
 		}
 		return
 	}
@@ -207,12 +207,12 @@
 	}
 	l.counters.count(int64(max(1, g.Count)), metricPermits, "result=%q", result)
 	due := startedAt.Add(fromMilliseconds(g.DueMS))
-	l.table.AddPermits(balance.PermitAnswer{
-		Incarnation:    r.Limit.Incarnation(),
-		Count:   g.Count,
-		Due:     due,
-		Expires: due.Add(throttle.Validity),
-		RetryAt:   startedAt.Add(max(minPermitInterval, fromMilliseconds(g.RetryMS))),
+	l.table.AddPermits(balance.PermitResponse{
+		Incarnation: r.Limit.Incarnation(),
+		Count:       g.Count,
+		Due:         due,
+		Expires:     due.Add(throttle.Validity),
+		RetryAt:     startedAt.Add(max(minPermitInterval, fromMilliseconds(g.RetryMS))),
 	})
 }
 
@@ -238,11 +238,11 @@
 		return permitGrant{RetryMS: toMilliseconds(minPermitInterval), Limit: &limit}
 	}
 	grant := l.issuer.Issue(throttle.Request{
-		Incarnation:     throttle.Incarnation{Upstream: limit.Upstream, StartedAtMS: limit.StartedAtMS},
-		Rate:     float64(limit.Rate),
-		Count:    r.Count,
-		MaxWait:   fromMilliseconds(r.WithinMS),
-		Fallback: standsIn,
+		Incarnation: throttle.Incarnation{Upstream: limit.Upstream, StartedAtMS: limit.StartedAtMS},
+		Rate:        float64(limit.Rate),
+		Count:       r.Count,
+		MaxWait:     fromMilliseconds(r.WithinMS),
+		Fallback:    standsIn,
 	}, now)
 	return permitGrant{
 		Count:   grant.Count,
--- a/node/servers.go
+++ b/node/servers.go
@@ -110,18 +110,18 @@
 		HeaderTimeout: headerTimeout,
 		IdleTimeout:   idleTimeout,
 		HeaderBytes:   headerBytes,
-		OnError:        n.serveErrorLogger(callersServer),
+		OnError:       n.serveErrorLogger(callersServer),
 	}, n.components.meter.Listener(l.callers))
 	s.ready = httpserver.New(httpserver.Settings{
 		Handler:       http.HandlerFunc(n.serveReady),
 		HeaderTimeout: headerTimeout,
-		OnError:        n.serveErrorLogger(readyServer),
+		OnError:       n.serveErrorLogger(readyServer),
 	}, l.ready)
 	if l.metrics != nil {
 		s.metrics = httpserver.New(httpserver.Settings{
 			Handler:       http.HandlerFunc(n.serveMetrics),
 			HeaderTimeout: headerTimeout,
-			OnError:        n.serveErrorLogger(metricsServer),
+			OnError:       n.serveErrorLogger(metricsServer),
 		}, l.metrics)
 	}
 	return s
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -77,13 +77,13 @@
 func TestServeFailed(t *testing.T) {
 	port := portOf(t, freeAddress(t))
 	config := &Config{
-		Box:      "edge-1",
-		PeerIP:       "127.0.0.1",
-		PeerPort: port,
-		CallerAddress:  freeAddress(t),
-		ReadinessAddress:    freeAddress(t),
-		StoreAddress:    freeAddress(t),
-		GracePeriod:    time.Second,
+		Box:              "edge-1",
+		PeerIP:           "127.0.0.1",
+		PeerPort:         port,
+		CallerAddress:    freeAddress(t),
+		ReadinessAddress: freeAddress(t),
+		StoreAddress:     freeAddress(t),
+		GracePeriod:      time.Second,
 	}
 	var lines strings.Builder
 	sink := logsink.New(&lines, 16)
@@ -92,7 +92,7 @@
 		ConfigPrefix:    "config/",
 		InstancesPrefix: "instances/",
 		Codec:           struct{ forward.Codec }{},
-		NewFrontend:        panickingFrontend,
+		NewFrontend:     panickingFrontend,
 	}
 	n, err := New(config, adapter, logsink.NewLogger(sink, zapcore.WarnLevel))
 	if err != nil {
--- a/node/suspectstore.go
+++ b/node/suspectstore.go
@@ -198,7 +198,7 @@
 	if err != nil {
 		return err
 	}
-	lease, err := s.store.GrantLease(ctx, suspect.DefaultBlock)
+	lease, err := s.store.GrantLease(ctx, suspect.DefaultBlockDuration)
 	if err != nil {
 		return err
 	}
--- a/node/suspension.go
+++ b/node/suspension.go
@@ -39,7 +39,7 @@
 		n.components.deadlines.CancelExpired(now)
 		suspended := now.Sub(clockStart) - time.Since(monotonicStart)
 		if suspended-logged >= minLoggedSuspension {
-			n.log.Warn(event.Woke, zap.Duration("suspended", suspended-logged))
+			n.log.Warn(event.Resumed, zap.Duration("suspended", suspended-logged))
 			logged = suspended
 		}
 	}
--- a/node/upstreamsignals.go
+++ b/node/upstreamsignals.go
@@ -33,7 +33,7 @@
 	log   *zap.Logger
 	// pushWake wakes the goroutine of runPush. It has a capacity of one.
 	pushWake chan struct{}
-	pusher   *pusher[balance.News]
+	pusher   *pusher[balance.Updates]
 	// limitLog and backoffLog limit the log lines on upstreams that change often.
 	limitLog, backoffLog logLimiter
 }
@@ -48,11 +48,11 @@
 // since it calls them on changes.
 func (s *upstreamSignals) connect(t *balance.Table, p *peers) {
 	s.table, s.peers = t, p
-	s.pusher = &pusher[balance.News]{peers: p, clock: s.clock, method: methodPushSignals, changesAfter: s.observedAfter}
+	s.pusher = &pusher[balance.Updates]{peers: p, clock: s.clock, method: methodPushSignals, changesAfter: s.observedAfter}
 }
 
 // observedAfter returns this node's own observations after a version of its table.
-func (s *upstreamSignals) observedAfter(version uint64) (balance.News, bool, uint64) {
+func (s *upstreamSignals) observedAfter(version uint64) (balance.Updates, bool, uint64) {
 	signals, reached := s.table.UpdatesSince(version, s.clock())
 	return signals, signals.HasAny(), reached
 }
@@ -75,7 +75,7 @@
 
 // onLeaving handles an upstream that is leaving. It is called once per incarnation of the
 // upstream; the change of its entry in the store may come much later, or never.
-func (s *upstreamSignals) onLeaving(note balance.LeavingNote) {
+func (s *upstreamSignals) onLeaving(note balance.LeavingEvent) {
 	if note.Observed {
 		wake(s.pushWake)
 	}
@@ -86,11 +86,11 @@
 }
 
 // onBackoff handles an upstream that asked this node to back off.
-func (s *upstreamSignals) onBackoff(note balance.RestNote) {
+func (s *upstreamSignals) onBackoff(note balance.BackoffEvent) {
 	if !s.backoffLog.allow(note.ID, s.clock()) {
 		return
 	}
-	s.log.Info(event.UpstreamRests,
+	s.log.Info(event.UpstreamBackoff,
 		zap.String("upstream", string(note.ID)),
 		zap.String("service", string(note.Service)),
 		zap.Duration("asked", note.Requested),
@@ -112,7 +112,7 @@
 }
 
 // servePush serves a neighbour's push.
-func (s *upstreamSignals) servePush(_ context.Context, signals balance.News) (balance.News, error) {
+func (s *upstreamSignals) servePush(_ context.Context, signals balance.Updates) (balance.Updates, error) {
 	s.table.MergeUpdates(signals, s.clock())
-	return balance.News{}, nil
+	return balance.Updates{}, nil
 }
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -18,9 +18,9 @@
 
 // AgentSettings configures an Agent.
 type AgentSettings struct {
-	Box    granitehoist.Box
-	Ledger  *Purse
-	Allocator *Keeper
+	Box       granitehoist.Box
+	Ledger    *Ledger
+	Allocator *Allocator
 	// Caller makes the calls to other routers.
 	Caller granitehoist.Caller
 	// RemoteAllocator returns the router whose Keeper serves a shard for this region. It
@@ -124,9 +124,9 @@
 
 // send sends reports to the Keepers of all shards concurrently, applies the replies and
 // returns the first error. params holds the fields that all messages share.
-func (a *Agent) send(ctx context.Context, reports []Ask, params SyncParams, now time.Time) error {
+func (a *Agent) send(ctx context.Context, reports []Report, params SyncParams, now time.Time) error {
 	params.Box, params.Incarnation = a.settings.Box, a.settings.Ledger.Incarnation()
-	byShard := map[Shard][]Ask{}
+	byShard := map[Shard][]Report{}
 	for _, report := range reports {
 		s := shardOf(report.Budget, a.settings.Shards)
 		byShard[s] = append(byShard[s], report)
--- a/partner/budget/allocator.go
+++ b/partner/budget/allocator.go
@@ -16,12 +16,12 @@
 	"granitehoist.example/granitehoist/internal/batch"
 )
 
-// Keeper grants tokens to the boxes of one region. It updates the region's records and the
+// Allocator grants tokens to the boxes of one region. It updates the region's records and the
 // root records by compare-and-swap. Several Keepers may work on the same shard; that only
 // causes write conflicts. Messages that arrive during a write share the next one. It is
 // safe for concurrent use.
-type Keeper struct {
-	settings KeeperSettings
+type Allocator struct {
+	settings AllocatorSettings
 	// mu guards shards.
 	mu     sync.Mutex
 	shards map[Shard]*batch.Group[syncItem, SyncResult]
@@ -33,8 +33,8 @@
 	now    time.Time
 }
 
-// KeeperSettings configures a Keeper.
-type KeeperSettings struct {
+// AllocatorSettings configures a Keeper.
+type AllocatorSettings struct {
 	Region granitehoist.Region
 	Store  granitehoist.Store
 	// Prepaid returns the prepaid total of a budget and the serial of the configuration
@@ -61,21 +61,21 @@
 	conflictBackoff = time.Millisecond
 )
 
-// NewKeeper returns a Keeper. It panics if Region, Store or Prepaid is missing.
-func NewKeeper(s KeeperSettings) *Keeper {
+// NewAllocator returns a Keeper. It panics if Region, Store or Prepaid is missing.
+func NewAllocator(s AllocatorSettings) *Allocator {
 	if s.Region == "" || s.Store == nil || s.Prepaid == nil {
 		panic("budget: KeeperSettings needs Region, Store and Prepaid")
 	}
 	if s.Split == nil {
 		s.Split = func(granitehoist.BudgetID) Split { return Split{} }
 	}
-	return &Keeper{settings: s, shards: map[Shard]*batch.Group[syncItem, SyncResult]{}}
+	return &Allocator{settings: s, shards: map[Shard]*batch.Group[syncItem, SyncResult]{}}
 }
 
 // Sync processes a box's message: it records the reports and grants tokens. All reports
 // must be of shard s. After an error the grants may have been written or not; it is safe
 // to send the message again. The errors are ErrUnknownIncarnation and those of the store.
-func (k *Keeper) Sync(ctx context.Context, s Shard, params SyncParams, now time.Time) (SyncResult, error) {
+func (k *Allocator) Sync(ctx context.Context, s Shard, params SyncParams, now time.Time) (SyncResult, error) {
 	result, err := k.group(s).Do(ctx, syncItem{params: params, now: now})
 	if err != nil {
 		return SyncResult{}, err
@@ -89,7 +89,7 @@
 // SyncAll processes the messages of several boxes with one write, as Sync does with
 // messages that arrive together. A result has Unknown set where Sync would return
 // ErrUnknownIncarnation.
-func (k *Keeper) SyncAll(ctx context.Context, s Shard, messages []SyncParams, now time.Time) ([]SyncResult, error) {
+func (k *Allocator) SyncAll(ctx context.Context, s Shard, messages []SyncParams, now time.Time) ([]SyncResult, error) {
 	items := make([]syncItem, len(messages))
 	for i, params := range messages {
 		items[i] = syncItem{params: params, now: now}
@@ -102,7 +102,7 @@
 var ErrUnknownIncarnation = eris.New("budget: unknown incarnation")
 
 // group returns the batch of pending messages of a shard.
-func (k *Keeper) group(s Shard) *batch.Group[syncItem, SyncResult] {
+func (k *Allocator) group(s Shard) *batch.Group[syncItem, SyncResult] {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	g, ok := k.shards[s]
@@ -121,7 +121,7 @@
 
 // serve processes messages of one shard with one write, as of the latest of their times.
 // It retries after conflicts and after writes whose outcome is unknown.
-func (k *Keeper) serve(ctx context.Context, s Shard, items []syncItem) ([]SyncResult, error) {
+func (k *Allocator) serve(ctx context.Context, s Shard, items []syncItem) ([]SyncResult, error) {
 	now := items[0].now
 	for _, item := range items {
 		if item.now.After(now) {
@@ -147,12 +147,12 @@
 // attempt reads the region's record, processes the messages and writes the record. It
 // returns grants only after the store has confirmed the write. After a write whose outcome
 // is unknown, the next attempt reads what is stored; totals make a repetition harmless.
-func (k *Keeper) attempt(ctx context.Context, s Shard, items []syncItem, now time.Time) ([]SyncResult, error) {
-	entry, err := k.settings.Store.Get(ctx, PageKey(k.settings.Region, s))
+func (k *Allocator) attempt(ctx context.Context, s Shard, items []syncItem, now time.Time) ([]SyncResult, error) {
+	entry, err := k.settings.Store.Get(ctx, RegionKey(k.settings.Region, s))
 	if err != nil {
 		return nil, err
 	}
-	record, err := DecodePage(entry)
+	record, err := DecodeRegionRecord(entry)
 	if err != nil {
 		return nil, err
 	}
@@ -188,7 +188,7 @@
 }
 
 // reportsByBudget holds the reports of several messages by budget and incarnation.
-type reportsByBudget map[granitehoist.BudgetID]map[granitehoist.Incarnation]Ask
+type reportsByBudget map[granitehoist.BudgetID]map[granitehoist.Incarnation]Report
 
 // add adds the reports of a message. A closing incarnation is skipped, since it must not
 // get grants.
@@ -198,7 +198,7 @@
 	}
 	for _, report := range s.Reports {
 		if a[report.Budget] == nil {
-			a[report.Budget] = map[granitehoist.Incarnation]Ask{}
+			a[report.Budget] = map[granitehoist.Incarnation]Report{}
 		}
 		a[report.Budget][s.Incarnation] = report
 	}
@@ -206,16 +206,16 @@
 
 // addUnconfirmedReturns adds the budgets with returns that the root has not confirmed, so
 // that they are reported to it.
-func (a reportsByBudget) addUnconfirmedReturns(record *Page) {
+func (a reportsByBudget) addUnconfirmedReturns(record *RegionRecord) {
 	for budget, account := range record.Accounts {
 		if account.Returned > account.Confirmed && a[budget] == nil {
-			a[budget] = map[granitehoist.Incarnation]Ask{}
+			a[budget] = map[granitehoist.Incarnation]Report{}
 		}
 	}
 }
 
 // grantAll grants tokens from the region's stock, budget by budget.
-func (k *Keeper) grantAll(record *Page, reports reportsByBudget, now time.Time) map[granitehoist.Incarnation][]Reply {
+func (k *Allocator) grantAll(record *RegionRecord, reports reportsByBudget, now time.Time) map[granitehoist.Incarnation][]Reply {
 	replies := map[granitehoist.Incarnation][]Reply{}
 	for _, budget := range sortedKeys(reports) {
 		for id, reply := range record.grant(budget, reports[budget], k.settings.Split(budget), now) {
@@ -226,7 +226,7 @@
 }
 
 // write stores a record if it differs from the entry that it was read from.
-func (k *Keeper) write(ctx context.Context, entry granitehoist.Entry, record any) error {
+func (k *Allocator) write(ctx context.Context, entry granitehoist.Entry, record any) error {
 	raw, err := encodeRecord(entry.Key, record)
 	if err != nil {
 		return err
--- a/partner/budget/ledger.go
+++ b/partner/budget/ledger.go
@@ -11,9 +11,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-// Purse holds the accounts of one incarnation of a box, one for each budget. It is safe for
+// Ledger holds the accounts of one incarnation of a box, one for each budget. It is safe for
 // concurrent use and makes no calls.
-type Purse struct {
+type Ledger struct {
 	incarnation granitehoist.Incarnation
 	split       func(granitehoist.BudgetID) Split
 
@@ -22,16 +22,16 @@
 	closing  bool
 }
 
-// PurseSettings configures a Purse.
-type PurseSettings struct {
+// LedgerSettings configures a Purse.
+type LedgerSettings struct {
 	// Incarnation identifies this run of the router. It is required.
 	Incarnation granitehoist.Incarnation
 	// Split returns the Split of a budget; nil means the zero Split for all.
 	Split func(granitehoist.BudgetID) Split
 }
 
-// NewPurse returns an empty Purse. It panics if Incarnation is missing.
-func NewPurse(s PurseSettings) *Purse {
+// NewLedger returns an empty Purse. It panics if Incarnation is missing.
+func NewLedger(s LedgerSettings) *Ledger {
 	if s.Incarnation == "" {
 		panic("budget: PurseSettings needs Incarnation")
 	}
@@ -39,7 +39,7 @@
 		s.Split = func(granitehoist.BudgetID) Split { return Split{} }
 	}
 	split := s.Split
-	return &Purse{
+	return &Ledger{
 		incarnation: s.Incarnation,
 		split:       func(k granitehoist.BudgetID) Split { return split(k).withDefaults() },
 		accounts:    map[granitehoist.BudgetID]*account{},
@@ -47,10 +47,10 @@
 }
 
 // Incarnation returns the incarnation that holds the tokens.
-func (p *Purse) Incarnation() granitehoist.Incarnation { return p.incarnation }
+func (p *Ledger) Incarnation() granitehoist.Incarnation { return p.incarnation }
 
 // account returns the account of a budget and creates it if needed.
-func (p *Purse) account(k granitehoist.BudgetID) *account {
+func (p *Ledger) account(k granitehoist.BudgetID) *account {
 	a, ok := p.accounts[k]
 	if !ok {
 		a = &account{}
@@ -61,7 +61,7 @@
 
 // Reserve reserves bound tokens of a budget, and reports whether the box has that many free.
 // It panics if bound is negative. Each successful Reserve must be followed by one Settle.
-func (p *Purse) Reserve(k granitehoist.BudgetID, bound granitehoist.Tokens) bool {
+func (p *Ledger) Reserve(k granitehoist.BudgetID, bound granitehoist.Tokens) bool {
 	mustNotBeNegative(bound)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -72,7 +72,7 @@
 // A use beyond bound is charged in full, which may make the free tokens negative until more
 // arrive. urgent reports whether the box should return tokens now because others may wait
 // for them. Settle panics if less than bound is reserved or if used is negative.
-func (p *Purse) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens, now time.Time) (urgent bool) {
+func (p *Ledger) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens, now time.Time) (urgent bool) {
 	mustNotBeNegative(used)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -91,7 +91,7 @@
 
 // HasPending reports whether requests wait for tokens, on this box or elsewhere, so that the next
 // reports should not be delayed.
-func (p *Purse) HasPending() bool {
+func (p *Ledger) HasPending() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range p.accounts {
@@ -103,7 +103,7 @@
 }
 
 // waitingBudgets returns the budgets with waiting requests, in order.
-func (p *Purse) waitingBudgets() []granitehoist.BudgetID {
+func (p *Ledger) waitingBudgets() []granitehoist.BudgetID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var waiting []granitehoist.BudgetID
@@ -118,7 +118,7 @@
 
 // Close makes later reports return all free tokens. A closed Purse accepts no grant and no
 // loan, so that the region can revoke grants that it has not seen.
-func (p *Purse) Close() {
+func (p *Ledger) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closing = true
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -21,7 +21,7 @@
 
 // Lend transfers part of the free tokens to another box and returns the total ever lent
 // to it. A duplicated message lends nothing more.
-func (p *Purse) Lend(b BorrowParams, now time.Time) BorrowResult {
+func (p *Ledger) Lend(b BorrowParams, now time.Time) BorrowResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.account(b.Budget)
@@ -49,7 +49,7 @@
 
 // LoanRequest returns the message that asks a lender for what the waiting requests of a
 // budget lack, and false if they lack nothing.
-func (p *Purse) LoanRequest(k granitehoist.BudgetID, lender granitehoist.Incarnation) (BorrowParams, bool) {
+func (p *Ledger) LoanRequest(k granitehoist.BudgetID, lender granitehoist.Incarnation) (BorrowParams, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a, ok := p.accounts[k]
@@ -67,7 +67,7 @@
 // ApplyLoan processes a lender's answer. A delayed or duplicated answer has no effect.
 // Neither has one after Close, since the region may have removed the incarnation's rows
 // and could not take the tokens back.
-func (p *Purse) ApplyLoan(k granitehoist.BudgetID, r BorrowResult) {
+func (p *Ledger) ApplyLoan(k granitehoist.BudgetID, r BorrowResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	a := p.account(k)
@@ -85,7 +85,7 @@
 }
 
 // lenders returns the boxes that the last reply named as lenders for a budget.
-func (p *Purse) lenders(k granitehoist.BudgetID) []granitehoist.Incarnation {
+func (p *Ledger) lenders(k granitehoist.BudgetID) []granitehoist.Incarnation {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a, ok := p.accounts[k]; ok {
--- a/partner/budget/messages.go
+++ b/partner/budget/messages.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// Ask is a box's report of one budget to its region's Keeper, and its demand. Demands are
-// totals, so a duplicated Ask is granted once.
-type Ask struct {
+// Report is a box's report of one budget to its region's Keeper, and its demand. Demands are
+// totals, so a duplicated Report is granted once.
+type Report struct {
 	Budget granitehoist.BudgetID `json:"k"`
 	// Totals are the box's own totals.
 	Totals Totals `json:"t"`
@@ -55,7 +55,7 @@
 type SyncParams struct {
 	Box         granitehoist.Box         `json:"box"`
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
-	Reports        []Ask                    `json:"asks"`
+	Reports     []Report                 `json:"asks"`
 	// Urgent means that requests wait for the answer.
 	Urgent bool `json:"urgent,omitempty"`
 	// Closing means that the box is stopping and that its reports return all it holds.
--- a/partner/budget/overview.go
+++ b/partner/budget/overview.go
@@ -28,36 +28,36 @@
 type States struct {
 	shards int
 	now    time.Time
-	roots  map[Shard]*Root
-	pages  map[Shard]map[granitehoist.Region]*Page
+	roots  map[Shard]*RootRecord
+	pages  map[Shard]map[granitehoist.Region]*RegionRecord
 }
 
 // ReadStates reads all records from the store. It ignores the records of shards beyond the
 // count, which a larger count in the past may have left.
 func ReadStates(ctx context.Context, s granitehoist.Store, shards int, now time.Time) (*States, error) {
-	states := &States{shards: shards, now: now, roots: map[Shard]*Root{}, pages: map[Shard]map[granitehoist.Region]*Page{}}
+	states := &States{shards: shards, now: now, roots: map[Shard]*RootRecord{}, pages: map[Shard]map[granitehoist.Region]*RegionRecord{}}
 	for shard := range Shard(shards) {
 		entry, err := s.Get(ctx, RootKey(shard))
 		if err != nil {
 			return nil, err
 		}
-		if states.roots[shard], err = DecodeRoot(entry); err != nil {
+		if states.roots[shard], err = DecodeRootRecord(entry); err != nil {
 			return nil, err
 		}
-		states.pages[shard] = map[granitehoist.Region]*Page{}
+		states.pages[shard] = map[granitehoist.Region]*RegionRecord{}
 	}
 	entries, _, err := s.List(ctx, pagePrefix)
 	if err != nil {
 		return nil, err
 	}
 	for _, e := range entries {
-		record, err := DecodePage(e)
+		record, err := DecodeRegionRecord(e)
 		if err != nil {
 			return nil, err
 		}
 		region, _, _ := strings.Cut(strings.TrimPrefix(e.Key, pagePrefix), "/")
 		for shard := range Shard(shards) {
-			if e.Key == PageKey(granitehoist.Region(region), shard) {
+			if e.Key == RegionKey(granitehoist.Region(region), shard) {
 				states.pages[shard][granitehoist.Region(region)] = record
 			}
 		}
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -44,11 +44,11 @@
 	Closed bool `json:"closed,omitempty"`
 }
 
-// PageAccount is a region's part of one budget.
-type PageAccount struct {
+// RegionAccount is a region's part of one budget.
+type RegionAccount struct {
 	// Received is the total received from the root. Sent is the total returned to it.
 	Received granitehoist.Tokens `json:"in,omitempty"`
-	Returned     granitehoist.Tokens `json:"out,omitempty"`
+	Returned granitehoist.Tokens `json:"out,omitempty"`
 	// Confirmed is the part of Sent that the root has confirmed.
 	Confirmed granitehoist.Tokens `json:"conf,omitempty"`
 	// Retired has the sums of removed rows.
@@ -57,33 +57,33 @@
 	ReportedAt int64 `json:"told,omitempty"`
 	// Limit is how much the region may hold, and Elsewhere what the whole budget has left
 	// outside the region, both as of the root's last reply.
-	Limit     granitehoist.Tokens `json:"limit,omitempty"`
+	Limit              granitehoist.Tokens `json:"limit,omitempty"`
 	RemainingElsewhere granitehoist.Tokens `json:"else,omitempty"`
 	// Rows holds the incarnations that drew on the region's stock.
 	Rows map[granitehoist.Incarnation]Row `json:"rows,omitempty"`
 }
 
-// Page is the stored record of a region for a shard of budgets.
-type Page struct {
-	Format   int                                    `json:"format"`
-	Members  map[granitehoist.Incarnation]Member    `json:"members"`
-	Accounts map[granitehoist.BudgetID]*PageAccount `json:"accounts"`
+// RegionRecord is the stored record of a region for a shard of budgets.
+type RegionRecord struct {
+	Format   int                                      `json:"format"`
+	Members  map[granitehoist.Incarnation]Member      `json:"members"`
+	Accounts map[granitehoist.BudgetID]*RegionAccount `json:"accounts"`
 }
 
 // RegionRow is the state of one region in a root account.
 type RegionRow struct {
 	// Granted is the total granted to the region. Back is the total that it returned.
-	Granted granitehoist.Tokens `json:"g,omitempty"`
-	Returned  granitehoist.Tokens `json:"b,omitempty"`
+	Granted  granitehoist.Tokens `json:"g,omitempty"`
+	Returned granitehoist.Tokens `json:"b,omitempty"`
 	// Spent is the total charged in the region. Live is what it holds that is not in doubt.
 	// Both are as last reported.
 	Spent granitehoist.Tokens `json:"s,omitempty"`
 	Live  granitehoist.Tokens `json:"live,omitempty"`
 	// Rate is the region's forecast in tokens per second. Largest is the largest bound of a
 	// request. Both are as last reported at Seen, in Unix seconds.
-	Rate    float64             `json:"f,omitempty"`
-	Largest granitehoist.Tokens `json:"m,omitempty"`
-	LastSeen    int64               `json:"seen,omitempty"`
+	Rate     float64             `json:"f,omitempty"`
+	Largest  granitehoist.Tokens `json:"m,omitempty"`
+	LastSeen int64               `json:"seen,omitempty"`
 }
 
 // RootAccount is one budget in a root record.
@@ -91,29 +91,29 @@
 	Prepaid granitehoist.Tokens `json:"prepaid"`
 	// PrepaidSerial is the serial of the configuration that Prepaid was read from.
 	PrepaidSerial granitehoist.Serial               `json:"at"`
-	Regions   map[granitehoist.Region]RegionRow `json:"regions,omitempty"`
+	Regions       map[granitehoist.Region]RegionRow `json:"regions,omitempty"`
 }
 
-// Root is the stored record of all regions for a shard of budgets.
-type Root struct {
+// RootRecord is the stored record of all regions for a shard of budgets.
+type RootRecord struct {
 	Format   int                                    `json:"format"`
 	Accounts map[granitehoist.BudgetID]*RootAccount `json:"accounts"`
 }
 
-// NewPage returns a Page without accounts.
-func NewPage() *Page {
-	return &Page{Format: recordFormat, Members: map[granitehoist.Incarnation]Member{}, Accounts: map[granitehoist.BudgetID]*PageAccount{}}
+// NewRegionRecord returns a Page without accounts.
+func NewRegionRecord() *RegionRecord {
+	return &RegionRecord{Format: recordFormat, Members: map[granitehoist.Incarnation]Member{}, Accounts: map[granitehoist.BudgetID]*RegionAccount{}}
 }
 
 // newRoot returns a Root without accounts.
-func newRoot() *Root {
-	return &Root{Format: recordFormat, Accounts: map[granitehoist.BudgetID]*RootAccount{}}
+func newRoot() *RootRecord {
+	return &RootRecord{Format: recordFormat, Accounts: map[granitehoist.BudgetID]*RootAccount{}}
 }
 
-// DecodePage decodes a stored Page. It returns an empty Page for a key that does not exist,
+// DecodeRegionRecord decodes a stored Page. It returns an empty Page for a key that does not exist,
 // and an error for a value that is invalid.
-func DecodePage(e granitehoist.Entry) (*Page, error) {
-	record := NewPage()
+func DecodeRegionRecord(e granitehoist.Entry) (*RegionRecord, error) {
+	record := NewRegionRecord()
 	if e.Version == 0 {
 		return record, nil
 	}
@@ -134,9 +134,9 @@
 	return record, nil
 }
 
-// DecodeRoot decodes a stored Root. It returns an empty Root for a key that does not exist,
+// DecodeRootRecord decodes a stored Root. It returns an empty Root for a key that does not exist,
 // and an error for a value that is invalid.
-func DecodeRoot(e granitehoist.Entry) (*Root, error) {
+func DecodeRootRecord(e granitehoist.Entry) (*RootRecord, error) {
 	root := newRoot()
 	if e.Version == 0 {
 		return root, nil
@@ -197,8 +197,8 @@
 	rootPrefix = "budget/root/"
 )
 
-// PageKey returns the store key of a Page.
-func PageKey(r granitehoist.Region, s Shard) string {
+// RegionKey returns the store key of a Page.
+func RegionKey(r granitehoist.Region, s Shard) string {
 	return fmt.Sprintf("%s%s/%04d", pagePrefix, r, s)
 }
 
@@ -206,7 +206,7 @@
 func RootKey(s Shard) string { return fmt.Sprintf("%s%04d", rootPrefix, s) }
 
 // Stock returns the region's tokens that no incarnation holds.
-func (a *PageAccount) Stock() granitehoist.Tokens {
+func (a *RegionAccount) Stock() granitehoist.Tokens {
 	stock := a.Received - a.Returned - a.Retired.Granted + a.Retired.Returned
 	for _, row := range a.Rows {
 		stock -= row.Totals.Granted - row.Totals.Returned
@@ -215,7 +215,7 @@
 }
 
 // Spent returns the total charged in the region, as last reported.
-func (a *PageAccount) Spent() granitehoist.Tokens {
+func (a *RegionAccount) Spent() granitehoist.Tokens {
 	spent := a.Retired.Spent
 	for _, row := range a.Rows {
 		spent += row.Totals.Spent
@@ -224,7 +224,7 @@
 }
 
 // Held returns the tokens that the incarnations hold, as last reported.
-func (a *PageAccount) Held() granitehoist.Tokens {
+func (a *RegionAccount) Held() granitehoist.Tokens {
 	var held granitehoist.Tokens
 	for _, row := range a.Rows {
 		held += row.Totals.Held()
@@ -238,7 +238,7 @@
 const inDoubtAfter = 3 * reportInterval
 
 // InDoubt returns the tokens held by incarnations without a report for inDoubtAfter.
-func (p *Page) InDoubt(k granitehoist.BudgetID, now time.Time) granitehoist.Tokens {
+func (p *RegionRecord) InDoubt(k granitehoist.BudgetID, now time.Time) granitehoist.Tokens {
 	a, ok := p.Accounts[k]
 	if !ok {
 		return 0
--- a/partner/budget/refill.go
+++ b/partner/budget/refill.go
@@ -13,8 +13,8 @@
 
 // refill reports the budgets to the root if a report is due, and merges its replies into
 // the region's record: grants where the region has too little, and confirmed returns.
-func (k *Keeper) refill(ctx context.Context, s Shard, record *Page, reports reportsByBudget, now time.Time) error {
-	var regionReports []RegionAsk
+func (k *Allocator) refill(ctx context.Context, s Shard, record *RegionRecord, reports reportsByBudget, now time.Time) error {
+	var regionReports []RegionReport
 	due := false
 	for _, budget := range sortedKeys(reports) {
 		regionReport := record.prepareReport(budget, k.settings.Split(budget), now)
@@ -49,7 +49,7 @@
 // confirm returned tokens, or if the region never received any; after shortfallInterval if
 // the region is below half of its limit and asks for more; and otherwise after
 // rootInterval.
-func (a *PageAccount) isRootReportDue(report RegionAsk, now time.Time) bool {
+func (a *RegionAccount) isRootReportDue(report RegionReport, now time.Time) bool {
 	switch {
 	case report.Need > 0, report.Returned > a.Confirmed, a.Received == 0:
 		return true
@@ -61,12 +61,12 @@
 
 // reportToRoot updates the root record and returns its replies. They are valid only if the
 // error is nil, since grants count only once they are written.
-func (k *Keeper) reportToRoot(ctx context.Context, s Shard, reports []RegionAsk, now time.Time) ([]regionReply, error) {
+func (k *Allocator) reportToRoot(ctx context.Context, s Shard, reports []RegionReport, now time.Time) ([]regionReply, error) {
 	entry, err := k.settings.Store.Get(ctx, RootKey(s))
 	if err != nil {
 		return nil, err
 	}
-	root, err := DecodeRoot(entry)
+	root, err := DecodeRootRecord(entry)
 	if err != nil {
 		return nil, err
 	}
