--- a/balance/balance.go
+++ b/balance/balance.go
@@ -14,7 +14,7 @@
 
 // Instance is one run of an upstream as it announced itself.
 type Instance struct {
-	// ID identifies the upstream. A restarted upstream may keep its ID; see Born.
+	// ID identifies the upstream. A restarted upstream may keep its ID; see StartedAtMS.
 	ID      granitehoist.Upstream
 	Service granitehoist.Service
 	// Address is the IP address and port.
@@ -26,7 +26,7 @@
 	// ones.
 	Draining bool
 	// ColdFor is how much longer the instance is cold after its announcement. A cold
-	// instance handles a limited request rate (Query.ColdPerSecond). Zero means warm.
+	// instance handles a limited request rate (Query.ColdRequestRate). Zero means warm.
 	ColdFor time.Duration
 	// StartedAtMS is the start time of this incarnation in milliseconds since the Unix epoch;
 	// zero if unknown. An instance may restart under the same ID: the announcement with
@@ -37,7 +37,7 @@
 }
 
 // Incarnation identifies one incarnation of an instance. An instance that restarts under the
-// same ID has a different Born.
+// same ID has a different StartedAtMS.
 type Incarnation struct {
 	ID   granitehoist.Upstream
 	Born int64
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -71,7 +71,7 @@
 //   - Refused ejects for a short time and does not count as a failure.
 //   - Broken raises the failure rate. The second one in a row ejects, and each further one
 //     ejects for twice as long, up to maxEjection.
-//   - Moved ejects for maxEjection: the removal of the old announcement will arrive
+//   - Misdirected ejects for maxEjection: the removal of the old announcement will arrive
 //     within that time.
 //
 // A new ejection replaces the previous one, even if that would have lasted longer.
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -14,7 +14,7 @@
 type AllowedRegions []granitehoist.Region
 
 // allows reports whether the rule allows a region. The empty region of an unknown zone is
-// allowed only if Homes is empty.
+// allowed only if AllowedRegions is empty.
 func (h AllowedRegions) allows(region granitehoist.Region) bool {
 	return len(h) == 0 || slices.Contains(h, region)
 }
--- a/balance/leaving.go
+++ b/balance/leaving.go
@@ -121,7 +121,7 @@
 	return true
 }
 
-// notifyLeaving calls the LeavingNoted callback. The caller holds no lock.
+// notifyLeaving calls the OnLeaving callback. The caller holds no lock.
 func (t *Table) notifyLeaving(note LeavingEvent) {
 	if t.settings.OnLeaving != nil {
 		t.settings.OnLeaving(note)
--- a/balance/limitrecord.go
+++ b/balance/limitrecord.go
@@ -175,7 +175,7 @@
 	t.notifyLimitChanges(changes)
 }
 
-// notifyLimitChanges calls the LimitChanged callback. The caller holds no lock.
+// notifyLimitChanges calls the OnLimitChange callback. The caller holds no lock.
 func (t *Table) notifyLimitChanges(changes []LimitChange) {
 	if t.settings.OnLimitChange == nil {
 		return
--- a/balance/permit.go
+++ b/balance/permit.go
@@ -7,7 +7,7 @@
 
 // This file manages a router's permits for rate-limited instances. The owner of the table
 // fetches permits: it calls PermitRequests, asks the issuer, and passes the responses to
-// NotePermits. A rate-limited instance without a permit is not a candidate; a request
+// AddPermits. A rate-limited instance without a permit is not a candidate; a request
 // without another instance waits for a permit (waiting.go) or is refused.
 
 // permitLeadTime is how long ahead of its due time a permit is fetched for requests that
@@ -141,7 +141,7 @@
 
 // PermitRequests returns the permit requests to send now, and when to call it again if
 // PermitsWanted does not signal before; the zero time if no request is scheduled. Each
-// returned request must be answered through NotePermits.
+// returned request must be answered through AddPermits.
 func (t *Table) PermitRequests(now time.Time) (requests []PermitRequest, next time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/escrow/doc.go
+++ b/escrow/doc.go
@@ -24,10 +24,10 @@
 // # Roles
 //
 // In a small fleet every router takes tokens from one record for its own requests
-// (Shares), and routers lend to each other while the store is unresponsive. In a large
+// (RoleDirect), and routers lend to each other while the store is unresponsive. In a large
 // fleet each shard of the workspaces has its own record and one holder, which takes
-// tokens from the record and lends them (Holds); the other routers are borrowers and
-// borrow for each request (Asks). Safety does not depend on roles.
+// tokens from the record and lends them (RoleHolder); the other routers are borrowers and
+// borrow for each request (RoleBorrower). Safety does not depend on roles.
 //
 // # State
 //
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -33,7 +33,7 @@
 	// Cover is how long the holdings should last at the present rate of spending; zero
 	// means DefaultCover.
 	Cover time.Duration
-	// Role returns this router's role for the workspaces of a shard; nil means Shares
+	// Role returns this router's role for the workspaces of a shard; nil means RoleDirect
 	// for all. It is called with the ledger's lock held and must not call the ledger.
 	Role func(Shard) Role
 }
@@ -199,7 +199,7 @@
 }
 
 // StoreUnreachableFor returns for how long the store has responded neither to this router itself
-// nor to a holder that it borrows from; zero if it responds. Answer.Silent differs: a
+// nor to a holder that it borrows from; zero if it responds. Answer.StoreUnresponsiveFor differs: a
 // response to any lender resets it.
 func (l *Ledger) StoreUnreachableFor(now time.Time) time.Duration {
 	l.mu.Lock()
@@ -207,7 +207,7 @@
 	return l.health.cutOffTime(now)
 }
 
-// NoteNeighbourUnreachableFor records the CutOffTime that a neighbour reports.
+// NoteNeighbourUnreachableFor records the StoreUnreachableFor that a neighbour reports.
 func (l *Ledger) NoteNeighbourUnreachableFor(cutOff time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/escrow/record.go
+++ b/escrow/record.go
@@ -164,7 +164,7 @@
 }
 
 // RegisterIncarnation registers an incarnation as the current one of its box. The rows of the previous
-// incarnation are added to Folded and deleted: a box runs one router at a time, so that
+// incarnation are added to EndedNet and deleted: a box runs one router at a time, so that
 // one has ended.
 func (r *Record) RegisterIncarnation(box granitehoist.Box, incarnation granitehoist.Incarnation) {
 	previous, found := r.Boxes[box]
--- a/escrow/role.go
+++ b/escrow/role.go
@@ -39,7 +39,7 @@
 // Lender is a neighbour that may lend a workspace's tokens.
 type Lender struct {
 	granitehoist.Peer
-	// StandsIn is set if it is not the holder and is asked in its place.
+	// Fallback is set if it is not the holder and is asked in its place.
 	StandsIn bool
 }
 
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -11,7 +11,7 @@
 // connection whose state is unknown.
 //
 // In the edge router, package node creates one Pool and package forward sends each attempt
-// through Pool.Do. PassedOn, which removes hop-by-hop fields, is also used by the partner
+// through Pool.Do. EndToEndHeader, which removes hop-by-hop fields, is also used by the partner
 // router and by package platform.
 //
 // A Pool guards its idle connections with a mutex. A connection in use belongs to one
--- a/exchange/pool.go
+++ b/exchange/pool.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// dial opens a connection and reports it to Settings.Opened.
+// dial opens a connection and reports it to Settings.OnOpen.
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	raw, err := p.dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
--- a/explain/budget.go
+++ b/explain/budget.go
@@ -20,7 +20,7 @@
 // ErrNoBudget is returned for a log without a line about the workspace's budget.
 var ErrNoBudget = eris.New("explain: the log has no line of this workspace's budget")
 
-// rowInterval is the time that one row of the table of Budget.Write covers.
+// rowInterval is the time that one row of the table of BudgetReport.Write covers.
 const rowInterval = 2 * time.Second
 
 // BudgetReport summarises the log lines about one workspace's prepaid tokens. ReadBudget
--- a/explain/doc.go
+++ b/explain/doc.go
@@ -5,7 +5,7 @@
 // the log lines of routers: the state on which the router decided, the attempts, the
 // result that the caller got, and the failed dependencies that caused it.
 //
-// Read returns the Story of a request and ReadBudget the Budget of a workspace; both
+// Read returns the Timeline of a request and ReadBudget the BudgetReport of a workspace; both
 // are safe for use by one goroutine at a time. 'granitehoist explain' and
 // 'granitehoist explain-budget' run them on the log of granitehoist-edge. The package
 // depends on the event names of internal/event, on the keys that package forward and
--- a/explain/fuzz_test.go
+++ b/explain/fuzz_test.go
@@ -11,7 +11,7 @@
 	"granitehoist.example/granitehoist/explain"
 )
 
-// FuzzRead checks that Read does not panic on any log and that a Story it returns can
+// FuzzRead checks that Read does not panic on any log and that a Timeline it returns can
 // be written.
 func FuzzRead(f *testing.F) {
 	f.Add("1.0 edge-1 ts=2026-01-01T00:00:00Z event=request request=r-1 code=1 detail=\"a \\\"quote\\\"\"\n")
--- a/explain/line.go
+++ b/explain/line.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Line is one log line of key=value pairs. It is not changed after Parse.
+// Line is one log line of key=value pairs. It is not changed after ParseLine.
 type Line struct {
 	// Box is the box that wrote the line, empty if the log does not have it.
 	Box string
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -31,7 +31,7 @@
 // # State
 //
 // Registry holds the router's own entry, its lease and the last view. In the store only this
-// router writes its two entries, except that Withdraw may delete those of another. Client
+// router writes its two entries, except that DeregisterServing may delete those of another. Client
 // and Server hold their connections. All three are safe for concurrent use. A View is
 // immutable.
 //
--- a/follow/follow.go
+++ b/follow/follow.go
@@ -94,7 +94,7 @@
 	return err
 }
 
-// readyPollInterval is the time between checks of Settings.Ready.
+// readyPollInterval is the time between checks of Settings.PeersKnown.
 const readyPollInterval = 100 * time.Millisecond
 
 // errStoreUnavailableToRelays means that the store was not called, since the relays report
@@ -195,7 +195,7 @@
 	}
 }
 
-// apply applies an update and calls Settings.Changed with the entries that changed.
+// apply applies an update and calls Settings.OnChange with the entries that changed.
 func (f *Follower) apply(update Update) {
 	first := !f.HasCopy()
 	changed := f.copy.apply(update, f.settings.Clock())
--- a/follow/ready_test.go
+++ b/follow/ready_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestFollowerWaitsForReady guards against a follower that watches the store before
-// Settings.Ready, or does not list it until then.
+// Settings.PeersKnown, or does not list it until then.
 func TestFollowerWaitsForReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &scriptedStore{lists: []follow.Update{{Version: 7}}}
--- a/follow/settings.go
+++ b/follow/settings.go
@@ -34,7 +34,7 @@
 	// entries. It runs on the goroutine of Run; nil ignores changes.
 	OnChange func(changed []granitehoist.Entry, at granitehoist.Version)
 	// Equivalent reports whether a rewritten entry is equivalent to the previous one and
-	// need not be reported to Changed and other routers; nil treats every entry as changed.
+	// need not be reported to OnChange and other routers; nil treats every entry as changed.
 	Equivalent func(before, after granitehoist.Entry) bool
 	// MinWatchInterval is the least time between the starts of two watches of the store, so
 	// that one call returns all changes of that time; zero means no limit.
@@ -45,9 +45,9 @@
 	// OnError is called with the error of each failed step; nil ignores them. It runs on the
 	// goroutine of Run.
 	OnError func(error)
-	// RetryDelay is the delay before the first retry after a failure; zero means DefaultPause.
+	// RetryDelay is the delay before the first retry after a failure; zero means DefaultRetryDelay.
 	RetryDelay time.Duration
-	// MaxRetryDelay bounds the delay, which doubles with each failure; zero means twice Pause.
+	// MaxRetryDelay bounds the delay, which doubles with each failure; zero means twice RetryDelay.
 	MaxRetryDelay time.Duration
 	// Clock returns the current time; nil means time.Now.
 	Clock granitehoist.Clock
--- a/follow/storefailures.go
+++ b/follow/storefailures.go
@@ -6,10 +6,10 @@
 import "time"
 
 const (
-	// DefaultRetryDelay is the default of Settings.Pause. It limits a router to a few calls a
+	// DefaultRetryDelay is the default of Settings.RetryDelay. It limits a router to a few calls a
 	// second while the store fails.
 	DefaultRetryDelay = 250 * time.Millisecond
-	// defaultMaxPauseFactor is the default of Settings.MaxPause as a multiple of Pause. It
+	// defaultMaxPauseFactor is the default of Settings.MaxRetryDelay as a multiple of RetryDelay. It
 	// is small, so that the recovery of the store is detected soon.
 	defaultMaxPauseFactor = 2
 	// probeWatchTimeout bounds the watches of a store that failed, since a watch in progress
--- a/forward/active.go
+++ b/forward/active.go
@@ -275,7 +275,7 @@
 	return homes
 }
 
-// end logs the request and reports it to Settings.Ended.
+// end logs the request and reports it to Settings.OnEnd.
 func (a *activeRequest) end(err error) {
 	now := a.forwarder.settings.Clock()
 	report := Report{Code: granitehoist.CodeOf(err), Attempts: a.progress.attempts, Budget: a.progress.budget.Outcome, Duration: now.Sub(a.request.Arrived)}
--- a/forward/doc.go
+++ b/forward/doc.go
@@ -38,7 +38,7 @@
 // A Forwarder owns the number of requests in progress and the stopped flag (both atomic),
 // and a retry budget for each service (guarded by a mutex). Each request has an
 // activeRequest, which only the goroutine that called Forwarder.Serve uses. The
-// configuration (catalog), the token budgets (Funds), the table of instances (balance) and
+// configuration (catalog), the token budgets (Budgets), the table of instances (balance) and
 // the connections (exchange) have locks of their own. A Forwarder holds no lock while it
 // calls them.
 //
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -29,7 +29,7 @@
 	Settle(w granitehoist.Workspace, maxCost, used granitehoist.Tokens)
 }
 
-// Settings configure a Forwarder. Catalog, Funds, Table, Pool and Codec are required.
+// Settings configure a Forwarder. Catalog, Budgets, Table, Pool and Codec are required.
 type Settings struct {
 	// Catalog holds the configuration in force.
 	Catalog *catalog.Current
@@ -91,7 +91,7 @@
 // New returns a Forwarder. It panics if a required setting is missing.
 func New(s Settings) *Forwarder {
 	if s.Catalog == nil || s.Budgets == nil || s.Table == nil || s.Pool == nil || s.Codec == nil {
-		panic("forward: Catalog, Funds, Table, Pool and Codec are required")
+		panic("forward: Catalog, Budgets, Table, Pool and Codec are required")
 	}
 	if s.Routers == nil {
 		s.Routers = func() int { return 1 }
--- a/forward/retrybudget.go
+++ b/forward/retrybudget.go
@@ -29,7 +29,7 @@
 	// usedRatioFraction is the fraction of Ratio that is used, since a request and its
 	// retry may be counted in different windows.
 	usedRatioFraction = 0.6
-	// usedSlackFraction is the fraction of Slack that is used, since a restarted router
+	// usedSlackFraction is the fraction of Burst that is used, since a restarted router
 	// begins with a full budget.
 	usedSlackFraction = 0.5
 	// defaultRetryWindow is the default of RetrySettings.Window.
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -31,7 +31,7 @@
 	OnError func(error)
 }
 
-// maxErrorBytes limits the message that Failed gets. net/http logs up to 64 KB of stack
+// maxErrorBytes limits the message that OnError gets. net/http logs up to 64 KB of stack
 // for a panic; its beginning has the frames next to the panic.
 const maxErrorBytes = 4 << 10
 
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -34,7 +34,7 @@
 	return result
 }
 
-// failOnError returns a Settings.Failed that fails the test.
+// failOnError returns a Settings.OnError that fails the test.
 func failOnError(t *testing.T) func(error) {
 	return func(err error) { t.Errorf("the server logged %v", err) }
 }
@@ -174,7 +174,7 @@
 }
 
 // expectErrors runs a server whose handler panics with a value, and checks that the
-// client gets no response and Failed is called want times with an error that contains
+// client gets no response and OnError is called want times with an error that contains
 // text.
 func expectErrors(t *testing.T, value any, want int, text string) {
 	t.Helper()
--- a/internal/pushback/rest.go
+++ b/internal/pushback/rest.go
@@ -30,7 +30,7 @@
 	maxProbes, probes int
 }
 
-// Extend records that a response received at now requests a backoff of d, capped at MaxRest.
+// Extend records that a response received at now requests a backoff of d, capped at MaxBackoff.
 // It never moves the end of a backoff to an earlier time.
 func (r *Backoff) Extend(d time.Duration, now time.Time) {
 	if until := now.Add(min(d, MaxBackoff)); until.After(r.until) {
@@ -51,11 +51,11 @@
 // depends on the requests in flight.
 func (r *Backoff) Remaining(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
 
-// StartProbe counts a request that is sent during the recovery, after Admits allowed it. EndTry
+// StartProbe counts a request that is sent during the recovery, after Allows allowed it. EndProbe
 // must be called once for each StartProbe.
 func (r *Backoff) StartProbe() { r.probes++ }
 
-// EndProbe ends a request counted by Try: the upstream accepted or rejected it, or the outcome
+// EndProbe ends a request counted by StartProbe: the upstream accepted or rejected it, or the outcome
 // is unknown.
 func (r *Backoff) EndProbe() { r.probes-- }
 
--- a/measure/doc.go
+++ b/measure/doc.go
@@ -7,7 +7,7 @@
 // docs/CAPACITY.md has the results; a test recomputes its loads.
 //
 // The package has no state: each measurement builds its own data, such as a
-// budget.Purse with 14,000 budgets, and uses the packages below partner/ and a stand-in
+// budget.Ledger with 14,000 budgets, and uses the packages below partner/ and a stand-in
 // for the store in the same process. 'granitehoist measure capacity' runs it.
 //
 // Begin reading at Slopes, which lists the measurements, and Loads, which computes the
--- a/measure/loads.go
+++ b/measure/loads.go
@@ -135,7 +135,7 @@
 	}
 }
 
-// spend returns the load of a box's budget.Purse, which scans its budgets each second and
+// spend returns the load of a box's budget.Ledger, which scans its budgets each second and
 // exchanges asks and replies with the keepers.
 func (t traffic) spend(by slopesByName) Load {
 	asks := t.active / t.messages
--- a/node/config.go
+++ b/node/config.go
@@ -23,7 +23,7 @@
 	// PeerIP and PeerPort form the address at which neighbours reach the node.
 	PeerIP   string
 	PeerPort int
-	// CallerAddress and Ready are the listening addresses, as IP:PORT, for callers and for the
+	// CallerAddress and ReadinessAddress are the listening addresses, as IP:PORT, for callers and for the
 	// platform's health checks.
 	CallerAddress    string
 	ReadinessAddress string
--- a/node/nodelist.go
+++ b/node/nodelist.go
@@ -33,7 +33,7 @@
 )
 
 // listsNeeded returns how many lists a node has to read from the store before its view of
-// the fleet is complete; bootstrap is Config.First.
+// the fleet is complete; bootstrap is Config.Bootstrap.
 func listsNeeded(bootstrap bool) int {
 	if bootstrap {
 		return listsAtBootstrap
--- a/node/peers.go
+++ b/node/peers.go
@@ -28,7 +28,7 @@
 	log   *zap.Logger
 	// table supplies and takes the hints and upstream signals of greetings.
 	table *balance.Table
-	// bootstrap is Config.First.
+	// bootstrap is Config.Bootstrap.
 	bootstrap bool
 }
 
--- a/node/reload.go
+++ b/node/reload.go
@@ -8,7 +8,7 @@
 // liveSettings holds the settings that a running node can change. Each is read at every
 // use, so that a change takes effect at once.
 type liveSettings struct {
-	// grace is Config.Grace, used by the next stop.
+	// grace is Config.GracePeriod, used by the next stop.
 	grace time.Duration
 	// linkMbps is Config.LinkMbps, used for load shedding. Neighbours see the value from
 	// the start of the process.
@@ -19,7 +19,7 @@
 	return &liveSettings{grace: c.GracePeriod, linkMbps: c.LinkMbps}
 }
 
-// Reload applies the settings of c that a running node can change, Grace and LinkMbps,
+// Reload applies the settings of c that a running node can change, GracePeriod and LinkMbps,
 // and returns the names of the other settings that differ from those at the start; they
 // need a restart. It returns an error and changes nothing if c is invalid. It is safe for
 // concurrent use.
--- a/node/servers_test.go
+++ b/node/servers_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// panickingFrontend is an Adapter.Frontend whose handler panics.
+// panickingFrontend is an Adapter.NewFrontend whose handler panics.
 func panickingFrontend(*forward.Forwarder, *catalog.Current, granitehoist.Clock, func() bool) http.Handler {
 	return http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic("no such route") })
 }
--- a/node/suspects.go
+++ b/node/suspects.go
@@ -63,7 +63,7 @@
 	store granitehoist.Store
 	clock granitehoist.Clock
 	log   *zap.Logger
-	// bootstrap is Config.First.
+	// bootstrap is Config.Bootstrap.
 	bootstrap bool
 	// pushWake and storeWake wake the goroutines of runPush and runStore. Both have a
 	// capacity of one.
--- a/partner/bill/ledger.go
+++ b/partner/bill/ledger.go
@@ -49,7 +49,7 @@
 
 // ReserveSlot reserves capacity for the charge of one request. It returns false if
 // MaxPending is reached, and the request must then not run. Each successful ReserveSlot
-// must be followed by one Charge or ReleaseRoom.
+// must be followed by one Charge or ReleaseSlot.
 func (l *Ledger) ReserveSlot() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -23,7 +23,7 @@
 	Allocator *Allocator
 	// Caller makes the calls to other routers.
 	Caller granitehoist.Caller
-	// RemoteAllocator returns the router whose Keeper serves a shard for this region. It
+	// RemoteAllocator returns the router whose Allocator serves a shard for this region. It
 	// returns false if that is this router or if there is none.
 	RemoteAllocator func(Shard) (granitehoist.Peer, bool)
 	// Peers returns the other routers of the region.
@@ -49,7 +49,7 @@
 )
 
 // Agent keeps the accounts of a box supplied with tokens. It sends reports to the
-// region's Keepers, falls back to the local Keeper if they can't be reached, and borrows
+// region's Allocators, falls back to the local Allocator if they can't be reached, and borrows
 // from other boxes for requests that still wait. It is safe for concurrent use.
 type Agent struct {
 	settings AgentSettings
@@ -122,7 +122,7 @@
 	a.borrow(ctx, err != nil)
 }
 
-// send sends reports to the Keepers of all shards concurrently, applies the replies and
+// send sends reports to the Allocators of all shards concurrently, applies the replies and
 // returns the first error. params holds the fields that all messages share.
 func (a *Agent) send(ctx context.Context, reports []Report, params SyncParams, now time.Time) error {
 	params.Box, params.Incarnation = a.settings.Box, a.settings.Ledger.Incarnation()
@@ -153,9 +153,9 @@
 	Params SyncParams `json:"params"`
 }
 
-// sync sends a message to the shard's Keeper, or to the local one if that fails. It drops
+// sync sends a message to the shard's Allocator, or to the local one if that fails. It drops
 // the error of the remote call: any router may serve the shard, and a failure of the
-// local Keeper reports what is wrong with the store.
+// local Allocator reports what is wrong with the store.
 func (a *Agent) sync(ctx context.Context, s Shard, params SyncParams, now time.Time) (SyncResult, error) {
 	if peer, ok := a.settings.RemoteAllocator(s); ok {
 		result, err := a.call(ctx, peer, ShardSync{Shard: s, Params: params})
@@ -166,7 +166,7 @@
 	return a.settings.Allocator.Sync(ctx, s, params, now)
 }
 
-// call sends a message to the Keeper of another router.
+// call sends a message to the Allocator of another router.
 func (a *Agent) call(ctx context.Context, peer granitehoist.Peer, message ShardSync) (SyncResult, error) {
 	packed, err := pack.NewMessage(message)
 	if err != nil {
--- a/partner/budget/allocator.go
+++ b/partner/budget/allocator.go
@@ -17,7 +17,7 @@
 )
 
 // Allocator grants tokens to the boxes of one region. It updates the region's records and the
-// root records by compare-and-swap. Several Keepers may work on the same shard; that only
+// root records by compare-and-swap. Several Allocators may work on the same shard; that only
 // causes write conflicts. Messages that arrive during a write share the next one. It is
 // safe for concurrent use.
 type Allocator struct {
@@ -33,7 +33,7 @@
 	now    time.Time
 }
 
-// AllocatorSettings configures a Keeper.
+// AllocatorSettings configures an Allocator.
 type AllocatorSettings struct {
 	Region granitehoist.Region
 	Store  granitehoist.Store
@@ -61,10 +61,10 @@
 	conflictBackoff = time.Millisecond
 )
 
-// NewAllocator returns a Keeper. It panics if Region, Store or Prepaid is missing.
+// NewAllocator returns an Allocator. It panics if Region, Store or Prepaid is missing.
 func NewAllocator(s AllocatorSettings) *Allocator {
 	if s.Region == "" || s.Store == nil || s.Prepaid == nil {
-		panic("budget: KeeperSettings needs Region, Store and Prepaid")
+		panic("budget: AllocatorSettings needs Region, Store and Prepaid")
 	}
 	if s.Split == nil {
 		s.Split = func(granitehoist.BudgetID) Split { return Split{} }
--- a/partner/budget/doc.go
+++ b/partner/budget/doc.go
@@ -17,17 +17,17 @@
 //
 // The main types are:
 //
-//   - Root: a stored record per shard of budgets, with the prepaid totals and the
+//   - RootRecord: a stored record per shard of budgets, with the prepaid totals and the
 //     totals granted to and returned by each region.
-//   - Page: a stored record per shard and region, with the region's stock and a Row for
+//   - RegionRecord: a stored record per shard and region, with the region's stock and a Row for
 //     each incarnation that drew on it.
-//   - Purse: the in-memory accounts of one incarnation of a box, guarded by a lock. They
+//   - Ledger: the in-memory accounts of one incarnation of a box, guarded by a lock. They
 //     are lost with the process; what it held stays in doubt.
-//   - Keeper: grants tokens to the boxes of its region by compare-and-swap on both kinds
+//   - Allocator: grants tokens to the boxes of its region by compare-and-swap on both kinds
 //     of records. Any router may run one for any shard; a single one per shard only
 //     avoids write conflicts.
-//   - Agent: exchanges messages between a Purse and the Keepers, and makes all calls.
-//     Its lock serializes its rounds; no call is made under the lock of a Purse.
+//   - Agent: exchanges messages between a Ledger and the Allocators, and makes all calls.
+//     Its lock serializes its rounds; no call is made under the lock of a Ledger.
 //
 // The package depends on conditional writes of the store, on a granitehoist.Caller for
 // calls between routers, such as that of package fleet, and on its caller for the time.
@@ -37,8 +37,8 @@
 // to the store and needs neither regional records nor an elected allocator.
 //
 // Begin with Agent.Reserve, which serves a request. Then read allocate, which divides
-// tokens, Purse.Asks and account.surplus, which determine what a box requests and
-// returns, and Keeper.attempt, which updates the records.
+// tokens, Ledger.Reports and account.surplus, which determine what a box requests and
+// returns, and Allocator.attempt, which updates the records.
 //
 // The method follows escrow transactions (P. O'Neil, "The Escrow Transactional
 // Method", 1986), the demarcation protocol (D. Barbara and H. Garcia-Molina,
--- a/partner/budget/export_test.go
+++ b/partner/budget/export_test.go
@@ -9,7 +9,7 @@
 	"granitehoist.example/granitehoist"
 )
 
-// State is the state of one account of a Purse.
+// State is the state of one account of a Ledger.
 type State struct {
 	Totals Totals
 	Free   granitehoist.Tokens
--- a/partner/budget/history_test.go
+++ b/partner/budget/history_test.go
@@ -79,7 +79,7 @@
 	result   budget.BorrowResult
 }
 
-// historyRegions are the regions of the two Keepers.
+// historyRegions are the regions of the two Allocators.
 var historyRegions = [2]granitehoist.Region{"tuul", "lima"}
 
 const (
@@ -121,7 +121,7 @@
 	return &historyBox{region: region, ledger: budget.NewLedger(budget.LedgerSettings{Incarnation: id, Split: historySplit})}
 }
 
-// interruptedStore runs another sync between a Keeper's read and its write, to cause write
+// interruptedStore runs another sync between an Allocator's read and its write, to cause write
 // conflicts.
 type interruptedStore struct {
 	reachableStore
--- a/partner/budget/ledger.go
+++ b/partner/budget/ledger.go
@@ -22,7 +22,7 @@
 	closing  bool
 }
 
-// LedgerSettings configures a Purse.
+// LedgerSettings configures a Ledger.
 type LedgerSettings struct {
 	// Incarnation identifies this run of the router. It is required.
 	Incarnation granitehoist.Incarnation
@@ -30,10 +30,10 @@
 	Split func(granitehoist.BudgetID) Split
 }
 
-// NewLedger returns an empty Purse. It panics if Incarnation is missing.
+// NewLedger returns an empty Ledger. It panics if Incarnation is missing.
 func NewLedger(s LedgerSettings) *Ledger {
 	if s.Incarnation == "" {
-		panic("budget: PurseSettings needs Incarnation")
+		panic("budget: LedgerSettings needs Incarnation")
 	}
 	if s.Split == nil {
 		s.Split = func(granitehoist.BudgetID) Split { return Split{} }
@@ -116,7 +116,7 @@
 	return waiting
 }
 
-// Close makes later reports return all free tokens. A closed Purse accepts no grant and no
+// Close makes later reports return all free tokens. A closed Ledger accepts no grant and no
 // loan, so that the region can revoke grants that it has not seen.
 func (p *Ledger) Close() {
 	p.mu.Lock()
@@ -134,9 +134,9 @@
 	}
 }
 
-// account is the state of one budget on a box, guarded by the lock of the Purse.
+// account is the state of one budget on a box, guarded by the lock of the Ledger.
 //
-// The box holds totals.Held() tokens, of which reserved ones are a part. Only Purse.Settle
+// The box holds totals.Held() tokens, of which reserved ones are a part. Only Ledger.Settle
 // can make the free tokens negative, by a use beyond the reserved bound; the box then serves
 // no request of the budget until it has received more.
 type account struct {
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -102,7 +102,7 @@
 }
 
 // borrow requests the tokens that requests still wait for from the lenders named in the
-// last reply, or from all boxes of the region if no Keeper could be reached.
+// last reply, or from all boxes of the region if no Allocator could be reached.
 func (a *Agent) borrow(ctx context.Context, unreachable bool) {
 	for _, k := range a.settings.Ledger.waitingBudgets() {
 		lenders := a.settings.Ledger.lenders(k)
--- a/partner/budget/messages.go
+++ b/partner/budget/messages.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// Report is a box's report of one budget to its region's Keeper, and its demand. Demands are
+// Report is a box's report of one budget to its region's Allocator, and its demand. Demands are
 // totals, so a duplicated Report is granted once.
 type Report struct {
 	Budget granitehoist.BudgetID `json:"k"`
@@ -51,7 +51,7 @@
 	Largest granitehoist.Tokens `json:"m"`
 }
 
-// SyncParams is the message of a box to a Keeper.
+// SyncParams is the message of a box to an Allocator.
 type SyncParams struct {
 	Box         granitehoist.Box         `json:"box"`
 	Incarnation granitehoist.Incarnation `json:"incarnation"`
@@ -62,7 +62,7 @@
 	Closing bool `json:"closing,omitempty"`
 }
 
-// Reply is the Keeper's reply to the report of one budget.
+// Reply is the Allocator's reply to the report of one budget.
 type Reply struct {
 	Budget granitehoist.BudgetID `json:"k"`
 	// Granted is the total granted to the incarnation.
@@ -77,7 +77,7 @@
 	Lenders []granitehoist.Incarnation `json:"b,omitempty"`
 }
 
-// SyncResult is the Keeper's answer to a SyncParams.
+// SyncResult is the Allocator's answer to a SyncParams.
 type SyncResult struct {
 	Replies []Reply `json:"replies"`
 	// Unknown means that the message was refused, as by ErrUnknownIncarnation.
@@ -102,7 +102,7 @@
 
 // Method names of calls between routers.
 const (
-	// MethodSync carries a ShardSync to a Keeper and returns its SyncResult.
+	// MethodSync carries a ShardSync to an Allocator and returns its SyncResult.
 	MethodSync = "budget.sync"
 	// MethodBorrow carries BorrowParams to a lender and returns its BorrowResult.
 	MethodBorrow = "budget.borrow"
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -46,16 +46,16 @@
 
 // RegionAccount is a region's part of one budget.
 type RegionAccount struct {
-	// Received is the total received from the root. Sent is the total returned to it.
+	// Received is the total received from the root. Returned is the total returned to it.
 	Received granitehoist.Tokens `json:"in,omitempty"`
 	Returned granitehoist.Tokens `json:"out,omitempty"`
-	// Confirmed is the part of Sent that the root has confirmed.
+	// Confirmed is the part of Returned that the root has confirmed.
 	Confirmed granitehoist.Tokens `json:"conf,omitempty"`
 	// Retired has the sums of removed rows.
 	Retired Totals `json:"folded"`
 	// ReportedAt is when the account was last reported to the root, in Unix seconds.
 	ReportedAt int64 `json:"told,omitempty"`
-	// Limit is how much the region may hold, and Elsewhere what the whole budget has left
+	// Limit is how much the region may hold, and RemainingElsewhere what the whole budget has left
 	// outside the region, both as of the root's last reply.
 	Limit              granitehoist.Tokens `json:"limit,omitempty"`
 	RemainingElsewhere granitehoist.Tokens `json:"else,omitempty"`
@@ -72,7 +72,7 @@
 
 // RegionRow is the state of one region in a root account.
 type RegionRow struct {
-	// Granted is the total granted to the region. Back is the total that it returned.
+	// Granted is the total granted to the region. Returned is the total that it returned.
 	Granted  granitehoist.Tokens `json:"g,omitempty"`
 	Returned granitehoist.Tokens `json:"b,omitempty"`
 	// Spent is the total charged in the region. Live is what it holds that is not in doubt.
@@ -80,7 +80,7 @@
 	Spent granitehoist.Tokens `json:"s,omitempty"`
 	Live  granitehoist.Tokens `json:"live,omitempty"`
 	// Rate is the region's forecast in tokens per second. Largest is the largest bound of a
-	// request. Both are as last reported at Seen, in Unix seconds.
+	// request. Both are as last reported at LastSeen, in Unix seconds.
 	Rate     float64             `json:"f,omitempty"`
 	Largest  granitehoist.Tokens `json:"m,omitempty"`
 	LastSeen int64               `json:"seen,omitempty"`
@@ -100,17 +100,17 @@
 	Accounts map[granitehoist.BudgetID]*RootAccount `json:"accounts"`
 }
 
-// NewRegionRecord returns a Page without accounts.
+// NewRegionRecord returns a RegionRecord without accounts.
 func NewRegionRecord() *RegionRecord {
 	return &RegionRecord{Format: recordFormat, Members: map[granitehoist.Incarnation]Member{}, Accounts: map[granitehoist.BudgetID]*RegionAccount{}}
 }
 
-// newRoot returns a Root without accounts.
+// newRoot returns a RootRecord without accounts.
 func newRoot() *RootRecord {
 	return &RootRecord{Format: recordFormat, Accounts: map[granitehoist.BudgetID]*RootAccount{}}
 }
 
-// DecodeRegionRecord decodes a stored Page. It returns an empty Page for a key that does not exist,
+// DecodeRegionRecord decodes a stored RegionRecord. It returns an empty RegionRecord for a key that does not exist,
 // and an error for a value that is invalid.
 func DecodeRegionRecord(e granitehoist.Entry) (*RegionRecord, error) {
 	record := NewRegionRecord()
@@ -134,7 +134,7 @@
 	return record, nil
 }
 
-// DecodeRootRecord decodes a stored Root. It returns an empty Root for a key that does not exist,
+// DecodeRootRecord decodes a stored RootRecord. It returns an empty RootRecord for a key that does not exist,
 // and an error for a value that is invalid.
 func DecodeRootRecord(e granitehoist.Entry) (*RootRecord, error) {
 	root := newRoot()
@@ -197,12 +197,12 @@
 	rootPrefix = "budget/root/"
 )
 
-// RegionKey returns the store key of a Page.
+// RegionKey returns the store key of a RegionRecord.
 func RegionKey(r granitehoist.Region, s Shard) string {
 	return fmt.Sprintf("%s%s/%04d", pagePrefix, r, s)
 }
 
-// RootKey returns the store key of a Root.
+// RootKey returns the store key of a RootRecord.
 func RootKey(s Shard) string { return fmt.Sprintf("%s%04d", rootPrefix, s) }
 
 // Stock returns the region's tokens that no incarnation holds.
--- a/partner/budget/region.go
+++ b/partner/budget/region.go
@@ -10,7 +10,7 @@
 	"granitehoist.example/granitehoist"
 )
 
-// seenResolution is the resolution of Member.Seen in seconds. It avoids a change of the
+// seenResolution is the resolution of Member.LastSeen in seconds. It avoids a change of the
 // record by each report, and is well below inDoubtAfter.
 const seenResolution = int64(reportInterval / time.Second)
 
@@ -217,7 +217,7 @@
 	// Largest is the largest bound of a request. LargestSum is the sum of the largest
 	// bounds of all boxes.
 	Largest, LargestSum granitehoist.Tokens
-	// Least, Need and Want are as in Ask, but in addition to what the region has.
+	// Least, Need and Want are as in Report, but in addition to what the region has.
 	Least, Need, Want granitehoist.Tokens
 }
 
--- a/partner/budget/reserve.go
+++ b/partner/budget/reserve.go
@@ -11,7 +11,7 @@
 )
 
 // Reserve reserves bound tokens. If the box holds too few, it waits for more for up to
-// Split.Wait or until ctx is done. Its errors are of type *granitehoist.Error with the codes
+// Split.MaxWait or until ctx is done. Its errors are of type *granitehoist.Error with the codes
 // BudgetExhausted, BudgetUnreachable and DeadlineTooNear; nothing is reserved then. It
 // panics if bound is negative.
 func (a *Agent) Reserve(ctx context.Context, k granitehoist.BudgetID, bound granitehoist.Tokens) error {
@@ -53,7 +53,7 @@
 	return e
 }
 
-// Settle ends a reservation, as Purse.Settle does, and starts a round of reports at once if
+// Settle ends a reservation, as Ledger.Settle does, and starts a round of reports at once if
 // the box should return tokens that others may wait for.
 func (a *Agent) Settle(k granitehoist.BudgetID, bound, used granitehoist.Tokens) {
 	if a.settings.Ledger.Settle(k, bound, used, a.settings.Clock()) {
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -12,13 +12,13 @@
 // regionReply is the root's reply to the report of one budget.
 type regionReply struct {
 	Budget granitehoist.BudgetID
-	// Given is the total granted to the region.
+	// Granted is the total granted to the region.
 	Given granitehoist.Tokens
 	// Returned is the total that the root has taken back.
 	Returned granitehoist.Tokens
 	// Limit is how much the region should hold; it returns what it has beyond that.
 	Limit granitehoist.Tokens
-	// Elsewhere is what the budget has left outside the region.
+	// RemainingElsewhere is what the budget has left outside the region.
 	Elsewhere granitehoist.Tokens
 }
 
--- a/partner/budget/wait.go
+++ b/partner/budget/wait.go
@@ -11,7 +11,7 @@
 )
 
 // Waiter is a request that waits for tokens. Done is closed once they are reserved for it or
-// the budget is known to have too few. The lock of the Purse guards the other fields.
+// the budget is known to have too few. The lock of the Ledger guards the other fields.
 type Waiter struct {
 	Done    chan struct{}
 	bound   granitehoist.Tokens
@@ -19,7 +19,7 @@
 	granted bool
 }
 
-// finish closes Done. It must be called only once, with the lock of the Purse held.
+// finish closes Done. It must be called only once, with the lock of the Ledger held.
 func (w *Waiter) finish(granted bool) {
 	w.ended = true
 	w.granted = granted
@@ -86,7 +86,7 @@
 }
 
 // timeoutOutcome returns the outcome of a wait that got no tokens in time. A reply during the
-// wait means that the budget is exhausted; otherwise no Keeper could be reached.
+// wait means that the budget is exhausted; otherwise no Allocator could be reached.
 func (r lastReply) timeoutOutcome(wait time.Duration, now time.Time) Outcome {
 	if r.received && now.Sub(r.receivedAt) < wait {
 		return Exhausted
--- a/partner/config/policy.go
+++ b/partner/config/policy.go
@@ -45,7 +45,7 @@
 		if p.Use != UseOwn && p.Use != UseLend {
 			c.add("policy", i, "use", fmt.Sprintf("%q is not a use", p.Use), `use "own" or "lend"`)
 		}
-		// policy.New returns only *policy.Fault errors.
+		// policy.New returns only *policy.ProgramError errors.
 		_, err := policy.New(p.source())
 		if fault, ok := err.(*policy.ProgramError); ok {
 			c.add("policy", i, fault.Program, fault.Reason, "correct the program; docs/OPERATIONS.md lists its inputs")
--- a/partner/config/view.go
+++ b/partner/config/view.go
@@ -202,7 +202,7 @@
 }
 
 // OfferByModel returns the engine service that offers a model, with the precedence of
-// OfferOfService.
+// OfferByService.
 func (v *View) OfferByModel(caller granitehoist.Partner, m granitehoist.Model) (*Offer, bool) {
 	for _, p := range v.partnersFrom(caller) {
 		if offer, ok := p.models[m]; ok {
--- a/partner/gate/doc.go
+++ b/partner/gate/doc.go
@@ -16,7 +16,7 @@
 // their own locking. A request belongs to the goroutine that serves it. Its costTracker
 // passes to a background goroutine if an upstream has to be queried for the cost.
 //
-// The package uses config for the documents in force, Funds (budget.Agent) for tokens,
+// The package uses config for the documents in force, Budgets (budget.Agent) for tokens,
 // bill.Ledger for charges, route.Table for upstreams, once.Registry for requests that
 // are not to be repeated, and the protocols of package partner/upstream.
 //
--- a/partner/gate/fakes_test.go
+++ b/partner/gate/fakes_test.go
@@ -31,7 +31,7 @@
 	budgetID = granitehoist.BudgetID("tuul/kiosk/season")
 )
 
-// fakeFunds is a gate.Funds with one amount of tokens for all budgets.
+// fakeFunds is a gate.Budgets with one amount of tokens for all budgets.
 type fakeFunds struct {
 	mu        sync.Mutex
 	available granitehoist.Tokens
--- a/partner/gate/settings.go
+++ b/partner/gate/settings.go
@@ -71,7 +71,7 @@
 	// settings.DefaultReadTimeout.
 	ReadTimeout time.Duration
 	// RequestTimeout applies to requests without a deadline; zero means
-	// settings.DefaultRequest.
+	// settings.DefaultRequestTimeout.
 	RequestTimeout time.Duration
 }
 
--- a/partner/orphan/orphan.go
+++ b/partner/orphan/orphan.go
@@ -81,7 +81,7 @@
 // If stop is set, attempts that have not ended are stopped first; it must be set only
 // if the router is known to have stopped. Repeated calls charge no attempt twice. Settle
 // returns the errors of the store. An unreachable engine is not an error: it is listed
-// in Result.Unreached and queried again by the next call.
+// in Result.UnreachableEngines and queried again by the next call.
 func (s *Settler) Settle(ctx context.Context, dead granitehoist.Incarnation, stop bool, now time.Time) (Result, error) {
 	job := &settlement{stopRunning: stop, budgets: s.budgetsByHash(), now: now, result: Result{Incarnation: dead}}
 	var err error
--- a/partner/orphan/silent.go
+++ b/partner/orphan/silent.go
@@ -26,13 +26,13 @@
 }
 
 // isSilent reports whether the router did not stop gracefully and has not reported for
-// more than SilentAfter.
+// more than UnresponsiveTimeout.
 func (l lastSeen) isSilent(now time.Time) bool {
 	return !l.closed && now.Sub(time.Unix(l.at, 0)) > UnresponsiveTimeout
 }
 
 // UnresponsiveRouters returns, in order, the incarnations of the region that drew on budgets, did not
-// stop gracefully and have not reported for more than SilentAfter. It returns the errors
+// stop gracefully and have not reported for more than UnresponsiveTimeout. It returns the errors
 // of the store, and an error if a budget page can't be decoded.
 func (s *Settler) UnresponsiveRouters(ctx context.Context, now time.Time) ([]granitehoist.Incarnation, error) {
 	seen, err := s.readLastSeen(ctx)
--- a/partner/policy/policy.go
+++ b/partner/policy/policy.go
@@ -59,7 +59,7 @@
 // defaultPriorityProgram yields the request's own priority.
 const defaultPriorityProgram = "priority"
 
-// New compiles a policy. It returns a *Fault if a program is too long, does not
+// New compiles a policy. It returns a *ProgramError if a program is too long, does not
 // compile or yields the wrong type, or if the permit program is empty.
 func New(source Source) (*Policy, error) {
 	permit, err := compile(source.Name, "permit", source.Permit, cel.BoolType)
--- a/partner/report/counts.go
+++ b/partner/report/counts.go
@@ -24,8 +24,8 @@
 type Counts struct {
 	// Requests counts all ended requests, whatever their result.
 	Requests int `json:"requests"`
-	// FirstTokens counts responses with a first token and Between gaps between tokens;
-	// SlowFirst and SlowBetween count those that missed the objective.
+	// FirstTokens counts responses with a first token and TokenGaps gaps between tokens;
+	// SlowFirstTokens and SlowTokenGaps count those that missed the objective.
 	FirstTokens     int `json:"first"`
 	SlowFirstTokens int `json:"slow_first"`
 	TokenGaps       int `json:"between"`
--- a/partner/report/doc.go
+++ b/partner/report/doc.go
@@ -12,6 +12,6 @@
 // A Recorder holds a router's counts of the last day in memory, guarded by a mutex;
 // they are lost with the process. It does no I/O, and callers pass the current time.
 //
-// Begin reading at Recorder.Add and Recorder.Rows, then Burn.Merge. CountsOf decides
+// Begin reading at Recorder.Add and Recorder.Rows, then BurnReport.Merge. CountsOf decides
 // which results count as refusals or errors.
 package report
--- a/partner/settings/settings.go
+++ b/partner/settings/settings.go
@@ -126,7 +126,7 @@
 	DefaultReadTimeout = Duration(10 * time.Second)
 	// DefaultRequestTimeout is the timeout of a request whose caller sets no deadline.
 	DefaultRequestTimeout = Duration(5 * time.Minute)
-	// defaultDrain exceeds DefaultRequest, so that a stop waits for every request
+	// defaultDrain exceeds DefaultRequestTimeout, so that a stop waits for every request
 	// without a deadline of its own.
 	defaultDrain = 2 * DefaultRequestTimeout
 	// defaultUnready exceeds the usual health check interval of a load balancer.
--- a/partner/upstream/doc.go
+++ b/partner/upstream/doc.go
@@ -14,7 +14,7 @@
 // own locking. The state of a stream belongs to the call that reads it. Both protocols
 // are safe for concurrent use.
 //
-// The package uses exchange.PassedOn to select the headers to forward. Its caller,
+// The package uses exchange.EndToEndHeader to select the headers to forward. Its caller,
 // package partner/gate in 'granitehoist router', chooses the upstream, decides on
 // retries and charges the cost of each attempt.
 //
--- a/partner/upstream/transport.go
+++ b/partner/upstream/transport.go
@@ -145,7 +145,7 @@
 }
 
 // EndToEndHeader returns a copy of h without the fields of one connection or message, as
-// exchange.PassedOn removes them, and without the given names.
+// exchange.EndToEndHeader removes them, and without the given names.
 func EndToEndHeader(h http.Header, without ...string) http.Header {
 	header := exchange.EndToEndHeader(h)
 	for _, name := range without {
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -13,6 +13,6 @@
 // router uses it; 'granitehoist standin', packages trial and measure, and tests do.
 //
 // Begin reading at Store, which PlatformStore serves to both routers; at Engine and Plain
-// for the partners' router; and at Worker, whose WorkerAnswer lists the faults that a test
+// for the partners' router; and at Worker, whose WorkerResponse lists the faults that a test
 // can script, for granitehoist-edge.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -28,7 +28,7 @@
 	// RefuseEvery returns status 503 without running the request.
 	RefuseEvery int
 	// CutEvery closes the connection in the middle of an answer. A stream can be resumed
-	// unless Forget is set.
+	// unless NoResume is set.
 	CutEvery int
 	// NoResume ends the attempt of an interrupted stream, so that it can't be resumed.
 	NoResume bool
--- a/standin/execution.go
+++ b/standin/execution.go
@@ -90,7 +90,7 @@
 	x.Ended = x.Ended || !x.resumable
 }
 
-// hold keeps an interrupted stream so that it can be resumed, unless Forget is set.
+// hold keeps an interrupted stream so that it can be resumed, unless NoResume is set.
 func (e *Engine) hold(a *activeAnswer) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/worker.go
+++ b/standin/worker.go
@@ -13,7 +13,7 @@
 )
 
 // Worker is a fake of a worker of the platform. It serves HTTP/1.1 over TCP and injects the
-// faults of a WorkerAnswer into each response. It is safe for concurrent use.
+// faults of a WorkerResponse into each response. It is safe for concurrent use.
 type Worker struct {
 	instance string
 	respond  func(ReceivedRequest) WorkerResponse
@@ -151,7 +151,7 @@
 	}
 }
 
-// newArrival returns the Arrival of a request, without its body.
+// newArrival returns the ReceivedRequest of r, without its body.
 func (w *Worker) newArrival(r *http.Request, conn int) ReceivedRequest {
 	// Without a valid number the stream begins at the first event.
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
--- a/suspect/table.go
+++ b/suspect/table.go
@@ -27,12 +27,12 @@
 // Settings configures a Table. The zero value selects the defaults.
 type Settings struct {
 	// BlockDuration is how long a request is refused after its last crash; zero means
-	// DefaultBlock.
+	// DefaultBlockDuration.
 	BlockDuration time.Duration
 	// Retention is how long evidence is kept after the last crash; zero means
-	// DefaultMemory.
+	// DefaultRetention.
 	Retention time.Duration
-	// MaxEntries bounds the entries of the table; zero means DefaultMax.
+	// MaxEntries bounds the entries of the table; zero means DefaultMaxEntries.
 	MaxEntries int
 	// OnObserved, if set, is called after each change by an observation of this router. No lock
 	// is held during the call.
@@ -46,7 +46,7 @@
 	// secret is nil until SetSecret is called.
 	secret atomic.Pointer[Secret]
 	// suspectCount is the number of entries with a round above zero. It is atomic so that
-	// Any needs no lock.
+	// HasSuspects needs no lock.
 	suspectCount atomic.Int64
 
 	// mu guards the fields below.
--- a/suspect/verdict.go
+++ b/suspect/verdict.go
@@ -21,7 +21,7 @@
 	// Hold is the time for which the request must not be sent, so that crashes with a common
 	// cause settle into one round.
 	Hold time.Duration
-	// Refused says that the request must not be sent until Left has passed.
+	// Refused says that the request must not be sent until BlockRemaining has passed.
 	Refused        bool
 	BlockRemaining time.Duration
 }
--- a/throttle/issuer.go
+++ b/throttle/issuer.go
@@ -57,7 +57,7 @@
 }
 
 // Incarnation identifies one incarnation of an upstream. An upstream that restarts under the same
-// ID has a different Born, its start time in milliseconds since the Unix epoch.
+// ID has a different StartedAtMS, its start time in milliseconds since the Unix epoch.
 type Incarnation struct {
 	Upstream    granitehoist.Upstream
 	StartedAtMS int64
@@ -78,7 +78,7 @@
 	Fallback bool
 }
 
-// Grant is the response to a Request. Either Count or Retry is positive.
+// Grant is the response to a Request. Either Count or RetryAfter is positive.
 type Grant struct {
 	// Count is the number of permits. They are valid from Due, relative to the request,
 	// until Validity after that.
--- a/trial/call.go
+++ b/trial/call.go
@@ -55,7 +55,7 @@
 }
 
 // newCall returns the i-th request of the load. Its prompt or body begins with its ID, by
-// which Site.executions finds it.
+// which Fleet.executions finds it.
 func newCall(i int, k requestKind) *call {
 	id := fmt.Sprintf("trial-%06d", i)
 	budget := granitehoist.NewBudgetID(k.partner, k.workspace, budgetName)
--- a/trial/doc.go
+++ b/trial/doc.go
@@ -6,11 +6,11 @@
 // mixed load. It verifies the guarantees of the routers against the executions recorded
 // by the stand-ins and the responses that callers got, not the routers' own counters.
 //
-// A Site owns the stand-ins and the routers. Only Site.load changes the list of routers,
-// under Site.mu, since concurrent requests read it. Each call of the load has its own
+// A Fleet owns the stand-ins and the routers. Only Fleet.load changes the list of routers,
+// under Fleet.mu, since concurrent requests read it. Each call of the load has its own
 // Outcome, which is read after all calls have ended. The routers are those of package
 // partner/router, the stand-ins those of package standin.
 //
-// 'granitehoist try' runs it, and the benchmark of partner/router uses a Site. Begin
-// reading at Run, then at Judge, which checks the guarantees.
+// 'granitehoist try' runs it, and the benchmark of partner/router uses a Fleet. Begin
+// reading at Run, then at Verify, which checks the guarantees.
 package trial
--- a/trial/judge.go
+++ b/trial/judge.go
@@ -59,7 +59,7 @@
 	Tokens granitehoist.Tokens
 }
 
-// Observations is the input of Judge.
+// Observations is the input of Verify.
 type Observations struct {
 	// Outcomes are in the order in which the requests were sent.
 	Outcomes []*Outcome
--- a/trial/run.go
+++ b/trial/run.go
@@ -60,7 +60,7 @@
 )
 
 // Run starts a site, sends the load, stops the routers and verifies the results. It
-// returns an error if the run itself failed; violated guarantees are in the Verdict.
+// returns an error if the run itself failed; violated guarantees are in the Result.
 func Run(ctx context.Context, s Settings) (Result, error) {
 	defaults.Set(&s.Requests, DefaultRequests)
 	defaults.Set(&s.Interval, defaultInterval)
--- a/trial/site.go
+++ b/trial/site.go
@@ -49,7 +49,7 @@
 )
 
 // Fleet is the whole system in one process: the stand-ins, and the routers of both partners
-// with their documents. It is created by NewSite.
+// with their documents. It is created by NewFleet.
 type Fleet struct {
 	Store *standin.Store
 	// Routers are the ready routers. Only load changes them, under mu.
@@ -61,7 +61,7 @@
 	killed []*router.Router
 	stops  stops
 
-	// The fields below do not change after NewSite. servers are those of the stand-ins.
+	// The fields below do not change after NewFleet. servers are those of the stand-ins.
 	engines   []*standin.Engine
 	plain     []*standin.Plain
 	servers   []*httpserver.Server
@@ -72,7 +72,7 @@
 	log       *zap.Logger
 }
 
-// FleetSettings configure a Site. The zero value selects engines without delay and no log.
+// FleetSettings configure a Fleet. The zero value selects engines without delay and no log.
 type FleetSettings struct {
 	// Listen is the callers' address of the first router; empty selects a free port.
 	Listen string
@@ -129,7 +129,7 @@
 	}, listener)
 	s.servers = append(s.servers, server)
 	// Serve returns after Close. If it fails earlier, the routers see a stand-in that
-	// refuses connections, and Judge counts the effects.
+	// refuses connections, and Verify counts the effects.
 	go func() { _ = server.Serve() }()
 	return "http://" + listener.Addr().String(), nil
 }
--- a/trial/upstreams.go
+++ b/trial/upstreams.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// newUpstream returns a stand-in for a service and registers it for Site.executions.
+// newUpstream returns a stand-in for a service and registers it for Fleet.executions.
 func (s *Fleet) newUpstream(service config.Service, engines standin.EngineSettings) http.Handler {
 	if service.Kind == config.KindEngine {
 		engine := standin.NewEngine(engines)
