--- a/balance/homes.go
+++ b/balance/allowedregions.go
@@ -9,8 +9,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// AllowedRegions are the regions to which a rule of the operators confines a request. An empty
-// value allows all regions.
+// AllowedRegions are the regions to which a rule of the operators confines a request. An
+// empty value allows all regions.
 type AllowedRegions []granitehoist.Region
 
 // allows reports whether the rule allows a region. The empty region of an unknown zone is
@@ -20,8 +20,8 @@
 }
 
 // allowedByAll reports whether all of the rules allow a region.
-func allowedByAll(homes []AllowedRegions, region granitehoist.Region) bool {
-	for _, h := range homes {
+func allowedByAll(constraints []AllowedRegions, region granitehoist.Region) bool {
+	for _, h := range constraints {
 		if !h.allows(region) {
 			return false
 		}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -28,9 +28,9 @@
 	// ColdFor is how much longer the instance is cold after its announcement. A cold
 	// instance handles a limited request rate (Query.ColdRequestRate). Zero means warm.
 	ColdFor time.Duration
-	// StartedAtMS is the start time of this incarnation in milliseconds since the Unix epoch;
-	// zero if unknown. An instance may restart under the same ID: the announcement with
-	// the later StartedAtMS belongs to the newer incarnation.
+	// StartedAtMS is the start time of this incarnation in milliseconds since the Unix
+	// epoch; zero if unknown. An instance may restart under the same ID: the announcement
+	// with the later StartedAtMS belongs to the newer incarnation.
 	StartedAtMS int64
 	// Version is the store's version of the announcement.
 	Version granitehoist.Version
@@ -39,12 +39,14 @@
 // Incarnation identifies one incarnation of an instance. An instance that restarts under the
 // same ID has a different StartedAtMS.
 type Incarnation struct {
-	ID   granitehoist.Upstream
-	Born int64
+	ID          granitehoist.Upstream
+	StartedAtMS int64
 }
 
 // incarnation identifies the current incarnation of the instance.
-func (i *Instance) incarnation() Incarnation { return Incarnation{ID: i.ID, Born: i.StartedAtMS} }
+func (i *Instance) incarnation() Incarnation {
+	return Incarnation{ID: i.ID, StartedAtMS: i.StartedAtMS}
+}
 
 // Settings configure a Table. The zero value works.
 type Settings struct {
--- a/balance/candidates.go
+++ b/balance/candidates.go
@@ -37,10 +37,10 @@
 	tried map[granitehoist.Upstream]bool
 	// evacuated holds the evacuated zones according to this router's copy of the
 	// operators' settings.
-	evacuated map[granitehoist.AvailabilityZone]bool
-	homes     []AllowedRegions
-	regions   map[granitehoist.AvailabilityZone]granitehoist.Region
-	cold      coldShare
+	evacuated      map[granitehoist.AvailabilityZone]bool
+	allowedRegions []AllowedRegions
+	regions        map[granitehoist.AvailabilityZone]granitehoist.Region
+	cold           coldShare
 	// firstInQueue reports that the request may use deferred instances ahead of all
 	// waiting requests.
 	firstInQueue bool
@@ -54,8 +54,8 @@
 // holds mu.
 func (t *Table) constraints(service *serviceState, q *Query, now time.Time) constraints {
 	return constraints{
-		now: now, tried: q.Tried, evacuated: t.evacuated, homes: q.AllowedRegions, regions: t.settings.Regions,
-		cold:         coldShare{perSecond: coldRateShare(q.ColdPerSecond, q.Routers), random: t.random},
+		now: now, tried: q.Tried, evacuated: t.evacuated, allowedRegions: q.AllowedRegions, regions: t.settings.Regions,
+		cold:         coldShare{perSecond: coldRateShare(q.ColdRequestRate, q.Routers), random: t.random},
 		firstInQueue: service.isFirstInQueue(q),
 		hasLimited:   service.hasLimited(),
 		routers:      max(1, q.Routers),
@@ -69,7 +69,7 @@
 	switch {
 	case c.tried[s.ID] || s.isLeaving() || c.evacuated[s.Zone]:
 		return excluded
-	case len(c.homes) > 0 && !allowedByAll(c.homes, c.regions[s.Zone]):
+	case len(c.allowedRegions) > 0 && !allowedByAll(c.allowedRegions, c.regions[s.Zone]):
 		return excluded
 	case s.isCold(now) && !s.admitsWhileCold(c.cold, now):
 		return excluded
--- a/balance/choice.go
+++ b/balance/choice.go
@@ -24,11 +24,11 @@
 	MaxEventGap time.Duration
 	// ColdRequestRate is the rate limit of a cold instance of the service, in requests a
 	// second from all routers together; zero means no limit.
-	ColdPerSecond float64
+	ColdRequestRate float64
 	// Routers is the number of routers that share ColdRequestRate; zero counts as one.
 	Routers int
-	// AllowedRegions holds the allowed regions of each rule that names some. A region must be
-	// allowed by all of them.
+	// AllowedRegions holds the allowed regions of each rule that names some. A region
+	// must be allowed by all of them.
 	AllowedRegions []AllowedRegions
 	// Pin, unless zero, selects the instance by rendezvous hashing instead of by cost:
 	// all routers with the same instances select the same one for the same number.
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -34,8 +34,8 @@
 	// picked is when the instance was chosen, lastEvent when the newest event of the
 	// stream arrived; zero before the first.
 	picked, lastEvent time.Time
-	// longestPause is the longest time between two events.
-	longestPause time.Duration
+	// longestEventGap is the longest time between two events.
+	longestEventGap time.Duration
 }
 
 // Events records that count events of the stream, at least one, have arrived together.
@@ -48,7 +48,7 @@
 		l.observePrefill(now)
 		l.finishPrefill()
 	} else {
-		l.observePause(count, now)
+		l.observeEventGap(count, now)
 	}
 	l.lastEvent = now
 }
@@ -66,13 +66,13 @@
 	}
 }
 
-// observePause records the pause before events that arrived together at now. The caller
+// observeEventGap records the pause before events that arrived together at now. The caller
 // holds the table's lock.
-func (l *Lease) observePause(events int, now time.Time) {
-	pause := now.Sub(l.lastEvent)
-	l.longestPause = max(l.longestPause, pause)
+func (l *Lease) observeEventGap(events int, now time.Time) {
+	gap := now.Sub(l.lastEvent)
+	l.longestEventGap = max(l.longestEventGap, gap)
 	if !l.state.isCold(now) {
-		l.state.eventGap.observe(inMilliseconds(pause)/float64(events), eventGapQuantile)
+		l.state.eventGap.observe(inMilliseconds(gap)/float64(events), eventGapQuantile)
 	}
 }
 
@@ -92,9 +92,9 @@
 // goroutine that calls Events.
 func (l *Lease) HasEvents() bool { return !l.lastEvent.IsZero() }
 
-// LongestPause returns the longest time between two events so far. It must be called by
+// LongestEventGap returns the longest time between two events so far. It must be called by
 // the goroutine that calls Events.
-func (l *Lease) LongestPause() time.Duration { return l.longestPause }
+func (l *Lease) LongestEventGap() time.Duration { return l.longestEventGap }
 
 // Done ends the attempt and records its result for later choices.
 func (l *Lease) Done(r Result, now time.Time) {
--- a/balance/limitrecord.go
+++ b/balance/limitrecord.go
@@ -24,7 +24,7 @@
 
 // Incarnation returns the incarnation that the record describes.
 func (r LimitRecord) Incarnation() Incarnation {
-	return Incarnation{ID: r.Upstream, Born: r.StartedAtMS}
+	return Incarnation{ID: r.Upstream, StartedAtMS: r.StartedAtMS}
 }
 
 // maxLimitAgeMS is one day, to which the age of a record is clamped.
@@ -70,7 +70,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, found := t.instances[incarnation.ID]
-	if !found || s.StartedAtMS != incarnation.Born || s.limit == nil {
+	if !found || s.StartedAtMS != incarnation.StartedAtMS || s.limit == nil {
 		return LimitRecord{}, false
 	}
 	return s.limitRecord(now), true
@@ -117,7 +117,7 @@
 	if len(t.pendingLimits) == 0 {
 		return
 	}
-	if known, found := t.pendingLimits[Incarnation{ID: s.ID, Born: s.StartedAtMS}]; found {
+	if known, found := t.pendingLimits[Incarnation{ID: s.ID, StartedAtMS: s.StartedAtMS}]; found {
 		s.limit = &limitState{known: known}
 	}
 	for incarnation := range t.pendingLimits {
@@ -163,14 +163,14 @@
 // mayChangeLimit reports whether a response can change the known limit. A response
 // without a rate cannot if no limit was known when the instance was chosen: any limit
 // learned since then is newer than the request.
-func (l *Lease) mayChangeLimit(statement RateFeedback) bool { return statement.HasRate || l.limited }
+func (l *Lease) mayChangeLimit(feedback RateFeedback) bool { return feedback.HasRate || l.limited }
 
 // recordRate applies the rate information in a response of the instance.
-func (l *Lease) recordRate(statement RateFeedback, now time.Time) {
+func (l *Lease) recordRate(feedback RateFeedback, now time.Time) {
 	t := l.table
 	t.mu.Lock()
 	before := l.state.knownLimit()
-	changes := t.setLimit(l.state, before, before.withResponse(statement, l.picked, now), true)
+	changes := t.setLimit(l.state, before, before.withResponse(feedback, l.picked, now), true)
 	t.mu.Unlock()
 	t.notifyLimitChanges(changes)
 }
--- a/balance/permit.go
+++ b/balance/permit.go
@@ -174,7 +174,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s, found := t.instances[a.Incarnation.ID]
-	if !found || s.StartedAtMS != a.Incarnation.Born || s.limit == nil {
+	if !found || s.StartedAtMS != a.Incarnation.StartedAtMS || s.limit == nil {
 		return
 	}
 	demand := &s.limit.demand
--- a/balance/updates.go
+++ b/balance/updates.go
@@ -29,7 +29,7 @@
 
 // incarnation returns the incarnation that the record describes.
 func (r LeavingRecord) incarnation() Incarnation {
-	return Incarnation{ID: r.Upstream, Born: r.StartedAtMS}
+	return Incarnation{ID: r.Upstream, StartedAtMS: r.StartedAtMS}
 }
 
 // UpdatesSince returns the information from responses to this router since a version of the
--- a/catalog/document.go
+++ b/catalog/document.go
@@ -52,8 +52,8 @@
 	Timeout time.Duration
 	// TargetLatency is the target latency of a response; zero means none.
 	TargetLatency time.Duration
-	// MaxEventGap is the target for the longest gap between two events of a stream; zero means
-	// none.
+	// MaxEventGap is the target for the longest gap between two events of a stream; zero
+	// means none.
 	MaxEventGap time.Duration
 	Priority    granitehoist.Priority
 	Split       []Share
@@ -101,7 +101,8 @@
 	// Priority replaces that of the route if HasPriority is set.
 	Priority    granitehoist.Priority
 	HasPriority bool
-	// AllowedRegions restricts the regions like Route.AllowedRegions. If both are set, both apply.
+	// AllowedRegions restricts the regions like Route.AllowedRegions. If both are set,
+	// both apply.
 	AllowedRegions []granitehoist.Region
 	// Prepaid is the total budget over all time; it applies if Limited is set.
 	Prepaid granitehoist.Tokens
--- a/cmd/granitehoist/explain.go
+++ b/cmd/granitehoist/explain.go
@@ -19,11 +19,11 @@
 	clause := app.Command("explain", "Explain the outcome of one request from the routers' log lines on standard input.")
 	id := clause.Arg("request", "The request's id.").Required().String()
 	return command{clause, func(context.Context) error {
-		story, err := explain.Read(os.Stdin, granitehoist.RequestID(*id))
+		timeline, err := explain.Read(os.Stdin, granitehoist.RequestID(*id))
 		if err != nil {
 			return err
 		}
-		return story.Write(out)
+		return timeline.Write(out)
 	}}
 }
 
--- a/codes.go
+++ b/codes.go
@@ -16,8 +16,8 @@
 // documents. docs/CODES.md lists them.
 type Code int
 
-// The result codes. codeTable and docs/CODES.md have the fate, HTTP status, advice and
-// message of each.
+// The result codes. codeTable and docs/CODES.md have the execution status, HTTP status,
+// advice and message of each.
 const (
 	Served Code = 1
 
--- a/escrow/account.go
+++ b/escrow/account.go
@@ -26,9 +26,9 @@
 	waiters []*waiter
 	// limitChanged is set if the limit has changed since the last sync.
 	limitChanged bool
-	// standsInUntil is until when this router acts as a stand-in holder; zero if it was
+	// standInUntil is until when this router acts as a stand-in holder; zero if it was
 	// never asked to.
-	standsInUntil time.Time
+	standInUntil time.Time
 	// refilling is set while the next batch is being borrowed.
 	refilling bool
 	// lendersFailed is set if requests wait and no lender responded. This router then
--- a/escrow/borrow.go
+++ b/escrow/borrow.go
@@ -52,7 +52,7 @@
 	defer cancel()
 	params := LendParams{
 		Borrower: s.settings.Ledger.settings.Incarnation, Workspace: request.workspace,
-		Need: request.need, Want: request.want, StandIn: lender.StandsIn,
+		Need: request.need, Want: request.want, StandIn: lender.IsStandIn,
 	}
 	var result LendResult
 	if err := s.settings.Caller.Call(ctx, lender.Peer, MethodLend, params, &result); err != nil {
--- a/escrow/fleetview.go
+++ b/escrow/fleetview.go
@@ -20,8 +20,8 @@
 type recordView struct {
 	// remaining is what the store had left after this router's last write.
 	remaining granitehoist.Tokens
-	// idleElsewhere is the sum of the idle tokens in the rows of other incarnations.
-	idleElsewhere granitehoist.Tokens
+	// idleOfOthers is the sum of the idle tokens in the rows of other incarnations.
+	idleOfOthers granitehoist.Tokens
 	// readAt is when the record was last read, zero if never.
 	readAt time.Time
 	// valid is false until the record has been read under the present limit.
@@ -95,7 +95,7 @@
 	case v.lenderIsNewer():
 		return remainingBudget{tokens: v.lender.totalRemaining + here, known: true}
 	case v.record.valid:
-		total := max(0, v.record.remaining) + here + v.record.idleElsewhere
+		total := max(0, v.record.remaining) + here + v.record.idleOfOthers
 		return remainingBudget{tokens: total, known: true}
 	}
 	return remainingBudget{}
--- a/escrow/ledger.go
+++ b/escrow/ledger.go
@@ -179,12 +179,12 @@
 
 // noteHolderStatus records whether a holder that this borrower called is connected to
 // the store. Other roles call the store themselves and ignore it.
-func (l *Ledger) noteHolderStatus(w granitehoist.Workspace, inTouch bool, now time.Time) {
+func (l *Ledger) noteHolderStatus(w granitehoist.Workspace, storeConnected bool, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case l.role(w, l.account(w), now) != RoleBorrower:
-	case inTouch:
+	case storeConnected:
 		l.health.noteHolderResponse(now)
 	default:
 		l.health.noteFailure(now)
@@ -198,20 +198,20 @@
 	l.health.noteFailure(now)
 }
 
-// StoreUnreachableFor returns for how long the store has responded neither to this router itself
-// nor to a holder that it borrows from; zero if it responds. Answer.StoreUnresponsiveFor differs: a
-// response to any lender resets it.
+// StoreUnreachableFor returns for how long the store has responded neither to this router
+// itself nor to a holder that it borrows from; zero if it responds.
+// Answer.StoreUnresponsiveFor differs: a response to any lender resets it.
 func (l *Ledger) StoreUnreachableFor(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.health.cutOffTime(now)
+	return l.health.unreachableFor(now)
 }
 
 // NoteNeighbourUnreachableFor records the StoreUnreachableFor that a neighbour reports.
-func (l *Ledger) NoteNeighbourUnreachableFor(cutOff time.Duration, now time.Time) {
+func (l *Ledger) NoteNeighbourUnreachableFor(d time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.health.noteNeighbourCutOff(cutOff, now)
+	l.health.noteNeighbourUnreachableFor(d, now)
 }
 
 // requireNonNegative panics if an amount is negative, which is a bug of the caller and
--- a/escrow/loan.go
+++ b/escrow/loan.go
@@ -38,7 +38,7 @@
 	}
 	result.StoreConnected = true
 	result.StoreRemaining = max(0, a.fleet.record.remaining)
-	result.TotalRemaining = result.StoreRemaining + max(0, a.owned.unreserved()) + a.fleet.record.idleElsewhere
+	result.TotalRemaining = result.StoreRemaining + max(0, a.owned.unreserved()) + a.fleet.record.idleOfOthers
 	return result
 }
 
--- a/escrow/outcome.go
+++ b/escrow/outcome.go
@@ -45,8 +45,8 @@
 	// of a lender, and Age the age of that report; both are zero if there was none.
 	StoreRemaining granitehoist.Tokens
 	Age            time.Duration
-	// StoreUnresponsiveFor is for how long the store has responded neither to this router nor to a
-	// lender that reported to it; zero if it responds.
+	// StoreUnresponsiveFor is for how long the store has responded neither to this router
+	// nor to a lender that reported to it; zero if it responds.
 	StoreUnresponsiveFor time.Duration
 }
 
--- a/escrow/plan.go
+++ b/escrow/plan.go
@@ -53,7 +53,7 @@
 		stored := r.account(w)
 		row := stored.Rows[self]
 		a.owned.confirmGranted(row.Granted)
-		a.demand.othersRate = float64(stored.rateElsewhere(self))
+		a.demand.othersRate = float64(stored.rateOfOthers(self))
 		remaining := a.owned.limit - stored.Outstanding()
 		next := a.nextRow(row, remaining, c, threshold)
 		after := remaining - (next.Granted - row.Granted) + (next.Returned - row.Returned)
@@ -64,7 +64,7 @@
 		a.lastTarget = a.target(remaining, c)
 		a.routers = routers
 		a.fleet.record = recordView{
-			remaining: after, idleElsewhere: stored.IdleOfOthers(self), readAt: now, valid: true,
+			remaining: after, idleOfOthers: stored.IdleOfOthers(self), readAt: now, valid: true,
 		}
 	}
 	return p
--- a/escrow/record.go
+++ b/escrow/record.go
@@ -51,11 +51,11 @@
 
 // Outstanding returns the tokens that were granted and not returned.
 func (a *StoredAccount) Outstanding() granitehoist.Tokens {
-	taken := a.EndedNet
+	outstanding := a.EndedNet
 	for _, row := range a.Rows {
-		taken += row.Net()
+		outstanding += row.Net()
 	}
-	return taken
+	return outstanding
 }
 
 // IdleOfOthers returns the sum of the idle tokens that other incarnations last
@@ -70,9 +70,9 @@
 	return idle
 }
 
-// rateElsewhere returns the sum of the rates that other incarnations last reported, in
+// rateOfOthers returns the sum of the rates that other incarnations last reported, in
 // tokens a second.
-func (a *StoredAccount) rateElsewhere(self granitehoist.Incarnation) granitehoist.Tokens {
+func (a *StoredAccount) rateOfOthers(self granitehoist.Incarnation) granitehoist.Tokens {
 	var sum granitehoist.Tokens
 	for incarnation, row := range a.Rows {
 		if incarnation != self {
@@ -163,9 +163,9 @@
 	return raw, nil
 }
 
-// RegisterIncarnation registers an incarnation as the current one of its box. The rows of the previous
-// incarnation are added to EndedNet and deleted: a box runs one router at a time, so that
-// one has ended.
+// RegisterIncarnation registers an incarnation as the current one of its box. The rows of
+// the previous incarnation are added to EndedNet and deleted: a box runs one router at a
+// time, so that one has ended.
 func (r *Record) RegisterIncarnation(box granitehoist.Box, incarnation granitehoist.Incarnation) {
 	previous, found := r.Boxes[box]
 	if found && previous == incarnation {
--- a/escrow/role.go
+++ b/escrow/role.go
@@ -27,8 +27,8 @@
 	// RoleStandIn is the role of a stand-in holder, a router that was asked in place of the
 	// holder: it does the same for a while, with smaller holdings.
 	RoleStandIn
-	// RoleBorrower is the role of borrowers, all other routers of a large fleet: they own few or
-	// no tokens ahead of requests, and pay for requests with loans of a holder.
+	// RoleBorrower is the role of borrowers, all other routers of a large fleet: they own
+	// few or no tokens ahead of requests, and pay for requests with loans of a holder.
 	RoleBorrower
 )
 
@@ -39,8 +39,8 @@
 // Lender is a neighbour that may lend a workspace's tokens.
 type Lender struct {
 	granitehoist.Peer
-	// Fallback is set if it is not the holder and is asked in its place.
-	StandsIn bool
+	// IsStandIn is set if it is not the holder and is asked in its place.
+	IsStandIn bool
 }
 
 // isHolder reports whether a router with the role lends to a whole fleet.
@@ -52,7 +52,7 @@
 		return RoleDirect
 	}
 	role := l.settings.Role(ShardOf(w))
-	if role == RoleBorrower && now.Before(a.standsInUntil) {
+	if role == RoleBorrower && now.Before(a.standInUntil) {
 		return RoleStandIn
 	}
 	return role
@@ -69,5 +69,5 @@
 func (l *Ledger) standIn(w granitehoist.Workspace, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.account(w).standsInUntil = now.Add(standInTime)
+	l.account(w).standInUntil = now.Add(standInTime)
 }
--- a/escrow/storehealth.go
+++ b/escrow/storehealth.go
@@ -25,9 +25,9 @@
 	unresponsiveSince time.Time
 	// lastDirectResponse is when the store last responded to this router itself.
 	lastDirectResponse time.Time
-	// cutOffSince is when a call first failed since the store last responded to this
+	// unreachableSince is when a call first failed since the store last responded to this
 	// router itself or to a holder that it borrows from.
-	cutOffSince time.Time
+	unreachableSince time.Time
 	// outageEnded is when the last outage ended, here or at a neighbour.
 	outageEnded time.Time
 }
@@ -41,10 +41,10 @@
 // noteHolderResponse records that the store responded to this router or to a holder that
 // it borrows from.
 func (h *storeHealth) noteHolderResponse(now time.Time) {
-	if h.cutOffTime(now) >= minOutage {
+	if h.unreachableFor(now) >= minOutage {
 		h.outageEnded = now
 	}
-	h.cutOffSince = time.Time{}
+	h.unreachableSince = time.Time{}
 	h.noteResponse(now)
 }
 
@@ -59,15 +59,15 @@
 	if h.unresponsiveSince.IsZero() {
 		h.unresponsiveSince = now
 	}
-	if h.cutOffSince.IsZero() {
-		h.cutOffSince = now
+	if h.unreachableSince.IsZero() {
+		h.unreachableSince = now
 	}
 }
 
-// noteNeighbourCutOff records for how long the store has not responded to a neighbour.
-// If the store responds to this router, an outage there counts as one here.
-func (h *storeHealth) noteNeighbourCutOff(cutOff time.Duration, now time.Time) {
-	if h.cutOffSince.IsZero() && cutOff >= minOutage {
+// noteNeighbourUnreachableFor records for how long the store has not responded to a
+// neighbour. If the store responds to this router, an outage there counts as one here.
+func (h *storeHealth) noteNeighbourUnreachableFor(d time.Duration, now time.Time) {
+	if h.unreachableSince.IsZero() && d >= minOutage {
 		h.outageEnded = now
 	}
 }
@@ -84,13 +84,13 @@
 	return now.Sub(h.unresponsiveSince)
 }
 
-// cutOffTime returns for how long the store has responded neither to this router itself
+// unreachableFor returns for how long the store has responded neither to this router itself
 // nor to a holder that it borrows from; zero if it does.
-func (h storeHealth) cutOffTime(now time.Time) time.Duration {
-	if h.cutOffSince.IsZero() {
+func (h storeHealth) unreachableFor(now time.Time) time.Duration {
+	if h.unreachableSince.IsZero() {
 		return 0
 	}
-	return now.Sub(h.cutOffSince)
+	return now.Sub(h.unreachableSince)
 }
 
 // isConnected reports whether this router's view of the record is recent enough to be
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -11,8 +11,8 @@
 // connection whose state is unknown.
 //
 // In the edge router, package node creates one Pool and package forward sends each attempt
-// through Pool.Do. EndToEndHeader, which removes hop-by-hop fields, is also used by the partner
-// router and by package platform.
+// through Pool.Do. EndToEndHeader, which removes hop-by-hop fields, is also used by the
+// partner router and by package platform.
 //
 // A Pool guards its idle connections with a mutex. A connection in use belongs to one
 // exchange: a goroutine writes the request while the caller reads the response. TCP
--- a/explain/budget.go
+++ b/explain/budget.go
@@ -39,7 +39,7 @@
 	// repaid the total paid back.
 	borrowed, repaid map[transfer]granitehoist.Tokens
 	rows             map[time.Duration]*budgetRow
-	restAt           time.Duration
+	remainingAt      time.Duration
 }
 
 // holder is a router process to which the store granted tokens.
@@ -128,8 +128,8 @@
 		b.holders[process] = t
 	}
 	t.granted, t.returned = tokens(l, "granted"), tokens(l, "returned")
-	if l.At >= b.restAt {
-		b.restAt, b.Remaining, b.Prepaid = l.At, tokens(l, "rest"), tokens(l, "prepaid")
+	if l.At >= b.remainingAt {
+		b.remainingAt, b.Remaining, b.Prepaid = l.At, tokens(l, "rest"), tokens(l, "prepaid")
 	}
 }
 
--- a/explain/doc.go
+++ b/explain/doc.go
@@ -5,8 +5,8 @@
 // the log lines of routers: the state on which the router decided, the attempts, the
 // result that the caller got, and the failed dependencies that caused it.
 //
-// Read returns the Timeline of a request and ReadBudget the BudgetReport of a workspace; both
-// are safe for use by one goroutine at a time. 'granitehoist explain' and
+// Read returns the Timeline of a request and ReadBudget the BudgetReport of a workspace;
+// both are safe for use by one goroutine at a time. 'granitehoist explain' and
 // 'granitehoist explain-budget' run them on the log of granitehoist-edge. The package
 // depends on the event names of internal/event, on the keys that package forward and
 // others log, on the result codes of the root package and on the outcomes of package
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -39,7 +39,7 @@
 // event. It returns ErrNoRequest if no line has the request, and an error if log can't
 // be read or has a line longer than maxLineBytes.
 func Read(log io.Reader, request granitehoist.RequestID) (*Timeline, error) {
-	story := &Timeline{Request: request}
+	timeline := &Timeline{Request: request}
 	boxes := map[string]*boxState{}
 	scanner := bufio.NewScanner(log)
 	scanner.Buffer(nil, maxLineBytes)
@@ -54,19 +54,19 @@
 			boxes[line.Box] = box
 		}
 		box.update(&line)
-		story.addLateFailure(&line, box)
+		timeline.addLateFailure(&line, box)
 		if line.Get("request") == string(request) {
-			story.addLine(&line, box)
+			timeline.addLine(&line, box)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return nil, eris.Wrap(err, "explain: log")
 	}
-	if len(story.facts) == 0 {
+	if len(timeline.facts) == 0 {
 		return nil, ErrNoRequest
 	}
-	sort.SliceStable(story.facts, func(i, j int) bool { return story.facts[i].at < story.facts[j].at })
-	return story, nil
+	sort.SliceStable(timeline.facts, func(i, j int) bool { return timeline.facts[i].at < timeline.facts[j].at })
+	return timeline, nil
 }
 
 // Write prints one line for each fact, with the time in seconds since the first fact
--- a/explain/facts.go
+++ b/explain/facts.go
@@ -83,7 +83,7 @@
 	if waited := l.Number("permit_wait"); waited > 0 {
 		s.add(l, "  every eligible upstream was in back-off or has a request rate limit shared by all routers; it waited %s for a permit or for the end of a back-off", seconds(waited))
 	}
-	s.add(l, "it ended with %s after %s; %s attempts, %s events; reported to the caller with %s", codeText(l.Get("code")), seconds(l.Number("took")), l.Get("attempts"), l.Get("events"), fateText(l.Get("fate")))
+	s.add(l, "it ended with %s after %s; %s attempts, %s events; reported to the caller with %s", codeText(l.Get("code")), seconds(l.Number("took")), l.Get("attempts"), l.Get("events"), executionText(l.Get("fate")))
 	if detail := l.Get("detail"); detail != "" {
 		s.add(l, "  in detail: %s", detail)
 	}
@@ -145,11 +145,11 @@
 	return "code " + number
 }
 
-func fateText(fate string) string {
-	if fate == "" {
+func executionText(execution string) string {
+	if execution == "" {
 		return "an unknown fate"
 	}
-	return "the fate \"" + fate + "\""
+	return "the fate \"" + execution + "\""
 }
 
 func secondsBetween(before, after *Line) string { return seconds((after.At - before.At).Seconds()) }
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -31,9 +31,9 @@
 // # State
 //
 // Registry holds the router's own entry, its lease and the last view. In the store only this
-// router writes its two entries, except that DeregisterServing may delete those of another. Client
-// and Server hold their connections. All three are safe for concurrent use. A View is
-// immutable.
+// router writes its two entries, except that DeregisterServing may delete those of
+// another. Client and Server hold their connections. All three are safe for concurrent
+// use. A View is immutable.
 //
 // The package uses granitehoist.Store and package store. It has no timers: the caller calls
 // Refresh every Interval, and the store expires leases.
--- a/fleet/serving.go
+++ b/fleet/serving.go
@@ -13,10 +13,11 @@
 	"granitehoist.example/granitehoist/store"
 )
 
-// RegisterServing adds the router to those that may serve. It must succeed before the router reads
-// its configuration and before its first request. The entry has no lease, since a router
-// without a connection to the store continues to serve. The error is that of the store; the
-// entry may have been written nevertheless, and RegisterServing can be called again.
+// RegisterServing adds the router to those that may serve. It must succeed before the
+// router reads its configuration and before its first request. The entry has no lease,
+// since a router without a connection to the store continues to serve. The error is that
+// of the store; the entry may have been written nevertheless, and RegisterServing can be
+// called again.
 func (r *Registry) RegisterServing(ctx context.Context) error {
 	raw, err := json.Marshal(r.settings.Self)
 	if err != nil {
@@ -31,14 +32,14 @@
 	return err
 }
 
-// ListServing returns the routers that may serve, whether live or not. It returns an error if
-// any entry cannot be decoded.
+// ListServing returns the routers that may serve, whether live or not. It returns an
+// error if any entry cannot be decoded.
 func ListServing(ctx context.Context, s granitehoist.Store) ([]Member, error) {
 	return readMembers(ctx, s, ServingPrefix)
 }
 
-// DeregisterServing removes a router from those that may serve. The router itself calls it after it
-// has stopped, or another one if the platform or an operator reports its end.
+// DeregisterServing removes a router from those that may serve. The router itself calls
+// it after it has stopped, or another one if the platform or an operator reports its end.
 func DeregisterServing(ctx context.Context, s granitehoist.Store, m Member) error {
 	return deleteKey(ctx, s, ServingPrefix+memberKey(m))
 }
--- a/follow/doc.go
+++ b/follow/doc.go
@@ -13,9 +13,9 @@
 // The copy is changed only by the goroutine of Run and may be read by any goroutine. The
 // selection of relays and the count of store failures belong to Run alone.
 //
-// The package uses granitehoist.Store, and Settings.FetchUpdates to call relays and neighbours,
-// which package node implements over package fleet. granitehoist-edge follows the
-// configuration and the upstreams in package node. 'granitehoist router' follows the
+// The package uses granitehoist.Store, and Settings.FetchUpdates to call relays and
+// neighbours, which package node implements over package fleet. granitehoist-edge follows
+// the configuration and the upstreams in package node. 'granitehoist router' follows the
 // partners' documents in package partner/config, without relays or neighbours.
 //
 // Begin reading at Follower.Run. versions.go compares the versions of copies, relays.go
--- a/follow/prober.go
+++ b/follow/prober.go
@@ -13,9 +13,9 @@
 // the delay of changes if the store fails for the relays only.
 const probeInterval = 2500 * time.Millisecond
 
-// StoreProber limits the rate at which a router behind relays probes a store that does not respond
-// to the relays. The followers of a router share one, so that a result counts for all of
-// them. The zero value is ready to use. It is safe for concurrent use.
+// StoreProber limits the rate at which a router behind relays probes a store that does
+// not respond to the relays. The followers of a router share one, so that a result counts
+// for all of them. The zero value is ready to use. It is safe for concurrent use.
 type StoreProber struct {
 	mu sync.Mutex
 	// lastProbeAt is when the last probe began; zero if there was none. storeResponds says
--- a/follow/settings.go
+++ b/follow/settings.go
@@ -23,8 +23,8 @@
 	// Neighbours returns routers that may have a newer copy while the store is
 	// unavailable; nil means none.
 	Neighbours func() []granitehoist.Peer
-	// FetchUpdates fetches the changes after a version from another router, which may hold the
-	// call for up to wait until there is a change. It is required with Relays or
+	// FetchUpdates fetches the changes after a version from another router, which may
+	// hold the call for up to wait until there is a change. It is required with Relays or
 	// Neighbours.
 	FetchUpdates func(ctx context.Context, to granitehoist.Peer, prefix string, after granitehoist.Version, wait time.Duration) (Update, error)
 	// Prober is shared by the followers of one router; nil means a separate one.
@@ -39,15 +39,17 @@
 	// MinWatchInterval is the least time between the starts of two watches of the store, so
 	// that one call returns all changes of that time; zero means no limit.
 	MinWatchInterval time.Duration
-	// PeersKnown reports whether the relays are known. Until then the store is listed once but
-	// not watched; nil means always.
+	// PeersKnown reports whether the relays are known. Until then the store is listed
+	// once but not watched; nil means always.
 	PeersKnown func() bool
 	// OnError is called with the error of each failed step; nil ignores them. It runs on the
 	// goroutine of Run.
 	OnError func(error)
-	// RetryDelay is the delay before the first retry after a failure; zero means DefaultRetryDelay.
+	// RetryDelay is the delay before the first retry after a failure; zero means
+	// DefaultRetryDelay.
 	RetryDelay time.Duration
-	// MaxRetryDelay bounds the delay, which doubles with each failure; zero means twice RetryDelay.
+	// MaxRetryDelay bounds the delay, which doubles with each failure; zero means twice
+	// RetryDelay.
 	MaxRetryDelay time.Duration
 	// Clock returns the current time; nil means time.Now.
 	Clock granitehoist.Clock
@@ -58,7 +60,7 @@
 // setDefaults replaces zero values by defaults, so that no function is nil afterwards.
 func (s *Settings) setDefaults() {
 	defaults.Set(&s.RetryDelay, DefaultRetryDelay)
-	defaults.Set(&s.MaxRetryDelay, defaultMaxPauseFactor*s.RetryDelay)
+	defaults.Set(&s.MaxRetryDelay, defaultMaxRetryDelayFactor*s.RetryDelay)
 	if s.Prober == nil {
 		s.Prober = &StoreProber{}
 	}
--- a/follow/storefailures.go
+++ b/follow/storefailures.go
@@ -6,12 +6,12 @@
 import "time"
 
 const (
-	// DefaultRetryDelay is the default of Settings.RetryDelay. It limits a router to a few calls a
-	// second while the store fails.
+	// DefaultRetryDelay is the default of Settings.RetryDelay. It limits a router to a
+	// few calls a second while the store fails.
 	DefaultRetryDelay = 250 * time.Millisecond
-	// defaultMaxPauseFactor is the default of Settings.MaxRetryDelay as a multiple of RetryDelay. It
-	// is small, so that the recovery of the store is detected soon.
-	defaultMaxPauseFactor = 2
+	// defaultMaxRetryDelayFactor is the default of Settings.MaxRetryDelay as a multiple
+	// of RetryDelay. It is small, so that the recovery of the store is detected soon.
+	defaultMaxRetryDelayFactor = 2
 	// probeWatchTimeout bounds the watches of a store that failed, since a watch in progress
 	// during its recovery gets no response before the timeout.
 	probeWatchTimeout = 100 * time.Millisecond
--- a/forward/active.go
+++ b/forward/active.go
@@ -29,9 +29,9 @@
 type admission struct {
 	// version is the version of the configuration on which the decisions are based.
 	version granitehoist.Version
-	// keyed is set if callers are identified by keys.
-	keyed bool
-	route *catalog.Route
+	// requireKey is set if callers are identified by keys.
+	requireKey bool
+	route      *catalog.Route
 	// workspace is nil for routes that need no key.
 	workspace *catalog.Workspace
 	service   *catalog.Service
@@ -242,13 +242,13 @@
 // query returns the balancer query for the next attempt.
 func (a *activeRequest) query() balance.Query {
 	query := balance.Query{
-		Service:        a.admission.service.Name,
-		Tried:          a.progress.tried,
-		ColdPerSecond:  a.admission.service.ColdRequestRate,
-		Routers:        a.forwarder.settings.Routers(),
-		AllowedRegions: a.homes(),
-		Pin:            a.pin(),
-		Priority:       a.admission.priority,
+		Service:         a.admission.service.Name,
+		Tried:           a.progress.tried,
+		ColdRequestRate: a.admission.service.ColdRequestRate,
+		Routers:         a.forwarder.settings.Routers(),
+		AllowedRegions:  a.allowedRegions(),
+		Pin:             a.pin(),
+		Priority:        a.admission.priority,
 	}
 	if a.request.MaxCost == nil {
 		return query
@@ -262,17 +262,17 @@
 	return query
 }
 
-// homes returns the region constraints of the route and the workspace; usually there are
-// none.
-func (a *activeRequest) homes() []balance.AllowedRegions {
-	var homes []balance.AllowedRegions
+// allowedRegions returns the region constraints of the route and the workspace; usually
+// there are none.
+func (a *activeRequest) allowedRegions() []balance.AllowedRegions {
+	var regions []balance.AllowedRegions
 	if len(a.admission.route.AllowedRegions) > 0 {
-		homes = append(homes, a.admission.route.AllowedRegions)
+		regions = append(regions, a.admission.route.AllowedRegions)
 	}
 	if a.admission.workspace != nil && len(a.admission.workspace.AllowedRegions) > 0 {
-		homes = append(homes, a.admission.workspace.AllowedRegions)
+		regions = append(regions, a.admission.workspace.AllowedRegions)
 	}
-	return homes
+	return regions
 }
 
 // end logs the request and reports it to Settings.OnEnd.
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -29,8 +29,8 @@
 	// failure is a 5xx response of the instance, which is relayed if no other attempt
 	// follows. It is nil for other outcomes; err is set with it.
 	failure *bufferedResponse
-	// statement is what the response states about the instance.
-	statement balance.Feedback
+	// feedback is what the response states about the instance.
+	feedback balance.Feedback
 	// crashed is set if the instance crashed while it may have been running the request.
 	crashed bool
 }
@@ -78,7 +78,7 @@
 	if !head.Misdirected {
 		lease.Observe(head.Feedback, a.forwarder.settings.Clock())
 	}
-	result = attemptResult{status: response.Status, class: classifyHead(head, response.Status, a.progress.started), statement: head.Feedback}
+	result = attemptResult{status: response.Status, class: classifyHead(head, response.Status, a.progress.started), feedback: head.Feedback}
 	result.err = result.class.error(response.Status, head.RetryAfter)
 	switch result.class {
 	case responseRefused, responseMisdirected, responseBadRequest:
@@ -121,7 +121,7 @@
 		Route:       a.admission.route,
 		Workspace:   a.admission.workspace,
 		Priority:    a.admission.priority,
-		Keyed:       a.admission.keyed,
+		RequireKey:  a.admission.requireKey,
 		Instance:    lease.ID,
 		Remaining:   a.admission.deadline.Sub(now),
 		LastEventID: afterEvent,
--- a/forward/forward.go
+++ b/forward/forward.go
@@ -76,7 +76,8 @@
 	Budget escrow.Outcome
 	// Duration is the time from the arrival of the request to its end.
 	Duration time.Duration
-	// TimeToFirstByte is the time from the arrival to the response head; zero if none was relayed.
+	// TimeToFirstByte is the time from the arrival to the response head; zero if none was
+	// relayed.
 	TimeToFirstByte time.Duration
 }
 
--- a/forward/identify.go
+++ b/forward/identify.go
@@ -18,7 +18,7 @@
 	if s == nil {
 		return admission{}, configurationMissing
 	}
-	a := admission{version: s.Version, keyed: s.RequireKey, route: s.Match(r.Host, r.Path)}
+	a := admission{version: s.Version, requireKey: s.RequireKey, route: s.Match(r.Host, r.Path)}
 	if a.route == nil {
 		return a, routeUnknown
 	}
--- a/forward/log.go
+++ b/forward/log.go
@@ -78,9 +78,9 @@
 	}
 }
 
-// statementFields returns what a response states about its instance, without fields that
+// feedbackFields returns what a response states about its instance, without fields that
 // it does not state.
-func statementFields(s balance.Feedback) []zap.Field {
+func feedbackFields(s balance.Feedback) []zap.Field {
 	var fields []zap.Field
 	if s.Rate.Stated() {
 		fields = append(fields, zap.Stringer("limit", s.Rate))
@@ -106,7 +106,7 @@
 		zap.Int("load", l.Load),
 		zap.Bool("heavy", l.Heavy),
 		zap.Bool("slow", l.Slow),
-		zap.Duration("pause", l.LongestPause()),
+		zap.Duration("pause", l.LongestEventGap()),
 		zap.Int("status", result.status),
 		zap.Int64("after", a.progress.lastEventID),
 		zap.Duration("took", took),
@@ -114,7 +114,7 @@
 	if result.err != nil {
 		fields = append(fields, zap.Error(result.err))
 	}
-	fields = append(fields, statementFields(result.statement)...)
+	fields = append(fields, feedbackFields(result.feedback)...)
 	if result.crashed {
 		fields = append(fields, zap.Bool("crashed", true))
 	}
--- a/forward/retrybudget.go
+++ b/forward/retrybudget.go
@@ -29,9 +29,9 @@
 	// usedRatioFraction is the fraction of Ratio that is used, since a request and its
 	// retry may be counted in different windows.
 	usedRatioFraction = 0.6
-	// usedSlackFraction is the fraction of Burst that is used, since a restarted router
+	// usedBurstFraction is the fraction of Burst that is used, since a restarted router
 	// begins with a full budget.
-	usedSlackFraction = 0.5
+	usedBurstFraction = 0.5
 	// defaultRetryWindow is the default of RetrySettings.Window.
 	defaultRetryWindow = 10 * time.Second
 )
@@ -54,7 +54,7 @@
 	return &retryBudgets{
 		settings: retrybudget.Settings{
 			PerRequest: s.Ratio * usedRatioFraction,
-			Capacity:   usedSlackFraction * s.Burst,
+			Capacity:   usedBurstFraction * s.Burst,
 			Routers:    routers,
 			Window:     s.Window,
 		},
--- a/forward/suspects.go
+++ b/forward/suspects.go
@@ -118,18 +118,18 @@
 	if a.progress.suspectStatus.digest != (suspect.Digest{}) {
 		return true
 	}
-	facts := suspect.RequestKey{
+	key := suspect.RequestKey{
 		Method: a.request.Method,
 		Host:   a.request.Host,
 		Target: a.request.Target,
 		Body:   a.request.Body,
 	}
 	if a.admission.workspace != nil {
-		facts.Workspace = a.admission.workspace.Name
+		key.Workspace = a.admission.workspace.Name
 	}
-	digest, ok := a.forwarder.settings.Suspects.Digest(&facts)
+	digest, ok := a.forwarder.settings.Suspects.Digest(&key)
 	a.progress.suspectStatus.digest = digest
-	scope := suspect.Scope{Workspace: facts.Workspace, Route: string(a.admission.route.Name)}
+	scope := suspect.Scope{Workspace: key.Workspace, Route: string(a.admission.route.Name)}
 	a.progress.suspectStatus.scopeDigest, _ = a.forwarder.settings.Suspects.ScopeDigest(scope)
 	return ok
 }
--- a/internal/boottime/deadlines.go
+++ b/internal/boottime/deadlines.go
@@ -10,9 +10,9 @@
 )
 
 // Deadlines cancels contexts whose deadline has passed by a clock that counts
-// suspensions. The contexts' own timers fire late by the length of a suspension; CancelExpired
-// cancels those that are due. The zero value is ready to use. It is safe for concurrent
-// use.
+// suspensions. The contexts' own timers fire late by the length of a suspension;
+// CancelExpired cancels those that are due. The zero value is ready to use. It is safe
+// for concurrent use.
 type Deadlines struct {
 	// mu guards pending.
 	mu      sync.Mutex
@@ -25,8 +25,8 @@
 	cancel   context.CancelFunc
 }
 
-// WithTimeout returns a context that ends at now plus timeout, or earlier with its parent. The
-// returned function must be called once the context is no longer needed.
+// WithTimeout returns a context that ends at now plus timeout, or earlier with its
+// parent. The returned function must be called once the context is no longer needed.
 func (d *Deadlines) WithTimeout(parent context.Context, timeout time.Duration, now time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(parent, timeout)
 	p := &pending{deadline: now.Add(timeout), cancel: cancel}
--- a/internal/pushback/rest.go
+++ b/internal/pushback/backoff.go
@@ -30,8 +30,8 @@
 	maxProbes, probes int
 }
 
-// Extend records that a response received at now requests a backoff of d, capped at MaxBackoff.
-// It never moves the end of a backoff to an earlier time.
+// Extend records that a response received at now requests a backoff of d, capped at
+// MaxBackoff. It never moves the end of a backoff to an earlier time.
 func (r *Backoff) Extend(d time.Duration, now time.Time) {
 	if until := now.Add(min(d, MaxBackoff)); until.After(r.until) {
 		r.until = until
@@ -51,17 +51,17 @@
 // depends on the requests in flight.
 func (r *Backoff) Remaining(now time.Time) time.Duration { return max(0, r.until.Sub(now)) }
 
-// StartProbe counts a request that is sent during the recovery, after Allows allowed it. EndProbe
-// must be called once for each StartProbe.
+// StartProbe counts a request that is sent during the recovery, after Allows allowed it.
+// EndProbe must be called once for each StartProbe.
 func (r *Backoff) StartProbe() { r.probes++ }
 
-// EndProbe ends a request counted by StartProbe: the upstream accepted or rejected it, or the outcome
-// is unknown.
+// EndProbe ends a request counted by StartProbe: the upstream accepted or rejected it, or
+// the outcome is unknown.
 func (r *Backoff) EndProbe() { r.probes-- }
 
-// Accepted records that the upstream accepted a request sent at the given time; requests sent
-// before the end of the backoff are ignored. capacity is the number of requests that the
-// upstream runs concurrently, above which the recovery is complete.
+// Accepted records that the upstream accepted a request sent at the given time; requests
+// sent before the end of the backoff are ignored. capacity is the number of requests that
+// the upstream runs concurrently, above which the recovery is complete.
 func (r *Backoff) Accepted(sent time.Time, capacity int) {
 	if r.Inactive() || sent.Before(r.until) {
 		return
--- a/measure/loads.go
+++ b/measure/loads.go
@@ -23,8 +23,9 @@
 	Shards     float64
 	// Changes is the number of configuration changes per second.
 	Changes float64
-	// Batched is set if reports without a waiting request are batched for pageInterval,
-	// so that a page is written once in that time instead of once for each box.
+	// Batched is set if reports without a waiting request are batched for
+	// regionRecordInterval, so that a region record is written once in that time instead
+	// of once for each box.
 	Batched bool
 }
 
@@ -51,9 +52,9 @@
 	// boxReportInterval is the interval at which a box reports its spending of a budget:
 	// reportInterval in partner/budget/report.go.
 	boxReportInterval = 10.0
-	// pageInterval is the time for which reports are batched at the full size: the
+	// regionRecordInterval is the time for which reports are batched at the full size: the
 	// setting budget.gather, "10s".
-	pageInterval = 10.0
+	regionRecordInterval = 10.0
 	// rootReportInterval is the interval at which a region reports to a root: rootInterval
 	// in partner/budget/refill.go.
 	rootReportInterval = 20.0
@@ -79,13 +80,14 @@
 	// active is the number of budgets for which one box had requests within
 	// boxReportInterval.
 	active float64
-	// messages is the number of messages of a box per boxReportInterval: one to the keeper
-	// of each shard, with all asks for the shard.
+	// messages is the number of messages of a box per boxReportInterval: one to the
+	// allocator of each shard, with all reports for the shard.
 	messages float64
-	// pages is the number of pages of the whole fleet, rowsPerPage that of rows per page.
-	pages, rowsPerPage float64
-	// pageWrites is the rate of page writes of the whole fleet.
-	pageWrites float64
+	// regionRecords is the number of region records of the whole fleet, rowsPerRegionRecord
+	// that of rows per record.
+	regionRecords, rowsPerRegionRecord float64
+	// regionRecordWrites is the rate of region record writes of the whole fleet.
+	regionRecordWrites float64
 }
 
 // newTraffic computes the traffic of a fleet. The active budgets are an upper bound, which
@@ -94,11 +96,11 @@
 	t := traffic{size: f, boxRequests: f.Requests / f.Boxes}
 	t.active = min(f.Budgets, t.boxRequests*boxReportInterval)
 	t.messages = min(f.Shards, t.active)
-	t.pages = f.Shards * f.Regions
-	t.rowsPerPage = t.active * (f.Boxes / f.Regions) / f.Shards
-	t.pageWrites = t.pages / pageInterval
+	t.regionRecords = f.Shards * f.Regions
+	t.rowsPerRegionRecord = t.active * (f.Boxes / f.Regions) / f.Shards
+	t.regionRecordWrites = t.regionRecords / regionRecordInterval
 	if !f.Batched {
-		t.pageWrites = f.Boxes * t.messages / boxReportInterval
+		t.regionRecordWrites = f.Boxes * t.messages / boxReportInterval
 	}
 	return t
 }
@@ -108,8 +110,9 @@
 	coresPerNano = 1e-9
 	// base64Overhead is the size of base64 text relative to its data.
 	base64Overhead = 4.0 / 3
-	// pageMemoryFactor is a keeper's memory for a page, as a multiple of its packed size.
-	pageMemoryFactor = 3
+	// regionRecordMemoryFactor is an allocator's memory for a region record, as a
+	// multiple of its packed size.
+	regionRecordMemoryFactor = 3
 	// renewalsPerTTL is how often a member renews its lease and lists the members within
 	// the TTL of the lease; see fleet/registry.go.
 	renewalsPerTTL = 3
@@ -136,27 +139,28 @@
 }
 
 // spend returns the load of a box's budget.Ledger, which scans its budgets each second and
-// exchanges asks and replies with the keepers.
+// exchanges reports and replies with the allocators.
 func (t traffic) spend(by slopesByName) Load {
-	asks := t.active / t.messages
+	reports := t.active / t.messages
 	return Load{
 		Role:   "spend",
 		Cores:  coresPerNano * by["purse-round"].Step * t.size.Budgets,
 		Memory: by["purse-memory"].At(t.size.Budgets),
-		Bytes:  t.messages / boxReportInterval * (by["ask-bytes"].At(asks) + by["reply-bytes"].At(asks)),
+		Bytes:  t.messages / boxReportInterval * (by["ask-bytes"].At(reports) + by["reply-bytes"].At(reports)),
 	}
 }
 
-// keepBudgets returns the load of a keeper, which reads and writes a page for each report
-// or, if reports are batched, each pageInterval, and reports to the root.
+// keepBudgets returns the load of an allocator, which reads and writes a region record
+// for each report or, if reports are batched, each regionRecordInterval, and reports to
+// the root.
 func (t traffic) keepBudgets(by slopesByName) Load {
-	pageBytes := by["page-bytes"].At(t.rowsPerPage)
-	calls := t.pageWrites + t.pages/rootReportInterval
+	regionRecordBytes := by["page-bytes"].At(t.rowsPerRegionRecord)
+	calls := t.regionRecordWrites + t.regionRecords/rootReportInterval
 	return Load{
 		Role:   "keep-budgets",
-		Cores:  coresPerNano * by["page-write"].At(t.rowsPerPage) * t.pageWrites / t.size.Boxes,
-		Memory: pageMemoryFactor * pageBytes * max(1, t.pages/t.size.Boxes),
-		Bytes:  t.pageWrites / t.size.Boxes * 2 * pageBytes,
+		Cores:  coresPerNano * by["page-write"].At(t.rowsPerRegionRecord) * t.regionRecordWrites / t.size.Boxes,
+		Memory: regionRecordMemoryFactor * regionRecordBytes * max(1, t.regionRecords/t.size.Boxes),
+		Bytes:  t.regionRecordWrites / t.size.Boxes * 2 * regionRecordBytes,
 		Writes: calls,
 		Reads:  calls,
 	}
--- a/measure/slopes.go
+++ b/measure/slopes.go
@@ -67,16 +67,16 @@
 func Slopes() []Slope {
 	return []Slope{
 		Slope{Name: "purse-memory", Unit: "B", Per: "budget", Small: 1000, Large: 14000}.measured(func(n int) float64 {
-			return heapOf(func() any { return samplePurse(n) })
+			return heapOf(func() any { return sampleBudgetLedger(n) })
 		}),
 		Slope{Name: "purse-round", Unit: "ns", Per: "budget", Small: 1000, Large: 14000}.measured(func(n int) float64 {
-			p := samplePurse(n)
+			p := sampleBudgetLedger(n)
 			return nanoseconds(func() { p.Reports(sampleTime) })
 		}),
-		Slope{Name: "ask-bytes", Unit: "B", Per: "ask", Small: 9, Large: 90}.measured(func(n int) float64 { return messageBytes(sampleAsks(n)) }),
+		Slope{Name: "ask-bytes", Unit: "B", Per: "ask", Small: 9, Large: 90}.measured(func(n int) float64 { return messageBytes(sampleReports(n)) }),
 		Slope{Name: "reply-bytes", Unit: "B", Per: "reply", Small: 9, Large: 90}.measured(func(n int) float64 { return messageBytes(sampleReplies(n)) }),
-		Slope{Name: "page-bytes", Unit: "B", Per: "row", Small: 200, Large: 2000}.measured(func(n int) float64 { return packedBytes(samplePage(n)) }),
-		Slope{Name: "page-write", Unit: "ns", Per: "row", Small: 200, Large: 2000}.measured(pageWriteTime),
+		Slope{Name: "page-bytes", Unit: "B", Per: "row", Small: 200, Large: 2000}.measured(func(n int) float64 { return packedBytes(sampleRegionRecord(n)) }),
+		Slope{Name: "page-write", Unit: "ns", Per: "row", Small: 200, Large: 2000}.measured(regionRecordWriteTime),
 		Slope{Name: "charge-memory", Unit: "B", Per: "charge", Small: 10000, Large: 100000}.measured(func(n int) float64 {
 			return heapOf(func() any { return sampleLedger(n) })
 		}),
--- a/node/budgetroles.go
+++ b/node/budgetroles.go
@@ -40,9 +40,9 @@
 	return escrow.RoleBorrower
 }
 
-// dividesRecord reports whether the fleet is so large that the budget record is split
+// shardsRecord reports whether the fleet is so large that the budget record is split
 // into shards.
-func (v fleetView) dividesRecord() bool { return v.complete && !v.isSmall() }
+func (v fleetView) shardsRecord() bool { return v.complete && !v.isSmall() }
 
 // ranked returns the holder of a shard and then its replacements. Nodes with links slower
 // than minHolderLinkRatio of the fastest are excluded.
@@ -108,7 +108,7 @@
 	}
 	lenders := lendersOf(ranked)
 	for i := range lenders {
-		lenders[i].StandsIn = i > 0
+		lenders[i].IsStandIn = i > 0
 	}
 	self := v.self.peer()
 	return slices.DeleteFunc(lenders, func(l escrow.Lender) bool { return l.Peer == self })
--- a/node/components.go
+++ b/node/components.go
@@ -94,7 +94,7 @@
 		Ledger:       ledger,
 		Store:        n.adapter.Store,
 		Routers:      peers.routers,
-		ShardsRecord: peers.dividesRecord,
+		ShardsRecord: peers.shardsRecord,
 		Lenders:      peers.lenders,
 		Caller:       peers,
 		Clock:        n.clock,
--- a/node/config.go
+++ b/node/config.go
@@ -23,8 +23,8 @@
 	// PeerIP and PeerPort form the address at which neighbours reach the node.
 	PeerIP   string
 	PeerPort int
-	// CallerAddress and ReadinessAddress are the listening addresses, as IP:PORT, for callers and for the
-	// platform's health checks.
+	// CallerAddress and ReadinessAddress are the listening addresses, as IP:PORT, for
+	// callers and for the platform's health checks.
 	CallerAddress    string
 	ReadinessAddress string
 	// LinkMbps is the bandwidth of the box's network link in Mbit/s, zero if unknown.
@@ -37,15 +37,15 @@
 	// GracePeriod is the time from the order to stop (SIGTERM) until the platform kills the
 	// process.
 	GracePeriod time.Duration
-	// MemoryLimit is the size in bytes above which the platform kills the process; zero means
-	// no limit.
+	// MemoryLimit is the size in bytes above which the platform kills the process; zero
+	// means no limit.
 	MemoryLimit int64
 	RetryBudget forward.RetrySettings
 	// Clock returns the current time; nil means time.Now, which does not advance while
 	// the machine is suspended (package internal/boottime).
 	Clock granitehoist.Clock
-	// Bootstrap says that the whole fleet starts for the first time, so that the node list in
-	// the store is empty or incomplete.
+	// Bootstrap says that the whole fleet starts for the first time, so that the node
+	// list in the store is empty or incomplete.
 	Bootstrap bool
 	// LogDropped returns the number of log lines dropped so far. If nil, the metric is
 	// omitted.
--- a/node/greeting.go
+++ b/node/greeting.go
@@ -33,7 +33,7 @@
 	Listed bool `json:"listed,omitempty"`
 	// Hints are the sender's hints on slow instances, in replies only.
 	Hints []balance.Hint `json:"hints,omitempty"`
-	// News holds the rate limits and departures of upstreams known to the sender, in
+	// Updates holds the rate limits and departures of upstreams known to the sender, in
 	// replies only.
 	balance.Updates
 }
--- a/node/metrics.go
+++ b/node/metrics.go
@@ -19,37 +19,37 @@
 
 // Names of the metrics.
 const (
-	metricActiveRequests   = "active_requests"
-	metricRouters          = "routers"
-	metricConfigVersion    = "config_version"
-	metricConfigAge        = "config_age_seconds"
-	metricInstancesAge     = "instances_age_seconds"
-	metricBudgetFree       = "budget_free"
-	metricBudgetSpent      = "budget_spent"
-	metricStoreRemaining   = "budget_rest"
-	metricRequests         = "requests"
-	metricAttempts         = "attempts"
-	metricRefusals         = "refusals"
-	metricDuration         = "took_seconds"
-	metricFirstByte        = "first_seconds"
-	metricConnections      = "upstream_connections"
-	metricSuspects         = "suspects"
-	metricSuspectsRefused  = "suspects_refused"
-	metricUpstreamsEjected = "upstream_out"
-	metricUpstreamsLeaving = "upstreams_leaving"
-	metricUpstreamsResting = "upstreams_resting"
-	metricAvoidedChoices   = "choices_sparing"
-	metricUpstreamLimit    = "upstream_limit"
-	metricPermits          = "permits"
-	metricStoreCalls       = "store_calls"
-	metricLogLinesDropped  = "log_dropped"
+	metricActiveRequests      = "active_requests"
+	metricRouters             = "routers"
+	metricConfigVersion       = "config_version"
+	metricConfigAge           = "config_age_seconds"
+	metricInstancesAge        = "instances_age_seconds"
+	metricBudgetFree          = "budget_free"
+	metricBudgetSpent         = "budget_spent"
+	metricStoreRemaining      = "budget_rest"
+	metricRequests            = "requests"
+	metricAttempts            = "attempts"
+	metricRefusals            = "refusals"
+	metricDuration            = "took_seconds"
+	metricFirstByte           = "first_seconds"
+	metricConnections         = "upstream_connections"
+	metricSuspects            = "suspects"
+	metricSuspectsRefused     = "suspects_refused"
+	metricUpstreamsEjected    = "upstream_out"
+	metricUpstreamsLeaving    = "upstreams_leaving"
+	metricUpstreamsBackingOff = "upstreams_resting"
+	metricAvoidedChoices      = "choices_sparing"
+	metricUpstreamLimit       = "upstream_limit"
+	metricPermits             = "permits"
+	metricStoreCalls          = "store_calls"
+	metricLogLinesDropped     = "log_dropped"
 )
 
 // MetricNames returns the names of all metrics.
 func MetricNames() []string {
 	return []string{
 		metricActiveRequests, metricRouters, metricConfigVersion, metricConfigAge, metricInstancesAge, metricBudgetFree, metricBudgetSpent, metricStoreRemaining,
-		metricRequests, metricAttempts, metricRefusals, metricDuration, metricFirstByte, metricConnections, metricSuspects, metricSuspectsRefused, metricUpstreamsEjected, metricUpstreamsLeaving, metricUpstreamsResting, metricAvoidedChoices, metricUpstreamLimit, metricPermits, metricStoreCalls, metricLogLinesDropped,
+		metricRequests, metricAttempts, metricRefusals, metricDuration, metricFirstByte, metricConnections, metricSuspects, metricSuspectsRefused, metricUpstreamsEjected, metricUpstreamsLeaving, metricUpstreamsBackingOff, metricAvoidedChoices, metricUpstreamLimit, metricPermits, metricStoreCalls, metricLogLinesDropped,
 	}
 }
 
@@ -168,7 +168,7 @@
 // upstreamLines returns the number of upstreams that get no requests at now, by reason,
 // and the selections that avoided an upstream.
 func (n *Node) upstreamLines(now time.Time) []string {
-	ejected, leaving, resting := 0, 0, 0
+	ejected, leaving, backingOff := 0, 0, 0
 	for _, status := range n.components.table.Statuses(now) {
 		if status.Ejected {
 			ejected++
@@ -177,7 +177,7 @@
 			leaving++
 		}
 		if status.BackingOff {
-			resting++
+			backingOff++
 		}
 	}
 	avoided := n.components.table.SkipCounts()
@@ -186,7 +186,7 @@
 		fmt.Sprintf("%s{reason=\"deferred\"} %d", metricAvoidedChoices, avoided.Deferred),
 		fmt.Sprintf("%s %d", metricUpstreamsEjected, ejected),
 		fmt.Sprintf("%s %d", metricUpstreamsLeaving, leaving),
-		fmt.Sprintf("%s %d", metricUpstreamsResting, resting),
+		fmt.Sprintf("%s %d", metricUpstreamsBackingOff, backingOff),
 	}
 }
 
--- a/node/peers.go
+++ b/node/peers.go
@@ -117,8 +117,8 @@
 	return p.viewLocked().role(p.rankedLocked(shard))
 }
 
-// dividesRecord reports whether the budget record in the store is split into shards.
-func (p *peers) dividesRecord() bool { return p.view().dividesRecord() }
+// shardsRecord reports whether the budget record in the store is split into shards.
+func (p *peers) shardsRecord() bool { return p.view().shardsRecord() }
 
 // lenders returns the neighbours that this node asks for a loan of a shard's tokens, in
 // order.
--- a/node/permits.go
+++ b/node/permits.go
@@ -47,8 +47,8 @@
 // permitsParams holds the parameters of methodPermits. A node of an older version does
 // not serve the method and counts as unreachable.
 type permitsParams struct {
-	// StandsIn says that the node ranked before the called one did not answer.
-	StandsIn bool            `json:"stands_in,omitempty"`
+	// Fallback says that the node ranked before the called one did not answer.
+	Fallback bool            `json:"stands_in,omitempty"`
 	Permits  []permitRequest `json:"permits"`
 }
 
@@ -112,7 +112,7 @@
 	peer granitehoist.Peer
 	// self says that it is this node, known that there is an issuer at all.
 	self, known bool
-	standsIn    bool
+	fallback    bool
 }
 
 // groupByIssuer groups requests by the node that is asked.
@@ -133,7 +133,7 @@
 func (l *rateLimits) issuerOf(u granitehoist.Upstream, now time.Time) issuer {
 	ranked := l.peers.issuers(u)
 	for rank, entry := range ranked[:min(2, len(ranked))] {
-		candidate := issuer{peer: entry.peer(), self: entry.Box == l.peers.settings.self.Box, known: true, standsIn: rank > 0}
+		candidate := issuer{peer: entry.peer(), self: entry.Box == l.peers.settings.self.Box, known: true, fallback: rank > 0}
 		if candidate.self || !l.avoidedIssuers.contains(entry.Address, now) {
 			return candidate
 		}
@@ -155,7 +155,7 @@
 // fetch requests permits from one node and passes them to the table.
 func (l *rateLimits) fetch(ctx context.Context, from issuer, requests []balance.PermitRequest) {
 	startedAt := l.clock()
-	params := newPermitsParams(requests, from.standsIn)
+	params := newPermitsParams(requests, from.fallback)
 	reply, err := l.ask(ctx, from, params)
 	now := l.clock()
 	if err != nil || len(reply.Permits) != len(requests) {
@@ -172,8 +172,8 @@
 }
 
 // newPermitsParams returns the parameters of a call for requests.
-func newPermitsParams(requests []balance.PermitRequest, standsIn bool) permitsParams {
-	params := permitsParams{StandsIn: standsIn}
+func newPermitsParams(requests []balance.PermitRequest, fallback bool) permitsParams {
+	params := permitsParams{Fallback: fallback}
 	for _, r := range requests {
 		params.Permits = append(params.Permits, permitRequest{Limit: r.Limit, Count: r.Count, WithinMS: toMilliseconds(r.MaxWait)})
 	}
@@ -221,14 +221,14 @@
 	now := l.clock()
 	var reply permitsResult
 	for _, r := range params.Permits {
-		reply.Permits = append(reply.Permits, l.issue(r, params.StandsIn, now))
+		reply.Permits = append(reply.Permits, l.issue(r, params.Fallback, now))
 	}
 	return reply, nil
 }
 
 // issue issues permits for one upstream. If this node does not know the upstream's limit,
 // it uses that of the caller.
-func (l *rateLimits) issue(r permitRequest, standsIn bool, now time.Time) permitGrant {
+func (l *rateLimits) issue(r permitRequest, fallback bool, now time.Time) permitGrant {
 	l.table.MergeLimits([]balance.LimitRecord{r.Limit}, now)
 	limit, known := l.table.Limit(r.Limit.Incarnation(), now)
 	if !known {
@@ -242,7 +242,7 @@
 		Rate:        float64(limit.Rate),
 		Count:       r.Count,
 		MaxWait:     fromMilliseconds(r.WithinMS),
-		Fallback:    standsIn,
+		Fallback:    fallback,
 	}, now)
 	return permitGrant{
 		Count:   grant.Count,
--- a/node/suspectstore.go
+++ b/node/suspectstore.go
@@ -20,8 +20,8 @@
 
 // The store holds what has to survive a restart of all nodes: the secret that keys the
 // digests, and the evidence against each refused request, under a lease of
-// suspect.DefaultBlockDuration. Each node writes its own observations. Relays read the prefix
-// when they start, the other nodes pull from relays.
+// suspect.DefaultBlockDuration. Each node writes its own observations. Relays read the
+// prefix when they start, the other nodes pull from relays.
 const (
 	suspectsPrefix   = "suspects/"
 	suspectSecretKey = suspectsPrefix + "secret"
--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -49,8 +49,8 @@
 )
 
 // Agent keeps the accounts of a box supplied with tokens. It sends reports to the
-// region's Allocators, falls back to the local Allocator if they can't be reached, and borrows
-// from other boxes for requests that still wait. It is safe for concurrent use.
+// region's Allocators, falls back to the local Allocator if they can't be reached, and
+// borrows from other boxes for requests that still wait. It is safe for concurrent use.
 type Agent struct {
 	settings AgentSettings
 	// wakeups has a value if wake was called since the last round began.
--- a/partner/budget/allocator.go
+++ b/partner/budget/allocator.go
@@ -16,10 +16,10 @@
 	"granitehoist.example/granitehoist/internal/batch"
 )
 
-// Allocator grants tokens to the boxes of one region. It updates the region's records and the
-// root records by compare-and-swap. Several Allocators may work on the same shard; that only
-// causes write conflicts. Messages that arrive during a write share the next one. It is
-// safe for concurrent use.
+// Allocator grants tokens to the boxes of one region. It updates the region's records and
+// the root records by compare-and-swap. Several Allocators may work on the same shard;
+// that only causes write conflicts. Messages that arrive during a write share the next
+// one. It is safe for concurrent use.
 type Allocator struct {
 	settings AllocatorSettings
 	// mu guards shards.
--- a/partner/budget/history_test.go
+++ b/partner/budget/history_test.go
@@ -121,8 +121,8 @@
 	return &historyBox{region: region, ledger: budget.NewLedger(budget.LedgerSettings{Incarnation: id, Split: historySplit})}
 }
 
-// interruptedStore runs another sync between an Allocator's read and its write, to cause write
-// conflicts.
+// interruptedStore runs another sync between an Allocator's read and its write, to cause
+// write conflicts.
 type interruptedStore struct {
 	reachableStore
 	history *history
--- a/partner/budget/ledger.go
+++ b/partner/budget/ledger.go
@@ -89,8 +89,8 @@
 	return a.hasUrgentSurplus()
 }
 
-// HasPending reports whether requests wait for tokens, on this box or elsewhere, so that the next
-// reports should not be delayed.
+// HasPending reports whether requests wait for tokens, on this box or elsewhere, so that
+// the next reports should not be delayed.
 func (p *Ledger) HasPending() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/partner/budget/messages.go
+++ b/partner/budget/messages.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Report is a box's report of one budget to its region's Allocator, and its demand. Demands are
-// totals, so a duplicated Report is granted once.
+// Report is a box's report of one budget to its region's Allocator, and its demand.
+// Demands are totals, so a duplicated Report is granted once.
 type Report struct {
 	Budget granitehoist.BudgetID `json:"k"`
 	// Totals are the box's own totals.
--- a/partner/budget/overview.go
+++ b/partner/budget/overview.go
@@ -26,27 +26,27 @@
 
 // States is a snapshot of the records of all budgets. It is immutable.
 type States struct {
-	shards int
-	now    time.Time
-	roots  map[Shard]*RootRecord
-	pages  map[Shard]map[granitehoist.Region]*RegionRecord
+	shards        int
+	now           time.Time
+	rootRecords   map[Shard]*RootRecord
+	regionRecords map[Shard]map[granitehoist.Region]*RegionRecord
 }
 
 // ReadStates reads all records from the store. It ignores the records of shards beyond the
 // count, which a larger count in the past may have left.
 func ReadStates(ctx context.Context, s granitehoist.Store, shards int, now time.Time) (*States, error) {
-	states := &States{shards: shards, now: now, roots: map[Shard]*RootRecord{}, pages: map[Shard]map[granitehoist.Region]*RegionRecord{}}
+	states := &States{shards: shards, now: now, rootRecords: map[Shard]*RootRecord{}, regionRecords: map[Shard]map[granitehoist.Region]*RegionRecord{}}
 	for shard := range Shard(shards) {
 		entry, err := s.Get(ctx, RootKey(shard))
 		if err != nil {
 			return nil, err
 		}
-		if states.roots[shard], err = DecodeRootRecord(entry); err != nil {
+		if states.rootRecords[shard], err = DecodeRootRecord(entry); err != nil {
 			return nil, err
 		}
-		states.pages[shard] = map[granitehoist.Region]*RegionRecord{}
+		states.regionRecords[shard] = map[granitehoist.Region]*RegionRecord{}
 	}
-	entries, _, err := s.List(ctx, pagePrefix)
+	entries, _, err := s.List(ctx, regionPrefix)
 	if err != nil {
 		return nil, err
 	}
@@ -55,10 +55,10 @@
 		if err != nil {
 			return nil, err
 		}
-		region, _, _ := strings.Cut(strings.TrimPrefix(e.Key, pagePrefix), "/")
+		region, _, _ := strings.Cut(strings.TrimPrefix(e.Key, regionPrefix), "/")
 		for shard := range Shard(shards) {
 			if e.Key == RegionKey(granitehoist.Region(region), shard) {
-				states.pages[shard][granitehoist.Region(region)] = record
+				states.regionRecords[shard][granitehoist.Region(region)] = record
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 	overviews := make([]Overview, len(ids))
 	for i, k := range ids {
 		overviews[i] = s.overview(k)
-		if s.roots[shardOf(k, s.shards)].Accounts[k] == nil {
+		if s.rootRecords[shardOf(k, s.shards)].Accounts[k] == nil {
 			// A budget that the configuration does not name counts as zero.
 			tokens, _, _ := prepaid(k)
 			overviews[i].Prepaid, overviews[i].Unallocated = tokens, tokens
@@ -85,14 +85,14 @@
 func (s *States) overview(k granitehoist.BudgetID) Overview {
 	o := Overview{Budget: k, Stock: map[granitehoist.Region]granitehoist.Tokens{}, Held: map[granitehoist.Region]granitehoist.Tokens{}}
 	shard := shardOf(k, s.shards)
-	root := s.roots[shard].Accounts[k]
+	root := s.rootRecords[shard].Accounts[k]
 	if root != nil {
 		o.Prepaid, o.Unallocated = root.Prepaid, root.Unallocated()
 		for _, row := range root.Regions {
 			o.InTransit += row.Granted - row.Returned
 		}
 	}
-	for region, record := range s.pages[shard] {
+	for region, record := range s.regionRecords[shard] {
 		a := record.Accounts[k]
 		if a == nil {
 			continue
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -55,8 +55,8 @@
 	Retired Totals `json:"folded"`
 	// ReportedAt is when the account was last reported to the root, in Unix seconds.
 	ReportedAt int64 `json:"told,omitempty"`
-	// Limit is how much the region may hold, and RemainingElsewhere what the whole budget has left
-	// outside the region, both as of the root's last reply.
+	// Limit is how much the region may hold, and RemainingElsewhere what the whole budget
+	// has left outside the region, both as of the root's last reply.
 	Limit              granitehoist.Tokens `json:"limit,omitempty"`
 	RemainingElsewhere granitehoist.Tokens `json:"else,omitempty"`
 	// Rows holds the incarnations that drew on the region's stock.
@@ -105,13 +105,13 @@
 	return &RegionRecord{Format: recordFormat, Members: map[granitehoist.Incarnation]Member{}, Accounts: map[granitehoist.BudgetID]*RegionAccount{}}
 }
 
-// newRoot returns a RootRecord without accounts.
-func newRoot() *RootRecord {
+// newRootRecord returns a RootRecord without accounts.
+func newRootRecord() *RootRecord {
 	return &RootRecord{Format: recordFormat, Accounts: map[granitehoist.BudgetID]*RootAccount{}}
 }
 
-// DecodeRegionRecord decodes a stored RegionRecord. It returns an empty RegionRecord for a key that does not exist,
-// and an error for a value that is invalid.
+// DecodeRegionRecord decodes a stored RegionRecord. It returns an empty RegionRecord for
+// a key that does not exist, and an error for a value that is invalid.
 func DecodeRegionRecord(e granitehoist.Entry) (*RegionRecord, error) {
 	record := NewRegionRecord()
 	if e.Version == 0 {
@@ -134,10 +134,10 @@
 	return record, nil
 }
 
-// DecodeRootRecord decodes a stored RootRecord. It returns an empty RootRecord for a key that does not exist,
-// and an error for a value that is invalid.
+// DecodeRootRecord decodes a stored RootRecord. It returns an empty RootRecord for a key
+// that does not exist, and an error for a value that is invalid.
 func DecodeRootRecord(e granitehoist.Entry) (*RootRecord, error) {
-	root := newRoot()
+	root := newRootRecord()
 	if e.Version == 0 {
 		return root, nil
 	}
@@ -191,15 +191,15 @@
 }
 
 const (
-	// pagePrefix is the prefix of the store keys of Pages.
-	pagePrefix = "budget/page/"
+	// regionPrefix is the prefix of the store keys of RegionRecords.
+	regionPrefix = "budget/page/"
 	// rootPrefix is the prefix of the store keys of Roots.
 	rootPrefix = "budget/root/"
 )
 
 // RegionKey returns the store key of a RegionRecord.
 func RegionKey(r granitehoist.Region, s Shard) string {
-	return fmt.Sprintf("%s%s/%04d", pagePrefix, r, s)
+	return fmt.Sprintf("%s%s/%04d", regionPrefix, r, s)
 }
 
 // RootKey returns the store key of a RootRecord.
--- a/partner/budget/region.go
+++ b/partner/budget/region.go
@@ -266,7 +266,7 @@
 	a := p.account(r.Budget)
 	a.ReportedAt = now.Unix()
 	a.Confirmed = max(a.Confirmed, r.Returned)
-	a.Received = max(a.Received, r.Given)
+	a.Received = max(a.Received, r.Granted)
 	a.Limit = r.Limit
-	a.RemainingElsewhere = r.Elsewhere
+	a.RemainingElsewhere = r.RemainingElsewhere
 }
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -13,13 +13,13 @@
 type regionReply struct {
 	Budget granitehoist.BudgetID
 	// Granted is the total granted to the region.
-	Given granitehoist.Tokens
+	Granted granitehoist.Tokens
 	// Returned is the total that the root has taken back.
 	Returned granitehoist.Tokens
 	// Limit is how much the region should hold; it returns what it has beyond that.
 	Limit granitehoist.Tokens
 	// RemainingElsewhere is what the budget has left outside the region.
-	Elsewhere granitehoist.Tokens
+	RemainingElsewhere granitehoist.Tokens
 }
 
 // setPrepaid sets the prepaid total of a budget from the configuration with the given
@@ -89,11 +89,11 @@
 		limit = 0
 	}
 	return regionReply{
-		Budget:    report.Budget,
-		Given:     row.Granted,
-		Returned:  row.Returned,
-		Limit:     limit,
-		Elsewhere: unallocated - c.grant + elsewhere,
+		Budget:             report.Budget,
+		Granted:            row.Granted,
+		Returned:           row.Returned,
+		Limit:              limit,
+		RemainingElsewhere: unallocated - c.grant + elsewhere,
 	}
 }
 
--- a/partner/gate/binding.go
+++ b/partner/gate/binding.go
@@ -21,8 +21,8 @@
 // After an error the request must not be sent.
 func (g *Gate) bind(ctx context.Context, req *request, id granitehoist.AttemptID) (*once.Binding, error) {
 	identity := req.input.identity
-	subject := once.RequestKey{Partner: identity.Partner, Workspace: identity.Workspace, Request: req.input.id}
-	return g.settings.Once.Bind(ctx, subject, id, g.settings.Clock())
+	key := once.RequestKey{Partner: identity.Partner, Workspace: identity.Workspace, Request: req.input.id}
+	return g.settings.Once.Bind(ctx, key, id, g.settings.Clock())
 }
 
 // finishBinding records that a bound request got a response; b is nil for other requests.
--- a/partner/gate/crashhistory.go
+++ b/partner/gate/crashhistory.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return granitehoist.Wrap(granitehoist.BadRequest, err, "")
 	}
-	facts := suspect.RequestKey{
+	key := suspect.RequestKey{
 		Method:    req.plan.call.Method,
 		Host:      string(req.input.offer.Name),
 		Target:    req.plan.call.Path,
@@ -69,7 +69,7 @@
 		Body:      body,
 	}
 	// Digest succeeds, since New has set the secret.
-	req.crashes.digest, _ = g.crashTable.Digest(&facts)
+	req.crashes.digest, _ = g.crashTable.Digest(&key)
 	return nil
 }
 
--- a/partner/gate/gate.go
+++ b/partner/gate/gate.go
@@ -84,8 +84,8 @@
 	HeaderBudget = "Granitehoist-Budget"
 	// HeaderCode is the numbered result code of a response.
 	HeaderCode = "Granitehoist-Code"
-	// HeaderFate says whether the request ran.
-	HeaderFate = "Granitehoist-Fate"
+	// HeaderExecution says whether the request ran.
+	HeaderExecution = "Granitehoist-Fate"
 )
 
 // ServeHTTP implements http.Handler. It sets the read deadline first, which also bounds
@@ -112,8 +112,8 @@
 	return size
 }
 
-// MarkUnready makes PathReady respond with 503, so that load balancers stop sending requests.
-// The gate still accepts requests.
+// MarkUnready makes PathReady respond with 503, so that load balancers stop sending
+// requests. The gate still accepts requests.
 func (g *Gate) MarkUnready() { g.unready.Store(true) }
 
 // Drain makes the gate unready and refuses new requests. Requests in progress continue.
--- a/partner/gate/refusals.go
+++ b/partner/gate/refusals.go
@@ -25,10 +25,10 @@
 	Code    int    `json:"code"`
 	Type    string `json:"type"`
 	Message string `json:"message"`
-	// Fate says whether the request ran.
-	Fate    granitehoist.ExecutionStatus `json:"fate"`
-	Advice  granitehoist.Advice          `json:"advice"`
-	Request granitehoist.RequestID       `json:"request_id"`
+	// Execution says whether the request ran.
+	Execution granitehoist.ExecutionStatus `json:"fate"`
+	Advice    granitehoist.Advice          `json:"advice"`
+	Request   granitehoist.RequestID       `json:"request_id"`
 }
 
 // asError returns err as a *granitehoist.Error. An error without a code becomes Internal,
@@ -45,12 +45,12 @@
 func failure(id granitehoist.RequestID, e *granitehoist.Error) ErrorResponse {
 	info := e.Code.Info()
 	return ErrorResponse{Error: ErrorDetail{
-		Code:    int(info.Code),
-		Type:    info.Name,
-		Message: e.Message(),
-		Fate:    info.Execution,
-		Advice:  info.Advice,
-		Request: id,
+		Code:      int(info.Code),
+		Type:      info.Name,
+		Message:   e.Message(),
+		Execution: info.Execution,
+		Advice:    info.Advice,
+		Request:   id,
 	}}
 }
 
@@ -63,7 +63,7 @@
 	header.Set("Content-Type", "application/json")
 	header.Set(HeaderRequest, string(id))
 	header.Set(HeaderCode, strconv.Itoa(int(info.Code)))
-	header.Set(HeaderFate, string(info.Execution))
+	header.Set(HeaderExecution, string(info.Execution))
 	if wait := retryAfter(e); wait > 0 {
 		header.Set("Retry-After", strconv.Itoa(ceilSeconds(wait)))
 	}
--- a/partner/gate/sink.go
+++ b/partner/gate/sink.go
@@ -35,7 +35,7 @@
 	}
 	out.Set(HeaderRequest, string(s.id))
 	out.Set(HeaderCode, strconv.Itoa(int(granitehoist.Served)))
-	out.Set(HeaderFate, string(granitehoist.Ran))
+	out.Set(HeaderExecution, string(granitehoist.Ran))
 	s.w.WriteHeader(status)
 	return nil
 }
--- a/partner/orphan/doc.go
+++ b/partner/orphan/doc.go
@@ -17,9 +17,10 @@
 // has been removed from the documents is not charged, since its id contains only a
 // hash of the budget.
 //
-// A Settler is stateless. It reads the budget pages and the bill segments in the store
-// and writes segments of its own. It depends on packages budget and bill for these
-// formats, on config for the list of engines, and on the protocol of the engines.
+// A Settler is stateless. It reads the region records of the budgets and the bill
+// segments in the store and writes segments of its own. It depends on packages budget and
+// bill for these formats, on config for the list of engines, and on the protocol of the
+// engines.
 //
 // Begin reading at Settler.Settle. lastSeen.isSilent decides which routers are
 // settled, and classifyAttempt which attempts are charged.
--- a/partner/orphan/silent.go
+++ b/partner/orphan/unresponsive.go
@@ -17,7 +17,7 @@
 // replace those written here.
 const UnresponsiveTimeout = 2 * time.Minute
 
-// lastSeen is the newest state of a router in the budget pages of its region.
+// lastSeen is the newest state of a router in the region records of its region.
 type lastSeen struct {
 	// at is the time of its newest report, in seconds since the Unix epoch.
 	at int64
@@ -25,31 +25,32 @@
 	closed bool
 }
 
-// isSilent reports whether the router did not stop gracefully and has not reported for
+// isUnresponsive reports whether the router did not stop gracefully and has not reported for
 // more than UnresponsiveTimeout.
-func (l lastSeen) isSilent(now time.Time) bool {
+func (l lastSeen) isUnresponsive(now time.Time) bool {
 	return !l.closed && now.Sub(time.Unix(l.at, 0)) > UnresponsiveTimeout
 }
 
-// UnresponsiveRouters returns, in order, the incarnations of the region that drew on budgets, did not
-// stop gracefully and have not reported for more than UnresponsiveTimeout. It returns the errors
-// of the store, and an error if a budget page can't be decoded.
+// UnresponsiveRouters returns, in order, the incarnations of the region that drew on
+// budgets, did not stop gracefully and have not reported for more than
+// UnresponsiveTimeout. It returns the errors of the store, and an error if a region
+// record can't be decoded.
 func (s *Settler) UnresponsiveRouters(ctx context.Context, now time.Time) ([]granitehoist.Incarnation, error) {
 	seen, err := s.readLastSeen(ctx)
 	if err != nil {
 		return nil, err
 	}
-	var silent []granitehoist.Incarnation
+	var unresponsive []granitehoist.Incarnation
 	for id, l := range seen {
-		if l.isSilent(now) {
-			silent = append(silent, id)
+		if l.isUnresponsive(now) {
+			unresponsive = append(unresponsive, id)
 		}
 	}
-	sort.Slice(silent, func(i, j int) bool { return silent[i] < silent[j] })
-	return silent, nil
+	sort.Slice(unresponsive, func(i, j int) bool { return unresponsive[i] < unresponsive[j] })
+	return unresponsive, nil
 }
 
-// readLastSeen merges the budget pages of all shards. A router has a row in the page of
+// readLastSeen merges the region records of all shards. A router has a row in the record of
 // each shard that it drew on.
 func (s *Settler) readLastSeen(ctx context.Context) (map[granitehoist.Incarnation]lastSeen, error) {
 	seen := map[granitehoist.Incarnation]lastSeen{}
@@ -58,11 +59,11 @@
 		if err != nil {
 			return nil, err
 		}
-		page, err := budget.DecodeRegionRecord(entry)
+		record, err := budget.DecodeRegionRecord(entry)
 		if err != nil {
 			return nil, err
 		}
-		for id, m := range page.Members {
+		for id, m := range record.Members {
 			l := seen[id]
 			seen[id] = lastSeen{at: max(l.at, m.LastSeen), closed: l.closed || m.Closed}
 		}
--- a/partner/report/burn.go
+++ b/partner/report/burn.go
@@ -16,8 +16,8 @@
 	Rows []Row `json:"rows"`
 	// Asked lists the boxes whose counts are in Rows, Unreached those whose routers
 	// could not be reached.
-	Asked     []granitehoist.Box `json:"asked"`
-	Unreached []granitehoist.Box `json:"unreached"`
+	Asked       []granitehoist.Box `json:"asked"`
+	Unreachable []granitehoist.Box `json:"unreached"`
 }
 
 // Merge adds the rows of another router; rows with equal keys are summed.
@@ -70,6 +70,6 @@
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(w, "burn 1.00 uses the allowance of 5 in 100 up exactly; asked=%d unreached=%v\n", len(b.Asked), b.Unreached)
+	_, err := fmt.Fprintf(w, "burn 1.00 uses the allowance of 5 in 100 up exactly; asked=%d unreached=%v\n", len(b.Asked), b.Unreachable)
 	return err
 }
--- a/partner/router/admin.go
+++ b/partner/router/admin.go
@@ -51,10 +51,10 @@
 
 // AdminError is the JSON body of an error response.
 type AdminError struct {
-	Code    int                          `json:"code"`
-	Name    string                       `json:"name"`
-	Message string                       `json:"message"`
-	Fate    granitehoist.ExecutionStatus `json:"fate"`
+	Code      int                          `json:"code"`
+	Name      string                       `json:"name"`
+	Message   string                       `json:"message"`
+	Execution granitehoist.ExecutionStatus `json:"fate"`
 }
 
 // writeError responds with the code, status and message of an error. Its wrapped cause is
@@ -67,7 +67,7 @@
 	if errors.As(err, &e) {
 		message = e.Message()
 	}
-	writeJSON(w, info.Status, AdminError{Code: int(code), Name: info.Name, Message: message, Fate: info.Execution})
+	writeJSON(w, info.Status, AdminError{Code: int(code), Name: info.Name, Message: message, Execution: info.Execution})
 }
 
 // writeJSON responds with a value as indented JSON.
--- a/partner/router/build.go
+++ b/partner/router/build.go
@@ -52,7 +52,7 @@
 // shards that it keeps for its region.
 func (r *Router) buildBudget() {
 	s := r.settings
-	keeper := budget.NewAllocator(budget.AllocatorSettings{
+	allocator := budget.NewAllocator(budget.AllocatorSettings{
 		Region:     r.self.Region,
 		Store:      s.Store,
 		Prepaid:    r.prepaid,
@@ -62,9 +62,9 @@
 	r.components.agent = budget.NewAgent(budget.AgentSettings{
 		Box:             r.self.Box,
 		Ledger:          budget.NewLedger(budget.LedgerSettings{Incarnation: r.self.Incarnation, Split: s.Router.SplitOf}),
-		Allocator:       keeper,
+		Allocator:       allocator,
 		Caller:          r.components.client,
-		RemoteAllocator: r.remoteKeeper,
+		RemoteAllocator: r.remoteAllocator,
 		Peers:           r.budgetPeers,
 		Clock:           s.Clock,
 		Interval:        time.Duration(s.Router.Budget.Interval),
--- a/partner/router/burn.go
+++ b/partner/router/burn.go
@@ -43,10 +43,10 @@
 		group.Go(func() { burns[i] = r.burnAt(req.Context(), m) })
 	}
 	group.Wait()
-	burn := report.BurnReport{Asked: []granitehoist.Box{}, Unreached: []granitehoist.Box{}}
+	burn := report.BurnReport{Asked: []granitehoist.Box{}, Unreachable: []granitehoist.Box{}}
 	for i, m := range members {
 		if !burns[i].reached {
-			burn.Unreached = append(burn.Unreached, m.Box)
+			burn.Unreachable = append(burn.Unreachable, m.Box)
 			continue
 		}
 		burn.Asked = append(burn.Asked, m.Box)
--- a/partner/router/orphans.go
+++ b/partner/router/orphans.go
@@ -37,12 +37,12 @@
 		if !r.hasRole(orphanRole) {
 			continue
 		}
-		silent, err := r.components.orphans.UnresponsiveRouters(ctx, r.settings.Clock())
+		unresponsive, err := r.components.orphans.UnresponsiveRouters(ctx, r.settings.Clock())
 		if err != nil {
 			r.logFailure("orphan_failed", err)
 			continue
 		}
-		for _, crashed := range silent {
+		for _, crashed := range unresponsive {
 			if rounds[crashed]++; rounds[crashed] <= maxOrphanRounds {
 				r.settleOne(ctx, crashed)
 			}
--- a/partner/router/roles.go
+++ b/partner/router/roles.go
@@ -9,16 +9,17 @@
 )
 
 // Roles are assigned to one router of a region by rendezvous hashing over the fleet view.
-// The role of a budget shard's keeper is the key of the shard's page. Routers with different
-// views may hold a role at the same time, which only causes conflicts at the store.
+// The role of a budget shard's allocator is the key of the shard's region record. Routers
+// with different views may hold a role at the same time, which only causes conflicts at
+// the store.
 const (
 	collectorRole = "bill/collector"
 	orphanRole    = "orphan/settler"
 )
 
-// remoteKeeper returns the keeper of a budget shard, and false if it is this router or
+// remoteAllocator returns the allocator of a budget shard, and false if it is this router or
 // unknown.
-func (r *Router) remoteKeeper(s budget.Shard) (granitehoist.Peer, bool) {
+func (r *Router) remoteAllocator(s budget.Shard) (granitehoist.Peer, bool) {
 	return r.remoteHolder(budget.RegionKey(r.self.Region, s))
 }
 
--- a/partner/router/start.go
+++ b/partner/router/start.go
@@ -32,8 +32,8 @@
 		zap.String("admin", r.AdminAddress()))
 }
 
-// enrollRetryInterval is the time between attempts to register the router in the store.
-const enrollRetryInterval = 500 * time.Millisecond
+// registerRetryInterval is the time between attempts to register the router in the store.
+const registerRetryInterval = 500 * time.Millisecond
 
 // follow registers the router and only then begins to read the documents. Without
 // documents it serves no requests, so every router that may be serving is registered and
@@ -48,7 +48,7 @@
 			return
 		}
 		r.logFailure("fleet_failed", err)
-		pause.For(ctx, enrollRetryInterval)
+		pause.For(ctx, registerRetryInterval)
 		if ctx.Err() != nil {
 			return
 		}
--- a/store.go
+++ b/store.go
@@ -67,8 +67,8 @@
 	Current []Entry
 }
 
-// Entry returns the entry of a key when the write was refused, and whether the store returned
-// it.
+// Entry returns the entry of a key when the write was refused, and whether the store
+// returned it.
 func (c *Conflict) Entry(key string) (Entry, bool) {
 	for _, e := range c.Current {
 		if e.Key == key {
--- a/suspect/digest.go
+++ b/suspect/digest.go
@@ -23,7 +23,7 @@
 // String returns the digest in hexadecimal digits.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// RequestKey holds the fields that identify a request: two requests with equal facts count as
+// RequestKey holds the fields that identify a request: two requests with equal keys count as
 // the same.
 type RequestKey struct {
 	Method string
@@ -43,11 +43,11 @@
 	Route     string
 }
 
-// facts returns the facts of the scope. They differ from those of any request, which has a
+// requestKey returns the key of the scope. It differs from that of any request, which has a
 // method.
-func (s Scope) facts() *RequestKey { return &RequestKey{Target: s.Route, Workspace: s.Workspace} }
+func (s Scope) requestKey() *RequestKey { return &RequestKey{Target: s.Route, Workspace: s.Workspace} }
 
-// digest returns the HMAC-SHA-256 of the facts, truncated to digestBytes.
+// digest returns the HMAC-SHA-256 of the request key, truncated to digestBytes.
 func (f *RequestKey) digest(secret *Secret) Digest {
 	mac := hmac.New(sha256.New, secret[:])
 	writeField(mac, []byte(f.Method))
--- a/suspect/evidence.go
+++ b/suspect/evidence.go
@@ -32,8 +32,8 @@
 	// Round is one more than the highest round that the router knew of when it sent the
 	// request; see evidence.
 	Round int `json:"round"`
-	// EarlyRound is the round among early crashes, which happen before the first event of the
-	// response arrives. It is zero if the crash was not early.
+	// EarlyRound is the round among early crashes, which happen before the first event of
+	// the response arrives. It is zero if the crash was not early.
 	EarlyRound int `json:"early,omitempty"`
 	// Cleared says that the crash is attributed to another cause, since the request
 	// succeeded later or many upstreams crashed at once.
--- a/suspect/observation.go
+++ b/suspect/observation.go
@@ -11,7 +11,7 @@
 	Incarnation Incarnation
 	// Verdict is the verdict on the request at the time it was sent.
 	Verdict Verdict
-	// EarlyRound says that no event of the response had arrived.
+	// Early says that no event of the response had arrived.
 	Early bool
 	// Sent is when the request was sent.
 	Sent time.Time
--- a/suspect/secret.go
+++ b/suspect/secret.go
@@ -59,4 +59,4 @@
 }
 
 // ScopeDigest returns the digest of a scope, and false while no secret is set.
-func (t *Table) ScopeDigest(s Scope) (Digest, bool) { return t.Digest(s.facts()) }
+func (t *Table) ScopeDigest(s Scope) (Digest, bool) { return t.Digest(s.requestKey()) }
--- a/suspect/table.go
+++ b/suspect/table.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// DefaultBlockDuration is how long a request is refused after its last crash, from when the
-	// router learned of it. It equals the longest lease TTL of the platform's store, so that
-	// routers that start meanwhile still find the evidence there.
+	// DefaultBlockDuration is how long a request is refused after its last crash, from
+	// when the router learned of it. It equals the longest lease TTL of the platform's
+	// store, so that routers that start meanwhile still find the evidence there.
 	DefaultBlockDuration = 10 * time.Minute
 	// DefaultRetention is how long evidence is kept after the last crash. In this time one
 	// more crash suffices to refuse a request again whose block has expired.
 	DefaultRetention = 30 * time.Minute
-	// DefaultMaxEntries bounds the entries of a table, about 0.2 KB each. A crash adds an entry for
-	// each request that was running on the upstream.
+	// DefaultMaxEntries bounds the entries of a table, about 0.2 KB each. A crash adds an
+	// entry for each request that was running on the upstream.
 	DefaultMaxEntries = 4096
 )
 
@@ -34,8 +34,8 @@
 	Retention time.Duration
 	// MaxEntries bounds the entries of the table; zero means DefaultMaxEntries.
 	MaxEntries int
-	// OnObserved, if set, is called after each change by an observation of this router. No lock
-	// is held during the call.
+	// OnObserved, if set, is called after each change by an observation of this router.
+	// No lock is held during the call.
 	OnObserved func()
 }
 
--- a/throttle/issuer.go
+++ b/throttle/issuer.go
@@ -56,8 +56,9 @@
 	Seed uint64
 }
 
-// Incarnation identifies one incarnation of an upstream. An upstream that restarts under the same
-// ID has a different StartedAtMS, its start time in milliseconds since the Unix epoch.
+// Incarnation identifies one incarnation of an upstream. An upstream that restarts under
+// the same ID has a different StartedAtMS, its start time in milliseconds since the Unix
+// epoch.
 type Incarnation struct {
 	Upstream    granitehoist.Upstream
 	StartedAtMS int64
--- a/trial/documents.go
+++ b/trial/documents.go
@@ -16,7 +16,7 @@
 	Lima = "lima"
 )
 
-// partners lists the partners of a site.
+// partners lists the partners of a fleet.
 var partners = []granitehoist.Partner{Tuul, Lima}
 
 // The models of the partners' engines.
--- a/trial/site.go
+++ b/trial/fleet.go
@@ -33,7 +33,7 @@
 	Lima: {"miraflores", "callao", "ate", "surco"},
 }
 
-// Sizes and times of a site.
+// Sizes and times of a fleet.
 const (
 	// routersPerZone is the number of routers of each availability zone.
 	routersPerZone = 2
--- a/trial/judge.go
+++ b/trial/verify.go
@@ -33,7 +33,8 @@
 	Unaccounted int
 	// FalseNotRun is the number of requests that were reported as not run, but ran.
 	FalseNotRun int
-	// Truncated is the number of responses that ended early with an error or a closed connection.
+	// Truncated is the number of responses that ended early with an error or a closed
+	// connection.
 	Truncated int
 	// Stops is the number of planned stops during the load, StopsFailed that of
 	// failed ones.
@@ -111,7 +112,7 @@
 	if o.Answered && !o.Correct {
 		v.WrongAnswers++
 	}
-	if allNotRun(o.Fates) {
+	if allNotRun(o.ExecutionStatuses) {
 		v.NotRun++
 		if x.Runs > 0 {
 			v.FalseNotRun++
@@ -122,10 +123,10 @@
 	}
 }
 
-// allNotRun reports whether all responses said that the request did not run. fates must
+// allNotRun reports whether all responses said that the request did not run. statuses must
 // not be empty.
-func allNotRun(fates []granitehoist.ExecutionStatus) bool {
-	return !slices.ContainsFunc(fates, func(f granitehoist.ExecutionStatus) bool { return f != granitehoist.NotRun })
+func allNotRun(statuses []granitehoist.ExecutionStatus) bool {
+	return !slices.ContainsFunc(statuses, func(f granitehoist.ExecutionStatus) bool { return f != granitehoist.NotRun })
 }
 
 // checkCharges compares the charges of one request with its executions: there must be both
