--- a/partner/budget/agent.go
+++ b/partner/budget/agent.go
@@ -24,7 +24,7 @@
 	// Caller makes the calls to other routers.
 	Caller granitehoist.Caller
 	// RemoteAllocator returns the router whose Allocator serves a shard for this region. It
-	// returns false if that is this router or if there is none.
+	// returns false if this router serves the shard or if no router does.
 	RemoteAllocator func(Shard) (granitehoist.Peer, bool)
 	// Peers returns the other routers of the region.
 	Peers func() []granitehoist.Peer
@@ -153,9 +153,9 @@
 	Params SyncParams `json:"params"`
 }
 
-// sync sends a message to the shard's Allocator, or to the local one if that fails. It drops
-// the error of the remote call: any router may serve the shard, and a failure of the
-// local Allocator reports what is wrong with the store.
+// sync sends a message to the remote Allocator of the shard. If there is none, the call
+// fails or the message is refused, it uses the local Allocator. An error of the remote call
+// is ignored, since any router may serve the shard.
 func (a *Agent) sync(ctx context.Context, s Shard, params SyncParams, now time.Time) (SyncResult, error) {
 	if peer, ok := a.settings.RemoteAllocator(s); ok {
 		result, err := a.call(ctx, peer, ShardSync{Shard: s, Params: params})
@@ -209,7 +209,8 @@
 	var err error
 	for range closeAttempts {
 		now := a.settings.Clock()
-		// Messages of a closing router must not be delayed for batching.
+		// All messages of a closing router are urgent, so that they are not delayed
+		// for batching.
 		reports, _ := a.settings.Ledger.Reports(now)
 		if err = a.send(ctx, reports, SyncParams{Closing: true, Urgent: true}, now); err == nil {
 			return nil
--- a/partner/budget/allocation.go
+++ b/partner/budget/allocation.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	// shrinkBelowLifetime is the remaining lifetime of a budget, at the forecast rate of
-	// all holders, below which holdings shrink faster than the budget does.
+	// shrinkBelowLifetime is the remaining lifetime of a budget, its tokens divided by the
+	// forecast rate of all holders, below which horizon shortens its result in proportion.
 	shrinkBelowLifetime = 60 * time.Second
-	// shrinkBelowRequests is the number of largest requests that the budget can still
-	// pay for, below which holdings shrink faster than the budget does.
+	// shrinkBelowRequests is the number of requests of the largest size that a budget can
+	// still pay for, below which horizon shortens its result in proportion.
 	shrinkBelowRequests = 20
 )
 
-// Every holder keeps an idle reserve for a few of its largest requests even if its
-// forecast is lower, so that it can serve for a while after it is cut off.
+// The idle reserve is what a holder may hold even if its forecast is lower, so that it can
+// serve a few requests after it is cut off.
 const (
-	// idleReserveRequests is how many of its largest requests the idle reserve of a
-	// holder covers.
+	// idleReserveRequests is how many requests of the largest size the idle reserve pays
+	// for at each box.
 	idleReserveRequests = 16
-	// idleReserveDivisor bounds the sum of all idle reserves: the budget's remaining
+	// idleReserveDivisor limits the sum of all idle reserves to the budget's remaining
 	// tokens divided by it.
 	idleReserveDivisor = 10
 )
@@ -42,7 +42,7 @@
 	// rate is the forecast in tokens per second.
 	rate float64
 	// largest is the largest bound of a request at the holder. largestSum is the sum of
-	// the largest bounds of all boxes there.
+	// the largest bounds at each of the holder's boxes.
 	largest, largestSum granitehoist.Tokens
 	// grant is the result, in addition to held. limit is how much the holder should
 	// hold.
@@ -65,9 +65,12 @@
 // allocate divides the stock among claims and sets the grant and limit of each. The sum
 // of the grants never exceeds the stock.
 //
-// Waiting requests come first. Each holder gets what its smallest waiting request needs,
-// in ascending order and never a part of it, then what its other requests need. The rest
-// of the stock fills holdings up to their limits.
+// The stock is granted in three steps:
+//   - In ascending order of claim.least, each holder with waiting requests gets its least,
+//     if the remaining stock covers all of it.
+//   - The holders that got their least get the rest of their need, or as much of it as the
+//     stock covers.
+//   - All holders get more, up to their want and their limit.
 func allocate(claims []*claim, s supply, split Split) {
 	var largest granitehoist.Tokens
 	for _, c := range claims {
@@ -119,10 +122,14 @@
 	return waiting
 }
 
-// horizon returns how long a holding should last at the forecast: the shorter of
-// split.Cover and split.Share of the budget's remaining lifetime. It shrinks near the end
-// of a budget, so that the last tokens stay where any request can use them, and is zero
-// when at most two of the largest requests fit. rate is in tokens per second.
+// horizon returns how long a holding should last at its holder's forecast: the shorter of
+// split.Cover and split.Share times the budget's remaining lifetime, which is total / rate.
+// rate is in tokens per second.
+//
+// The result is shortened in proportion if the lifetime is below shrinkBelowLifetime, or if
+// total pays for fewer than shrinkBelowRequests requests of the largest size. It is zero if
+// rate is zero or total pays for at most two such requests. The last tokens then stay in
+// the stock, from which any holder can get them.
 func horizon(total, largest granitehoist.Tokens, rate float64, split Split) time.Duration {
 	if rate <= 0 || total <= 2*largest {
 		return 0
--- a/partner/budget/allocator.go
+++ b/partner/budget/allocator.go
@@ -119,8 +119,8 @@
 	return g
 }
 
-// serve processes messages of one shard with one write, as of the latest of their times.
-// It retries after conflicts and after writes whose outcome is unknown.
+// serve processes messages of one shard with one write. Its time is the latest arrival of a
+// message. It retries after conflicts and after writes whose outcome is unknown.
 func (k *Allocator) serve(ctx context.Context, s Shard, items []syncItem) ([]SyncResult, error) {
 	now := items[0].now
 	for _, item := range items {
@@ -146,7 +146,8 @@
 
 // attempt reads the region's record, processes the messages and writes the record. It
 // returns grants only after the store has confirmed the write. After a write whose outcome
-// is unknown, the next attempt reads what is stored; totals make a repetition harmless.
+// is unknown, the next attempt reads what is stored. Messages contain running totals, so
+// processing them twice is harmless.
 func (k *Allocator) attempt(ctx context.Context, s Shard, items []syncItem, now time.Time) ([]SyncResult, error) {
 	entry, err := k.settings.Store.Get(ctx, RegionKey(k.settings.Region, s))
 	if err != nil {
@@ -175,8 +176,8 @@
 	}
 	if record.hasUnconfirmedReturns() && len(items) > 0 {
 		// Report returned tokens to the root now, since other regions may need them.
-		// An error can be ignored: the stored record names them, so that the next
-		// message of any box reports them.
+		// An error can be ignored: the stored record contains the returns, and the
+		// next message of any box makes the region report them.
 		_, _ = k.attempt(ctx, s, nil, now)
 	}
 	for i, item := range items {
--- a/partner/budget/ledger.go
+++ b/partner/budget/ledger.go
@@ -89,8 +89,9 @@
 	return a.hasUrgentSurplus()
 }
 
-// HasPending reports whether requests wait for tokens, on this box or elsewhere, so that
-// the next reports should not be delayed.
+// HasPending reports whether the next reports should not be delayed. This is so if requests
+// of the box wait for tokens, or if the box has a surplus for which requests elsewhere may
+// wait.
 func (p *Ledger) HasPending() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,7 +118,7 @@
 }
 
 // Close makes later reports return all free tokens. A closed Ledger accepts no grant and no
-// loan, so that the region can revoke grants that it has not seen.
+// loan, so that the region can revoke grants that the Ledger has not seen.
 func (p *Ledger) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,13 +137,13 @@
 
 // account is the state of one budget on a box, guarded by the lock of the Ledger.
 //
-// The box holds totals.Held() tokens, of which reserved ones are a part. Only Ledger.Settle
+// The box holds totals.Held() tokens, including the reserved ones. Only Ledger.Settle
 // can make the free tokens negative, by a use beyond the reserved bound; the box then serves
 // no request of the budget until it has received more.
 type account struct {
 	totals   Totals
 	reserved granitehoist.Tokens
-	// lent and borrowed are the totals by the other box's incarnation.
+	// lent and borrowed hold the totals lent to and borrowed from each other incarnation.
 	lent     map[granitehoist.Incarnation]granitehoist.Tokens
 	borrowed map[granitehoist.Incarnation]granitehoist.Tokens
 
--- a/partner/budget/loan.go
+++ b/partner/budget/loan.go
@@ -12,15 +12,17 @@
 	"granitehoist.example/granitehoist"
 )
 
-// loanDivisor is the divisor of the tokens that a box can spare: it lends one part of so
-// many, so that something is left for other borrowers.
+// loanDivisor limits a loan to the tokens that the lender can spare divided by it, so that
+// some are left for other borrowers.
 const loanDivisor = 2
 
-// minLenderCover is the time for which a lender keeps its own forecast demand.
+// minLenderCover is the time for which a lender keeps enough tokens for its own forecast
+// spending.
 const minLenderCover = 3 * DefaultInterval
 
 // Lend transfers part of the free tokens to another box and returns the total ever lent
-// to it. A duplicated message lends nothing more.
+// to it. It lends nothing more if the borrower has not received all earlier loans, so a
+// duplicated message has no effect. A closed Ledger lends nothing.
 func (p *Ledger) Lend(b BorrowParams, now time.Time) BorrowResult {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,7 +50,8 @@
 }
 
 // LoanRequest returns the message that asks a lender for what the waiting requests of a
-// budget lack, and false if they lack nothing.
+// budget lack and for one more request of the largest size. It returns false if they lack
+// nothing or the Ledger is closed.
 func (p *Ledger) LoanRequest(k granitehoist.BudgetID, lender granitehoist.Incarnation) (BorrowParams, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,9 +67,9 @@
 	return BorrowParams{Incarnation: p.incarnation, Budget: k, Known: known, Want: known + shortfall + a.demand.largest}, true
 }
 
-// ApplyLoan processes a lender's answer. A delayed or duplicated answer has no effect.
-// Neither has one after Close, since the region may have removed the incarnation's rows
-// and could not take the tokens back.
+// ApplyLoan processes a lender's answer. A delayed or duplicated answer has no effect. An
+// answer after Close has none either: the region may have removed the incarnation's rows,
+// so that the tokens could not be returned.
 func (p *Ledger) ApplyLoan(k granitehoist.BudgetID, r BorrowResult) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/partner/budget/messages.go
+++ b/partner/budget/messages.go
@@ -40,8 +40,9 @@
 	Budget granitehoist.BudgetID `json:"k"`
 	// Totals are the box's own totals.
 	Totals Totals `json:"t"`
-	// Want is the total grant that the box asks for, Need the part of it that requests
-	// wait for, and Least the part of Need that lets the smallest of them run.
+	// Want, Need and Least are totals that include the earlier grants. Want is all that
+	// the box asks for. Need is enough for all waiting requests, and Least for the
+	// smallest of them.
 	Want  granitehoist.Tokens `json:"w"`
 	Need  granitehoist.Tokens `json:"n"`
 	Least granitehoist.Tokens `json:"y"`
@@ -69,8 +70,8 @@
 	Granted granitehoist.Tokens `json:"g"`
 	// Target is what the box should hold; it returns what it has beyond that.
 	Target granitehoist.Tokens `json:"t"`
-	// Remaining is what the whole budget has left by the last reports of all holders. It is
-	// never less than what the box could still get.
+	// Remaining is what the whole budget has left according to the last reports of all
+	// holders. It is never less than what the box could still get.
 	Remaining granitehoist.Tokens `json:"x"`
 	// Lenders names the incarnations of the region with the largest holdings, if the
 	// grant does not cover the need.
@@ -80,7 +81,7 @@
 // SyncResult is the Allocator's answer to a SyncParams.
 type SyncResult struct {
 	Replies []Reply `json:"replies"`
-	// Unknown means that the message was refused, as by ErrUnknownIncarnation.
+	// Unknown means that the message was refused; see ErrUnknownIncarnation.
 	Unknown bool `json:"unknown,omitempty"`
 }
 
--- a/partner/budget/overview.go
+++ b/partner/budget/overview.go
@@ -20,7 +20,8 @@
 	Held        map[granitehoist.Region]granitehoist.Tokens `json:"held"`
 	InDoubt     granitehoist.Tokens                         `json:"in_doubt"`
 	Charged     granitehoist.Tokens                         `json:"charged"`
-	// InTransit is in transit between the root and the regions.
+	// InTransit is the number of tokens that the root or a region has sent and the other
+	// has not received yet.
 	InTransit granitehoist.Tokens `json:"on_the_way"`
 }
 
@@ -65,14 +66,14 @@
 	return states, nil
 }
 
-// Of returns the overviews of budgets. prepaid returns the prepaid total of a budget
+// Of returns the overviews of budgets. It calls prepaid for the prepaid total of a budget
 // without a root account.
 func (s *States) Of(ids []granitehoist.BudgetID, prepaid func(granitehoist.BudgetID) (granitehoist.Tokens, granitehoist.Serial, bool)) []Overview {
 	overviews := make([]Overview, len(ids))
 	for i, k := range ids {
 		overviews[i] = s.overview(k)
 		if s.rootRecords[shardOf(k, s.shards)].Accounts[k] == nil {
-			// A budget that the configuration does not name counts as zero.
+			// The total of a budget that the configuration does not contain is zero.
 			tokens, _, _ := prepaid(k)
 			overviews[i].Prepaid, overviews[i].Unallocated = tokens, tokens
 		}
--- a/partner/budget/record.go
+++ b/partner/budget/record.go
@@ -23,7 +23,8 @@
 
 // Row is the state of one incarnation in an account of a region.
 type Row struct {
-	// Totals has the grants as made by the region and all else as last reported.
+	// Totals.Granted is the total that the region has granted. The other totals are as
+	// last reported.
 	Totals Totals `json:"t"`
 	// Rate is the last reported forecast in tokens per second. Largest is the largest
 	// bound of a request.
@@ -38,7 +39,8 @@
 // Member is the state of one incarnation in a region.
 type Member struct {
 	Box granitehoist.Box `json:"box"`
-	// LastSeen is the time of its last report in Unix seconds, to seenResolution.
+	// LastSeen is the time of its last report in Unix seconds. It may be too early by up
+	// to seenResolution.
 	LastSeen int64 `json:"seen"`
 	// Closed means that it stopped gracefully and holds nothing.
 	Closed bool `json:"closed,omitempty"`
@@ -193,7 +195,7 @@
 const (
 	// regionPrefix is the prefix of the store keys of RegionRecords.
 	regionPrefix = "budget/page/"
-	// rootPrefix is the prefix of the store keys of Roots.
+	// rootPrefix is the prefix of the store keys of RootRecords.
 	rootPrefix = "budget/root/"
 )
 
@@ -233,8 +235,8 @@
 }
 
 // inDoubtAfter is the time without a report after which the tokens of an incarnation count
-// as in doubt. They are shown as such and ignored when tokens are divided, but are granted
-// to nobody else.
+// as in doubt. These tokens are shown as in doubt and left out of the totals by which the
+// other tokens are divided. They stay with the incarnation and are granted to nobody else.
 const inDoubtAfter = 3 * reportInterval
 
 // InDoubt returns the tokens held by incarnations without a report for inDoubtAfter.
--- a/partner/budget/refill.go
+++ b/partner/budget/refill.go
@@ -11,8 +11,9 @@
 	"granitehoist.example/granitehoist"
 )
 
-// refill reports the budgets to the root if a report is due, and merges its replies into
-// the region's record: grants where the region has too little, and confirmed returns.
+// refill reports all budgets of reports to the root if the report of any of them is due.
+// It merges the root's replies, which contain grants and confirm returns, into the region's
+// record.
 func (k *Allocator) refill(ctx context.Context, s Shard, record *RegionRecord, reports reportsByBudget, now time.Time) error {
 	var regionReports []RegionReport
 	due := false
@@ -40,15 +41,17 @@
 	return granitehoist.ErrConflict
 }
 
-// rootInterval is the longest time between two reports of an account in use to the root. The
-// holdings of regions follow demand with this delay.
+// rootInterval is the longest time between two reports of an account in use to the root. A
+// region's holding follows demand with at most this delay.
 const rootInterval = 20 * time.Second
 
 // isRootReportDue reports whether the account should be reported to the root now, which
-// costs a write of the root record: at once if requests wait, if the root has yet to
-// confirm returned tokens, or if the region never received any; after shortfallInterval if
-// the region is below half of its limit and asks for more; and otherwise after
-// rootInterval.
+// costs a write of the root record. A report is due
+//   - at once if requests need more than the region's stock, if the root has yet to confirm
+//     returned tokens, or if the region never received any;
+//   - after shortfallInterval if the region has less than half of its limit and asks for
+//     more;
+//   - after rootInterval otherwise.
 func (a *RegionAccount) isRootReportDue(report RegionReport, now time.Time) bool {
 	switch {
 	case report.Need > 0, report.Returned > a.Confirmed, a.Received == 0:
--- a/partner/budget/region.go
+++ b/partner/budget/region.go
@@ -10,8 +10,8 @@
 	"granitehoist.example/granitehoist"
 )
 
-// seenResolution is the resolution of Member.LastSeen in seconds. It avoids a change of the
-// record by each report, and is well below inDoubtAfter.
+// seenResolution is the resolution of Member.LastSeen in seconds. It saves writing the record
+// for reports that change nothing else, and is well below inDoubtAfter.
 const seenResolution = int64(reportInterval / time.Second)
 
 // applyReports merges the reports of a message into the record. It returns false if the
@@ -19,7 +19,7 @@
 // never made.
 func (p *RegionRecord) applyReports(s SyncParams, now time.Time) bool {
 	if p.Members[s.Incarnation].Closed {
-		// A repeated closing message, after the answer to the first was lost.
+		// Accept a closing message that is repeated since its answer was lost.
 		return s.Closing
 	}
 	for _, report := range s.Reports {
@@ -222,8 +222,9 @@
 }
 
 // prepareReport returns the region's report of a budget. It then deducts the stock beyond
-// the root's limit as returned. Only the next report names that return, since the record
-// must be written first.
+// the root's limit as returned, unless the stock can serve some of the waiting requests but
+// not all. The report does not contain this return, since the record must be written first;
+// the next one does.
 func (p *RegionRecord) prepareReport(k granitehoist.BudgetID, split Split, now time.Time) RegionReport {
 	a := p.account(k)
 	live, rate := p.liveTokens(a, now)
--- a/partner/budget/report.go
+++ b/partner/budget/report.go
@@ -20,8 +20,9 @@
 	shortfallInterval = time.Second
 )
 
-// Reports returns the reports that are due, in order of their budgets. urgent says whether
-// requests wait for the replies, on this box or elsewhere. Reports deducts the surplus of
+// Reports returns the reports that are due, in order of their budgets. urgent is true if
+// requests may wait for the replies, on this box or elsewhere, or if the Ledger is closed.
+// Reports deducts the surplus of
 // each reported account. If a report is lost, the totals in the next one include it.
 func (p *Ledger) Reports(now time.Time) (reports []Report, urgent bool) {
 	p.mu.Lock()
@@ -39,10 +40,11 @@
 	return reports, urgent || p.closing
 }
 
-// isReportDue reports whether the account should be reported now: at once if requests wait
-// for tokens, on this box or elsewhere, or if the box is closing; after shortfallInterval
-// if the account is below half of its target; and otherwise after reportInterval if there
-// is something to report.
+// isReportDue reports whether the account should be reported now. A report is due
+//   - at once if the box is closing, if requests wait for tokens, or if the box has a surplus
+//     for which requests elsewhere may wait;
+//   - after shortfallInterval if the free tokens are below half of the target;
+//   - after reportInterval otherwise, if the account has changed or holds tokens.
 func (a *account) isReportDue(closing bool, now time.Time) bool {
 	elapsed := now.Sub(a.reportedAt)
 	switch {
--- a/partner/budget/root.go
+++ b/partner/budget/root.go
@@ -118,8 +118,8 @@
 // regionCoverFactor is the ratio of a region's cover to that of a box.
 const regionCoverFactor = 2
 
-// forRegions returns the split between regions. Regions hold tokens for longer than boxes,
-// and a larger share, since all regions write the same root record.
+// forRegions returns the split between regions. Its Cover and Share are larger than those of
+// boxes, so that regions write the root record, which they share, less often.
 func (s Split) forRegions() Split {
 	s.Cover *= regionCoverFactor
 	s.Share = (1 + s.Share) / 2
--- a/partner/budget/split.go
+++ b/partner/budget/split.go
@@ -11,15 +11,16 @@
 )
 
 // Split configures how the tokens of a partner's budgets are spread over boxes. The zero
-// value is ready to use. No Split can cause overspend: it trades refusals while parts of the
-// fleet are cut off against tokens in doubt after a box has failed.
+// value is ready to use. No Split can cause overspend. Large holdings cause few refusals
+// while a box is cut off, but leave many tokens in doubt after a box has failed.
 type Split struct {
-	// Cover is how long a box's holding should last at its forecast. Zero means
-	// DefaultCover.
+	// Cover is how long a box's holding should last at the box's forecast spending rate.
+	// Zero means DefaultCover.
 	Cover time.Duration
-	// Share, from 0 to 1, bounds Cover near the end of a budget: a holding lasts for at
-	// most this fraction of the budget's remaining lifetime at the forecast of all holders.
-	// Zero means DefaultShare.
+	// Share, from 0 to 1, limits holdings when few tokens remain. The remaining tokens
+	// divided by the forecast spending rate of all holders is the remaining lifetime of
+	// the budget. A holding should last for at most Share times this lifetime, even if
+	// Cover is longer. Zero means DefaultShare.
 	Share float64
 	// Wait bounds how long a request waits for tokens. Zero means DefaultWait.
 	Wait time.Duration
@@ -35,12 +36,12 @@
 	DefaultWait = 2 * time.Second
 )
 
-// Split values of each weighting. Both survive a partition of an hour with few refusals.
+// Split values of each weighting.
 const (
-	// refusalsCover lasts through an outage of two hours.
+	// refusalsCover lets a box that is cut off serve for two hours at its forecast.
 	refusalsCover = 2 * time.Hour
 	refusalsShare = 0.9
-	// overspendCover lasts through an outage of an hour.
+	// overspendCover lets a box that is cut off serve for over an hour at its forecast.
 	overspendCover = 75 * time.Minute
 	overspendShare = 0.85
 )
--- a/partner/budget/surplus.go
+++ b/partner/budget/surplus.go
@@ -15,8 +15,8 @@
 	regionSurplusDivisor = 16
 )
 
-// isScarce reports whether the budget has so little left that the box should not hold
-// enough for its largest request. Requests then wait for a grant each.
+// isScarce reports whether the target of the last reply is too low for the largest request
+// of the box. The budget then has so little left that requests wait for a grant each.
 func (a *account) isScarce() bool { return a.reply.received && a.reply.target < a.demand.largest }
 
 // hasUrgentSurplus reports whether the account has a surplus that requests elsewhere may
@@ -25,12 +25,14 @@
 	return a.isScarce() && a.free() > max(a.reply.target, a.demand.waiting())
 }
 
-// surplus returns the number of tokens that the box should return to its region. These are
-// the free tokens beyond both the target of the last reply and what requests wait for, if
-// they are worth a message. A scarce budget makes any surplus worth one, and the box also
-// returns free tokens that are too few for its smallest waiting request, since they may
-// serve a request elsewhere. A closing box returns all free tokens. The result may be
-// negative.
+// surplus returns the number of tokens that the box should return to its region. The result
+// may be negative. It is
+//   - all free tokens if the box is closing;
+//   - zero before the first reply;
+//   - all free tokens if the budget is scarce and they are too few for the smallest waiting
+//     request, since they may serve a request elsewhere;
+//   - otherwise the free tokens beyond both the target and what requests wait for. Unless
+//     the budget is scarce, a surplus too small to be worth a message counts as zero.
 func (a *account) surplus(closing bool) granitehoist.Tokens {
 	if closing {
 		return a.free()
--- a/partner/budget/wait.go
+++ b/partner/budget/wait.go
@@ -39,8 +39,8 @@
 	Unreachable
 )
 
-// remainingTTL is how long a reply that a budget has too few tokens is used to refuse
-// further requests without a new report.
+// remainingTTL is how long after a reply its remaining tokens are used to refuse requests
+// at once, without a new report.
 const remainingTTL = time.Second
 
 // Wait reserves bound tokens at once, as Reserve does, or returns a Waiter for them. The
@@ -85,8 +85,9 @@
 	return a.reply.timeoutOutcome(p.split(k).Wait, now)
 }
 
-// timeoutOutcome returns the outcome of a wait that got no tokens in time. A reply during the
-// wait means that the budget is exhausted; otherwise no Allocator could be reached.
+// timeoutOutcome returns the outcome of a wait that got no tokens in time. wait is the
+// longest time that a request waits. A reply within this time before now means that the
+// budget is exhausted; otherwise no Allocator could be reached.
 func (r lastReply) timeoutOutcome(wait time.Duration, now time.Time) Outcome {
 	if r.received && now.Sub(r.receivedAt) < wait {
 		return Exhausted
